--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -45,7 +45,11 @@
     /// Sends log lines to standard error; `RUST_LOG` sets the level, `info` by default.
     pub fn install_logging(&self) {
         let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
-        tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).without_time().init();
+        tracing_subscriber::fmt()
+            .with_env_filter(filter)
+            .with_writer(std::io::stderr)
+            .without_time()
+            .init();
     }
 
     /// Runs the experiment.
--- a/lab/src/fleet/backend.rs
+++ b/lab/src/fleet/backend.rs
@@ -40,8 +40,8 @@
     /// start: N plus chance's share of 2 sqrt(N) + 2, N being multiple x present capacity x fall time.
     #[must_use]
     pub fn budget(&self, capacity: f64, age: Micros) -> f64 {
-        let requests =
-            self.fall_multiple * capacity * self.warmth(age) * self.fall_time as f64 / self.mean_work;
+        let requests = self.fall_multiple * capacity * self.warmth(age) * self.fall_time as f64
+            / self.mean_work;
         requests + 2.0 * requests.sqrt() + 2.0
     }
 }
@@ -158,17 +158,29 @@
     /// Its present load report.
     #[must_use]
     pub fn report(&self) -> LoadReport {
-        [self.working.len() as f32, self.waiting.len() as f32, self.service_ms as f32]
+        [
+            self.working.len() as f32,
+            self.waiting.len() as f32,
+            self.service_ms as f32,
+        ]
     }
 
     /// How long a core takes for `work` (microseconds of standard work) that starts now.
     fn service_time(&self, now: Micros, work: f64, cold: &ColdStart) -> Micros {
-        let warmth = self.started.map_or(1.0, |started| cold.warmth(now.saturating_sub(started)));
+        let warmth = self
+            .started
+            .map_or(1.0, |started| cold.warmth(now.saturating_sub(started)));
         ((work * self.slowdown / (self.machine.speed * warmth)) as Micros).max(1)
     }
 
     /// Takes an attempt that reached it, if it does; `work` is in microseconds of standard work.
-    pub fn arrive(&mut self, now: Micros, attempt: AttemptPlace, work: f64, cold: &ColdStart) -> Admission {
+    pub fn arrive(
+        &mut self,
+        now: Micros,
+        attempt: AttemptPlace,
+        work: f64,
+        cold: &ColdStart,
+    ) -> Admission {
         match self.life {
             Life::Dead => return Admission::Refused,
             Life::Vanished => return Admission::Unreachable,
@@ -189,20 +201,34 @@
     /// Counts an attempt against the cold start's budget. Every attempt that reaches it weighs, refused ones
     /// too; `informed` tells whether its proxy had been informed of the start. Returns the fall if it falls
     /// over.
-    pub fn weigh(&mut self, now: Micros, work: f64, informed: bool, cold: &ColdStart) -> Option<Fall> {
+    pub fn weigh(
+        &mut self,
+        now: Micros,
+        work: f64,
+        informed: bool,
+        cold: &ColdStart,
+    ) -> Option<Fall> {
         let load = self.cold.as_mut()?;
         let age = now.saturating_sub(self.started.unwrap_or_default());
         if age >= cold.time {
             self.cold = None;
             return None;
         }
-        load.add(ColdArrival { at: now, weight: work / cold.mean_work, informed });
+        load.add(ColdArrival {
+            at: now,
+            weight: work / cold.mean_work,
+            informed,
+        });
         load.forget_before(now.saturating_sub(cold.fall_time));
         let budget = cold.budget(self.machine.capacity(), age);
         if load.weight <= budget {
             return None;
         }
-        Some(Fall { load: load.weight, budget, informed: load.informed_weight / load.weight })
+        Some(Fall {
+            load: load.weight,
+            budget,
+            informed: load.informed_weight / load.weight,
+        })
     }
 
     /// The work on an attempt has ended. Returns whether its answer goes out now; a hung backend keeps it.
@@ -224,13 +250,20 @@
 
     /// The next waiting attempt for which a core is free, if there is one.
     pub fn next_waiting(&mut self) -> Option<AttemptPlace> {
-        let free =
-            self.life == Life::Up && !self.hung && self.working.len() < usize::from(self.machine.cores);
+        let free = self.life == Life::Up
+            && !self.hung
+            && self.working.len() < usize::from(self.machine.cores);
         if free { self.waiting.pop_front() } else { None }
     }
 
     /// Begins the work on an attempt that waited; returns how long it takes.
-    pub fn begin(&mut self, now: Micros, attempt: AttemptPlace, work: f64, cold: &ColdStart) -> Micros {
+    pub fn begin(
+        &mut self,
+        now: Micros,
+        attempt: AttemptPlace,
+        work: f64,
+        cold: &ColdStart,
+    ) -> Micros {
         self.working.push(attempt);
         self.service_time(now, work, cold)
     }
@@ -239,7 +272,9 @@
     pub fn resume(&mut self) -> Vec<AttemptPlace> {
         self.hung = false;
         let ended = std::mem::take(&mut self.stalled);
-        ended.iter().for_each(|&attempt| self.remove_working(attempt));
+        ended
+            .iter()
+            .for_each(|&attempt| self.remove_working(attempt));
         ended
     }
 
@@ -272,15 +307,28 @@
 impl ColdLoad {
     fn add(&mut self, arrival: ColdArrival) {
         self.weight += arrival.weight;
-        self.informed_weight += if arrival.informed { arrival.weight } else { 0.0 };
+        self.informed_weight += if arrival.informed {
+            arrival.weight
+        } else {
+            0.0
+        };
         self.arrivals.push_back(arrival);
     }
 
     fn forget_before(&mut self, oldest: Micros) {
-        while let Some(arrival) = self.arrivals.front().copied().filter(|arrival| arrival.at < oldest) {
+        while let Some(arrival) = self
+            .arrivals
+            .front()
+            .copied()
+            .filter(|arrival| arrival.at < oldest)
+        {
             self.arrivals.pop_front();
             self.weight -= arrival.weight;
-            self.informed_weight -= if arrival.informed { arrival.weight } else { 0.0 };
+            self.informed_weight -= if arrival.informed {
+                arrival.weight
+            } else {
+                0.0
+            };
         }
     }
 }
--- a/lab/src/fleet/client.rs
+++ b/lab/src/fleet/client.rs
@@ -53,7 +53,9 @@
             sum += weight;
             sum
         };
-        Self { cumulative: weights.map(add).collect() }
+        Self {
+            cumulative: weights.map(add).collect(),
+        }
     }
 
     /// The position that a number in 0..1 chooses.
@@ -67,7 +69,11 @@
     /// A position's part of the whole.
     #[must_use]
     pub fn share(&self, position: usize) -> f64 {
-        let before = if position == 0 { 0.0 } else { self.cumulative[position - 1] };
+        let before = if position == 0 {
+            0.0
+        } else {
+            self.cumulative[position - 1]
+        };
         (self.cumulative[position] - before) / self.cumulative.last().copied().unwrap_or(1.0)
     }
 }
@@ -95,7 +101,10 @@
             WorkSpread::Lognormal { sigma } => LogNormal::new(-sigma * sigma / 2.0, sigma)
                 .map_or(WorkDistribution::Constant, WorkDistribution::Lognormal),
         };
-        Self { mean: milliseconds(class.work_ms) as f64, distribution }
+        Self {
+            mean: milliseconds(class.work_ms) as f64,
+            distribution,
+        }
     }
 
     fn draw(&self, random: &mut SmallRng) -> f64 {
@@ -123,8 +132,10 @@
     /// The demand of a scenario on its machines.
     #[must_use]
     pub fn new(scenario: &FleetScenario, topology: &Topology) -> Self {
-        let (count, skew) =
-            scenario.tenants.as_ref().map_or((1, 0.0), |tenants| (tenants.count, tenants.skew));
+        let (count, skew) = scenario
+            .tenants
+            .as_ref()
+            .map_or((1, 0.0), |tenants| (tenants.count, tenants.skew));
         let tenants = (1..=count).map(|rank| f64::from(rank).powf(-skew));
         Self {
             classes: Weighted::new(scenario.classes.iter().map(|class| class.share)),
@@ -190,15 +201,26 @@
     #[must_use]
     pub fn new(rates: impl Iterator<Item = f64>) -> Self {
         let full = |rate| {
-            let bucket = AllowanceBucket { rate, tokens: 0.0, filled_at: 0 };
-            AllowanceBucket { tokens: bucket.most(), ..bucket }
+            let bucket = AllowanceBucket {
+                rate,
+                tokens: 0.0,
+                filled_at: 0,
+            };
+            AllowanceBucket {
+                tokens: bucket.most(),
+                ..bucket
+            }
         };
-        Self { buckets: rates.map(full).collect() }
+        Self {
+            buckets: rates.map(full).collect(),
+        }
     }
 
     /// Whether a call of a tenant lies within its allowance; takes it from there.
     pub fn take(&mut self, now: Micros, tenant: u16) -> bool {
-        let Some(bucket) = self.buckets.get_mut(usize::from(tenant)) else { return true };
+        let Some(bucket) = self.buckets.get_mut(usize::from(tenant)) else {
+            return true;
+        };
         let grown = bucket.tokens + bucket.rate * (now - bucket.filled_at) as f64 / 1e6;
         (bucket.tokens, bucket.filled_at) = (grown.min(bucket.most()), now);
         let within = bucket.tokens >= 1.0;
@@ -224,8 +246,21 @@
 impl ArrivalStream {
     /// A stream of `rate` calls a second that begins at `from`; `index` tells the streams of a run apart.
     #[must_use]
-    pub fn new(rate: f64, from: Micros, until: Micros, tenant: Option<u16>, seed: u64, index: u64) -> Self {
-        Self { rate, until, tenant, latest: from as f64, random: stream(seed, Stream::Arrivals, index) }
+    pub fn new(
+        rate: f64,
+        from: Micros,
+        until: Micros,
+        tenant: Option<u16>,
+        seed: u64,
+        index: u64,
+    ) -> Self {
+        Self {
+            rate,
+            until,
+            tenant,
+            latest: from as f64,
+            random: stream(seed, Stream::Arrivals, index),
+        }
     }
 
     /// The time of the next arrival, if there is one before the end.
@@ -272,8 +307,14 @@
     #[must_use]
     pub fn new(topology: &Topology) -> Self {
         let admitted = vec![true; topology.proxies.len()];
-        let zones = (0..topology.zones).map(|zone| ZoneFront::new(topology, zone, &admitted)).collect();
-        Self { admitted, zones, shifts: Vec::new() }
+        let zones = (0..topology.zones)
+            .map(|zone| ZoneFront::new(topology, zone, &admitted))
+            .collect();
+        Self {
+            admitted,
+            zones,
+            shifts: Vec::new(),
+        }
     }
 
     /// It takes a proxy for alive, or for dead, from now on.
@@ -287,12 +328,17 @@
     /// one.
     #[must_use]
     pub fn choose(&self, call: &ClientCall, drawn: f64) -> Option<ProxyNumber> {
-        let shift = self.shifts.iter().find(|shift| shift.from == call.zone && call.shift < shift.fraction);
+        let shift = self
+            .shifts
+            .iter()
+            .find(|shift| shift.from == call.zone && call.shift < shift.fraction);
         let home = usize::from(shift.map_or(call.zone, |shift| shift.to));
         let count = self.zones.len();
         (0..count).find_map(|step| {
             let zone = &self.zones[(home + step) % count];
-            zone.weights.choose(drawn).map(|position| zone.proxies[position])
+            zone.weights
+                .choose(drawn)
+                .map(|position| zone.proxies[position])
         })
     }
 }
@@ -303,9 +349,16 @@
             let number = usize::from(*proxy);
             topology.proxies[number].zone == zone && admitted[number]
         };
-        let proxies: Vec<ProxyNumber> = (0..topology.proxies.len() as ProxyNumber).filter(inside).collect();
-        let weights = proxies.iter().map(|&proxy| topology.proxies[usize::from(proxy)].weight);
-        Self { weights: Weighted::new(weights), proxies }
+        let proxies: Vec<ProxyNumber> = (0..topology.proxies.len() as ProxyNumber)
+            .filter(inside)
+            .collect();
+        let weights = proxies
+            .iter()
+            .map(|&proxy| topology.proxies[usize::from(proxy)].weight);
+        Self {
+            weights: Weighted::new(weights),
+            proxies,
+        }
     }
 }
 
@@ -336,11 +389,20 @@
     /// The behavior of a scenario's clients.
     #[must_use]
     pub fn new(settings: &Clients, seed: u64) -> Self {
-        Self { settings: settings.clone(), random: stream(seed, Stream::Clients, 0) }
+        Self {
+            settings: settings.clone(),
+            random: stream(seed, Stream::Clients, 0),
+        }
     }
 
     /// After how long a client tries again, if it does.
-    pub fn wait(&mut self, now: Micros, call: &ClientCall, class: &Class, end: TryEnd) -> Option<Micros> {
+    pub fn wait(
+        &mut self,
+        now: Micros,
+        call: &ClientCall,
+        class: &Class,
+        end: TryEnd,
+    ) -> Option<Micros> {
         if call.tries >= self.settings.tries || !may_repeat(now, call, class, end) {
             return None;
         }
@@ -384,7 +446,9 @@
     }
     match class.effect {
         Effect::Safe => true,
-        Effect::Keyed => class.key_group == KeyGroup::All && now < call.born + milliseconds(class.key_ttl_ms),
+        Effect::Keyed => {
+            class.key_group == KeyGroup::All && now < call.born + milliseconds(class.key_ttl_ms)
+        }
         Effect::Unsafe => false,
     }
 }
--- a/lab/src/fleet/discovery.rs
+++ b/lab/src/fleet/discovery.rs
@@ -201,7 +201,12 @@
         if after != self.revision {
             return Received::Answered(self.answer(call.proxy, call.serial, Some(after)));
         }
-        let watch = Watch { serial: call.serial, after, unresponsive: false, has_turn: false };
+        let watch = Watch {
+            serial: call.serial,
+            after,
+            unresponsive: false,
+            has_turn: false,
+        };
         self.watches[usize::from(call.proxy)] = Some(watch);
         Received::Standing
     }
@@ -212,7 +217,13 @@
         match self.turns.pop_front()? {
             Turn::Watch { proxy, serial } => {
                 let reply = self.answer_watch(proxy, serial)?;
-                let call = Call { proxy, serial, after: None, wait: 0, continues: true };
+                let call = Call {
+                    proxy,
+                    serial,
+                    after: None,
+                    wait: 0,
+                    continues: true,
+                };
                 Some((Received::Answered(reply), call))
             }
             Turn::Call { call, arrived } => {
@@ -237,7 +248,9 @@
     /// Answers a standing watch with what is newer than it holds.
     fn answer_watch(&mut self, proxy: ProxyNumber, serial: u32) -> Option<Reply> {
         let watch = &mut self.watches[usize::from(proxy)];
-        let after = watch.filter(|watch| watch.serial == serial && !watch.unresponsive)?.after;
+        let after = watch
+            .filter(|watch| watch.serial == serial && !watch.unresponsive)?
+            .after;
         *watch = None;
         Some(self.answer(proxy, serial, Some(after)))
     }
@@ -245,7 +258,11 @@
     fn failure(&mut self, proxy: ProxyNumber, serial: u32) -> Reply {
         self.traffic.failures += 1;
         self.traffic.bytes += self.call_bytes;
-        Reply { proxy, serial, answer: Answer::Failed }
+        Reply {
+            proxy,
+            serial,
+            answer: Answer::Failed,
+        }
     }
 
     /// The entries that changed after a revision, or the whole list where that is too long ago.
@@ -259,7 +276,15 @@
         self.traffic.lists += u64::from(complete);
         self.traffic.entries += entries.len() as u64;
         self.traffic.bytes += self.call_bytes + self.entry_bytes * entries.len() as u64;
-        Reply { proxy, serial, answer: Answer::List { revision: self.revision, complete, entries } }
+        Reply {
+            proxy,
+            serial,
+            answer: Answer::List {
+                revision: self.revision,
+                complete,
+                entries,
+            },
+        }
     }
 
     fn delta(&mut self, after: Revision) -> Arc<[Backend]> {
@@ -314,22 +339,33 @@
             return Vec::new();
         }
         let standing: Vec<(ProxyNumber, u32)> = self.standing().collect();
-        standing.into_iter().filter_map(|(proxy, serial)| self.answer_watch(proxy, serial)).collect()
+        standing
+            .into_iter()
+            .filter_map(|(proxy, serial)| self.answer_watch(proxy, serial))
+            .collect()
     }
 
     /// The answers of all standing watches wait for their turn, once each.
     fn give_turns(&mut self) {
         for (proxy, watch) in (0..).zip(&mut self.watches) {
-            let Some(watch) = watch.as_mut().filter(|watch| !watch.has_turn && !watch.unresponsive) else {
+            let Some(watch) = watch
+                .as_mut()
+                .filter(|watch| !watch.has_turn && !watch.unresponsive)
+            else {
                 continue;
             };
             watch.has_turn = true;
-            self.turns.push_back(Turn::Watch { proxy, serial: watch.serial });
+            self.turns.push_back(Turn::Watch {
+                proxy,
+                serial: watch.serial,
+            });
         }
     }
 
     fn standing(&self) -> impl Iterator<Item = (ProxyNumber, u32)> + '_ {
-        (0..).zip(&self.watches).filter_map(|(proxy, watch)| watch.map(|watch| (proxy, watch.serial)))
+        (0..)
+            .zip(&self.watches)
+            .filter_map(|(proxy, watch)| watch.map(|watch| (proxy, watch.serial)))
     }
 
     /// It goes down: watches end, and calls that wait for their turn fail.
@@ -342,7 +378,10 @@
         let mut ended: Vec<(ProxyNumber, u32)> = waiting.collect();
         ended.extend(self.standing());
         self.watches.fill(None);
-        ended.into_iter().map(|(proxy, serial)| self.failure(proxy, serial)).collect()
+        ended
+            .into_iter()
+            .map(|(proxy, serial)| self.failure(proxy, serial))
+            .collect()
     }
 
     /// It answers calls again.
--- a/lab/src/fleet/events.rs
+++ b/lab/src/fleet/events.rs
@@ -96,7 +96,11 @@
     /// Adds an event; one whose time has passed happens now.
     pub fn push(&mut self, at: Micros, event: T) {
         let at = at.max(self.now);
-        let entry = Entry { at, sequence: self.sequence, event };
+        let entry = Entry {
+            at,
+            sequence: self.sequence,
+            event,
+        };
         self.sequence += 1;
         let slot = at >> SLOT_BITS;
         if slot <= self.slot {
@@ -144,7 +148,11 @@
         if due.capacity() > 0 {
             self.spare.push(due);
         }
-        while self.far.peek().is_some_and(|entry| entry.at >> SLOT_BITS <= self.slot) {
+        while self
+            .far
+            .peek()
+            .is_some_and(|entry| entry.at >> SLOT_BITS <= self.slot)
+        {
             self.near.extend(self.far.pop());
         }
     }
--- a/lab/src/fleet/faults.rs
+++ b/lab/src/fleet/faults.rs
@@ -84,15 +84,33 @@
     fn add(&mut self, event: &TimelineEvent, topology: &Topology, random: &mut SmallRng) {
         let at = event.at();
         match *event {
-            TimelineEvent::RollingRestart { over_s, fraction, drain_s, down_s, .. } => {
+            TimelineEvent::RollingRestart {
+                over_s,
+                fraction,
+                drain_s,
+                down_s,
+                ..
+            } => {
                 self.rolling_restart(topology, random, at, fraction, [over_s, drain_s, down_s]);
             }
-            TimelineEvent::ZoneLoss { zone, return_after_s, .. } => {
+            TimelineEvent::ZoneLoss {
+                zone,
+                return_after_s,
+                ..
+            } => {
                 self.zone_loss(topology, at, zone, return_after_s);
             }
-            TimelineEvent::RackLoss { zone, rack, return_after_s, .. } => {
+            TimelineEvent::RackLoss {
+                zone,
+                rack,
+                return_after_s,
+                ..
+            } => {
                 let inside = |&id: &BackendId| topology.machines[id as usize].rack == rack;
-                let lost = topology.backends_of_zone(zone).filter(inside).collect::<Vec<_>>();
+                let lost = topology
+                    .backends_of_zone(zone)
+                    .filter(inside)
+                    .collect::<Vec<_>>();
                 self.lose_backends(&lost, at, Life::Vanished, return_after_s);
             }
             TimelineEvent::RegionPartition { for_s, .. } => {
@@ -108,38 +126,81 @@
                     self.push(at, Change::MuteWatch(proxy as ProxyNumber));
                 }
             }
-            TimelineEvent::ConfigBurst { entries, over_s, .. } => {
+            TimelineEvent::ConfigBurst {
+                entries, over_s, ..
+            } => {
                 self.config_burst(topology, random, at, entries, over_s);
             }
-            TimelineEvent::TenantSurge { for_s, tenant, multiple, .. } => {
+            TimelineEvent::TenantSurge {
+                for_s,
+                tenant,
+                multiple,
+                ..
+            } => {
                 self.push(at, Change::Surge(self.surges.len() as u32));
-                self.surges.push(Surge { tenant, until: at + seconds(for_s), multiple });
+                self.surges.push(Surge {
+                    tenant,
+                    until: at + seconds(for_s),
+                    multiple,
+                });
             }
-            TimelineEvent::BackendSlow { for_s, fraction, factor, .. } => {
+            TimelineEvent::BackendSlow {
+                for_s,
+                fraction,
+                factor,
+                ..
+            } => {
                 for id in chosen(topology.machines.len(), fraction, random) {
                     self.push(at, Change::Slow(id, factor));
                     self.push(at + seconds(for_s), Change::Slow(id, 1.0));
                 }
             }
-            TimelineEvent::BackendHang { for_s, fraction, .. } => {
+            TimelineEvent::BackendHang {
+                for_s, fraction, ..
+            } => {
                 for id in chosen(topology.machines.len(), fraction, random) {
                     self.push(at, Change::Hang(id));
                     self.push(at + seconds(for_s), Change::Resume(id));
                 }
             }
-            TimelineEvent::BackendCrash { fraction, return_after_s, .. } => {
+            TimelineEvent::BackendCrash {
+                fraction,
+                return_after_s,
+                ..
+            } => {
                 let lost = chosen(topology.machines.len(), fraction, random);
                 self.lose_backends(&lost, at, Life::Dead, return_after_s);
             }
-            TimelineEvent::ProxyRestart { over_s, fraction, down_s, .. } => {
+            TimelineEvent::ProxyRestart {
+                over_s,
+                fraction,
+                down_s,
+                ..
+            } => {
                 let proxies = chosen(topology.proxies.len(), fraction, random);
                 for (proxy, begins) in spread_over(&proxies, at, over_s) {
-                    self.push(begins, Change::StopProxy(proxy as ProxyNumber, ProxyLife::Dead));
-                    self.push(begins + seconds(down_s), Change::StartProxy(proxy as ProxyNumber));
+                    self.push(
+                        begins,
+                        Change::StopProxy(proxy as ProxyNumber, ProxyLife::Dead),
+                    );
+                    self.push(
+                        begins + seconds(down_s),
+                        Change::StartProxy(proxy as ProxyNumber),
+                    );
                 }
             }
-            TimelineEvent::TrafficShift { for_s, from_zone, to_zone, fraction, .. } => {
-                let shift = TrafficShift { from: from_zone, to: to_zone, fraction };
+            TimelineEvent::TrafficShift {
+                for_s,
+                from_zone,
+                to_zone,
+                fraction,
+                ..
+            } => {
+                let shift = TrafficShift {
+                    from: from_zone,
+                    to: to_zone,
+                    fraction,
+                };
                 self.push(at, Change::Shift(shift, true));
                 if let Some(span) = for_s {
                     self.push(at + seconds(span), Change::Shift(shift, false));
@@ -161,11 +222,20 @@
             let stops = begins + seconds(drain_s);
             self.push(begins, Change::Drain(id));
             self.push(stops, Change::StopBackend(id, Life::Dead));
-            self.push(stops + seconds(down_s), Change::StartBackend(id, Life::Dead));
+            self.push(
+                stops + seconds(down_s),
+                Change::StartBackend(id, Life::Dead),
+            );
         }
     }
 
-    fn zone_loss(&mut self, topology: &Topology, at: Micros, zone: u16, return_after_s: Option<f64>) {
+    fn zone_loss(
+        &mut self,
+        topology: &Topology,
+        at: Micros,
+        zone: u16,
+        return_after_s: Option<f64>,
+    ) {
         let lost: Vec<BackendId> = topology.backends_of_zone(zone).collect();
         self.lose_backends(&lost, at, Life::Vanished, return_after_s);
         for (proxy, place) in (0..).zip(&topology.proxies) {
@@ -179,7 +249,13 @@
         }
     }
 
-    fn lose_backends(&mut self, lost: &[BackendId], at: Micros, life: Life, return_after_s: Option<f64>) {
+    fn lose_backends(
+        &mut self,
+        lost: &[BackendId],
+        at: Micros,
+        life: Life,
+        return_after_s: Option<f64>,
+    ) {
         for &id in lost {
             self.push(at, Change::StopBackend(id, life));
             if let Some(span) = return_after_s {
@@ -197,7 +273,12 @@
         over_s: f64,
     ) {
         let order = chosen(topology.machines.len(), 1.0, random);
-        let repeated: Vec<BackendId> = order.iter().cycle().take(entries as usize).copied().collect();
+        let repeated: Vec<BackendId> = order
+            .iter()
+            .cycle()
+            .take(entries as usize)
+            .copied()
+            .collect();
         for (id, when) in spread_over(&repeated, at, over_s) {
             self.push(when, Change::Republish(id));
         }
@@ -213,7 +294,14 @@
 }
 
 /// Spaces things evenly over a span that begins at `at`.
-fn spread_over(things: &[u32], at: Micros, over_s: f64) -> impl Iterator<Item = (u32, Micros)> + '_ {
+fn spread_over(
+    things: &[u32],
+    at: Micros,
+    over_s: f64,
+) -> impl Iterator<Item = (u32, Micros)> + '_ {
     let step = seconds(over_s) as f64 / things.len().max(1) as f64;
-    things.iter().enumerate().map(move |(rank, &thing)| (thing, at + (rank as f64 * step) as Micros))
+    things
+        .iter()
+        .enumerate()
+        .map(move |(rank, &thing)| (thing, at + (rank as f64 * step) as Micros))
 }
--- a/lab/src/fleet/metrics.rs
+++ b/lab/src/fleet/metrics.rs
@@ -3,8 +3,8 @@
 use super::client::ClientCall;
 use super::discovery::{ProxyNumber, Revision, Traffic};
 use super::report::{
-    AttemptCounts, BackendLoad, CallCounts, ChangeSpread, ClassMetrics, DiscoveryReport, NamedClass,
-    Percentiles, PolicyReport, SecondReport,
+    AttemptCounts, BackendLoad, CallCounts, ChangeSpread, ClassMetrics, DiscoveryReport,
+    NamedClass, Percentiles, PolicyReport, SecondReport,
 };
 use super::rules::RuleCounts;
 use hdrhistogram::Histogram;
@@ -61,7 +61,11 @@
 impl Percentiles {
     fn of(latency: &Histogram<u64>) -> Self {
         let at = |quantile: f64| latency.value_at_quantile(quantile) as f64 / 1e3;
-        Self { p50_ms: at(0.5), p99_ms: at(0.99), p999_ms: at(0.999) }
+        Self {
+            p50_ms: at(0.5),
+            p99_ms: at(0.99),
+            p999_ms: at(0.999),
+        }
     }
 }
 
@@ -72,7 +76,13 @@
         taken.sort_unstable();
         let at = |quantile: f64| taken[((taken.len() - 1) as f64 * quantile).round() as usize];
         let without_any = taken.iter().take_while(|&&count| count == 0).count() as u64;
-        Self { p1: at(0.01), p50: at(0.5), p99: at(0.99), max: at(1.0), without_any }
+        Self {
+            p1: at(0.01),
+            p50: at(0.5),
+            p99: at(0.99),
+            max: at(1.0),
+            without_any,
+        }
     }
 }
 
@@ -121,7 +131,10 @@
     /// Measures nothing so far.
     #[must_use]
     pub fn new(duration: Micros, warmup: Micros, classes: usize, proxies: usize) -> Self {
-        let empty = SecondMetrics { calls: CallCounts::default(), latency: histogram(DIGITS_OF_A_SECOND) };
+        let empty = SecondMetrics {
+            calls: CallCounts::default(),
+            latency: histogram(DIGITS_OF_A_SECOND),
+        };
         Self {
             warmup,
             latency: histogram(DIGITS),
@@ -161,7 +174,12 @@
     /// Changes that happened at `happened` were published.
     pub fn on_publication(&mut self, revision: Revision, happened: Micros, living: usize) {
         let informed = Vec::with_capacity(living);
-        self.publications.push(Publication { revision, happened, expected: living, informed });
+        self.publications.push(Publication {
+            revision,
+            happened,
+            expected: living,
+            informed,
+        });
     }
 
     /// A proxy's list is now of this revision.
@@ -189,7 +207,11 @@
 
     fn spread(&self) -> ChangeSpread {
         let known = |fraction: f64| {
-            let mut times: Vec<f64> = self.publications.iter().filter_map(|p| p.known_to(fraction)).collect();
+            let mut times: Vec<f64> = self
+                .publications
+                .iter()
+                .filter_map(|p| p.known_to(fraction))
+                .collect();
             times.sort_unstable_by(f64::total_cmp);
             times
         };
@@ -217,8 +239,18 @@
             entries: traffic.entries,
             bytes: traffic.bytes,
             bytes_per_proxy_s: traffic.bytes as f64 / proxy_seconds,
-            peak_second_bytes: self.discovery_seconds.iter().map(|second| second.0).max().unwrap_or_default(),
-            peak_second_calls: self.discovery_seconds.iter().map(|second| second.1).max().unwrap_or_default(),
+            peak_second_bytes: self
+                .discovery_seconds
+                .iter()
+                .map(|second| second.0)
+                .max()
+                .unwrap_or_default(),
+            peak_second_calls: self
+                .discovery_seconds
+                .iter()
+                .map(|second| second.1)
+                .max()
+                .unwrap_or_default(),
         }
     }
 
@@ -240,7 +272,11 @@
 
     fn second(number: usize, second: &SecondMetrics) -> SecondReport {
         let p99_ms = second.latency.value_at_quantile(0.99) as f64 / 1e3;
-        SecondReport { second: number, calls: second.calls, p99_ms }
+        SecondReport {
+            second: number,
+            calls: second.calls,
+            p99_ms,
+        }
     }
 
     /// The figures of a run that took `elapsed` of virtual time.
@@ -252,7 +288,12 @@
             policy: run.policy,
             worth_in_time,
             calls,
-            classes: run.class_names.into_iter().zip(&self.classes).map(named).collect(),
+            classes: run
+                .class_names
+                .into_iter()
+                .zip(&self.classes)
+                .map(named)
+                .collect(),
             latency: Percentiles::of(&self.latency),
             attempts: self.attempts,
             backend_load: BackendLoad::of(run.taken),
@@ -261,7 +302,12 @@
             rules: run.rules,
             rules_broken: run.rules.broken(),
             events: run.events,
-            seconds: self.seconds.iter().enumerate().map(|(at, second)| Self::second(at, second)).collect(),
+            seconds: self
+                .seconds
+                .iter()
+                .enumerate()
+                .map(|(at, second)| Self::second(at, second))
+                .collect(),
         }
     }
 }
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -49,7 +49,11 @@
     /// Scenario file (TOML).
     pub scenario: PathBuf,
     /// The policies to play.
-    #[arg(long, value_delimiter = ',', default_value = "module,random,two-choices")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "module,random,two-choices"
+    )]
     pub policies: Vec<PolicyKind>,
     /// How long clients send requests, in place of the scenario's `duration_s`.
     #[arg(long, value_name = "SECONDS")]
@@ -77,7 +81,12 @@
     let measured = play(&scenario, &options.policies, seed, options.common.quiet)?;
     println!("{measured}");
     if let Some(path) = &options.common.json {
-        RunResult { run, scenario: &scenario, measured: &measured }.write(path)?;
+        RunResult {
+            run,
+            scenario: &scenario,
+            measured: &measured,
+        }
+        .write(path)?;
     }
     if let Some(path) = &options.plot {
         plot::draw(&measured, path)?;
@@ -90,7 +99,10 @@
     let mut scenario: FleetScenario = crate::scenario::read(&options.scenario)?;
     if let Some(factor) = options.scale {
         if !(factor.is_finite() && factor > 0.0) {
-            return Err(invalid_option("--scale", format!("{factor} must be above 0")));
+            return Err(invalid_option(
+                "--scale",
+                format!("{factor} must be above 0"),
+            ));
         }
         scenario = scenario.scaled(factor);
     }
@@ -107,7 +119,11 @@
 }
 
 fn invalid_option(option: &str, problem: String) -> LabError {
-    LabError::Scenario { path: PathBuf::from("command line"), key: option.to_owned(), problem }
+    LabError::Scenario {
+        path: PathBuf::from("command line"),
+        key: option.to_owned(),
+        problem,
+    }
 }
 
 /// Plays a scenario under each policy, each on a thread of its own.
@@ -122,28 +138,39 @@
 ) -> Result<FleetReport, LabError> {
     let topology = Topology::new(scenario, seed);
     let plan = Plan::new(scenario, &topology, seed);
-    let target = if quiet { ProgressDrawTarget::hidden() } else { ProgressDrawTarget::stderr() };
+    let target = if quiet {
+        ProgressDrawTarget::hidden()
+    } else {
+        ProgressDrawTarget::stderr()
+    };
     let bars = MultiProgress::with_draw_target(target);
     let play = |kind: PolicyKind| {
         let bar = bars.add(progress_bar(kind));
         play_policy(scenario, &topology, &plan, kind, seed, &bar)
     };
     let results: Vec<_> = thread::scope(|scope| {
-        let threads: Vec<_> = policies.iter().map(|&kind| scope.spawn(move || play(kind))).collect();
+        let threads: Vec<_> = policies
+            .iter()
+            .map(|&kind| scope.spawn(move || play(kind)))
+            .collect();
         threads.into_iter().map(|thread| thread.join()).collect()
     });
     let mut reports = Vec::with_capacity(results.len());
     for result in results {
-        let report = result.map_err(|_| LabError::Failed("a policy's thread panicked".to_owned()))?;
+        let report =
+            result.map_err(|_| LabError::Failed("a policy's thread panicked".to_owned()))?;
         reports.push(report?);
     }
     Ok(FleetReport::new(scenario, &topology, reports))
 }
 
 fn progress_bar(kind: PolicyKind) -> ProgressBar {
-    let style = ProgressStyle::with_template("{prefix:>12} {bar:40} {pos}/{len} ms of virtual time, {eta}");
+    let style =
+        ProgressStyle::with_template("{prefix:>12} {bar:40} {pos}/{len} ms of virtual time, {eta}");
     let style = style.unwrap_or_else(|_| ProgressStyle::default_bar());
-    ProgressBar::new(0).with_style(style).with_prefix(kind.to_string())
+    ProgressBar::new(0)
+        .with_style(style)
+        .with_prefix(kind.to_string())
 }
 
 fn play_policy(
@@ -161,6 +188,10 @@
     simulation.run(bar);
     bar.finish();
     let report = simulation.report(&kind.to_string());
-    tracing::info!("{kind}: {} events in {:.1} s", report.events, began.elapsed().as_secs_f64());
+    tracing::info!(
+        "{kind}: {} events in {:.1} s",
+        report.events,
+        began.elapsed().as_secs_f64()
+    );
     Ok(report)
 }
--- a/lab/src/fleet/plot.rs
+++ b/lab/src/fleet/plot.rs
@@ -12,7 +12,11 @@
 const MARGIN: u32 = 8;
 const LABEL_SPACE: u32 = 60;
 /// One color for each policy, in their order.
-const COLORS: [RGBColor; 3] = [RGBColor(31, 119, 180), RGBColor(214, 39, 40), RGBColor(44, 160, 44)];
+const COLORS: [RGBColor; 3] = [
+    RGBColor(31, 119, 180),
+    RGBColor(214, 39, 40),
+    RGBColor(44, 160, 44),
+];
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
@@ -23,9 +27,18 @@
 }
 
 const CHARTS: [Chart; 3] = [
-    Chart { title: "Answered in time, part of the calls made in that second", value: in_time },
-    Chart { title: "Refused, failed or without an answer, part of the calls", value: not_served },
-    Chart { title: "Latency, 99th percentile, ms", value: |second| second.p99_ms },
+    Chart {
+        title: "Answered in time, part of the calls made in that second",
+        value: in_time,
+    },
+    Chart {
+        title: "Refused, failed or without an answer, part of the calls",
+        value: not_served,
+    },
+    Chart {
+        title: "Latency, 99th percentile, ms",
+        value: |second| second.p99_ms,
+    },
 ];
 
 fn fraction(count: u64, second: &SecondReport) -> f64 {
@@ -37,7 +50,10 @@
 }
 
 fn not_served(second: &SecondReport) -> f64 {
-    fraction(second.calls.refused + second.calls.failed + second.calls.timed_out, second)
+    fraction(
+        second.calls.refused + second.calls.failed + second.calls.timed_out,
+        second,
+    )
 }
 
 /// Draws the time series of all policies.
@@ -62,9 +78,20 @@
     Ok(())
 }
 
-fn draw_chart(area: &Area<'_>, chart: &Chart, reports: &[PolicyReport]) -> Result<(), Box<dyn Error>> {
-    let seconds = reports.iter().map(|report| report.seconds.len()).max().unwrap_or_default();
-    let values = reports.iter().flat_map(|report| &report.seconds).map(chart.value);
+fn draw_chart(
+    area: &Area<'_>,
+    chart: &Chart,
+    reports: &[PolicyReport],
+) -> Result<(), Box<dyn Error>> {
+    let seconds = reports
+        .iter()
+        .map(|report| report.seconds.len())
+        .max()
+        .unwrap_or_default();
+    let values = reports
+        .iter()
+        .flat_map(|report| &report.seconds)
+        .map(chart.value);
     let most = values.fold(0.0_f64, f64::max).max(f64::EPSILON) * 1.05;
     let mut context = ChartBuilder::on(area)
         .margin(MARGIN)
@@ -74,11 +101,18 @@
         .build_cartesian_2d(0.0..seconds as f64, 0.0..most)?;
     context.configure_mesh().x_desc("s").draw()?;
     for (report, color) in reports.iter().zip(COLORS.iter().cycle()) {
-        let points = report.seconds.iter().map(|second| (second.second as f64 + 0.5, (chart.value)(second)));
+        let points = report
+            .seconds
+            .iter()
+            .map(|second| (second.second as f64 + 0.5, (chart.value)(second)));
         let line = context.draw_series(LineSeries::new(points, color.stroke_width(2)))?;
         let key = move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color.stroke_width(2));
         line.label(report.policy.clone()).legend(key);
     }
-    context.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
+    context
+        .configure_series_labels()
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK)
+        .draw()?;
     Ok(())
 }
--- a/lab/src/fleet/policy.rs
+++ b/lab/src/fleet/policy.rs
@@ -47,11 +47,18 @@
 /// The decisions of one proxy.
 pub trait Policy {
     /// Takes one event and appends what is to be done about it.
-    fn handle(&mut self, now: Micros, event: Event<'_>, truth: &dyn TrueState, actions: &mut Vec<Action>);
+    fn handle(
+        &mut self,
+        now: Micros,
+        event: Event<'_>,
+        truth: &dyn TrueState,
+        actions: &mut Vec<Action>,
+    );
 }
 
 /// Makes the policy of a proxy from its settings and seed.
-pub type PolicyFactory = dyn Fn(Settings, u64, Micros) -> Result<Box<dyn Policy>, SettingsError> + Sync;
+pub type PolicyFactory =
+    dyn Fn(Settings, u64, Micros) -> Result<Box<dyn Policy>, SettingsError> + Sync;
 
 /// The factory of a policy.
 #[must_use]
@@ -75,7 +82,13 @@
 struct Module(Balancer);
 
 impl Policy for Module {
-    fn handle(&mut self, now: Micros, event: Event<'_>, _: &dyn TrueState, actions: &mut Vec<Action>) {
+    fn handle(
+        &mut self,
+        now: Micros,
+        event: Event<'_>,
+        _: &dyn TrueState,
+        actions: &mut Vec<Action>,
+    ) {
         self.0.handle(now, event, actions);
     }
 }
@@ -110,7 +123,14 @@
 impl Baseline {
     fn new(settings: Settings, seed: u64, choices: u32) -> Self {
         let random = fastrand::Rng::with_seed(seed);
-        Self { settings, random, choices, ready: Vec::new(), place: Vec::new(), open: FxHashMap::default() }
+        Self {
+            settings,
+            random,
+            choices,
+            ready: Vec::new(),
+            place: Vec::new(),
+            open: FxHashMap::default(),
+        }
     }
 
     fn on_membership(&mut self, news: Membership<'_>, actions: &mut Vec<Action>) {
@@ -120,7 +140,8 @@
             Membership::Cached(_) if self.settings.discovery_on_request => self.ask_later(actions),
             _ => {}
         }
-        let (Membership::Delta(entries) | Membership::Full(entries) | Membership::Cached(entries)) = news
+        let (Membership::Delta(entries) | Membership::Full(entries) | Membership::Cached(entries)) =
+            news
         else {
             return;
         };
@@ -175,26 +196,54 @@
         Some(best)
     }
 
-    fn send(&mut self, now: Micros, id: RequestId, truth: &dyn TrueState, actions: &mut Vec<Action>) {
-        let Some(backend) = self.pick(truth) else { return self.answer(now, id, actions) };
-        let Some(open) = self.open.get_mut(&id) else { return };
+    fn send(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        truth: &dyn TrueState,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(backend) = self.pick(truth) else {
+            return self.answer(now, id, actions);
+        };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.attempts += 1;
         open.sent_at = now;
-        actions.push(Action::Send { request: id, backend, give_up_at: open.deadline, write_by: None });
+        actions.push(Action::Send {
+            request: id,
+            backend,
+            give_up_at: open.deadline,
+            write_by: None,
+        });
     }
 
     /// The final answer: refused where that is harmless, else failed.
     fn answer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         let class = &self.settings.classes[usize::from(open.class)];
         let harmless = match (class.effect, open.may_have_run) {
             (Effect::Safe, _) | (_, None) => true,
-            (Effect::Keyed { group: tillerproxy::api::DedupGroup::All, ttl }, Some(at)) => now < at + ttl,
+            (
+                Effect::Keyed {
+                    group: tillerproxy::api::DedupGroup::All,
+                    ttl,
+                },
+                Some(at),
+            ) => now < at + ttl,
             _ => false,
         };
         actions.push(if harmless {
-            let retry_after = class.aim.min(self.settings.permissions.retry_after.unwrap_or(class.aim));
-            Action::Refuse { request: id, retry_after }
+            let retry_after = class
+                .aim
+                .min(self.settings.permissions.retry_after.unwrap_or(class.aim));
+            Action::Refuse {
+                request: id,
+                retry_after,
+            }
         } else {
             Action::Fail { request: id }
         });
@@ -204,9 +253,18 @@
         if open.attempts >= self.settings.permissions.max_attempts || now >= open.deadline {
             return false;
         }
-        match (self.settings.classes[usize::from(open.class)].effect, open.may_have_run) {
+        match (
+            self.settings.classes[usize::from(open.class)].effect,
+            open.may_have_run,
+        ) {
             (Effect::Safe, _) | (_, None) => true,
-            (Effect::Keyed { group: tillerproxy::api::DedupGroup::All, ttl }, Some(at)) => now < at + ttl,
+            (
+                Effect::Keyed {
+                    group: tillerproxy::api::DedupGroup::All,
+                    ttl,
+                },
+                Some(at),
+            ) => now < at + ttl,
             _ => false,
         }
     }
@@ -219,8 +277,13 @@
         actions: &mut Vec<Action>,
     ) {
         let deadline = now + request.patience;
-        let open =
-            OpenRequest { class: request.class, attempts: 0, deadline, may_have_run: None, sent_at: now };
+        let open = OpenRequest {
+            class: request.class,
+            attempts: 0,
+            deadline,
+            may_have_run: None,
+            sent_at: now,
+        };
         self.open.insert(request.id, open);
         self.send(now, request.id, truth, actions);
     }
@@ -232,7 +295,9 @@
         truth: &dyn TrueState,
         actions: &mut Vec<Action>,
     ) {
-        let Some(open) = self.open.get_mut(&end.request) else { return };
+        let Some(open) = self.open.get_mut(&end.request) else {
+            return;
+        };
         if end.closed {
             self.open.remove(&end.request);
             return;
@@ -250,7 +315,13 @@
 }
 
 impl Policy for Baseline {
-    fn handle(&mut self, now: Micros, event: Event<'_>, truth: &dyn TrueState, actions: &mut Vec<Action>) {
+    fn handle(
+        &mut self,
+        now: Micros,
+        event: Event<'_>,
+        truth: &dyn TrueState,
+        actions: &mut Vec<Action>,
+    ) {
         match event {
             Event::Membership(news) => self.on_membership(news, actions),
             Event::Request(request) => self.on_request(now, request, truth, actions),
--- a/lab/src/fleet/proxy.rs
+++ b/lab/src/fleet/proxy.rs
@@ -30,7 +30,11 @@
 
 impl Default for KnownBackend {
     fn default() -> Self {
-        Self { readiness: Readiness::Gone, started: None, barred_at: None }
+        Self {
+            readiness: Readiness::Gone,
+            started: None,
+            barred_at: None,
+        }
     }
 }
 
@@ -65,12 +69,23 @@
         let span = (WAITS_DIFFER * u64::from(proxies.saturating_sub(1))).min(WAITS_DIFFER_MOST);
         let place = (f64::from(proxy) * GOLDEN).fract();
         let wait = WATCH_WAIT - span / 2 + (span as f64 * place) as Micros;
-        Self { proxy, wait, revision: None, watching: false, out: None, serial: 0 }
+        Self {
+            proxy,
+            wait,
+            revision: None,
+            watching: false,
+            out: None,
+            serial: 0,
+        }
     }
 
     /// The policy asks for changes; nothing happens while a call is out.
     pub fn subscribe(&mut self) -> Option<OutgoingCall> {
-        if self.out.is_some() { None } else { Some(self.call()) }
+        if self.out.is_some() {
+            None
+        } else {
+            Some(self.call())
+        }
     }
 
     /// The proxy has held a watch for long: it continues it.
@@ -88,7 +103,13 @@
             (Some(_), true) => (self.wait, self.wait + ANSWER_LATENESS),
             (Some(_), false) => (FIRST_WAIT, CALL_TIMEOUT),
         };
-        let call = Call { proxy: self.proxy, serial: self.serial, after: self.revision, wait, continues };
+        let call = Call {
+            proxy: self.proxy,
+            serial: self.serial,
+            after: self.revision,
+            wait,
+            continues,
+        };
         OutgoingCall { call, timeout }
     }
 
@@ -161,22 +182,34 @@
         }
         let bar = |known: &mut KnownBackend| {
             let ready = known.readiness == Readiness::Ready;
-            known.barred_at = if ready { None } else { known.barred_at.or(Some(now)) };
+            known.barred_at = if ready {
+                None
+            } else {
+                known.barred_at.or(Some(now))
+            };
         };
         if complete {
             self.known.iter_mut().for_each(bar);
         } else {
-            entries.iter().for_each(|entry| bar(&mut self.known[entry.id as usize]));
+            entries
+                .iter()
+                .for_each(|entry| bar(&mut self.known[entry.id as usize]));
         }
     }
 
     /// The list that it holds, as a process that starts anew finds it.
     #[must_use]
     pub fn known_list(&self, published: &[Backend]) -> Vec<Backend> {
-        let listed =
-            published.iter().zip(&self.known).filter(|(_, known)| known.readiness != Readiness::Gone);
+        let listed = published
+            .iter()
+            .zip(&self.known)
+            .filter(|(_, known)| known.readiness != Readiness::Gone);
         listed
-            .map(|(entry, known)| Backend { readiness: known.readiness, started: known.started, ..*entry })
+            .map(|(entry, known)| Backend {
+                readiness: known.readiness,
+                started: known.started,
+                ..*entry
+            })
             .collect()
     }
 }
@@ -184,5 +217,9 @@
 /// A list in the policy's terms.
 #[must_use]
 pub fn membership(complete: bool, entries: &[Backend]) -> Membership<'_> {
-    if complete { Membership::Full(entries) } else { Membership::Delta(entries) }
+    if complete {
+        Membership::Full(entries)
+    } else {
+        Membership::Delta(entries)
+    }
 }
--- a/lab/src/fleet/random.rs
+++ b/lab/src/fleet/random.rs
@@ -27,7 +27,9 @@
 /// The generator of one concern, or of the `index`th part of it.
 #[must_use]
 pub fn stream(seed: u64, stream: Stream, index: u64) -> SmallRng {
-    SmallRng::seed_from_u64(mix(mix(seed.wrapping_add(GOLDEN_GAMMA)) ^ mix(stream as u64 + 1) ^ mix(!index)))
+    SmallRng::seed_from_u64(mix(mix(seed.wrapping_add(GOLDEN_GAMMA))
+        ^ mix(stream as u64 + 1)
+        ^ mix(!index)))
 }
 
 /// The finalizer of SplitMix64.
--- a/lab/src/fleet/request.rs
+++ b/lab/src/fleet/request.rs
@@ -96,13 +96,17 @@
     /// Whether an attempt is out.
     #[must_use]
     pub fn has_attempt_out(&self) -> bool {
-        self.attempts().iter().any(|attempt| attempt.state == AttemptState::Out)
+        self.attempts()
+            .iter()
+            .any(|attempt| attempt.state == AttemptState::Out)
     }
 
     /// The first attempt that may have run or is out.
     #[must_use]
     pub fn first_that_may_have_run(&self) -> Option<&SentAttempt> {
-        self.attempts().iter().find(|attempt| attempt.state != AttemptState::NeverRan)
+        self.attempts()
+            .iter()
+            .find(|attempt| attempt.state != AttemptState::NeverRan)
     }
 }
 
--- a/lab/src/fleet/rules.rs
+++ b/lab/src/fleet/rules.rs
@@ -118,7 +118,10 @@
     /// A checker that has counted nothing.
     #[must_use]
     pub fn new(allowed: Allowed) -> Self {
-        Self { allowed, counts: RuleCounts::default() }
+        Self {
+            allowed,
+            counts: RuleCounts::default(),
+        }
     }
 
     /// A request is about to be sent to a backend that the proxy knows this of.
@@ -135,7 +138,9 @@
             self.counts.final_answers.after_the_end += 1;
         }
         self.check_repeat(now, request, class, to, machine_of);
-        let Some(barred_at) = known.barred_at else { return };
+        let Some(barred_at) = known.barred_at else {
+            return;
+        };
         let drains = &mut self.counts.drains;
         drains.sends_to_barred += 1;
         drains.after_grace += u64::from(now > barred_at + self.allowed.drain_grace);
@@ -154,7 +159,10 @@
         effects.repeats += u64::from(!made.is_empty());
         effects.too_many += u64::from(made.len() >= usize::from(self.allowed.max_attempts));
         effects.two_out += u64::from(request.has_attempt_out() && !self.allowed.second_copies);
-        for earlier in made.iter().filter(|attempt| attempt.state != AttemptState::NeverRan) {
+        for earlier in made
+            .iter()
+            .filter(|attempt| attempt.state != AttemptState::NeverRan)
+        {
             match class.effect {
                 Effect::Safe => {}
                 Effect::Unsafe => effects.unsafe_repeats += 1,
@@ -178,16 +186,23 @@
     }
 
     /// A proxy gives a final answer of its own.
-    pub fn on_answer(&mut self, now: Micros, request: &TrackedRequest, class: &Class, refused: bool) {
+    pub fn on_answer(
+        &mut self,
+        now: Micros,
+        request: &TrackedRequest,
+        class: &Class,
+        refused: bool,
+    ) {
         if request.answered {
             self.counts.final_answers.after_the_end += 1;
         }
         let first = request.first_that_may_have_run();
         let harmless = match class.effect {
             Effect::Safe => true,
-            Effect::Keyed { group: DedupGroup::All, ttl } => {
-                first.is_none_or(|attempt| now <= attempt.sent_at + ttl)
-            }
+            Effect::Keyed {
+                group: DedupGroup::All,
+                ttl,
+            } => first.is_none_or(|attempt| now <= attempt.sent_at + ttl),
             Effect::Keyed { .. } | Effect::Unsafe => first.is_none(),
         };
         self.counts.effects.refused_after_effect += u64::from(refused && !harmless);
--- a/lab/src/fleet/scenario/mod.rs
+++ b/lab/src/fleet/scenario/mod.rs
@@ -143,7 +143,11 @@
 
 impl Default for Backends {
     fn default() -> Self {
-        Self { queue: 64, skips_abandoned: true, load_reports: false }
+        Self {
+            queue: 64,
+            skips_abandoned: true,
+            load_reports: false,
+        }
     }
 }
 
@@ -265,7 +269,10 @@
         let effect = match self.effect {
             Effect::Safe => api::Effect::Safe,
             Effect::Unsafe => api::Effect::Unsafe,
-            Effect::Keyed => api::Effect::Keyed { group, ttl: milliseconds(self.key_ttl_ms) },
+            Effect::Keyed => api::Effect::Keyed {
+                group,
+                ttl: milliseconds(self.key_ttl_ms),
+            },
         };
         api::Class {
             aim: milliseconds(self.aim_ms),
@@ -460,9 +467,11 @@
     /// Shrinks (or grows) proxies and backends by `factor`, and the load with them.
     #[must_use]
     pub fn scaled(mut self, factor: f64) -> Self {
-        let scale =
-            |count: u32| ((f64::from(count) * factor).round() as u32).max(u32::from(self.fleet.zones));
-        (self.fleet.proxies, self.fleet.backends) = (scale(self.fleet.proxies), scale(self.fleet.backends));
+        let scale = |count: u32| {
+            ((f64::from(count) * factor).round() as u32).max(u32::from(self.fleet.zones))
+        };
+        (self.fleet.proxies, self.fleet.backends) =
+            (scale(self.fleet.proxies), scale(self.fleet.backends));
         self
     }
 
@@ -470,6 +479,10 @@
     #[must_use]
     pub fn mean_work_ms(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
-        self.classes.iter().map(|class| class.share * class.work_ms).sum::<f64>() / shares
+        self.classes
+            .iter()
+            .map(|class| class.share * class.work_ms)
+            .sum::<f64>()
+            / shares
     }
 }
--- a/lab/src/fleet/scenario/timeline.rs
+++ b/lab/src/fleet/scenario/timeline.rs
@@ -189,22 +189,49 @@
         let key = |name: &str| format!("{path}.{name}");
         let zones = scenario.fleet.zones;
         let zone = |check: &mut Check, name: &str, zone: u16| {
-            check.that(zone < zones, key(name), format!("{zone} must be under {zones} (the zones)"));
+            check.that(
+                zone < zones,
+                key(name),
+                format!("{zone} must be under {zones} (the zones)"),
+            );
         };
         check.not_negative(self.at_s(), key("at_s"));
         match *self {
-            Self::RollingRestart { over_s, fraction, drain_s, down_s, .. } => {
-                check.not_negative(over_s, key("over_s")).fraction(fraction, key("fraction"));
-                check.not_negative(drain_s, key("drain_s")).not_negative(down_s, key("down_s"));
+            Self::RollingRestart {
+                over_s,
+                fraction,
+                drain_s,
+                down_s,
+                ..
+            } => {
+                check
+                    .not_negative(over_s, key("over_s"))
+                    .fraction(fraction, key("fraction"));
+                check
+                    .not_negative(drain_s, key("drain_s"))
+                    .not_negative(down_s, key("down_s"));
             }
-            Self::ZoneLoss { zone: lost, return_after_s, .. } => {
+            Self::ZoneLoss {
+                zone: lost,
+                return_after_s,
+                ..
+            } => {
                 zone(check, "zone", lost);
                 check.not_negative(return_after_s.unwrap_or_default(), key("return_after_s"));
             }
-            Self::RackLoss { zone: lost, rack, return_after_s, .. } => {
+            Self::RackLoss {
+                zone: lost,
+                rack,
+                return_after_s,
+                ..
+            } => {
                 let racks = scenario.fleet.racks_per_zone;
                 zone(check, "zone", lost);
-                check.that(rack < racks, key("rack"), format!("{rack} must be under {racks} (the racks)"));
+                check.that(
+                    rack < racks,
+                    key("rack"),
+                    format!("{rack} must be under {racks} (the racks)"),
+                );
                 check.not_negative(return_after_s.unwrap_or_default(), key("return_after_s"));
             }
             Self::RegionPartition { for_s, .. } | Self::DiscoveryDown { for_s, .. } => {
@@ -213,35 +240,74 @@
             Self::DiscoverySilent { fraction, .. } => {
                 check.fraction(fraction, key("fraction"));
             }
-            Self::ConfigBurst { entries, over_s, .. } => {
+            Self::ConfigBurst {
+                entries, over_s, ..
+            } => {
                 check.that(entries > 0, key("entries"), "must be 1 or more");
                 check.not_negative(over_s, key("over_s"));
             }
-            Self::TenantSurge { for_s, tenant, multiple, .. } => {
+            Self::TenantSurge {
+                for_s,
+                tenant,
+                multiple,
+                ..
+            } => {
                 let tenants = scenario.tenants.as_ref().map_or(0, |tenants| tenants.count);
                 let problem = format!("{tenant} must be under {tenants} (`tenants.count`)");
-                check.that(tenant < tenants, key("tenant"), problem).positive(for_s, key("for_s"));
+                check
+                    .that(tenant < tenants, key("tenant"), problem)
+                    .positive(for_s, key("for_s"));
                 check.that(multiple > 1.0, key("multiple"), "must be above 1");
             }
-            Self::BackendSlow { for_s, fraction, factor, .. } => {
-                check.positive(for_s, key("for_s")).fraction(fraction, key("fraction"));
+            Self::BackendSlow {
+                for_s,
+                fraction,
+                factor,
+                ..
+            } => {
+                check
+                    .positive(for_s, key("for_s"))
+                    .fraction(fraction, key("fraction"));
                 check.positive(factor, key("factor"));
             }
-            Self::BackendHang { for_s, fraction, .. } => {
-                check.positive(for_s, key("for_s")).fraction(fraction, key("fraction"));
+            Self::BackendHang {
+                for_s, fraction, ..
+            } => {
+                check
+                    .positive(for_s, key("for_s"))
+                    .fraction(fraction, key("fraction"));
             }
-            Self::BackendCrash { fraction, return_after_s, .. } => {
+            Self::BackendCrash {
+                fraction,
+                return_after_s,
+                ..
+            } => {
                 check.fraction(fraction, key("fraction"));
                 check.not_negative(return_after_s.unwrap_or_default(), key("return_after_s"));
             }
-            Self::ProxyRestart { over_s, fraction, down_s, .. } => {
-                check.not_negative(over_s, key("over_s")).fraction(fraction, key("fraction"));
+            Self::ProxyRestart {
+                over_s,
+                fraction,
+                down_s,
+                ..
+            } => {
+                check
+                    .not_negative(over_s, key("over_s"))
+                    .fraction(fraction, key("fraction"));
                 check.not_negative(down_s, key("down_s"));
             }
-            Self::TrafficShift { for_s, from_zone, to_zone, fraction, .. } => {
+            Self::TrafficShift {
+                for_s,
+                from_zone,
+                to_zone,
+                fraction,
+                ..
+            } => {
                 zone(check, "from_zone", from_zone);
                 zone(check, "to_zone", to_zone);
-                check.positive(for_s.unwrap_or(1.0), key("for_s")).fraction(fraction, key("fraction"));
+                check
+                    .positive(for_s.unwrap_or(1.0), key("for_s"))
+                    .fraction(fraction, key("fraction"));
             }
         }
     }
--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -9,7 +9,13 @@
 
 impl Simulation<'_> {
     /// A policy sends a request to a backend.
-    pub(super) fn send(&mut self, now: Micros, id: RequestId, backend: BackendId, give_up_at: Micros) {
+    pub(super) fn send(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        backend: BackendId,
+        give_up_at: Micros,
+    ) {
         let Some(place) = self.place_of(id) else {
             return self.checker.on_action_after_the_end();
         };
@@ -19,7 +25,8 @@
         let (machines, known) = (&self.topology.machines, proxy.known[backend as usize]);
         let machine_of = |attempt: &SentAttempt| machines[attempt.backend as usize];
         let to = machines[backend as usize];
-        self.checker.on_send(now, &request, class, &to, &known, machine_of);
+        self.checker
+            .on_send(now, &request, class, &to, &known, machine_of);
         let (zone, incarnation) = (proxy.zone, proxy.incarnation);
         let work = self.clients.calls[request.call].work;
         let attempt = Attempt {
@@ -37,7 +44,12 @@
             lost: false,
         };
         let attempt = self.attempts.insert(attempt, 2);
-        let sent = SentAttempt { backend, sent_at: now, state: AttemptState::Out, place: attempt };
+        let sent = SentAttempt {
+            backend,
+            sent_at: now,
+            state: AttemptState::Out,
+            place: attempt,
+        };
         self.requests.retain(place);
         let Some(number) = self.requests[place].add_attempt(sent) else {
             self.attempts.release(attempt);
@@ -50,9 +62,11 @@
             self.fail_connect_later(attempt);
         } else {
             let way = self.latencies.draw(zone, to.zone);
-            self.queue.push_after(way, SimEvent::ReachBackend { attempt });
+            self.queue
+                .push_after(way, SimEvent::ReachBackend { attempt });
         }
-        self.queue.push(give_up_at, SimEvent::AttemptTimeout { attempt });
+        self.queue
+            .push(give_up_at, SimEvent::AttemptTimeout { attempt });
     }
 
     fn is_parted(&self, from: u16, to: u16) -> bool {
@@ -75,11 +89,17 @@
         let from = self.topology.machines[backend as usize].zone;
         let to = self.proxies[usize::from(proxy)].zone;
         let way = self.latencies.draw(from, to);
-        self.queue.push_after(way, SimEvent::ReachBack { attempt: place });
+        self.queue
+            .push_after(way, SimEvent::ReachBack { attempt: place });
     }
 
     pub(super) fn on_reach_backend(&mut self, now: Micros, place: u32) {
-        let Attempt { backend, work, proxy, .. } = self.attempts[place];
+        let Attempt {
+            backend,
+            work,
+            proxy,
+            ..
+        } = self.attempts[place];
         if self.is_abandoned(place) && self.scenario.backends.skips_abandoned {
             return self.release_attempt(place);
         }
@@ -106,11 +126,17 @@
     fn schedule_end(&mut self, attempt: u32, service: Micros) {
         self.attempts[attempt].service = service;
         self.attempts.retain(attempt);
-        self.queue.push_after(service, SimEvent::WorkDone { attempt });
+        self.queue
+            .push_after(service, SimEvent::WorkDone { attempt });
     }
 
     pub(super) fn on_work_done(&mut self, now: Micros, place: u32) {
-        let Attempt { backend, service, lost, .. } = self.attempts[place];
+        let Attempt {
+            backend,
+            service,
+            lost,
+            ..
+        } = self.attempts[place];
         if !lost && self.backends[backend as usize].finish(place, service) {
             self.send_back(place, Outcome::Ok);
             self.begin_waiting(now, backend);
@@ -134,7 +160,8 @@
     /// Whether nobody waits for an attempt any more: its proxy gave it up or died.
     fn is_abandoned(&self, place: u32) -> bool {
         let attempt = &self.attempts[place];
-        attempt.settled || self.proxies[usize::from(attempt.proxy)].incarnation != attempt.incarnation
+        attempt.settled
+            || self.proxies[usize::from(attempt.proxy)].incarnation != attempt.incarnation
     }
 
     /// A backend answers again: what it had finished while it hung goes out.
@@ -158,7 +185,12 @@
     }
 
     pub(super) fn on_reach_back(&mut self, now: Micros, place: u32) {
-        let Attempt { proxy, backend, outcome, .. } = self.attempts[place];
+        let Attempt {
+            proxy,
+            backend,
+            outcome,
+            ..
+        } = self.attempts[place];
         let from = self.topology.machines[backend as usize].zone;
         let cut = self.is_parted(from, self.proxies[usize::from(proxy)].zone);
         if !cut || outcome == Outcome::ConnectFailed {
@@ -174,8 +206,12 @@
 
     /// A policy withdraws an attempt; its outcome comes with the next events of this time.
     pub(super) fn cancel(&mut self, now: Micros, id: RequestId, number: u16) {
-        let Some(request) = self.place_of(id) else { return };
-        let Some(sent) = self.requests[request].attempts().get(usize::from(number)) else { return };
+        let Some(request) = self.place_of(id) else {
+            return;
+        };
+        let Some(sent) = self.requests[request].attempts().get(usize::from(number)) else {
+            return;
+        };
         let attempt = sent.place;
         if sent.state == AttemptState::Out {
             self.attempts.retain(attempt);
@@ -198,8 +234,11 @@
         self.count(outcome);
         let request = &mut self.requests[attempt.request];
         let never_ran = outcome.never_ran();
-        request.attempts_mut()[usize::from(attempt.number)].state =
-            if never_ran { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        request.attempts_mut()[usize::from(attempt.number)].state = if never_ran {
+            AttemptState::NeverRan
+        } else {
+            AttemptState::MayHaveRun
+        };
         if outcome == Outcome::Ok && !request.answered && !request.client_gone {
             self.serve(now, attempt.request);
         }
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -1,6 +1,8 @@
 //! Clients in the simulation: arrivals, tries, answers, and clients that leave or give up.
 
-use super::super::client::{Allowances, ArrivalStream, ClientCall, Demand, Front, RetryBehavior, TryEnd};
+use super::super::client::{
+    Allowances, ArrivalStream, ClientCall, Demand, Front, RetryBehavior, TryEnd,
+};
 use super::super::metrics::CallEnd;
 use super::super::proxy::ProxyLife;
 use super::super::request::TrackedRequest;
@@ -32,7 +34,9 @@
     ) -> Self {
         let until = seconds(scenario.duration_s);
         Self {
-            allowances: Allowances::new(settings.tenants.iter().map(|tenant| tenant.allowance_per_s)),
+            allowances: Allowances::new(
+                settings.tenants.iter().map(|tenant| tenant.allowance_per_s),
+            ),
             streams: vec![ArrivalStream::new(demand.rate, 0, until, None, seed, 0)],
             demand,
             front: Front::new(topology),
@@ -100,15 +104,21 @@
             return;
         };
         let deadline = self.clients.retries.try_deadline(now, &call, class);
-        let leaves_at = self.clients.retries.leaves_at(&call, class).filter(|_| call.tries == 1);
+        let leaves_at = self
+            .clients
+            .retries
+            .leaves_at(&call, class)
+            .filter(|_| call.tries == 1);
         let id = self.places.len() as RequestId;
         let request = TrackedRequest::new(id, place, call.class, proxy, deadline);
         let request = self.requests.insert(request, 2);
         self.places.push(request);
         let way_there = self.client_latency();
-        self.queue.push_after(way_there, SimEvent::ReachProxy { request });
+        self.queue
+            .push_after(way_there, SimEvent::ReachProxy { request });
         let slack = milliseconds(self.scenario.safety.answer_slack_ms);
-        self.queue.push(deadline + slack, SimEvent::ClientTimeout { request });
+        self.queue
+            .push(deadline + slack, SimEvent::ClientTimeout { request });
         if let Some(at) = leaves_at {
             self.requests.retain(request);
             self.queue.push(at, SimEvent::ClientLeaves { request });
@@ -116,7 +126,8 @@
     }
 
     fn client_latency(&mut self) -> Micros {
-        self.latencies.with_jitter(milliseconds(self.scenario.clients.latency_ms) as f64)
+        self.latencies
+            .with_jitter(milliseconds(self.scenario.clients.latency_ms) as f64)
     }
 
     pub(super) fn on_reach_proxy(&mut self, now: Micros, place: u32) {
@@ -145,7 +156,14 @@
 
     /// A request goes to the policy of the proxy that took it.
     fn hand_over(&mut self, now: Micros, place: u32) {
-        let TrackedRequest { id, call, class, proxy, deadline, .. } = self.requests[place];
+        let TrackedRequest {
+            id,
+            call,
+            class,
+            proxy,
+            deadline,
+            ..
+        } = self.requests[place];
         let call = &self.clients.calls[call];
         let request = Request {
             id,
@@ -166,12 +184,15 @@
         };
         let request = &self.requests[place];
         let class = &self.settings.classes[usize::from(request.class)];
-        self.checker.on_answer(now, request, class, retry_after.is_some());
+        self.checker
+            .on_answer(now, request, class, retry_after.is_some());
         if request.answered || request.client_gone {
             return;
         }
         self.requests[place].answered = true;
-        let end = retry_after.map_or(TryEnd::Failed, |retry_after| TryEnd::Refused { retry_after });
+        let end = retry_after.map_or(TryEnd::Failed, |retry_after| TryEnd::Refused {
+            retry_after,
+        });
         let back = self.client_latency();
         self.end_try(place, now + back, end);
     }
@@ -194,7 +215,11 @@
     /// A try ended without the answer that the client wants; it learns so at `at`.
     pub(super) fn end_try(&mut self, place: u32, at: Micros, end: TryEnd) {
         let request = &mut self.requests[place];
-        let end = if at > request.deadline { TryEnd::TimedOut } else { end };
+        let end = if at > request.deadline {
+            TryEnd::TimedOut
+        } else {
+            end
+        };
         request.client_gone = true;
         let call_place = request.call;
         let call = self.clients.calls[call_place];
@@ -204,7 +229,8 @@
         let class = &self.scenario.classes[usize::from(call.class)];
         if let Some(wait) = self.clients.retries.wait(at, &call, class, end) {
             self.clients.calls.retain(call_place);
-            self.queue.push(at + wait, SimEvent::Retry { call: call_place });
+            self.queue
+                .push(at + wait, SimEvent::Retry { call: call_place });
             return;
         }
         self.end_call(
--- a/lab/src/fleet/simulation/control.rs
+++ b/lab/src/fleet/simulation/control.rs
@@ -34,9 +34,18 @@
 impl ControlSide {
     /// A discovery that lists all backends as ready.
     pub(super) fn new(scenario: &FleetScenario, topology: &Topology) -> Self {
-        let entries: Vec<Backend> = (0..).zip(&topology.machines).map(|(id, m)| entry(id, m)).collect();
+        let entries: Vec<Backend> = (0..)
+            .zip(&topology.machines)
+            .map(|(id, m)| entry(id, m))
+            .collect();
         let proxies = topology.proxies.len();
-        let no_call = |proxy| Call { proxy, serial: 0, after: None, wait: 0, continues: false };
+        let no_call = |proxy| Call {
+            proxy,
+            serial: 0,
+            after: None,
+            wait: 0,
+            continues: false,
+        };
         Self {
             discovery: Discovery::new(&scenario.discovery, entries.clone(), proxies),
             entries,
@@ -51,8 +60,17 @@
 
 /// The entry of a backend that has run for long.
 fn entry(id: BackendId, machine: &Machine) -> Backend {
-    let &Machine { zone, kind, cell, .. } = machine;
-    Backend { id, zone, kind, cell, readiness: Readiness::Ready, started: None }
+    let &Machine {
+        zone, kind, cell, ..
+    } = machine;
+    Backend {
+        id,
+        zone,
+        kind,
+        cell,
+        readiness: Readiness::Ready,
+        started: None,
+    }
 }
 
 impl Simulation<'_> {
@@ -66,7 +84,13 @@
             let wait = (outgoing.call.wait as f64 * left) as Micros;
             let timeout = outgoing.timeout - outgoing.call.wait + wait;
             let OutgoingCall { call, .. } = outgoing;
-            self.queue.push(timeout, SimEvent::CallTimeout { proxy: call.proxy, serial: call.serial });
+            self.queue.push(
+                timeout,
+                SimEvent::CallTimeout {
+                    proxy: call.proxy,
+                    serial: call.serial,
+                },
+            );
             let received = self.control.discovery.receive(0, Call { wait, ..call });
             self.after_received(received, Call { wait, ..call });
         }
@@ -78,8 +102,10 @@
         let Call { proxy, serial, .. } = call;
         self.control.outgoing[usize::from(proxy)] = call;
         let way = milliseconds(self.scenario.discovery.latency_ms);
-        self.queue.push_after(way, SimEvent::CallArrives { proxy, serial });
-        self.queue.push_after(timeout, SimEvent::CallTimeout { proxy, serial });
+        self.queue
+            .push_after(way, SimEvent::CallArrives { proxy, serial });
+        self.queue
+            .push_after(timeout, SimEvent::CallTimeout { proxy, serial });
     }
 
     /// Whether a region partition lies between a proxy and discovery.
@@ -95,14 +121,18 @@
         }
         let received = self.control.discovery.receive(now, call);
         self.after_received(received, call);
-        self.metrics.on_discovery(now, self.control.discovery.traffic);
+        self.metrics
+            .on_discovery(now, self.control.discovery.traffic);
     }
 
     fn after_received(&mut self, received: Received, call: Call) {
         match received {
             Received::Answered(reply) => self.send_reply(reply),
             Received::Standing => {
-                let over = SimEvent::WatchOver { proxy: call.proxy, serial: call.serial };
+                let over = SimEvent::WatchOver {
+                    proxy: call.proxy,
+                    serial: call.serial,
+                };
                 self.queue.push_after(call.wait, over);
             }
             Received::Waiting => self.schedule_turn(),
@@ -125,13 +155,15 @@
             self.after_received(received, call);
         }
         self.schedule_turn();
-        self.metrics.on_discovery(now, self.control.discovery.traffic);
+        self.metrics
+            .on_discovery(now, self.control.discovery.traffic);
     }
 
     pub(super) fn on_watch_over(&mut self, now: Micros, proxy: ProxyNumber, serial: u32) {
         if let Some(reply) = self.control.discovery.end_wait(proxy, serial) {
             self.send_reply(reply);
-            self.metrics.on_discovery(now, self.control.discovery.traffic);
+            self.metrics
+                .on_discovery(now, self.control.discovery.traffic);
         }
     }
 
@@ -144,10 +176,20 @@
     pub(super) fn on_reply(&mut self, now: Micros, place: u32) {
         let reply = self.control.replies[place].take();
         self.control.replies.release(place);
-        let Some(Reply { proxy, serial, answer }) = reply else { return };
+        let Some(Reply {
+            proxy,
+            serial,
+            answer,
+        }) = reply
+        else {
+            return;
+        };
         let target = &mut self.proxies[usize::from(proxy)];
         let lives = target.life == ProxyLife::Up;
-        if !lives || self.is_cut_off(proxy) || !self.proxies[usize::from(proxy)].watcher.take_answer(serial) {
+        if !lives
+            || self.is_cut_off(proxy)
+            || !self.proxies[usize::from(proxy)].watcher.take_answer(serial)
+        {
             return;
         }
         let target = &mut self.proxies[usize::from(proxy)];
@@ -156,13 +198,21 @@
                 target.watcher.failed();
                 self.tell_policy(now, proxy, Event::Membership(Membership::Failed));
             }
-            Answer::List { revision, complete, entries } => {
+            Answer::List {
+                revision,
+                complete,
+                entries,
+            } => {
                 let next = target.watcher.answered(revision);
                 target.learn(now, complete, &entries);
                 self.metrics.on_informed(now, proxy, revision);
                 self.call_discovery(next);
                 if complete || !entries.is_empty() {
-                    self.tell_policy(now, proxy, Event::Membership(membership(complete, &entries)));
+                    self.tell_policy(
+                        now,
+                        proxy,
+                        Event::Membership(membership(complete, &entries)),
+                    );
                 }
             }
         }
@@ -183,25 +233,40 @@
         let entry = &mut self.control.entries[backend as usize];
         (entry.readiness, entry.started) = (readiness, started);
         self.control.unnoticed.push_back(*entry);
-        self.queue.push_after(milliseconds(self.scenario.discovery.notice_ms), SimEvent::Notice);
+        self.queue.push_after(
+            milliseconds(self.scenario.discovery.notice_ms),
+            SimEvent::Notice,
+        );
     }
 
     pub(super) fn on_notice(&mut self, now: Micros) {
-        let Some(entry) = self.control.unnoticed.pop_front() else { return };
+        let Some(entry) = self.control.unnoticed.pop_front() else {
+            return;
+        };
         if self.control.discovery.notice(entry) {
             self.control.noticed_since = now - milliseconds(self.scenario.discovery.notice_ms);
             let interval = milliseconds(self.scenario.discovery.publish_interval_ms).max(1);
-            self.queue.push_after(interval - now % interval, SimEvent::Publish);
+            self.queue
+                .push_after(interval - now % interval, SimEvent::Publish);
         }
     }
 
     pub(super) fn on_publish(&mut self, now: Micros) {
         let replies = self.control.discovery.publish();
-        let living = self.proxies.iter().filter(|proxy| proxy.life == ProxyLife::Up).count();
-        self.metrics.on_publication(self.control.discovery.revision(), self.control.noticed_since, living);
+        let living = self
+            .proxies
+            .iter()
+            .filter(|proxy| proxy.life == ProxyLife::Up)
+            .count();
+        self.metrics.on_publication(
+            self.control.discovery.revision(),
+            self.control.noticed_since,
+            living,
+        );
         replies.into_iter().for_each(|reply| self.send_reply(reply));
         self.schedule_turn();
-        self.metrics.on_discovery(now, self.control.discovery.traffic);
+        self.metrics
+            .on_discovery(now, self.control.discovery.traffic);
     }
 
     // ---- The timeline ----
@@ -211,7 +276,11 @@
         match change {
             Change::Drain(id) => {
                 if self.backends[id as usize].life == Life::Up {
-                    self.change_entry(id, Readiness::Draining, self.control.entries[id as usize].started);
+                    self.change_entry(
+                        id,
+                        Readiness::Draining,
+                        self.control.entries[id as usize].started,
+                    );
                 }
             }
             Change::StopBackend(id, life) => {
@@ -224,7 +293,9 @@
             Change::Hang(id) => self.backends[id as usize].hung = true,
             Change::Resume(id) => self.resume_backend(now, id),
             Change::Republish(id) => {
-                let Backend { readiness, started, .. } = self.control.entries[id as usize];
+                let Backend {
+                    readiness, started, ..
+                } = self.control.entries[id as usize];
                 self.change_entry(id, readiness, started);
             }
             Change::StopProxy(proxy, life) => self.stop_proxy(now, proxy, life),
@@ -232,13 +303,20 @@
             Change::Partition(parted) => self.partitioned = parted,
             Change::DiscoveryUp(true) => self.control.discovery.come_back(),
             Change::DiscoveryUp(false) => {
-                self.control.discovery.go_down().into_iter().for_each(|reply| self.send_reply(reply));
-                self.metrics.on_discovery(now, self.control.discovery.traffic);
+                self.control
+                    .discovery
+                    .go_down()
+                    .into_iter()
+                    .for_each(|reply| self.send_reply(reply));
+                self.metrics
+                    .on_discovery(now, self.control.discovery.traffic);
             }
             Change::MuteWatch(proxy) => self.control.discovery.mute_watch(proxy),
             Change::Surge(number) => self.begin_surge(now, number),
             Change::Shift(shift, true) => self.clients.front.shifts.push(shift),
-            Change::Shift(shift, false) => self.clients.front.shifts.retain(|&other| other != shift),
+            Change::Shift(shift, false) => {
+                self.clients.front.shifts.retain(|&other| other != shift)
+            }
         }
     }
 
@@ -268,7 +346,8 @@
             self.reset_clients_of(now, proxy);
         }
         let notices = seconds(self.scenario.clients.notices_dead_proxy_s);
-        self.queue.push_after(notices, SimEvent::FrontNotices { proxy });
+        self.queue
+            .push_after(notices, SimEvent::FrontNotices { proxy });
     }
 
     /// A proxy's process starts with the list that it held.
@@ -278,8 +357,14 @@
         if target.life == ProxyLife::Up {
             return;
         }
-        let settings = Settings { me: u32::from(proxy), zone: target.zone, ..self.settings.clone() };
-        let Ok(policy) = (self.factory)(settings, seed, now) else { return };
+        let settings = Settings {
+            me: u32::from(proxy),
+            zone: target.zone,
+            ..self.settings.clone()
+        };
+        let Ok(policy) = (self.factory)(settings, seed, now) else {
+            return;
+        };
         (target.life, target.policy) = (ProxyLife::Up, policy);
         target.watcher.restart();
         let list = target.known_list(self.control.discovery.list());
@@ -289,7 +374,11 @@
 
     /// The first news of a process: the list as it was last held.
     pub(super) fn begin_policy(&mut self, proxy: ProxyNumber, list: &[Backend]) {
-        self.tell_policy(self.queue.now(), proxy, Event::Membership(Membership::Cached(list)));
+        self.tell_policy(
+            self.queue.now(),
+            proxy,
+            Event::Membership(Membership::Cached(list)),
+        );
     }
 
     pub(super) fn on_front_notices(&mut self, proxy: ProxyNumber) {
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -28,8 +28,8 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 use tillerproxy::api::{
-    Action, Event, Micros, Permissions, Readiness, ReportFields, RequestId, Safety, Settings, SettingsError,
-    Tenant,
+    Action, Event, Micros, Permissions, Readiness, ReportFields, RequestId, Safety, Settings,
+    SettingsError, Tenant,
 };
 
 /// How often the progress bar moves, in virtual time.
@@ -39,7 +39,11 @@
 /// The place of a request that has ended.
 const NO_PLACE: u32 = u32::MAX;
 /// Positions of the values in a load report (`backend.rs`).
-const REPORT_FIELDS: ReportFields = ReportFields { active: Some(0), waiting: Some(1), avg_ms: Some(2) };
+const REPORT_FIELDS: ReportFields = ReportFields {
+    active: Some(0),
+    waiting: Some(1),
+    avg_ms: Some(2),
+};
 
 /// Something that happens at a point in virtual time. Requests, attempts, calls and replies are named by
 /// their place in the simulation's tables, and the event counts as a reference to it.
@@ -64,7 +68,11 @@
     /// A proxy gives an attempt up.
     AttemptTimeout { attempt: u32 },
     /// A timer of a policy.
-    PolicyTimer { proxy: ProxyNumber, incarnation: u32, token: u32 },
+    PolicyTimer {
+        proxy: ProxyNumber,
+        incarnation: u32,
+        token: u32,
+    },
     /// A proxy's call reaches discovery.
     CallArrives { proxy: ProxyNumber, serial: u32 },
     /// Discovery handles what waits for its turn.
@@ -130,14 +138,26 @@
         kinds: scenario.kinds.len() as u8,
         discovery_on_request: true,
         warm_keys: false,
-        classes: scenario.classes.iter().map(super::scenario::Class::settings).collect(),
+        classes: scenario
+            .classes
+            .iter()
+            .map(super::scenario::Class::settings)
+            .collect(),
         tenants: tenants
-            .map(|tenants| (0..tenants.count).map(|number| tenant(number, tenants.allowance)).collect())
+            .map(|tenants| {
+                (0..tenants.count)
+                    .map(|number| tenant(number, tenants.allowance))
+                    .collect()
+            })
             .unwrap_or_default(),
         over_share_worth: tenants.map_or(1.0, |tenants| tenants.over_share_worth),
         cross_zone_price: permissions.cross_zone_price,
         probe_price: 0.0,
-        report: if scenario.backends.load_reports { REPORT_FIELDS } else { ReportFields::default() },
+        report: if scenario.backends.load_reports {
+            REPORT_FIELDS
+        } else {
+            ReportFields::default()
+        },
         report_by_probe: false,
         permissions: Permissions {
             max_attempts: permissions.max_attempts,
@@ -179,7 +199,12 @@
 
 fn metrics(scenario: &FleetScenario, topology: &Topology) -> Metrics {
     let (duration, warmup) = (seconds(scenario.duration_s), seconds(scenario.warmup_s));
-    Metrics::new(duration, warmup, scenario.classes.len(), topology.proxies.len())
+    Metrics::new(
+        duration,
+        warmup,
+        scenario.classes.len(),
+        topology.proxies.len(),
+    )
 }
 
 impl<'a> Simulation<'a> {
@@ -229,9 +254,17 @@
 
     fn start_proxies(&mut self) -> Result<(), SettingsError> {
         let list = self.control.discovery.list().to_vec();
-        let known = KnownBackend { readiness: Readiness::Ready, started: None, barred_at: None };
+        let known = KnownBackend {
+            readiness: Readiness::Ready,
+            started: None,
+            barred_at: None,
+        };
         for (number, place) in (0..).zip(&self.topology.proxies) {
-            let settings = Settings { me: u32::from(number), zone: place.zone, ..self.settings.clone() };
+            let settings = Settings {
+                me: u32::from(number),
+                zone: place.zone,
+                ..self.settings.clone()
+            };
             let policy = (self.factory)(settings, self.proxy_seeds.random(), 0)?;
             let mut watcher = Watcher::new(number, self.settings.balancers);
             watcher.revision = Some(self.control.discovery.revision());
@@ -261,7 +294,13 @@
 
     /// Plays the scenario to its end and until all requests have ended.
     pub fn run(&mut self, progress: &ProgressBar) {
-        let deadline = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+        let deadline = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or_default();
         let end = seconds(self.scenario.duration_s) + deadline + AFTERMATH;
         progress.set_length(end / 1_000);
         while let Some((now, event)) = self.queue.pop() {
@@ -289,7 +328,11 @@
             SimEvent::WorkDone { attempt } => self.on_work_done(now, attempt),
             SimEvent::ReachBack { attempt } => self.on_reach_back(now, attempt),
             SimEvent::AttemptTimeout { attempt } => self.on_attempt_timeout(now, attempt),
-            SimEvent::PolicyTimer { proxy, incarnation, token } => {
+            SimEvent::PolicyTimer {
+                proxy,
+                incarnation,
+                token,
+            } => {
                 self.on_policy_timer(now, proxy, incarnation, token);
             }
             SimEvent::CallArrives { proxy, serial } => self.on_call_arrives(now, proxy, serial),
@@ -309,7 +352,9 @@
     fn tell_policy(&mut self, now: Micros, proxy: ProxyNumber, event: Event<'_>) {
         let mut actions = std::mem::take(&mut self.actions);
         let truth: &dyn TrueState = &self.backends;
-        self.proxies[usize::from(proxy)].policy.handle(now, event, truth, &mut actions);
+        self.proxies[usize::from(proxy)]
+            .policy
+            .handle(now, event, truth, &mut actions);
         for action in actions.drain(..) {
             self.carry_out(now, proxy, action);
         }
@@ -318,15 +363,30 @@
 
     fn carry_out(&mut self, now: Micros, proxy: ProxyNumber, action: Action) {
         match action {
-            Action::Send { request, backend, give_up_at, .. } => {
+            Action::Send {
+                request,
+                backend,
+                give_up_at,
+                ..
+            } => {
                 self.send(now, request, backend, give_up_at);
             }
-            Action::Refuse { request, retry_after } => self.answer(now, request, Some(retry_after)),
+            Action::Refuse {
+                request,
+                retry_after,
+            } => self.answer(now, request, Some(retry_after)),
             Action::Fail { request } => self.answer(now, request, None),
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt),
             Action::SetTimer { after, token } => {
                 let incarnation = self.proxies[usize::from(proxy)].incarnation;
-                self.queue.push_after(after, SimEvent::PolicyTimer { proxy, incarnation, token });
+                self.queue.push_after(
+                    after,
+                    SimEvent::PolicyTimer {
+                        proxy,
+                        incarnation,
+                        token,
+                    },
+                );
             }
             Action::Subscribe => {
                 if let Some(outgoing) = self.proxies[usize::from(proxy)].watcher.subscribe() {
@@ -348,7 +408,10 @@
 
     /// The place of a request that has not ended, attempts and all.
     fn place_of(&self, request: RequestId) -> Option<u32> {
-        self.places.get(request as usize).copied().filter(|&place| place != NO_PLACE)
+        self.places
+            .get(request as usize)
+            .copied()
+            .filter(|&place| place != NO_PLACE)
     }
 
     fn release_request(&mut self, request: u32) {
@@ -371,8 +434,17 @@
     pub fn report(&self, policy: &str) -> PolicyReport {
         self.metrics.report(RunFigures {
             policy: policy.to_owned(),
-            class_names: self.scenario.classes.iter().map(|class| class.name.clone()).collect(),
-            taken: self.backends.iter().map(|backend| backend.arrived).collect(),
+            class_names: self
+                .scenario
+                .classes
+                .iter()
+                .map(|class| class.name.clone())
+                .collect(),
+            taken: self
+                .backends
+                .iter()
+                .map(|backend| backend.arrived)
+                .collect(),
             rules: self.checker.counts,
             events: self.events,
             elapsed: self.queue.now(),
--- a/lab/src/fleet/slab.rs
+++ b/lab/src/fleet/slab.rs
@@ -13,7 +13,10 @@
     /// An empty slab.
     #[must_use]
     pub fn new() -> Self {
-        Self { places: Vec::new(), free: Vec::new() }
+        Self {
+            places: Vec::new(),
+            free: Vec::new(),
+        }
     }
 
     /// Stores a value with `references` references and returns its place.
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -31,20 +31,31 @@
         self.row(f, "  late", |r| percentage(r.calls.late, r))?;
         self.row(f, "  refused", |r| percentage(r.calls.refused, r))?;
         self.row(f, "  failed", |r| percentage(r.calls.failed, r))?;
-        self.row(f, "  without an answer", |r| percentage(r.calls.timed_out, r))?;
+        self.row(f, "  without an answer", |r| {
+            percentage(r.calls.timed_out, r)
+        })?;
         self.row(f, "latency p50, ms", |r| format!("{:.1}", r.latency.p50_ms))?;
         self.row(f, "latency p99, ms", |r| format!("{:.1}", r.latency.p99_ms))?;
-        self.row(f, "latency p99.9, ms", |r| format!("{:.1}", r.latency.p999_ms))
+        self.row(f, "latency p99.9, ms", |r| {
+            format!("{:.1}", r.latency.p999_ms)
+        })
     }
 
     fn write_attempts(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.row(f, "tries of clients", |r| r.attempts.tries.to_string())?;
-        self.row(f, "attempts of proxies", |r| r.attempts.attempts.to_string())?;
+        self.row(f, "attempts of proxies", |r| {
+            r.attempts.attempts.to_string()
+        })?;
         self.row(f, "  across zones", |r| r.attempts.cross_zone.to_string())?;
-        self.row(f, "  turned away by a full queue", |r| r.attempts.full.to_string())?;
+        self.row(f, "  turned away by a full queue", |r| {
+            r.attempts.full.to_string()
+        })?;
         self.row(f, "  given up / no connection / reset", |r| {
             let counts = &r.attempts;
-            format!("{}/{}/{}", counts.timeouts, counts.connect_failures, counts.resets)
+            format!(
+                "{}/{}/{}",
+                counts.timeouts, counts.connect_failures, counts.resets
+            )
         })?;
         self.row(f, "attempts at a backend p1/p50/p99", |r| {
             let load = &r.backend_load;
@@ -56,9 +67,13 @@
     }
 
     fn write_control(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let time = |span: Option<f64>| span.map_or_else(|| "-".to_owned(), |span| format!("{span:.2}"));
+        let time =
+            |span: Option<f64>| span.map_or_else(|| "-".to_owned(), |span| format!("{span:.2}"));
         self.row(f, "publications, not known to all", |r| {
-            format!("{}, {}", r.change_spread.publications, r.change_spread.not_known_to_all)
+            format!(
+                "{}, {}",
+                r.change_spread.publications, r.change_spread.not_known_to_all
+            )
         })?;
         self.row(f, "  slowest known to half / 99% / all, s", |r| {
             let spread = &r.change_spread;
@@ -73,7 +88,11 @@
         })?;
         self.row(f, "  MB in all, MB in the peak second", |r| {
             let discovery = &r.discovery;
-            format!("{:.2}, {:.2}", discovery.bytes as f64 / 1e6, discovery.peak_second_bytes as f64 / 1e6)
+            format!(
+                "{:.2}, {:.2}",
+                discovery.bytes as f64 / 1e6,
+                discovery.peak_second_bytes as f64 / 1e6
+            )
         })?;
         self.row(f, "  bytes a second for one proxy: mean, peak", |r| {
             let peak = r.discovery.peak_second_bytes as f64 / self.proxies as f64;
@@ -82,15 +101,25 @@
     }
 
     fn write_rules(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let labels = ["1 one final answer", "2 effects", "3 drains", "4 cold backends"];
+        let labels = [
+            "1 one final answer",
+            "2 effects",
+            "3 drains",
+            "4 cold backends",
+        ];
         for (rule, label) in labels.into_iter().enumerate() {
-            self.row(f, &format!("rule {label}"), |r| match r.rules_broken[rule] {
-                0 => "kept".to_owned(),
-                count => format!("broken {count}x"),
+            self.row(f, &format!("rule {label}"), |r| {
+                match r.rules_broken[rule] {
+                    0 => "kept".to_owned(),
+                    count => format!("broken {count}x"),
+                }
             })?;
         }
         self.row(f, "cold starts, fallen", |r| {
-            format!("{}, {}", r.rules.cold_backends.starts, r.rules.cold_backends.fallen)
+            format!(
+                "{}, {}",
+                r.rules.cold_backends.starts, r.rules.cold_backends.fallen
+            )
         })
     }
 }
@@ -98,7 +127,11 @@
 impl fmt::Display for FleetReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (proxies, backends) = (self.proxies, self.backends);
-        writeln!(f, "{proxies} proxies, {backends} backends, {:.0} calls a second", self.calls_per_s)?;
+        writeln!(
+            f,
+            "{proxies} proxies, {backends} backends, {:.0} calls a second",
+            self.calls_per_s
+        )?;
         self.row(f, "", |report| report.policy.clone())?;
         self.write_service(f)?;
         self.write_attempts(f)?;
--- a/lab/src/fleet/topology.rs
+++ b/lab/src/fleet/topology.rs
@@ -60,14 +60,21 @@
     pub fn new(scenario: &FleetScenario, seed: u64) -> Self {
         let mut random = stream(seed, Stream::Topology, 0);
         let fleet = &scenario.fleet;
-        let machines = (0..fleet.backends).map(|id| machine(scenario, id, &mut random)).collect();
+        let machines = (0..fleet.backends)
+            .map(|id| machine(scenario, id, &mut random))
+            .collect();
         let skew = LogNormal::new(0.0, scenario.load.proxy_skew).ok();
         let mut place = |number: u32| ProxyPlace {
             zone: (number % u32::from(fleet.zones)) as u16,
             weight: skew.map_or(1.0, |skew| skew.sample(&mut random)),
         };
         let proxies = (0..fleet.proxies).map(&mut place).collect();
-        Self { zones: fleet.zones, regions: fleet.regions, machines, proxies }
+        Self {
+            zones: fleet.zones,
+            regions: fleet.regions,
+            machines,
+            proxies,
+        }
     }
 
     /// The region of a zone.
@@ -84,7 +91,8 @@
 
     /// The ids of a zone's backends.
     pub fn backends_of_zone(&self, zone: u16) -> impl Iterator<Item = BackendId> + '_ {
-        (0..self.machines.len() as BackendId).filter(move |&id| self.machines[id as usize].zone == zone)
+        (0..self.machines.len() as BackendId)
+            .filter(move |&id| self.machines[id as usize].zone == zone)
     }
 }
 
@@ -140,8 +148,15 @@
             };
             milliseconds(span) as f64
         };
-        let by_pair = (0..zones * zones).map(|pair| between(pair / zones, pair % zones)).collect();
-        Self { zones, by_pair, jitter: network.jitter, random: stream(seed, Stream::Network, 0) }
+        let by_pair = (0..zones * zones)
+            .map(|pair| between(pair / zones, pair % zones))
+            .collect();
+        Self {
+            zones,
+            by_pair,
+            jitter: network.jitter,
+            random: stream(seed, Stream::Network, 0),
+        }
     }
 
     /// Draws the time that a message takes from one zone to another.
--- a/lab/src/live/backends.rs
+++ b/lab/src/live/backends.rs
@@ -50,7 +50,9 @@
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| answer(request, service_time));
     // How a connection ends matters only to who opened it.
-    let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+    let _ = http1::Builder::new()
+        .serve_connection(TokioIo::new(stream), service)
+        .await;
 }
 
 async fn answer(
--- a/lab/src/live/clients.rs
+++ b/lab/src/live/clients.rs
@@ -65,7 +65,10 @@
 
 /// How one request ended.
 enum Ended {
-    Served { latency: Duration, service: Duration },
+    Served {
+        latency: Duration,
+        service: Duration,
+    },
     Refused,
     Failed,
     Broken,
@@ -98,7 +101,10 @@
 
 impl ConnectionPool {
     fn new(address: SocketAddr) -> Self {
-        Self { address, idle: Mutex::default() }
+        Self {
+            address,
+            idle: Mutex::default(),
+        }
     }
 
     fn idle(&self) -> MutexGuard<'_, Vec<(SendRequest<Empty<Bytes>>, Instant)>> {
@@ -135,8 +141,10 @@
     /// The rate has to be above 0.
     #[must_use]
     pub fn start(addresses: &[SocketAddr], per_second: f64, seed: u64) -> Self {
-        let pools: Arc<[ConnectionPool]> =
-            addresses.iter().map(|&address| ConnectionPool::new(address)).collect();
+        let pools: Arc<[ConnectionPool]> = addresses
+            .iter()
+            .map(|&address| ConnectionPool::new(address))
+            .collect();
         let (stop, stopped) = tokio::sync::watch::channel(false);
         let task = tokio::spawn(send_requests(pools, per_second, seed, stopped));
         Self { task, stop }
@@ -205,7 +213,10 @@
     pool.put_back(sender);
     Ok(match status {
         StatusCode::OK => match std::str::from_utf8(&body)?.parse() {
-            Ok(service) => Ended::Served { latency, service: Duration::from_micros(service) },
+            Ok(service) => Ended::Served {
+                latency,
+                service: Duration::from_micros(service),
+            },
             Err(_) => Ended::Failed,
         },
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ended::Refused,
--- a/lab/src/live/counted.rs
+++ b/lab/src/live/counted.rs
@@ -54,7 +54,11 @@
     /// Counts what passes through `stream` from now on.
     #[must_use]
     pub fn new(stream: TcpStream, traffic: Arc<Traffic>, side: Side) -> Self {
-        Self { stream, traffic, side }
+        Self {
+            stream,
+            traffic,
+            side,
+        }
     }
 
     /// The stream itself.
@@ -64,7 +68,11 @@
     }
 
     fn counter(&self, read: bool) -> &AtomicU64 {
-        if read == (self.side == Side::Discovery) { &self.traffic.from_proxy } else { &self.traffic.to_proxy }
+        if read == (self.side == Side::Discovery) {
+            &self.traffic.from_proxy
+        } else {
+            &self.traffic.to_proxy
+        }
     }
 }
 
@@ -90,7 +98,8 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(context, bytes);
         if let Poll::Ready(Ok(written)) = polled {
-            self.counter(false).fetch_add(written as u64, Ordering::Relaxed);
+            self.counter(false)
+                .fetch_add(written as u64, Ordering::Relaxed);
         }
         polled
     }
@@ -102,7 +111,8 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
         if let Poll::Ready(Ok(written)) = polled {
-            self.counter(false).fetch_add(written as u64, Ordering::Relaxed);
+            self.counter(false)
+                .fetch_add(written as u64, Ordering::Relaxed);
         }
         polled
     }
--- a/lab/src/live/discovery/board.rs
+++ b/lab/src/live/discovery/board.rs
@@ -69,7 +69,13 @@
     #[must_use]
     pub fn new(entries: Vec<Entry>, revision: u64) -> Self {
         let changed_at = vec![revision; entries.len()];
-        Self { entries, changed_at, revision, base: revision, answers: HashMap::new() }
+        Self {
+            entries,
+            changed_at,
+            revision,
+            base: revision,
+            answers: HashMap::new(),
+        }
     }
 
     /// The same entries as another service has them: it knows no older revision than the next one, its first.
@@ -112,16 +118,28 @@
         }
         let members = match known {
             Some(after) => self.changed_since(after),
-            None => self.entries.iter().filter(|entry| entry.phase != EntryPhase::Left).collect(),
+            None => self
+                .entries
+                .iter()
+                .filter(|entry| entry.phase != EntryPhase::Left)
+                .collect(),
+        };
+        let list = List {
+            revision: self.revision,
+            complete: known.is_none(),
+            members,
         };
-        let list = List { revision: self.revision, complete: known.is_none(), members };
         let body = Bytes::from(serde_json::to_vec(&list)?);
         self.answers.insert(known, body.clone());
         Ok(body)
     }
 
     fn changed_since(&self, after: u64) -> Vec<&Entry> {
-        let changed = self.entries.iter().zip(&self.changed_at).filter(|&(_, &at)| at > after);
+        let changed = self
+            .entries
+            .iter()
+            .zip(&self.changed_at)
+            .filter(|&(_, &at)| at > after);
         changed.map(|(entry, _)| entry).collect()
     }
 }
--- a/lab/src/live/discovery/mod.rs
+++ b/lab/src/live/discovery/mod.rs
@@ -65,7 +65,13 @@
         let traffic: Vec<Arc<Traffic>> = (0..real).map(|_| Arc::default()).collect();
         let board = Board::new(entries, 1);
         let (service, addresses) = open(&settings, board, &traffic, &tracker).await?;
-        Ok(Self { settings, tracker, service, traffic, addresses })
+        Ok(Self {
+            settings,
+            tracker,
+            service,
+            traffic,
+            addresses,
+        })
     }
 
     /// Where the present service listens.
@@ -89,7 +95,10 @@
     /// Changes entries in one revision. It is told once discovery has noticed it; this does not wait for
     /// that.
     pub fn change(&self, which: Vec<usize>, how: impl FnMut(&mut Entry) + Send + 'static) {
-        let (service, notice) = (Arc::clone(&self.service), Duration::from_millis(self.settings.notice_ms));
+        let (service, notice) = (
+            Arc::clone(&self.service),
+            Duration::from_millis(self.settings.notice_ms),
+        );
         let made = Instant::now();
         tokio::spawn(async move {
             sleep(notice).await;
@@ -104,7 +113,8 @@
     /// Where no port is left.
     pub async fn prepare_move(&self) -> io::Result<Move> {
         let board = self.service.board().moved();
-        let (service, addresses) = open(&self.settings, board, &self.traffic, &self.tracker).await?;
+        let (service, addresses) =
+            open(&self.settings, board, &self.traffic, &self.tracker).await?;
         Ok(Move { service, addresses })
     }
 
@@ -112,7 +122,8 @@
     /// that are open after 1.5 s. The move counts as a change: it is known to whoever holds the new service's
     /// first list.
     pub fn complete_move(&mut self, to: Move) {
-        self.tracker.changed(to.service.board().revision(), Instant::now());
+        self.tracker
+            .changed(to.service.board().revision(), Instant::now());
         self.addresses = to.addresses;
         let old = std::mem::replace(&mut self.service, to.service);
         old.become_available(Availability::Leaving);
@@ -141,12 +152,16 @@
     tracker: &Arc<SpreadTracker>,
 ) -> io::Result<(Arc<Service>, Addresses)> {
     let longest_wait = Duration::from_millis(settings.turn_timeout_ms);
-    let turns = (settings.mode == DiscoveryMode::Ask).then(|| Turns::new(settings.calls_per_s, longest_wait));
+    let turns = (settings.mode == DiscoveryMode::Ask)
+        .then(|| Turns::new(settings.calls_per_s, longest_wait));
     let service = Service::new(board, turns, Arc::clone(tracker));
     let hollow = Arc::clone(&service).listen(Caller::Hollow).await?;
     let mut real = Vec::with_capacity(traffic.len());
     for (process, traffic) in traffic.iter().enumerate() {
-        let caller = Caller::Real { process, traffic: Arc::clone(traffic) };
+        let caller = Caller::Real {
+            process,
+            traffic: Arc::clone(traffic),
+        };
         real.push(Arc::clone(&service).listen(caller).await?);
     }
     Ok((service, Addresses { real, hollow }))
--- a/lab/src/live/discovery/service.rs
+++ b/lab/src/live/discovery/service.rs
@@ -86,9 +86,16 @@
     #[must_use]
     pub fn parse(query: &str) -> Self {
         let pairs = || query.split('&').filter_map(|pair| pair.split_once('='));
-        let number = |name: &str| pairs().find(|(key, _)| *key == name).and_then(|(_, v)| v.parse().ok());
+        let number = |name: &str| {
+            pairs()
+                .find(|(key, _)| *key == name)
+                .and_then(|(_, v)| v.parse().ok())
+        };
         let wait = Duration::from_millis(number("wait_ms").unwrap_or(0));
-        Self { after: number("after"), wait: wait.min(LONGEST_WATCH) }
+        Self {
+            after: number("after"),
+            wait: wait.min(LONGEST_WATCH),
+        }
     }
 }
 
@@ -101,7 +108,13 @@
     pub fn new(board: Board, turns: Option<Turns>, tracker: Arc<SpreadTracker>) -> Arc<Self> {
         let revision = watch::Sender::new(board.revision());
         let availability = watch::Sender::new(Availability::Up);
-        Arc::new(Self { board: Mutex::new(board), revision, availability, turns, tracker })
+        Arc::new(Self {
+            board: Mutex::new(board),
+            revision,
+            availability,
+            turns,
+            tracker,
+        })
     }
 
     /// The board.
@@ -144,7 +157,8 @@
         loop {
             let now = *availability.borrow_and_update();
             match now {
-                Availability::Up | Availability::Down(DownCalls::Reset | DownCalls::Unavailable) => {
+                Availability::Up
+                | Availability::Down(DownCalls::Reset | DownCalls::Unavailable) => {
                     tokio::select! {
                         _ = availability.changed() => {}
                         accepted = listener.accept() => match accepted {
@@ -188,13 +202,16 @@
         let service = service_fn(move |request| {
             let (service, caller) = (Arc::clone(&self), caller.clone());
             let last_answer = Arc::clone(&last_answer);
-            Box::pin(
-                async move { Ok::<_, Infallible>(service.respond(&request, &caller, &last_answer).await) },
-            )
+            Box::pin(async move {
+                Ok::<_, Infallible>(service.respond(&request, &caller, &last_answer).await)
+            })
         });
         let mut connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         let ends = |now: &Availability| {
-            matches!(now, Availability::Closed | Availability::Down(DownCalls::Reset | DownCalls::Refused))
+            matches!(
+                now,
+                Availability::Closed | Availability::Down(DownCalls::Reset | DownCalls::Refused)
+            )
         };
         let is_down = tokio::select! {
             _ = std::future::poll_fn(|cx| connection.poll_without_shutdown(cx)) => false,
@@ -255,7 +272,9 @@
         match self.board().answer(call.after) {
             Ok(body) => {
                 let mut response = Response::new(Full::new(body));
-                response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+                response
+                    .headers_mut()
+                    .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
                 response
             }
             Err(error) => {
--- a/lab/src/live/discovery/tests.rs
+++ b/lab/src/live/discovery/tests.rs
@@ -37,8 +37,14 @@
 /// Revision, completeness and names of a list.
 fn told(list: &Value) -> (u64, bool, Vec<&str>) {
     let members = list["members"].as_array().expect("members").iter();
-    let names = members.map(|member| member["id"].as_str().expect("a name")).collect();
-    (list["revision"].as_u64().expect("a revision"), list["complete"].as_bool().expect("a word"), names)
+    let names = members
+        .map(|member| member["id"].as_str().expect("a name"))
+        .collect();
+    (
+        list["revision"].as_u64().expect("a revision"),
+        list["complete"].as_bool().expect("a word"),
+        names,
+    )
 }
 
 #[test]
@@ -46,16 +52,28 @@
     let list = answer(&mut board(1), None);
     let member = json!({"id": "b-0", "host_port": "127.0.0.1:9", "locality": "a", "flavor": "standard",
                         "cell": 0, "phase": "active", "size": 1.0, "up_since_ms": 0});
-    assert_eq!(list, json!({"revision": 5, "complete": true, "members": [member]}));
+    assert_eq!(
+        list,
+        json!({"revision": 5, "complete": true, "members": [member]})
+    );
 }
 
 #[test]
 fn callers_get_what_changed_since_the_revision_that_they_hold() {
     let mut board = board(3);
-    assert_eq!(board.change(&[1], |entry| entry.phase = EntryPhase::Leaving), 6);
-    assert_eq!(board.change(&[1, 2], |entry| entry.phase = EntryPhase::Left), 7);
+    assert_eq!(
+        board.change(&[1], |entry| entry.phase = EntryPhase::Leaving),
+        6
+    );
+    assert_eq!(
+        board.change(&[1, 2], |entry| entry.phase = EntryPhase::Left),
+        7
+    );
     assert_eq!(told(&answer(&mut board, None)), (7, true, vec!["b-0"]));
-    assert_eq!(told(&answer(&mut board, Some(5))), (7, false, vec!["b-1", "b-2"]));
+    assert_eq!(
+        told(&answer(&mut board, Some(5))),
+        (7, false, vec!["b-1", "b-2"])
+    );
     assert_eq!(told(&answer(&mut board, Some(7))), (7, false, vec![]));
     assert_eq!(answer(&mut board, Some(6))["members"][0]["phase"], "left");
     // Revisions of another service, or forgotten ones.
@@ -66,7 +84,10 @@
 fn an_answer_is_serialized_once_until_the_next_change() {
     let mut board = board(2);
     let first = board.answer(None).expect("an answer");
-    assert_eq!(first.as_ptr(), board.answer(None).expect("an answer").as_ptr());
+    assert_eq!(
+        first.as_ptr(),
+        board.answer(None).expect("an answer").as_ptr()
+    );
     board.change(&[0], |entry| entry.cell = 9);
     assert_ne!(first, board.answer(None).expect("an answer"));
 }
@@ -80,10 +101,19 @@
 
 #[test]
 fn calls_are_read_leniently() {
-    let call = |after, wait_ms| ListCall { after, wait: Duration::from_millis(wait_ms) };
+    let call = |after, wait_ms| ListCall {
+        after,
+        wait: Duration::from_millis(wait_ms),
+    };
     assert_eq!(ListCall::parse(""), call(None, 0));
-    assert_eq!(ListCall::parse("after=41&wait_ms=20000"), call(Some(41), 20_000));
-    assert_eq!(ListCall::parse("wait_ms=99999999&after=x"), call(None, 60_000));
+    assert_eq!(
+        ListCall::parse("after=41&wait_ms=20000"),
+        call(Some(41), 20_000)
+    );
+    assert_eq!(
+        ListCall::parse("wait_ms=99999999&after=x"),
+        call(None, 60_000)
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -107,7 +137,10 @@
 async fn serve() -> (Arc<Service>, SocketAddr, Arc<SpreadTracker>) {
     let tracker = Arc::new(SpreadTracker::new(1));
     let service = Service::new(board(3), None, Arc::clone(&tracker));
-    let caller = Caller::Real { process: 0, traffic: Arc::default() };
+    let caller = Caller::Real {
+        process: 0,
+        traffic: Arc::default(),
+    };
     let address = Arc::clone(&service).listen(caller).await.expect("a port");
     (service, address, tracker)
 }
@@ -122,12 +155,21 @@
 async fn a_watch_is_answered_by_the_next_change() {
     let (service, address, tracker) = serve().await;
     assert_eq!(told(&list(address, "/discovery/hosts").await).2.len(), 3);
-    assert_eq!(tracker.holders(5), 0, "it was told, and has not asked for more yet");
-    let watch = tokio::spawn(async move { list(address, "/discovery/hosts?after=5&wait_ms=20000").await });
+    assert_eq!(
+        tracker.holders(5),
+        0,
+        "it was told, and has not asked for more yet"
+    );
+    let watch =
+        tokio::spawn(async move { list(address, "/discovery/hosts?after=5&wait_ms=20000").await });
     while tracker.holders(5) == 0 {
         tokio::task::yield_now().await;
     }
-    service.change(&[2], |entry| entry.phase = EntryPhase::Leaving, Instant::now());
+    service.change(
+        &[2],
+        |entry| entry.phase = EntryPhase::Leaving,
+        Instant::now(),
+    );
     let list = watch.await.expect("an answer");
     assert_eq!(told(&list), (6, false, vec!["b-2"]));
 }
@@ -135,7 +177,10 @@
 #[tokio::test]
 async fn a_watch_ends_with_nothing_when_its_time_is_up() {
     let (_service, address, _) = serve().await;
-    assert_eq!(told(&list(address, "/discovery/hosts?after=5&wait_ms=1").await), (5, false, vec![]));
+    assert_eq!(
+        told(&list(address, "/discovery/hosts?after=5&wait_ms=1").await),
+        (5, false, vec![])
+    );
 }
 
 #[tokio::test]
@@ -162,10 +207,18 @@
 async fn bytes_and_calls_of_a_process_are_counted() {
     let traffic = Arc::<crate::live::counted::Traffic>::default();
     let service = Service::new(board(3), None, Arc::new(SpreadTracker::new(1)));
-    let caller = Caller::Real { process: 0, traffic: Arc::clone(&traffic) };
+    let caller = Caller::Real {
+        process: 0,
+        traffic: Arc::clone(&traffic),
+    };
     let address = service.listen(caller).await.expect("a port");
-    let (_, body) = http::get(address, "/discovery/hosts").await.expect("an answer");
+    let (_, body) = http::get(address, "/discovery/hosts")
+        .await
+        .expect("an answer");
     assert_eq!(traffic.calls(), 1);
-    assert!(traffic.to_proxy.load(Ordering::Relaxed) > body.len() as u64, "a head comes with it");
+    assert!(
+        traffic.to_proxy.load(Ordering::Relaxed) > body.len() as u64,
+        "a head comes with it"
+    );
     assert!(traffic.from_proxy.load(Ordering::Relaxed) > 0);
 }
--- a/lab/src/live/discovery/turns.rs
+++ b/lab/src/live/discovery/turns.rs
@@ -22,7 +22,11 @@
     #[must_use]
     pub fn new(per_second: f64, longest_wait: Duration) -> Self {
         let each = Duration::from_secs_f64(1.0 / per_second);
-        Self { each, longest_wait, free_at: Mutex::new(Instant::now()) }
+        Self {
+            each,
+            longest_wait,
+            free_at: Mutex::new(Instant::now()),
+        }
     }
 
     /// Waits for a turn. Calls that wait too long take none.
--- a/lab/src/live/experiment.rs
+++ b/lab/src/live/experiment.rs
@@ -119,13 +119,26 @@
         let load_average_before = usage::load_average();
         progress.set_message("starting");
         let service_time = Duration::from_millis(scenario.backends.service_ms);
-        let backends = backends::start(scenario.backends.answering, service_time).await.map_err(failed)?;
+        let backends = backends::start(scenario.backends.answering, service_time)
+            .await
+            .map_err(failed)?;
         let refusing = TcpSocket::new_v4().map_err(failed)?;
-        refusing.bind((Ipv4Addr::LOCALHOST, 0).into()).map_err(failed)?;
-        let entries = entries(&scenario.backends, &backends, refusing.local_addr().map_err(failed)?);
+        refusing
+            .bind((Ipv4Addr::LOCALHOST, 0).into())
+            .map_err(failed)?;
+        let entries = entries(
+            &scenario.backends,
+            &backends,
+            refusing.local_addr().map_err(failed)?,
+        );
         let tracker = Arc::new(SpreadTracker::new(scenario.proxies() as usize));
         let real = scenario.processes.real as usize;
-        let discovery = StandIn::start(scenario.discovery.clone(), entries, real, Arc::clone(&tracker));
+        let discovery = StandIn::start(
+            scenario.discovery.clone(),
+            entries,
+            real,
+            Arc::clone(&tracker),
+        );
         let discovery = discovery.await.map_err(failed)?;
         tracker.changed(discovery.service().board().revision(), Instant::now());
         let (fleet, up) = ProxyFleet::start(&scenario, program, &discovery, &tracker, seed).await?;
@@ -146,7 +159,15 @@
         experiment.settle(FIRST_LIST_WITHIN).await;
         let start_spread = experiment.tracker.take();
         let start_up = Quantiles::of(up);
-        Ok((experiment, LiveFigures { load_average_before, start_up, start_spread, phases: Vec::new() }))
+        Ok((
+            experiment,
+            LiveFigures {
+                load_average_before,
+                start_up,
+                start_spread,
+                phases: Vec::new(),
+            },
+        ))
     }
 
     /// Plays all phases.
@@ -155,7 +176,8 @@
     /// Where a real process ends by itself, or a measurement fails.
     pub async fn play(&mut self, figures: &mut LiveFigures) -> Result<(), LabError> {
         for (number, phase) in self.scenario.phases.clone().iter().enumerate() {
-            self.progress.set_message(format!("phase {number}, {}", phase.kind()));
+            self.progress
+                .set_message(format!("phase {number}, {}", phase.kind()));
             let played = self.play_phase(phase).await;
             // A process that has ended by itself explains whatever else has failed.
             self.fleet.check()?;
@@ -198,19 +220,26 @@
             Phase::Changes { seconds, per_s, .. } => {
                 let count = (seconds * per_s).floor() as usize;
                 for number in 0..count {
-                    self.wait_until(began + Duration::from_secs_f64(number as f64 / per_s)).await;
+                    self.wait_until(began + Duration::from_secs_f64(number as f64 / per_s))
+                        .await;
                     self.change_one_entry();
                 }
             }
             Phase::ZoneLoss { zone, absent_s, .. } => {
                 self.change_zone(zone, EntryPhase::Left);
-                self.wait_until(began + Duration::from_secs_f64(*absent_s)).await;
+                self.wait_until(began + Duration::from_secs_f64(*absent_s))
+                    .await;
                 self.change_zone(zone, EntryPhase::Active);
             }
-            Phase::Reload { .. } => self.fleet.reload(&self.scenario, &mut self.discovery).await?,
+            Phase::Reload { .. } => {
+                self.fleet
+                    .reload(&self.scenario, &mut self.discovery)
+                    .await?
+            }
             Phase::Outage { down_s, calls, .. } => {
                 self.discovery.go_down(*calls);
-                self.wait_until(began + Duration::from_secs_f64(*down_s)).await;
+                self.wait_until(began + Duration::from_secs_f64(*down_s))
+                    .await;
                 self.discovery.come_back();
             }
             Phase::Restart { .. } => {
@@ -231,35 +260,50 @@
             self.changing = self.rng.random_range(0..entries);
         }
         self.changes += 1;
-        self.discovery.change(vec![self.changing], move |entry| match step {
-            RestartStep::Leaves => entry.phase = EntryPhase::Leaving,
-            RestartStep::IsGone => entry.phase = EntryPhase::Left,
-            RestartStep::Returns => {
-                entry.phase = EntryPhase::Active;
-                entry.up_since_ms = unix_ms();
-            }
-        });
+        self.discovery
+            .change(vec![self.changing], move |entry| match step {
+                RestartStep::Leaves => entry.phase = EntryPhase::Leaving,
+                RestartStep::IsGone => entry.phase = EntryPhase::Left,
+                RestartStep::Returns => {
+                    entry.phase = EntryPhase::Active;
+                    entry.up_since_ms = unix_ms();
+                }
+            });
     }
 
     fn change_zone(&self, zone: &str, phase: EntryPhase) {
         let in_zone = |(index, entry): (usize, &Entry)| (entry.locality == zone).then_some(index);
-        let which =
-            self.discovery.service().board().entries().iter().enumerate().filter_map(in_zone).collect();
-        self.discovery.change(which, move |entry| entry.phase = phase);
+        let which = self
+            .discovery
+            .service()
+            .board()
+            .entries()
+            .iter()
+            .enumerate()
+            .filter_map(in_zone)
+            .collect();
+        self.discovery
+            .change(which, move |entry| entry.phase = phase);
     }
 
-    async fn measure_idle_connections(&self, connections: u32) -> Result<Vec<Option<IdleMemory>>, LabError> {
+    async fn measure_idle_connections(
+        &self,
+        connections: u32,
+    ) -> Result<Vec<Option<IdleMemory>>, LabError> {
         let mut measured = Vec::new();
         for group in self.fleet.real().chunks(IDLE_AT_A_TIME) {
             let mut tasks = JoinSet::new();
             for (number, process) in group.iter().enumerate() {
                 let (address, pid) = (process.address(), process.pid());
-                tasks.spawn(async move { (number, idle::measure(address, pid, connections).await) });
+                tasks
+                    .spawn(async move { (number, idle::measure(address, pid, connections).await) });
             }
             let mut results = tasks.join_all().await;
             results.sort_unstable_by_key(|&(number, _)| number);
             for (_, result) in results {
-                measured.push(Some(result.map_err(|error| failed(format!("idle connections: {error}")))?));
+                measured.push(Some(
+                    result.map_err(|error| failed(format!("idle connections: {error}")))?,
+                ));
             }
         }
         Ok(measured)
@@ -268,11 +312,17 @@
     fn start_clients(&mut self) -> Sources {
         let load = &self.scenario.load;
         let rng = &mut self.rng;
-        let mut start =
-            |at: &[SocketAddr], rate: f64| (rate > 0.0).then(|| Source::start(at, rate, rng.random()));
+        let mut start = |at: &[SocketAddr], rate: f64| {
+            (rate > 0.0).then(|| Source::start(at, rate, rng.random()))
+        };
         let real = self.fleet.real().iter();
-        let through = real.filter_map(|process| start(&[process.address()], load.requests_per_s)).collect();
-        Sources { through, direct: start(&self.backends, load.direct_per_s) }
+        let through = real
+            .filter_map(|process| start(&[process.address()], load.requests_per_s))
+            .collect();
+        Sources {
+            through,
+            direct: start(&self.backends, load.direct_per_s),
+        }
     }
 
     fn before(&self) -> Result<Before, LabError> {
@@ -282,8 +332,13 @@
         let real = 0..self.fleet.real().len();
         Ok(Before {
             usage: self.usage()?,
-            bytes: real.clone().map(|process| self.discovery.traffic(process).bytes()).collect(),
-            calls: real.map(|process| self.discovery.traffic(process).calls()).collect(),
+            bytes: real
+                .clone()
+                .map(|process| self.discovery.traffic(process).bytes())
+                .collect(),
+            calls: real
+                .map(|process| self.discovery.traffic(process).calls())
+                .collect(),
             hollow_bytes: hollow.iter().map(|traffic| traffic.bytes()).collect(),
             hollow_calls: hollow.iter().map(|traffic| traffic.calls()).sum(),
             lab: usage::own_processor_time().map_err(failed)?,
@@ -292,32 +347,50 @@
     }
 
     fn usage(&self) -> Result<Vec<Usage>, LabError> {
-        let usage = self.fleet.real().iter().map(|process| Usage::of(process.pid()));
+        let usage = self
+            .fleet
+            .real()
+            .iter()
+            .map(|process| Usage::of(process.pid()));
         usage.collect::<Result<_, _>>().map_err(failed)
     }
 
-    fn figures(&self, phase: &Phase, before: &Before, special: Special) -> Result<PhaseFigures, LabError> {
+    fn figures(
+        &self,
+        phase: &Phase,
+        before: &Before,
+        special: Special,
+    ) -> Result<PhaseFigures, LabError> {
         let seconds = before.at.elapsed().as_secs_f64();
         let (after, lab) = (self.usage()?, usage::own_processor_time().map_err(failed)?);
         let mut idle = special.idle;
         idle.resize(after.len(), None);
-        let processes = after.iter().zip(idle).enumerate().map(|(number, (after, idle))| {
-            let earlier = before.usage[number];
-            let spent = if earlier.pid == after.pid { earlier.processor_time } else { Duration::ZERO };
-            let traffic = self.discovery.traffic(number);
-            ProcessFigures {
-                pid: after.pid,
-                cores: after.processor_time.saturating_sub(spent).as_secs_f64() / seconds,
-                resident_kib: after.resident_kib,
-                peak_resident_kib: after.peak_resident_kib,
-                descriptors: after.descriptors,
-                discovery_bytes_per_s: (traffic.bytes() - before.bytes[number]) as f64 / seconds,
-                discovery_calls: traffic.calls() - before.calls[number],
-                known_backends: None,
-                requests: None,
-                idle,
-            }
-        });
+        let processes = after
+            .iter()
+            .zip(idle)
+            .enumerate()
+            .map(|(number, (after, idle))| {
+                let earlier = before.usage[number];
+                let spent = if earlier.pid == after.pid {
+                    earlier.processor_time
+                } else {
+                    Duration::ZERO
+                };
+                let traffic = self.discovery.traffic(number);
+                ProcessFigures {
+                    pid: after.pid,
+                    cores: after.processor_time.saturating_sub(spent).as_secs_f64() / seconds,
+                    resident_kib: after.resident_kib,
+                    peak_resident_kib: after.peak_resident_kib,
+                    descriptors: after.descriptors,
+                    discovery_bytes_per_s: (traffic.bytes() - before.bytes[number]) as f64
+                        / seconds,
+                    discovery_calls: traffic.calls() - before.calls[number],
+                    known_backends: None,
+                    requests: None,
+                    idle,
+                }
+            });
         Ok(PhaseFigures {
             kind: phase.kind(),
             clients: phase.has_clients(),
@@ -337,13 +410,19 @@
     /// Entries of the list, leaving ones too.
     fn listed(&self) -> usize {
         let board = self.discovery.service().board();
-        board.entries().iter().filter(|entry| entry.phase != EntryPhase::Left).count()
+        board
+            .entries()
+            .iter()
+            .filter(|entry| entry.phase != EntryPhase::Left)
+            .count()
     }
 
     fn hollow_figures(&self, before: &Before, seconds: f64) -> HollowFigures {
         let traffic = self.fleet.hollow_traffic();
         let rates = traffic.iter().zip(&before.hollow_bytes);
-        let rates: Vec<f64> = rates.map(|(now, then)| (now.bytes() - then) as f64 / seconds).collect();
+        let rates: Vec<f64> = rates
+            .map(|(now, then)| (now.bytes() - then) as f64 / seconds)
+            .collect();
         HollowFigures {
             proxies: traffic.len(),
             mean_bytes_per_s: rates.iter().sum::<f64>() / rates.len().max(1) as f64,
@@ -382,7 +461,8 @@
             }
             let next = end.min(now + LOOK_EVERY);
             sleep_until(next.into()).await;
-            self.progress.inc(next.duration_since(now).as_millis() as u64);
+            self.progress
+                .inc(next.duration_since(now).as_millis() as u64);
         }
     }
 }
@@ -424,7 +504,9 @@
 }
 
 fn unix_ms() -> u64 {
-    let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or_default()
 }
 
@@ -435,8 +517,10 @@
         _ => 0,
     });
     let discovery = 2 * u64::from(scenario.proxies()) + 2 * u64::from(scenario.processes.real);
-    let needed =
-        discovery + u64::from(scenario.backends.answering) + idle.max().unwrap_or(0) + OTHER_DESCRIPTORS;
+    let needed = discovery
+        + u64::from(scenario.backends.answering)
+        + idle.max().unwrap_or(0)
+        + OTHER_DESCRIPTORS;
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     match limit {
         Some(limit) if limit < needed => Err(failed(format!(
--- a/lab/src/live/fleet.rs
+++ b/lab/src/live/fleet.rs
@@ -65,10 +65,18 @@
         tracker: &Arc<SpreadTracker>,
         seed: u64,
     ) -> Result<(Self, Vec<f64>), LabError> {
-        let directory = TempDir::with_prefix("tillerproxy-live-")
-            .map_err(|source| LabError::Unwritable { path: std::env::temp_dir(), source })?;
+        let directory =
+            TempDir::with_prefix("tillerproxy-live-").map_err(|source| LabError::Unwritable {
+                path: std::env::temp_dir(),
+                source,
+            })?;
         let hollow = HollowFleet::start(scenario, discovery, tracker, seed)?;
-        let mut fleet = Self { program: program.to_owned(), directory, real: Vec::new(), hollow };
+        let mut fleet = Self {
+            program: program.to_owned(),
+            directory,
+            real: Vec::new(),
+            hollow,
+        };
         fleet.write_configurations(scenario, discovery, discovery.addresses())?;
         let mut starting = JoinSet::new();
         for number in 0..scenario.processes.real {
@@ -80,7 +88,9 @@
             let (number, process) = result.map_err(|error| LabError::Failed(error.to_string()))?;
             let (process, up_after) = process?;
             let up_after = up_after.ok_or_else(|| {
-                LabError::Failed(format!("proxy-{number} did not serve within {UP_WITHIN:?} of its start"))
+                LabError::Failed(format!(
+                    "proxy-{number} did not serve within {UP_WITHIN:?} of its start"
+                ))
             })?;
             tracing::info!("proxy-{number} is process {}", process.pid());
             started.push((number, process, up_after.as_secs_f64()));
@@ -115,14 +125,23 @@
     ///
     /// # Errors
     /// Where no port is left, a file can't be written, or a process is gone.
-    pub async fn reload(&mut self, scenario: &LiveScenario, discovery: &mut StandIn) -> Result<(), LabError> {
-        let to = discovery.prepare_move().await.map_err(|error| LabError::Failed(error.to_string()))?;
+    pub async fn reload(
+        &mut self,
+        scenario: &LiveScenario,
+        discovery: &mut StandIn,
+    ) -> Result<(), LabError> {
+        let to = discovery
+            .prepare_move()
+            .await
+            .map_err(|error| LabError::Failed(error.to_string()))?;
         self.write_configurations(scenario, discovery, &to.addresses)?;
         discovery.complete_move(to);
         for process in &self.real {
             process.signal(Signal::HUP)?;
         }
-        self.hollow.address.send_replace(discovery.addresses().hollow);
+        self.hollow
+            .address
+            .send_replace(discovery.addresses().hollow);
         Ok(())
     }
 
@@ -147,9 +166,15 @@
             restarted.push((number, result?));
         }
         restarted.sort_unstable_by_key(|&(number, _)| number);
-        let restarted: Vec<Restarted> = restarted.into_iter().map(|(_, restarted)| restarted).collect();
+        let restarted: Vec<Restarted> = restarted
+            .into_iter()
+            .map(|(_, restarted)| restarted)
+            .collect();
         let figures = restart_figures(&restarted);
-        self.real = restarted.into_iter().map(|restarted| restarted.process).collect();
+        self.real = restarted
+            .into_iter()
+            .map(|restarted| restarted.process)
+            .collect();
         Ok(figures)
     }
 
@@ -162,7 +187,11 @@
 
     fn launch(&self, number: u32) -> Launch {
         let config = self.config_path(number);
-        Launch { name: format!("proxy-{number}"), program: self.program.clone(), config }
+        Launch {
+            name: format!("proxy-{number}"),
+            program: self.program.clone(),
+            config,
+        }
     }
 
     fn config_path(&self, number: u32) -> PathBuf {
@@ -198,19 +227,32 @@
         seed: u64,
     ) -> Result<Self, LabError> {
         let (address, addresses) = watch::channel(discovery.addresses().hollow);
-        let revision = scenario.processes.start_with_list.then(|| discovery.service().board().revision());
+        let revision = scenario
+            .processes
+            .start_with_list
+            .then(|| discovery.service().board().revision());
         let (mut tasks, mut traffic) = (JoinSet::new(), Vec::new());
         for me in scenario.processes.real..scenario.proxies() {
-            let refused = |error: SettingsError| LabError::Failed(format!("hollow proxy {me}: {error}"));
+            let refused =
+                |error: SettingsError| LabError::Failed(format!("hollow proxy {me}: {error}"));
             let json = proxy_config::settings(scenario, me).to_string();
             let settings = parse_settings(json.as_bytes()).map_err(refused)?;
-            let settings = HollowSettings { settings, revision, seed: seed ^ u64::from(me) << 32 };
+            let settings = HollowSettings {
+                settings,
+                revision,
+                seed: seed ^ u64::from(me) << 32,
+            };
             let exchanged = Arc::<Traffic>::default();
             traffic.push(Arc::clone(&exchanged));
-            let proxy = HollowProxy::new(settings, addresses.clone(), exchanged, Arc::clone(tracker));
+            let proxy =
+                HollowProxy::new(settings, addresses.clone(), exchanged, Arc::clone(tracker));
             tasks.spawn(proxy.map_err(refused)?.run());
         }
-        Ok(Self { _tasks: tasks, traffic, address })
+        Ok(Self {
+            _tasks: tasks,
+            traffic,
+            address,
+        })
     }
 }
 
@@ -232,17 +274,34 @@
     let ended = process.wait_for_end(ENDS_WITHIN).await?;
     let ended_after = told.elapsed();
     let (process, up_after) = start_one(launch).await?;
-    Ok(Restarted { process, ended, ended_after, up_after })
+    Ok(Restarted {
+        process,
+        ended,
+        ended_after,
+        up_after,
+    })
 }
 
 fn restart_figures(restarted: &[Restarted]) -> RestartFigures {
-    let seconds = |times: Vec<Duration>| Quantiles::of(times.iter().map(Duration::as_secs_f64).collect());
-    let up_after: Vec<Duration> = restarted.iter().filter_map(|process| process.up_after).collect();
+    let seconds =
+        |times: Vec<Duration>| Quantiles::of(times.iter().map(Duration::as_secs_f64).collect());
+    let up_after: Vec<Duration> = restarted
+        .iter()
+        .filter_map(|process| process.up_after)
+        .collect();
     RestartFigures {
         processes: restarted.len(),
-        ended_cleanly: restarted.iter().filter(|process| process.ended.success()).count(),
+        ended_cleanly: restarted
+            .iter()
+            .filter(|process| process.ended.success())
+            .count(),
         up_in_time: up_after.len(),
-        ended_after: seconds(restarted.iter().map(|process| process.ended_after).collect()),
+        ended_after: seconds(
+            restarted
+                .iter()
+                .map(|process| process.ended_after)
+                .collect(),
+        ),
         up_after: seconds(up_after),
     }
 }
--- a/lab/src/live/hollow.rs
+++ b/lab/src/live/hollow.rs
@@ -73,8 +73,16 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         let (_, calls) = mpsc::unbounded_channel();
         let asked_wait = Asked::new(calls, settings.me, settings.balancers).wait;
-        let mode = if settings.discovery_on_request { DiscoveryMode::Ask } else { DiscoveryMode::Push };
-        Ok(Self { balancer: Balancer::new(settings, seed, 0)?, mode, asked_wait })
+        let mode = if settings.discovery_on_request {
+            DiscoveryMode::Ask
+        } else {
+            DiscoveryMode::Push
+        };
+        Ok(Self {
+            balancer: Balancer::new(settings, seed, 0)?,
+            mode,
+            asked_wait,
+        })
     }
 
     /// Time from the start to the first call.
@@ -101,7 +109,8 @@
     /// Tells the decision module of a call, and returns how long it waits ahead of the next one.
     fn tell(&mut self, news: Membership<'_>) -> Duration {
         let mut actions = Vec::new();
-        self.balancer.handle(0, Event::Membership(news), &mut actions);
+        self.balancer
+            .handle(0, Event::Membership(news), &mut actions);
         let pauses = actions.iter().filter_map(|action| match action {
             Action::SetTimer { after, .. } => Some(Duration::from_micros(*after)),
             _ => None,
@@ -156,11 +165,24 @@
         traffic: Arc<Traffic>,
         tracker: Arc<SpreadTracker>,
     ) -> Result<Self, SettingsError> {
-        let HollowSettings { settings, revision, seed } = settings;
+        let HollowSettings {
+            settings,
+            revision,
+            seed,
+        } = settings;
         let me = settings.me as usize;
         let schedule = CallSchedule::new(settings, seed)?;
         let (connection, is_watching) = (None, false);
-        Ok(Self { me, addresses, traffic, tracker, schedule, connection, revision, is_watching })
+        Ok(Self {
+            me,
+            addresses,
+            traffic,
+            tracker,
+            schedule,
+            connection,
+            revision,
+            is_watching,
+        })
     }
 
     /// Follows discovery until the task is aborted.
@@ -214,7 +236,13 @@
             None => ("/discovery/hosts".to_owned(), CALL_TIMEOUT),
             Some(after) => {
                 let (wait, limit) = self.schedule.watch(self.is_watching);
-                (format!("/discovery/hosts?after={after}&wait_ms={}", wait.as_millis()), limit)
+                (
+                    format!(
+                        "/discovery/hosts?after={after}&wait_ms={}",
+                        wait.as_millis()
+                    ),
+                    limit,
+                )
             }
         };
         self.traffic.calls.fetch_add(1, Ordering::Relaxed);
@@ -231,7 +259,10 @@
             None => dial(address, Arc::clone(&self.traffic)).await?,
         };
         connection.sender.ready().await.ok()?;
-        let request = Request::get(target).header(HOST, address.to_string()).body(Empty::new()).ok()?;
+        let request = Request::get(target)
+            .header(HOST, address.to_string())
+            .body(Empty::new())
+            .ok()?;
         let response = connection.sender.send_request(request).await.ok()?;
         let status = response.status();
         let mut body = response.into_body();
@@ -243,7 +274,9 @@
             start.extend_from_slice(&data[..data.len().min(wanted)]);
         }
         self.connection = Some(connection);
-        (status == StatusCode::OK).then(|| revision_in(&start)).flatten()
+        (status == StatusCode::OK)
+            .then(|| revision_in(&start))
+            .flatten()
     }
 }
 
--- a/lab/src/live/http.rs
+++ b/lab/src/live/http.rs
@@ -45,7 +45,9 @@
     address: SocketAddr,
     path: &str,
 ) -> Result<(StatusCode, Bytes), CallError> {
-    let request = Request::get(path).header(HOST, address.to_string()).body(Empty::new())?;
+    let request = Request::get(path)
+        .header(HOST, address.to_string())
+        .body(Empty::new())?;
     let response = sender.send_request(request).await?;
     let status = response.status();
     Ok((status, response.into_body().collect().await?.to_bytes()))
--- a/lab/src/live/idle.rs
+++ b/lab/src/live/idle.rs
@@ -39,8 +39,16 @@
 ///
 /// # Errors
 /// Where the process does not answer or its memory can't be read.
-pub async fn measure(address: SocketAddr, pid: u32, most: u32) -> Result<IdleMemory, http::CallError> {
-    let mut steps = vec![IdleStep { connections: 0, closed: 0, resident_kib: Usage::of(pid)?.resident_kib }];
+pub async fn measure(
+    address: SocketAddr,
+    pid: u32,
+    most: u32,
+) -> Result<IdleMemory, http::CallError> {
+    let mut steps = vec![IdleStep {
+        connections: 0,
+        closed: 0,
+        resident_kib: Usage::of(pid)?.resident_kib,
+    }];
     let mut held = Vec::new();
     for step in 1..=IDLE_STEPS {
         let wanted = most * step / IDLE_STEPS;
@@ -52,12 +60,27 @@
         sleep(SETTLES).await;
         let resident_kib = Usage::of(pid)?.resident_kib;
         let closed = held.iter().filter(|sender| sender.is_closed()).count() as u32;
-        steps.push(IdleStep { connections: wanted, closed, resident_kib });
+        steps.push(IdleStep {
+            connections: wanted,
+            closed,
+            resident_kib,
+        });
     }
-    let points: Vec<(f64, f64)> =
-        steps.iter().map(|step| (f64::from(step.connections), step.resident_kib as f64 * 1024.0)).collect();
+    let points: Vec<(f64, f64)> = steps
+        .iter()
+        .map(|step| {
+            (
+                f64::from(step.connections),
+                step.resident_kib as f64 * 1024.0,
+            )
+        })
+        .collect();
     let steepest_bytes = points.windows(2).map(slope).fold(0.0, f64::max);
-    Ok(IdleMemory { steps, slope_bytes: slope(&points), steepest_bytes })
+    Ok(IdleMemory {
+        steps,
+        slope_bytes: slope(&points),
+        steepest_bytes,
+    })
 }
 
 /// Slope of the least squares line through the points; 0 where they do not differ in x.
@@ -66,7 +89,14 @@
     let count = points.len() as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
     let (mean_x, mean_y) = (mean(|point| point.0), mean(|point| point.1));
-    let covariance: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+    let covariance: f64 = points
+        .iter()
+        .map(|(x, y)| (x - mean_x) * (y - mean_y))
+        .sum();
     let variance: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    if variance > 0.0 { covariance / variance } else { 0.0 }
+    if variance > 0.0 {
+        covariance / variance
+    } else {
+        0.0
+    }
 }
--- a/lab/src/live/lateness.rs
+++ b/lab/src/live/lateness.rs
@@ -42,6 +42,8 @@
         let began = Instant::now();
         sleep(EVERY).await;
         let late = began.elapsed().saturating_sub(EVERY);
-        seen.lock().unwrap_or_else(PoisonError::into_inner).record(late);
+        seen.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .record(late);
     }
 }
--- a/lab/src/live/mod.rs
+++ b/lab/src/live/mod.rs
@@ -75,7 +75,12 @@
     let measured = runtime.block_on(measure(&scenario, &program, options.common.seed, progress))?;
     print!("{}", measured.table());
     if let Some(path) = &options.common.json {
-        RunResult { run: info, scenario: &scenario, measured: &measured }.write(path)?;
+        RunResult {
+            run: info,
+            scenario: &scenario,
+            measured: &measured,
+        }
+        .write(path)?;
     }
     Ok(())
 }
@@ -102,8 +107,10 @@
 /// Waits for SIGINT or SIGTERM.
 async fn interrupted() -> LabError {
     let wait = async {
-        let (mut interrupt, mut terminate) =
-            (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
+        let (mut interrupt, mut terminate) = (
+            signal(SignalKind::interrupt())?,
+            signal(SignalKind::terminate())?,
+        );
         tokio::select! {
             _ = interrupt.recv() => Ok::<_, io::Error>("SIGINT"),
             _ = terminate.recv() => Ok("SIGTERM"),
@@ -118,7 +125,10 @@
 /// The released program in the target directory that holds the lab's own.
 fn released_program() -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
-    let target = own.parent().and_then(Path::parent).unwrap_or(Path::new("target"));
+    let target = own
+        .parent()
+        .and_then(Path::parent)
+        .unwrap_or(Path::new("target"));
     Ok(target.join("release").join("tillerproxy"))
 }
 
@@ -126,7 +136,11 @@
     if quiet {
         return ProgressBar::hidden();
     }
-    let length: Duration = scenario.phases.iter().filter_map(scenario::Phase::length).sum();
+    let length: Duration = scenario
+        .phases
+        .iter()
+        .filter_map(scenario::Phase::length)
+        .sum();
     let bar = ProgressBar::new(length.as_millis() as u64);
     let style = ProgressStyle::with_template("{bar:40} {percent:>3}% {elapsed} {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
--- a/lab/src/live/process.rs
+++ b/lab/src/live/process.rs
@@ -40,7 +40,11 @@
 
     fn text(&self) -> String {
         let lines = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        lines.iter().map(String::as_str).collect::<Vec<_>>().join("\n")
+        lines
+            .iter()
+            .map(String::as_str)
+            .collect::<Vec<_>>()
+            .join("\n")
     }
 }
 
@@ -91,24 +95,47 @@
         let mut command = Command::new(&launch.program);
         // What the lab's own environment says is for the lab.
         command.env_clear().env("EDGE_CONFIG", &launch.config);
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         let failed = |why: String| LabError::Failed(format!("{}: {why}", launch.name));
         let started = Instant::now();
-        let mut child = command
-            .spawn()
-            .map(OwnedChild)
-            .map_err(|error| failed(format!("cannot start {}: {error}", launch.program.display())))?;
-        let pid = child.0.id().ok_or_else(|| failed("it ended at once".to_owned()))?;
+        let mut child = command.spawn().map(OwnedChild).map_err(|error| {
+            failed(format!(
+                "cannot start {}: {error}",
+                launch.program.display()
+            ))
+        })?;
+        let pid = child
+            .0
+            .id()
+            .ok_or_else(|| failed("it ended at once".to_owned()))?;
         tracing::debug!("{} is process {pid}", launch.name);
-        let stderr = child.0.stderr.take().ok_or_else(|| failed("no standard error".to_owned()))?;
+        let stderr = child
+            .0
+            .stderr
+            .take()
+            .ok_or_else(|| failed("no standard error".to_owned()))?;
         let mut lines = BufReader::new(stderr).lines();
         let log = Arc::new(LogTail::default());
         let addresses = timeout(LISTENS_WITHIN, read_addresses(&mut lines, &log)).await;
         let (address, operator) = addresses.ok().flatten().ok_or_else(|| {
-            failed(format!("process {pid} did not say where it listens; its log: {}", log.text()))
+            failed(format!(
+                "process {pid} did not say where it listens; its log: {}",
+                log.text()
+            ))
         })?;
         tokio::spawn(follow_log(lines, Arc::clone(&log)));
-        Ok(Self { name: launch.name.clone(), child, pid, started, address, operator, log })
+        Ok(Self {
+            name: launch.name.clone(),
+            child,
+            pid,
+            started,
+            address,
+            operator,
+            log,
+        })
     }
 
     /// Its process id.
@@ -140,7 +167,8 @@
     pub async fn known_backends(&self) -> Option<u64> {
         let (_, text) = http::get(self.operator, "/control/counters").await.ok()?;
         let text = String::from_utf8_lossy(&text).into_owned();
-        text.lines().find_map(|line| line.strip_prefix("app_known_backends ")?.parse().ok())
+        text.lines()
+            .find_map(|line| line.strip_prefix("app_known_backends ")?.parse().ok())
     }
 
     /// Sends a signal.
@@ -150,7 +178,11 @@
     pub fn signal(&self, signal: Signal) -> Result<(), LabError> {
         let pid = i32::try_from(self.pid).ok().and_then(Pid::from_raw);
         let sent = pid.is_some_and(|pid| kill_process(pid, signal).is_ok());
-        if sent { Ok(()) } else { Err(self.failure("there is no such process to signal")) }
+        if sent {
+            Ok(())
+        } else {
+            Err(self.failure("there is no such process to signal"))
+        }
     }
 
     /// Waits for its end, for so long.
@@ -180,13 +212,20 @@
     /// Kills it and waits for its end.
     pub async fn kill(&mut self) {
         if let Err(error) = self.child.0.kill().await {
-            tracing::warn!("{}: process {} can't be killed: {error}", self.name, self.pid);
+            tracing::warn!(
+                "{}: process {} can't be killed: {error}",
+                self.name,
+                self.pid
+            );
         }
     }
 
     fn failure(&self, why: &str) -> LabError {
         let (name, pid) = (&self.name, self.pid);
-        LabError::Failed(format!("{name} (process {pid}) {why}; its log ends with:\n{}", self.log.text()))
+        LabError::Failed(format!(
+            "{name} (process {pid}) {why}; its log ends with:\n{}",
+            self.log.text()
+        ))
     }
 }
 
--- a/lab/src/live/proxy_config.rs
+++ b/lab/src/live/proxy_config.rs
@@ -14,7 +14,12 @@
 /// The configuration of process `me`, whose discovery is at `discovery`. `known` is the list that it starts
 /// with, in discovery's form.
 #[must_use]
-pub fn configuration(scenario: &LiveScenario, me: u32, discovery: SocketAddr, known: &Value) -> Value {
+pub fn configuration(
+    scenario: &LiveScenario,
+    me: u32,
+    discovery: SocketAddr,
+    known: &Value,
+) -> Value {
     json!({
         "name": format!("proxy-{me}"),
         "listen": "127.0.0.1:0",
--- a/lab/src/live/report.rs
+++ b/lab/src/live/report.rs
@@ -135,12 +135,20 @@
             p50_us: less(through.p50_us, direct.p50_us),
             p99_us: less(through.p99_us, direct.p99_us),
         });
-        Self { counts: outcomes.counts, latency: outcomes.latency.quantiles(), outside, added }
+        Self {
+            counts: outcomes.counts,
+            latency: outcomes.latency.quantiles(),
+            outside,
+            added,
+        }
     }
 }
 
 /// Median and maximum of a figure over the processes.
-fn over(processes: &[ProcessFigures], of: impl Fn(&ProcessFigures) -> Option<f64>) -> Option<(f64, f64)> {
+fn over(
+    processes: &[ProcessFigures],
+    of: impl Fn(&ProcessFigures) -> Option<f64>,
+) -> Option<(f64, f64)> {
     let quantiles = Quantiles::of(processes.iter().filter_map(of).collect())?;
     Some((quantiles.median, quantiles.max))
 }
@@ -150,14 +158,19 @@
     #[must_use]
     pub fn table(&self) -> String {
         let mut text = String::new();
-        let _ = writeln!(text, "Each figure: median and maximum over the real processes.");
+        let _ = writeln!(
+            text,
+            "Each figure: median and maximum over the real processes."
+        );
         if let Some(Quantiles { median, max }) = self.start_up {
             let _ = writeln!(
                 text,
                 "\nstart: processes were up after {median:.3} s (median), {max:.3} s (maximum)"
             );
         }
-        if let Some(Quantiles { max, .. }) = self.start_spread.as_ref().and_then(|spread| spread.all) {
+        if let Some(Quantiles { max, .. }) =
+            self.start_spread.as_ref().and_then(|spread| spread.all)
+        {
             let _ = writeln!(text, "  every proxy held the first list after {max:.3} s");
         }
         for (number, phase) in self.phases.iter().enumerate() {
@@ -171,25 +184,71 @@
     fn write(&self, number: usize, text: &mut String) {
         let clients = if self.clients { "with" } else { "without" };
         let (kind, seconds) = (self.kind, self.seconds);
-        let _ = writeln!(text, "\nphase {number}: {kind}, {seconds:.1} s, {clients} clients");
+        let _ = writeln!(
+            text,
+            "\nphase {number}: {kind}, {seconds:.1} s, {clients} clients"
+        );
         let mut row = |name: &str, unit: &str, digits: usize, figure: Option<(f64, f64)>| {
             if let Some((median, most)) = figure {
-                let _ = writeln!(text, "  {name:<28} {median:>12.digits$} {most:>12.digits$}  {unit}");
+                let _ = writeln!(
+                    text,
+                    "  {name:<28} {median:>12.digits$} {most:>12.digits$}  {unit}"
+                );
             }
         };
         let all = &self.processes;
-        row("processor time", "% of a core", 2, over(all, |p| Some(p.cores * 100.0)));
-        row("resident memory", "MB", 1, over(all, |p| Some(mb(p.resident_kib))));
-        row("peak resident memory", "MB", 1, over(all, |p| Some(mb(p.peak_resident_kib))));
-        row("descriptors", "", 0, over(all, |p| Some(p.descriptors as f64)));
-        row("discovery", "bytes/s", 0, over(all, |p| Some(p.discovery_bytes_per_s)));
+        row(
+            "processor time",
+            "% of a core",
+            2,
+            over(all, |p| Some(p.cores * 100.0)),
+        );
+        row(
+            "resident memory",
+            "MB",
+            1,
+            over(all, |p| Some(mb(p.resident_kib))),
+        );
+        row(
+            "peak resident memory",
+            "MB",
+            1,
+            over(all, |p| Some(mb(p.peak_resident_kib))),
+        );
+        row(
+            "descriptors",
+            "",
+            0,
+            over(all, |p| Some(p.descriptors as f64)),
+        );
+        row(
+            "discovery",
+            "bytes/s",
+            0,
+            over(all, |p| Some(p.discovery_bytes_per_s)),
+        );
         let added = |p: &ProcessFigures| p.requests.as_ref()?.added;
-        row("added to a request, p50", "us", 0, over(all, |p| Some(added(p)?.p50_us as f64)));
-        row("added to a request, p99", "us", 0, over(all, |p| Some(added(p)?.p99_us as f64)));
+        row(
+            "added to a request, p50",
+            "us",
+            0,
+            over(all, |p| Some(added(p)?.p50_us as f64)),
+        );
+        row(
+            "added to a request, p99",
+            "us",
+            0,
+            over(all, |p| Some(added(p)?.p99_us as f64)),
+        );
         let slope = |p: &ProcessFigures| Some(p.idle.as_ref()?.slope_bytes);
         row("an idle connection, slope", "bytes", 0, over(all, slope));
         let steepest = |p: &ProcessFigures| Some(p.idle.as_ref()?.steepest_bytes);
-        row("an idle connection, steepest", "bytes", 0, over(all, steepest));
+        row(
+            "an idle connection, steepest",
+            "bytes",
+            0,
+            over(all, steepest),
+        );
         let pair = |quantiles: Quantiles| (quantiles.median, quantiles.max);
         if let Some(restart) = &self.restart {
             row("up after a restart", "s", 3, restart.up_after.map(pair));
@@ -205,34 +264,68 @@
     fn write_notes(&self, text: &mut String) {
         if let Some(spread) = &self.spread {
             let (changes, known) = (spread.changes, spread.known_to_all);
-            let _ = writeln!(text, "  * over the {changes} changes, of which {known} were known to all");
+            let _ = writeln!(
+                text,
+                "  * over the {changes} changes, of which {known} were known to all"
+            );
         }
         if let Some(restart) = &self.restart {
-            let RestartFigures { processes, ended_cleanly, up_in_time, .. } = restart;
+            let RestartFigures {
+                processes,
+                ended_cleanly,
+                up_in_time,
+                ..
+            } = restart;
             let _ = writeln!(
                 text,
                 "  of {processes} processes {ended_cleanly} ended cleanly, {up_in_time} were up within 10 s"
             );
         }
-        let requests = self.processes.iter().filter_map(|process| process.requests.as_ref());
+        let requests = self
+            .processes
+            .iter()
+            .filter_map(|process| process.requests.as_ref());
         let total = requests.fold(Counts::default(), |sum, requests| sum.plus(requests.counts));
         if total.sent > 0 {
-            let Counts { sent, served, refused, failed, broken, late } = total;
+            let Counts {
+                sent,
+                served,
+                refused,
+                failed,
+                broken,
+                late,
+            } = total;
             let _ = writeln!(
                 text,
                 "  requests: {sent} sent, {served} served, {refused} refused, {failed} failed, \
                  {broken} broken, {late} late"
             );
         }
-        let HollowFigures { proxies, mean_bytes_per_s, most_bytes_per_s, calls } = &self.hollow;
+        let HollowFigures {
+            proxies,
+            mean_bytes_per_s,
+            most_bytes_per_s,
+            calls,
+        } = &self.hollow;
         let _ = writeln!(
             text,
             "  {proxies} hollow proxies: {mean_bytes_per_s:.0} bytes/s in the mean, \
              {most_bytes_per_s:.0} at most, {calls} calls"
         );
-        let load = self.load_average.map_or_else(|| "unknown".to_owned(), |load| format!("{load:.2}"));
-        let _ = writeln!(text, "  lab: {:.2} cores; load average of the machine {load}", self.lab_cores);
-        if let Some(Latency { p50_us, p99_us, max_us }) = self.lab_timers_late {
+        let load = self
+            .load_average
+            .map_or_else(|| "unknown".to_owned(), |load| format!("{load:.2}"));
+        let _ = writeln!(
+            text,
+            "  lab: {:.2} cores; load average of the machine {load}",
+            self.lab_cores
+        );
+        if let Some(Latency {
+            p50_us,
+            p99_us,
+            max_us,
+        }) = self.lab_timers_late
+        {
             let _ = writeln!(
                 text,
                 "  the lab's timers were late by {p50_us} us (p50), {p99_us} (p99), {max_us} (max)"
--- a/lab/src/live/scenario.rs
+++ b/lab/src/live/scenario.rs
@@ -273,7 +273,11 @@
         | Self::Restart { seconds } = self
         {
             let allowed = format!("seconds, above 0 and at most {LONGEST_PHASE_S}");
-            check(*seconds > 0.0 && *seconds <= LONGEST_PHASE_S, &format!("{key}.seconds"), &allowed)?;
+            check(
+                *seconds > 0.0 && *seconds <= LONGEST_PHASE_S,
+                &format!("{key}.seconds"),
+                &allowed,
+            )?;
         }
         match self {
             Self::Rest { .. } | Self::Restart { .. } => Ok(()),
@@ -282,7 +286,12 @@
                 &format!("{key}.per_s"),
                 &format!("changes a second, above 0 and at most {MOST_CHANGES_PER_S}"),
             ),
-            Self::ZoneLoss { seconds, zone, absent_s, .. } => {
+            Self::ZoneLoss {
+                seconds,
+                zone,
+                absent_s,
+                ..
+            } => {
                 let zones = &scenario.backends.zones;
                 let allowed = format!("a name of `backends.zones`: {}", zones.join(", "));
                 check(zones.contains(zone), &format!("{key}.zone"), &allowed)?;
@@ -293,7 +302,9 @@
                 &format!("{key}.seconds"),
                 "above 1.5, when the old discovery closes its connections",
             ),
-            Self::Outage { seconds, down_s, .. } => check_within(*down_s, *seconds, &format!("{key}.down_s")),
+            Self::Outage {
+                seconds, down_s, ..
+            } => check_within(*down_s, *seconds, &format!("{key}.down_s")),
             Self::IdleConnections { connections } => check(
                 (IDLE_STEPS..scenario.limits.sockets).contains(connections),
                 &format!("{key}.connections"),
@@ -307,12 +318,19 @@
 pub const IDLE_STEPS: u32 = 4;
 
 fn check(good: bool, key: &str, allowed: &str) -> Result<(), InvalidValue> {
-    let problem = || InvalidValue { key: key.to_owned(), problem: format!("must be {allowed}") };
+    let problem = || InvalidValue {
+        key: key.to_owned(),
+        problem: format!("must be {allowed}"),
+    };
     if good { Ok(()) } else { Err(problem()) }
 }
 
 fn check_within(value: f64, seconds: f64, key: &str) -> Result<(), InvalidValue> {
-    check(value > 0.0 && value < seconds, key, "seconds, above 0 and under the phase's `seconds`")
+    check(
+        value > 0.0 && value < seconds,
+        key,
+        "seconds, above 0 and under the phase's `seconds`",
+    )
 }
 
 impl Scenario for LiveScenario {
@@ -322,7 +340,11 @@
         self.validate_discovery()?;
         let load = |rate: f64| (0.0..=MOST_REQUESTS_PER_S).contains(&rate);
         let allowed = format!("requests a second, 0 to {MOST_REQUESTS_PER_S}");
-        check(load(self.load.requests_per_s), "load.requests_per_s", &allowed)?;
+        check(
+            load(self.load.requests_per_s),
+            "load.requests_per_s",
+            &allowed,
+        )?;
         check(load(self.load.direct_per_s), "load.direct_per_s", &allowed)?;
         check(!self.phases.is_empty(), "phases", "one phase or more")?;
         let mut phases = self.phases.iter().enumerate();
@@ -345,33 +367,73 @@
         check(hollow <= MOST_PROXIES - real, "processes.hollow", &allowed)?;
         let most = (MOST_MEMORY_MB / u64::from(real)).min(4_096);
         let allowed = format!("32 to {most} MB with {real} real processes");
-        check((32..=most).contains(&u64::from(self.limits.memory_mb)), "limits.memory_mb", &allowed)?;
+        check(
+            (32..=most).contains(&u64::from(self.limits.memory_mb)),
+            "limits.memory_mb",
+            &allowed,
+        )?;
         let allowed = format!("{} to {} descriptors", SOCKETS.start(), SOCKETS.end());
-        check(SOCKETS.contains(&self.limits.sockets), "limits.sockets", &allowed)
+        check(
+            SOCKETS.contains(&self.limits.sockets),
+            "limits.sockets",
+            &allowed,
+        )
     }
 
     fn validate_backends(&self) -> Result<(), InvalidValue> {
         let backends = &self.backends;
         let allowed = format!("1 to {MOST_BACKENDS} entries");
-        check((1..=MOST_BACKENDS).contains(&backends.listed), "backends.listed", &allowed)?;
+        check(
+            (1..=MOST_BACKENDS).contains(&backends.listed),
+            "backends.listed",
+            &allowed,
+        )?;
         let most = backends.listed.min(MOST_ANSWERING);
         let allowed = format!("1 to {most} backends");
-        check((1..=most).contains(&backends.answering), "backends.answering", &allowed)?;
-        check(backends.service_ms <= 1_000, "backends.service_ms", "0 to 1000 ms")?;
+        check(
+            (1..=most).contains(&backends.answering),
+            "backends.answering",
+            &allowed,
+        )?;
+        check(
+            backends.service_ms <= 1_000,
+            "backends.service_ms",
+            "0 to 1000 ms",
+        )?;
         let zones = &backends.zones;
         let distinct = (1..zones.len()).all(|i| !zones[..i].contains(&zones[i]));
         let good = !zones.is_empty() && distinct && zones.iter().all(|zone| !zone.is_empty());
-        check(good, "backends.zones", "one or more names, none empty and none twice")
+        check(
+            good,
+            "backends.zones",
+            "one or more names, none empty and none twice",
+        )
     }
 
     fn validate_discovery(&self) -> Result<(), InvalidValue> {
         let discovery = &self.discovery;
         let calls = discovery.calls_per_s;
-        check((0.1..=10_000.0).contains(&calls), "discovery.calls_per_s", "0.1 to 10000 calls a second")?;
+        check(
+            (0.1..=10_000.0).contains(&calls),
+            "discovery.calls_per_s",
+            "0.1 to 10000 calls a second",
+        )?;
         let timeout = discovery.turn_timeout_ms;
-        check((10..=60_000).contains(&timeout), "discovery.turn_timeout_ms", "10 to 60000 ms")?;
-        check(discovery.notice_ms <= 60_000, "discovery.notice_ms", "0 to 60000 ms")?;
+        check(
+            (10..=60_000).contains(&timeout),
+            "discovery.turn_timeout_ms",
+            "10 to 60000 ms",
+        )?;
+        check(
+            discovery.notice_ms <= 60_000,
+            "discovery.notice_ms",
+            "0 to 60000 ms",
+        )?;
         let within = discovery.ask_within_ms;
-        check((100..=600_000).contains(&within), "discovery.ask_within_ms", "100 to 600000 ms")
+        check(
+            (100..=600_000).contains(&within),
+            "discovery.ask_within_ms",
+            "100 to 600000 ms",
+        )
     }
 }
--- a/lab/src/live/spread.rs
+++ b/lab/src/live/spread.rs
@@ -59,7 +59,10 @@
     pub fn of(mut values: Vec<f64>) -> Option<Self> {
         values.sort_unstable_by(f64::total_cmp);
         let max = *values.last()?;
-        Some(Self { median: values[(values.len() - 1) / 2], max })
+        Some(Self {
+            median: values[(values.len() - 1) / 2],
+            max,
+        })
     }
 }
 
@@ -67,7 +70,12 @@
     /// A tracker for so many proxies, none of which holds anything.
     #[must_use]
     pub fn new(proxies: usize) -> Self {
-        Self { state: Mutex::new(State { held: vec![0; proxies], changes: BTreeMap::new() }) }
+        Self {
+            state: Mutex::new(State {
+                held: vec![0; proxies],
+                changes: BTreeMap::new(),
+            }),
+        }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -76,7 +84,13 @@
 
     /// A change was made at that time; it has this revision.
     pub fn changed(&self, revision: u64, made: Instant) {
-        self.state().changes.insert(revision, Change { made, delays: Vec::new() });
+        self.state().changes.insert(
+            revision,
+            Change {
+                made,
+                delays: Vec::new(),
+            },
+        );
     }
 
     /// A proxy holds this revision, and so all before it.
@@ -89,14 +103,20 @@
             return;
         }
         for (_, change) in state.changes.range_mut(held + 1..=revision) {
-            change.delays.push(now.saturating_duration_since(change.made));
+            change
+                .delays
+                .push(now.saturating_duration_since(change.made));
         }
     }
 
     /// How many proxies hold this revision or a newer one.
     #[must_use]
     pub fn holders(&self, revision: u64) -> usize {
-        self.state().held.iter().filter(|&&held| held >= revision).count()
+        self.state()
+            .held
+            .iter()
+            .filter(|&&held| held >= revision)
+            .count()
     }
 
     /// Figures of the changes made since the last call; they are forgotten.
@@ -111,7 +131,9 @@
         }
         // The time by which so many proxies held a change is that of the last of them.
         let until = |holders: usize| {
-            let reached = changes.iter().filter_map(|change| change.delays.get(holders.max(1) - 1));
+            let reached = changes
+                .iter()
+                .filter_map(|change| change.delays.get(holders.max(1) - 1));
             reached.map(Duration::as_secs_f64).collect::<Vec<f64>>()
         };
         Some(SpreadFigures {
--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -36,18 +36,48 @@
 #[test]
 fn figures_that_make_no_sense_are_named_with_what_is_allowed() {
     let cases = [
-        ("real = 2", "real = 41", "processes.real", "must be 1 to 40 processes"),
-        ("real = 2", "real = 0", "processes.real", "must be 1 to 40 processes"),
-        ("hollow = 5", "hollow = 709", "processes.hollow", "must be 0 to 708 beside 2 real ones"),
+        (
+            "real = 2",
+            "real = 41",
+            "processes.real",
+            "must be 1 to 40 processes",
+        ),
+        (
+            "real = 2",
+            "real = 0",
+            "processes.real",
+            "must be 1 to 40 processes",
+        ),
+        (
+            "hollow = 5",
+            "hollow = 709",
+            "processes.hollow",
+            "must be 0 to 708 beside 2 real ones",
+        ),
         (
             "memory_mb = 64",
             "memory_mb = 6000",
             "limits.memory_mb",
             "must be 32 to 4096 MB with 2 real processes",
         ),
-        ("sockets = 256", "sockets = 16", "limits.sockets", "must be 128 to 16384 descriptors"),
-        ("listed = 50", "listed = 0", "backends.listed", "must be 1 to 20000 entries"),
-        ("answering = 4", "answering = 51", "backends.answering", "must be 1 to 50 backends"),
+        (
+            "sockets = 256",
+            "sockets = 16",
+            "limits.sockets",
+            "must be 128 to 16384 descriptors",
+        ),
+        (
+            "listed = 50",
+            "listed = 0",
+            "backends.listed",
+            "must be 1 to 20000 entries",
+        ),
+        (
+            "answering = 4",
+            "answering = 51",
+            "backends.answering",
+            "must be 1 to 50 backends",
+        ),
         (
             "calls_per_s = 50.0",
             "calls_per_s = 0.0",
@@ -66,7 +96,12 @@
             "phases[2].per_s",
             "must be changes a second, above 0 and at most 200",
         ),
-        ("seconds = 1.0", "seconds = 0.0", "phases[0].seconds", "must be seconds, above 0 and at most 3600"),
+        (
+            "seconds = 1.0",
+            "seconds = 0.0",
+            "phases[0].seconds",
+            "must be seconds, above 0 and at most 3600",
+        ),
         (
             "connections = 40",
             "connections = 256",
@@ -75,15 +110,24 @@
         ),
     ];
     for (line, replacement, key, problem) in cases {
-        assert_eq!(error_with(line, replacement), (key.to_owned(), problem.to_owned()));
+        assert_eq!(
+            error_with(line, replacement),
+            (key.to_owned(), problem.to_owned())
+        );
     }
 }
 
 #[test]
 fn memory_of_all_processes_together_is_bounded() {
-    let text = SMALL.replacen("real = 2", "real = 40", 1).replacen("memory_mb = 64", "memory_mb = 282", 1);
+    let text =
+        SMALL
+            .replacen("real = 2", "real = 40", 1)
+            .replacen("memory_mb = 64", "memory_mb = 282", 1);
     let error = parse(&text).expect_err("40 times 282 MB").to_string();
-    assert!(error.contains("must be 32 to 281 MB with 40 real processes"), "{error}");
+    assert!(
+        error.contains("must be 32 to 281 MB with 40 real processes"),
+        "{error}"
+    );
 }
 
 #[test]
@@ -103,7 +147,9 @@
 fn a_change_is_known_to_half_once_so_many_hold_it_or_a_newer_one() {
     let tracker = SpreadTracker::new(4);
     assert!(tracker.take().is_none(), "nothing has changed");
-    let made = Instant::now().checked_sub(Duration::from_secs(1)).expect("a time");
+    let made = Instant::now()
+        .checked_sub(Duration::from_secs(1))
+        .expect("a time");
     tracker.changed(2, made);
     tracker.changed(3, made);
     tracker.holds(0, 1);
@@ -155,7 +201,11 @@
 fn schedule(mode: &str) -> CallSchedule {
     let scenario = TARGET.replace("mode = \"ask\"", &format!("mode = \"{mode}\""));
     let settings = settings(&parse(&scenario).expect("a scenario"), 3).to_string();
-    CallSchedule::new(parse_settings(settings.as_bytes()).expect("good settings"), 1).expect("good settings")
+    CallSchedule::new(
+        parse_settings(settings.as_bytes()).expect("good settings"),
+        1,
+    )
+    .expect("good settings")
 }
 
 #[test]
@@ -169,11 +219,17 @@
     for failures in 0..10_u32 {
         let pause = asked.after_failure();
         let least = Duration::from_millis(125) * (1 << failures.min(3));
-        assert!(pause >= least && pause <= LONGEST, "{failures} failures: {pause:?}");
+        assert!(
+            pause >= least && pause <= LONGEST,
+            "{failures} failures: {pause:?}"
+        );
     }
     let (wait, limit) = asked.watch(true);
     assert!(wait > Duration::from_secs(4) && limit > wait);
-    assert!(asked.watch(false).0 < wait, "a call that begins a watch waits less");
+    assert!(
+        asked.watch(false).0 < wait,
+        "a call that begins a watch waits less"
+    );
 }
 
 #[test]
--- a/lab/src/live/usage.rs
+++ b/lab/src/live/usage.rs
@@ -62,5 +62,7 @@
         return Ok(Duration::from_nanos(schedule.sum_exec_runtime));
     }
     let ticks = (stat.utime + stat.stime) as f64;
-    Ok(Duration::from_secs_f64(ticks / procfs::ticks_per_second() as f64))
+    Ok(Duration::from_secs_f64(
+        ticks / procfs::ticks_per_second() as f64,
+    ))
 }
--- a/lab/src/results.rs
+++ b/lab/src/results.rs
@@ -22,13 +22,20 @@
     /// Describes a run of `experiment`; asks git for the commit.
     #[must_use]
     pub fn new(experiment: &'static str, seed: u64) -> Self {
-        let describe = Command::new("git").args(["describe", "--always", "--dirty", "--abbrev=7"]).output();
+        let describe = Command::new("git")
+            .args(["describe", "--always", "--dirty", "--abbrev=7"])
+            .output();
         let commit = describe.ok().filter(|output| output.status.success());
         let commit = commit.map_or_else(
             || "unknown".to_owned(),
             |output| String::from_utf8_lossy(&output.stdout).trim().to_owned(),
         );
-        Self { experiment, seed, version: env!("CARGO_PKG_VERSION"), commit }
+        Self {
+            experiment,
+            seed,
+            version: env!("CARGO_PKG_VERSION"),
+            commit,
+        }
     }
 }
 
@@ -49,7 +56,10 @@
     /// # Errors
     /// [`LabError::Unwritable`] where the file can't be written.
     pub fn write(&self, path: &Path) -> Result<(), LabError> {
-        let unwritable = |source| LabError::Unwritable { path: path.to_owned(), source };
+        let unwritable = |source| LabError::Unwritable {
+            path: path.to_owned(),
+            source,
+        };
         let text = serde_json::to_string_pretty(self).map_err(|error| unwritable(error.into()))?;
         std::fs::write(path, text + "\n").map_err(unwritable)
     }
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -28,8 +28,10 @@
 /// [`LabError::Unreadable`] for a file that can't be read; [`LabError::Scenario`] for text that is no TOML, an
 /// unknown or missing key, a value of the wrong type, or a figure that makes no sense.
 pub fn read<S: Scenario>(path: &Path) -> Result<S, LabError> {
-    let text = std::fs::read_to_string(path)
-        .map_err(|source| LabError::Unreadable { path: path.to_owned(), source })?;
+    let text = std::fs::read_to_string(path).map_err(|source| LabError::Unreadable {
+        path: path.to_owned(),
+        source,
+    })?;
     parse(&text, path)
 }
 
@@ -38,11 +40,21 @@
 /// # Errors
 /// As [`read`], but for the file itself.
 pub fn parse<S: Scenario>(text: &str, path: &Path) -> Result<S, LabError> {
-    let invalid = |key: String, problem: String| LabError::Scenario { path: path.to_owned(), key, problem };
-    let deserializer = toml::Deserializer::parse(text)
-        .map_err(|error| invalid("(syntax)".to_owned(), error.to_string().trim_end().to_owned()))?;
+    let invalid = |key: String, problem: String| LabError::Scenario {
+        path: path.to_owned(),
+        key,
+        problem,
+    };
+    let deserializer = toml::Deserializer::parse(text).map_err(|error| {
+        invalid(
+            "(syntax)".to_owned(),
+            error.to_string().trim_end().to_owned(),
+        )
+    })?;
     let scenario: S = serde_path_to_error::deserialize(deserializer)
         .map_err(|error| invalid(error.path().to_string(), error.inner().message().to_owned()))?;
-    scenario.validate().map_err(|InvalidValue { key, problem }| invalid(key, problem))?;
+    scenario
+        .validate()
+        .map_err(|InvalidValue { key, problem }| invalid(key, problem))?;
     Ok(scenario)
 }
--- a/lab/src/slopes/analysis.rs
+++ b/lab/src/slopes/analysis.rs
@@ -125,7 +125,12 @@
 }
 
 impl Assessment {
-    fn new(name: &'static str, figure: TargetFigure, budget: Option<f64>, unit: FigureUnit) -> Self {
+    fn new(
+        name: &'static str,
+        figure: TargetFigure,
+        budget: Option<f64>,
+        unit: FigureUnit,
+    ) -> Self {
         let TargetFigure { measured, fitted } = figure;
         let verdict = match (measured.or(fitted), budget) {
             (None, _) => Verdict::NotMeasured,
@@ -133,7 +138,14 @@
             (Some(value), Some(budget)) if value <= budget => Verdict::Within,
             (Some(value), Some(budget)) => Verdict::Over(value / budget),
         };
-        Self { name, measured, fitted, budget, unit, verdict }
+        Self {
+            name,
+            measured,
+            fitted,
+            budget,
+            unit,
+            verdict,
+        }
     }
 }
 
@@ -142,8 +154,17 @@
     #[must_use]
     pub fn of(scenario: &SlopesScenario, measured: &Measurements) -> Self {
         let curves = curves(scenario, measured);
-        let assessments = Assessor { scenario, measured, curves: &curves }.assessments();
-        Self { curves, bytes_per_open_request: bytes_per_open_request(measured), assessments }
+        let assessments = Assessor {
+            scenario,
+            measured,
+            curves: &curves,
+        }
+        .assessments();
+        Self {
+            curves,
+            bytes_per_open_request: bytes_per_open_request(measured),
+            assessments,
+        }
     }
 }
 
@@ -152,9 +173,17 @@
     for (&sweep, points) in &measured.sweeps {
         let target_size = target_size(sweep, scenario);
         for quantity in Quantity::ALL {
-            let Some(fit) = Fit::of(&series(sweep, points, quantity)) else { continue };
+            let Some(fit) = Fit::of(&series(sweep, points, quantity)) else {
+                continue;
+            };
             let at_target = fit.at(f64::from(target_size));
-            curves.push(Curve { sweep, quantity, fit, target_size, at_target });
+            curves.push(Curve {
+                sweep,
+                quantity,
+                fit,
+                target_size,
+                at_target,
+            });
         }
     }
     curves
@@ -181,8 +210,9 @@
 
 fn bytes_per_open_request(measured: &Measurements) -> Option<f64> {
     let memory = measured.open_request_memory.iter();
-    let points: Vec<(f64, f64)> =
-        memory.map(|point| (f64::from(point.open_requests), point.balancer_memory)).collect();
+    let points: Vec<(f64, f64)> = memory
+        .map(|point| (f64::from(point.open_requests), point.balancer_memory))
+        .collect();
     Fit::of(&points).map(|fit| fit.line.slope)
 }
 
@@ -200,22 +230,38 @@
 
     /// A figure at the target's mean rate, made of quantities: once of those measured there, once of fitted
     /// ones.
-    fn at_mean(&self, figure: impl Fn(&dyn Fn(Quantity) -> Option<f64>) -> Option<f64>) -> TargetFigure {
+    fn at_mean(
+        &self,
+        figure: impl Fn(&dyn Fn(Quantity) -> Option<f64>) -> Option<f64>,
+    ) -> TargetFigure {
         let measured = |quantity| self.measured.target.mean.median(quantity);
         let fitted = |quantity| self.fitted(quantity);
-        TargetFigure { measured: figure(&measured), fitted: figure(&fitted) }
+        TargetFigure {
+            measured: figure(&measured),
+            fitted: figure(&fitted),
+        }
     }
 
     /// A figure of the hot proxy; its rate is not swept, so there is no fit.
-    fn at_hot(&self, figure: impl Fn(&dyn Fn(Quantity) -> Option<f64>) -> Option<f64>) -> TargetFigure {
+    fn at_hot(
+        &self,
+        figure: impl Fn(&dyn Fn(Quantity) -> Option<f64>) -> Option<f64>,
+    ) -> TargetFigure {
         let measured = |quantity| self.measured.target.hot.median(quantity);
-        TargetFigure { measured: figure(&measured), fitted: None }
+        TargetFigure {
+            measured: figure(&measured),
+            fitted: None,
+        }
     }
 
     /// A quantity at the target's number of backends, and what the target's further tenants and classes add
     /// to it.
     fn fitted(&self, quantity: Quantity) -> Option<f64> {
-        let curve = |sweep| self.curves.iter().find(|c| c.sweep == sweep && c.quantity == quantity);
+        let curve = |sweep| {
+            self.curves
+                .iter()
+                .find(|c| c.sweep == sweep && c.quantity == quantity)
+        };
         let added = |sweep, base: u32| {
             curve(sweep).map_or(0.0, |curve| curve.at_target - curve.fit.at(f64::from(base)))
         };
@@ -231,13 +277,21 @@
         let budget = Some(self.scenario.budgets.added_ms);
         let added = |name, figure| Assessment::new(name, figure, budget, FigureUnit::Milliseconds);
         let sum = |arrival: Quantity, end: Quantity| {
-            move |of: &dyn Fn(Quantity) -> Option<f64>| Some((of(arrival)? + of(end)?) / NANOS_PER_MILLI)
+            move |of: &dyn Fn(Quantity) -> Option<f64>| {
+                Some((of(arrival)? + of(end)?) / NANOS_PER_MILLI)
+            }
         };
         let processor = sum(Quantity::RequestP99, Quantity::RequestEndP99);
         let wall = sum(Quantity::RequestWallP99, Quantity::RequestEndWallP99);
         vec![
-            added("decisions of a request, p99, mean rate", self.at_mean(processor)),
-            added("decisions of a request, p99, hot proxy", self.at_hot(processor)),
+            added(
+                "decisions of a request, p99, mean rate",
+                self.at_mean(processor),
+            ),
+            added(
+                "decisions of a request, p99, hot proxy",
+                self.at_hot(processor),
+            ),
             added("the same by wall time, mean rate", self.at_mean(wall)),
             added("the same by wall time, hot proxy", self.at_hot(wall)),
         ]
@@ -285,17 +339,24 @@
     }
 
     fn memory(&self) -> Vec<Assessment> {
-        let heap = self
-            .at_mean(|of| Some((of(Quantity::BalancerMemory)? + of(Quantity::TranslatorMemory)?) / MEGABYTE));
+        let heap = self.at_mean(|of| {
+            Some((of(Quantity::BalancerMemory)? + of(Quantity::TranslatorMemory)?) / MEGABYTE)
+        });
         let budget = Some(self.scenario.budgets.memory_mb);
-        vec![Assessment::new("heap of decisions and translator", heap, budget, FigureUnit::Megabytes)]
+        vec![Assessment::new(
+            "heap of decisions and translator",
+            heap,
+            budget,
+            FigureUnit::Megabytes,
+        )]
     }
 
     /// Bodies of discovery's answers alone.
     fn traffic(&self) -> Vec<Assessment> {
         let budgets = &self.scenario.budgets;
         let rate = budgets.control_bytes_per_second;
-        let bytes = |per_second: f64| self.at_mean(|of| Some(of(Quantity::DeltaOfOneBytes)? * per_second));
+        let bytes =
+            |per_second: f64| self.at_mean(|of| Some(of(Quantity::DeltaOfOneBytes)? * per_second));
         let in_force = |bytes: Quantity, cost: Quantity| {
             self.at_mean(|of| Some(of(bytes)? / rate + of(cost)? / NANOS_PER_SECOND))
         };
@@ -305,15 +366,30 @@
         let list = in_force(Quantity::ListBytes, Quantity::ListReplacedFromText);
         let (rate, limit) = (Some(rate), Some(budgets.list_seconds));
         vec![
-            Assessment::new("control bytes, mean of a day", mean, rate, FigureUnit::BytesPerSecond),
+            Assessment::new(
+                "control bytes, mean of a day",
+                mean,
+                rate,
+                FigureUnit::BytesPerSecond,
+            ),
             Assessment::new(
                 "control bytes, burst of single changes",
                 burst,
                 rate,
                 FigureUnit::BytesPerSecond,
             ),
-            Assessment::new("a zone's delta in force, at that budget", zone, limit, FigureUnit::Seconds),
-            Assessment::new("a whole list in force, at that budget", list, limit, FigureUnit::Seconds),
+            Assessment::new(
+                "a zone's delta in force, at that budget",
+                zone,
+                limit,
+                FigureUnit::Seconds,
+            ),
+            Assessment::new(
+                "a whole list in force, at that budget",
+                list,
+                limit,
+                FigureUnit::Seconds,
+            ),
         ]
     }
 
@@ -325,11 +401,22 @@
         let every = f64::from(self.scenario.target.backends) + RESERVED_DESCRIPTORS;
         let budget = Some(self.scenario.budgets.descriptors);
         let unit = FigureUnit::Descriptors;
-        let measured = TargetFigure { measured: Some(used), fitted: None };
-        let computed = TargetFigure { measured: None, fitted: Some(every) };
+        let measured = TargetFigure {
+            measured: Some(used),
+            fitted: None,
+        };
+        let computed = TargetFigure {
+            measured: None,
+            fitted: Some(every),
+        };
         vec![
             Assessment::new("descriptors in use, hot proxy", measured, budget, unit),
-            Assessment::new("descriptors, connected to every backend", computed, budget, unit),
+            Assessment::new(
+                "descriptors, connected to every backend",
+                computed,
+                budget,
+                unit,
+            ),
         ]
     }
 
@@ -339,17 +426,39 @@
         let entry = self.ratio(Quantity::Entry);
         let unit = FigureUnit::Times;
         vec![
-            Assessment::new("request, large over small", request, Some(budgets.request_ratio), unit),
-            Assessment::new("one entry, large over small", entry, Some(budgets.entry_ratio), unit),
+            Assessment::new(
+                "request, large over small",
+                request,
+                Some(budgets.request_ratio),
+                unit,
+            ),
+            Assessment::new(
+                "one entry, large over small",
+                entry,
+                Some(budgets.entry_ratio),
+                unit,
+            ),
         ]
     }
 
     /// The cost at the larger of the two compared sizes over that at the smaller.
     fn ratio(&self, quantity: Quantity) -> TargetFigure {
         let [small, large] = self.scenario.target.ratio_sizes;
-        let points = self.measured.sweeps.get(&Sweep::Backends).map_or(&[][..], Vec::as_slice);
-        let measured = |backends| points.iter().find(|p| p.setup.backends == backends)?.median(quantity);
-        let curve = self.curves.iter().find(|c| c.sweep == Sweep::Backends && c.quantity == quantity);
+        let points = self
+            .measured
+            .sweeps
+            .get(&Sweep::Backends)
+            .map_or(&[][..], Vec::as_slice);
+        let measured = |backends| {
+            points
+                .iter()
+                .find(|p| p.setup.backends == backends)?
+                .median(quantity)
+        };
+        let curve = self
+            .curves
+            .iter()
+            .find(|c| c.sweep == Sweep::Backends && c.quantity == quantity);
         let fitted = |backends: u32| curve.map(|curve| curve.fit.at(f64::from(backends)));
         let quotient = |over: Option<f64>, under: Option<f64>| Some(over? / under?);
         TargetFigure {
--- a/lab/src/slopes/costs.rs
+++ b/lab/src/slopes/costs.rs
@@ -62,8 +62,15 @@
 
 impl Meter<'_> {
     /// Hands each event to `handle` and measures that.
-    pub fn measure(&mut self, kind: EventKind, events: &[Event<'_>], handle: impl FnMut(&Event<'_>)) {
-        self.costs.of(kind).measure(events, self.timing, &self.stopwatch, handle);
+    pub fn measure(
+        &mut self,
+        kind: EventKind,
+        events: &[Event<'_>],
+        handle: impl FnMut(&Event<'_>),
+    ) {
+        self.costs
+            .of(kind)
+            .measure(events, self.timing, &self.stopwatch, handle);
     }
 }
 
@@ -75,7 +82,12 @@
 impl Default for EventCosts {
     fn default() -> Self {
         let empty = || Histogram::new(HISTOGRAM_DIGITS).expect("up to five digits are allowed");
-        Self { batches: Duration::ZERO, events: 0, processor: empty(), wall: empty() }
+        Self {
+            batches: Duration::ZERO,
+            events: 0,
+            processor: empty(),
+            wall: empty(),
+        }
     }
 }
 
@@ -127,25 +139,43 @@
             (Quantity::Request, self.arrivals.mean()),
             (Quantity::RequestEnd, self.ends.mean()),
             (Quantity::WholeRequest, self.whole_request()),
-            (Quantity::RequestP50, quantile(&self.arrivals.processor, 0.5)),
-            (Quantity::RequestP99, quantile(&self.arrivals.processor, 0.99)),
-            (Quantity::RequestEndP99, quantile(&self.ends.processor, 0.99)),
+            (
+                Quantity::RequestP50,
+                quantile(&self.arrivals.processor, 0.5),
+            ),
+            (
+                Quantity::RequestP99,
+                quantile(&self.arrivals.processor, 0.99),
+            ),
+            (
+                Quantity::RequestEndP99,
+                quantile(&self.ends.processor, 0.99),
+            ),
             (Quantity::RequestWallP50, quantile(&self.arrivals.wall, 0.5)),
-            (Quantity::RequestWallP99, quantile(&self.arrivals.wall, 0.99)),
+            (
+                Quantity::RequestWallP99,
+                quantile(&self.arrivals.wall, 0.99),
+            ),
             (Quantity::RequestEndWallP99, quantile(&self.ends.wall, 0.99)),
         ];
-        figures.into_iter().filter_map(|(quantity, figure)| Some((quantity, figure?))).collect()
+        figures
+            .into_iter()
+            .filter_map(|(quantity, figure)| Some((quantity, figure?)))
+            .collect()
     }
 
     fn whole_request(&self) -> Option<f64> {
         let processor = self.arrivals.batches + self.ends.batches + self.timers.batches;
-        (self.arrivals.events > 0).then(|| processor.as_nanos() as f64 / self.arrivals.events as f64)
+        (self.arrivals.events > 0)
+            .then(|| processor.as_nanos() as f64 / self.arrivals.events as f64)
     }
 }
 
 fn record(histogram: &mut Histogram<u64>, span: Duration) {
     let nanoseconds = u64::try_from(span.as_nanos()).unwrap_or(u64::MAX);
-    histogram.record(nanoseconds).expect("the histogram grows with its values");
+    histogram
+        .record(nanoseconds)
+        .expect("the histogram grows with its values");
 }
 
 fn quantile(histogram: &Histogram<u64>, quantile: f64) -> Option<f64> {
--- a/lab/src/slopes/csv_file.rs
+++ b/lab/src/slopes/csv_file.rs
@@ -28,10 +28,15 @@
 /// # Errors
 /// [`LabError::Unwritable`] where the file can't be written.
 pub fn write(path: &Path, measured: &Measurements) -> Result<(), LabError> {
-    let unwritable = |source| LabError::Unwritable { path: path.to_owned(), source };
+    let unwritable = |source| LabError::Unwritable {
+        path: path.to_owned(),
+        source,
+    };
     let mut writer = csv::Writer::from_path(path).map_err(|error| unwritable(error.into()))?;
     for row in rows(measured) {
-        writer.serialize(row).map_err(|error| unwritable(error.into()))?;
+        writer
+            .serialize(row)
+            .map_err(|error| unwritable(error.into()))?;
     }
     writer.flush().map_err(unwritable)
 }
@@ -40,7 +45,9 @@
     let mut rows = Vec::new();
     for (sweep, points) in &measured.sweeps {
         let name = format!("{sweep:?}").to_lowercase();
-        points.iter().for_each(|point| rows.extend(point_rows(&name, point)));
+        points
+            .iter()
+            .for_each(|point| rows.extend(point_rows(&name, point)));
     }
     rows.extend(point_rows("target", &measured.target.mean));
     rows.extend(point_rows("target_hot", &measured.target.hot));
