--- a/lab/src/slopes/endpoints.rs
+++ b/lab/src/slopes/endpoints.rs
@@ -63,13 +63,19 @@
     /// The same backend in another phase.
     #[must_use]
     pub fn in_phase(&self, phase: Phase) -> Self {
-        Self { phase, ..self.clone() }
+        Self {
+            phase,
+            ..self.clone()
+        }
     }
 
     /// The same backend with a process that started at that Unix time, milliseconds.
     #[must_use]
     pub fn restarted_at(&self, unix_ms: u64) -> Self {
-        Self { up_since_ms: unix_ms, ..self.clone() }
+        Self {
+            up_since_ms: unix_ms,
+            ..self.clone()
+        }
     }
 }
 
@@ -87,8 +93,13 @@
                 }
             }
         };
-        let entries = (0..count).map(|number| endpoint(number, unused_id(), fleet)).collect();
-        Self { entries, zones: fleet.zones }
+        let entries = (0..count)
+            .map(|number| endpoint(number, unused_id(), fleet))
+            .collect();
+        Self {
+            entries,
+            zones: fleet.zones,
+        }
     }
 
     /// All entries.
@@ -101,7 +112,11 @@
     #[must_use]
     pub fn of_zone(&self, zone: u32, phase: Phase) -> Vec<Endpoint> {
         let step = self.zones as usize;
-        let members = self.entries.iter().skip((zone % self.zones) as usize).step_by(step);
+        let members = self
+            .entries
+            .iter()
+            .skip((zone % self.zones) as usize)
+            .step_by(step);
         members.map(|entry| entry.in_phase(phase)).collect()
     }
 }
@@ -124,13 +139,22 @@
 /// JSON text of an answer with these entries; `complete` for a whole list.
 #[must_use]
 pub fn answer_text(revision: u64, complete: bool, members: &[Endpoint]) -> Vec<u8> {
-    serde_json::to_vec(&Answer { revision, complete, members }).expect("plain data becomes JSON")
+    serde_json::to_vec(&Answer {
+        revision,
+        complete,
+        members,
+    })
+    .expect("plain data becomes JSON")
 }
 
 /// The program's translator for a fleet of this shape.
 #[must_use]
 pub fn translator(fleet: &FleetShape) -> Translator {
-    let names = Names { zones: zone_names(fleet), kinds: kind_names(fleet), ..Names::default() };
+    let names = Names {
+        zones: zone_names(fleet),
+        kinds: kind_names(fleet),
+        ..Names::default()
+    };
     Translator::new(Clock::start(), &names)
 }
 
@@ -138,10 +162,16 @@
 ///
 /// # Errors
 /// Where the translator refuses the text.
-pub fn entries_of(translator: &mut Translator, text: &[u8]) -> Result<Vec<Backend>, DiscoveryError> {
+pub fn entries_of(
+    translator: &mut Translator,
+    text: &[u8],
+) -> Result<Vec<Backend>, DiscoveryError> {
     Ok(entries_in(translator.parse(text)?))
 }
 
 fn entries_in(list: List) -> Vec<Backend> {
-    list.entries.into_iter().map(|listed| listed.backend).collect()
+    list.entries
+        .into_iter()
+        .map(|listed| listed.backend)
+        .collect()
 }
--- a/lab/src/slopes/fit.rs
+++ b/lab/src/slopes/fit.rs
@@ -79,15 +79,27 @@
     /// cost above 0, or all have the same size.
     #[must_use]
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
-        let usable: Vec<(f64, f64)> = points.iter().copied().filter(|&(x, y)| x > 0.0 && y > 0.0).collect();
+        let usable: Vec<(f64, f64)> = points
+            .iter()
+            .copied()
+            .filter(|&(x, y)| x > 0.0 && y > 0.0)
+            .collect();
         if usable.len() < LEAST_POINTS {
             return None;
         }
         let line = fit_line(&usable)?;
         let power_law = fit_power_law(&usable)?;
         let line_is_better = line.relative_error <= power_law.relative_error;
-        let better = if line_is_better { Model::Line } else { Model::PowerLaw };
-        Some(Self { line, power_law, better })
+        let better = if line_is_better {
+            Model::Line
+        } else {
+            Model::PowerLaw
+        };
+        Some(Self {
+            line,
+            power_law,
+            better,
+        })
     }
 
     /// The cost at size `x` by the better model.
@@ -101,18 +113,31 @@
 }
 
 fn fit_line(points: &[(f64, f64)]) -> Option<Line> {
-    let weighted: Vec<(f64, f64, f64)> = points.iter().map(|&(x, y)| (x, y, 1.0 / (y * y))).collect();
+    let weighted: Vec<(f64, f64, f64)> =
+        points.iter().map(|&(x, y)| (x, y, 1.0 / (y * y))).collect();
     let Coefficients { intercept, slope } = least_squares(&weighted)?;
     let relative_error = relative_error(points, |x| intercept + slope * x);
-    Some(Line { intercept, slope, relative_error })
+    Some(Line {
+        intercept,
+        slope,
+        relative_error,
+    })
 }
 
 fn fit_power_law(points: &[(f64, f64)]) -> Option<PowerLaw> {
-    let logarithms: Vec<(f64, f64, f64)> = points.iter().map(|&(x, y)| (x.ln(), y.ln(), 1.0)).collect();
-    let Coefficients { intercept, slope: exponent } = least_squares(&logarithms)?;
+    let logarithms: Vec<(f64, f64, f64)> =
+        points.iter().map(|&(x, y)| (x.ln(), y.ln(), 1.0)).collect();
+    let Coefficients {
+        intercept,
+        slope: exponent,
+    } = least_squares(&logarithms)?;
     let factor = intercept.exp();
     let relative_error = relative_error(points, |x| factor * x.powf(exponent));
-    Some(PowerLaw { factor, exponent, relative_error })
+    Some(PowerLaw {
+        factor,
+        exponent,
+        relative_error,
+    })
 }
 
 /// Weighted least squares over (x, y, weight); `None` where all x are the same.
@@ -120,16 +145,28 @@
     let weight: f64 = points.iter().map(|&(_, _, w)| w).sum();
     let mean_x = points.iter().map(|&(x, _, w)| w * x).sum::<f64>() / weight;
     let mean_y = points.iter().map(|&(_, y, w)| w * y).sum::<f64>() / weight;
-    let variance: f64 = points.iter().map(|&(x, _, w)| w * (x - mean_x).powi(2)).sum();
-    let covariance: f64 = points.iter().map(|&(x, y, w)| w * (x - mean_x) * (y - mean_y)).sum();
+    let variance: f64 = points
+        .iter()
+        .map(|&(x, _, w)| w * (x - mean_x).powi(2))
+        .sum();
+    let covariance: f64 = points
+        .iter()
+        .map(|&(x, y, w)| w * (x - mean_x) * (y - mean_y))
+        .sum();
     if variance <= f64::EPSILON * weight * mean_x * mean_x {
         return None;
     }
     let slope = covariance / variance;
-    Some(Coefficients { intercept: mean_y - slope * mean_x, slope })
+    Some(Coefficients {
+        intercept: mean_y - slope * mean_x,
+        slope,
+    })
 }
 
 fn relative_error(points: &[(f64, f64)], model: impl Fn(f64) -> f64) -> f64 {
-    let squares: f64 = points.iter().map(|&(x, y)| ((model(x) - y) / y).powi(2)).sum();
+    let squares: f64 = points
+        .iter()
+        .map(|&(x, y)| ((model(x) - y) / y).powi(2))
+        .sum();
     (squares / points.len() as f64).sqrt()
 }
--- a/lab/src/slopes/measure.rs
+++ b/lab/src/slopes/measure.rs
@@ -152,16 +152,39 @@
         let base = at(sweeps.backends);
         let at_target = at(scenario.target.backends);
         match self {
-            Self::Backends => scenario.sizes.iter().map(|&backends| at(backends)).collect(),
-            Self::Tenants => sweeps.tenants.iter().map(|&tenants| Setup { tenants, ..base }).collect(),
-            Self::Classes => sweeps.classes.iter().map(|&classes| Setup { classes, ..base }).collect(),
-            Self::Proxies => sweeps.proxies.iter().map(|&proxies| Setup { proxies, ..at_target }).collect(),
+            Self::Backends => scenario
+                .sizes
+                .iter()
+                .map(|&backends| at(backends))
+                .collect(),
+            Self::Tenants => sweeps
+                .tenants
+                .iter()
+                .map(|&tenants| Setup { tenants, ..base })
+                .collect(),
+            Self::Classes => sweeps
+                .classes
+                .iter()
+                .map(|&classes| Setup { classes, ..base })
+                .collect(),
+            Self::Proxies => sweeps
+                .proxies
+                .iter()
+                .map(|&proxies| Setup {
+                    proxies,
+                    ..at_target
+                })
+                .collect(),
         }
     }
 
     /// What is measured at each of its sizes.
     fn extent(self) -> Extent {
-        if self == Self::Backends { Extent::Everything } else { Extent::Decisions }
+        if self == Self::Backends {
+            Extent::Everything
+        } else {
+            Extent::Decisions
+        }
     }
 }
 
@@ -175,12 +198,24 @@
 
 impl Job {
     fn new(setup: Setup, extent: Extent) -> Self {
-        Self { setup, extent, counts: Counts::default(), values: BTreeMap::new() }
+        Self {
+            setup,
+            extent,
+            counts: Counts::default(),
+            values: BTreeMap::new(),
+        }
     }
 
     fn finish(self) -> Point {
-        let summaries = self.values.into_iter().filter_map(|(q, values)| Some((q, Summary::of(values)?)));
-        Point { setup: self.setup, counts: self.counts, figures: summaries.collect() }
+        let summaries = self
+            .values
+            .into_iter()
+            .filter_map(|(q, values)| Some((q, Summary::of(values)?)));
+        Point {
+            setup: self.setup,
+            counts: self.counts,
+            figures: summaries.collect(),
+        }
     }
 }
 
@@ -188,13 +223,21 @@
     /// Measurements with this seed; `progress` moves on by one with each repetition.
     #[must_use]
     pub fn new(scenario: &'a SlopesScenario, seed: u64, progress: &'a ProgressBar) -> Self {
-        Self { scenario, seed, stopwatch: Stopwatch::calibrated(), progress }
+        Self {
+            scenario,
+            seed,
+            stopwatch: Stopwatch::calibrated(),
+            progress,
+        }
     }
 
     /// Repetitions of all measurements, for a progress bar.
     #[must_use]
     pub fn steps(scenario: &SlopesScenario) -> u64 {
-        let sizes: usize = Sweep::ALL.iter().map(|sweep| sweep.setups(scenario).len()).sum();
+        let sizes: usize = Sweep::ALL
+            .iter()
+            .map(|sweep| sweep.setups(scenario).len())
+            .sum();
         let targets = 2;
         (sizes as u64 + targets) * u64::from(scenario.repetitions)
     }
@@ -206,8 +249,10 @@
     /// [`LabError::Failed`] where the program refuses the settings or a list that the lab made.
     pub fn run(&self) -> Result<Measurements, LabError> {
         let before = load_average();
-        let mut sweeps: BTreeMap<Sweep, Vec<Job>> =
-            Sweep::ALL.into_iter().map(|sweep| (sweep, self.jobs(sweep))).collect();
+        let mut sweeps: BTreeMap<Sweep, Vec<Job>> = Sweep::ALL
+            .into_iter()
+            .map(|sweep| (sweep, self.jobs(sweep)))
+            .collect();
         let [mut mean, mut hot] = self.target_jobs();
         for repetition in 0..self.scenario.repetitions {
             let swept = sweeps.values_mut().flatten();
@@ -218,16 +263,27 @@
         let points = |jobs: Vec<Job>| jobs.into_iter().map(Job::finish).collect();
         Ok(Measurements {
             clock_overhead_ns: self.stopwatch.overhead().as_nanos() as f64,
-            sweeps: sweeps.into_iter().map(|(sweep, jobs)| (sweep, points(jobs))).collect(),
+            sweeps: sweeps
+                .into_iter()
+                .map(|(sweep, jobs)| (sweep, points(jobs)))
+                .collect(),
             open_request_memory: self.open_request_memory()?,
-            target: TargetPoints { mean: mean.finish(), hot: hot.finish() },
-            load_average: LoadAverage { before, after: load_average() },
+            target: TargetPoints {
+                mean: mean.finish(),
+                hot: hot.finish(),
+            },
+            load_average: LoadAverage {
+                before,
+                after: load_average(),
+            },
         })
     }
 
     fn jobs(&self, sweep: Sweep) -> Vec<Job> {
         let setups = sweep.setups(self.scenario).into_iter();
-        setups.map(|setup| Job::new(setup, sweep.extent())).collect()
+        setups
+            .map(|setup| Job::new(setup, sweep.extent()))
+            .collect()
     }
 
     /// The target at the mean rate and at that of a hot proxy.
@@ -240,13 +296,22 @@
             classes: target.classes,
             requests_per_second: target.requests_per_second,
         };
-        let hot = Setup { requests_per_second: target.requests_per_second * target.hot_factor, ..mean };
-        [Job::new(mean, Extent::Everything), Job::new(hot, Extent::Decisions)]
+        let hot = Setup {
+            requests_per_second: target.requests_per_second * target.hot_factor,
+            ..mean
+        };
+        [
+            Job::new(mean, Extent::Everything),
+            Job::new(hot, Extent::Decisions),
+        ]
     }
 
     fn repeat(&self, job: &mut Job, repetition: u32) -> Result<(), LabError> {
         let setup = job.setup;
-        self.progress.set_message(format!("{} backends, {} proxies", setup.backends, setup.proxies));
+        self.progress.set_message(format!(
+            "{} backends, {} proxies",
+            setup.backends, setup.proxies
+        ));
         let figures = self.repetition(&setup, job.extent, repetition, &mut job.counts)?;
         for (quantity, value) in figures {
             job.values.entry(quantity).or_default().push(value);
@@ -262,12 +327,18 @@
         repetition: u32,
         counts: &mut Counts,
     ) -> Result<BTreeMap<Quantity, f64>, LabError> {
-        let seed = self.seed.wrapping_add(u64::from(repetition).wrapping_mul(REPETITION_STRIDE));
+        let seed = self
+            .seed
+            .wrapping_add(u64::from(repetition).wrapping_mul(REPETITION_STRIDE));
         let mut subject = self.subject(setup, seed)?;
         subject.proxy.warm_up(self.scenario.load.warm_up_requests);
         subject.proxy.take_counts();
         let mut costs = DecisionCosts::default();
-        subject.proxy.serve(self.scenario.load.measured_requests, &self.stopwatch, &mut costs);
+        subject.proxy.serve(
+            self.scenario.load.measured_requests,
+            &self.stopwatch,
+            &mut costs,
+        );
         counts.add(&subject.proxy.take_counts());
         let mut figures = costs.figures();
         if extent == Extent::Everything {
@@ -285,9 +356,14 @@
         seed: u64,
         subject: &mut Subject,
     ) -> Result<BTreeMap<Quantity, f64>, LabError> {
-        let strangers = Endpoints::generate(setup.backends, &self.scenario.fleet, seed ^ STRANGER_SALT);
+        let strangers =
+            Endpoints::generate(setup.backends, &self.scenario.fleet, seed ^ STRANGER_SALT);
         let mut random = SmallRng::seed_from_u64(seed);
-        let Subject { proxy, translator, endpoints } = subject;
+        let Subject {
+            proxy,
+            translator,
+            endpoints,
+        } = subject;
         let mut figures = wire_sizes(endpoints);
         let mut bench = MembershipBench::new(proxy, translator, &self.stopwatch, &mut random);
         for entrance in [Entrance::Decisions, Entrance::Text] {
@@ -303,8 +379,14 @@
         subject.proxy.warm_up(self.scenario.load.warm_up_requests);
         let balancer = heap_of(subject.proxy.into_balancer());
         let translator = heap_of(subject.translator);
-        let figures = [(Quantity::BalancerMemory, balancer), (Quantity::TranslatorMemory, translator)];
-        Ok(figures.into_iter().filter_map(|(quantity, bytes)| Some((quantity, bytes?))).collect())
+        let figures = [
+            (Quantity::BalancerMemory, balancer),
+            (Quantity::TranslatorMemory, translator),
+        ];
+        Ok(figures
+            .into_iter()
+            .filter_map(|(quantity, bytes)| Some((quantity, bytes?)))
+            .collect())
     }
 
     fn open_request_memory(&self) -> Result<Vec<OpenRequestMemory>, LabError> {
@@ -320,7 +402,10 @@
             let mut subject = self.subject(&setup, self.seed)?;
             subject.proxy.open_requests(open_requests);
             let bytes = heap_of(subject.proxy.into_balancer());
-            memory.extend(bytes.map(|balancer_memory| OpenRequestMemory { open_requests, balancer_memory }));
+            memory.extend(bytes.map(|balancer_memory| OpenRequestMemory {
+                open_requests,
+                balancer_memory,
+            }));
         }
         Ok(memory)
     }
@@ -332,7 +417,11 @@
         let backends: Vec<Backend> =
             entries_of(&mut translator, &answer_text(1, true, endpoints.all())).map_err(failed)?;
         let proxy = VirtualProxy::new(setup, fleet, load, seed, &backends).map_err(failed)?;
-        Ok(Subject { proxy, translator, endpoints })
+        Ok(Subject {
+            proxy,
+            translator,
+            endpoints,
+        })
     }
 }
 
--- a/lab/src/slopes/membership.rs
+++ b/lab/src/slopes/membership.rs
@@ -76,7 +76,13 @@
 
 impl EntryChange {
     /// In the order of a backend's life; after all of them it is listed again.
-    const ALL: [Self; 5] = [Self::Drain, Self::Ready, Self::Restart, Self::Gone, Self::Join];
+    const ALL: [Self; 5] = [
+        Self::Drain,
+        Self::Ready,
+        Self::Restart,
+        Self::Gone,
+        Self::Join,
+    ];
 
     fn quantity(self) -> Quantity {
         match self {
@@ -100,7 +106,11 @@
 
 impl Answer {
     fn membership<'a>(&self, entries: &'a [Backend]) -> Membership<'a> {
-        if self.complete { Membership::Full(entries) } else { Membership::Delta(entries) }
+        if self.complete {
+            Membership::Full(entries)
+        } else {
+            Membership::Delta(entries)
+        }
     }
 }
 
@@ -112,7 +122,13 @@
         stopwatch: &'a Stopwatch,
         random: &'a mut SmallRng,
     ) -> Self {
-        Self { proxy, translator, stopwatch, random, revision: 1 }
+        Self {
+            proxy,
+            translator,
+            stopwatch,
+            random,
+            revision: 1,
+        }
     }
 
     /// Nanoseconds of processor time of each kind of change. `endpoints` are what the proxy knows;
@@ -134,10 +150,16 @@
         let unchanged = self.unchanged_lists(entrance, endpoints, lists)?;
         let replaced = self.replaced_lists(entrance, endpoints, strangers, lists)?;
         let (zone_name, unchanged_name, replaced_name) = match entrance {
-            Entrance::Decisions => (Quantity::ZoneDelta, Quantity::ListUnchanged, Quantity::ListReplaced),
-            Entrance::Text => {
-                (Quantity::ZoneDeltaFromText, Quantity::ListUnchangedFromText, Quantity::ListReplacedFromText)
-            }
+            Entrance::Decisions => (
+                Quantity::ZoneDelta,
+                Quantity::ListUnchanged,
+                Quantity::ListReplaced,
+            ),
+            Entrance::Text => (
+                Quantity::ZoneDeltaFromText,
+                Quantity::ListUnchangedFromText,
+                Quantity::ListReplacedFromText,
+            ),
         };
         figures.insert(zone_name, zone);
         figures.insert(unchanged_name, unchanged);
@@ -160,8 +182,10 @@
             let chosen = index::sample(self.random, all.len(), at_once).into_vec();
             for (change, total) in EntryChange::ALL.into_iter().zip(&mut totals) {
                 let unix_ms = self.proxy.unix_ms();
-                let answers: Vec<Answer> =
-                    chosen.iter().map(|&i| self.delta(&[change.apply(&all[i], unix_ms)])).collect();
+                let answers: Vec<Answer> = chosen
+                    .iter()
+                    .map(|&i| self.delta(&[change.apply(&all[i], unix_ms)]))
+                    .collect();
                 total.add(self.tell(entrance, &answers)?, answers.len());
             }
         }
@@ -186,7 +210,11 @@
     ) -> Result<f64, DiscoveryError> {
         let mut total = Total::default();
         for turn in 0..count {
-            let phase = if turn % 2 == 0 { Phase::Leaving } else { Phase::Active };
+            let phase = if turn % 2 == 0 {
+                Phase::Leaving
+            } else {
+                Phase::Active
+            };
             let answer = self.delta(&endpoints.of_zone(CHANGED_ZONE, phase));
             total.add(self.tell(entrance, &[answer])?, 1);
         }
@@ -227,12 +255,18 @@
 
     fn delta(&mut self, members: &[Endpoint]) -> Answer {
         self.revision += 1;
-        Answer { complete: false, text: answer_text(self.revision, false, members) }
+        Answer {
+            complete: false,
+            text: answer_text(self.revision, false, members),
+        }
     }
 
     fn list(&mut self, endpoints: &Endpoints) -> Answer {
         self.revision += 1;
-        Answer { complete: true, text: answer_text(self.revision, true, endpoints.all()) }
+        Answer {
+            complete: true,
+            text: answer_text(self.revision, true, endpoints.all()),
+        }
     }
 
     /// Tells the proxy of these answers, one after another; the processor time that it takes. Requests come
@@ -288,9 +322,15 @@
     let without_entries = length(true, &[]);
     BTreeMap::from([
         // Entries are parted by a comma.
-        (Quantity::EntryBytes, (list - without_entries + 1.0) / all.len() as f64),
+        (
+            Quantity::EntryBytes,
+            (list - without_entries + 1.0) / all.len() as f64,
+        ),
         (Quantity::DeltaOfOneBytes, length(false, &all[..1])),
-        (Quantity::ZoneDeltaBytes, length(false, &endpoints.of_zone(CHANGED_ZONE, Phase::Leaving))),
+        (
+            Quantity::ZoneDeltaBytes,
+            length(false, &endpoints.of_zone(CHANGED_ZONE, Phase::Leaving)),
+        ),
         (Quantity::ListBytes, list),
     ])
 }
--- a/lab/src/slopes/memory.rs
+++ b/lab/src/slopes/memory.rs
@@ -11,7 +11,9 @@
 /// Bytes that are allocated now, as far as the counting allocator knows.
 fn live_bytes() -> usize {
     let stats = INSTRUMENTED_SYSTEM.stats();
-    stats.bytes_allocated.saturating_sub(stats.bytes_deallocated)
+    stats
+        .bytes_allocated
+        .saturating_sub(stats.bytes_deallocated)
 }
 
 /// Whether the counting allocator is this program's.
--- a/lab/src/slopes/mod.rs
+++ b/lab/src/slopes/mod.rs
@@ -79,7 +79,12 @@
     println!("{}", report::text(&result.measurements, &result.analysis));
     if let Some(path) = &options.common.json {
         let run = options.common.run_info("slopes");
-        RunResult { run, scenario: &scenario, measured: &result }.write(path)?;
+        RunResult {
+            run,
+            scenario: &scenario,
+            measured: &result,
+        }
+        .write(path)?;
     }
     if let Some(path) = &options.csv {
         csv_file::write(path, &result.measurements)?;
@@ -102,7 +107,10 @@
     let measurements = Bench::new(scenario, seed, progress).run()?;
     progress.finish_and_clear();
     let analysis = Analysis::of(scenario, &measurements);
-    Ok(SlopesResult { measurements, analysis })
+    Ok(SlopesResult {
+        measurements,
+        analysis,
+    })
 }
 
 impl SlopesOptions {
--- a/lab/src/slopes/plot.rs
+++ b/lab/src/slopes/plot.rs
@@ -39,7 +39,10 @@
 /// # Errors
 /// [`LabError::Unwritable`] where the file can't be written.
 pub fn write(path: &Path, measured: &Measurements) -> Result<(), LabError> {
-    let points = measured.sweeps.get(&Sweep::Backends).map_or(&[][..], Vec::as_slice);
+    let points = measured
+        .sweeps
+        .get(&Sweep::Backends)
+        .map_or(&[][..], Vec::as_slice);
     let curves: Vec<Curve> = PLOTTED
         .iter()
         .map(|&quantity| Curve {
@@ -69,24 +72,48 @@
             span(curves, |point| point.0).log_scale(),
             span(curves, |point| point.1).log_scale(),
         )?;
-    chart.configure_mesh().x_desc("backends").y_desc("nanoseconds").draw()?;
+    chart
+        .configure_mesh()
+        .x_desc("backends")
+        .y_desc("nanoseconds")
+        .draw()?;
     for (number, curve) in curves.iter().enumerate() {
         let color = Palette99::pick(number).to_rgba();
-        chart.draw_series(LineSeries::new(curve.points.iter().copied(), color.stroke_width(2)))?;
+        chart.draw_series(LineSeries::new(
+            curve.points.iter().copied(),
+            color.stroke_width(2),
+        ))?;
         chart
-            .draw_series(curve.points.iter().map(|&at| Circle::new(at, POINT_RADIUS, color.filled())))?
+            .draw_series(
+                curve
+                    .points
+                    .iter()
+                    .map(|&at| Circle::new(at, POINT_RADIUS, color.filled())),
+            )?
             .label(curve.label)
             .legend(move |at| Circle::new(at, POINT_RADIUS, color.filled()));
     }
-    chart.configure_series_labels().position(SeriesLabelPosition::UpperLeft).border_style(BLACK).draw()?;
+    chart
+        .configure_series_labels()
+        .position(SeriesLabelPosition::UpperLeft)
+        .border_style(BLACK)
+        .draw()?;
     area.present()?;
     Ok(())
 }
 
 /// The range of an axis that holds all points.
 fn span(curves: &[Curve], coordinate: impl Fn(&(f64, f64)) -> f64) -> std::ops::Range<f64> {
-    let values: Vec<f64> = curves.iter().flat_map(|curve| &curve.points).map(coordinate).collect();
+    let values: Vec<f64> = curves
+        .iter()
+        .flat_map(|curve| &curve.points)
+        .map(coordinate)
+        .collect();
     let least = values.iter().copied().fold(f64::INFINITY, f64::min);
     let greatest = values.iter().copied().fold(0.0, f64::max);
-    if values.is_empty() { 1.0..10.0 } else { least / AXIS_MARGIN..greatest * AXIS_MARGIN }
+    if values.is_empty() {
+        1.0..10.0
+    } else {
+        least / AXIS_MARGIN..greatest * AXIS_MARGIN
+    }
 }
--- a/lab/src/slopes/report.rs
+++ b/lab/src/slopes/report.rs
@@ -43,14 +43,33 @@
 pub fn text(measured: &Measurements, analysis: &Analysis) -> String {
     let mut report = load_text(measured);
     for (&sweep, points) in &measured.sweeps {
-        let quantities: &[Quantity] =
-            if sweep == Sweep::Backends { &Quantity::ALL } else { &DECISION_QUANTITIES };
-        section(&mut report, &sweep_title(sweep, points), &sweep_table(sweep, points, quantities));
+        let quantities: &[Quantity] = if sweep == Sweep::Backends {
+            &Quantity::ALL
+        } else {
+            &DECISION_QUANTITIES
+        };
+        section(
+            &mut report,
+            &sweep_title(sweep, points),
+            &sweep_table(sweep, points, quantities),
+        );
     }
-    section(&mut report, "Target, measured as it is", &target_table(measured));
-    section(&mut report, "Fits, and their value at the target", &fit_table(&analysis.curves));
+    section(
+        &mut report,
+        "Target, measured as it is",
+        &target_table(measured),
+    );
+    section(
+        &mut report,
+        "Fits, and their value at the target",
+        &fit_table(&analysis.curves),
+    );
     if let Some(bytes) = analysis.bytes_per_open_request {
-        let _ = writeln!(report, "Heap of one more open request: {}\n", bytes_text(bytes));
+        let _ = writeln!(
+            report,
+            "Heap of one more open request: {}\n",
+            bytes_text(bytes)
+        );
     }
     section(&mut report, "Budgets", &budget_table(&analysis.assessments));
     report
@@ -58,7 +77,9 @@
 
 fn load_text(measured: &Measurements) -> String {
     let load = measured.load_average;
-    let Some((before, after)) = load.before.zip(load.after) else { return String::new() };
+    let Some((before, after)) = load.before.zip(load.after) else {
+        return String::new();
+    };
     format!("Load of the machine: {before} at the start, {after} at the end\n\n")
 }
 
@@ -68,18 +89,32 @@
 
 fn sweep_title(sweep: Sweep, points: &[Point]) -> String {
     let swept = sweep_label(sweep);
-    let at = points.first().map_or_else(String::new, |point| fixed_sizes(sweep, point));
+    let at = points
+        .first()
+        .map_or_else(String::new, |point| fixed_sizes(sweep, point));
     format!("By {swept}{at}: median of the repetitions, half their range in percent")
 }
 
 /// The sizes that a sweep leaves as they are.
 fn fixed_sizes(sweep: Sweep, point: &Point) -> String {
-    let Setup { backends, proxies, tenants, classes, .. } = point.setup;
+    let Setup {
+        backends,
+        proxies,
+        tenants,
+        classes,
+        ..
+    } = point.setup;
     match sweep {
         Sweep::Backends => format!(", with {tenants} tenants and {classes} classes"),
-        Sweep::Tenants => format!(", with {backends} backends, {proxies} proxies and {classes} classes"),
-        Sweep::Classes => format!(", with {backends} backends, {proxies} proxies and {tenants} tenants"),
-        Sweep::Proxies => format!(", with {backends} backends, {tenants} tenants and {classes} classes"),
+        Sweep::Tenants => {
+            format!(", with {backends} backends, {proxies} proxies and {classes} classes")
+        }
+        Sweep::Classes => {
+            format!(", with {backends} backends, {proxies} proxies and {tenants} tenants")
+        }
+        Sweep::Proxies => {
+            format!(", with {backends} backends, {tenants} tenants and {classes} classes")
+        }
     }
 }
 
@@ -94,8 +129,13 @@
 
 fn new_table(header: Vec<String>) -> Table {
     let mut table = Table::new();
-    table.load_preset(presets::ASCII_MARKDOWN).set_header(header);
-    table.column_iter_mut().skip(1).for_each(|column| column.set_cell_alignment(CellAlignment::Right));
+    table
+        .load_preset(presets::ASCII_MARKDOWN)
+        .set_header(header);
+    table
+        .column_iter_mut()
+        .skip(1)
+        .for_each(|column| column.set_cell_alignment(CellAlignment::Right));
     table
 }
 
@@ -104,7 +144,11 @@
         Sweep::Backends => format!("{} ({})", point.setup.backends, point.setup.proxies),
         _ => sweep.size(&point.setup).to_string(),
     });
-    let first = if sweep == Sweep::Backends { "backends (proxies)" } else { sweep_label(sweep) };
+    let first = if sweep == Sweep::Backends {
+        "backends (proxies)"
+    } else {
+        sweep_label(sweep)
+    };
     let mut table = new_table(std::iter::once(first.to_owned()).chain(sizes).collect());
     add_rows(&mut table, points, quantities);
     add_refusals(&mut table, points);
@@ -127,22 +171,35 @@
         format!("{:.1}%", unserved * 100.0)
     };
     let cells = points.iter().map(percent);
-    table.add_row(std::iter::once("refused or failed".to_owned()).chain(cells).collect::<Vec<_>>());
+    table.add_row(
+        std::iter::once("refused or failed".to_owned())
+            .chain(cells)
+            .collect::<Vec<_>>(),
+    );
 }
 
 fn add_rows(table: &mut Table, points: &[Point], quantities: &[Quantity]) {
     for &quantity in quantities {
-        let figures: Vec<Option<&Summary>> = points.iter().map(|p| p.figures.get(&quantity)).collect();
+        let figures: Vec<Option<&Summary>> =
+            points.iter().map(|p| p.figures.get(&quantity)).collect();
         if figures.iter().all(Option::is_none) {
             continue;
         }
-        let cells = figures.into_iter().map(|figure| summary_text(quantity, figure));
-        table.add_row(std::iter::once(quantity.label().to_owned()).chain(cells).collect::<Vec<_>>());
+        let cells = figures
+            .into_iter()
+            .map(|figure| summary_text(quantity, figure));
+        table.add_row(
+            std::iter::once(quantity.label().to_owned())
+                .chain(cells)
+                .collect::<Vec<_>>(),
+        );
     }
 }
 
 fn summary_text(quantity: Quantity, summary: Option<&Summary>) -> String {
-    let Some(summary) = summary else { return "-".to_owned() };
+    let Some(summary) = summary else {
+        return "-".to_owned();
+    };
     let median = value_text(quantity, summary.median);
     if quantity.unit() == Unit::Bytes || summary.values.len() < 2 {
         return median;
@@ -151,7 +208,14 @@
 }
 
 fn fit_table(curves: &[Curve]) -> Table {
-    let header = ["cost", "over", "line a + b n", "power law", "better", "at the target"];
+    let header = [
+        "cost",
+        "over",
+        "line a + b n",
+        "power law",
+        "better",
+        "at the target",
+    ];
     let mut table = new_table(header.map(str::to_owned).to_vec());
     for curve in curves.iter().filter(|curve| is_shown(curve)) {
         let (line, power_law) = (curve.fit.line, curve.fit.power_law);
@@ -165,8 +229,17 @@
                 show(line.slope),
                 line.relative_error * 100.0
             ),
-            format!("n^{:.2} (error {:.0}%)", power_law.exponent, power_law.relative_error * 100.0),
-            if curve.fit.better == Model::Line { "line" } else { "power law" }.to_owned(),
+            format!(
+                "n^{:.2} (error {:.0}%)",
+                power_law.exponent,
+                power_law.relative_error * 100.0
+            ),
+            if curve.fit.better == Model::Line {
+                "line"
+            } else {
+                "power law"
+            }
+            .to_owned(),
             format!("{} at {}", show(curve.at_target), curve.target_size),
         ]);
     }
@@ -175,17 +248,27 @@
 
 /// The translator knows neither tenants nor classes, and proxies are none of its business either.
 fn is_shown(curve: &Curve) -> bool {
-    let sweeps_translator = curve.sweep == Sweep::Backends || curve.quantity != Quantity::TranslatorMemory;
+    let sweeps_translator =
+        curve.sweep == Sweep::Backends || curve.quantity != Quantity::TranslatorMemory;
     sweeps_translator && FITTED_QUANTITIES.contains(&curve.quantity)
 }
 
 fn budget_table(assessments: &[Assessment]) -> Table {
     let mut table = new_table(
-        ["at the target", "measured", "by the fits", "budget", "verdict"].map(str::to_owned).to_vec(),
+        [
+            "at the target",
+            "measured",
+            "by the fits",
+            "budget",
+            "verdict",
+        ]
+        .map(str::to_owned)
+        .to_vec(),
     );
     for assessment in assessments {
         let unit = assessment.unit.label();
-        let show = |value: Option<f64>| value.map_or("-".to_owned(), |v| format!("{} {unit}", digits(v)));
+        let show =
+            |value: Option<f64>| value.map_or("-".to_owned(), |v| format!("{} {unit}", digits(v)));
         table.add_row(vec![
             assessment.name.to_owned(),
             show(assessment.measured),
--- a/lab/src/slopes/scenario.rs
+++ b/lab/src/slopes/scenario.rs
@@ -200,13 +200,23 @@
 
 impl Default for FleetShape {
     fn default() -> Self {
-        Self { zones: 5, kinds: 3, tenants: 100, classes: 4, least_proxies: 3 }
+        Self {
+            zones: 5,
+            kinds: 3,
+            tenants: 100,
+            classes: 4,
+            least_proxies: 3,
+        }
     }
 }
 
 impl Default for Changes {
     fn default() -> Self {
-        Self { entries: 100, zones: 4, lists: 4 }
+        Self {
+            entries: 100,
+            zones: 4,
+            lists: 4,
+        }
     }
 }
 
@@ -281,13 +291,33 @@
 
 impl Load {
     fn validate(&self) -> Result<(), InvalidValue> {
-        between("load.requests_per_second", self.requests_per_second, LEAST_RATE, MOST_RATE)?;
+        between(
+            "load.requests_per_second",
+            self.requests_per_second,
+            LEAST_RATE,
+            MOST_RATE,
+        )?;
         between("load.latency_ms", self.latency_ms, 0.001, MOST_LATENCY_MS)?;
-        within("load.warm_up_requests", self.warm_up_requests, 0, MOST_EVENTS)?;
-        within("load.measured_requests", self.measured_requests, 1, MOST_EVENTS)?;
+        within(
+            "load.warm_up_requests",
+            self.warm_up_requests,
+            0,
+            MOST_EVENTS,
+        )?;
+        within(
+            "load.measured_requests",
+            self.measured_requests,
+            1,
+            MOST_EVENTS,
+        )?;
         between("load.batch_requests", self.batch_requests, 0.1, MOST_BATCH)?;
         between("load.tenant_skew", self.tenant_skew, 0.0, MOST_SKEW)?;
-        between("load.proxy_age_seconds", self.proxy_age_seconds, 0.0, MOST_AGE_SECONDS)
+        between(
+            "load.proxy_age_seconds",
+            self.proxy_age_seconds,
+            0.0,
+            MOST_AGE_SECONDS,
+        )
     }
 }
 
@@ -317,11 +347,22 @@
         within("target.proxies", self.proxies, 1, MOST_PROXIES)?;
         within("target.tenants", self.tenants, 1, MOST_TENANTS)?;
         within("target.classes", self.classes, 1, MOST_CLASSES)?;
-        between("target.requests_per_second", self.requests_per_second, LEAST_RATE, MOST_RATE)?;
+        between(
+            "target.requests_per_second",
+            self.requests_per_second,
+            LEAST_RATE,
+            MOST_RATE,
+        )?;
         between("target.hot_factor", self.hot_factor, 0.001, MOST_HOT_FACTOR)?;
-        positive("target.configuration_changes_per_day", self.configuration_changes_per_day)?;
+        positive(
+            "target.configuration_changes_per_day",
+            self.configuration_changes_per_day,
+        )?;
         positive("target.entry_changes_per_day", self.entry_changes_per_day)?;
-        positive("target.burst_changes_per_second", self.burst_changes_per_second)?;
+        positive(
+            "target.burst_changes_per_second",
+            self.burst_changes_per_second,
+        )?;
         ascending("target.ratio_sizes", &self.ratio_sizes, MOST_BACKENDS)
     }
 }
@@ -331,7 +372,10 @@
         positive("budgets.added_ms", self.added_ms)?;
         positive("budgets.control_core_percent", self.control_core_percent)?;
         positive("budgets.memory_mb", self.memory_mb)?;
-        positive("budgets.control_bytes_per_second", self.control_bytes_per_second)?;
+        positive(
+            "budgets.control_bytes_per_second",
+            self.control_bytes_per_second,
+        )?;
         positive("budgets.list_seconds", self.list_seconds)?;
         positive("budgets.descriptors", self.descriptors)?;
         positive("budgets.request_ratio", self.request_ratio)?;
@@ -340,7 +384,10 @@
 }
 
 fn invalid(key: &str, given: impl std::fmt::Display, allowed: &str) -> InvalidValue {
-    InvalidValue { key: key.to_owned(), problem: format!("{given} is not allowed; allowed: {allowed}") }
+    InvalidValue {
+        key: key.to_owned(),
+        problem: format!("{given} is not allowed; allowed: {allowed}"),
+    }
 }
 
 fn within(key: &str, given: u32, least: u32, most: u32) -> Result<(), InvalidValue> {
--- a/lab/src/slopes/setup.rs
+++ b/lab/src/slopes/setup.rs
@@ -67,11 +67,15 @@
 
     /// Tenants whose allowances are in proportion to the requests that they send.
     fn tenants_text(&self, load: &Load) -> Vec<Value> {
-        let weights: Vec<f64> =
-            (1..=self.tenants).map(|rank| f64::from(rank).powf(-load.tenant_skew)).collect();
+        let weights: Vec<f64> = (1..=self.tenants)
+            .map(|rank| f64::from(rank).powf(-load.tenant_skew))
+            .collect();
         let fleet_rate = self.requests_per_second * f64::from(self.proxies) * ALLOWANCE_HEADROOM;
         let total: f64 = weights.iter().sum();
-        weights.iter().map(|weight| json!({"allowancePerS": fleet_rate * weight / total})).collect()
+        weights
+            .iter()
+            .map(|weight| json!({"allowancePerS": fleet_rate * weight / total}))
+            .collect()
     }
 }
 
@@ -84,7 +88,9 @@
 /// Name of one zone.
 #[must_use]
 pub fn zone_name(zone: u32) -> String {
-    char::from_digit(10 + zone % LETTERS, 10 + LETTERS).unwrap_or('a').to_string()
+    char::from_digit(10 + zone % LETTERS, 10 + LETTERS)
+        .unwrap_or('a')
+        .to_string()
 }
 
 /// Names of the kinds of machine, `m1` onwards.
--- a/lab/src/slopes/stopwatch.rs
+++ b/lab/src/slopes/stopwatch.rs
@@ -18,10 +18,13 @@
     /// Measures the cost of a reading: the median of many that have nothing between them.
     #[must_use]
     pub fn calibrated() -> Self {
-        let mut readings: Vec<Duration> =
-            (0..CALIBRATION_READINGS).map(|_| ThreadTime::now().elapsed()).collect();
+        let mut readings: Vec<Duration> = (0..CALIBRATION_READINGS)
+            .map(|_| ThreadTime::now().elapsed())
+            .collect();
         readings.sort_unstable();
-        Self { overhead: readings[CALIBRATION_READINGS / 2] }
+        Self {
+            overhead: readings[CALIBRATION_READINGS / 2],
+        }
     }
 
     /// What a reading costs; it is taken off every measured time.
@@ -60,13 +63,26 @@
         let (&least, &greatest) = (sorted.first()?, sorted.last()?);
         let middle = sorted.len() / 2;
         let even = sorted.len() % 2 == 0;
-        let median = if even { (sorted[middle - 1] + sorted[middle]) / 2.0 } else { sorted[middle] };
-        Some(Self { median, least, greatest, values })
+        let median = if even {
+            (sorted[middle - 1] + sorted[middle]) / 2.0
+        } else {
+            sorted[middle]
+        };
+        Some(Self {
+            median,
+            least,
+            greatest,
+            values,
+        })
     }
 
     /// Half the range over the median.
     #[must_use]
     pub fn spread(&self) -> f64 {
-        if self.median > 0.0 { (self.greatest - self.least) / 2.0 / self.median } else { 0.0 }
+        if self.median > 0.0 {
+            (self.greatest - self.least) / 2.0 / self.median
+        } else {
+            0.0
+        }
     }
 }
--- a/lab/src/slopes/virtual_proxy.rs
+++ b/lab/src/slopes/virtual_proxy.rs
@@ -162,7 +162,10 @@
         backends: &[Backend],
     ) -> Result<Self, SettingsError> {
         let settings: Settings = setup.settings(fleet, load)?;
-        let problem = || SettingsError { field: "load".into(), problem: "has no distribution".into() };
+        let problem = || SettingsError {
+            field: "load".into(),
+            problem: "has no distribution".into(),
+        };
         let step = (load.batch_requests / setup.requests_per_second * SECOND as f64) as Micros;
         let step = step.clamp(1, MOST_STEP);
         let mut proxy = Self {
@@ -190,7 +193,11 @@
             if self.counts.requests >= last {
                 return;
             }
-            self.step(&mut Meter { timing, stopwatch: *stopwatch, costs: &mut *costs });
+            self.step(&mut Meter {
+                timing,
+                stopwatch: *stopwatch,
+                costs: &mut *costs,
+            });
         }
     }
 
@@ -200,7 +207,11 @@
         let mut ignored = DecisionCosts::default();
         let stopwatch = Stopwatch::default();
         while self.counts.requests < last {
-            self.step(&mut Meter { timing: Timing::None, stopwatch, costs: &mut ignored });
+            self.step(&mut Meter {
+                timing: Timing::None,
+                stopwatch,
+                costs: &mut ignored,
+            });
         }
     }
 
@@ -209,7 +220,8 @@
         for _ in 0..count {
             let request = self.traffic.request(self.next_request);
             self.next_request += 1;
-            self.balancer.handle(self.now, Event::Request(request), &mut self.actions);
+            self.balancer
+                .handle(self.now, Event::Request(request), &mut self.actions);
         }
         self.actions.clear();
     }
@@ -217,7 +229,8 @@
     /// Tells the balancer of a change of membership; time passes by a millisecond.
     pub fn update(&mut self, membership: Membership<'_>) {
         self.now += MILLISECOND;
-        self.balancer.handle(self.now, Event::Membership(membership), &mut self.actions);
+        self.balancer
+            .handle(self.now, Event::Membership(membership), &mut self.actions);
         self.carry_out();
     }
 
@@ -249,13 +262,21 @@
 
     fn end_attempts(&mut self, meter: &mut Meter<'_>) {
         let mut ended = Vec::new();
-        while let Some(Reverse(attempt)) = self.attempts.peek().copied().filter(|a| a.0.ends_at <= self.now) {
+        while let Some(Reverse(attempt)) = self
+            .attempts
+            .peek()
+            .copied()
+            .filter(|a| a.0.ends_at <= self.now)
+        {
             self.attempts.pop();
             ended.push(attempt);
         }
         let reports: Vec<[f32; 3]> = ended.iter().map(|attempt| self.report(attempt)).collect();
-        let events: Vec<Event<'_>> =
-            ended.iter().zip(&reports).map(|(a, r)| Event::Settled(a.settled(r))).collect();
+        let events: Vec<Event<'_>> = ended
+            .iter()
+            .zip(&reports)
+            .map(|(a, r)| Event::Settled(a.settled(r)))
+            .collect();
         self.handle_all(EventKind::End, &events, meter);
         for attempt in ended.iter().filter(|a| a.in_time) {
             self.counts.served += 1;
@@ -276,7 +297,12 @@
 
     fn fire_timers(&mut self, meter: &mut Meter<'_>) {
         let mut events = Vec::new();
-        while let Some(Reverse(timer)) = self.timers.peek().copied().filter(|t| t.0.due_at <= self.now) {
+        while let Some(Reverse(timer)) = self
+            .timers
+            .peek()
+            .copied()
+            .filter(|t| t.0.due_at <= self.now)
+        {
             self.timers.pop();
             events.push(Event::Timer(timer.token));
         }
@@ -305,13 +331,20 @@
 
     fn carry_out(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
-        actions.drain(..).for_each(|action| self.carry_out_one(&action));
+        actions
+            .drain(..)
+            .for_each(|action| self.carry_out_one(&action));
         self.actions = actions;
     }
 
     fn carry_out_one(&mut self, action: &Action) {
         match *action {
-            Action::Send { request, backend, give_up_at, .. } => self.send(request, backend, give_up_at),
+            Action::Send {
+                request,
+                backend,
+                give_up_at,
+                ..
+            } => self.send(request, backend, give_up_at),
             Action::Refuse { request, .. } => {
                 self.counts.refused += 1;
                 self.open.remove(&request);
@@ -321,7 +354,10 @@
                 self.open.remove(&request);
             }
             Action::SetTimer { after, token } => {
-                self.timers.push(Reverse(Timer { due_at: self.now + after, token }));
+                self.timers.push(Reverse(Timer {
+                    due_at: self.now + after,
+                    token,
+                }));
             }
             _ => {}
         }
@@ -357,7 +393,11 @@
             request: self.request,
             backend: self.backend,
             attempt: self.number,
-            outcome: if self.in_time { Outcome::Ok } else { Outcome::Timeout },
+            outcome: if self.in_time {
+                Outcome::Ok
+            } else {
+                Outcome::Timeout
+            },
             closed: self.in_time,
             elapsed: self.elapsed(),
             report: if self.in_time { report } else { &[] },
--- a/lab/tests/fleet/plays.rs
+++ b/lab/tests/fleet/plays.rs
@@ -8,7 +8,11 @@
 use tillerproxy_lab::fleet::scenario::FleetScenario;
 use tillerproxy_lab::scenario;
 
-const ALL: [PolicyKind; 3] = [PolicyKind::Module, PolicyKind::Random, PolicyKind::TwoChoices];
+const ALL: [PolicyKind; 3] = [
+    PolicyKind::Module,
+    PolicyKind::Random,
+    PolicyKind::TwoChoices,
+];
 
 fn play_all(scenario: &FleetScenario, seed: u64) -> FleetReport {
     play(scenario, &ALL, seed, true).expect("a play")
@@ -20,11 +24,23 @@
     let report = play_all(&small_with(event), 1);
     for policy in &report.policies {
         let name = &policy.policy;
-        assert_eq!(policy.rules_broken[..3], [0; 3], "{name}: {:?}", policy.rules);
+        assert_eq!(
+            policy.rules_broken[..3],
+            [0; 3],
+            "{name}: {:?}",
+            policy.rules
+        );
         assert!(policy.calls.offered > 1_000, "{name}: {:?}", policy.calls);
-        assert!(policy.calls.in_time * 2 > policy.calls.offered, "{name}: {:?}", policy.calls);
+        assert!(
+            policy.calls.in_time * 2 > policy.calls.offered,
+            "{name}: {:?}",
+            policy.calls
+        );
     }
-    assert_eq!(report.policies[0].rules_broken, [0; 4], "the module keeps all rules");
+    assert_eq!(
+        report.policies[0].rules_broken, [0; 4],
+        "the module keeps all rules"
+    );
     report
 }
 
@@ -32,16 +48,29 @@
 fn a_quiet_fleet_serves_nearly_everything() {
     let report = play_event("");
     for policy in &report.policies {
-        assert!(policy.worth_in_time > 0.9, "{}: {}", policy.policy, policy.worth_in_time);
+        assert!(
+            policy.worth_in_time > 0.9,
+            "{}: {}",
+            policy.policy,
+            policy.worth_in_time
+        );
         assert_eq!(policy.change_spread.publications, 0);
     }
-    let arrivals: Vec<u64> = report.policies.iter().map(|policy| policy.calls.offered).collect();
-    assert!(arrivals.iter().all(|&count| count == arrivals[0]), "all get the same calls: {arrivals:?}");
+    let arrivals: Vec<u64> = report
+        .policies
+        .iter()
+        .map(|policy| policy.calls.offered)
+        .collect();
+    assert!(
+        arrivals.iter().all(|&count| count == arrivals[0]),
+        "all get the same calls: {arrivals:?}"
+    );
 }
 
 #[test]
 fn the_same_seed_gives_the_same_figures_and_another_one_does_not() {
-    let event = "[[event]]\nkind = \"backend_crash\"\nat_s = 0.5\nfraction = 0.2\nreturn_after_s = 0.5\n";
+    let event =
+        "[[event]]\nkind = \"backend_crash\"\nat_s = 0.5\nfraction = 0.2\nreturn_after_s = 0.5\n";
     let text = |seed| serde_json::to_string(&play_all(&small_with(event), seed)).expect("JSON");
     let first = text(1);
     assert_eq!(first, text(1));
@@ -65,14 +94,19 @@
     let quiet = play_event("");
     for (policy, quiet) in play_event(event).policies.iter().zip(&quiet.policies) {
         assert_eq!(policy.rules.cold_backends.starts, 12);
-        assert!(policy.worth_in_time < quiet.worth_in_time, "{}", policy.policy);
+        assert!(
+            policy.worth_in_time < quiet.worth_in_time,
+            "{}",
+            policy.policy
+        );
         assert!(policy.attempts.connect_failures > 0);
     }
 }
 
 #[test]
 fn a_lost_rack_takes_its_backends_only() {
-    let event = "[[event]]\nkind = \"rack_loss\"\nat_s = 0.5\nzone = 0\nrack = 1\nreturn_after_s = 0.5\n";
+    let event =
+        "[[event]]\nkind = \"rack_loss\"\nat_s = 0.5\nzone = 0\nrack = 1\nreturn_after_s = 0.5\n";
     for policy in &play_event(event).policies {
         assert_eq!(policy.rules.cold_backends.starts, 4);
     }
@@ -82,7 +116,10 @@
 fn parted_regions_fail_what_crosses() {
     let event = "[[event]]\nkind = \"region_partition\"\nat_s = 0.5\nfor_s = 0.5\n";
     let report = play_event(event);
-    assert!(report.policies[1].attempts.connect_failures > 50, "random choice crosses often");
+    assert!(
+        report.policies[1].attempts.connect_failures > 50,
+        "random choice crosses often"
+    );
 }
 
 #[test]
@@ -90,7 +127,11 @@
     let event = "[[event]]\nkind = \"discovery_down\"\nat_s = 0.5\nfor_s = 0.3\n\
                  [[event]]\nkind = \"config_burst\"\nat_s = 0.6\nentries = 3\n";
     for policy in &play_event(event).policies {
-        assert!(policy.discovery.failures >= 6, "every watch ended: {:?}", policy.discovery);
+        assert!(
+            policy.discovery.failures >= 6,
+            "every watch ended: {:?}",
+            policy.discovery
+        );
         assert_eq!(policy.change_spread.publications, 1);
         let half = policy.change_spread.worst_half_s.expect("known to half");
         assert!(half > 0.2, "not while discovery was down: {half}");
@@ -103,7 +144,11 @@
                  [[event]]\nkind = \"config_burst\"\nat_s = 0.6\nentries = 3\n";
     for policy in &play_event(event).policies {
         assert_eq!(policy.change_spread.publications, 1);
-        assert_eq!(policy.change_spread.not_known_to_all, 1, "{:?}", policy.change_spread);
+        assert_eq!(
+            policy.change_spread.not_known_to_all, 1,
+            "{:?}",
+            policy.change_spread
+        );
     }
 }
 
@@ -119,7 +164,8 @@
 #[test]
 fn a_surge_adds_calls_of_one_tenant() {
     let quiet = play_event("");
-    let surge = "[[event]]\nkind = \"tenant_surge\"\nat_s = 0.5\nfor_s = 2.0\ntenant = 0\nmultiple = 2.5\n";
+    let surge =
+        "[[event]]\nkind = \"tenant_surge\"\nat_s = 0.5\nfor_s = 2.0\ntenant = 0\nmultiple = 2.5\n";
     let surge = play_event(surge);
     let (quiet, surge) = (&quiet.policies[0], &surge.policies[0]);
     assert!(surge.calls.offered > quiet.calls.offered * 11 / 10);
@@ -128,7 +174,10 @@
         reads.offered_worth / reads.calls.offered as f64
     };
     assert_eq!(worth_of_a_read(quiet), 1.0);
-    assert!(worth_of_a_read(surge) < 0.95, "beyond the allowance a call is worth less");
+    assert!(
+        worth_of_a_read(surge) < 0.95,
+        "beyond the allowance a call is worth less"
+    );
 }
 
 #[test]
@@ -136,7 +185,11 @@
     let event = "[[event]]\nkind = \"backend_slow\"\nat_s = 0.5\nfor_s = 2.0\nfraction = 0.1\nfactor = 4.0\n";
     let (quiet, slow) = (play_event(""), play_event(event));
     for (quiet, slow) in quiet.policies.iter().zip(&slow.policies) {
-        assert!(slow.latency.p99_ms > quiet.latency.p99_ms, "{}", slow.policy);
+        assert!(
+            slow.latency.p99_ms > quiet.latency.p99_ms,
+            "{}",
+            slow.policy
+        );
     }
 }
 
@@ -150,21 +203,29 @@
 
 #[test]
 fn proxies_that_restart_reset_their_clients() {
-    let event =
-        "[[event]]\nkind = \"proxy_restart\"\nat_s = 0.5\nover_s = 0.5\nfraction = 0.5\ndown_s = 0.3\n";
+    let event = "[[event]]\nkind = \"proxy_restart\"\nat_s = 0.5\nover_s = 0.5\nfraction = 0.5\ndown_s = 0.3\n";
     for policy in &play_event(event).policies {
-        assert!(policy.calls.failed > 0, "unsafe calls that were in hand: {}", policy.policy);
+        assert!(
+            policy.calls.failed > 0,
+            "unsafe calls that were in hand: {}",
+            policy.policy
+        );
         assert!(policy.discovery.calls > 3, "{:?}", policy.discovery);
     }
 }
 
 #[test]
 fn shifted_traffic_reaches_the_other_zone() {
-    let shift =
-        "[[event]]\nkind = \"traffic_shift\"\nat_s = 0.1\nfrom_zone = 0\nto_zone = 1\nfraction = 0.5\n";
+    let shift = "[[event]]\nkind = \"traffic_shift\"\nat_s = 0.1\nfrom_zone = 0\nto_zone = 1\nfraction = 0.5\n";
     let (quiet, shifted) = (play_event(""), play_event(shift));
-    assert_ne!(quiet.policies[0].latency.p99_ms, shifted.policies[0].latency.p99_ms);
-    assert_eq!(quiet.policies[0].calls.offered, shifted.policies[0].calls.offered);
+    assert_ne!(
+        quiet.policies[0].latency.p99_ms,
+        shifted.policies[0].latency.p99_ms
+    );
+    assert_eq!(
+        quiet.policies[0].calls.offered,
+        shifted.policies[0].calls.offered
+    );
 }
 
 #[test]
@@ -187,9 +248,18 @@
 #[test]
 fn the_shipped_scenarios_can_be_read_and_the_small_ones_played() {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios");
-    let files = std::fs::read_dir(folder).expect("the scenarios").map(|entry| entry.expect("a file").path());
-    let name = |path: &PathBuf| path.file_name().expect("a name").to_string_lossy().into_owned();
-    let mut files: Vec<_> = files.filter(|path| name(path).starts_with("fleet-")).collect();
+    let files = std::fs::read_dir(folder)
+        .expect("the scenarios")
+        .map(|entry| entry.expect("a file").path());
+    let name = |path: &PathBuf| {
+        path.file_name()
+            .expect("a name")
+            .to_string_lossy()
+            .into_owned()
+    };
+    let mut files: Vec<_> = files
+        .filter(|path| name(path).starts_with("fleet-"))
+        .collect();
     files.sort();
     assert_eq!(files.len(), 13);
     for path in &files {
--- a/lab/tests/fleet/rules.rs
+++ b/lab/tests/fleet/rules.rs
@@ -2,7 +2,9 @@
 
 use super::small_with;
 use indicatif::ProgressBar;
-use tillerproxy::api::{Action, BackendId, Class, DedupGroup, Effect, Event, Membership, Micros, Settings};
+use tillerproxy::api::{
+    Action, BackendId, Class, DedupGroup, Effect, Event, Membership, Micros, Settings,
+};
 use tillerproxy_lab::fleet::backend::Fall;
 use tillerproxy_lab::fleet::faults::Plan;
 use tillerproxy_lab::fleet::policy::{Policy, TrueState};
@@ -32,21 +34,34 @@
 {
     struct Scripted<S>(S);
     impl<S: FnMut(Micros, Event<'_>, &mut Vec<Action>)> Policy for Scripted<S> {
-        fn handle(&mut self, now: Micros, event: Event<'_>, _: &dyn TrueState, actions: &mut Vec<Action>) {
+        fn handle(
+            &mut self,
+            now: Micros,
+            event: Event<'_>,
+            _: &dyn TrueState,
+            actions: &mut Vec<Action>,
+        ) {
             (self.0)(now, event, actions);
         }
     }
     let scenario = small_with(event);
     let topology = Topology::new(&scenario, 1);
     let plan = Plan::new(&scenario, &topology, 1);
-    let factory = move |_: Settings, _: u64, _: Micros| Ok(Box::new(Scripted(script())) as Box<dyn Policy>);
-    let mut simulation = Simulation::new(&scenario, &topology, &plan, &factory, 1).expect("good settings");
+    let factory =
+        move |_: Settings, _: u64, _: Micros| Ok(Box::new(Scripted(script())) as Box<dyn Policy>);
+    let mut simulation =
+        Simulation::new(&scenario, &topology, &plan, &factory, 1).expect("good settings");
     simulation.run(&ProgressBar::hidden());
     simulation.report("scripted")
 }
 
 fn send(request: u32, backend: BackendId, give_up_at: Micros) -> Action {
-    Action::Send { request, backend, give_up_at, write_by: None }
+    Action::Send {
+        request,
+        backend,
+        give_up_at,
+        write_by: None,
+    }
 }
 
 #[test]
@@ -56,7 +71,9 @@
             Event::Request(request) => {
                 actions.push(send(request.id, request.id % 24, now + request.patience))
             }
-            Event::Settled(end) if !end.closed => actions.push(Action::Fail { request: end.request }),
+            Event::Settled(end) if !end.closed => actions.push(Action::Fail {
+                request: end.request,
+            }),
             _ => {}
         }
     });
@@ -68,7 +85,10 @@
 fn requests_without_a_final_answer_are_seen() {
     let report = play(NOTHING, || |_, _, _: &mut Vec<Action>| {});
     assert!(report.rules.final_answers.taken > 500);
-    assert_eq!(report.rules.final_answers.lost, report.rules.final_answers.taken);
+    assert_eq!(
+        report.rules.final_answers.lost,
+        report.rules.final_answers.taken
+    );
     assert_eq!(report.calls.in_time + report.calls.late, 0);
 }
 
@@ -77,14 +97,21 @@
     let report = play(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| {
             if let Event::Request(request) = event {
-                actions.push(Action::Fail { request: request.id });
+                actions.push(Action::Fail {
+                    request: request.id,
+                });
                 actions.push(send(request.id, 0, now + request.patience));
-                actions.push(Action::Fail { request: request.id });
+                actions.push(Action::Fail {
+                    request: request.id,
+                });
             }
         }
     });
     let answers = report.rules.final_answers;
-    assert_eq!((answers.lost, answers.after_the_end), (0, 2 * answers.taken));
+    assert_eq!(
+        (answers.lost, answers.after_the_end),
+        (0, 2 * answers.taken)
+    );
 }
 
 #[test]
@@ -95,7 +122,9 @@
                 actions.push(send(request.id, 0, now + request.patience));
                 actions.push(send(request.id, 1, now + request.patience));
             }
-            Event::Settled(end) if !end.closed => actions.push(Action::Fail { request: end.request }),
+            Event::Settled(end) if !end.closed => actions.push(Action::Fail {
+                request: end.request,
+            }),
             _ => {}
         }
     });
@@ -111,14 +140,20 @@
             // Given up before any answer can come.
             Event::Request(request) => actions.push(send(request.id, request.id % 24, now + 10)),
             Event::Settled(end) if !end.closed => {
-                actions.push(Action::Refuse { request: end.request, retry_after: 0 });
+                actions.push(Action::Refuse {
+                    request: end.request,
+                    retry_after: 0,
+                });
             }
             _ => {}
         }
     });
     let effects = report.rules.effects;
     assert!(effects.refused_after_effect > 100, "{effects:?}");
-    assert!(effects.refused_after_effect < report.rules.final_answers.taken, "safe requests may be refused");
+    assert!(
+        effects.refused_after_effect < report.rules.final_answers.taken,
+        "safe requests may be refused"
+    );
 }
 
 #[test]
@@ -129,13 +164,18 @@
             Event::Request(request) => {
                 actions.push(send(request.id, request.id % 24, now + request.patience))
             }
-            Event::Settled(end) if !end.closed => actions.push(Action::Fail { request: end.request }),
+            Event::Settled(end) if !end.closed => actions.push(Action::Fail {
+                request: end.request,
+            }),
             _ => {}
         }
     });
     let drains = report.rules.drains;
     assert!(drains.after_grace > 10, "{drains:?}");
-    assert!(drains.sends_to_barred > drains.after_grace, "sends within the grace are no break");
+    assert!(
+        drains.sends_to_barred > drains.after_grace,
+        "sends within the grace are no break"
+    );
 }
 
 #[test]
@@ -144,55 +184,147 @@
         let mut newest: Option<(Micros, BackendId)> = None;
         move |now, event: Event<'_>, actions: &mut Vec<Action>| match event {
             Event::Membership(Membership::Delta(entries)) => {
-                let starts = entries.iter().filter_map(|entry| entry.started.map(|at| (at, entry.id)));
+                let starts = entries
+                    .iter()
+                    .filter_map(|entry| entry.started.map(|at| (at, entry.id)));
                 newest = newest.max(starts.max());
             }
             Event::Request(request) => {
                 let backend = newest.map_or(request.id % 24, |(_, id)| id);
                 actions.push(send(request.id, backend, now + request.patience));
             }
-            Event::Settled(end) if !end.closed => actions.push(Action::Fail { request: end.request }),
+            Event::Settled(end) if !end.closed => actions.push(Action::Fail {
+                request: end.request,
+            }),
             _ => {}
         }
     });
     let cold = report.rules.cold_backends;
     assert_eq!(cold.starts, 12);
-    assert!(cold.fallen >= 1 && cold.fallen_by_informed == cold.fallen, "{cold:?}");
+    assert!(
+        cold.fallen >= 1 && cold.fallen_by_informed == cold.fallen,
+        "{cold:?}"
+    );
     assert!(cold.worst_load > 1.0);
 }
 
 #[test]
 fn a_fall_is_a_break_only_where_informed_proxies_brought_two_thirds_of_the_load() {
-    let allowed = Allowed { max_attempts: 3, second_copies: false, drain_grace: 0 };
+    let allowed = Allowed {
+        max_attempts: 3,
+        second_copies: false,
+        drain_grace: 0,
+    };
     let mut checker = RuleChecker::new(allowed);
-    checker.on_fall(&Fall { load: 50.0, budget: 45.0, informed: 0.6 });
-    assert_eq!((checker.counts.cold_backends.fallen, checker.counts.broken()[3]), (1, 0));
-    checker.on_fall(&Fall { load: 50.0, budget: 45.0, informed: 0.7 });
-    assert_eq!((checker.counts.cold_backends.fallen, checker.counts.broken()[3]), (2, 1));
+    checker.on_fall(&Fall {
+        load: 50.0,
+        budget: 45.0,
+        informed: 0.6,
+    });
+    assert_eq!(
+        (
+            checker.counts.cold_backends.fallen,
+            checker.counts.broken()[3]
+        ),
+        (1, 0)
+    );
+    checker.on_fall(&Fall {
+        load: 50.0,
+        budget: 45.0,
+        informed: 0.7,
+    });
+    assert_eq!(
+        (
+            checker.counts.cold_backends.fallen,
+            checker.counts.broken()[3]
+        ),
+        (2, 1)
+    );
 }
 
 /// The broken parts of rule 2 when a keyed request goes from a backend of zone 0 and cell 0, sent at 0, to
 /// another at `now`: outside its window, outside its group.
-fn keyed_repeat(group: DedupGroup, now: Micros, zone: u16, cell: u16, state: AttemptState) -> (u64, u64) {
+fn keyed_repeat(
+    group: DedupGroup,
+    now: Micros,
+    zone: u16,
+    cell: u16,
+    state: AttemptState,
+) -> (u64, u64) {
     let effect = Effect::Keyed { group, ttl: 1_000 };
-    let class = Class { aim: 1, aim_stretch: 0.0, deadline: 1, worth: 1.0, late_worth: 0.0, effect };
-    let at = |zone, cell| Machine { zone, rack: 0, kind: 0, cell, cores: 1, speed: 1.0 };
+    let class = Class {
+        aim: 1,
+        aim_stretch: 0.0,
+        deadline: 1,
+        worth: 1.0,
+        late_worth: 0.0,
+        effect,
+    };
+    let at = |zone, cell| Machine {
+        zone,
+        rack: 0,
+        kind: 0,
+        cell,
+        cores: 1,
+        speed: 1.0,
+    };
     let mut request = TrackedRequest::new(1, 0, 0, 0, 10_000);
-    request.add_attempt(SentAttempt { backend: 0, sent_at: 0, state, place: 0 });
-    let allowed = Allowed { max_attempts: 3, second_copies: false, drain_grace: 0 };
+    request.add_attempt(SentAttempt {
+        backend: 0,
+        sent_at: 0,
+        state,
+        place: 0,
+    });
+    let allowed = Allowed {
+        max_attempts: 3,
+        second_copies: false,
+        drain_grace: 0,
+    };
     let mut checker = RuleChecker::new(allowed);
-    checker.on_send(now, &request, &class, &at(zone, cell), &KnownBackend::default(), |_| at(0, 0));
-    (checker.counts.effects.outside_window, checker.counts.effects.outside_group)
+    checker.on_send(
+        now,
+        &request,
+        &class,
+        &at(zone, cell),
+        &KnownBackend::default(),
+        |_| at(0, 0),
+    );
+    (
+        checker.counts.effects.outside_window,
+        checker.counts.effects.outside_group,
+    )
 }
 
 #[test]
 fn keyed_repeats_are_held_to_their_window_and_group() {
     use AttemptState::{MayHaveRun, NeverRan};
-    assert_eq!(keyed_repeat(DedupGroup::All, 1_000, 1, 1, MayHaveRun), (0, 0));
-    assert_eq!(keyed_repeat(DedupGroup::All, 1_001, 1, 1, MayHaveRun), (1, 0));
-    assert_eq!(keyed_repeat(DedupGroup::Zone, 500, 0, 1, MayHaveRun), (0, 0));
-    assert_eq!(keyed_repeat(DedupGroup::Zone, 500, 1, 1, MayHaveRun), (0, 1));
-    assert_eq!(keyed_repeat(DedupGroup::Cell, 500, 0, 0, MayHaveRun), (0, 0));
-    assert_eq!(keyed_repeat(DedupGroup::Cell, 2_000, 0, 1, MayHaveRun), (1, 1));
-    assert_eq!(keyed_repeat(DedupGroup::Cell, 2_000, 1, 1, NeverRan), (0, 0), "it never ran");
+    assert_eq!(
+        keyed_repeat(DedupGroup::All, 1_000, 1, 1, MayHaveRun),
+        (0, 0)
+    );
+    assert_eq!(
+        keyed_repeat(DedupGroup::All, 1_001, 1, 1, MayHaveRun),
+        (1, 0)
+    );
+    assert_eq!(
+        keyed_repeat(DedupGroup::Zone, 500, 0, 1, MayHaveRun),
+        (0, 0)
+    );
+    assert_eq!(
+        keyed_repeat(DedupGroup::Zone, 500, 1, 1, MayHaveRun),
+        (0, 1)
+    );
+    assert_eq!(
+        keyed_repeat(DedupGroup::Cell, 500, 0, 0, MayHaveRun),
+        (0, 0)
+    );
+    assert_eq!(
+        keyed_repeat(DedupGroup::Cell, 2_000, 0, 1, MayHaveRun),
+        (1, 1)
+    );
+    assert_eq!(
+        keyed_repeat(DedupGroup::Cell, 2_000, 1, 1, NeverRan),
+        (0, 0),
+        "it never ran"
+    );
 }
--- a/lab/tests/live.rs
+++ b/lab/tests/live.rs
@@ -9,14 +9,25 @@
 
 /// The proxy's program. It belongs to another package, so cargo is asked to build it and to say where it is.
 static PROXY: LazyLock<PathBuf> = LazyLock::new(|| {
-    let arguments = ["build", "--locked", "--package", "tillerproxy", "--bin", "tillerproxy"];
+    let arguments = [
+        "build",
+        "--locked",
+        "--package",
+        "tillerproxy",
+        "--bin",
+        "tillerproxy",
+    ];
     let output = Command::new(env!("CARGO"))
         .args(arguments)
         .args(["--message-format", "json"])
         .current_dir(env!("CARGO_MANIFEST_DIR"))
         .output()
         .expect("cargo runs");
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let messages = output.stdout.split(|&byte| byte == b'\n');
     let mut messages = messages.filter_map(|line| serde_json::from_slice::<Value>(line).ok());
     let program = messages.find_map(|message| message["executable"].as_str().map(PathBuf::from));
@@ -24,7 +35,9 @@
 });
 
 fn scenario(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("scenarios")
+        .join(name)
 }
 
 fn lab() -> Command {
@@ -46,11 +59,17 @@
     let directory = tempfile::tempdir().expect("a directory");
     let json = directory.path().join("live.json");
     let mut lab = lab();
-    let output = lab.arg(scenario("live-small.toml")).arg("--proxy").arg(&*PROXY).arg("--json").arg(&json);
+    let output = lab
+        .arg(scenario("live-small.toml"))
+        .arg("--proxy")
+        .arg(&*PROXY)
+        .arg("--json")
+        .arg(&json);
     let output = output.output().expect("the lab runs");
     assert!(output.status.success(), "{}", error_of(&output));
     let table = String::from_utf8(output.stdout).expect("a table");
-    let result: Value = serde_json::from_slice(&std::fs::read(json).expect("a result")).expect("JSON");
+    let result: Value =
+        serde_json::from_slice(&std::fs::read(json).expect("a result")).expect("JSON");
     assert_eq!(result["run"]["experiment"], "live");
     let phases = result["measured"]["phases"].as_array().expect("phases");
     assert_eq!(phases.len(), 10);
@@ -59,8 +78,12 @@
         assert!(table.contains(kind), "{kind} is in the table");
         check_phase(phase, kind);
     }
-    let pids = phases.iter().flat_map(|phase| phase["processes"].as_array().expect("processes"));
-    let mut pids: Vec<u64> = pids.map(|process| process["pid"].as_u64().expect("a process id")).collect();
+    let pids = phases
+        .iter()
+        .flat_map(|phase| phase["processes"].as_array().expect("processes"));
+    let mut pids: Vec<u64> = pids
+        .map(|process| process["pid"].as_u64().expect("a process id"))
+        .collect();
     pids.sort_unstable();
     pids.dedup();
     assert_eq!(pids.len(), 4, "two, and two after the restart");
@@ -71,16 +94,28 @@
     let processes = phase["processes"].as_array().expect("processes");
     assert_eq!(processes.len(), 2, "{kind}");
     for process in processes {
-        assert!(process["resident_kib"].as_u64() > Some(0), "{kind}: {process}");
+        assert!(
+            process["resident_kib"].as_u64() > Some(0),
+            "{kind}: {process}"
+        );
         assert!(
             process["peak_resident_kib"].as_u64() >= process["resident_kib"].as_u64(),
             "{kind}: {process}"
         );
-        assert!(process["descriptors"].as_u64() > Some(0), "{kind}: {process}");
+        assert!(
+            process["descriptors"].as_u64() > Some(0),
+            "{kind}: {process}"
+        );
         assert_eq!(process["known_backends"], phase["listed"], "{kind}");
         if phase["clients"] == true {
-            assert!(process["requests"]["counts"]["served"].as_u64() > Some(0), "{kind}: {process}");
-            assert!(process["requests"]["added"].is_object(), "{kind}: {process}");
+            assert!(
+                process["requests"]["counts"]["served"].as_u64() > Some(0),
+                "{kind}: {process}"
+            );
+            assert!(
+                process["requests"]["added"].is_object(),
+                "{kind}: {process}"
+            );
         }
         assert_eq!(process["idle"].is_object(), kind == "idle_connections");
     }
@@ -88,23 +123,44 @@
         let spread = &phase["spread"];
         assert!(spread["changes"].as_u64() > Some(0), "{kind}");
         assert_eq!(spread["known_to_all"], spread["changes"], "{kind}");
-        let bytes = processes.iter().map(|process| process["discovery_bytes_per_s"].as_f64());
+        let bytes = processes
+            .iter()
+            .map(|process| process["discovery_bytes_per_s"].as_f64());
         assert!(bytes.into_iter().all(|bytes| bytes > Some(0.0)), "{kind}");
     }
     if kind == "restart" {
         let restart = &phase["restart"];
-        assert_eq!([&restart["processes"], &restart["ended_cleanly"], &restart["up_in_time"]], [2, 2, 2]);
+        assert_eq!(
+            [
+                &restart["processes"],
+                &restart["ended_cleanly"],
+                &restart["up_in_time"]
+            ],
+            [2, 2, 2]
+        );
     }
 }
 
 /// The lab with the small scenario once both processes have started: itself, its log, and their process ids.
 fn start_lab() -> (Child, impl Iterator<Item = String>, Vec<u64>) {
     let mut lab = lab();
-    lab.arg(scenario("live-small.toml")).arg("--proxy").arg(&*PROXY);
-    let mut lab = lab.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("the lab runs");
+    lab.arg(scenario("live-small.toml"))
+        .arg("--proxy")
+        .arg(&*PROXY);
+    let mut lab = lab
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("the lab runs");
     let log = BufReader::new(lab.stderr.take().expect("a log")).lines();
     let mut log = log.map(|line| line.expect("text"));
-    let pid = |line: String| line.rsplit_once("is process ")?.1.trim().parse::<u64>().ok();
+    let pid = |line: String| {
+        line.rsplit_once("is process ")?
+            .1
+            .trim()
+            .parse::<u64>()
+            .ok()
+    };
     let pids: Vec<u64> = log.by_ref().filter_map(pid).take(2).collect();
     assert_eq!(pids.len(), 2, "both processes have started");
     (lab, log, pids)
@@ -114,7 +170,10 @@
 fn processes_end_with_the_lab_when_it_is_told_to_end() {
     for (signal, name) in [(Signal::TERM, "SIGTERM"), (Signal::INT, "SIGINT")] {
         let (mut lab, log, pids) = start_lab();
-        let lab_pid = i32::try_from(lab.id()).ok().and_then(Pid::from_raw).expect("a process id");
+        let lab_pid = i32::try_from(lab.id())
+            .ok()
+            .and_then(Pid::from_raw)
+            .expect("a process id");
         kill_process(lab_pid, signal).expect("it runs");
         let rest: Vec<String> = log.collect();
         assert_eq!(lab.wait().expect("it ends").code(), Some(1));
@@ -126,12 +185,21 @@
 #[test]
 fn a_process_that_ends_by_itself_ends_the_run() {
     let (mut lab, log, pids) = start_lab();
-    let first = i32::try_from(pids[0]).ok().and_then(Pid::from_raw).expect("a process id");
+    let first = i32::try_from(pids[0])
+        .ok()
+        .and_then(Pid::from_raw)
+        .expect("a process id");
     kill_process(first, Signal::KILL).expect("it runs");
     let rest: Vec<String> = log.collect();
     assert_eq!(lab.wait().expect("it ends").code(), Some(1));
-    assert!(rest.iter().any(|line| line.contains("ended by itself")), "{rest:?}");
-    assert!(!pids.into_iter().any(is_running), "the other process has ended too");
+    assert!(
+        rest.iter().any(|line| line.contains("ended by itself")),
+        "{rest:?}"
+    );
+    assert!(
+        !pids.into_iter().any(is_running),
+        "the other process has ended too"
+    );
 }
 
 #[test]
@@ -143,8 +211,14 @@
     let output = lab().arg(&path).output().expect("the lab runs");
     assert_eq!(output.status.code(), Some(2));
     let error = error_of(&output);
-    assert!(error.contains("wrong.toml") && error.contains("`processes.real`: must be 1 to 40"), "{error}");
-    let output = lab().arg(directory.path().join("none.toml")).output().expect("the lab runs");
+    assert!(
+        error.contains("wrong.toml") && error.contains("`processes.real`: must be 1 to 40"),
+        "{error}"
+    );
+    let output = lab()
+        .arg(directory.path().join("none.toml"))
+        .output()
+        .expect("the lab runs");
     assert_eq!(output.status.code(), Some(2));
     assert!(error_of(&output).contains("none.toml"));
 }
@@ -152,18 +226,29 @@
 #[test]
 fn a_missing_proxy_is_named_with_what_to_do() {
     let mut lab = lab();
-    lab.arg(scenario("live-small.toml")).args(["--proxy", "no/such/program"]);
+    lab.arg(scenario("live-small.toml"))
+        .args(["--proxy", "no/such/program"]);
     let output = lab.output().expect("the lab runs");
     assert_eq!(output.status.code(), Some(1));
     let error = error_of(&output);
-    assert!(error.contains("no/such/program") && error.contains("cargo build --release"), "{error}");
+    assert!(
+        error.contains("no/such/program") && error.contains("cargo build --release"),
+        "{error}"
+    );
 }
 
 #[test]
 fn a_proxy_that_ends_at_once_is_reported() {
     let mut lab = lab();
-    let output = lab.arg(scenario("live-small.toml")).args(["--proxy", "/bin/false"]).output();
+    let output = lab
+        .arg(scenario("live-small.toml"))
+        .args(["--proxy", "/bin/false"])
+        .output();
     let output = output.expect("the lab runs");
     assert_eq!(output.status.code(), Some(1));
-    assert!(error_of(&output).contains("did not say where it listens"), "{}", error_of(&output));
+    assert!(
+        error_of(&output).contains("did not say where it listens"),
+        "{}",
+        error_of(&output)
+    );
 }
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -62,7 +62,12 @@
 
 fn run_lab(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tillerproxy-lab"));
-    command.arg("slopes").args(arguments).env_remove("RUST_LOG").output().expect("the lab runs")
+    command
+        .arg("slopes")
+        .args(arguments)
+        .env_remove("RUST_LOG")
+        .output()
+        .expect("the lab runs")
 }
 
 /// The message of a scenario that must be refused with exit code 2.
@@ -80,21 +85,60 @@
 fn a_small_run_reports_tables_json_csv_and_plot() {
     let directory = TempDir::new().expect("a directory");
     let scenario = scenario_file(&directory, SMALL);
-    let file = |name: &str| directory.path().join(name).to_str().expect("a plain path").to_owned();
+    let file = |name: &str| {
+        directory
+            .path()
+            .join(name)
+            .to_str()
+            .expect("a plain path")
+            .to_owned()
+    };
     let (json, csv, plot) = (file("out.json"), file("out.csv"), file("out.svg"));
     let scenario = scenario.to_str().expect("a plain path");
-    let arguments = ["--scenario", scenario, "--json", &json, "--csv", &csv, "--plot", &plot, "--quiet"];
+    let arguments = [
+        "--scenario",
+        scenario,
+        "--json",
+        &json,
+        "--csv",
+        &csv,
+        "--plot",
+        &plot,
+        "--quiet",
+    ];
     let output = run_lab(&arguments);
     let report = String::from_utf8_lossy(&output.stdout);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    for title in ["By backends", "By tenants", "By classes", "By proxies", "Fits", "Budgets", "within"] {
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    for title in [
+        "By backends",
+        "By tenants",
+        "By classes",
+        "By proxies",
+        "Fits",
+        "Budgets",
+        "within",
+    ] {
         assert!(report.contains(title), "no `{title}` in\n{report}");
     }
     check_json(&std::fs::read_to_string(&json).expect("the JSON result"));
     let rows = std::fs::read_to_string(&csv).expect("the CSV file");
-    assert!(rows.starts_with("sweep,backends,proxies,tenants,classes,"), "{rows}");
-    assert!(rows.contains("target_hot,20,4,5,2,1410.0,request,nanoseconds,"), "{rows}");
-    assert!(std::fs::read_to_string(&plot).expect("the plot").contains("<svg"));
+    assert!(
+        rows.starts_with("sweep,backends,proxies,tenants,classes,"),
+        "{rows}"
+    );
+    assert!(
+        rows.contains("target_hot,20,4,5,2,1410.0,request,nanoseconds,"),
+        "{rows}"
+    );
+    assert!(
+        std::fs::read_to_string(&plot)
+            .expect("the plot")
+            .contains("<svg")
+    );
 }
 
 fn check_json(text: &str) {
@@ -102,31 +146,57 @@
     assert_eq!(result["run"]["experiment"], "slopes");
     assert_eq!(result["scenario"]["sizes"], serde_json::json!([4, 8, 16]));
     let measurements = &result["measured"]["measurements"];
-    let points = measurements["sweeps"]["backends"].as_array().expect("points");
+    let points = measurements["sweeps"]["backends"]
+        .as_array()
+        .expect("points");
     assert_eq!(points.len(), 3);
     for quantity in Quantity::ALL {
         let median = points[2]["figures"][quantity.key()]["median"].as_f64();
         assert!(median.is_some(), "{} is missing", quantity.key());
     }
     let heap = |point: &Value| point["figures"]["balancer_memory"]["median"].as_f64();
-    assert!(heap(&points[2]) > heap(&points[0]), "more backends need more memory");
-    assert_eq!(measurements["open_request_memory"].as_array().map(Vec::len), Some(3));
+    assert!(
+        heap(&points[2]) > heap(&points[0]),
+        "more backends need more memory"
+    );
+    assert_eq!(
+        measurements["open_request_memory"].as_array().map(Vec::len),
+        Some(3)
+    );
 }
 
 #[test]
 fn a_scenario_that_makes_no_sense_is_named_with_what_is_allowed() {
     let unknown = refusal("[load]\nlatency = 50.0\n");
-    assert!(unknown.contains("load") && unknown.contains("latency_ms"), "{unknown}");
+    assert!(
+        unknown.contains("load") && unknown.contains("latency_ms"),
+        "{unknown}"
+    );
     let range = refusal("[target]\ntenants = 70000\n");
-    assert!(range.contains("target.tenants") && range.contains("1 to 65535"), "{range}");
+    assert!(
+        range.contains("target.tenants") && range.contains("1 to 65535"),
+        "{range}"
+    );
     let order = refusal("sizes = [100, 10]\n");
-    assert!(order.contains("sizes") && order.contains("ascending"), "{order}");
+    assert!(
+        order.contains("sizes") && order.contains("ascending"),
+        "{order}"
+    );
     let kind = refusal("repetitions = \"five\"\n");
-    assert!(kind.contains("repetitions") && kind.contains("u32"), "{kind}");
+    assert!(
+        kind.contains("repetitions") && kind.contains("u32"),
+        "{kind}"
+    );
     let rate = refusal("[load]\nrequests_per_second = nan\n");
-    assert!(rate.contains("load.requests_per_second") && rate.contains("1 to 1000000"), "{rate}");
+    assert!(
+        rate.contains("load.requests_per_second") && rate.contains("1 to 1000000"),
+        "{rate}"
+    );
     let sign = refusal("[budgets]\nadded_ms = -1.0\n");
-    assert!(sign.contains("budgets.added_ms") && sign.contains("above 0"), "{sign}");
+    assert!(
+        sign.contains("budgets.added_ms") && sign.contains("above 0"),
+        "{sign}"
+    );
 }
 
 #[test]
@@ -138,7 +208,10 @@
         let output = run_lab(&arguments);
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{message}");
-        assert!(message.contains(arguments[0]) && message.contains("1.."), "{message}");
+        assert!(
+            message.contains(arguments[0]) && message.contains("1.."),
+            "{message}"
+        );
     }
     let unordered = run_lab(&["--sizes", "100,10"]);
     assert_eq!(unordered.status.code(), Some(2));
@@ -149,7 +222,10 @@
 fn the_scenario_file_holds_the_built_in_values() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/slopes.toml");
     let scenario: Result<SlopesScenario, LabError> = read(&path);
-    assert_eq!(scenario.expect("a sound scenario"), SlopesScenario::default());
+    assert_eq!(
+        scenario.expect("a sound scenario"),
+        SlopesScenario::default()
+    );
 }
 
 #[test]
@@ -201,12 +277,19 @@
     let counts = |seed| {
         let sweeps = measure_small(seed).measurements.sweeps.into_iter();
         let points = sweeps.flat_map(|(sweep, points): (Sweep, Vec<Point>)| {
-            points.into_iter().map(move |point| (sweep, point.setup.backends, point.counts))
+            points
+                .into_iter()
+                .map(move |point| (sweep, point.setup.backends, point.counts))
         });
         points.collect::<Vec<_>>()
     };
     let first = counts(1);
-    assert!(first.iter().all(|(_, _, counts)| counts.requests >= 80 && counts.served > 0), "{first:?}");
+    assert!(
+        first
+            .iter()
+            .all(|(_, _, counts)| counts.requests >= 80 && counts.served > 0),
+        "{first:?}"
+    );
     assert_eq!(first, counts(1));
     assert_ne!(first, counts(2));
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -168,29 +168,76 @@
     pub fn validate(&self) -> Result<(), SettingsError> {
         let check = |good: bool, field: &str, problem: &str| match good {
             true => Ok(()),
-            false => Err(SettingsError { field: field.into(), problem: problem.into() }),
+            false => Err(SettingsError {
+                field: field.into(),
+                problem: problem.into(),
+            }),
         };
-        check(self.balancers > 0, "balancers", "there must be at least one")?;
-        check(!self.classes.is_empty(), "classes", "there must be at least one")?;
+        check(
+            self.balancers > 0,
+            "balancers",
+            "there must be at least one",
+        )?;
+        check(
+            !self.classes.is_empty(),
+            "classes",
+            "there must be at least one",
+        )?;
         for (i, class) in self.classes.iter().enumerate() {
             let field = |name: &str| format!("classes[{i}].{name}");
             check(class.aim > 0, &field("aim"), "must be above 0")?;
-            check(class.deadline >= class.aim, &field("deadline"), "must not be under the aim")?;
-            check(class.worth.is_finite() && class.worth >= 0.0, &field("worth"), "must be 0 or more")?;
-            check((0.0..=1.0).contains(&class.late_worth), &field("late_worth"), "must lie in 0..=1")?;
+            check(
+                class.deadline >= class.aim,
+                &field("deadline"),
+                "must not be under the aim",
+            )?;
+            check(
+                class.worth.is_finite() && class.worth >= 0.0,
+                &field("worth"),
+                "must be 0 or more",
+            )?;
+            check(
+                (0.0..=1.0).contains(&class.late_worth),
+                &field("late_worth"),
+                "must lie in 0..=1",
+            )?;
             let stretch = class.aim_stretch;
-            check(stretch.is_finite() && stretch >= 0.0, &field("aim_stretch"), "must be 0 or more")?;
+            check(
+                stretch.is_finite() && stretch >= 0.0,
+                &field("aim_stretch"),
+                "must be 0 or more",
+            )?;
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
             let allowance = tenant.allowance_per_s;
             let field = format!("tenants[{i}].allowance_per_s");
-            check(allowance.is_finite() && allowance >= 0.0, &field, "must be 0 or more")?;
+            check(
+                allowance.is_finite() && allowance >= 0.0,
+                &field,
+                "must be 0 or more",
+            )?;
         }
-        check((0.0..=1.0).contains(&self.over_share_worth), "over_share_worth", "must lie in 0..=1")?;
-        check(self.permissions.max_attempts > 0, "max_attempts", "there must be at least one")?;
-        check((0.0..=1.0).contains(&self.safety.cold_from), "cold_from", "must lie in 0..=1")?;
+        check(
+            (0.0..=1.0).contains(&self.over_share_worth),
+            "over_share_worth",
+            "must lie in 0..=1",
+        )?;
+        check(
+            self.permissions.max_attempts > 0,
+            "max_attempts",
+            "there must be at least one",
+        )?;
+        check(
+            (0.0..=1.0).contains(&self.safety.cold_from),
+            "cold_from",
+            "must lie in 0..=1",
+        )?;
         let multiple = self.safety.fall_multiple;
-        check(multiple.is_finite() && multiple > 0.0, "fall_multiple", "must be above 0")
+        check(
+            multiple.is_finite() && multiple > 0.0,
+            "fall_multiple",
+            "must be above 0",
+        )
     }
 }
 
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -27,8 +27,12 @@
         let slots = self.slots(index, self.pool.limit_factor);
         let class = self.open[slot].class;
         let overdue = self.overdue(class);
-        let overdue_at =
-            now + if self.is_quick(class) { overdue } else { self.settings.classes[class].deadline };
+        let overdue_at = now
+            + if self.is_quick(class) {
+                overdue
+            } else {
+                self.settings.classes[class].deadline
+            };
         let server = &mut self.servers[index];
         if let Some(cold) = &mut server.cold {
             cold.tokens -= 1.0;
@@ -47,12 +51,23 @@
         server.window.filled |= i64::from(server.in_flight) * 4 >= slots * 3;
         let (give_up_at, early) = self.give_up_at(now, &self.open[slot]);
         let write_by = self.window_end(&self.open[slot]);
-        let attempt = Attempt { connection_idle, early, overdue_at, trial, ..Attempt::new(index, now) };
+        let attempt = Attempt {
+            connection_idle,
+            early,
+            overdue_at,
+            trial,
+            ..Attempt::new(index, now)
+        };
         let open = &mut self.open[slot];
         open.attempts.push(attempt);
         self.servers[index].references += 1;
         let (request, backend) = (open.id, self.servers[index].id);
-        out.push(Action::Send { request, backend, give_up_at, write_by });
+        out.push(Action::Send {
+            request,
+            backend,
+            give_up_at,
+            write_by,
+        });
         self.reindex(now, index);
     }
 
@@ -66,9 +81,13 @@
         elapsed: Micros,
         out: &mut Vec<Action>,
     ) {
-        let Some(slot) = self.open.find(request) else { return };
+        let Some(slot) = self.open.find(request) else {
+            return;
+        };
         let open = &mut self.open[slot];
-        let Some(attempt) = open.attempts.get_mut(usize::from(number)) else { return };
+        let Some(attempt) = open.attempts.get_mut(usize::from(number)) else {
+            return;
+        };
         if attempt.state != AttemptState::Out || attempt.answer_began {
             return;
         }
@@ -76,21 +95,38 @@
         (attempt.answer_began, open.streaming) = (true, true);
         let (class, outcome, backend) = (open.class, Outcome::Ok, self.servers[to.server].id);
         let (closed, report, spent) = (true, [].as_slice(), false);
-        let begun = Settled { request, backend, attempt: number, outcome, closed, elapsed, report, spent };
+        let begun = Settled {
+            request,
+            backend,
+            attempt: number,
+            outcome,
+            closed,
+            elapsed,
+            report,
+            spent,
+        };
         self.observe(now, class, to, &begun, out);
         self.reindex(now, to.server);
         self.serve_queue(now, out);
     }
 
     pub(super) fn on_settled(&mut self, now: Micros, settled: Settled<'_>, out: &mut Vec<Action>) {
-        let Some(slot) = self.open.find(settled.request) else { return };
+        let Some(slot) = self.open.find(settled.request) else {
+            return;
+        };
         let open = &mut self.open[slot];
-        let Some(attempt) = open.attempts.get_mut(usize::from(settled.attempt)) else { return };
+        let Some(attempt) = open.attempts.get_mut(usize::from(settled.attempt)) else {
+            return;
+        };
         if attempt.state != AttemptState::Out {
             return;
         }
         let never_ran = settled.outcome.never_ran();
-        attempt.state = if never_ran { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        attempt.state = if never_ran {
+            AttemptState::NeverRan
+        } else {
+            AttemptState::MayHaveRun
+        };
         let (attempt, class) = (*attempt, open.class);
         open.spent |= settled.spent;
         if !attempt.answer_began {
@@ -133,7 +169,10 @@
         let aim = self.settings.classes[class].aim as f64;
         let lmax = latency.lmax(aim);
         let multiplex = self.settings.permissions.multiplex.max(1);
-        if let Some(at) = server.connections_used_at.get_mut((server.in_flight / multiplex) as usize) {
+        if let Some(at) = server
+            .connections_used_at
+            .get_mut((server.in_flight / multiplex) as usize)
+        {
             *at = now;
         }
         // Departure: a failure is a bad sample however quick it was, so that quick errors can't raise a
@@ -150,7 +189,10 @@
                 server.answered = server.answered.max(to.sent_at);
                 // What a cold server answers in good time it can do: the token of that send comes back.
                 let in_time = latency.base < f64::MAX && elapsed <= lmax;
-                let cold = server.cold.as_mut().filter(|cold| in_time && cold.started <= to.sent_at);
+                let cold = server
+                    .cold
+                    .as_mut()
+                    .filter(|cold| in_time && cold.started <= to.sent_at);
                 cold.into_iter().for_each(|cold| cold.tokens += 1.0);
                 false
             }
@@ -169,7 +211,10 @@
         }
         let server = &mut self.servers[index];
         let recent = (server.recent_latency(now) + sample.min(SAMPLE_CAP)) / 2.0;
-        server.recent = Stamped { value: recent, at: now };
+        server.recent = Stamped {
+            value: recent,
+            at: now,
+        };
         let weight = match end.outcome {
             Outcome::ConnectFailed => REFUSED_WEIGHT,
             Outcome::Reset => BROKEN_WEIGHT,
--- a/src/balancer/cold_start.rs
+++ b/src/balancer/cold_start.rs
@@ -15,10 +15,15 @@
         let safety = &self.settings.safety;
         let age = now.saturating_sub(started) as f64 / safety.cold_time.max(1) as f64;
         let warmth = safety.cold_from + (1.0 - safety.cold_from) * age.min(1.0);
-        let measured = self.served.peak * f64::from(self.settings.balancers) / self.index.ready.max(1) as f64;
+        let measured =
+            self.served.peak * f64::from(self.settings.balancers) / self.index.ready.max(1) as f64;
         // Departure: of a limit under a slot some proxies hold one; the others can't spend their shares.
         let slots = self.limit(index) * self.pool.limit_factor;
-        let held = if slots < 1.0 { self.slots(index, self.pool.limit_factor) as f64 / slots } else { 1.0 };
+        let held = if slots < 1.0 {
+            self.slots(index, self.pool.limit_factor) as f64 / slots
+        } else {
+            1.0
+        };
         let warm = measured.max(SECOND as f64 / self.mean(0));
         let share = self.share(self.servers[index].zone);
         (safety.fall_multiple * COLD_MARGIN).min(1.0) * warmth * warm * share * held
@@ -26,9 +31,19 @@
 
     /// Brings a cold server's budget up to now; from now on it grows at the rate that holds now.
     pub(super) fn refill_cold(&mut self, now: Micros, index: usize) {
-        let Some(cold) = self.servers[index].cold else { return };
-        let (tokens, rate) = (cold.available(now), self.cold_rate(now, index, cold.started));
-        self.servers[index].cold = Some(ColdBudget { tokens, rate, filled_at: now, ..cold });
+        let Some(cold) = self.servers[index].cold else {
+            return;
+        };
+        let (tokens, rate) = (
+            cold.available(now),
+            self.cold_rate(now, index, cold.started),
+        );
+        self.servers[index].cold = Some(ColdBudget {
+            tokens,
+            rate,
+            filled_at: now,
+            ..cold
+        });
     }
 }
 
@@ -41,7 +56,8 @@
 
     /// When it is filled again: once it holds a token, or when its rate may have changed.
     pub(super) fn recheck_at(&self) -> Micros {
-        let wait = ((1.0 - self.tokens) / self.rate.max(f64::MIN_POSITIVE) * SECOND as f64).ceil() as Micros;
+        let wait = ((1.0 - self.tokens) / self.rate.max(f64::MIN_POSITIVE) * SECOND as f64).ceil()
+            as Micros;
         self.filled_at + wait.clamp(1, WINDOW)
     }
 }
--- a/src/balancer/connections.rs
+++ b/src/balancer/connections.rs
@@ -17,16 +17,29 @@
     /// Departure: something between here and a server may drop an idle connection unseen. One that was idle
     /// for longer than is trusted is closed before the send. The trust starts at the idle limit and backs off
     /// at each request that got no answer on an idle one.
-    pub(super) fn connection(&mut self, now: Micros, index: usize, out: &mut Vec<Action>) -> Micros {
+    pub(super) fn connection(
+        &mut self,
+        now: Micros,
+        index: usize,
+        out: &mut Vec<Action>,
+    ) -> Micros {
         let multiplex = self.settings.permissions.multiplex.max(1);
         let trusted = self.trusted_idle_time(now);
         let server = &mut self.servers[index];
         let number = (server.in_flight / multiplex) as usize;
-        let used_at = server.connections_used_at.get(number).copied().unwrap_or(now);
+        let used_at = server
+            .connections_used_at
+            .get(number)
+            .copied()
+            .unwrap_or(now);
         if number >= server.connections_used_at.len() {
             server.connections_used_at.push(now);
         }
-        let idle = if server.in_flight % multiplex == 0 { now - used_at } else { 0 };
+        let idle = if server.in_flight % multiplex == 0 {
+            now - used_at
+        } else {
+            0
+        };
         if idle > MIN_SUSPECT_IDLE && idle as f64 > trusted {
             server.connections_used_at.truncate(number + 1);
             out.push(Action::CloseIdle(server.id));
@@ -46,7 +59,10 @@
             return false;
         }
         let safe = (idle as f64 * TRUSTED_IDLE_BACKOFF).max(MIN_SUSPECT_IDLE as f64);
-        self.trusted_idle = Stamped { value: self.trusted_idle_time(now).min(safe), at: now };
+        self.trusted_idle = Stamped {
+            value: self.trusted_idle_time(now).min(safe),
+            at: now,
+        };
         true
     }
 }
--- a/src/balancer/indexing.rs
+++ b/src/balancer/indexing.rs
@@ -14,12 +14,18 @@
         match &self.servers[index] {
             server if !server.ready => (Position::Barred, None),
             server if server.in_flight > 0 => (Position::Scanned, None),
-            &Server { ejected_until: Some(until), .. } if now < until => (Position::Barred, Some(until)),
-            Server { ejected_until: Some(_), .. } => (Position::Scanned, None),
+            &Server {
+                ejected_until: Some(until),
+                ..
+            } if now < until => (Position::Barred, Some(until)),
+            Server {
+                ejected_until: Some(_),
+                ..
+            } => (Position::Scanned, None),
             server if now < server.full_until => (Position::Barred, Some(server.full_until)),
-            Server { cold: Some(cold), .. } if cold.tokens < 1.0 => {
-                (Position::Barred, Some(cold.recheck_at()))
-            }
+            Server {
+                cold: Some(cold), ..
+            } if cold.tokens < 1.0 => (Position::Barred, Some(cold.recheck_at())),
             server if server.recent_latency(now) > 1.0 => {
                 (Position::Scanned, Some(server.recent.at + RECENT_TTL))
             }
@@ -36,7 +42,11 @@
         let slot_offset = self.slot_offset(index);
         let (position, until) = self.position(now, index);
         let server = &mut self.servers[index];
-        let version = self.index.groups.get(server.group).map_or(0, |group| group.version);
+        let version = self
+            .index
+            .groups
+            .get(server.group)
+            .map_or(0, |group| group.version);
         (server.slot_offset, server.slot_offset_version) = (slot_offset, version);
         self.index.set(index, server, position, until);
     }
@@ -53,7 +63,9 @@
         let me = self.settings.me;
         let offset = |rank, members| unwrapped_offset(me, rank, members);
         let places = self.index.apply(changed, &self.servers, offset);
-        places.into_iter().for_each(|place| self.reindex(now, place));
+        places
+            .into_iter()
+            .for_each(|place| self.reindex(now, place));
     }
 
     pub(super) fn slot_offset_of(&self, group: &Group, rank: usize) -> f64 {
@@ -66,7 +78,9 @@
         let group = self.index.groups.get(server.group);
         let group = group.filter(|group| group.version != server.slot_offset_version);
         let rank = group.and_then(|group| Some((group, group.members.rank(server.id)?)));
-        rank.map_or(server.slot_offset, |(group, rank)| self.slot_offset_of(group, rank))
+        rank.map_or(server.slot_offset, |(group, rank)| {
+            self.slot_offset_of(group, rank)
+        })
     }
 }
 
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -20,7 +20,11 @@
     /// A class's mean latency over the kinds of machines.
     pub(super) fn mean(&self, class: usize) -> f64 {
         let kinds = self.kinds.len();
-        self.latencies[class * kinds..(class + 1) * kinds].iter().map(|l| l.mean).sum::<f64>() / kinds as f64
+        self.latencies[class * kinds..(class + 1) * kinds]
+            .iter()
+            .map(|l| l.mean)
+            .sum::<f64>()
+            / kinds as f64
     }
 
     /// Whether a class's work takes a small part of the time that clients wait.
@@ -30,8 +34,8 @@
 
     pub(super) fn overdue(&self, class: usize) -> Micros {
         let aim = self.settings.classes[class].aim as f64;
-        (self.mean(class) * OVERDUE_OVER_MEAN).clamp(aim * OVERDUE_OVER_AIM.0, aim * OVERDUE_OVER_AIM.1)
-            as Micros
+        (self.mean(class) * OVERDUE_OVER_MEAN)
+            .clamp(aim * OVERDUE_OVER_AIM.0, aim * OVERDUE_OVER_AIM.1) as Micros
     }
 }
 
--- a/src/balancer/limits.rs
+++ b/src/balancer/limits.rs
@@ -35,15 +35,29 @@
     /// server compares with its kind: servers that are slower, for whatever cause, get less from all proxies
     /// alike. The mark fades when the server has given no answer for a while.
     pub(super) fn follow_report(&mut self, now: Micros, index: usize, report: &[f32]) {
-        let reported_ms = self.settings.report.avg_ms.and_then(|i| report.get(i)).map(|&ms| f64::from(ms));
-        let Some(reported_ms) = reported_ms.filter(|ms| ms.is_finite() && *ms > 0.0) else { return };
+        let reported_ms = self
+            .settings
+            .report
+            .avg_ms
+            .and_then(|i| report.get(i))
+            .map(|&ms| f64::from(ms));
+        let Some(reported_ms) = reported_ms.filter(|ms| ms.is_finite() && *ms > 0.0) else {
+            return;
+        };
         let share = self.share(self.servers[index].zone);
         let server = &mut self.servers[index];
         let common = &mut self.kinds[usize::from(server.kind)];
-        let usual = if common.service > 0.0 { common.service } else { reported_ms };
+        let usual = if common.service > 0.0 {
+            common.service
+        } else {
+            reported_ms
+        };
         common.service = usual + (reported_ms.min(usual * SAMPLE_CAP) - usual) * LATENCY_WEIGHT;
         let factor = (usual / reported_ms).clamp(REPORT_FACTORS.0, REPORT_FACTORS.1);
-        server.report_factor = Stamped { value: factor, at: now };
+        server.report_factor = Stamped {
+            value: factor,
+            at: now,
+        };
         if server.limit_source != LimitSource::Windows && common.limit * share < 1.0 {
             server.limit_source = LimitSource::Reported;
             server.limit = common.limit * share * factor;
@@ -64,13 +78,28 @@
             common.growing = false;
             common.limit *= BACKOFF_RATIO;
         } else if common.window.filled {
-            common.limit *= if common.growing { 2.0 } else { 1.0 + LARGE_STEP };
+            common.limit *= if common.growing {
+                2.0
+            } else {
+                1.0 + LARGE_STEP
+            };
         }
         common.limit = common.limit.clamp(MIN_LIMIT, MAX_LIMIT);
-        common.window = Window { since: now, ..Window::default() };
+        common.window = Window {
+            since: now,
+            ..Window::default()
+        };
         let of_kind = |&index: &usize| usize::from(self.servers[index].kind) == kind;
-        let individual: Vec<usize> = self.index.individual.iter().copied().filter(of_kind).collect();
-        individual.into_iter().for_each(|index| self.follow_kind(now, index));
+        let individual: Vec<usize> = self
+            .index
+            .individual
+            .iter()
+            .copied()
+            .filter(of_kind)
+            .collect();
+        individual
+            .into_iter()
+            .for_each(|index| self.follow_kind(now, index));
     }
 
     /// Gives a server that has a limit of its own its kind's, where it gave no sample for a while.
@@ -83,7 +112,11 @@
             return;
         }
         let reported = common < 1.0 && now < server.report_factor.at + REPORT_TTL;
-        server.limit_source = if reported { LimitSource::Reported } else { LimitSource::Kind };
+        server.limit_source = if reported {
+            LimitSource::Reported
+        } else {
+            LimitSource::Kind
+        };
         server.limit = common * server.report_factor.value;
         self.reindex(now, index);
     }
@@ -127,13 +160,20 @@
             }
         }
         server.limit = server.limit.clamp(MIN_LIMIT * share, MAX_LIMIT * share);
-        server.window = Window { since: now, ..Window::default() };
+        server.window = Window {
+            since: now,
+            ..Window::default()
+        };
     }
 }
 
 impl Server {
     /// The mean of its samples of late; 0 where there are none.
     pub(super) fn recent_latency(&self, now: Micros) -> f64 {
-        if now < self.recent.at + RECENT_TTL { self.recent.value } else { 0.0 }
+        if now < self.recent.at + RECENT_TTL {
+            self.recent.value
+        } else {
+            0.0
+        }
     }
 }
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -14,7 +14,12 @@
 const LONGEST_WAIT: Micros = 5 * SECOND / 2;
 
 impl Balancer {
-    pub(super) fn on_membership(&mut self, now: Micros, news: Membership<'_>, out: &mut Vec<Action>) {
+    pub(super) fn on_membership(
+        &mut self,
+        now: Micros,
+        news: Membership<'_>,
+        out: &mut Vec<Action>,
+    ) {
         let (entries, complete) = match news {
             Membership::Delta(entries) => (entries, false),
             Membership::Full(entries) => (entries, true),
@@ -36,8 +41,11 @@
         }
         if complete {
             let named = |s: &Server| !s.listed || s.seen == self.generation;
-            let gone: Vec<_> = (0..self.servers.len()).filter(|&i| !named(&self.servers[i])).collect();
-            gone.into_iter().for_each(|index| self.list(index, false, false, &mut changed));
+            let gone: Vec<_> = (0..self.servers.len())
+                .filter(|&i| !named(&self.servers[i]))
+                .collect();
+            gone.into_iter()
+                .for_each(|index| self.list(index, false, false, &mut changed));
         }
         self.regroup(now, changed);
         self.serve_queue(now, out);
@@ -54,12 +62,23 @@
     /// take at one call `every` so long, within what the rules allow; together they would keep it overbooked.
     pub(super) fn subscribe(&mut self, wait: Micros, every: Micros, out: &mut Vec<Action>) {
         // A proxy is held to what it could have asked from four times `ask_within` after a call that failed.
-        let most = self.settings.safety.ask_within.saturating_mul(4).saturating_sub(CALL_TAKES).max(SECOND);
+        let most = self
+            .settings
+            .safety
+            .ask_within
+            .saturating_mul(4)
+            .saturating_sub(CALL_TAKES)
+            .max(SECOND);
         let most = most.min(LONGEST_WAIT);
         let wait = wait.min(most / 2);
-        let span = wait.max(u64::from(self.settings.balancers - 1) * every).min(most - wait);
+        let span = wait
+            .max(u64::from(self.settings.balancers - 1) * every)
+            .min(most - wait);
         let after = wait + self.rng.u64(0..=span);
-        let later = Action::SetTimer { after, token: TIMER_SUBSCRIBE };
+        let later = Action::SetTimer {
+            after,
+            token: TIMER_SUBSCRIBE,
+        };
         out.push(if after > 0 { later } else { Action::Subscribe });
     }
 
@@ -76,7 +95,11 @@
         server.seen = self.generation;
         if server.started != entry.started {
             server.started = entry.started;
-            changed.push(Change { place: index, group: server.group, id: entry.id });
+            changed.push(Change {
+                place: index,
+                group: server.group,
+                id: entry.id,
+            });
             self.restarted(now, index);
         }
         self.list(index, listed, ready, changed);
@@ -85,9 +108,23 @@
     fn insert(&mut self, now: Micros, entry: &Backend) -> usize {
         let kind = entry.kind.min(self.settings.kinds.saturating_sub(1));
         let group = self.index.group_of(entry.zone, kind);
-        let &Backend { id, zone, cell, started, .. } = entry;
-        let server =
-            Server { id, zone, kind, cell, group, started, unanswered_since: now, ..Server::default() };
+        let &Backend {
+            id,
+            zone,
+            cell,
+            started,
+            ..
+        } = entry;
+        let server = Server {
+            id,
+            zone,
+            kind,
+            cell,
+            group,
+            started,
+            unanswered_since: now,
+            ..Server::default()
+        };
         let index = self.servers.insert(server);
         self.restarted(now, index);
         index
@@ -97,8 +134,16 @@
     fn list(&mut self, index: usize, listed: bool, ready: bool, changed: &mut Vec<Change>) {
         let server = &mut self.servers[index];
         if server.ready != ready {
-            changed.push(Change { place: index, group: server.group, id: server.id });
-            sync(self.index.cells.entry(server.cell).or_default(), index, ready);
+            changed.push(Change {
+                place: index,
+                group: server.group,
+                id: server.id,
+            });
+            sync(
+                self.index.cells.entry(server.cell).or_default(),
+                index,
+                ready,
+            );
         }
         (server.listed, server.ready) = (listed, ready);
         self.servers.forget_if_gone(index);
@@ -109,14 +154,27 @@
         let tokens = self.rng.f64();
         let server = &mut self.servers[index];
         server.limit_source = LimitSource::Kind;
-        server.report_factor = Stamped { value: 1.0, at: now };
-        server.window = Window { since: now, ..Window::default() };
+        server.report_factor = Stamped {
+            value: 1.0,
+            at: now,
+        };
+        server.window = Window {
+            since: now,
+            ..Window::default()
+        };
         server.connections_used_at.clear();
         server.failures = 0.0;
         server.ejected_until = None;
         server.strikes = 0;
-        let started = server.started.filter(|&t| now < t.saturating_add(self.settings.safety.cold_time));
-        server.cold = started.map(|started| ColdBudget { started, tokens, filled_at: now, rate: 0.0 });
+        let started = server
+            .started
+            .filter(|&t| now < t.saturating_add(self.settings.safety.cold_time));
+        server.cold = started.map(|started| ColdBudget {
+            started,
+            tokens,
+            filled_at: now,
+            rate: 0.0,
+        });
     }
 
     /// This proxy's part of a server of a zone: the inverse of how many proxies use it. Departure: bounds
@@ -124,6 +182,10 @@
     pub(super) fn share(&self, zone: u16) -> f64 {
         let balancers = f64::from(self.settings.balancers);
         let local = (balancers / f64::from(self.settings.zones)).max(1.0);
-        1.0 / if zone == self.settings.zone { local } else { balancers }
+        1.0 / if zone == self.settings.zone {
+            local
+        } else {
+            balancers
+        }
     }
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -22,7 +22,9 @@
 use crate::api::{Action, Event, Micros, Settings, SettingsError};
 use crate::demand::Demand;
 use crate::index::ChoiceIndex;
-use crate::state::{CommonLimit, Latency, PeakRate, Pool, Requests, Server, Servers, Stamped, Window};
+use crate::state::{
+    CommonLimit, Latency, PeakRate, Pool, Requests, Server, Servers, Stamped, Window,
+};
 use limits::INITIAL_LIMIT;
 use retries::RETRY_BURST;
 
@@ -65,14 +67,33 @@
     /// The first of the settings that makes no sense.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let latency =
-            |aim: Micros| Latency { count: 0, mean: aim as f64 / 4.0, base: f64::MAX, base_at: now };
+        let latency = |aim: Micros| Latency {
+            count: 0,
+            mean: aim as f64 / 4.0,
+            base: f64::MAX,
+            base_at: now,
+        };
         let kinds = usize::from(settings.kinds).max(1);
-        let latencies = settings.classes.iter().flat_map(|c| vec![latency(c.aim); kinds]).collect();
-        let window = Window { since: now, ..Window::default() };
-        let common = CommonLimit { limit: INITIAL_LIMIT, growing: true, window, service: 0.0 };
+        let latencies = settings
+            .classes
+            .iter()
+            .flat_map(|c| vec![latency(c.aim); kinds])
+            .collect();
+        let window = Window {
+            since: now,
+            ..Window::default()
+        };
+        let common = CommonLimit {
+            limit: INITIAL_LIMIT,
+            growing: true,
+            window,
+            service: 0.0,
+        };
         let share = f64::from(settings.balancers);
-        let rates = settings.tenants.iter().map(|tenant| tenant.allowance_per_s / share);
+        let rates = settings
+            .tenants
+            .iter()
+            .map(|tenant| tenant.allowance_per_s / share);
         Ok(Self {
             rng: fastrand::Rng::with_seed(seed),
             servers: Servers::default(),
@@ -85,9 +106,21 @@
             kinds: vec![common; kinds],
             tenants: Demand::new(rates, now),
             retry_tokens: RETRY_BURST,
-            trusted_idle: Stamped { value: settings.permissions.conn_idle as f64, at: now },
-            pool: Pool { slots: 0.0, limit_factor: 1.0, max_in_flight: u32::MAX, judged_at: None },
-            served: PeakRate { count: 0.0, since: now, peak: 0.0 },
+            trusted_idle: Stamped {
+                value: settings.permissions.conn_idle as f64,
+                at: now,
+            },
+            pool: Pool {
+                slots: 0.0,
+                limit_factor: 1.0,
+                max_in_flight: u32::MAX,
+                judged_at: None,
+            },
+            served: PeakRate {
+                count: 0.0,
+                since: now,
+                peak: 0.0,
+            },
             subscribe_failures: 0,
             settings,
         })
@@ -100,7 +133,11 @@
             Event::Membership(news) => self.on_membership(now, news, out),
             Event::Request(request) => self.on_request(now, request, out),
             Event::Settled(settled) => self.on_settled(now, settled, out),
-            Event::FirstByte { request, attempt, elapsed } => {
+            Event::FirstByte {
+                request,
+                attempt,
+                elapsed,
+            } => {
                 self.on_first_byte(now, request, attempt, elapsed, out);
             }
             Event::ClientGone(request) => {
@@ -116,16 +153,28 @@
     /// The listed backends that it avoids now: draining, ejected, unresponsive, or full of late.
     #[must_use]
     pub fn avoided(&self, now: Micros) -> usize {
-        let overdue = (0..self.settings.classes.len()).map(|c| self.overdue(c)).max().unwrap_or_default();
+        let overdue = (0..self.settings.classes.len())
+            .map(|c| self.overdue(c))
+            .max()
+            .unwrap_or_default();
         let avoids = |s: &Server| {
-            !s.ready || s.ejected_until.is_some() || s.is_unresponsive(now, overdue) || now < s.full_until
+            !s.ready
+                || s.ejected_until.is_some()
+                || s.is_unresponsive(now, overdue)
+                || now < s.full_until
         };
-        (0..self.servers.len()).filter(|&i| self.servers[i].listed && avoids(&self.servers[i])).count()
+        (0..self.servers.len())
+            .filter(|&i| self.servers[i].listed && avoids(&self.servers[i]))
+            .count()
     }
 
     fn on_timer(&mut self, now: Micros, token: u32, out: &mut Vec<Action>) {
         let slot = (token >> 2) as usize;
-        let expired = self.open.get(slot).and_then(|o| o.queued_until).is_some_and(|until| until <= now);
+        let expired = self
+            .open
+            .get(slot)
+            .and_then(|o| o.queued_until)
+            .is_some_and(|until| until <= now);
         match token & 3 {
             TIMER_SUBSCRIBE => out.push(Action::Subscribe),
             TIMER_QUEUE if expired => self.expire(now, slot, out),
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -21,7 +21,8 @@
         trial: bool,
         out: &mut Vec<Action>,
     ) {
-        let may_eject = failed && self.index.ejected.len() < (self.index.ready as f64 * MAX_EJECTED) as usize;
+        let may_eject =
+            failed && self.index.ejected.len() < (self.index.ready as f64 * MAX_EJECTED) as usize;
         let jitter = 0.75 + self.rng.f64() / 2.0;
         let server = &mut self.servers[index];
         if server.failures < FORGIVE_AT {
@@ -32,13 +33,19 @@
         if !failed && was_ejected {
             server.ejected_until = None;
             server.failures = server.failures.min(EJECT_AT * 0.6);
-            out.push(Action::Log(format!("readmitted server {} after a trial", server.id)));
+            out.push(Action::Log(format!(
+                "readmitted server {} after a trial",
+                server.id
+            )));
         } else if trial_failed || (!was_ejected && server.failures >= EJECT_AT && may_eject) {
             let time = (EJECTION << server.strikes.min(MAX_STRIKES)) as f64 * jitter;
             server.ejected_until = Some(now + time as Micros);
             server.strikes += 1;
             if !was_ejected {
-                out.push(Action::Log(format!("ejected server {}: its requests fail", server.id)));
+                out.push(Action::Log(format!(
+                    "ejected server {}: its requests fail",
+                    server.id
+                )));
             }
         }
     }
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -13,7 +13,10 @@
         self.kinds.iter_mut().for_each(|s| s.window.filled = true);
         self.open[slot].queued_until = Some(now + wait);
         self.queue.push(slot);
-        out.push(Action::SetTimer { after: wait, token: (slot as u32) << 2 | TIMER_QUEUE });
+        out.push(Action::SetTimer {
+            after: wait,
+            token: (slot as u32) << 2 | TIMER_QUEUE,
+        });
     }
 
     pub(super) fn dequeue(&mut self, slot: usize) {
@@ -26,18 +29,27 @@
     pub(super) fn serve_queue(&mut self, now: Micros, out: &mut Vec<Action>) {
         while !self.queue.is_empty() {
             let value = |slot: usize| self.value(&self.open[slot]);
-            let Some(best) =
-                self.queue.iter().copied().reduce(|a, b| if value(b) > value(a) { b } else { a })
+            let Some(best) = self
+                .queue
+                .iter()
+                .copied()
+                .reduce(|a, b| if value(b) > value(a) { b } else { a })
             else {
                 return;
             };
-            let Some(server) = self.pick(now, best) else { return };
+            let Some(server) = self.pick(now, best) else {
+                return;
+            };
             self.send(now, best, server, out);
         }
     }
 
     pub(super) fn value(&self, open: &Open) -> f64 {
-        let share = if open.over_share { self.settings.over_share_worth } else { 1.0 };
+        let share = if open.over_share {
+            self.settings.over_share_worth
+        } else {
+            1.0
+        };
         self.settings.classes[open.class].worth * share / self.mean(open.class)
     }
 }
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -76,8 +76,14 @@
         }
         let request = open.id;
         out.push(if self.may_refuse(now, open) {
-            let (wait, most) = (self.retry_after(open.class), self.settings.permissions.retry_after);
-            Action::Refuse { request, retry_after: most.map_or(wait, |most| most.min(wait)) }
+            let (wait, most) = (
+                self.retry_after(open.class),
+                self.settings.permissions.retry_after,
+            );
+            Action::Refuse {
+                request,
+                retry_after: most.map_or(wait, |most| most.min(wait)),
+            }
         } else {
             Action::Fail { request }
         });
@@ -97,7 +103,10 @@
         self.dequeue(slot);
         self.open[slot].answered = true;
         if self.open[slot].out() == 0 {
-            self.open[slot].attempts.iter().for_each(|a| self.servers.let_go(a.server));
+            self.open[slot]
+                .attempts
+                .iter()
+                .for_each(|a| self.servers.let_go(a.server));
             self.open.release(slot);
         }
     }
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -22,25 +22,44 @@
         if out > 0 && !permissions.second_copies {
             return Scope::Nowhere;
         }
-        let Some(first) = open.attempts.iter().find(|a| a.state != AttemptState::NeverRan) else {
+        let Some(first) = open
+            .attempts
+            .iter()
+            .find(|a| a.state != AttemptState::NeverRan)
+        else {
             return Scope::Anywhere;
         };
         match self.settings.classes[open.class].effect {
             Effect::Safe => Scope::Anywhere,
             Effect::Unsafe => Scope::Nowhere,
             Effect::Keyed { .. } if self.window_end(open) <= Some(now) => Scope::Nowhere,
-            Effect::Keyed { group: DedupGroup::All, .. } => Scope::Anywhere,
-            Effect::Keyed { group: DedupGroup::Zone, .. } => Scope::Zone(self.servers[first.server].zone),
-            Effect::Keyed { group: DedupGroup::Cell, .. } => Scope::Cell(self.servers[first.server].cell),
+            Effect::Keyed {
+                group: DedupGroup::All,
+                ..
+            } => Scope::Anywhere,
+            Effect::Keyed {
+                group: DedupGroup::Zone,
+                ..
+            } => Scope::Zone(self.servers[first.server].zone),
+            Effect::Keyed {
+                group: DedupGroup::Cell,
+                ..
+            } => Scope::Cell(self.servers[first.server].cell),
         }
     }
 
     /// Rule 2: whether the client may be told that trying again is harmless.
     pub(super) fn may_refuse(&self, now: Micros, open: &Open) -> bool {
-        let may_have_run = open.attempts.iter().any(|a| a.state != AttemptState::NeverRan);
+        let may_have_run = open
+            .attempts
+            .iter()
+            .any(|a| a.state != AttemptState::NeverRan);
         match self.settings.classes[open.class].effect {
             Effect::Safe => true,
-            Effect::Keyed { group: DedupGroup::All, .. } => self.window_end(open).is_none_or(|end| now < end),
+            Effect::Keyed {
+                group: DedupGroup::All,
+                ..
+            } => self.window_end(open).is_none_or(|end| now < end),
             Effect::Keyed { .. } | Effect::Unsafe => !may_have_run,
         }
     }
@@ -48,20 +67,34 @@
     /// Whether an attempt started now would come too late to be worth anything.
     pub(super) fn too_late(&self, now: Micros, open: &Open) -> bool {
         let class = &self.settings.classes[open.class];
-        let last =
-            if class.late_worth > 0.0 { open.deadline } else { open.deadline.min(open.arrived + class.aim) };
+        let last = if class.late_worth > 0.0 {
+            open.deadline
+        } else {
+            open.deadline.min(open.arrived + class.aim)
+        };
         now + (self.mean(open.class) / 2.0) as Micros >= last
     }
 
     /// Rule 2: when backends may forget the key of a request that may have run.
     pub(super) fn window_end(&self, open: &Open) -> Option<Micros> {
-        let Effect::Keyed { ttl, .. } = self.settings.classes[open.class].effect else { return None };
-        let first = open.attempts.iter().find(|a| a.state != AttemptState::NeverRan)?;
+        let Effect::Keyed { ttl, .. } = self.settings.classes[open.class].effect else {
+            return None;
+        };
+        let first = open
+            .attempts
+            .iter()
+            .find(|a| a.state != AttemptState::NeverRan)?;
         Some(first.sent_at.saturating_add(ttl))
     }
 
     /// An attempt failed and the client waits: another one, if the rules and the budget allow it.
-    pub(super) fn retry(&mut self, now: Micros, slot: usize, never_ran: bool, out: &mut Vec<Action>) {
+    pub(super) fn retry(
+        &mut self,
+        now: Micros,
+        slot: usize,
+        never_ran: bool,
+        out: &mut Vec<Action>,
+    ) {
         if self.open[slot].out() > 0 || self.open[slot].queued_until.is_some() {
             return;
         }
@@ -84,8 +117,11 @@
             return (open.deadline, false);
         }
         let early = self.is_quick(open.class);
-        let lost =
-            if early { class.aim as f64 * LOST_OVER_AIM } else { self.mean(open.class) * LOST_OVER_MEAN };
+        let lost = if early {
+            class.aim as f64 * LOST_OVER_AIM
+        } else {
+            self.mean(open.class) * LOST_OVER_MEAN
+        };
         (open.deadline.min(now.saturating_add(lost as Micros)), early)
     }
 }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -21,7 +21,8 @@
     /// slots spread over more servers, and the sum of its limits, with the square root of it for the chance
     /// that requests come together, bounds what it has out in all.
     pub(super) fn judge_pool(&mut self, now: Micros) {
-        let common = |group: &Group| group.members.len() as f64 * self.common_limit(group.zone, group.kind);
+        let common =
+            |group: &Group| group.members.len() as f64 * self.common_limit(group.zone, group.kind);
         let beyond = |&index: &usize| {
             let server = &self.servers[index];
             self.limit(index) - self.common_limit(server.zone, server.kind)
@@ -31,8 +32,16 @@
         let turn = (f64::from(self.settings.me) * GOLDEN_RATIO_FRACTION).fract();
         self.pool.judged_at = Some(now);
         self.pool.slots = slots;
-        self.pool.limit_factor = if slots > 0.0 { (MIN_SPREAD_SERVERS / slots).max(1.0) } else { 1.0 };
-        let most = if self.pool.limit_factor > 1.0 { (slots + slots.sqrt() + turn) as u32 } else { u32::MAX };
+        self.pool.limit_factor = if slots > 0.0 {
+            (MIN_SPREAD_SERVERS / slots).max(1.0)
+        } else {
+            1.0
+        };
+        let most = if self.pool.limit_factor > 1.0 {
+            (slots + slots.sqrt() + turn) as u32
+        } else {
+            u32::MAX
+        };
         self.pool.max_in_flight = most.max(1);
     }
 
@@ -45,14 +54,20 @@
     pub(super) fn pick(&mut self, now: Micros, slot: usize) -> Option<usize> {
         let query = self.query(now, slot)?;
         let tried: Vec<usize> = self.open[slot].attempts.iter().map(|a| a.server).collect();
-        tried.iter().for_each(|&server| self.index.flag(&self.servers[server], false));
+        tried
+            .iter()
+            .for_each(|&server| self.index.flag(&self.servers[server], false));
         let mut rng = self.rng.clone();
-        let best = self.best(now, &query, &tried, &mut rng).and_then(|best| self.index.draw(&best, &mut rng));
+        let best = self
+            .best(now, &query, &tried, &mut rng)
+            .and_then(|best| self.index.draw(&best, &mut rng));
         self.rng = rng;
         // Departure: a proxy that holds no slot on any server would serve nobody. One request may be out.
         let idle = self.in_flight == 0;
         let chosen = best.or_else(|| self.spare(now, &query, &tried).filter(|_| idle));
-        tried.into_iter().for_each(|server| self.reindex(now, server));
+        tried
+            .into_iter()
+            .for_each(|server| self.reindex(now, server));
         chosen
     }
 
@@ -61,9 +76,16 @@
         let open = &self.open[slot];
         let scope = self.scope(now, open);
         // What is overdue was lost, or its server is barred for it.
-        let out = |&s: &usize| self.servers[s].overdue_at.iter().filter(|&&at| at >= now).count() as u32;
+        let out = |&s: &usize| {
+            self.servers[s]
+                .overdue_at
+                .iter()
+                .filter(|&&at| at >= now)
+                .count() as u32
+        };
         let bounded = self.pool.max_in_flight < u32::MAX;
-        let full = bounded && self.index.scanned.iter().map(out).sum::<u32>() >= self.pool.max_in_flight;
+        let full =
+            bounded && self.index.scanned.iter().map(out).sum::<u32>() >= self.pool.max_in_flight;
         if scope == Scope::Nowhere || full {
             return None;
         }
@@ -73,17 +95,34 @@
             repeatable,
             detects_loss_early: repeatable && self.is_quick(open.class),
             overdue: self.overdue(open.class),
-            limit_factor: self.pool.limit_factor * if open.over_share { OVER_SHARE_LIMIT } else { 1.0 },
+            limit_factor: self.pool.limit_factor
+                * if open.over_share {
+                    OVER_SHARE_LIMIT
+                } else {
+                    1.0
+                },
         })
     }
 
     /// The servers of the highest rank, near ones first.
-    fn best(&self, now: Micros, query: &Query, tried: &[usize], rng: &mut Rng) -> Option<Candidates> {
+    fn best(
+        &self,
+        now: Micros,
+        query: &Query,
+        tried: &[usize],
+        rng: &mut Rng,
+    ) -> Option<Candidates> {
         let mut near = Ties::default();
         let mut far = Ties::default();
         for index in self.compared(query, tried) {
-            let Some(rank) = self.rank(now, query, index) else { continue };
-            let ties = if self.near(self.servers[index].zone) { &mut near } else { &mut far };
+            let Some(rank) = self.rank(now, query, index) else {
+                continue;
+            };
+            let ties = if self.near(self.servers[index].zone) {
+                &mut near
+            } else {
+                &mut far
+            };
             ties.offer(rank, Candidates::One(index), rng);
         }
         for (ties, wanted) in [(&mut near, true), (&mut far, false)] {
@@ -109,7 +148,11 @@
             _ => Some(&self.index.scanned),
         };
         let in_scope = |server: &Server| query.covers(server.zone, Some(server.cell));
-        let servers = servers.into_iter().flatten().copied().filter(|index| !tried.contains(index));
+        let servers = servers
+            .into_iter()
+            .flatten()
+            .copied()
+            .filter(|index| !tried.contains(index));
         servers.filter(move |&index| in_scope(&self.servers[index]))
     }
 
@@ -123,7 +166,11 @@
         // Departure: a quick attempt that its server passed over was lost on the way; it holds no slot.
         let taken = i64::from(server.in_flight) - server.passed_over() as i64;
         let trial = server.is_unresponsive(now, query.overdue);
-        let room = if trial { 1 } else { self.slots(index, query.limit_factor) - taken };
+        let room = if trial {
+            1
+        } else {
+            self.slots(index, query.limit_factor) - taken
+        };
         (room > 0).then(|| rank_of(room, server.recent_latency(now) <= 1.0))
     }
 
@@ -134,13 +181,17 @@
         let limit = self.common_limit(group.zone, group.kind) * factor;
         let (least, more) = (limit.floor(), limit.floor() + 1.0);
         let expected = (limit - least) * group.members.len() as f64;
-        let highest =
-            group.highest(expected as usize, |rank| limit + self.slot_offset_of(group, rank) >= more);
+        let highest = group.highest(expected as usize, |rank| {
+            limit + self.slot_offset_of(group, rank) >= more
+        });
         let rooms = [(more as i64, highest), (least as i64, group.runs())];
-        rooms.into_iter().filter(|(room, _)| *room > 0).find_map(|(room, runs)| {
-            let count = group.count(&runs);
-            (count > 0).then_some((room, Candidates::Members(count, number, runs)))
-        })
+        rooms
+            .into_iter()
+            .filter(|(room, _)| *room > 0)
+            .find_map(|(room, runs)| {
+                let count = group.count(&runs);
+                (count > 0).then_some((room, Candidates::Members(count, number, runs)))
+            })
     }
 
     /// The server with most of its limit left although no whole slot, for a proxy that has nothing out.
@@ -148,8 +199,14 @@
         let left = |index: usize| self.limit(index) * query.limit_factor + self.slot_offset(index);
         let compared = self.compared(query, tried);
         let compared = compared.filter(|&index| self.available(now, &self.servers[index], query));
-        let groups = self.index.groups.iter().filter(|group| query.covers(group.zone, None));
-        compared.chain(groups.flat_map(Group::tops)).max_by(|&a, &b| left(a).total_cmp(&left(b)))
+        let groups = self
+            .index
+            .groups
+            .iter()
+            .filter(|group| query.covers(group.zone, None));
+        compared
+            .chain(groups.flat_map(Group::tops))
+            .max_by(|&a, &b| left(a).total_cmp(&left(b)))
     }
 
     /// Whether a server may be chosen at all, apart from its room.
@@ -160,7 +217,8 @@
         }
         // Departure: a server that owes answers and gave none for long may hang: nothing more goes
         // there. Where what it owes may have been lost on the way, it gets one trial that is given up soon.
-        if server.is_unresponsive(now, query.overdue) && (server.trial_in_flight || !query.detects_loss_early)
+        if server.is_unresponsive(now, query.overdue)
+            && (server.trial_in_flight || !query.detects_loss_early)
         {
             return false;
         }
@@ -169,7 +227,10 @@
         if now < server.full_until {
             return false;
         }
-        server.cold.as_ref().is_none_or(|cold| cold.available(now) >= 1.0)
+        server
+            .cold
+            .as_ref()
+            .is_none_or(|cold| cold.available(now) >= 1.0)
     }
 }
 
--- a/src/balancer/selection/tests.rs
+++ b/src/balancer/selection/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::api::{
-    Action, Backend, Class, DedupGroup, Event, Membership, Outcome, Permissions, Readiness, ReportFields,
-    Request, RequestId, Safety, Settings, Settled,
+    Action, Backend, Class, DedupGroup, Event, Membership, Outcome, Permissions, Readiness,
+    ReportFields, Request, RequestId, Safety, Settings, Settled,
 };
 use crate::state::{Attempt, AttemptState, Open};
 use std::collections::BTreeSet;
@@ -21,26 +21,42 @@
 
 /// The choice as the design states it, with a look at every server.
 fn scan(balancer: &Balancer, now: Micros, slot: usize) -> Found {
-    let Some(query) = balancer.query(now, slot) else { return Found::Nothing };
-    let tried: Vec<usize> = balancer.open[slot].attempts.iter().map(|a| a.server).collect();
+    let Some(query) = balancer.query(now, slot) else {
+        return Found::Nothing;
+    };
+    let tried: Vec<usize> = balancer.open[slot]
+        .attempts
+        .iter()
+        .map(|a| a.server)
+        .collect();
     let eligible: Vec<usize> = (0..balancer.servers.len())
         .filter(|&i| balancer.servers[i].ready && !tried.contains(&i))
         .filter(|&i| query.covers(balancer.servers[i].zone, Some(balancer.servers[i].cell)))
         .filter(|&i| balancer.available(now, &balancer.servers[i], &query))
         .collect();
     for near in [true, false] {
-        let ranks =
-            eligible.iter().filter(|&&i| balancer.near(balancer.servers[i].zone) == near).filter_map(|&i| {
+        let ranks = eligible
+            .iter()
+            .filter(|&&i| balancer.near(balancer.servers[i].zone) == near)
+            .filter_map(|&i| {
                 let server = &balancer.servers[i];
                 let taken = i64::from(server.in_flight) - server.passed_over() as i64;
                 let trial = server.is_unresponsive(now, query.overdue);
-                let room = if trial { 1 } else { balancer.slots(i, query.limit_factor) - taken };
+                let room = if trial {
+                    1
+                } else {
+                    balancer.slots(i, query.limit_factor) - taken
+                };
                 (room > 0).then_some((2 * room + i64::from(server.recent_latency(now) <= 1.0), i))
             });
         let ranks: Vec<(i64, usize)> = ranks.collect();
         if let Some(&(most, _)) = ranks.iter().max() {
             return Found::Ties(
-                ranks.into_iter().filter(|&(rank, _)| rank == most).map(|(_, i)| i).collect(),
+                ranks
+                    .into_iter()
+                    .filter(|&(rank, _)| rank == most)
+                    .map(|(_, i)| i)
+                    .collect(),
             );
         }
     }
@@ -57,13 +73,23 @@
 /// The servers that the indexed choice takes in so many draws that each of those that tie is most likely among them.
 fn indexed(balancer: &mut Balancer, now: Micros, slot: usize, ties: usize) -> BTreeSet<usize> {
     let draws = ties * (12 + ties.max(1).ilog2() as usize);
-    (0..draws).filter_map(|_| balancer.pick(now, slot)).collect()
+    (0..draws)
+        .filter_map(|_| balancer.pick(now, slot))
+        .collect()
 }
 
 /// Compares the choice with a scan; tells how many servers tied.
-fn compare(balancer: &mut Balancer, now: Micros, slot: usize) -> Result<usize, (Found, BTreeSet<usize>)> {
+fn compare(
+    balancer: &mut Balancer,
+    now: Micros,
+    slot: usize,
+) -> Result<usize, (Found, BTreeSet<usize>)> {
     let expected = scan(balancer, now, slot);
-    let ties = if let Found::Ties(ties) = &expected { ties.len() } else { 1 };
+    let ties = if let Found::Ties(ties) = &expected {
+        ties.len()
+    } else {
+        1
+    };
     let found = indexed(balancer, now, slot, ties);
     let agree = match &expected {
         Found::Ties(ties) => found == *ties,
@@ -71,7 +97,11 @@
         Found::Spare(equal) => found.len() == 1 && found.is_subset(equal),
         Found::Nothing => found.is_empty(),
     };
-    if agree { Ok(ties) } else { Err((expected, found)) }
+    if agree {
+        Ok(ties)
+    } else {
+        Err((expected, found))
+    }
 }
 
 fn settings(rng: &mut Rng) -> Settings {
@@ -83,7 +113,10 @@
         late_worth: 0.0,
         effect,
     };
-    let keyed = |group| Effect::Keyed { group, ttl: 3 * SECOND };
+    let keyed = |group| Effect::Keyed {
+        group,
+        ttl: 3 * SECOND,
+    };
     let classes = vec![
         class(Effect::Safe, 500 * MS),
         class(Effect::Unsafe, 300 * MS),
@@ -105,7 +138,10 @@
         over_share_worth: 0.1,
         cross_zone_price: [0.0, 0.05][rng.usize(0..2)],
         probe_price: 0.0,
-        report: ReportFields { avg_ms: rng.bool().then_some(0), ..ReportFields::default() },
+        report: ReportFields {
+            avg_ms: rng.bool().then_some(0),
+            ..ReportFields::default()
+        },
         report_by_probe: false,
         permissions: Permissions {
             max_attempts: 3,
@@ -143,8 +179,15 @@
         let settings = settings(&mut rng);
         let balancer = Balancer::new(settings, seed, SECOND).expect("good settings");
         let servers = [4, 30, 200][rng.usize(0..3)];
-        let mut play =
-            Self { rng, balancer, now: SECOND, servers, next: 0, out: Vec::new(), sent: Vec::new() };
+        let mut play = Self {
+            rng,
+            balancer,
+            now: SECOND,
+            servers,
+            next: 0,
+            out: Vec::new(),
+            sent: Vec::new(),
+        };
         let list: Vec<Backend> = (0..servers).map(|id| play.backend(id)).collect();
         play.event(Event::Membership(Membership::Full(&list)));
         play
@@ -171,8 +214,15 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
-            if let Action::Send { request, backend, .. } = action {
-                let number = self.sent.iter().filter(|&&(sent, _)| sent == request).count() as u16;
+            if let Action::Send {
+                request, backend, ..
+            } = action
+            {
+                let number = self
+                    .sent
+                    .iter()
+                    .filter(|&&(sent, _)| sent == request)
+                    .count() as u16;
                 self.sent.push((request, number));
                 self.out.push((request, number, backend, self.now));
             }
@@ -181,11 +231,26 @@
 
     fn change_list(&mut self) {
         let whole = self.rng.u8(0..6) == 0;
-        let count = if whole { self.servers } else { 1 + self.rng.u32(0..self.servers / 3) };
-        let ids: Vec<u32> =
-            (0..count).map(|i| if whole { i } else { self.rng.u32(0..self.servers) }).collect();
+        let count = if whole {
+            self.servers
+        } else {
+            1 + self.rng.u32(0..self.servers / 3)
+        };
+        let ids: Vec<u32> = (0..count)
+            .map(|i| {
+                if whole {
+                    i
+                } else {
+                    self.rng.u32(0..self.servers)
+                }
+            })
+            .collect();
         let list: Vec<Backend> = ids.into_iter().map(|id| self.backend(id)).collect();
-        let news = if whole { Membership::Full(&list) } else { Membership::Delta(&list) };
+        let news = if whole {
+            Membership::Full(&list)
+        } else {
+            Membership::Delta(&list)
+        };
         self.event(Event::Membership(news));
     }
 
@@ -193,7 +258,8 @@
         if self.out.is_empty() {
             return;
         }
-        let (request, attempt, backend, sent_at) = self.out.swap_remove(self.rng.usize(0..self.out.len()));
+        let (request, attempt, backend, sent_at) =
+            self.out.swap_remove(self.rng.usize(0..self.out.len()));
         let outcome = match self.rng.u8(0..14) {
             0 => Outcome::Error,
             1 => Outcome::Full,
@@ -206,8 +272,16 @@
         let report = [self.rng.f32() * 100.0];
         let elapsed = self.now - sent_at;
         let closed = outcome == Outcome::Ok;
-        let settled =
-            Settled { request, backend, attempt, outcome, closed, elapsed, report: &report, spent: false };
+        let settled = Settled {
+            request,
+            backend,
+            attempt,
+            outcome,
+            closed,
+            elapsed,
+            report: &report,
+            spent: false,
+        };
         self.event(Event::Settled(settled));
     }
 
@@ -237,7 +311,8 @@
     /// A request that has failed up to twice, of any class, for which a choice is due.
     fn open_request(&mut self) -> usize {
         let class = self.rng.usize(0..5);
-        let tried = (0..self.rng.usize(0..3)).map(|_| self.rng.usize(0..self.balancer.servers.len()));
+        let tried =
+            (0..self.rng.usize(0..3)).map(|_| self.rng.usize(0..self.balancer.servers.len()));
         let tried: BTreeSet<usize> = tried.collect();
         let mut attempt = |server| Attempt {
             server,
@@ -247,7 +322,11 @@
             overdue_at: self.now,
             trial: false,
             answer_began: false,
-            state: if self.rng.bool() { AttemptState::NeverRan } else { AttemptState::MayHaveRun },
+            state: if self.rng.bool() {
+                AttemptState::NeverRan
+            } else {
+                AttemptState::MayHaveRun
+            },
         };
         let attempts = tried.into_iter().map(&mut attempt).collect();
         let over_share = self.rng.u8(0..4) == 0;
@@ -290,7 +369,10 @@
             play.balancer.open.release(slot);
         }
     }
-    assert!(compared == 6_000 && ties > 1_000, "{ties} of {compared} with a draw");
+    assert!(
+        compared == 6_000 && ties > 1_000,
+        "{ties} of {compared} with a draw"
+    );
 }
 
 #[test]
@@ -304,13 +386,19 @@
         play.balancer.recheck_due(now);
         let slot = play.open_request();
         if let Found::Ties(ties) = scan(&play.balancer, now, slot) {
-            let mut drawn: Vec<usize> =
-                (0..DRAWS * ties.len()).filter_map(|_| play.balancer.pick(now, slot)).collect();
+            let mut drawn: Vec<usize> = (0..DRAWS * ties.len())
+                .filter_map(|_| play.balancer.pick(now, slot))
+                .collect();
             drawn.sort_unstable();
             for alike in drawn.chunk_by(|a, b| a == b) {
                 // Six standard deviations of a count with this mean.
                 let off = alike.len().abs_diff(DRAWS);
-                assert!(off * off <= 36 * DRAWS, "{} of {DRAWS} draws among {}", alike.len(), ties.len());
+                assert!(
+                    off * off <= 36 * DRAWS,
+                    "{} of {DRAWS} draws among {}",
+                    alike.len(),
+                    ties.len()
+                );
             }
             judged += 1;
         }
--- a/src/bin/tillerproxy-simhost.rs
+++ b/src/bin/tillerproxy-simhost.rs
@@ -57,17 +57,26 @@
     ) -> Result<(), Stop> {
         let Some(instance) = place(&mut self.instances, who).as_mut() else {
             let expected = format!("an event for a running instance; {who} does not run");
-            return Err(WireError { offset: at, expected }.into());
+            return Err(WireError {
+                offset: at,
+                expected,
+            }
+            .into());
         };
         self.actions.clear();
         let actions = &mut self.actions;
         if let Err(panic) = catch_unwind(AssertUnwindSafe(|| run(instance, actions))) {
             let text = panic.downcast_ref::<String>().map(String::as_str);
-            let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("no text");
-            self.reply.fatal(who, &format!("the decision module panicked: {text}"));
+            let text = text
+                .or_else(|| panic.downcast_ref::<&str>().copied())
+                .unwrap_or("no text");
+            self.reply
+                .fatal(who, &format!("the decision module panicked: {text}"));
             return Err(Stop::Fatal);
         }
-        self.actions.iter().for_each(|action| self.reply.action(who, action));
+        self.actions
+            .iter()
+            .for_each(|action| self.reply.action(who, action));
         Ok(())
     }
 
@@ -87,18 +96,25 @@
         let mut current = None;
         loop {
             let at = records.offset();
-            let Some(record) = records.next_record()? else { return Ok(()) };
+            let Some(record) = records.next_record()? else {
+                return Ok(());
+            };
             let who = || {
                 let expected = "a `switch_to` before the first event of an instance".into();
-                current.ok_or(Stop::Wire(WireError { offset: at, expected }))
+                current.ok_or(Stop::Wire(WireError {
+                    offset: at,
+                    expected,
+                }))
             };
             match record {
                 Record::SwitchTo(instance) => current = Some(instance),
                 Record::PowerOn { seed, settings } => self.power_on(who()?, seed, settings, now)?,
                 Record::CrashNow => *place(&mut self.instances, who()?) = None,
                 Record::Page { list, entries } => {
-                    let entries = wire::parse_entries(entries)
-                        .map_err(|e| WireError { offset: at + 11 + e.offset, expected: e.expected })?;
+                    let entries = wire::parse_entries(entries).map_err(|e| WireError {
+                        offset: at + 11 + e.offset,
+                        expected: e.expected,
+                    })?;
                     *place(&mut self.pages, list) = Some(entries.into());
                 }
                 Record::Membership { scope, list } => {
@@ -107,8 +123,13 @@
                         (Scope::Failed, _) => Rc::from([]),
                         (_, Some(entries)) => entries,
                         (_, None) => {
-                            let expected = format!("a list that a `page` has brought; {list} was not");
-                            return Err(WireError { offset: at + 10, expected }.into());
+                            let expected =
+                                format!("a list that a `page` has brought; {list} was not");
+                            return Err(WireError {
+                                offset: at + 10,
+                                expected,
+                            }
+                            .into());
                         }
                     };
                     let news = match scope {
@@ -117,30 +138,70 @@
                         Scope::Cached => Membership::Cached(&entries),
                         Scope::Failed => Membership::Failed,
                     };
-                    self.step(who()?, at, |b, out| b.handle(now, Event::Membership(news), out))?;
+                    self.step(who()?, at, |b, out| {
+                        b.handle(now, Event::Membership(news), out)
+                    })?;
                 }
                 Record::Inbound { .. } => {
                     if let Some(request) = record.request() {
-                        self.step(who()?, at, |b, out| b.handle(now, Event::Request(request), out))?;
+                        self.step(who()?, at, |b, out| {
+                            b.handle(now, Event::Request(request), out)
+                        })?;
                     }
                 }
-                Record::FirstByte { request, attempt, elapsed } => {
-                    let event = Event::FirstByte { request, attempt, elapsed };
+                Record::FirstByte {
+                    request,
+                    attempt,
+                    elapsed,
+                } => {
+                    let event = Event::FirstByte {
+                        request,
+                        attempt,
+                        elapsed,
+                    };
                     self.step(who()?, at, |b, out| b.handle(now, event, out))?;
                 }
-                Record::Settled { request, backend, attempt, outcome, closed, elapsed, ref report } => {
+                Record::Settled {
+                    request,
+                    backend,
+                    attempt,
+                    outcome,
+                    closed,
+                    elapsed,
+                    ref report,
+                } => {
                     let elapsed = Micros::from(elapsed);
                     let spent = false;
-                    let settled =
-                        Settled { request, backend, attempt, outcome, closed, elapsed, report, spent };
-                    self.step(who()?, at, |b, out| b.handle(now, Event::Settled(settled), out))?;
+                    let settled = Settled {
+                        request,
+                        backend,
+                        attempt,
+                        outcome,
+                        closed,
+                        elapsed,
+                        report,
+                        spent,
+                    };
+                    self.step(who()?, at, |b, out| {
+                        b.handle(now, Event::Settled(settled), out)
+                    })?;
                 }
-                Record::Probed { backend, outcome, ref report } => {
-                    let event = Event::Probed { backend, outcome, report };
+                Record::Probed {
+                    backend,
+                    outcome,
+                    ref report,
+                } => {
+                    let event = Event::Probed {
+                        backend,
+                        outcome,
+                        report,
+                    };
                     self.step(who()?, at, |b, out| b.handle(now, event, out))?;
                 }
                 Record::Vanished(request) => {
-                    self.step(who()?, at, |b, out| b.handle(now, Event::ClientGone(request), out))?;
+                    self.step(who()?, at, |b, out| {
+                        b.handle(now, Event::ClientGone(request), out)
+                    })?;
                 }
                 Record::Wakeup(token) => {
                     self.step(who()?, at, |b, out| b.handle(now, Event::Timer(token), out))?;
@@ -167,14 +228,25 @@
     if bytes.is_empty() {
         return Ok(false);
     }
-    let cut_short = |bytes: &[u8], expected: String| Stop::Wire(WireError { offset: bytes.len(), expected });
+    let cut_short = |bytes: &[u8], expected: String| {
+        Stop::Wire(WireError {
+            offset: bytes.len(),
+            expected,
+        })
+    };
     let Ok(header) = <[u8; BATCH_HEADER]>::try_from(bytes.as_slice()) else {
-        return Err(cut_short(bytes, format!("a batch header of {BATCH_HEADER} bytes")));
+        return Err(cut_short(
+            bytes,
+            format!("a batch header of {BATCH_HEADER} bytes"),
+        ));
     };
     let length = wire::batch_length(header);
     input.take(length as u64).read_to_end(bytes)?;
     if bytes.len() < BATCH_HEADER + length {
-        return Err(cut_short(bytes, format!("{length} bytes behind the batch header")));
+        return Err(cut_short(
+            bytes,
+            format!("{length} bytes behind the batch header"),
+        ));
     }
     Ok(true)
 }
--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -38,7 +38,11 @@
 const MAX_DRAIN_DEADLINE: Duration = Duration::from_secs(3);
 
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }?;
     // A restarted proxy takes its old address although connections of the old process linger.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
@@ -54,7 +58,10 @@
 impl Signals {
     /// Takes them over. Until then either ends the process, so this comes before anything else.
     fn install() -> std::io::Result<Self> {
-        Ok(Self { stop: signal(SignalKind::terminate())?, reload: signal(SignalKind::hangup())? })
+        Ok(Self {
+            stop: signal(SignalKind::terminate())?,
+            reload: signal(SignalKind::hangup())?,
+        })
     }
 }
 
@@ -70,9 +77,13 @@
         match Config::from_env(shared) {
             Ok(config) => {
                 log.set_filter(config.log_filter);
-                tracing::info!("read the configuration again: discovery is at {}", config.discovery);
-                discovery
-                    .send_if_modified(|now| std::mem::replace(now, config.discovery) != config.discovery);
+                tracing::info!(
+                    "read the configuration again: discovery is at {}",
+                    config.discovery
+                );
+                discovery.send_if_modified(|now| {
+                    std::mem::replace(now, config.discovery) != config.discovery
+                });
             }
             Err(error) => tracing::warn!("kept the old configuration: {error}"),
         }
@@ -87,16 +98,25 @@
 ) -> Result<(), Box<dyn Error>> {
     let clock = Clock::start();
     let shared = inherited.is_some();
-    let calls = config.operator.map(|at| listen(at).map_err(|e| format!("cannot listen on {at}: {e}")));
+    let calls = config
+        .operator
+        .map(|at| listen(at).map_err(|e| format!("cannot listen on {at}: {e}")));
     let calls = calls.transpose()?;
     if let Some(calls) = &calls {
         tracing::info!("operators call {}", calls.local_addr()?);
     }
     let counters = Counters::new(&config.names.classes);
     let settings = config.settings;
-    let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-    let limits =
-        Limits { max_attempts: settings.permissions.max_attempts, report_by_probe: settings.report_by_probe };
+    let longest = settings
+        .classes
+        .iter()
+        .map(|c| c.deadline)
+        .max()
+        .unwrap_or_default();
+    let limits = Limits {
+        max_attempts: settings.permissions.max_attempts,
+        report_by_probe: settings.report_by_probe,
+    };
     let fleet = Fleet::new(
         config.budget.backends,
         config.dial_timeout,
@@ -106,15 +126,23 @@
     );
     let listener = match inherited {
         Some(listener) => TcpListener::from_std(listener)?,
-        None => listen(config.listen).map_err(|e| format!("cannot listen on {}: {e}", config.listen))?,
+        None => {
+            listen(config.listen).map_err(|e| format!("cannot listen on {}: {e}", config.listen))?
+        }
     };
     let listener = Rc::new(listener);
     tracing::info!("{} listens on {}", config.name, listener.local_addr()?);
     let balancer = Balancer::new(settings.clone(), config.seed, clock.now())?;
     let (subscribe, subscriptions) = mpsc::unbounded_channel();
     let lifecycle = Lifecycle::start();
-    let (driver, handle) =
-        Driver::new(balancer, clock, Rc::clone(&fleet), limits, subscribe, Rc::clone(&lifecycle));
+    let (driver, handle) = Driver::new(
+        balancer,
+        clock,
+        Rc::clone(&fleet),
+        limits,
+        subscribe,
+        Rc::clone(&lifecycle),
+    );
     if let Some(calls) = calls {
         let (lifecycle, counters) = (Rc::clone(&lifecycle), Rc::clone(&counters));
         let operator = Operator::new(lifecycle, counters, Rc::clone(&fleet), handle.clone());
@@ -124,9 +152,23 @@
     let asked = Asked::new(subscriptions, settings.me, settings.balancers);
     let asked = settings.discovery_on_request.then_some(asked);
     let (discovery, addresses) = watch::channel(config.discovery);
-    let mut watcher = Watcher::new(addresses, translator, handle.clone(), Rc::clone(&lifecycle), asked);
+    let mut watcher = Watcher::new(
+        addresses,
+        translator,
+        handle.clone(),
+        Rc::clone(&lifecycle),
+        asked,
+    );
     let (names, budget) = (&config.names, config.budget);
-    let clients = Clients::new(handle, clock, &settings, names, Rc::clone(&lifecycle), counters, budget);
+    let clients = Clients::new(
+        handle,
+        clock,
+        &settings,
+        names,
+        Rc::clone(&lifecycle),
+        counters,
+        budget,
+    );
 
     let Signals { mut stop, reload } = signals;
     tokio::task::spawn_local(follow_configuration(reload, discovery, log, shared));
@@ -175,7 +217,10 @@
             }
         }
         // A connection that has come in this very turn would be reset.
-        if !listener.as_ref().is_some_and(|listener| clients.take_waiting(listener)) {
+        if !listener
+            .as_ref()
+            .is_some_and(|listener| clients.take_waiting(listener))
+        {
             return;
         }
     }
@@ -183,7 +228,9 @@
 
 fn start(log: LogControl) -> Result<(), Box<dyn Error>> {
     let inherited = inherited::from_env()?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, async {
         let signals = Signals::install()?;
         let config = Config::from_env(inherited.is_some())?;
--- a/src/demand.rs
+++ b/src/demand.rs
@@ -46,18 +46,34 @@
 impl Demand {
     /// Tenants with these shares, requests a second at this proxy. Each begins with a second's tokens.
     pub(crate) fn new(rates: impl Iterator<Item = f64>, now: Micros) -> Self {
-        let tenant = |rate: f64| Tenant { rate, tokens: rate, asked_at: now, asked: 0 };
+        let tenant = |rate: f64| Tenant {
+            rate,
+            tokens: rate,
+            asked_at: now,
+            asked: 0,
+        };
         let tenants: Vec<Tenant> = rates.map(tenant).collect();
         let total_rate = tenants.iter().map(|tenant| tenant.rate).sum();
-        Self { tenants, sum: 0, moment: 0, recent: VecDeque::new(), total_rate }
+        Self {
+            tenants,
+            sum: 0,
+            moment: 0,
+            recent: VecDeque::new(),
+            total_rate,
+        }
     }
 
     /// A tenant asks: whether it has a token left, which it uses up. A tenant that is not known has none to ask for.
     pub(crate) fn take(&mut self, now: Micros, tenant: usize) -> bool {
         self.forget(now);
-        let Some(asking) = self.tenants.get_mut(tenant) else { return true };
+        let Some(asking) = self.tenants.get_mut(tenant) else {
+            return true;
+        };
         let before = asking.asked;
-        let (left, elapsed) = (asking.asked(now), now.saturating_sub(asking.asked_at) as f64 / SECOND);
+        let (left, elapsed) = (
+            asking.asked(now),
+            now.saturating_sub(asking.asked_at) as f64 / SECOND,
+        );
         self.sum += left + UNITS - before;
         self.moment += (left + UNITS) * i128::from(now) - before * i128::from(asking.asked_at);
         (asking.asked, asking.asked_at) = (left + UNITS, now);
@@ -70,7 +86,9 @@
 
     /// Whether a tenant asks for more of its share than the tenants do on the whole. Called right after `take`.
     pub(crate) fn is_above_average(&self, now: Micros, tenant: usize) -> bool {
-        let Some(asking) = self.tenants.get(tenant) else { return false };
+        let Some(asking) = self.tenants.get(tenant) else {
+            return false;
+        };
         let faded = self.sum * i128::from(now) - self.moment;
         let all = self.sum as f64 - faded as f64 / FADES as f64;
         asking.asked(now) as f64 * self.total_rate > all * asking.rate
--- a/src/demand/tests.rs
+++ b/src/demand/tests.rs
@@ -17,7 +17,8 @@
 
     fn take(&mut self, now: Micros) -> bool {
         self.asked = self.recent(now) + 1.0;
-        self.tokens = (self.tokens + self.rate * (now - self.at) as f64 / 1e6).min(self.rate.max(1.0));
+        self.tokens =
+            (self.tokens + self.rate * (now - self.at) as f64 / 1e6).min(self.rate.max(1.0));
         self.at = now;
         let within = self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(within));
@@ -31,15 +32,30 @@
     for seed in 0..30 {
         let mut rng = Rng::with_seed(seed);
         let mut now = rng.u64(0..1 << 50);
-        let rates: Vec<f64> = (0..rng.usize(1..40)).map(|_| f64::from(rng.u32(0..40)) / 10.0).collect();
+        let rates: Vec<f64> = (0..rng.usize(1..40))
+            .map(|_| f64::from(rng.u32(0..40)) / 10.0)
+            .collect();
         let mut demand = Demand::new(rates.iter().copied(), now);
-        let plain = |&rate: &f64| Plain { rate, tokens: rate, at: now, asked: 0.0 };
+        let plain = |&rate: &f64| Plain {
+            rate,
+            tokens: rate,
+            at: now,
+            asked: 0.0,
+        };
         let mut tenants: Vec<Plain> = rates.iter().map(plain).collect();
         for _ in 0..2_000 {
-            now += if rng.u8(0..200) == 0 { rng.u64(0..2 * FADES) } else { rng.u64(0..100_000) };
+            now += if rng.u8(0..200) == 0 {
+                rng.u64(0..2 * FADES)
+            } else {
+                rng.u64(0..100_000)
+            };
             let some = rng.usize(1..=tenants.len());
             let tenant = rng.usize(0..some);
-            assert_eq!(demand.take(now, tenant), tenants[tenant].take(now), "seed {seed}");
+            assert_eq!(
+                demand.take(now, tenant),
+                tenants[tenant].take(now),
+                "seed {seed}"
+            );
             let all: f64 = tenants.iter().map(|tenant| tenant.recent(now)).sum();
             let own = tenants[tenant].recent(now) * rates.iter().sum::<f64>();
             let average = all * rates[tenant];
@@ -55,7 +71,10 @@
             }
         }
     }
-    assert!(above > 1_000 && judged - above > 1_000, "{above} of {judged}");
+    assert!(
+        above > 1_000 && judged - above > 1_000,
+        "{above} of {judged}"
+    );
 }
 
 #[test]
--- a/src/index.rs
+++ b/src/index.rs
@@ -128,7 +128,9 @@
 
     /// How many members of these ranks have the flag.
     pub(crate) fn count(&self, ranks: Range<usize>) -> usize {
-        self.words(ranks).map(|(_, word)| word.count_ones() as usize).sum()
+        self.words(ranks)
+            .map(|(_, word)| word.count_ones() as usize)
+            .sum()
     }
 
     /// The rank of the `nth` member, from 0, that has the flag among these ranks.
@@ -147,14 +149,29 @@
     /// The words of flags that cover these ranks, with the flags of other ranks cleared.
     fn words(&self, ranks: Range<usize>) -> impl Iterator<Item = (usize, u64)> {
         let first = ranks.start / WORD;
-        let end = if ranks.is_empty() { first } else { ranks.end.div_ceil(WORD) };
+        let end = if ranks.is_empty() {
+            first
+        } else {
+            ranks.end.div_ceil(WORD)
+        };
         let mask = move |at: usize| {
-            let from = if at == first { u64::MAX << (ranks.start % WORD) } else { u64::MAX };
+            let from = if at == first {
+                u64::MAX << (ranks.start % WORD)
+            } else {
+                u64::MAX
+            };
             let beyond = (at + 1) * WORD;
-            let to = if beyond > ranks.end { u64::MAX >> (beyond - ranks.end) } else { u64::MAX };
+            let to = if beyond > ranks.end {
+                u64::MAX >> (beyond - ranks.end)
+            } else {
+                u64::MAX
+            };
             from & to
         };
-        self.flags[first..end].iter().enumerate().map(move |(i, word)| (first + i, word & mask(first + i)))
+        self.flags[first..end]
+            .iter()
+            .enumerate()
+            .map(move |(i, word)| (first + i, word & mask(first + i)))
     }
 }
 
@@ -184,7 +201,11 @@
     pub(crate) fn highest(&self, expected: usize, holds: impl Fn(usize) -> bool) -> Runs {
         let (wrap, end) = (self.wrap, self.members.len());
         let first = first_rank(0..wrap, wrap.saturating_sub(expected), &holds);
-        let second = first_rank(wrap..end, end.saturating_sub(expected.saturating_sub(wrap)), &holds);
+        let second = first_rank(
+            wrap..end,
+            end.saturating_sub(expected.saturating_sub(wrap)),
+            &holds,
+        );
         [first..wrap, second..end]
     }
 
@@ -206,7 +227,9 @@
     pub(crate) fn tops(&self) -> impl Iterator<Item = usize> {
         self.runs().into_iter().filter_map(|run| {
             let last = self.members.count(run.clone()).checked_sub(1)?;
-            self.members.select(run, last).map(|rank| self.members.place(rank))
+            self.members
+                .select(run, last)
+                .map(|rank| self.members.place(rank))
         })
     }
 }
@@ -309,7 +332,13 @@
     /// The group of a zone and kind, made where it is new.
     pub(crate) fn group_of(&mut self, zone: u16, kind: u8) -> usize {
         *self.by_key.entry((zone, kind)).or_insert_with(|| {
-            self.groups.push(Group { zone, kind, members: RankedSet::default(), version: 0, wrap: 0 });
+            self.groups.push(Group {
+                zone,
+                kind,
+                members: RankedSet::default(),
+                version: 0,
+                wrap: 0,
+            });
             self.groups.len() - 1
         })
     }
@@ -329,20 +358,32 @@
         for alike in batch.chunk_by(|a, b| a.group == b.group) {
             let number = alike[0].group;
             let member = |&place: &usize| servers[place].ready && servers[place].group == number;
-            let places = alike.iter().map(|change| (change.id, servers.find(change.id).filter(member)));
+            let places = alike
+                .iter()
+                .map(|change| (change.id, servers.find(change.id).filter(member)));
             let group = &mut self.groups[number];
             self.ready -= group.members.len();
             group.members.apply(places.collect());
             let members = group.members.len();
             self.ready += members;
             group.version += 1;
-            let first = if members > 0 { unwrapped_offset(0, members) } else { 0.0 };
+            let first = if members > 0 {
+                unwrapped_offset(0, members)
+            } else {
+                0.0
+            };
             let next_turn = first.floor() + 1.0;
             let guess = ((next_turn - first) * members as f64) as usize;
-            group.wrap = first_rank(0..members, guess, |rank| unwrapped_offset(rank, members) >= next_turn);
+            group.wrap = first_rank(0..members, guess, |rank| {
+                unwrapped_offset(rank, members) >= next_turn
+            });
             changed.push(number);
         }
-        places.extend(self.scanned.iter().filter(|&&place| changed.contains(&servers[place].group)));
+        places.extend(
+            self.scanned
+                .iter()
+                .filter(|&&place| changed.contains(&servers[place].group)),
+        );
         places
     }
 
@@ -354,8 +395,16 @@
         position: Position,
         until: Option<Micros>,
     ) {
-        sync(&mut self.individual, place, server.ready && server.limit_source != LimitSource::Kind);
-        sync(&mut self.ejected, place, server.ready && server.ejected_until.is_some());
+        sync(
+            &mut self.individual,
+            place,
+            server.ready && server.limit_source != LimitSource::Kind,
+        );
+        sync(
+            &mut self.ejected,
+            place,
+            server.ready && server.ejected_until.is_some(),
+        );
         sync(&mut self.scanned, place, position == Position::Scanned);
         self.flag(server, position == Position::Indexed);
         if let Some(until) = until
--- a/src/index/tests.rs
+++ b/src/index/tests.rs
@@ -29,16 +29,33 @@
     }
 
     fn check(&self, ranks: Range<usize>) {
-        let members: Vec<_> = self.plain.iter().map(|(&id, &(place, flag))| (id, place, flag)).collect();
+        let members: Vec<_> = self
+            .plain
+            .iter()
+            .map(|(&id, &(place, flag))| (id, place, flag))
+            .collect();
         assert_eq!(self.set.len(), members.len());
         for (rank, &(id, place, flag)) in members.iter().enumerate() {
             assert_eq!(self.set.rank(id), Some(rank));
-            assert_eq!((self.set.place(rank), self.set.flag(rank)), (place, flag), "rank {rank}");
+            assert_eq!(
+                (self.set.place(rank), self.set.flag(rank)),
+                (place, flag),
+                "rank {rank}"
+            );
         }
         let flagged: Vec<usize> = ranks.clone().filter(|&rank| members[rank].2).collect();
-        assert_eq!(self.set.count(ranks.clone()), flagged.len(), "{ranks:?} of {}", members.len());
+        assert_eq!(
+            self.set.count(ranks.clone()),
+            flagged.len(),
+            "{ranks:?} of {}",
+            members.len()
+        );
         for nth in 0..=flagged.len() {
-            assert_eq!(self.set.select(ranks.clone(), nth), flagged.get(nth).copied(), "{ranks:?}, {nth}");
+            assert_eq!(
+                self.set.select(ranks.clone(), nth),
+                flagged.get(nth).copied(),
+                "{ranks:?}, {nth}"
+            );
         }
     }
 }
@@ -49,7 +66,11 @@
         let mut rng = Rng::with_seed(seed);
         let mut pair = Pair::default();
         for _ in 0..60 {
-            let size = if rng.u8(0..4) == 0 { rng.usize(0..120) } else { rng.usize(0..4) };
+            let size = if rng.u8(0..4) == 0 {
+                rng.usize(0..120)
+            } else {
+                rng.usize(0..4)
+            };
             let mut ids: Vec<BackendId> = (0..size).map(|_| rng.u32(0..300)).collect();
             ids.sort_unstable();
             ids.dedup();
@@ -67,7 +88,13 @@
 }
 
 fn ready(id: BackendId, group: usize) -> Server {
-    Server { id, group, ready: true, listed: true, ..Server::default() }
+    Server {
+        id,
+        group,
+        ready: true,
+        listed: true,
+        ..Server::default()
+    }
 }
 
 fn change(place: usize, group: usize, id: BackendId) -> Change {
@@ -80,14 +107,29 @@
     let mut servers = Servers::default();
     let (own, other) = (index.group_of(0, 0), index.group_of(1, 0));
     assert_eq!(index.group_of(0, 0), own);
-    let places = [(5, own), (3, own), (4, other)].map(|(id, group)| servers.insert(ready(id, group)));
+    let places =
+        [(5, own), (3, own), (4, other)].map(|(id, group)| servers.insert(ready(id, group)));
     let came = |n: usize, group, id| change(places[n], group, id);
-    let all = vec![came(0, own, 5), came(1, own, 3), came(2, other, 4), came(0, own, 5)];
+    let all = vec![
+        came(0, own, 5),
+        came(1, own, 3),
+        came(2, other, 4),
+        came(0, own, 5),
+    ];
     index.apply(all, &servers, |rank, members| rank as f64 / members as f64);
     assert_eq!((index.ready, index.groups[own].members.len()), (3, 2));
     servers[places[0]].ready = false;
-    index.apply(vec![came(0, own, 5)], &servers, |rank, members| rank as f64 / members as f64);
-    assert_eq!((index.ready, index.groups[own].version, index.groups[other].version), (2, 2, 1));
+    index.apply(vec![came(0, own, 5)], &servers, |rank, members| {
+        rank as f64 / members as f64
+    });
+    assert_eq!(
+        (
+            index.ready,
+            index.groups[own].version,
+            index.groups[other].version
+        ),
+        (2, 2, 1)
+    );
 }
 
 #[test]
@@ -97,17 +139,24 @@
             let mut index = ChoiceIndex::default();
             let mut servers = Servers::default();
             let group = index.group_of(0, 0);
-            let batch = (0..members).map(|id| change(servers.insert(ready(id, group)), group, id)).collect();
-            let unwrapped_offset = |rank: usize, members: usize| rank as f64 / members as f64 + shift;
+            let batch = (0..members)
+                .map(|id| change(servers.insert(ready(id, group)), group, id))
+                .collect();
+            let unwrapped_offset =
+                |rank: usize, members: usize| rank as f64 / members as f64 + shift;
             index.apply(batch, &servers, unwrapped_offset);
             let offset = |rank: usize| unwrapped_offset(rank, members as usize).fract();
             for (least, guess) in [(0.0, 0), (0.2, 3), (0.5, 99), (0.97, 1), (2.0, 5)] {
                 let found = index.groups[group].highest(guess, |rank| offset(rank) >= least);
                 let mut found: Vec<usize> = found.into_iter().flatten().collect();
                 found.sort_unstable();
-                let expected: Vec<usize> =
-                    (0..members as usize).filter(|&rank| offset(rank) >= least).collect();
-                assert_eq!(found, expected, "{members} members, shifted by {shift}, at least {least}");
+                let expected: Vec<usize> = (0..members as usize)
+                    .filter(|&rank| offset(rank) >= least)
+                    .collect();
+                assert_eq!(
+                    found, expected,
+                    "{members} members, shifted by {shift}, at least {least}"
+                );
             }
         }
     }
--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -31,9 +31,17 @@
         cancel: oneshot::Receiver<()>,
         begins: impl FnOnce(Served),
     ) -> AttemptResult {
-        let attempt = Attempt { fleet: &self, endpoint: &endpoint, call: &call, deadlines };
+        let attempt = Attempt {
+            fleet: &self,
+            endpoint: &endpoint,
+            call: &call,
+            deadlines,
+        };
         let mut result = attempt.run(cancel, begins).await;
-        result.spent = call.body.progress().is_some_and(|progress| progress.is_spent());
+        result.spent = call
+            .body
+            .progress()
+            .is_some_and(|progress| progress.is_spent());
         result
     }
 }
@@ -47,7 +55,11 @@
 }
 
 impl Attempt<'_> {
-    async fn run(&self, mut cancel: oneshot::Receiver<()>, begins: impl FnOnce(Served)) -> AttemptResult {
+    async fn run(
+        &self,
+        mut cancel: oneshot::Receiver<()>,
+        begins: impl FnOnce(Served),
+    ) -> AttemptResult {
         let connection = tokio::select! {
             biased;
             connection = self.fleet.connection(self.endpoint, self.deadlines.give_up) => connection,
@@ -62,16 +74,23 @@
         if !self.endpoint.is_ready() || connection.generation != self.endpoint.generation() {
             return Outcome::Moot.into();
         }
-        let left = self.deadlines.give_up.saturating_duration_since(Instant::now());
+        let left = self
+            .deadlines
+            .give_up
+            .saturating_duration_since(Instant::now());
         if left < LEAST_TIME {
             self.fleet.keep(self.endpoint, connection);
             return Outcome::Moot.into();
         }
-        let Some(body) = self.call.body.for_attempt() else { return Outcome::Moot.into() };
+        let Some(body) = self.call.body.for_attempt() else {
+            return Outcome::Moot.into();
+        };
         let request = build_request(self.call, body, self.endpoint.address(), left);
         let whole_at = whole_at(&connection, &request);
         connection.wire.begin_request(whole_at);
-        let exchanged = self.exchange(&mut connection, request, whole_at, left, &mut cancel).await;
+        let exchanged = self
+            .exchange(&mut connection, request, whole_at, left, &mut cancel)
+            .await;
         // Rule 2: what the socket did not take whole can't run; of anything else nothing is certain. Reading
         // the count and dropping the connection happen in one step, so nothing more is written in between.
         let all_written = self.is_written(&connection, whole_at);
@@ -116,7 +135,11 @@
     fn is_written_on(&self, written: u64, whole_at: Option<u64>) -> bool {
         match whole_at {
             Some(whole) => written >= whole,
-            None => self.call.body.progress().is_some_and(|progress| progress.finished_at().is_some()),
+            None => self
+                .call
+                .body
+                .progress()
+                .is_some_and(|progress| progress.finished_at().is_some()),
         }
     }
 
@@ -128,7 +151,11 @@
         cancel: oneshot::Receiver<()>,
         begins: impl FnOnce(Served),
     ) -> AttemptResult {
-        let Reply { status, headers, body } = reply;
+        let Reply {
+            status,
+            headers,
+            body,
+        } = reply;
         match body {
             ReplyBody::Partial(answer) => {
                 let outcome = self.relay(answer, &headers, cancel, begins).await;
@@ -136,14 +163,30 @@
                     self.fleet.keep(self.endpoint, connection);
                 }
                 let body = ReplyBody::Whole(BufferedBody::default());
-                let result = self.fleet.result_of(Reply { status, headers, body });
-                AttemptResult { outcome, served: None, ..result }
+                let result = self.fleet.result_of(Reply {
+                    status,
+                    headers,
+                    body,
+                });
+                AttemptResult {
+                    outcome,
+                    served: None,
+                    ..result
+                }
             }
             ReplyBody::Whole(_) => {
                 self.fleet.keep(self.endpoint, connection);
-                self.fleet.result_of(Reply { status, headers, body })
+                self.fleet.result_of(Reply {
+                    status,
+                    headers,
+                    body,
+                })
             }
-            ReplyBody::Unread => self.fleet.result_of(Reply { status, headers, body }),
+            ReplyBody::Unread => self.fleet.result_of(Reply {
+                status,
+                headers,
+                body,
+            }),
         }
     }
 
@@ -157,7 +200,10 @@
     ) -> Outcome {
         let (sender, streamed) = StreamedAnswer::channel(answer.length);
         let body = AnswerBody::Streamed(streamed);
-        begins(Served { body, content_type: headers.get(CONTENT_TYPE).cloned() });
+        begins(Served {
+            body,
+            content_type: headers.get(CONTENT_TYPE).cloned(),
+        });
         relay_answer(sender, answer, cancel, &self.call.cancel).await
     }
 
@@ -166,11 +212,20 @@
     /// answer.
     fn answered_early(&self, reply: Reply) -> AttemptResult {
         let result = self.fleet.result_of(reply);
-        if result.outcome == Outcome::Ok { Outcome::Spoilt.into() } else { result }
+        if result.outcome == Outcome::Ok {
+            Outcome::Spoilt.into()
+        } else {
+            result
+        }
     }
 
     fn failure(&self, error: &ExchangeError, all_written: bool) -> Outcome {
-        let client_broke = || self.call.body.progress().is_some_and(|progress| progress.is_broken());
+        let client_broke = || {
+            self.call
+                .body
+                .progress()
+                .is_some_and(|progress| progress.is_broken())
+        };
         match error {
             // The client's own doing is reported of no backend.
             _ if !all_written && client_broke() => Outcome::Moot,
--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -52,7 +52,10 @@
     /// The client's id of the request; empty where it is no text.
     #[must_use]
     pub fn correlation_id(&self) -> &str {
-        self.headers.get(CORRELATION_ID).and_then(|id| id.to_str().ok()).unwrap_or_default()
+        self.headers
+            .get(CORRELATION_ID)
+            .and_then(|id| id.to_str().ok())
+            .unwrap_or_default()
     }
 }
 
@@ -89,6 +92,11 @@
 
 impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, served: None, report: Vec::new(), spent: false }
+        Self {
+            outcome,
+            served: None,
+            report: Vec::new(),
+            spent: false,
+        }
     }
 }
--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -62,7 +62,11 @@
 
     fn record_written(&self, bytes: u64) {
         self.written.set(self.written.get() + bytes);
-        if self.whole_at.get().is_some_and(|whole| self.written.get() >= whole) {
+        if self
+            .whole_at
+            .get()
+            .is_some_and(|whole| self.written.get() >= whole)
+        {
             self.whole_at.set(None);
             self.counters.record_attempt();
         }
@@ -82,7 +86,11 @@
 }
 
 impl AsyncRead for WireIo {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let old = buf.filled().len();
         let read = self.0.socket.poll_read(cx, buf);
         if buf.filled().len() > old && !self.0.in_use.get() {
@@ -93,7 +101,11 @@
 }
 
 impl AsyncWrite for WireIo {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.record(self.0.socket.poll_write(cx, |stream| stream.try_write(buf)))
     }
 
@@ -102,7 +114,11 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.record(self.0.socket.poll_write(cx, |stream| stream.try_write_vectored(bufs)))
+        self.record(
+            self.0
+                .socket
+                .poll_write(cx, |stream| stream.try_write_vectored(bufs)),
+        )
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -159,13 +175,22 @@
         tracing::debug!(backend = %endpoint.address(), local = ?stream.local_addr().ok(), "connected");
         let wire = Rc::new(Wire::new(Socket::new(stream), stray_bytes, counters));
         let io = TokioIo::new(WireIo(Rc::clone(&wire)));
-        let handshake = http1::Builder::new().max_buf_size(BACKEND_HEAD_CAP).handshake(io).await;
+        let handshake = http1::Builder::new()
+            .max_buf_size(BACKEND_HEAD_CAP)
+            .handshake(io)
+            .await;
         let (sender, connection) = handshake.map_err(|_| ConnectError::Backend)?;
         let task = tokio::task::spawn_local(async move {
             // How it ended shows in the exchange that was on it.
             let _ = connection.await;
         });
-        Ok(Self { sender, wire, task, generation, _count: count })
+        Ok(Self {
+            sender,
+            wire,
+            task,
+            generation,
+            _count: count,
+        })
     }
 }
 
--- a/src/proxy/backends/exchange.rs
+++ b/src/proxy/backends/exchange.rs
@@ -28,9 +28,19 @@
 impl From<hyper::Error> for ExchangeError {
     fn from(error: hyper::Error) -> Self {
         // A chunked body that can't be read shows only in the kind of the cause.
-        let cause = error.source().and_then(|cause| cause.downcast_ref::<io::Error>()).map(io::Error::kind);
-        let unreadable = matches!(cause, Some(io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData));
-        if error.is_parse() || unreadable { Self::Malformed } else { Self::Connection }
+        let cause = error
+            .source()
+            .and_then(|cause| cause.downcast_ref::<io::Error>())
+            .map(io::Error::kind);
+        let unreadable = matches!(
+            cause,
+            Some(io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData)
+        );
+        if error.is_parse() || unreadable {
+            Self::Malformed
+        } else {
+            Self::Connection
+        }
     }
 }
 
@@ -46,7 +56,11 @@
     }
     let (head, body) = response.into_parts();
     let body = read_body(body, head.status == StatusCode::OK).await?;
-    Ok(Reply { status: head.status, headers: head.headers, body })
+    Ok(Reply {
+        status: head.status,
+        headers: head.headers,
+        body,
+    })
 }
 
 /// Reads a body as far as it fits, and waits for one without a length only so long where it is `good`.
@@ -69,7 +83,11 @@
     if !good {
         return Ok(ReplyBody::Unread);
     }
-    Ok(ReplyBody::Partial(PartialBody { first: first.take(), rest: body, length }))
+    Ok(ReplyBody::Partial(PartialBody {
+        first: first.take(),
+        rest: body,
+        length,
+    }))
 }
 
 /// Whether the head leaves hope for a good answer. Where it does not, failing at once leaves time for another
@@ -84,7 +102,13 @@
 }
 
 fn closes_connection(response: &Response<Incoming>) -> bool {
-    let named = response.headers().get_all(CONNECTION).iter().filter_map(|v| v.to_str().ok());
+    let named = response
+        .headers()
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|v| v.to_str().ok());
     response.version() == Version::HTTP_10
-        || named.flat_map(|v| v.split(',')).any(|word| word.trim().eq_ignore_ascii_case("close"))
+        || named
+            .flat_map(|v| v.split(','))
+            .any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
--- a/src/proxy/backends/fleet.rs
+++ b/src/proxy/backends/fleet.rs
@@ -111,16 +111,29 @@
     }
 
     /// Takes what discovery says of one backend.
-    pub fn update(&self, id: BackendId, address: SocketAddr, readiness: Readiness, started: Option<Micros>) {
+    pub fn update(
+        &self,
+        id: BackendId,
+        address: SocketAddr,
+        readiness: Readiness,
+        started: Option<Micros>,
+    ) {
         let mut endpoints = self.endpoints.borrow_mut();
         if readiness == Readiness::Gone {
             // Attempts that are out there hold it until they end; a backend of its name later is another one.
-            return endpoints.remove(&id).iter().for_each(|endpoint| endpoint.remove());
+            return endpoints
+                .remove(&id)
+                .iter()
+                .for_each(|endpoint| endpoint.remove());
         }
-        let endpoint = endpoints.entry(id).or_insert_with(|| Endpoint::new(address, started));
+        let endpoint = endpoints
+            .entry(id)
+            .or_insert_with(|| Endpoint::new(address, started));
         endpoint.ready.set(readiness == Readiness::Ready);
         // The connections of the old process are dead, or will end as resets.
-        if endpoint.started.replace(started) != started || endpoint.address.replace(address) != address {
+        if endpoint.started.replace(started) != started
+            || endpoint.address.replace(address) != address
+        {
             endpoint.begin_generation();
         }
     }
--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -24,7 +24,10 @@
         loop {
             sleep(SWEEP_INTERVAL).await;
             for endpoint in self.endpoints.borrow().values() {
-                endpoint.idle.borrow_mut().retain(|idle| self.is_usable(idle));
+                endpoint
+                    .idle
+                    .borrow_mut()
+                    .retain(|idle| self.is_usable(idle));
             }
         }
     }
@@ -55,7 +58,10 @@
         tokio::task::spawn_local(async move {
             let free = timeout(SETTLE_TIMEOUT, connection.sender.ready()).await;
             if matches!(free, Ok(Ok(()))) && endpoint.generation() == connection.generation {
-                endpoint.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
+                endpoint.idle.borrow_mut().push(Idle {
+                    connection,
+                    since: Instant::now(),
+                });
             }
         });
     }
@@ -93,8 +99,12 @@
             return true;
         }
         let endpoints = self.endpoints.borrow();
-        let oldest = endpoints.values().filter_map(|e| Some((e.idle.borrow().first()?.since, e)));
-        let Some((_, endpoint)) = oldest.min_by_key(|(since, _)| *since) else { return false };
+        let oldest = endpoints
+            .values()
+            .filter_map(|e| Some((e.idle.borrow().first()?.since, e)));
+        let Some((_, endpoint)) = oldest.min_by_key(|(since, _)| *since) else {
+            return false;
+        };
         endpoint.idle.borrow_mut().remove(0);
         true
     }
--- a/src/proxy/backends/probe.rs
+++ b/src/proxy/backends/probe.rs
@@ -36,7 +36,9 @@
             Ok(Err(_)) => return Outcome::Reset.into(),
             Ok(Ok(reply)) => reply,
         };
-        let ReplyBody::Whole(body) = &reply.body else { return Outcome::Spoilt.into() };
+        let ReplyBody::Whole(body) = &reply.body else {
+            return Outcome::Spoilt.into();
+        };
         let text = String::from_utf8_lossy(&body.joined()).into_owned();
         self.keep(&endpoint, connection);
         self.probe_result(reply, deep.then_some(text.as_str()))
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -21,9 +21,17 @@
     mut cancel: oneshot::Receiver<()>,
     over: &CancelSignal,
 ) -> Outcome {
-    let PartialBody { first, rest: mut body, length } = answer;
-    let deadline = BodyDeadline { grace_ends: Instant::now() + SLOW_START_GRACE };
-    let Ok(mut passed) = pass_first(&sender, first).await else { return Outcome::Cancelled };
+    let PartialBody {
+        first,
+        rest: mut body,
+        length,
+    } = answer;
+    let deadline = BodyDeadline {
+        grace_ends: Instant::now() + SLOW_START_GRACE,
+    };
+    let Ok(mut passed) = pass_first(&sender, first).await else {
+        return Outcome::Cancelled;
+    };
     loop {
         // Where it is waited for, all that has come was passed on, however slowly its client reads.
         let too_slow = async {
--- a/src/proxy/backends/reply.rs
+++ b/src/proxy/backends/reply.rs
@@ -55,15 +55,25 @@
     /// The result of an attempt that got this answer.
     pub(super) fn result_of(&self, reply: Reply) -> AttemptResult {
         let outcome = reply.outcome();
-        let report = reply.headers.get(LOAD).and_then(|v| v.to_str().ok()).map(|text| self.load_report(text));
+        let report = reply
+            .headers
+            .get(LOAD)
+            .and_then(|v| v.to_str().ok())
+            .map(|text| self.load_report(text));
         let content_type = reply.headers.get(CONTENT_TYPE).cloned();
         let served = match reply.body {
-            ReplyBody::Whole(body) if outcome == Outcome::Ok => {
-                Some(Served { body: AnswerBody::Buffered(body), content_type })
-            }
+            ReplyBody::Whole(body) if outcome == Outcome::Ok => Some(Served {
+                body: AnswerBody::Buffered(body),
+                content_type,
+            }),
             _ => None,
         };
-        AttemptResult { outcome, served, report: report.unwrap_or_default(), spent: false }
+        AttemptResult {
+            outcome,
+            served,
+            report: report.unwrap_or_default(),
+            spent: false,
+        }
     }
 
     /// A load report (`name=value,...`) in the settings' order; what it leaves out is not a number.
@@ -71,7 +81,9 @@
         let value = |field: &String| {
             let mut pairs = text.split(',').filter_map(|pair| pair.split_once('='));
             let found = pairs.find(|(name, _)| name.trim() == field);
-            found.and_then(|(_, value)| value.trim().parse().ok()).unwrap_or(f32::NAN)
+            found
+                .and_then(|(_, value)| value.trim().parse().ok())
+                .unwrap_or(f32::NAN)
         };
         self.report_fields.iter().map(value).collect()
     }
--- a/src/proxy/backends/request.rs
+++ b/src/proxy/backends/request.rs
@@ -40,9 +40,14 @@
 
 /// The bytes that a request takes on the wire at the least. Fewer written: the backend can't have begun it.
 pub(super) fn least_size(request: &Request<RequestBody>, body: u64) -> u64 {
-    let target = request.uri().path_and_query().map_or(1, |t| t.as_str().len());
+    let target = request
+        .uri()
+        .path_and_query()
+        .map_or(1, |t| t.as_str().len());
     let line = request.method().as_str().len() + " ".len() + target + " HTTP/1.1\r\n".len();
-    let fields =
-        request.headers().iter().map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len());
+    let fields = request
+        .headers()
+        .iter()
+        .map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len());
     (line + fields.sum::<usize>() + "\r\n".len()) as u64 + body
 }
--- a/src/proxy/bodies/buffered.rs
+++ b/src/proxy/bodies/buffered.rs
@@ -19,7 +19,13 @@
 impl From<Bytes> for BufferedBody {
     fn from(bytes: Bytes) -> Self {
         let left = bytes.len() as u64;
-        Self { pieces: [bytes].into_iter().filter(|piece| !piece.is_empty()).collect(), left }
+        Self {
+            pieces: [bytes]
+                .into_iter()
+                .filter(|piece| !piece.is_empty())
+                .collect(),
+            left,
+        }
     }
 }
 
@@ -32,7 +38,10 @@
     /// Its bytes in one piece.
     #[must_use]
     pub fn joined(&self) -> Vec<u8> {
-        self.pieces.iter().flat_map(|piece| piece.iter().copied()).collect()
+        self.pieces
+            .iter()
+            .flat_map(|piece| piece.iter().copied())
+            .collect()
     }
 }
 
