--- a/src/proxy/bodies/buffered/tests.rs
+++ b/src/proxy/bodies/buffered/tests.rs
@@ -5,7 +5,9 @@
     let whole: Vec<u8> = (0..700_000_u32).map(|i| (i / 3) as u8).collect();
     for size in [13, 9_000, 700_000] {
         let mut gathered = BodyBuffer::default();
-        whole.chunks(size).for_each(|piece| gathered.add(Bytes::copy_from_slice(piece)));
+        whole
+            .chunks(size)
+            .for_each(|piece| gathered.add(Bytes::copy_from_slice(piece)));
         assert_eq!(gathered.len(), whole.len());
         let held = gathered.take();
         assert_eq!(held.size_hint().exact(), Some(whole.len() as u64));
@@ -13,6 +15,9 @@
         // A copied piece has one size, whatever sizes came.
         let sizes: Vec<_> = held.pieces.iter().map(Bytes::len).collect();
         let (last, others) = sizes.split_last().expect("a piece");
-        assert!(others.iter().all(|&len| len == BODY_CAP) && *last <= BODY_CAP.max(size), "{sizes:?}");
+        assert!(
+            others.iter().all(|&len| len == BODY_CAP) && *last <= BODY_CAP.max(size),
+            "{sizes:?}"
+        );
     }
 }
--- a/src/proxy/bodies/deadline.rs
+++ b/src/proxy/bodies/deadline.rs
@@ -18,6 +18,7 @@
     /// When one is late of which so many bytes have come.
     #[must_use]
     pub fn after(&self, bytes: u64) -> Instant {
-        self.grace_ends + Duration::from_micros(bytes.saturating_mul(1_000_000) / MIN_BYTES_PER_SECOND)
+        self.grace_ends
+            + Duration::from_micros(bytes.saturating_mul(1_000_000) / MIN_BYTES_PER_SECOND)
     }
 }
--- a/src/proxy/bodies/outgoing.rs
+++ b/src/proxy/bodies/outgoing.rs
@@ -68,7 +68,9 @@
     pub fn for_attempt(&self) -> Option<RequestBody> {
         match self {
             Self::Buffered(buffered, _) => Some(RequestBody::Buffered(buffered.clone())),
-            Self::Streamed(upload, _) => upload.take().map(|upload| RequestBody::Streamed(Box::new(upload))),
+            Self::Streamed(upload, _) => upload
+                .take()
+                .map(|upload| RequestBody::Streamed(Box::new(upload))),
         }
     }
 }
--- a/src/proxy/bodies/streamed.rs
+++ b/src/proxy/bodies/streamed.rs
@@ -32,7 +32,10 @@
     /// # Errors
     /// Where nobody takes it.
     pub async fn send(&self, data: Bytes, patience: Duration) -> Result<(), ReceiverGone> {
-        self.0.send_timeout(Piece::Data(data), patience).await.map_err(|_| ReceiverGone)
+        self.0
+            .send_timeout(Piece::Data(data), patience)
+            .await
+            .map_err(|_| ReceiverGone)
     }
 
     /// That was all. An answer whose sender is dropped without this has broken off.
@@ -59,7 +62,9 @@
 
 impl Drop for StreamedAnswer {
     fn drop(&mut self) {
-        self.connection.iter().for_each(|connection| connection.end_request());
+        self.connection
+            .iter()
+            .for_each(|connection| connection.end_request());
     }
 }
 
@@ -74,7 +79,15 @@
     #[must_use]
     pub fn channel(length: Option<u64>) -> (AnswerSender, Self) {
         let (sender, pieces) = mpsc::channel(1);
-        (AnswerSender(sender), Self { pieces, left: length, ticket: None, connection: None })
+        (
+            AnswerSender(sender),
+            Self {
+                pieces,
+                left: length,
+                ticket: None,
+                connection: None,
+            },
+        )
     }
 
     /// The request that it answers, counted when it ends.
@@ -88,7 +101,9 @@
     }
 
     fn set_outcome(&self, outcome: RequestOutcome) {
-        self.ticket.iter().for_each(|ticket| ticket.set_outcome(outcome));
+        self.ticket
+            .iter()
+            .for_each(|ticket| ticket.set_outcome(outcome));
     }
 }
 
@@ -124,6 +139,7 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.left
+            .map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -92,9 +92,21 @@
         counters: Rc<Counters>,
     ) -> Self {
         let came = first.left;
-        let progress = Progress { length: rest.size_hint().exact().map(|l| l + came), ..Progress::default() };
+        let progress = Progress {
+            length: rest.size_hint().exact().map(|l| l + came),
+            ..Progress::default()
+        };
         let sleep = Box::pin(sleep_until(deadline.after(came)));
-        Self { first, reserved, rest, deadline, sleep, passed: 0, progress: Rc::new(progress), counters }
+        Self {
+            first,
+            reserved,
+            rest,
+            deadline,
+            sleep,
+            passed: 0,
+            progress: Rc::new(progress),
+            counters,
+        }
     }
 
     /// Reads what is still to come, for nobody, within its time.
@@ -167,6 +179,8 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.progress.length.map_or_else(SizeHint::default, |l| SizeHint::with_exact(l - self.passed))
+        self.progress
+            .length
+            .map_or_else(SizeHint::default, |l| SizeHint::with_exact(l - self.passed))
     }
 }
--- a/src/proxy/budget.rs
+++ b/src/proxy/budget.rs
@@ -26,7 +26,11 @@
         // A client's connection may carry a request that waits for a backend's, so it gets the larger part.
         let clients = (free * 3 / 5).min(2 * fifth / (CLIENT_HEAD_CAP + BODY_CAP));
         let backends = (free - free * 3 / 5).min(fifth / (BACKEND_HEAD_CAP + BODY_CAP));
-        Self { clients: clients.max(1), backends: backends.max(1), bodies: Bytes::new(fifth) }
+        Self {
+            clients: clients.max(1),
+            backends: backends.max(1),
+            bodies: Bytes::new(fifth),
+        }
     }
 }
 
@@ -42,8 +46,15 @@
     /// Takes that many until what is returned is dropped; `None` where so many are not left.
     #[must_use]
     pub fn reserve(&self, bytes: usize) -> Option<Reserved> {
-        let taken = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(bytes));
-        taken.is_ok().then(|| Reserved { bytes, of: self.clone() })
+        let taken = self
+            .0
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
+                left.checked_sub(bytes)
+            });
+        taken.is_ok().then(|| Reserved {
+            bytes,
+            of: self.clone(),
+        })
     }
 }
 
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -1,8 +1,8 @@
 //! A client's request: checked, described for the balancer, and its body read as far as it is to be buffered.
 
 use super::headers::{
-    ACCOUNT, IDEMPOTENCY_KEY, REPEAT, SERVICE_CLASS, SINGLE_HEADERS, TIME_LEFT, WEIGHT_HINT, forwarded,
-    origin_form,
+    ACCOUNT, IDEMPOTENCY_KEY, REPEAT, SERVICE_CLASS, SINGLE_HEADERS, TIME_LEFT, WEIGHT_HINT,
+    forwarded, origin_form,
 };
 use super::{Class, Clients};
 use crate::api::Micros;
@@ -26,17 +26,29 @@
 /// A time left beyond this makes no sense.
 const MAX_TIME_LEFT_MS: u64 = 3_600_000;
 const MICROS_PER_MILLI: Micros = 1_000;
-const TOO_LARGE: Rejection = Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+const TOO_LARGE: Rejection =
+    Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
 
 impl Clients {
     /// Reads a request's body, as far as it is to be buffered.
-    async fn collect(&self, mut body: Incoming, deadline: BodyDeadline) -> Result<CallBody, Rejection> {
-        let is_small = body.size_hint().exact().is_none_or(|length| length <= BUFFER_CAP as u64);
+    async fn collect(
+        &self,
+        mut body: Incoming,
+        deadline: BodyDeadline,
+    ) -> Result<CallBody, Rejection> {
+        let is_small = body
+            .size_hint()
+            .exact()
+            .is_none_or(|length| length <= BUFFER_CAP as u64);
         let (mut buffered, mut reserved) = (BodyBuffer::default(), Vec::new());
         while is_small && buffered.len() <= BUFFER_CAP {
-            let data = timeout_at(deadline.after(buffered.len() as u64), next_data(&mut body)).await;
-            let data = data.map_err(|_| Rejection::new(StatusCode::REQUEST_TIMEOUT, "the body is late\n"))?;
-            match data.map_err(|_| Rejection::new(StatusCode::BAD_REQUEST, "the body is broken\n"))? {
+            let data =
+                timeout_at(deadline.after(buffered.len() as u64), next_data(&mut body)).await;
+            let data = data
+                .map_err(|_| Rejection::new(StatusCode::REQUEST_TIMEOUT, "the body is late\n"))?;
+            match data
+                .map_err(|_| Rejection::new(StatusCode::BAD_REQUEST, "the body is broken\n"))?
+            {
                 Some(data) => buffered.add(data),
                 None => return Ok(CallBody::Buffered(buffered.take(), reserved)),
             }
@@ -58,7 +70,14 @@
         rest: Incoming,
         deadline: BodyDeadline,
     ) -> CallBody {
-        Upload::new(buffered.take(), reserved, rest, deadline, Rc::clone(&self.counters)).into()
+        Upload::new(
+            buffered.take(),
+            reserved,
+            rest,
+            deadline,
+            Rc::clone(&self.counters),
+        )
+        .into()
     }
 
     /// Reads a request whole, or as far as it is to be buffered.
@@ -74,19 +93,34 @@
         let mut request = self.describe(&head)?;
         let body = self.collect(body, deadline).await?;
         let (target, headers) = origin_form(head.uri, forwarded(head.headers));
-        let call = Call { method: head.method, target, headers, body, cancel: CancelSignal::default() };
+        let call = Call {
+            method: head.method,
+            target,
+            headers,
+            body,
+            cancel: CancelSignal::default(),
+        };
         // The time of a request counts from its last byte.
         let arrived = self.clock.now();
         if let Some(left) = self.lifecycle.time_left() {
-            request.patience = request.patience.min(left.as_micros().try_into().unwrap_or(Micros::MAX));
+            request.patience = request
+                .patience
+                .min(left.as_micros().try_into().unwrap_or(Micros::MAX));
         }
-        Ok(Inbound { request, arrived, call })
+        Ok(Inbound {
+            request,
+            arrived,
+            call,
+        })
     }
 
     /// What the balancer is told of a request with that head.
     fn describe(&self, head: &Parts) -> Result<crate::api::Request, Rejection> {
         // Whoever reads the other one of two takes the request for something else.
-        if SINGLE_HEADERS.iter().any(|name| head.headers.get_all(name).iter().nth(1).is_some()) {
+        if SINGLE_HEADERS
+            .iter()
+            .any(|name| head.headers.get_all(name).iter().nth(1).is_some())
+        {
             return Err(bad_request("a header comes twice\n"));
         }
         let (class, facts) = self.class(head)?;
@@ -105,9 +139,16 @@
     /// The class that the path names, which the header has to name as well where it is there.
     fn class(&self, head: &Parts) -> Result<(u8, &Class), Rejection> {
         let in_path = head.uri.path().split('/').nth(1).unwrap_or_default();
-        let (class, facts) = self.classes.get(in_path).ok_or(bad_request("unknown class\n"))?;
-        if head.headers.contains_key(SERVICE_CLASS) && utf8_text(head, &SERVICE_CLASS) != Some(in_path) {
-            return Err(bad_request("the class of the header is not that of the path\n"));
+        let (class, facts) = self
+            .classes
+            .get(in_path)
+            .ok_or(bad_request("unknown class\n"))?;
+        if head.headers.contains_key(SERVICE_CLASS)
+            && utf8_text(head, &SERVICE_CLASS) != Some(in_path)
+        {
+            return Err(bad_request(
+                "the class of the header is not that of the path\n",
+            ));
         }
         Ok((*class, facts))
     }
@@ -133,12 +174,18 @@
 
 /// A header that holds a customer's own name, which may have letters beyond ASCII.
 fn utf8_text<'a>(head: &'a Parts, name: &HeaderName) -> Option<&'a str> {
-    head.headers.get(name).and_then(|value| std::str::from_utf8(value.as_bytes()).ok())
+    head.headers
+        .get(name)
+        .and_then(|value| std::str::from_utf8(value.as_bytes()).ok())
 }
 
 fn check_method_and_ids(head: &Parts, class: &Class) -> Result<(), Rejection> {
     if head.method != class.method {
-        return Err(Rejection::method(if class.method == Method::GET { "GET" } else { "POST" }));
+        return Err(Rejection::method(if class.method == Method::GET {
+            "GET"
+        } else {
+            "POST"
+        }));
     }
     // Without its key a repeat would not be dropped.
     if class.needs_key && text(head, &IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
@@ -153,8 +200,11 @@
 /// How long the client waits, by its header.
 fn patience(head: &Parts) -> Result<Micros, Rejection> {
     // The type's own parser would take a sign.
-    let digits = text(head, &TIME_LEFT).filter(|value| value.bytes().all(|byte| byte.is_ascii_digit()));
-    let millis = digits.and_then(|value| value.parse::<u64>().ok()).filter(|&ms| ms <= MAX_TIME_LEFT_MS);
+    let digits =
+        text(head, &TIME_LEFT).filter(|value| value.bytes().all(|byte| byte.is_ascii_digit()));
+    let millis = digits
+        .and_then(|value| value.parse::<u64>().ok())
+        .filter(|&ms| ms <= MAX_TIME_LEFT_MS);
     let millis = millis.ok_or(bad_request("X-Time-Left-Ms is missing or makes no sense\n"))?;
     Ok(millis * MICROS_PER_MILLI)
 }
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -66,13 +66,19 @@
         let class = |c: &crate::api::Class| Class {
             deadline: c.deadline,
             needs_key: matches!(c.effect, Effect::Keyed { .. }),
-            method: if c.effect == Effect::Safe { Method::GET } else { Method::POST },
+            method: if c.effect == Effect::Safe {
+                Method::GET
+            } else {
+                Method::POST
+            },
         };
         let classes = names.classes.iter().zip(0..=u8::MAX).zip(&settings.classes);
         Rc::new(Self {
             handle,
             clock,
-            classes: classes.map(|((name, i), c)| (name.clone(), (i, class(c)))).collect(),
+            classes: classes
+                .map(|((name, i), c)| (name.clone(), (i, class(c))))
+                .collect(),
             tenants: names.tenants.iter().cloned().zip(0..).collect(),
             lifecycle,
             counters,
@@ -136,7 +142,9 @@
     pub fn take_waiting(self: &Rc<Self>, listener: &TcpListener) -> bool {
         match socket2::SockRef::from(listener).accept() {
             Ok((socket, _)) => {
-                let stream = socket.set_nonblocking(true).and_then(|()| TcpStream::from_std(socket.into()));
+                let stream = socket
+                    .set_nonblocking(true)
+                    .and_then(|()| TcpStream::from_std(socket.into()));
                 stream.into_iter().for_each(|stream| self.take(stream));
                 true
             }
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -33,8 +33,14 @@
         number: u64,
     ) -> Response<ResponseBody> {
         let now = Instant::now();
-        let late = if number == 1 { connection.connected() + REQUEST_TIME } else { now + REQUEST_TIME };
-        let deadline = BodyDeadline { grace_ends: late.max(now + MIN_BODY_TIME) };
+        let late = if number == 1 {
+            connection.connected() + REQUEST_TIME
+        } else {
+            now + REQUEST_TIME
+        };
+        let deadline = BodyDeadline {
+            grace_ends: late.max(now + MIN_BODY_TIME),
+        };
         let mut response = if self.is_health_check(&request) {
             self.health().map(ResponseBody::Buffered)
         } else {
@@ -56,7 +62,10 @@
     ) -> Result<Response<ResponseBody>, Rejection> {
         // Rule 2: whoever reads the other end of the body takes a part of it for a request.
         if connection.is_ambiguous(number) {
-            return Err(Rejection::new(StatusCode::BAD_REQUEST, "the body may end in two places\n"));
+            return Err(Rejection::new(
+                StatusCode::BAD_REQUEST,
+                "the body may end in two places\n",
+            ));
         }
         let inbound = self.inbound(request, deadline).await?;
         self.ask(inbound, connection).await
@@ -89,16 +98,25 @@
         }
         // Rule 2: passed on, a second request of the same id would be a second copy of the first.
         let Some(_id) = OpenId::claim(&self.ids, &inbound.call.headers) else {
-            return Err(Rejection::new(StatusCode::CONFLICT, "a request of this id is open\n"));
+            return Err(Rejection::new(
+                StatusCode::CONFLICT,
+                "a request of this id is open\n",
+            ));
         };
         let upload = inbound.call.body.pending_upload();
         let ticket = self.counters.begin_request(inbound.request.class);
-        let (response, outcome) = match self.wait_for_answer(inbound, connection, upload.is_some()).await? {
+        let (response, outcome) = match self
+            .wait_for_answer(inbound, connection, upload.is_some())
+            .await?
+        {
             Some(Answer::Served(served)) => return Ok(served_response(served, ticket)),
-            Some(Answer::Refused { retry_after }) => (refusal(retry_after), RequestOutcome::Dropped),
-            Some(Answer::Failed) | None => {
-                (plain(StatusCode::BAD_GATEWAY, "failed\n"), RequestOutcome::BadGateway)
+            Some(Answer::Refused { retry_after }) => {
+                (refusal(retry_after), RequestOutcome::Dropped)
             }
+            Some(Answer::Failed) | None => (
+                plain(StatusCode::BAD_GATEWAY, "failed\n"),
+                RequestOutcome::BadGateway,
+            ),
         };
         ticket.set_outcome(outcome);
         // A request is taken with its last byte. Answered before, its client would be cut off.
@@ -117,8 +135,13 @@
         is_upload: bool,
     ) -> Result<Option<Answer>, Rejection> {
         let (sender, answer) = oneshot::channel();
-        let guard = ClientGoneGuard { handle: &self.handle, request: inbound.request.id, answered: false };
-        self.handle.tell(Message::Request(Box::new(inbound), sender));
+        let guard = ClientGoneGuard {
+            handle: &self.handle,
+            request: inbound.request.id,
+            answered: false,
+        };
+        self.handle
+            .tell(Message::Request(Box::new(inbound), sender));
         let client_gone = async {
             if is_upload {
                 connection.socket().ended().await;
@@ -154,7 +177,9 @@
     }
     let mut response = Response::new(ResponseBody::from(body));
     if let Some(content_type) = served.content_type {
-        response.headers_mut().insert(header::CONTENT_TYPE, content_type);
+        response
+            .headers_mut()
+            .insert(header::CONTENT_TYPE, content_type);
     }
     response
 }
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -43,7 +43,9 @@
             .serve_connection(TokioIo::new(ClientIo(Rc::clone(connection))), service);
         let mut stages = self.lifecycle.subscribe();
         let mut close_at = self.lifecycle.closes_at();
-        let mut recheck = pin!(sleep_until(connection.deadline().unwrap_or_else(Instant::now)));
+        let mut recheck = pin!(sleep_until(
+            connection.deadline().unwrap_or_else(Instant::now)
+        ));
         let mut rechecked = false;
         let ended = loop {
             tokio::select! {
--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -17,8 +17,13 @@
     /// A clock that shows the system's time now.
     #[must_use]
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { origin: Instant::now(), unix: micros(unix) }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Self {
+            origin: Instant::now(),
+            unix: micros(unix),
+        }
     }
 
     /// The time now.
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -171,7 +171,8 @@
     /// # Errors
     /// Says in one line what is missing or wrong.
     pub fn from_env(shared: bool) -> Result<Self, ConfigError> {
-        let path = PathBuf::from(env::var_os("EDGE_CONFIG").ok_or(ConfigError::Missing("EDGE_CONFIG"))?);
+        let path =
+            PathBuf::from(env::var_os("EDGE_CONFIG").ok_or(ConfigError::Missing("EDGE_CONFIG"))?);
         let text = fs::read(&path).map_err(|e| ConfigError::Unreadable(path, e))?;
         Self::parse(&text, |name| env::var(name).ok(), shared)
     }
@@ -188,20 +189,30 @@
         let raw: RawConfig = read(&mut serde_json::Deserializer::from_slice(text))?;
         let address = |field: &'static str, given: Option<String>, name: &str| {
             let given = given.or_else(|| variable(name)).unwrap_or_default();
-            given.parse().map_err(|_| ConfigError::Address(field, given))
+            given
+                .parse()
+                .map_err(|_| ConfigError::Address(field, given))
         };
         let settings = raw.settings.to_string();
         let more: RawNames = read(&mut serde_json::Deserializer::from_str(&settings))?;
         let classes = named("classes", more.classes)?;
         let tenants = named("tenants", more.tenants)?;
-        let operator = raw.operator.or_else(|| variable("EDGE_OPERATOR")).filter(|given| !given.is_empty());
+        let operator = raw
+            .operator
+            .or_else(|| variable("EDGE_OPERATOR"))
+            .filter(|given| !given.is_empty());
         let reserved = RESERVED_SOCKETS + operator.as_ref().map_or(0, |_| 1 + MAX_OPERATOR_CALLS);
         let sockets = raw.limits.sockets.unwrap_or(DEFAULT_SOCKETS);
         let memory_mb = raw.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
         Ok(Self {
-            name: raw.name.or_else(|| variable("EDGE_NAME")).unwrap_or_default(),
+            name: raw
+                .name
+                .or_else(|| variable("EDGE_NAME"))
+                .unwrap_or_default(),
             listen: address("listen", raw.listen, "EDGE_LISTEN")?,
-            operator: operator.map(|given| address("operator", Some(given), "")).transpose()?,
+            operator: operator
+                .map(|given| address("operator", Some(given), ""))
+                .transpose()?,
             discovery: address("discovery", raw.discovery, "EDGE_DISCOVERY")?,
             seed: seed(&raw.seed),
             known: raw.known,
@@ -213,7 +224,11 @@
                 kinds: more.kinds,
                 report: more.load_report.fields,
             },
-            dial_timeout: more.permissions.dial_timeout_us.filter(|&t| t > 0).unwrap_or(DEFAULT_DIAL),
+            dial_timeout: more
+                .permissions
+                .dial_timeout_us
+                .filter(|&t| t > 0)
+                .unwrap_or(DEFAULT_DIAL),
             log_filter: raw.log.filter.map(log_filter).transpose()?,
             budget: Budget::of(sockets, memory_mb, reserved, if shared { 2 } else { 1 }),
         })
@@ -240,7 +255,10 @@
             _ => continue,
         };
         let field = format!("{list}[{i}].name");
-        return Err(ConfigError::Settings(SettingsError { field, problem: problem.into() }));
+        return Err(ConfigError::Settings(SettingsError {
+            field,
+            problem: problem.into(),
+        }));
     }
     Ok(names)
 }
@@ -248,5 +266,6 @@
 /// The seed comes as hexadecimal text; a number is taken as well.
 fn seed(value: &Value) -> u64 {
     let text = value.as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
-    text.or_else(|| value.as_u64()).unwrap_or_else(|| fastrand::Rng::new().u64(..))
+    text.or_else(|| value.as_u64())
+        .unwrap_or_else(|| fastrand::Rng::new().u64(..))
 }
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -87,7 +87,9 @@
     /// Whether its client has ended it, as far as the runtime knows, whatever is still unread.
     #[must_use]
     pub fn is_closed_by_client(&self) -> bool {
-        pin!(self.socket.ended()).poll(&mut Context::from_waker(Waker::noop())).is_ready()
+        pin!(self.socket.ended())
+            .poll(&mut Context::from_waker(Waker::noop()))
+            .is_ready()
     }
 
     /// Waits until its client has ended it. What the client sends meanwhile is read ahead, as far as there is
@@ -193,13 +195,21 @@
         if self.has_request() || self.write_blocked.get() {
             return None;
         }
-        let cost = match (framing.is_between(), framing.is_in_head(), self.requests.get()) {
+        let cost = match (
+            framing.is_between(),
+            framing.is_in_head(),
+            self.requests.get(),
+        ) {
             (true, _, 0) => EvictionCost::Unused,
             (true, ..) => return Some(EvictionCost::Idle),
             (_, true, _) => EvictionCost::PartialHead,
             _ => return None,
         };
-        Some(if self.last_activity.get().elapsed() < ACTIVE_WINDOW { EvictionCost::Active } else { cost })
+        Some(if self.last_activity.get().elapsed() < ACTIVE_WINDOW {
+            EvictionCost::Active
+        } else {
+            cost
+        })
     }
 
     fn record_read(&self, bytes: &[u8]) {
@@ -236,15 +246,24 @@
     /// Has the one connection closed that is cheapest to lose, of several the one on which nothing has moved
     /// for longest; one with a request is none of them.
     pub fn evict_one(&self) {
-        let staying = self.open.values().filter(|connection| !connection.evicting.get());
+        let staying = self
+            .open
+            .values()
+            .filter(|connection| !connection.evicting.get());
         let mut cheapest: Vec<_> = staying
             .filter_map(|connection| {
-                Some(((connection.eviction_cost()?, connection.last_activity.get()), connection))
+                Some((
+                    (connection.eviction_cost()?, connection.last_activity.get()),
+                    connection,
+                ))
             })
             .collect();
         cheapest.sort_unstable_by_key(|(cost, _)| *cost);
         // The kernel is asked of few of them.
-        if let Some((_, connection)) = cheapest.into_iter().find(|(_, connection)| !connection.has_unread()) {
+        if let Some((_, connection)) = cheapest
+            .into_iter()
+            .find(|(_, connection)| !connection.has_unread())
+        {
             connection.evicting.set(true);
             connection.evict.notify_one();
         }
@@ -265,7 +284,11 @@
 }
 
 impl AsyncRead for ClientIo {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let old = buf.filled().len();
         let mut ahead = self.0.ahead.borrow_mut();
         if !ahead.is_empty() {
@@ -283,7 +306,11 @@
 }
 
 impl AsyncWrite for ClientIo {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.record_written(self.0.socket.poll_write(cx, |stream| stream.try_write(buf)))
     }
 
@@ -292,7 +319,11 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.record_written(self.0.socket.poll_write(cx, |stream| stream.try_write_vectored(bufs)))
+        self.record_written(
+            self.0
+                .socket
+                .poll_write(cx, |stream| stream.try_write_vectored(bufs)),
+        )
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/proxy/connections/tests.rs
+++ b/src/proxy/connections/tests.rs
@@ -5,7 +5,9 @@
 
 /// Connections whose clients send nothing by themselves.
 async fn connections<const N: usize>() -> (ClientConnections, [Rc<ClientConnection>; N]) {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port");
     let address = listener.local_addr().expect("an address");
     let mut connections = ClientConnections::default();
     let mut all = Vec::new();
@@ -13,7 +15,9 @@
         let stream = TcpStream::connect(address).await.expect("a connection");
         all.push(Rc::new(ClientConnection::new(stream, 1_000)));
     }
-    let all: [_; N] = all.try_into().unwrap_or_else(|_| unreachable!("as many as asked for"));
+    let all: [_; N] = all
+        .try_into()
+        .unwrap_or_else(|_| unreachable!("as many as asked for"));
     all.iter().for_each(|connection| {
         connections.add(connection);
     });
@@ -28,7 +32,17 @@
 async fn the_cheapest_to_lose_goes_first_and_one_with_a_request_never() {
     let (connections, all) = connections::<9>().await;
     let step = || tokio::time::advance(Duration::from_millis(10));
-    let [asking, begun, begun_later, kept, unused, _pipelined, write_blocked, fresh, coming] = &all;
+    let [
+        asking,
+        begun,
+        begun_later,
+        kept,
+        unused,
+        _pipelined,
+        write_blocked,
+        fresh,
+        coming,
+    ] = &all;
     write_blocked.write_blocked.set(true);
     asking.record_read(HEAD);
     let _ = asking.begin_request();
@@ -52,13 +66,21 @@
         assert_eq!(evicting(&all), order);
     }
     (0..3).for_each(|_| connections.evict_one());
-    assert_eq!(evicting(&all), [1, 2, 3, 4, 7, 8], "those that may go on come last");
+    assert_eq!(
+        evicting(&all),
+        [1, 2, 3, 4, 7, 8],
+        "those that may go on come last"
+    );
 }
 
 #[tokio::test]
 async fn a_connection_with_bytes_in_the_kernel_is_neither_idle_nor_cheap() {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let stream = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("a connection");
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port");
+    let stream = TcpStream::connect(listener.local_addr().expect("an address"))
+        .await
+        .expect("a connection");
     let (mut client, _) = listener.accept().await.expect("a connection");
     let connection = Rc::new(ClientConnection::new(stream, 1_000));
     let mut connections = ClientConnections::default();
@@ -69,7 +91,10 @@
     connections.evict_one();
     assert!(!connection.evicting.get(), "the request would be lost");
     let mut request = [0; HEAD.len()];
-    assert_eq!(connection.socket().read(&mut request).await, Some(HEAD.len()));
+    assert_eq!(
+        connection.socket().read(&mut request).await,
+        Some(HEAD.len())
+    );
     drop(client);
     connection.socket().ended().await;
     assert!(connection.is_idle() && connection.is_closed_by_client());
@@ -81,10 +106,18 @@
 async fn a_client_has_its_time_for_a_head_and_for_staying_idle() {
     let (_, [connection]) = connections::<1>().await;
     let start = Instant::now();
-    assert_eq!(connection.deadline(), Some(start + REQUEST_TIME), "it says nothing");
+    assert_eq!(
+        connection.deadline(),
+        Some(start + REQUEST_TIME),
+        "it says nothing"
+    );
     tokio::time::advance(Duration::from_secs(1)).await;
     connection.record_read(&HEAD[..5]);
-    assert_eq!(connection.deadline(), Some(start + HEAD_TIME), "the first head counts from connecting");
+    assert_eq!(
+        connection.deadline(),
+        Some(start + HEAD_TIME),
+        "the first head counts from connecting"
+    );
     connection.record_read(&HEAD[5..]);
     let _ = connection.begin_request();
     assert_eq!(connection.deadline(), None, "it is the proxy's turn");
@@ -94,7 +127,11 @@
     let begun = Instant::now();
     tokio::time::advance(Duration::from_secs(1)).await;
     connection.record_read(&HEAD[5..9]);
-    assert_eq!(connection.deadline(), Some(begun + HEAD_TIME), "a later one counts from its first byte");
+    assert_eq!(
+        connection.deadline(),
+        Some(begun + HEAD_TIME),
+        "a later one counts from its first byte"
+    );
     connection.write_blocked.set(true);
     assert!(
         connection.deadline() > Some(begun + HEAD_TIME),
--- a/src/proxy/counters.rs
+++ b/src/proxy/counters.rs
@@ -33,15 +33,26 @@
     /// Nothing has happened yet to requests of these classes.
     #[must_use]
     pub fn new(classes: &[String]) -> Rc<Self> {
-        let classes = classes.iter().map(|name| (name.clone(), Default::default())).collect();
-        Rc::new(Self { classes, attempts: Cell::new(0), in_progress: Cell::new(0) })
+        let classes = classes
+            .iter()
+            .map(|name| (name.clone(), Default::default()))
+            .collect();
+        Rc::new(Self {
+            classes,
+            attempts: Cell::new(0),
+            in_progress: Cell::new(0),
+        })
     }
 
     /// A request of the class at this position was taken. It is in progress until the ticket is dropped.
     #[must_use]
     pub fn begin_request(self: &Rc<Self>, class: u8) -> RequestTicket {
         add_one(&self.in_progress);
-        RequestTicket { counters: Rc::clone(self), class: usize::from(class), outcome: Cell::new(None) }
+        RequestTicket {
+            counters: Rc::clone(self),
+            class: usize::from(class),
+            outcome: Cell::new(None),
+        }
     }
 
     /// An attempt was written whole to a backend.
@@ -57,20 +68,47 @@
             let _ = write!(text, "# HELP app_{name} {help}\n# TYPE app_{name} {kind}\n");
             std::mem::take(&mut text)
         };
-        let mut all = begin("handled", "counter", "Requests that have ended, by class and outcome.");
+        let mut all = begin(
+            "handled",
+            "counter",
+            "Requests that have ended, by class and outcome.",
+        );
         for (class, counts) in &self.classes {
             let class = escaped(class);
             for (outcome, count) in OUTCOME_LABELS.iter().zip(counts) {
                 let count = count.get();
-                let _ = writeln!(all, "app_handled{{category=\"{class}\",outcome=\"{outcome}\"}} {count}");
+                let _ = writeln!(
+                    all,
+                    "app_handled{{category=\"{class}\",outcome=\"{outcome}\"}} {count}"
+                );
             }
         }
         let gauge = |n: usize| n as u64;
         let single = [
-            ("upstream_tries", "counter", "Attempts written whole to backends.", self.attempts.get()),
-            ("in_progress", "gauge", "Requests taken and not ended.", self.in_progress.get()),
-            ("known_backends", "gauge", "Backends in the list.", gauge(known)),
-            ("skipped_backends", "gauge", "Listed backends that are avoided now.", gauge(skipped)),
+            (
+                "upstream_tries",
+                "counter",
+                "Attempts written whole to backends.",
+                self.attempts.get(),
+            ),
+            (
+                "in_progress",
+                "gauge",
+                "Requests taken and not ended.",
+                self.in_progress.get(),
+            ),
+            (
+                "known_backends",
+                "gauge",
+                "Backends in the list.",
+                gauge(known),
+            ),
+            (
+                "skipped_backends",
+                "gauge",
+                "Listed backends that are avoided now.",
+                gauge(skipped),
+            ),
         ];
         for (name, kind, help, value) in single {
             all += &begin(name, kind, help);
@@ -82,7 +120,10 @@
 
 /// A label's value as the text form has it.
 fn escaped(value: &str) -> String {
-    value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
+    value
+        .replace('\\', "\\\\")
+        .replace('"', "\\\"")
+        .replace('\n', "\\n")
 }
 
 /// A request that was taken. Dropped, it has ended: as was noted, or for a client that had left.
--- a/src/proxy/counters/tests.rs
+++ b/src/proxy/counters/tests.rs
@@ -2,7 +2,10 @@
 
 fn lines(counters: &Counters) -> Vec<String> {
     let text = counters.text(4, 1);
-    text.lines().filter(|line| !line.starts_with('#')).map(str::to_owned).collect()
+    text.lines()
+        .filter(|line| !line.starts_with('#'))
+        .map(str::to_owned)
+        .collect()
 }
 
 #[test]
@@ -24,8 +27,17 @@
         ]
     );
     let text = counters.text(0, 0);
-    for name in ["handled", "upstream_tries", "in_progress", "known_backends", "skipped_backends"] {
-        let types = text.lines().filter(|l| l.starts_with(&format!("# TYPE app_{name} "))).count();
+    for name in [
+        "handled",
+        "upstream_tries",
+        "in_progress",
+        "known_backends",
+        "skipped_backends",
+    ] {
+        let types = text
+            .lines()
+            .filter(|l| l.starts_with(&format!("# TYPE app_{name} ")))
+            .count();
         assert_eq!(types, 1, "{name}");
     }
     assert!(text.ends_with('\n'));
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -67,7 +67,10 @@
     pub fn new(calls: mpsc::UnboundedReceiver<()>, me: u32, proxies: u32) -> Self {
         let span = (WAITS_DIFFER * proxies.saturating_sub(1)).min(WAITS_DIFFER_MOST);
         let place = (f64::from(me) * GOLDEN).fract();
-        Self { calls, wait: ASKED_WAIT - span / 2 + span.mul_f64(place) }
+        Self {
+            calls,
+            wait: ASKED_WAIT - span / 2 + span.mul_f64(place),
+        }
     }
 }
 
@@ -184,7 +187,11 @@
                 Err(problem) => tracing::warn!("passing over an entry of the list: {problem}"),
             }
         }
-        let list = List { revision: raw.revision, complete: raw.complete, entries };
+        let list = List {
+            revision: raw.revision,
+            complete: raw.complete,
+            entries,
+        };
         self.forget_gone(&list, &gone);
         Ok(list)
     }
@@ -203,7 +210,10 @@
         if !list.complete && gone.is_empty() {
             return;
         }
-        let stays = list.entries.iter().filter(|entry| entry.backend.readiness != Readiness::Gone);
+        let stays = list
+            .entries
+            .iter()
+            .filter(|entry| entry.backend.readiness != Readiness::Gone);
         let stays: FxHashSet<BackendId> = stays.map(|entry| entry.backend.id).collect();
         if list.complete {
             self.numbers.retain(|_, id| stays.contains(id));
@@ -212,7 +222,12 @@
             return;
         }
         for name in gone {
-            if let Some(id) = self.numbers.get(name.as_ref()).copied().filter(|id| !stays.contains(id)) {
+            if let Some(id) = self
+                .numbers
+                .get(name.as_ref())
+                .copied()
+                .filter(|id| !stays.contains(id))
+            {
                 self.numbers.remove(name.as_ref());
                 self.taken.remove(&id);
                 self.starts.remove(&id);
@@ -237,7 +252,14 @@
         let kind = self.kinds.get(raw.flavor.as_ref()).copied().unwrap_or(0);
         let id = self.number(&raw.id);
         let started = self.started(id, raw.up_since_ms);
-        let backend = Backend { id, zone, kind, cell: raw.cell, readiness, started };
+        let backend = Backend {
+            id,
+            zone,
+            kind,
+            cell: raw.cell,
+            readiness,
+            started,
+        };
         Ok((Listed { backend, address }, raw.id))
     }
 
@@ -271,7 +293,9 @@
 
 /// FNV-1a, 32 bits: stable from one build and machine to the next.
 fn fnv(bytes: &[u8]) -> u32 {
-    bytes.iter().fold(0x811c_9dc5, |hash, &byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
+    bytes.iter().fold(0x811c_9dc5, |hash, &byte| {
+        (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
+    })
 }
 
 struct Conn {
@@ -340,7 +364,9 @@
             },
             |list| (list.complete.then_some(list.revision), list.entries),
         );
-        self.fallback = entries.iter().any(|e| e.backend.readiness == Readiness::Ready);
+        self.fallback = entries
+            .iter()
+            .any(|e| e.backend.readiness == Readiness::Ready);
         self.revision = revision.filter(|_| self.fallback);
         if self.fallback {
             self.lifecycle.can_serve();
@@ -409,7 +435,8 @@
         if list.complete {
             self.handle.tell(Message::Listed(Scope::Full, list.entries));
         } else if !list.entries.is_empty() {
-            self.handle.tell(Message::Listed(Scope::Delta, list.entries));
+            self.handle
+                .tell(Message::Listed(Scope::Delta, list.entries));
         }
     }
 
@@ -443,10 +470,18 @@
             None => ("/discovery/hosts".to_owned(), CALL_TIMEOUT),
             Some(after) => {
                 let (wait, limit) = self.patience();
-                (format!("/discovery/hosts?after={after}&wait_ms={}", wait.as_millis()), limit)
+                (
+                    format!(
+                        "/discovery/hosts?after={after}&wait_ms={}",
+                        wait.as_millis()
+                    ),
+                    limit,
+                )
             }
         };
-        let body = timeout(limit, self.fetch(&target)).await.map_err(|_| DiscoveryError::Timeout)??;
+        let body = timeout(limit, self.fetch(&target))
+            .await
+            .map_err(|_| DiscoveryError::Timeout)??;
         let list = self.translator.parse(&body)?;
         match self.revision {
             // Versions that begin anew are another service's: the next call asks for the whole list.
--- a/src/proxy/discovery/tests.rs
+++ b/src/proxy/discovery/tests.rs
@@ -3,13 +3,27 @@
 
 #[test]
 fn names_that_are_gone_are_forgotten_and_the_others_keep_their_numbers() {
-    let names = Names { zones: vec!["a".into()], ..Names::default() };
+    let names = Names {
+        zones: vec!["a".into()],
+        ..Names::default()
+    };
     let mut translator = Translator::new(Clock::start(), &names);
     let entry = |id: String, phase: &str| json!({"id": id, "host_port": "127.0.0.1:9", "locality": "a", "phase": phase, "up_since_ms": 1});
     let mut list = |complete: bool, members: Vec<Value>| {
-        let list = translator.list(&json!({"revision": 1, "complete": complete, "members": members}));
-        let ids = list.expect("a list").entries.iter().map(|e| e.backend.id).collect::<Vec<_>>();
-        (ids, translator.numbers.len(), translator.taken.len(), translator.starts.len())
+        let list =
+            translator.list(&json!({"revision": 1, "complete": complete, "members": members}));
+        let ids = list
+            .expect("a list")
+            .entries
+            .iter()
+            .map(|e| e.backend.id)
+            .collect::<Vec<_>>();
+        (
+            ids,
+            translator.numbers.len(),
+            translator.taken.len(),
+            translator.starts.len(),
+        )
     };
     let (first, ..) = list(true, vec![entry("stays".into(), "active")]);
     for turn in 0..100 {
@@ -18,17 +32,27 @@
     }
     let delta = list(false, vec![entry("stays".into(), "leaving")]);
     assert_eq!(delta, (first, 1, 1, 1));
-    list(false, (0..100).map(|n| entry(format!("t-{n}"), "active")).collect());
+    list(
+        false,
+        (0..100)
+            .map(|n| entry(format!("t-{n}"), "active"))
+            .collect(),
+    );
     let (_, numbers, taken, starts) = list(true, vec![entry("stays".into(), "active")]);
     assert_eq!((numbers, taken, starts), (1, 1, 1));
 }
 
 #[test]
 fn escaped_names_and_members_that_make_no_sense_spoil_no_other_entry() {
-    let names = Names { zones: vec!["zone \"a\"".into()], ..Names::default() };
+    let names = Names {
+        zones: vec!["zone \"a\"".into()],
+        ..Names::default()
+    };
     let mut translator = Translator::new(Clock::start(), &names);
     let member = |id: &str| {
-        format!(r#"{{"id":{id},"host_port":"127.0.0.1:9","locality":"zone \"a\"","phase":"active"}}"#)
+        format!(
+            r#"{{"id":{id},"host_port":"127.0.0.1:9","locality":"zone \"a\"","phase":"active"}}"#
+        )
     };
     let text = format!(
         r#"{{"complete":true,"members":[{},7,{{"id":"half"}},{}],"revision":3}}"#,
@@ -36,7 +60,10 @@
         member(r#""s-2""#)
     );
     let list = translator.parse(text.as_bytes()).expect("a list");
-    assert_eq!((list.revision, list.complete, list.entries.len()), (3, true, 2));
+    assert_eq!(
+        (list.revision, list.complete, list.entries.len()),
+        (3, true, 2)
+    );
     let mut ids = [translator.number("s-1"), translator.number("s-2")];
     ids.sort_unstable();
     let mut listed: Vec<_> = list.entries.iter().map(|entry| entry.backend.id).collect();
@@ -46,10 +73,12 @@
 
 #[test]
 fn a_backend_that_one_list_calls_gone_and_then_active_keeps_its_number() {
-    let names = Names { zones: vec!["a".into()], ..Names::default() };
+    let names = Names {
+        zones: vec!["a".into()],
+        ..Names::default()
+    };
     let mut translator = Translator::new(Clock::start(), &names);
-    let entry =
-        |phase: &str| json!({"id": "s-1", "host_port": "127.0.0.1:9", "locality": "a", "phase": phase});
+    let entry = |phase: &str| json!({"id": "s-1", "host_port": "127.0.0.1:9", "locality": "a", "phase": phase});
     let both = json!({"revision": 1, "members": [entry("left"), entry("active")]});
     let list = translator.list(&both).expect("a list");
     assert_eq!(list.entries.len(), 2);
--- a/src/proxy/driver.rs
+++ b/src/proxy/driver.rs
@@ -6,7 +6,9 @@
 use super::lifecycle::Lifecycle;
 use super::messages::{Answer, Handle, Inbound, Listed, Message, Scope};
 use super::request_log;
-use crate::api::{Action, Backend, BackendId, Event, Membership, Micros, Outcome, RequestId, Settled};
+use crate::api::{
+    Action, Backend, BackendId, Event, Membership, Micros, Outcome, RequestId, Settled,
+};
 use crate::balancer::Balancer;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cmp::Reverse;
@@ -55,8 +57,15 @@
 
 /// An event that the driver itself has caused and not yet handed on.
 enum Pending {
-    Settled { request: RequestId, attempt: u16, result: AttemptResult },
-    Probed { backend: BackendId, result: AttemptResult },
+    Settled {
+        request: RequestId,
+        attempt: u16,
+        result: AttemptResult,
+    },
+    Probed {
+        backend: BackendId,
+        result: AttemptResult,
+    },
 }
 
 /// Owns the balancer.
@@ -119,7 +128,10 @@
     /// Runs for as long as the proxy does.
     pub async fn run(mut self) {
         loop {
-            let next = self.timers.peek().map(|Reverse((due, _))| self.clock.instant(*due));
+            let next = self
+                .timers
+                .peek()
+                .map(|Reverse((due, _))| self.clock.instant(*due));
             let message = match next {
                 None => self.messages.recv().await,
                 Some(due) => tokio::select! {
@@ -155,7 +167,9 @@
 
     /// Rule 1: whatever the balancer is waiting for, the client gets an answer before its time ends.
     fn on_last_moment(&mut self, now: Micros, request: RequestId) {
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
         // Its time counts from its last byte.
         if let Some(progress) = open.call.body.progress() {
             let began = progress.finished_at().map_or(now, |at| self.clock.at(at));
@@ -164,11 +178,15 @@
                 last = last.min(self.clock.at(end).saturating_sub(SHUTDOWN_MARGIN));
             }
             if last > now {
-                return self.timers.push(Reverse((last, Timer::LastMoment(request))));
+                return self
+                    .timers
+                    .push(Reverse((last, Timer::LastMoment(request))));
             }
         }
         open.call.cancel.trigger();
-        let Some(client) = open.client.take() else { return };
+        let Some(client) = open.client.take() else {
+            return;
+        };
         give_answer(request, client, Answer::Failed);
         self.handle_event(now, Event::ClientGone(request));
         self.remove_if_finished(request);
@@ -189,9 +207,15 @@
                     self.remove_if_finished(request);
                 }
             }
-            Message::Begins(request, attempt, served) => self.on_begins(now, request, attempt, served),
+            Message::Begins(request, attempt, served) => {
+                self.on_begins(now, request, attempt, served)
+            }
             Message::Ended(request, attempt, result) => {
-                self.pending.push_back(Pending::Settled { request, attempt, result });
+                self.pending.push_back(Pending::Settled {
+                    request,
+                    attempt,
+                    result,
+                });
                 self.handle_pending(now);
             }
             Message::Probed(backend, result) => {
@@ -207,15 +231,25 @@
 
     fn on_request(&mut self, now: Micros, inbound: Inbound, client: oneshot::Sender<Answer>) {
         request_log::received(&inbound);
-        let Inbound { mut request, arrived, call } = inbound;
+        let Inbound {
+            mut request,
+            arrived,
+            call,
+        } = inbound;
         let end = arrived.saturating_add(request.patience);
         let left = end.saturating_sub(now);
         // A client with hardly any time at all is not robbed of what it has.
         request.patience = left.saturating_sub(ANSWER_MARGIN.min(left / 2));
         let last = now + left.saturating_sub(LAST_MARGIN.min(left / 4));
-        let open = OpenRequest { call: Rc::new(call), client: Some(client), left, attempts: Vec::new() };
+        let open = OpenRequest {
+            call: Rc::new(call),
+            client: Some(client),
+            left,
+            attempts: Vec::new(),
+        };
         self.open.insert(request.id, open);
-        self.timers.push(Reverse((last, Timer::LastMoment(request.id))));
+        self.timers
+            .push(Reverse((last, Timer::LastMoment(request.id))));
         self.handle_event(now, Event::Request(request));
     }
 
@@ -226,7 +260,8 @@
             self.fleet.retain(|id| listed.contains(&id));
         }
         for Listed { backend, address } in entries {
-            self.fleet.update(backend.id, *address, backend.readiness, backend.started);
+            self.fleet
+                .update(backend.id, *address, backend.readiness, backend.started);
         }
         let backends: Vec<Backend> = entries.iter().map(|e| e.backend).collect();
         let news = match scope {
@@ -250,10 +285,18 @@
         while let Some(pending) = self.pending.pop_front() {
             match pending {
                 Pending::Probed { backend, result } => {
-                    let event = Event::Probed { backend, outcome: result.outcome, report: &result.report };
+                    let event = Event::Probed {
+                        backend,
+                        outcome: result.outcome,
+                        report: &result.report,
+                    };
                     self.balancer.handle(now, event, &mut self.actions);
                 }
-                Pending::Settled { request, attempt, result } => self.on_ended(now, request, attempt, result),
+                Pending::Settled {
+                    request,
+                    attempt,
+                    result,
+                } => self.on_ended(now, request, attempt, result),
             }
             self.execute_actions(now);
         }
@@ -261,24 +304,49 @@
 
     /// How long an attempt took so far; that its request's body was still coming is not its backend's time.
     fn elapsed(&self, now: Micros, open: &OpenRequest, attempt: &Attempt) -> Micros {
-        let whole_at = open.call.body.progress().and_then(|progress| progress.finished_at());
-        now.saturating_sub(whole_at.map_or(0, |at| self.clock.at(at)).max(attempt.sent_at))
+        let whole_at = open
+            .call
+            .body
+            .progress()
+            .and_then(|progress| progress.finished_at());
+        now.saturating_sub(
+            whole_at
+                .map_or(0, |at| self.clock.at(at))
+                .max(attempt.sent_at),
+        )
     }
 
     fn on_begins(&mut self, now: Micros, request: RequestId, number: u16, served: Served) {
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
         // Without a client it is dropped, which ends the attempt.
-        let Some(client) = open.client.take() else { return };
+        let Some(client) = open.client.take() else {
+            return;
+        };
         give_answer(request, client, Answer::Served(served));
         let open = &self.open[&request];
-        let Some(attempt) = open.attempts.get(usize::from(number)) else { return };
+        let Some(attempt) = open.attempts.get(usize::from(number)) else {
+            return;
+        };
         let elapsed = self.elapsed(now, open, attempt);
-        self.handle_event(now, Event::FirstByte { request, attempt: number, elapsed });
+        self.handle_event(
+            now,
+            Event::FirstByte {
+                request,
+                attempt: number,
+                elapsed,
+            },
+        );
     }
 
     fn on_ended(&mut self, now: Micros, request: RequestId, number: u16, result: AttemptResult) {
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let Some(attempt) = open.attempts.get_mut(usize::from(number)) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let Some(attempt) = open.attempts.get_mut(usize::from(number)) else {
+            return;
+        };
         // Each send settles once.
         if attempt.cancel.take().is_none() {
             return;
@@ -287,7 +355,9 @@
         let attempt = &open.attempts[usize::from(number)];
         let (backend, elapsed) = (attempt.backend, self.elapsed(now, open, attempt));
         request_log::attempt_ended(request, number, backend, elapsed, &result);
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
         // The first answer of a backend reaches the client without being asked for, as on the simulator.
         if let Some(served) = result.served
             && let Some(client) = open.client.take()
@@ -296,15 +366,29 @@
         }
         let closed = open.client.is_none();
         let (outcome, report, spent) = (result.outcome, result.report.as_slice(), result.spent);
-        let settled = Settled { request, backend, attempt: number, outcome, closed, elapsed, report, spent };
-        self.balancer.handle(now, Event::Settled(settled), &mut self.actions);
+        let settled = Settled {
+            request,
+            backend,
+            attempt: number,
+            outcome,
+            closed,
+            elapsed,
+            report,
+            spent,
+        };
+        self.balancer
+            .handle(now, Event::Settled(settled), &mut self.actions);
         self.execute_actions(now);
         self.remove_if_finished(request);
     }
 
     /// Removes a request for which nothing more can come.
     fn remove_if_finished(&mut self, request: RequestId) {
-        if self.open.get(&request).is_some_and(OpenRequest::is_finished) {
+        if self
+            .open
+            .get(&request)
+            .is_some_and(OpenRequest::is_finished)
+        {
             self.open.remove(&request);
         }
     }
@@ -313,16 +397,25 @@
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { request, backend, give_up_at, write_by } => {
+                Action::Send {
+                    request,
+                    backend,
+                    give_up_at,
+                    write_by,
+                } => {
                     self.send(now, request, backend, give_up_at, write_by);
                 }
-                Action::Refuse { request, retry_after } => {
+                Action::Refuse {
+                    request,
+                    retry_after,
+                } => {
                     self.answer(request, Answer::Refused { retry_after });
                 }
                 Action::Fail { request } => self.answer(request, Answer::Failed),
                 Action::Cancel { request, attempt } => self.cancel(request, attempt),
                 Action::SetTimer { after, token } => {
-                    self.timers.push(Reverse((now.saturating_add(after), Timer::Balancer(token))));
+                    self.timers
+                        .push(Reverse((now.saturating_add(after), Timer::Balancer(token))));
                 }
                 Action::Subscribe => {
                     let _ = self.subscribe.send(());
@@ -336,7 +429,11 @@
     }
 
     fn answer(&mut self, request: RequestId, answer: Answer) {
-        if let Some(client) = self.open.get_mut(&request).and_then(|open| open.client.take()) {
+        if let Some(client) = self
+            .open
+            .get_mut(&request)
+            .and_then(|open| open.client.take())
+        {
             give_answer(request, client, answer);
             self.remove_if_finished(request);
         }
@@ -350,25 +447,42 @@
         give_up_at: Micros,
         write_by: Option<Micros>,
     ) {
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
         let number = open.attempts.len() as u16;
         let (cancel, cancelled) = oneshot::channel();
-        open.attempts.push(Attempt { backend, sent_at: now, cancel: Some(cancel) });
+        open.attempts.push(Attempt {
+            backend,
+            sent_at: now,
+            cancel: Some(cancel),
+        });
         request_log::attempt_started(request, number, backend, give_up_at.saturating_sub(now));
-        let may_go = open.client.is_some() && usize::from(number) < self.max_attempts && give_up_at > now;
+        let may_go =
+            open.client.is_some() && usize::from(number) < self.max_attempts && give_up_at > now;
         let Some(endpoint) = self.fleet.endpoint(backend).filter(|_| may_go) else {
             let result = Outcome::Moot.into();
-            self.pending.push_back(Pending::Settled { request, attempt: number, result });
+            self.pending.push_back(Pending::Settled {
+                request,
+                attempt: number,
+                result,
+            });
             return;
         };
-        let (fleet, call, handle) = (Rc::clone(&self.fleet), Rc::clone(&open.call), self.handle.clone());
+        let (fleet, call, handle) = (
+            Rc::clone(&self.fleet),
+            Rc::clone(&open.call),
+            self.handle.clone(),
+        );
         let deadlines = AttemptDeadlines {
             give_up: self.clock.instant(give_up_at),
             write_by: write_by.map(|at| self.clock.instant(at)),
         };
         tokio::task::spawn_local(async move {
             let begins = |served| handle.tell(Message::Begins(request, number, served));
-            let result = fleet.attempt(endpoint, call, deadlines, cancelled, begins).await;
+            let result = fleet
+                .attempt(endpoint, call, deadlines, cancelled, begins)
+                .await;
             handle.tell(Message::Ended(request, number, result));
         });
     }
@@ -385,8 +499,14 @@
     }
 
     fn probe(&self, backend: BackendId) {
-        let Some(endpoint) = self.fleet.endpoint(backend) else { return };
-        let (fleet, handle, deep) = (Rc::clone(&self.fleet), self.handle.clone(), self.report_by_probe);
+        let Some(endpoint) = self.fleet.endpoint(backend) else {
+            return;
+        };
+        let (fleet, handle, deep) = (
+            Rc::clone(&self.fleet),
+            self.handle.clone(),
+            self.report_by_probe,
+        );
         tokio::task::spawn_local(async move {
             let result = fleet.probe(endpoint, deep).await;
             handle.tell(Message::Probed(backend, result));
--- a/src/proxy/framing.rs
+++ b/src/proxy/framing.rs
@@ -42,7 +42,13 @@
     /// Nothing has come yet. Heads beyond `cap` bytes are the library's to turn away.
     #[must_use]
     pub fn new(cap: usize) -> Self {
-        Self { state: State::Head, partial: Vec::new(), cap, heads: 0, ambiguous_head: None }
+        Self {
+            state: State::Head,
+            partial: Vec::new(),
+            cap,
+            heads: 0,
+            ambiguous_head: None,
+        }
     }
 
     /// How many heads are whole.
@@ -83,7 +89,13 @@
         }
     }
 
-    fn skip<'a>(&mut self, bytes: &'a [u8], left: u64, same: fn(u64) -> State, next: State) -> &'a [u8] {
+    fn skip<'a>(
+        &mut self,
+        bytes: &'a [u8],
+        left: u64,
+        same: fn(u64) -> State,
+        next: State,
+    ) -> &'a [u8] {
         let taken = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
         let left = left - taken as u64;
         self.state = if left == 0 { next } else { same(left) };
@@ -96,7 +108,8 @@
             return &bytes[1..];
         }
         let old = self.partial.len();
-        self.partial.extend_from_slice(&bytes[..bytes.len().min(self.cap)]);
+        self.partial
+            .extend_from_slice(&bytes[..bytes.len().min(self.cap)]);
         let Some(end) = head_end(&self.partial, old.saturating_sub(3)) else {
             if self.partial.len() >= self.cap {
                 self.state = State::Malformed;
@@ -144,25 +157,31 @@
 /// The length of a head, up to and with its empty line, if that is there behind `from`.
 fn head_end(bytes: &[u8], from: usize) -> Option<usize> {
     let rest = |at: usize| &bytes[at + 1..];
-    (from..bytes.len()).filter(|&at| bytes[at] == b'\n').find_map(|at| match rest(at) {
-        [b'\n', ..] => Some(at + 2),
-        [b'\r', b'\n', ..] => Some(at + 3),
-        _ => None,
-    })
+    (from..bytes.len())
+        .filter(|&at| bytes[at] == b'\n')
+        .find_map(|at| match rest(at) {
+            [b'\n', ..] => Some(at + 2),
+            [b'\r', b'\n', ..] => Some(at + 3),
+            _ => None,
+        })
 }
 
 /// How the body behind a head ends; `None` where that can be read in two ways.
 fn body(head: &[u8]) -> Option<BodyLength> {
     let mut body = BodyLength::None;
     for line in head.split(|&b| b == b'\n').skip(1) {
-        let Some(colon) = line.iter().position(|&b| b == b':') else { continue };
+        let Some(colon) = line.iter().position(|&b| b == b':') else {
+            continue;
+        };
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         let found = if name.eq_ignore_ascii_case(b"content-length") {
             let digits = value.iter().all(u8::is_ascii_digit).then_some(value)?;
             BodyLength::Known(std::str::from_utf8(digits).ok()?.parse().ok()?)
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             // No other coding is undone here, and none may be hidden from the backend.
-            value.eq_ignore_ascii_case(b"chunked").then_some(BodyLength::Chunked)?
+            value
+                .eq_ignore_ascii_case(b"chunked")
+                .then_some(BodyLength::Chunked)?
         } else {
             continue;
         };
--- a/src/proxy/framing/tests.rs
+++ b/src/proxy/framing/tests.rs
@@ -7,7 +7,15 @@
     let (mut whole, mut pieces) = (Framing::new(1_000), Framing::new(1_000));
     whole.feed(text.as_bytes());
     text.as_bytes().chunks(1).for_each(|byte| pieces.feed(byte));
-    let seen = |f: &Framing| (f.state, f.heads, f.ambiguous_head, f.is_between(), f.is_in_head());
+    let seen = |f: &Framing| {
+        (
+            f.state,
+            f.heads,
+            f.ambiguous_head,
+            f.is_between(),
+            f.is_in_head(),
+        )
+    };
     assert_eq!(seen(&whole), seen(&pieces), "{text}");
     whole
 }
@@ -27,19 +35,31 @@
     ];
     for text in &whole {
         let framing = after(text);
-        assert!(framing.is_between() && framing.heads() == 1 && framing.ambiguous_head.is_none(), "{text}");
+        assert!(
+            framing.is_between() && framing.heads() == 1 && framing.ambiguous_head.is_none(),
+            "{text}"
+        );
     }
     let framing = after(&whole.concat());
-    assert!(framing.is_between() && framing.heads() == 6, "one behind another");
+    assert!(
+        framing.is_between() && framing.heads() == 6,
+        "one behind another"
+    );
 }
 
 #[test]
 fn what_has_come_of_a_message_shows() {
     assert!(after("GET /up HTT").is_in_head());
     assert!(after(&format!("{POST}Content-Length: 3\r\n\r\nab\r")).is_between());
-    for text in ["Content-Length: 3\r\n\r\nab", "Transfer-Encoding: chunked\r\n\r\n3\r\nabc"] {
+    for text in [
+        "Content-Length: 3\r\n\r\nab",
+        "Transfer-Encoding: chunked\r\n\r\n3\r\nabc",
+    ] {
         let framing = after(&format!("{POST}{text}"));
-        assert!(!framing.is_between() && !framing.is_in_head() && framing.heads() == 1, "{text}");
+        assert!(
+            !framing.is_between() && !framing.is_in_head() && framing.heads() == 1,
+            "{text}"
+        );
     }
 }
 
@@ -56,8 +76,13 @@
         "Transfer-Encoding: gzip, chunked\r\n",
         "Transfer-Encoding: xchunked\r\n",
     ] {
-        let framing = after(&format!("{POST}Content-Length: 1\r\n\r\nx{POST}{fields}\r\n0\r\n\r\n{POST}"));
-        assert!(framing.is_ambiguous(2) && !framing.is_ambiguous(1), "{fields}");
+        let framing = after(&format!(
+            "{POST}Content-Length: 1\r\n\r\nx{POST}{fields}\r\n0\r\n\r\n{POST}"
+        ));
+        assert!(
+            framing.is_ambiguous(2) && !framing.is_ambiguous(1),
+            "{fields}"
+        );
         assert_eq!(framing.heads(), 2, "nothing is read behind it: {fields}");
     }
 }
@@ -65,7 +90,10 @@
 #[test]
 fn what_does_not_end_takes_no_memory() {
     let head = after(&format!("GET /{}", "x".repeat(5_000)));
-    let size = after(&format!("{POST}Transfer-Encoding: chunked\r\n\r\n1;{}", "x".repeat(50_000)));
+    let size = after(&format!(
+        "{POST}Transfer-Encoding: chunked\r\n\r\n1;{}",
+        "x".repeat(50_000)
+    ));
     let odd = after(&format!("{POST}Transfer-Encoding: chunked\r\n\r\nxyz\r\n"));
     for framing in [head, size, odd] {
         assert_eq!(framing.state, State::Malformed);
--- a/src/proxy/inherited.rs
+++ b/src/proxy/inherited.rs
@@ -23,8 +23,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Number(given) => write!(f, "{VARIABLE} is no descriptor: `{given}`"),
-            Self::Unusable(fd, error) => write!(f, "{VARIABLE} names descriptor {fd}, which fails: {error}"),
-            Self::NotListening(fd) => write!(f, "{VARIABLE} names descriptor {fd}, which does not listen"),
+            Self::Unusable(fd, error) => {
+                write!(f, "{VARIABLE} names descriptor {fd}, which fails: {error}")
+            }
+            Self::NotListening(fd) => {
+                write!(f, "{VARIABLE} names descriptor {fd}, which does not listen")
+            }
         }
     }
 }
@@ -37,8 +41,13 @@
 /// # Errors
 /// Where it names anything but a listening socket.
 pub fn from_env() -> Result<Option<TcpListener>, InheritedError> {
-    let Some(given) = env::var_os(VARIABLE).filter(|given| !given.is_empty()) else { return Ok(None) };
-    let fd = given.to_str().and_then(|s| s.parse::<RawFd>().ok()).filter(|fd| *fd >= 0);
+    let Some(given) = env::var_os(VARIABLE).filter(|given| !given.is_empty()) else {
+        return Ok(None);
+    };
+    let fd = given
+        .to_str()
+        .and_then(|s| s.parse::<RawFd>().ok())
+        .filter(|fd| *fd >= 0);
     let fd = fd.ok_or_else(|| InheritedError::Number(given.to_string_lossy().into_owned()))?;
     let socket = duplicate(fd).map_err(|error| InheritedError::Unusable(fd, error))?;
     let listens = socket.is_listener().unwrap_or(false)
@@ -47,7 +56,9 @@
     if !listens {
         return Err(InheritedError::NotListening(fd));
     }
-    socket.set_nonblocking(true).map_err(|error| InheritedError::Unusable(fd, error))?;
+    socket
+        .set_nonblocking(true)
+        .map_err(|error| InheritedError::Unusable(fd, error))?;
     Ok(Some(socket.into()))
 }
 
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -54,7 +54,11 @@
     #[must_use]
     pub fn start() -> Rc<Self> {
         let stage = watch::Sender::new(Stage::Starting);
-        Rc::new(Self { stage, can_serve: Cell::new(false), shutdown: Cell::new(None) })
+        Rc::new(Self {
+            stage,
+            can_serve: Cell::new(false),
+            shutdown: Cell::new(None),
+        })
     }
 
     /// How far it is.
@@ -84,7 +88,13 @@
     /// It can serve from now on.
     pub fn can_serve(&self) {
         self.can_serve.set(true);
-        self.transition(|stage| if stage == Stage::Starting { Stage::InService } else { stage });
+        self.transition(|stage| {
+            if stage == Stage::Starting {
+                Stage::InService
+            } else {
+                stage
+            }
+        });
     }
 
     /// An operator empties the proxy. Said again it changes nothing.
@@ -92,7 +102,13 @@
     /// # Errors
     /// Where the process ends anyway.
     pub fn take_out(&self) -> Result<(), IsStopping> {
-        self.transition(|stage| if stage == Stage::Stopping { stage } else { Stage::OutOfService });
+        self.transition(|stage| {
+            if stage == Stage::Stopping {
+                stage
+            } else {
+                Stage::OutOfService
+            }
+        });
         self.is_not_stopping()
     }
 
@@ -101,8 +117,18 @@
     /// # Errors
     /// Where the process ends.
     pub fn take_in(&self) -> Result<(), IsStopping> {
-        let back = if self.can_serve.get() { Stage::InService } else { Stage::Starting };
-        self.transition(|stage| if stage == Stage::OutOfService { back } else { stage });
+        let back = if self.can_serve.get() {
+            Stage::InService
+        } else {
+            Stage::Starting
+        };
+        self.transition(|stage| {
+            if stage == Stage::OutOfService {
+                back
+            } else {
+                stage
+            }
+        });
         self.is_not_stopping()
     }
 
@@ -115,7 +141,9 @@
     /// How long a request that comes now may take at the most: none outlives the process.
     #[must_use]
     pub fn time_left(&self) -> Option<Duration> {
-        self.shutdown.get().map(|times| times.answers_by.saturating_duration_since(Instant::now()))
+        self.shutdown
+            .get()
+            .map(|times| times.answers_by.saturating_duration_since(Instant::now()))
     }
 
     /// When the process ends, if it was told to.
@@ -127,12 +155,22 @@
     /// When a connection is closed on which nothing happens from now on, if clients are to leave.
     #[must_use]
     pub fn closes_at(&self) -> Option<Instant> {
-        let (now, last) = (Instant::now(), self.shutdown.get().map(|times| times.answers_by - CLOSED_BEFORE));
-        self.is_leaving().then(|| last.map_or(now + DRAIN_GRACE, |last| last.min(now + DRAIN_GRACE)))
+        let (now, last) = (
+            Instant::now(),
+            self.shutdown
+                .get()
+                .map(|times| times.answers_by - CLOSED_BEFORE),
+        );
+        self.is_leaving()
+            .then(|| last.map_or(now + DRAIN_GRACE, |last| last.min(now + DRAIN_GRACE)))
     }
 
     fn is_not_stopping(&self) -> Result<(), IsStopping> {
-        if self.stage() == Stage::Stopping { Err(IsStopping) } else { Ok(()) }
+        if self.stage() == Stage::Stopping {
+            Err(IsStopping)
+        } else {
+            Ok(())
+        }
     }
 
     fn transition(&self, next: impl Fn(Stage) -> Stage) {
--- a/src/proxy/logging/mod.rs
+++ b/src/proxy/logging/mod.rs
@@ -30,13 +30,17 @@
     /// Writes only what passes `filter` from now on; `None` brings back the filter of the start.
     pub fn set_filter(&self, filter: Option<Targets>) {
         // It fails only where the subscriber is gone, and that one lives as long as the process.
-        let _ = self.filter.reload(filter.unwrap_or_else(|| self.default_filter.clone()));
+        let _ = self
+            .filter
+            .reload(filter.unwrap_or_else(|| self.default_filter.clone()));
     }
 }
 
 impl fmt::Debug for LogControl {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("LogControl").field("default_filter", &self.default_filter).finish_non_exhaustive()
+        f.debug_struct("LogControl")
+            .field("default_filter", &self.default_filter)
+            .finish_non_exhaustive()
     }
 }
 
@@ -48,9 +52,18 @@
     let writer = RateLimitedWriter::new(options.lines_per_second);
     let layer = match options.format {
         LogFormat::Text => lines::layer().with_ansi(false).with_writer(writer).boxed(),
-        LogFormat::Json => lines::layer().json().flatten_event(true).with_writer(writer).boxed(),
+        LogFormat::Json => lines::layer()
+            .json()
+            .flatten_event(true)
+            .with_writer(writer)
+            .boxed(),
     };
     let (filter, handle) = reload::Layer::new(options.filter.clone());
-    tracing_subscriber::registry().with(layer.with_filter(filter)).try_init()?;
-    Ok(LogControl { filter: handle, default_filter: options.filter })
+    tracing_subscriber::registry()
+        .with(layer.with_filter(filter))
+        .try_init()?;
+    Ok(LogControl {
+        filter: handle,
+        default_filter: options.filter,
+    })
 }
--- a/src/proxy/logging/options.rs
+++ b/src/proxy/logging/options.rs
@@ -83,8 +83,10 @@
         let set = |name| variable(name).filter(|value| !value.is_empty());
         Ok(Self {
             filter: option(FILTER_VARIABLE, set, parse_filter)?.unwrap_or(defaults.filter),
-            format: option(FORMAT_VARIABLE, set, |text| text.parse::<LogFormat>().map_err(str::to_owned))?
-                .unwrap_or(defaults.format),
+            format: option(FORMAT_VARIABLE, set, |text| {
+                text.parse::<LogFormat>().map_err(str::to_owned)
+            })?
+            .unwrap_or(defaults.format),
             lines_per_second: option(LINES_VARIABLE, set, parse_lines_per_second)?
                 .unwrap_or(defaults.lines_per_second),
         })
@@ -96,12 +98,19 @@
 /// # Errors
 /// Says what is wrong with it.
 pub fn parse_filter(text: &str) -> Result<Targets, String> {
-    text.parse().map_err(|error| format!("is no filter: {error}"))
+    text.parse()
+        .map_err(|error| format!("is no filter: {error}"))
 }
 
 fn parse_lines_per_second(text: &str) -> Result<u32, String> {
-    let lines: u32 = text.parse().map_err(|_| "must be a whole number".to_owned())?;
-    if lines == 0 { Err("must be above 0".to_owned()) } else { Ok(lines) }
+    let lines: u32 = text
+        .parse()
+        .map_err(|_| "must be a whole number".to_owned())?;
+    if lines == 0 {
+        Err("must be above 0".to_owned())
+    } else {
+        Ok(lines)
+    }
 }
 
 /// Reads one variable, if it is set.
@@ -110,10 +119,16 @@
     set: impl Fn(&'static str) -> Option<String>,
     read: impl Fn(&str) -> Result<T, String>,
 ) -> Result<Option<T>, LogOptionsError> {
-    let Some(given) = set(name) else { return Ok(None) };
+    let Some(given) = set(name) else {
+        return Ok(None);
+    };
     match read(&given) {
         Ok(value) => Ok(Some(value)),
-        Err(problem) => Err(LogOptionsError { variable: name, given, problem }),
+        Err(problem) => Err(LogOptionsError {
+            variable: name,
+            given,
+            problem,
+        }),
     }
 }
 
--- a/src/proxy/logging/options/tests.rs
+++ b/src/proxy/logging/options/tests.rs
@@ -2,14 +2,24 @@
 use tracing::Level;
 
 fn options(set: &[(&str, &str)]) -> Result<LogOptions, LogOptionsError> {
-    let set: Vec<(String, String)> = set.iter().map(|&(n, v)| (n.to_owned(), v.to_owned())).collect();
-    LogOptions::from_env(|name| set.iter().find(|(n, _)| n == name).map(|(_, value)| value.clone()))
+    let set: Vec<(String, String)> = set
+        .iter()
+        .map(|&(n, v)| (n.to_owned(), v.to_owned()))
+        .collect();
+    LogOptions::from_env(|name| {
+        set.iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| value.clone())
+    })
 }
 
 #[test]
 fn what_is_not_set_or_empty_keeps_its_default() {
     let options = options(&[("EDGE_LOG", ""), ("EDGE_LOG_FORMAT", "json")]).expect("options");
-    assert_eq!((options.format, options.lines_per_second), (LogFormat::Json, DEFAULT_LINES_PER_SECOND));
+    assert_eq!(
+        (options.format, options.lines_per_second),
+        (LogFormat::Json, DEFAULT_LINES_PER_SECOND)
+    );
     assert!(options.filter.would_enable("tillerproxy", &Level::INFO));
     assert!(!options.filter.would_enable("tillerproxy", &Level::DEBUG));
 }
@@ -17,8 +27,16 @@
 #[test]
 fn a_filter_names_levels_by_target() {
     let options = options(&[("EDGE_LOG", "warn,tillerproxy::request=debug")]).expect("options");
-    assert!(options.filter.would_enable("tillerproxy::request", &Level::DEBUG));
-    assert!(!options.filter.would_enable("tillerproxy::proxy::driver", &Level::INFO));
+    assert!(
+        options
+            .filter
+            .would_enable("tillerproxy::request", &Level::DEBUG)
+    );
+    assert!(
+        !options
+            .filter
+            .would_enable("tillerproxy::proxy::driver", &Level::INFO)
+    );
 }
 
 #[test]
@@ -27,9 +45,16 @@
         ("EDGE_LOG", "tillerproxy=loud", "is no filter"),
         ("EDGE_LOG_FORMAT", "xml", "must be `text` or `json`"),
         ("EDGE_LOG_LINES_PER_SECOND", "0", "must be above 0"),
-        ("EDGE_LOG_LINES_PER_SECOND", "many", "must be a whole number"),
+        (
+            "EDGE_LOG_LINES_PER_SECOND",
+            "many",
+            "must be a whole number",
+        ),
     ] {
         let error = options(&[(name, value)]).expect_err("an error").to_string();
-        assert!(error.starts_with(&format!("{name}: `{value}` {problem}")), "{error}");
+        assert!(
+            error.starts_with(&format!("{name}: `{value}` {problem}")),
+            "{error}"
+        );
     }
 }
--- a/src/proxy/logging/rate_limit.rs
+++ b/src/proxy/logging/rate_limit.rs
@@ -27,18 +27,29 @@
 
 impl LineCount {
     fn new(most: u32) -> Self {
-        Self { most, period_began: None, lines: 0 }
+        Self {
+            most,
+            period_began: None,
+            lines: 0,
+        }
     }
 
     /// Counts one more line at `now`.
     fn admit(&mut self, now: Instant) -> Admission {
-        if self.period_began.is_none_or(|began| now.saturating_duration_since(began) >= PERIOD) {
+        if self
+            .period_began
+            .is_none_or(|began| now.saturating_duration_since(began) >= PERIOD)
+        {
             let left_out = self.lines.saturating_sub(self.most);
             (self.period_began, self.lines) = (Some(now), 1);
             return Admission::Admitted { left_out };
         }
         self.lines = self.lines.saturating_add(1);
-        if self.lines <= self.most { Admission::Admitted { left_out: 0 } } else { Admission::Refused }
+        if self.lines <= self.most {
+            Admission::Admitted { left_out: 0 }
+        } else {
+            Admission::Refused
+        }
     }
 }
 
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -87,7 +87,13 @@
     #[must_use]
     pub fn channel() -> (Self, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
-        (Self { messages: sender, next_id: Rc::new(Cell::new(1)) }, receiver)
+        (
+            Self {
+                messages: sender,
+                next_id: Rc::new(Cell::new(1)),
+            },
+            receiver,
+        )
     }
 
     /// Tells the driver something. A driver that has ended ends the process: nobody is left to tell.
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -56,7 +56,12 @@
         fleet: Rc<Fleet>,
         handle: Handle,
     ) -> Rc<Self> {
-        Rc::new(Self { lifecycle, counters, fleet, handle })
+        Rc::new(Self {
+            lifecycle,
+            counters,
+            fleet,
+            handle,
+        })
     }
 
     /// Takes calls for as long as the proxy runs.
@@ -99,7 +104,9 @@
             .max_buf_size(HEAD_CAP)
             .serve_connection(TokioIo::new(stream), service);
         let _ = std::future::poll_fn(|cx| conn.poll_without_shutdown(cx)).await;
-        Socket::new(conn.into_parts().io.into_inner()).linger().await;
+        Socket::new(conn.into_parts().io.into_inner())
+            .linger()
+            .await;
     }
 
     async fn answer(&self, request: Request<Incoming>, late: Instant) -> Result<Answer, Rejection> {
@@ -109,8 +116,11 @@
             "/control/out-of-service" | "/control/in-service" => true,
             _ => return Err(Rejection::new(StatusCode::NOT_FOUND, "no such call\n")),
         };
-        let (allowed, names): (&[Method], _) =
-            if post { (&[Method::POST], "POST") } else { (&[Method::GET, Method::HEAD], "GET, HEAD") };
+        let (allowed, names): (&[Method], _) = if post {
+            (&[Method::POST], "POST")
+        } else {
+            (&[Method::GET, Method::HEAD], "GET, HEAD")
+        };
         if !allowed.contains(&head.method) {
             return Err(Rejection::method(names));
         }
@@ -120,9 +130,21 @@
             return Err(too_large);
         }
         match timeout_at(late, Limited::new(body, BODY_CAP).collect()).await {
-            Err(_) => return Err(Rejection::new(StatusCode::REQUEST_TIMEOUT, "the call is late\n")),
-            Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => return Err(too_large),
-            Ok(Err(_)) => return Err(Rejection::new(StatusCode::BAD_REQUEST, "the call is broken\n")),
+            Err(_) => {
+                return Err(Rejection::new(
+                    StatusCode::REQUEST_TIMEOUT,
+                    "the call is late\n",
+                ));
+            }
+            Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
+                return Err(too_large);
+            }
+            Ok(Err(_)) => {
+                return Err(Rejection::new(
+                    StatusCode::BAD_REQUEST,
+                    "the call is broken\n",
+                ));
+            }
             Ok(Ok(_)) => {}
         }
         match head.uri.path() {
@@ -130,12 +152,18 @@
             "/control/out-of-service" => self.done("out of service", self.lifecycle.take_out()),
             "/control/in-service" => self.done("in service", self.lifecycle.take_in()),
             _ if self.lifecycle.is_up() => Ok(plain(StatusCode::OK, "ready\n")),
-            _ => Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")),
+            _ => Err(Rejection::new(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "not ready\n",
+            )),
         }
     }
 
     fn done(&self, what: &str, done: Result<(), IsStopping>) -> Result<Answer, Rejection> {
-        tracing::info!("an operator wants the proxy {what}: {:?}", self.lifecycle.stage());
+        tracing::info!(
+            "an operator wants the proxy {what}: {:?}",
+            self.lifecycle.stage()
+        );
         done.map_err(|IsStopping| Rejection::new(StatusCode::CONFLICT, "the process ends\n"))?;
         Ok(plain(StatusCode::OK, "done\n"))
     }
@@ -143,7 +171,9 @@
     async fn counters(&self) -> Answer {
         let (sender, avoided) = oneshot::channel();
         self.handle.tell(Message::Avoided(sender));
-        let text = self.counters.text(self.fleet.len(), avoided.await.unwrap_or_default());
+        let text = self
+            .counters
+            .text(self.fleet.len(), avoided.await.unwrap_or_default());
         let mut response = Response::new(BufferedBody::from(Bytes::from(text)));
         response.headers_mut().insert(header::CONTENT_TYPE, FORM);
         response
--- a/src/proxy/read_ahead.rs
+++ b/src/proxy/read_ahead.rs
@@ -39,7 +39,9 @@
             return false;
         }
         while self.reserved.len() * BODY_CAP < wanted {
-            let Some(reserved) = memory.reserve(BODY_CAP) else { return false };
+            let Some(reserved) = memory.reserve(BODY_CAP) else {
+                return false;
+            };
             self.reserved.push(reserved);
         }
         true
--- a/src/proxy/read_ahead/tests.rs
+++ b/src/proxy/read_ahead/tests.rs
@@ -42,7 +42,10 @@
     }
     let expected: Vec<u8> = (0..held).map(|at| (at / READ_PIECE) as u8).collect();
     assert!(got == expected);
-    assert!(memory.reserve(1 << 20).is_some(), "nothing is reserved any more");
+    assert!(
+        memory.reserve(1 << 20).is_some(),
+        "nothing is reserved any more"
+    );
 }
 
 #[test]
--- a/src/proxy/request_log.rs
+++ b/src/proxy/request_log.rs
@@ -24,7 +24,12 @@
 }
 
 /// An attempt starts, which is given up after `time_left`.
-pub(super) fn attempt_started(request: RequestId, attempt: u16, backend: BackendId, time_left: Micros) {
+pub(super) fn attempt_started(
+    request: RequestId,
+    attempt: u16,
+    backend: BackendId,
+    time_left: Micros,
+) {
     let time_left = Duration::from_micros(time_left);
     debug!(target: REQUEST_TARGET, request, attempt, backend, ?time_left, "attempt started");
 }
--- a/src/proxy/responses.rs
+++ b/src/proxy/responses.rs
@@ -15,7 +15,11 @@
 
 impl Rejection {
     pub(super) const fn new(status: StatusCode, why: &'static str) -> Self {
-        Self { status, why, allow: None }
+        Self {
+            status,
+            why,
+            allow: None,
+        }
     }
 
     /// The path is known, but only with these methods.
@@ -29,7 +33,9 @@
     pub(super) fn into_response(self) -> Response<BufferedBody> {
         let mut response = plain(self.status, self.why);
         if let Some(allowed) = self.allow {
-            response.headers_mut().insert(header::ALLOW, HeaderValue::from_static(allowed));
+            response
+                .headers_mut()
+                .insert(header::ALLOW, HeaderValue::from_static(allowed));
         }
         response
     }
@@ -39,7 +45,9 @@
 pub(super) fn plain(status: StatusCode, text: &'static str) -> Response<BufferedBody> {
     let mut response = Response::new(BufferedBody::from(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
-    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
 }
 
@@ -56,5 +64,7 @@
 
 /// The connection ends with that answer.
 pub(super) fn close<B>(response: &mut Response<B>) {
-    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    response
+        .headers_mut()
+        .insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
--- a/src/proxy/socket.rs
+++ b/src/proxy/socket.rs
@@ -53,7 +53,12 @@
     /// Waits until the other side has ended its sending or the connection broke, whatever is still unread.
     pub async fn ended(&self) {
         // No urgent data is waited for at the kernel, so this is woken by nothing else.
-        while self.0.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {}
+        while self
+            .0
+            .ready(Interest::PRIORITY)
+            .await
+            .is_ok_and(|ready| !ready.is_read_closed())
+        {}
     }
 
     /// Waits until something can be read, without taking it; `false` at the end.
--- a/src/state.rs
+++ b/src/state.rs
@@ -112,7 +112,10 @@
 
     /// The attempts that are out although it answered one that was sent when they were overdue.
     pub(crate) fn passed_over(&self) -> usize {
-        self.overdue_at.iter().filter(|&&at| at < self.answered).count()
+        self.overdue_at
+            .iter()
+            .filter(|&&at| at < self.answered)
+            .count()
     }
 
     /// An attempt has ended.
@@ -263,7 +266,10 @@
     }
 
     pub(crate) fn out(&self) -> usize {
-        self.attempts.iter().filter(|a| a.state == AttemptState::Out).count()
+        self.attempts
+            .iter()
+            .filter(|a| a.state == AttemptState::Out)
+            .count()
     }
 }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,8 +1,8 @@
 //! The simulator's wire: binary frames in and out, and the settings in JSON. No decision is taken here.
 
 use crate::api::{
-    Action, Backend, Class, DedupGroup, Effect, Micros, Outcome, Permissions, Readiness, ReportFields,
-    Request, RequestId, Safety, Settings, SettingsError, Tenant,
+    Action, Backend, Class, DedupGroup, Effect, Micros, Outcome, Permissions, Readiness,
+    ReportFields, Request, RequestId, Safety, Settings, SettingsError, Tenant,
 };
 use serde::Deserialize;
 use std::fmt;
@@ -23,7 +23,11 @@
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "bad input at byte {} of the batch: expected {}", self.offset, self.expected)
+        write!(
+            f,
+            "bad input at byte {} of the batch: expected {}",
+            self.offset, self.expected
+        )
     }
 }
 
@@ -98,7 +102,16 @@
     /// The request in the module's terms, where this record brings one.
     #[must_use]
     pub fn request(&self) -> Option<Request> {
-        let &Record::Inbound { request: id, class, tenant, key, patience, work, repeat } = self else {
+        let &Record::Inbound {
+            request: id,
+            class,
+            tenant,
+            key,
+            patience,
+            work,
+            repeat,
+        } = self
+        else {
             return None;
         };
         Some(Request {
@@ -130,13 +143,16 @@
 
 impl<'a> Fields<'a> {
     fn slice(&self, at: usize, len: usize) -> Result<&'a [u8], WireError> {
-        self.bytes.get(at..at.saturating_add(len)).ok_or_else(|| WireError {
-            offset: self.start + at,
-            expected: format!("{len} more bytes in a record of {} bytes", self.bytes.len()),
-        })
+        self.bytes
+            .get(at..at.saturating_add(len))
+            .ok_or_else(|| WireError {
+                offset: self.start + at,
+                expected: format!("{len} more bytes in a record of {} bytes", self.bytes.len()),
+            })
     }
     fn array<const N: usize>(&self, at: usize) -> Result<[u8; N], WireError> {
-        self.slice(at, N).map(|s| s.try_into().expect("slice() returns the length asked for"))
+        self.slice(at, N)
+            .map(|s| s.try_into().expect("slice() returns the length asked for"))
     }
     fn u8(&self, at: usize) -> Result<u8, WireError> {
         Ok(self.array::<1>(at)?[0])
@@ -152,7 +168,10 @@
     }
     fn report(&self, at: usize) -> Result<Vec<f32>, WireError> {
         let values = self.slice(at + 1, usize::from(self.u8(at)?) * 4)?;
-        Ok(values.chunks_exact(4).map(|c| f32::from_be_bytes([c[0], c[1], c[2], c[3]])).collect())
+        Ok(values
+            .chunks_exact(4)
+            .map(|c| f32::from_be_bytes([c[0], c[1], c[2], c[3]]))
+            .collect())
     }
     fn outcome(&self, at: usize) -> Result<Outcome, WireError> {
         Ok(match self.u16(at)? {
@@ -164,11 +183,16 @@
             305 => Outcome::Reset,
             306 => Outcome::Cancelled,
             307 => Outcome::Moot,
-            other => return self.wrong(at, &format!("an outcome of 100 or 301 to 307, not {other}")),
+            other => {
+                return self.wrong(at, &format!("an outcome of 100 or 301 to 307, not {other}"));
+            }
         })
     }
     fn wrong<T>(&self, at: usize, expected: &str) -> Result<T, WireError> {
-        Err(WireError { offset: self.start + at, expected: expected.into() })
+        Err(WireError {
+            offset: self.start + at,
+            expected: expected.into(),
+        })
     }
 }
 
@@ -188,9 +212,19 @@
         let (left, length) = (header.u32(0)?, header.u32(4)? as usize);
         let clock = header.u64(BATCH_HEADER)?;
         if length != bytes.len() - BATCH_HEADER {
-            return header.wrong(4, &format!("a length of {}, not {length}", bytes.len() - BATCH_HEADER));
+            return header.wrong(
+                4,
+                &format!("a length of {}, not {length}", bytes.len() - BATCH_HEADER),
+            );
         }
-        Ok((Self { bytes, at: BATCH_HEADER + 8, left }, clock))
+        Ok((
+            Self {
+                bytes,
+                at: BATCH_HEADER + 8,
+                left,
+            },
+            clock,
+        ))
     }
 
     /// Offset of the next record.
@@ -204,12 +238,22 @@
     /// # Errors
     /// Where a record is cut short, holds a value that the wire does not know, or the count is off.
     pub fn next_record(&mut self) -> Result<Option<Record<'a>>, WireError> {
-        let rest = Fields { bytes: &self.bytes[self.at..], start: self.at };
+        let rest = Fields {
+            bytes: &self.bytes[self.at..],
+            start: self.at,
+        };
         if self.left == 0 {
-            return if rest.bytes.is_empty() { Ok(None) } else { rest.wrong(0, "the end of the batch") };
+            return if rest.bytes.is_empty() {
+                Ok(None)
+            } else {
+                rest.wrong(0, "the end of the batch")
+            };
         }
         let length = RECORD_HEADER.saturating_add(rest.u32(1)? as usize);
-        let f = Fields { bytes: rest.slice(0, length)?, start: self.at };
+        let f = Fields {
+            bytes: rest.slice(0, length)?,
+            start: self.at,
+        };
         self.at += length;
         self.left -= 1;
         parse(&f).map(Some)
@@ -222,9 +266,17 @@
             list: f.u16(5)?,
             entries: f.slice(11, (f.u32(7)? as usize).saturating_mul(ENTRY))?,
         },
-        1 => Record::Probed { outcome: f.outcome(5)?, backend: f.u32(11)?, report: f.report(15)? },
+        1 => Record::Probed {
+            outcome: f.outcome(5)?,
+            backend: f.u32(11)?,
+            report: f.report(15)?,
+        },
         2 => Record::SwitchTo(f.u16(5)?),
-        3 => Record::FirstByte { request: f.u32(5)?, attempt: f.u16(13)?, elapsed: f.u32(15)?.into() },
+        3 => Record::FirstByte {
+            request: f.u32(5)?,
+            attempt: f.u16(13)?,
+            elapsed: f.u32(15)?.into(),
+        },
         4 => Record::Settled {
             request: f.u32(5)?,
             backend: f.u32(9)?,
@@ -247,7 +299,10 @@
             list: f.u16(10)?,
         },
         8 => Record::Vanished(f.u32(5)?),
-        9 => Record::PowerOn { seed: f.u64(5)?, settings: f.slice(17, f.u32(13)? as usize)? },
+        9 => Record::PowerOn {
+            seed: f.u64(5)?,
+            settings: f.slice(17, f.u32(13)? as usize)?,
+        },
         10 => Record::Peer,
         11 => {
             let bits = f.u8(28)?;
@@ -271,7 +326,10 @@
 /// Where an entry holds an unknown readiness; the offset counts from the first entry.
 pub fn parse_entries(entries: &[u8]) -> Result<Vec<Backend>, WireError> {
     let parse = |(i, bytes): (usize, &[u8])| {
-        let f = Fields { bytes, start: i * ENTRY };
+        let f = Fields {
+            bytes,
+            start: i * ENTRY,
+        };
         Ok(Backend {
             id: f.u32(0)?,
             zone: f.u16(4)?,
@@ -298,7 +356,10 @@
 
 impl Default for ReplyWriter {
     fn default() -> Self {
-        Self { bytes: vec![0; 4], source: None }
+        Self {
+            bytes: vec![0; 4],
+            source: None,
+        }
     }
 }
 
@@ -327,17 +388,34 @@
         let micros = |t: Micros| u32::try_from(t).unwrap_or(u32::MAX).to_be_bytes();
         self.source(instance);
         match action {
-            Action::Send { request, backend, give_up_at, .. } => {
-                self.record(64, &[&request.to_be_bytes(), &give_up_at.to_be_bytes(), &backend.to_be_bytes()]);
+            Action::Send {
+                request,
+                backend,
+                give_up_at,
+                ..
+            } => {
+                self.record(
+                    64,
+                    &[
+                        &request.to_be_bytes(),
+                        &give_up_at.to_be_bytes(),
+                        &backend.to_be_bytes(),
+                    ],
+                );
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.record(65, &[&request.to_be_bytes(), &micros(*retry_after)]);
             }
             Action::Fail { request } => self.record(66, &[&request.to_be_bytes()]),
             Action::Cancel { request, attempt } => {
                 self.record(67, &[&request.to_be_bytes(), &attempt.to_be_bytes()]);
             }
-            Action::SetTimer { after, token } => self.record(68, &[&micros(*after), &token.to_be_bytes()]),
+            Action::SetTimer { after, token } => {
+                self.record(68, &[&micros(*after), &token.to_be_bytes()])
+            }
             Action::Probe(backend) => self.record(69, &[&backend.to_be_bytes()]),
             Action::CloseIdle(backend) => self.record(70, &[&backend.to_be_bytes()]),
             Action::Log(text) => self.text(72, text),
@@ -465,7 +543,10 @@
 }
 
 fn unknown(field: &str, value: &str) -> SettingsError {
-    SettingsError { field: field.into(), problem: format!("unknown value `{value}`") }
+    SettingsError {
+        field: field.into(),
+        problem: format!("unknown value `{value}`"),
+    }
 }
 
 fn class(index: usize, raw: &RawClass) -> Result<Class, SettingsError> {
@@ -479,7 +560,10 @@
                 "cell" => DedupGroup::Cell,
                 other => return Err(unknown(&format!("classes[{index}].group"), other)),
             };
-            Effect::Keyed { group, ttl: raw.key_ttl_us }
+            Effect::Keyed {
+                group,
+                ttl: raw.key_ttl_us,
+            }
         }
         other => return Err(unknown(&format!("classes[{index}].effect"), other)),
     };
@@ -498,10 +582,20 @@
 /// # Errors
 /// Names the key that is missing or makes no sense.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsError> {
-    let raw: RawSettings = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(json))
-        .map_err(|e| SettingsError { field: e.path().to_string(), problem: e.into_inner().to_string() })?;
+    let raw: RawSettings = serde_path_to_error::deserialize(
+        &mut serde_json::Deserializer::from_slice(json),
+    )
+    .map_err(|e| SettingsError {
+        field: e.path().to_string(),
+        problem: e.into_inner().to_string(),
+    })?;
     let position = |name: &str| raw.load_report.fields.iter().position(|f| f == name);
-    let classes = raw.classes.iter().enumerate().map(|(i, c)| class(i, c)).collect::<Result<_, _>>()?;
+    let classes = raw
+        .classes
+        .iter()
+        .enumerate()
+        .map(|(i, c)| class(i, c))
+        .collect::<Result<_, _>>()?;
     let settings = Settings {
         me: raw.me,
         balancers: raw.balancers,
@@ -515,7 +609,13 @@
         },
         warm_keys: raw.family_info.warm_keys,
         classes,
-        tenants: raw.tenants.iter().map(|t| Tenant { allowance_per_s: t.allowance_per_s }).collect(),
+        tenants: raw
+            .tenants
+            .iter()
+            .map(|t| Tenant {
+                allowance_per_s: t.allowance_per_s,
+            })
+            .collect(),
         over_share_worth: raw.over_share_worth,
         cross_zone_price: raw.penalties.cross_zone,
         probe_price: raw.penalties.probe,
@@ -532,7 +632,10 @@
             probes: raw.permissions.probes,
             conn_idle: raw.permissions.conn_idle_us,
             multiplex: raw.permissions.multiplex,
-            retry_after: raw.permissions.retry_after.then_some(raw.permissions.max_retry_after_us),
+            retry_after: raw
+                .permissions
+                .retry_after
+                .then_some(raw.permissions.max_retry_after_us),
         },
         safety: Safety {
             ask_within: raw.safety.ask_within_us,
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -26,12 +26,17 @@
     loop {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            let Ok(byte) = stream.read_u8().await else { return };
+            let Ok(byte) = stream.read_u8().await else {
+                return;
+            };
             head.push(byte);
         }
         let head = String::from_utf8(head).expect("text");
         let path = head.split(' ').nth(1).expect("a path");
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{path}", path.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{path}",
+            path.len()
+        );
         for _ in 0..2 {
             if stream.write_all(answer.as_bytes()).await.is_err() {
                 return;
@@ -42,13 +47,24 @@
 }
 
 fn call(path: &'static str) -> Rc<Call> {
-    let (headers, body) = (HeaderMap::new(), CallBody::from(BufferedBody::from(Bytes::new())));
+    let (headers, body) = (
+        HeaderMap::new(),
+        CallBody::from(BufferedBody::from(Bytes::new())),
+    );
     let (method, target) = (Method::GET, Uri::from_static(path));
-    Rc::new(Call { method, target, headers, body, cancel: CancelSignal::default() })
+    Rc::new(Call {
+        method,
+        target,
+        headers,
+        body,
+        cancel: CancelSignal::default(),
+    })
 }
 
 /// A fleet of one backend, whose connections are served so.
-async fn fleet<F: Future<Output = ()> + 'static>(serve: impl Fn(TcpStream) -> F + 'static) -> Rc<Fleet> {
+async fn fleet<F: Future<Output = ()> + 'static>(
+    serve: impl Fn(TcpStream) -> F + 'static,
+) -> Rc<Fleet> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     spawn_local(async move {
@@ -63,12 +79,19 @@
 
 async fn ask(fleet: &Rc<Fleet>, path: &'static str) -> String {
     let call = call(path);
-    let deadlines = AttemptDeadlines { give_up: Instant::now() + Duration::from_secs(1), write_by: None };
+    let deadlines = AttemptDeadlines {
+        give_up: Instant::now() + Duration::from_secs(1),
+        write_by: None,
+    };
     let (_keep, cancel) = oneshot::channel();
     let endpoint = fleet.endpoint(BACKEND).expect("it is listed");
-    let ended = Rc::clone(fleet).attempt(endpoint, call, deadlines, cancel, |_| {}).await;
+    let ended = Rc::clone(fleet)
+        .attempt(endpoint, call, deadlines, cancel, |_| {})
+        .await;
     assert_eq!(ended.outcome, Outcome::Ok);
-    let AnswerBody::Buffered(body) = ended.served.expect("an answer").body else { panic!("it fits") };
+    let AnswerBody::Buffered(body) = ended.served.expect("an answer").body else {
+        panic!("it fits")
+    };
     String::from_utf8(body.joined()).expect("text")
 }
 
@@ -92,7 +115,11 @@
     const OVER: Duration = Duration::from_millis(400);
     const AT_MOST: Duration = Duration::from_millis(500);
     // What comes at a time, and how often; how many microseconds the client takes for a byte.
-    let cases = [(4_096, 62, 50, 0), (1, 20, 100_000, 0), (16_384, 200, 5, 200)];
+    let cases = [
+        (4_096, 62, 50, 0),
+        (1, 20, 100_000, 0),
+        (16_384, 200, 5, 200),
+    ];
     for (size, pause_ms, pieces, slowly) in cases {
         let test = async {
             let fleet = fleet(move |mut stream: TcpStream| async move {
@@ -114,8 +141,10 @@
             })
             .await;
             let call = call("/long");
-            let deadlines =
-                AttemptDeadlines { give_up: Instant::now() + Duration::from_secs(1), write_by: None };
+            let deadlines = AttemptDeadlines {
+                give_up: Instant::now() + Duration::from_secs(1),
+                write_by: None,
+            };
             let (_keep, cancel) = oneshot::channel();
             let (sender, body) = oneshot::channel();
             let endpoint = fleet.endpoint(BACKEND).expect("it is listed");
@@ -136,15 +165,25 @@
             });
             let begins = |served: Served| assert!(sender.send(served.body.into()).is_ok());
             let began = Instant::now();
-            let ended = fleet.attempt(endpoint, call, deadlines, cancel, begins).await;
-            (ended.outcome, began.elapsed(), client.await.expect("a client"))
+            let ended = fleet
+                .attempt(endpoint, call, deadlines, cancel, begins)
+                .await;
+            (
+                ended.outcome,
+                began.elapsed(),
+                client.await.expect("a client"),
+            )
         };
         let (outcome, took, got) = LocalSet::new().run_until(test).await;
         if size == 1 {
             assert_eq!(outcome, Outcome::Timeout, "nothing tells that it ends");
             assert!(took <= OVER + AT_MOST, "{took:?}");
         } else {
-            assert_eq!((outcome, got), (Outcome::Ok, size * pieces), "its backend was still giving");
+            assert_eq!(
+                (outcome, got),
+                (Outcome::Ok, size * pieces),
+                "its backend was still giving"
+            );
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -11,12 +11,24 @@
 const SLACK: Micros = 20 * MS;
 
 pub fn class(effect: Effect) -> Class {
-    Class { aim: 500 * MS, aim_stretch: 0.0, deadline: 2 * SECOND, worth: 1.0, late_worth: 0.0, effect }
+    Class {
+        aim: 500 * MS,
+        aim_stretch: 0.0,
+        deadline: 2 * SECOND,
+        worth: 1.0,
+        late_worth: 0.0,
+        effect,
+    }
 }
 
 /// Two zones, one proxy, one class of each effect: safe, unsafe, keyed for all, for a zone, for a cell.
 pub fn settings() -> Settings {
-    let keyed = |group| class(Effect::Keyed { group, ttl: 600 * MS });
+    let keyed = |group| {
+        class(Effect::Keyed {
+            group,
+            ttl: 600 * MS,
+        })
+    };
     Settings {
         me: 0,
         balancers: 1,
@@ -70,7 +82,15 @@
 }
 
 pub fn request(id: RequestId, class: u8) -> Request {
-    Request { id, class, tenant: 0, key: None, patience: 2 * SECOND, work: None, repeat: false }
+    Request {
+        id,
+        class,
+        tenant: 0,
+        key: None,
+        patience: 2 * SECOND,
+        work: None,
+        repeat: false,
+    }
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -116,8 +136,13 @@
     }
 
     /// One that draws its random numbers from this seed.
-    pub fn seeded(settings: Settings, seed: u64, servers: impl IntoIterator<Item = Backend>) -> Self {
-        let balancer = Balancer::new(settings.clone(), seed, SECOND).expect("the settings make sense");
+    pub fn seeded(
+        settings: Settings,
+        seed: u64,
+        servers: impl IntoIterator<Item = Backend>,
+    ) -> Self {
+        let balancer =
+            Balancer::new(settings.clone(), seed, SECOND).expect("the settings make sense");
         let mut proxy = Proxy {
             now: SECOND,
             settings,
@@ -146,14 +171,20 @@
 
     fn carry_out(&mut self, action: &Action) {
         match *action {
-            Action::Send { request, backend, give_up_at, .. } => {
-                self.check_send(request, backend, give_up_at)
-            }
+            Action::Send {
+                request,
+                backend,
+                give_up_at,
+                ..
+            } => self.check_send(request, backend, give_up_at),
             Action::Refuse { request, .. } => self.check_end(request, true),
             Action::Fail { request } => self.check_end(request, false),
             Action::Cancel { request, attempt } => {
                 let tracked = &self.requests[&request];
-                assert!(usize::from(attempt) < tracked.attempts.len(), "cancelled an attempt never made");
+                assert!(
+                    usize::from(attempt) < tracked.attempts.len(),
+                    "cancelled an attempt never made"
+                );
                 assert!(self.settings.permissions.cancel);
             }
             Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
@@ -166,23 +197,46 @@
     }
 
     fn check_send(&mut self, request: RequestId, backend: BackendId, give_up_at: Micros) {
-        let server = self.servers.get(&backend).copied().expect("sent to a server that no list named");
-        assert!(!self.barred.contains_key(&backend), "rule 3: sent to a draining or gone server");
+        let server = self
+            .servers
+            .get(&backend)
+            .copied()
+            .expect("sent to a server that no list named");
+        assert!(
+            !self.barred.contains_key(&backend),
+            "rule 3: sent to a draining or gone server"
+        );
         let settings = &self.settings;
-        let tracked = self.requests.get_mut(&request).expect("sent a request never given");
+        let tracked = self
+            .requests
+            .get_mut(&request)
+            .expect("sent a request never given");
         assert!(!tracked.ended, "rule 1: sent after the end");
-        assert!(give_up_at <= tracked.deadline, "rule 1: an attempt outlasts the deadline");
+        assert!(
+            give_up_at <= tracked.deadline,
+            "rule 1: an attempt outlasts the deadline"
+        );
         assert!(tracked.attempts.len() < usize::from(settings.permissions.max_attempts));
         let out = tracked.attempts.iter().any(|a| a.state == State::Out);
-        assert!(!out || settings.permissions.second_copies, "rule 2: two attempts out");
-        let ran: Vec<&Attempt> = tracked.attempts.iter().filter(|a| a.state != State::NeverRan).collect();
+        assert!(
+            !out || settings.permissions.second_copies,
+            "rule 2: two attempts out"
+        );
+        let ran: Vec<&Attempt> = tracked
+            .attempts
+            .iter()
+            .filter(|a| a.state != State::NeverRan)
+            .collect();
         match settings.classes[usize::from(tracked.class)].effect {
             Effect::Safe => {}
             Effect::Unsafe => assert!(ran.is_empty(), "rule 2: an unsafe request was repeated"),
             Effect::Keyed { group, ttl } => {
                 for earlier in ran {
                     let other = self.servers[&earlier.backend];
-                    assert!(self.now <= earlier.sent_at + ttl, "rule 2: a repeat after the key's time");
+                    assert!(
+                        self.now <= earlier.sent_at + ttl,
+                        "rule 2: a repeat after the key's time"
+                    );
                     assert!(match group {
                         DedupGroup::All => true,
                         DedupGroup::Zone => other.zone == server.zone,
@@ -191,19 +245,31 @@
                 }
             }
         }
-        tracked.attempts.push(Attempt { backend, sent_at: self.now, give_up_at, state: State::Out });
+        tracked.attempts.push(Attempt {
+            backend,
+            sent_at: self.now,
+            give_up_at,
+            state: State::Out,
+        });
     }
 
     fn check_end(&mut self, request: RequestId, refused: bool) {
-        let tracked = self.requests.get_mut(&request).expect("ended a request never given");
+        let tracked = self
+            .requests
+            .get_mut(&request)
+            .expect("ended a request never given");
         assert!(!tracked.ended, "rule 1: two final answers");
-        assert!(self.now <= tracked.deadline + SLACK, "rule 1: a late final answer");
+        assert!(
+            self.now <= tracked.deadline + SLACK,
+            "rule 1: a late final answer"
+        );
         let first = tracked.attempts.iter().find(|a| a.state != State::NeverRan);
         let harmless = match self.settings.classes[usize::from(tracked.class)].effect {
             Effect::Safe => true,
-            Effect::Keyed { group: DedupGroup::All, ttl } => {
-                first.is_none_or(|a| self.now < a.sent_at.saturating_add(ttl))
-            }
+            Effect::Keyed {
+                group: DedupGroup::All,
+                ttl,
+            } => first.is_none_or(|a| self.now < a.sent_at.saturating_add(ttl)),
             _ => first.is_none(),
         };
         assert!(!refused || harmless, "rule 2: refused what may have run");
@@ -211,12 +277,15 @@
     }
 
     pub fn list(&mut self, news: Membership<'_>) -> Vec<Action> {
-        let (Membership::Delta(entries) | Membership::Full(entries) | Membership::Cached(entries)) = news
+        let (Membership::Delta(entries) | Membership::Full(entries) | Membership::Cached(entries)) =
+            news
         else {
             return self.event(Event::Membership(news));
         };
         if !matches!(news, Membership::Delta(_)) {
-            self.servers.keys().for_each(|&id| _ = self.barred.entry(id).or_insert(self.now));
+            self.servers
+                .keys()
+                .for_each(|&id| _ = self.barred.entry(id).or_insert(self.now));
         }
         for entry in entries {
             self.servers.insert(entry.id, *entry);
@@ -231,8 +300,12 @@
 
     pub fn request(&mut self, request: Request) -> Vec<Action> {
         let class = request.class.min(self.settings.classes.len() as u8 - 1);
-        let tracked =
-            Tracked { class, deadline: self.now + request.patience, ended: false, attempts: Vec::new() };
+        let tracked = Tracked {
+            class,
+            deadline: self.now + request.patience,
+            ended: false,
+            attempts: Vec::new(),
+        };
         assert!(self.requests.insert(request.id, tracked).is_none());
         self.event(Event::Request(request))
     }
@@ -249,10 +322,17 @@
         outcome: Outcome,
         report: &[f32],
     ) -> Vec<Action> {
-        let tracked = self.requests.get_mut(&request).expect("a request that is known");
+        let tracked = self
+            .requests
+            .get_mut(&request)
+            .expect("a request that is known");
         let which = &mut tracked.attempts[usize::from(attempt)];
         assert_eq!(which.state, State::Out);
-        which.state = if outcome.never_ran() { State::NeverRan } else { State::MayHaveRun };
+        which.state = if outcome.never_ran() {
+            State::NeverRan
+        } else {
+            State::MayHaveRun
+        };
         let (backend, elapsed) = (which.backend, self.now - which.sent_at);
         tracked.ended |= outcome == Outcome::Ok;
         let closed = tracked.ended;
@@ -271,8 +351,13 @@
     /// The attempts that are out: request, number, backend.
     pub fn out(&self) -> Vec<(RequestId, u16, BackendId)> {
         let of = |(&id, t): (&RequestId, &Tracked)| {
-            let out = t.attempts.iter().enumerate().filter(|(_, a)| a.state == State::Out);
-            out.map(|(n, a)| (id, n as u16, a.backend)).collect::<Vec<_>>()
+            let out = t
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, a)| a.state == State::Out);
+            out.map(|(n, a)| (id, n as u16, a.backend))
+                .collect::<Vec<_>>()
         };
         self.requests.iter().flat_map(of).collect()
     }
--- a/tests/host.rs
+++ b/tests/host.rs
@@ -16,7 +16,11 @@
 
 fn batch(clock: u64, records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
-    let header = [(records.len() as u32).to_be_bytes(), (body.len() as u32 + 8).to_be_bytes()].concat();
+    let header = [
+        (records.len() as u32).to_be_bytes(),
+        (body.len() as u32 + 8).to_be_bytes(),
+    ]
+    .concat();
     [header, clock.to_be_bytes().to_vec(), body].concat()
 }
 
@@ -25,13 +29,34 @@
 }
 
 fn power_on(settings: &str) -> Vec<u8> {
-    record(9, &[&7_u64.to_be_bytes(), &(settings.len() as u32).to_be_bytes(), settings.as_bytes()])
+    record(
+        9,
+        &[
+            &7_u64.to_be_bytes(),
+            &(settings.len() as u32).to_be_bytes(),
+            settings.as_bytes(),
+        ],
+    )
 }
 
 fn page(list: u16, backends: &[u32]) -> Vec<u8> {
-    let entry = |id: &u32| [&id.to_be_bytes()[..], &[0, 0, 0, 0, 0, 1, 0x3f, 0x80, 0, 0], &[0; 8]].concat();
+    let entry = |id: &u32| {
+        [
+            &id.to_be_bytes()[..],
+            &[0, 0, 0, 0, 0, 1, 0x3f, 0x80, 0, 0],
+            &[0; 8],
+        ]
+        .concat()
+    };
     let entries: Vec<u8> = backends.iter().flat_map(entry).collect();
-    record(0, &[&list.to_be_bytes(), &(backends.len() as u32).to_be_bytes(), &entries])
+    record(
+        0,
+        &[
+            &list.to_be_bytes(),
+            &(backends.len() as u32).to_be_bytes(),
+            &entries,
+        ],
+    )
 }
 
 fn membership(scope: u8, list: u16) -> Vec<u8> {
@@ -39,7 +64,15 @@
 }
 
 fn inbound(request: u32) -> Vec<u8> {
-    record(11, &[&request.to_be_bytes(), &[0; 11], &400_000_u32.to_be_bytes(), &[0; 5]])
+    record(
+        11,
+        &[
+            &request.to_be_bytes(),
+            &[0; 11],
+            &400_000_u32.to_be_bytes(),
+            &[0; 5],
+        ],
+    )
 }
 
 fn run(input: &[u8]) -> Output {
@@ -94,32 +127,69 @@
 
 #[test]
 fn a_page_number_reused_within_a_batch_means_what_came_last_before_it() {
-    let start = [switch_to(3), power_on(SETTINGS), page(0, &[10]), membership(2, 0)];
-    let other = [switch_to(4), power_on(SETTINGS), page(0, &[20]), membership(2, 0)];
+    let start = [
+        switch_to(3),
+        power_on(SETTINGS),
+        page(0, &[10]),
+        membership(2, 0),
+    ];
+    let other = [
+        switch_to(4),
+        power_on(SETTINGS),
+        page(0, &[20]),
+        membership(2, 0),
+    ];
     let asks = [switch_to(3), inbound(1), switch_to(4), inbound(1)];
     let output = run(&batch(5, &[&start[..], &other, &asks].concat()));
-    let sends: Vec<_> = replies(&output.stdout)[0].iter().filter(|r| r.1 == 64).cloned().collect();
+    let sends: Vec<_> = replies(&output.stdout)[0]
+        .iter()
+        .filter(|r| r.1 == 64)
+        .cloned()
+        .collect();
     assert_eq!((sends[0].0, backend_of_send(&sends[0])), (3, 10));
     assert_eq!((sends[1].0, backend_of_send(&sends[1])), (4, 20));
 }
 
 #[test]
 fn a_killed_instance_starts_anew_in_the_same_batch_and_knows_nothing_of_before() {
-    let start = [switch_to(0), power_on(SETTINGS), page(1, &[10]), membership(2, 1), inbound(1)];
-    let again = [record(5, &[]), power_on(SETTINGS), page(2, &[11]), membership(2, 2), inbound(1)];
+    let start = [
+        switch_to(0),
+        power_on(SETTINGS),
+        page(1, &[10]),
+        membership(2, 1),
+        inbound(1),
+    ];
+    let again = [
+        record(5, &[]),
+        power_on(SETTINGS),
+        page(2, &[11]),
+        membership(2, 2),
+        inbound(1),
+    ];
     let output = run(&batch(5, &[&start[..], &again].concat()));
-    let sends: Vec<_> =
-        replies(&output.stdout)[0].iter().filter(|r| r.1 == 64).map(backend_of_send).collect();
+    let sends: Vec<_> = replies(&output.stdout)[0]
+        .iter()
+        .filter(|r| r.1 == 64)
+        .map(backend_of_send)
+        .collect();
     assert_eq!(sends, [10, 11]);
 }
 
 #[test]
 fn batches_of_megabytes_are_answered() {
-    let mut records = vec![switch_to(0), power_on(SETTINGS), page(0, &[1, 2, 3]), membership(2, 0)];
+    let mut records = vec![
+        switch_to(0),
+        power_on(SETTINGS),
+        page(0, &[1, 2, 3]),
+        membership(2, 0),
+    ];
     records.extend((0..60_000).map(inbound));
     let output = run(&batch(5, &records));
     assert!(output.status.success());
-    assert!(replies(&output.stdout)[0].len() >= 60_000, "each request is sent, held or refused");
+    assert!(
+        replies(&output.stdout)[0].len() >= 60_000,
+        "each request is sent, held or refused"
+    );
 }
 
 #[test]
@@ -127,14 +197,25 @@
     let events = |instance: u16, clock: u64| {
         let mut records = vec![switch_to(instance)];
         if clock == 0 {
-            records.extend([power_on(SETTINGS), page(0, &[1, 2, 3, 4, 5]), membership(2, 0)]);
+            records.extend([
+                power_on(SETTINGS),
+                page(0, &[1, 2, 3, 4, 5]),
+                membership(2, 0),
+            ]);
         }
         records.extend((0..20).map(|n| inbound(clock as u32 * 100 + n)));
         records
     };
     let conversation = |instances: &[u16]| {
-        let all = |clock| instances.iter().flat_map(|&i| events(i, clock)).collect::<Vec<_>>();
-        (0..5).flat_map(|clock| batch(clock, &all(clock))).collect::<Vec<u8>>()
+        let all = |clock| {
+            instances
+                .iter()
+                .flat_map(|&i| events(i, clock))
+                .collect::<Vec<_>>()
+        };
+        (0..5)
+            .flat_map(|clock| batch(clock, &all(clock)))
+            .collect::<Vec<u8>>()
     };
     let together = replies(&run(&conversation(&[0, 1, 2])).stdout);
     assert_eq!(
@@ -154,21 +235,36 @@
 fn bad_input_gives_one_plain_line_and_a_failure() {
     let cut = batch(5, &[switch_to(0)]);
     for (input, says) in [
-        (&cut[..cut.len() - 1], "expected 15 bytes behind the batch header"),
+        (
+            &cut[..cut.len() - 1],
+            "expected 15 bytes behind the batch header",
+        ),
         (&cut[..5], "expected a batch header"),
         (&batch(5, &[switch_to(9), inbound(1)])[..], "9 does not run"),
         (&batch(5, &[inbound(1)])[..], "expected a `switch_to`"),
-        (&batch(5, &[switch_to(0), power_on(SETTINGS), membership(1, 7)])[..], "7 was not"),
+        (
+            &batch(5, &[switch_to(0), power_on(SETTINGS), membership(1, 7)])[..],
+            "7 was not",
+        ),
     ] {
         let output = run(input);
         let text = String::from_utf8(output.stderr).expect("text");
-        assert!(!output.status.success() && text.lines().count() == 1 && text.contains(says), "{text}");
+        assert!(
+            !output.status.success() && text.lines().count() == 1 && text.contains(says),
+            "{text}"
+        );
     }
 }
 
 #[test]
 fn settings_that_make_no_sense_become_fatal() {
-    let output = run(&batch(5, &[switch_to(6), power_on(&SETTINGS.replace("retryable", "maybe"))]));
+    let output = run(&batch(
+        5,
+        &[
+            switch_to(6),
+            power_on(&SETTINGS.replace("retryable", "maybe")),
+        ],
+    ));
     let last = replies(&output.stdout).concat().pop().expect("a record");
     assert_eq!((last.0, last.1), (6, 73));
     assert!(String::from_utf8_lossy(&last.2).contains("classes[0].effect"));
@@ -179,5 +275,10 @@
     let unknown = record(200, &[&[1, 2, 3]]);
     let output = run(&batch(5, &[unknown.clone(), unknown]));
     assert!(output.status.success());
-    assert_eq!(String::from_utf8_lossy(&output.stderr).matches("200").count(), 1);
+    assert_eq!(
+        String::from_utf8_lossy(&output.stderr)
+            .matches("200")
+            .count(),
+        1
+    );
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -7,11 +7,20 @@
 use tillerproxy::balancer::Balancer;
 
 fn one_zone(n: u32) -> Vec<Backend> {
-    (0..n).map(|id| Backend { zone: 0, cell: 0, ..backend(id) }).collect()
+    (0..n)
+        .map(|id| Backend {
+            zone: 0,
+            cell: 0,
+            ..backend(id)
+        })
+        .collect()
 }
 
 fn single_zone() -> Settings {
-    Settings { zones: 1, ..settings() }
+    Settings {
+        zones: 1,
+        ..settings()
+    }
 }
 
 /// Lets `per_tick` requests come every 10 ms for some time, each served after `latency`.
@@ -35,7 +44,9 @@
     (0..100).for_each(|id| _ = full.request(request(id, 0)));
     let mut proxy = Proxy::new(single_zone(), one_zone(5));
     for id in 0..full.out().len() as u32 {
-        let room: Vec<usize> = (0..5).map(|s| full.in_flight(s) - proxy.in_flight(s)).collect();
+        let room: Vec<usize> = (0..5)
+            .map(|s| full.in_flight(s) - proxy.in_flight(s))
+            .collect();
         let chosen = sent_to(&proxy.request(request(id, 0))).expect("there is room");
         assert_eq!(Some(&room[chosen as usize]), room.iter().max());
     }
@@ -46,11 +57,26 @@
     let mut proxy = Proxy::new(single_zone(), one_zone(4));
     (0..100).for_each(|id| _ = proxy.request(request(id, 0)));
     let sent = proxy.out().len();
-    assert!((4..=8).contains(&sent), "the first limit is 1.5 a server, {sent} were sent to four");
+    assert!(
+        (4..=8).contains(&sent),
+        "the first limit is 1.5 a server, {sent} were sent to four"
+    );
     proxy.advance(150 * MS);
-    assert_eq!(proxy.requests.values().filter(|t| t.ended).count(), 0, "held for a tenth of two seconds");
+    assert_eq!(
+        proxy.requests.values().filter(|t| t.ended).count(),
+        0,
+        "held for a tenth of two seconds"
+    );
     proxy.advance(60 * MS);
-    let refusals = proxy.log.iter().filter(|(_, a)| matches!(a, Action::Refuse { retry_after: 1.., .. }));
+    let refusals = proxy.log.iter().filter(|(_, a)| {
+        matches!(
+            a,
+            Action::Refuse {
+                retry_after: 1..,
+                ..
+            }
+        )
+    });
     assert_eq!(refusals.count(), 100 - sent);
 }
 
@@ -59,7 +85,10 @@
     let mut proxy = Proxy::new(single_zone(), one_zone(2));
     load(&mut proxy, 0, 300, 4, |_| 40 * MS);
     let quick = proxy.out().len();
-    assert!(quick >= 8, "two servers that keep up take more than their first limit: {quick}");
+    assert!(
+        quick >= 8,
+        "two servers that keep up take more than their first limit: {quick}"
+    );
     load(&mut proxy, 10_000, 500, 4, |_| 450 * MS);
     let slow = proxy.out().len();
     assert!(slow <= 6, "near the aim the limits have fallen: {slow}");
@@ -75,15 +104,23 @@
     let (id, attempt, _) = proxy.out()[0];
     proxy.advance(50 * MS);
     let actions = proxy.settle(id, attempt, Outcome::Ok);
-    assert!(matches!(actions[..], [Action::Send { request: 50, .. }, ..]), "{actions:?}");
+    assert!(
+        matches!(actions[..], [Action::Send { request: 50, .. }, ..]),
+        "{actions:?}"
+    );
 }
 
 #[test]
 fn other_zones_are_used_only_when_the_own_one_has_no_room() {
     let mut proxy = Proxy::new(settings(), (0..6).map(backend));
-    let zones: Vec<u32> =
-        (0..30).filter_map(|id| sent_to(&proxy.request(request(id, 0)))).map(|server| server % 2).collect();
-    assert!(zones.contains(&0) && zones.contains(&1), "even ids are the own zone's: {zones:?}");
+    let zones: Vec<u32> = (0..30)
+        .filter_map(|id| sent_to(&proxy.request(request(id, 0))))
+        .map(|server| server % 2)
+        .collect();
+    assert!(
+        zones.contains(&0) && zones.contains(&1),
+        "even ids are the own zone's: {zones:?}"
+    );
     assert!(zones.is_sorted(), "the own zone is filled first: {zones:?}");
 }
 
@@ -95,7 +132,11 @@
     proxy.settle(0, 0, Outcome::Full);
     assert_eq!(proxy.in_flight(full), 0);
     (1..9).for_each(|id| _ = proxy.request(request(id, 0)));
-    assert_eq!(proxy.in_flight(full), 0, "it has the most room, but just turned one away");
+    assert_eq!(
+        proxy.in_flight(full),
+        0,
+        "it has the most room, but just turned one away"
+    );
 }
 
 #[test]
@@ -111,23 +152,34 @@
         assert!(id < 400, "server 2 fails every request and must be ejected");
         proxy.request(request(id, 0));
         for (request, attempt, server) in proxy.out() {
-            proxy.settle(request, attempt, if server == 2 { Outcome::Error } else { Outcome::Ok });
+            proxy.settle(
+                request,
+                attempt,
+                if server == 2 {
+                    Outcome::Error
+                } else {
+                    Outcome::Ok
+                },
+            );
         }
         proxy.advance(20 * MS);
     }
     proxy.advance(1300 * MS);
     (1000..1030).for_each(|id| _ = proxy.request(request(id, 1)));
-    assert_eq!(proxy.in_flight(2), 0, "no trial with a request that must not run twice");
+    assert_eq!(
+        proxy.in_flight(2),
+        0,
+        "no trial with a request that must not run twice"
+    );
     proxy.advance(3 * SECOND);
     (2000..2030).for_each(|id| _ = proxy.request(request(id, 0)));
     assert_eq!(proxy.in_flight(2), 1, "a single trial");
     let (id, attempt, _) = *proxy.out().iter().find(|o| o.2 == 2).expect("the trial");
     proxy.settle(id, attempt, Outcome::Ok);
     assert!(
-        proxy
-            .log
-            .iter()
-            .any(|(_, a)| matches!(a, Action::Log(line) if line.starts_with("readmitted server 2")))
+        proxy.log.iter().any(
+            |(_, a)| matches!(a, Action::Log(line) if line.starts_with("readmitted server 2"))
+        )
     );
 }
 
@@ -136,16 +188,23 @@
     let mut proxy = Proxy::new(single_zone(), one_zone(5));
     for id in 0..300 {
         proxy.request(request(id, 0));
-        proxy.out().iter().for_each(|o| _ = proxy.settle(o.0, o.1, Outcome::Error));
+        proxy
+            .out()
+            .iter()
+            .for_each(|o| _ = proxy.settle(o.0, o.1, Outcome::Error));
         proxy.advance(5 * MS);
     }
     while let Some(&(id, attempt, _)) = proxy.out().first() {
         proxy.settle(id, attempt, Outcome::Error);
     }
-    let ejected =
-        proxy.log.iter().filter(|(_, a)| matches!(a, Action::Log(line) if line.starts_with("ejected")));
+    let ejected = proxy
+        .log
+        .iter()
+        .filter(|(_, a)| matches!(a, Action::Log(line) if line.starts_with("ejected")));
     assert!(ejected.count() >= 3);
-    let sent = (1000..1040).filter(|&id| sent_to(&proxy.request(request(id, 0))).is_some()).count();
+    let sent = (1000..1040)
+        .filter(|&id| sent_to(&proxy.request(request(id, 0))).is_some())
+        .count();
     assert!(sent > 0, "somebody still serves");
 }
 
@@ -165,13 +224,20 @@
             }
         }
         (0..200).for_each(|n| _ = proxy.request(request(1000 + n, 0)));
-        let ejected =
-            proxy.log.iter().filter(|(_, a)| matches!(a, Action::Log(line) if line.starts_with("ejected")));
+        let ejected = proxy
+            .log
+            .iter()
+            .filter(|(_, a)| matches!(a, Action::Log(line) if line.starts_with("ejected")));
         (ejected.count(), proxy.out().len())
     };
     let (unspoilt, spoilt) = (ejections(u32::MAX), ejections(10));
     assert_eq!(spoilt.0, 0, "a tenth is spoilt, from any server");
-    assert!(spoilt.1 * 2 > unspoilt.1, "limits stay: {} and {} are out", spoilt.1, unspoilt.1);
+    assert!(
+        spoilt.1 * 2 > unspoilt.1,
+        "limits stay: {} and {} are out",
+        spoilt.1,
+        unspoilt.1
+    );
     assert!(ejections(1).0 > 0, "all is spoilt");
 }
 
@@ -189,8 +255,15 @@
         for id in 0..800 {
             proxy.request(request(id, 1));
             proxy.advance(10 * MS);
-            let end = if id % part == 0 { Outcome::Reset } else { Outcome::Ok };
-            proxy.out().iter().for_each(|&(request, attempt, _)| _ = proxy.settle(request, attempt, end));
+            let end = if id % part == 0 {
+                Outcome::Reset
+            } else {
+                Outcome::Ok
+            };
+            proxy
+                .out()
+                .iter()
+                .for_each(|&(request, attempt, _)| _ = proxy.settle(request, attempt, end));
         }
         ejections(&proxy)
     };
@@ -209,7 +282,11 @@
                 proxy.advance(if id < 3200 { 10 * MS } else { 17 * MS });
                 for (request, attempt, _) in proxy.out() {
                     let broken = request % part == 0;
-                    proxy.settle(request, attempt, if broken { Outcome::Reset } else { Outcome::Ok });
+                    proxy.settle(
+                        request,
+                        attempt,
+                        if broken { Outcome::Reset } else { Outcome::Ok },
+                    );
                 }
             }
         }
@@ -217,7 +294,10 @@
         proxy.out().len()
     };
     let (whole, broken) = (slots(u32::MAX), slots(8));
-    assert!(broken * 3 >= whole * 2, "{broken} slots where connections break, {whole} where none does");
+    assert!(
+        broken * 3 >= whole * 2,
+        "{broken} slots where connections break, {whole} where none does"
+    );
 }
 
 /// Ejections went on doubling for as long as a server lived, however well it had served since the last one.
@@ -226,7 +306,10 @@
     let mut proxy = Proxy::new(single_zone(), one_zone(2));
     let answer_all = |proxy: &mut Proxy| {
         proxy.advance(20 * MS);
-        proxy.out().iter().for_each(|o| _ = proxy.settle(o.0, o.1, Outcome::Ok));
+        proxy
+            .out()
+            .iter()
+            .for_each(|o| _ = proxy.settle(o.0, o.1, Outcome::Ok));
     };
     for turn in 0..6 {
         let first = turn * 1000;
@@ -238,7 +321,8 @@
         proxy.settle(first + 500, 0, Outcome::ConnectFailed);
         assert_eq!(ejections(&proxy), turn as usize + 1);
         proxy.advance(1300 * MS);
-        let trial = (600..605).any(|n| sent_to(&proxy.request(request(first + n, 0))) == Some(down));
+        let trial =
+            (600..605).any(|n| sent_to(&proxy.request(request(first + n, 0))) == Some(down));
         assert!(trial, "ejection {turn} lasts as long as the first one");
         answer_all(&mut proxy);
     }
@@ -278,13 +362,19 @@
         (attempt.give_up_at - attempt.sent_at, proxy)
     };
     let (after, mut proxy) = given_up_after(0, 5 * MS);
-    assert!((100 * MS..200 * MS).contains(&after), "{after} of an aim of 500 ms");
+    assert!(
+        (100 * MS..200 * MS).contains(&after),
+        "{after} of an aim of 500 ms"
+    );
     let silent = proxy.requests[&0].attempts[0].backend;
     proxy.advance(after + 5 * MS);
     assert_eq!(proxy.requests[&0].attempts.len(), 2, "another attempt");
     proxy.serve(|_| 0);
     (2000..2004).for_each(|id| _ = proxy.request(request(id, 0)));
-    assert!(proxy.in_flight(silent) > 0, "one lost request does not bar its server");
+    assert!(
+        proxy.in_flight(silent) > 0,
+        "one lost request does not bar its server"
+    );
     assert_eq!(given_up_after(0, 100 * MS).0, 2 * SECOND, "work takes long");
     assert_eq!(given_up_after(1, 5 * MS).0, 2 * SECOND, "unsafe");
 }
@@ -321,7 +411,11 @@
         trials += u32::from(tick >= 25 && sent == Some(hung));
         assert!(trials <= 1, "a quarter of a second without an answer");
         proxy.advance(10 * MS);
-        proxy.out().iter().filter(|o| o.2 != hung).for_each(|o| _ = proxy.settle(o.0, o.1, Outcome::Ok));
+        proxy
+            .out()
+            .iter()
+            .filter(|o| o.2 != hung)
+            .for_each(|o| _ = proxy.settle(o.0, o.1, Outcome::Ok));
     }
     assert_eq!(proxy.requests[&5000].attempts.len(), 1);
 }
@@ -341,15 +435,30 @@
         lost.push(5000 + lost.len() as u32);
     }
     proxy.advance(600 * MS);
-    assert_eq!(sent_to(&proxy.request(request(6000, 1))), None, "it may hang");
-    assert_eq!(sent_to(&proxy.request(request(6001, 0))), Some(0), "one trial");
-    assert_eq!(sent_to(&proxy.request(request(6002, 0))), None, "and no other meanwhile");
+    assert_eq!(
+        sent_to(&proxy.request(request(6000, 1))),
+        None,
+        "it may hang"
+    );
+    assert_eq!(
+        sent_to(&proxy.request(request(6001, 0))),
+        Some(0),
+        "one trial"
+    );
+    assert_eq!(
+        sent_to(&proxy.request(request(6002, 0))),
+        None,
+        "and no other meanwhile"
+    );
     proxy.advance(5 * MS);
     proxy.settle(6001, 0, Outcome::Ok);
-    let again =
-        (7000..7000 + lost.len() as u32).filter(|&id| sent_to(&proxy.request(request(id, 1))).is_some());
+    let again = (7000..7000 + lost.len() as u32)
+        .filter(|&id| sent_to(&proxy.request(request(id, 1))).is_some());
     assert!(again.count() + 2 >= lost.len(), "its slots are free again");
-    assert!(lost.iter().all(|id| !proxy.requests[id].ended), "the lost ones are still waited for");
+    assert!(
+        lost.iter().all(|id| !proxy.requests[id].ended),
+        "the lost ones are still waited for"
+    );
 }
 
 /// Quick errors read as low latency; they must not raise a limit.
@@ -358,8 +467,15 @@
     let mut proxy = Proxy::new(single_zone(), one_zone(1));
     for id in 0..40 {
         proxy.request(request(id, 0));
-        let outcome = if id % 3 == 0 { Outcome::Error } else { Outcome::Full };
-        proxy.out().iter().for_each(|o| _ = proxy.settle(o.0, o.1, outcome));
+        let outcome = if id % 3 == 0 {
+            Outcome::Error
+        } else {
+            Outcome::Full
+        };
+        proxy
+            .out()
+            .iter()
+            .for_each(|o| _ = proxy.settle(o.0, o.1, outcome));
         proxy.advance(50 * MS);
     }
     proxy.advance(5 * SECOND);
@@ -371,7 +487,11 @@
 #[test]
 fn a_proxy_without_any_slot_still_serves() {
     for me in 0..40 {
-        let settings = Settings { me, balancers: 40, ..single_zone() };
+        let settings = Settings {
+            me,
+            balancers: 40,
+            ..single_zone()
+        };
         let mut proxy = Proxy::new(settings, one_zone(1));
         assert_eq!(sent_to(&proxy.request(request(1, 0))), Some(0));
     }
@@ -381,14 +501,24 @@
 fn what_all_proxies_admit_does_not_grow_with_their_number() {
     let admitted = |balancers| {
         let sent = |me| {
-            let mut proxy = Proxy::new(Settings { me, balancers, ..single_zone() }, one_zone(50));
+            let mut proxy = Proxy::new(
+                Settings {
+                    me,
+                    balancers,
+                    ..single_zone()
+                },
+                one_zone(50),
+            );
             (0..200).for_each(|id| _ = proxy.request(request(id, 0)));
             proxy.out().len()
         };
         (0..balancers).map(sent).sum::<usize>()
     };
     let (few, many) = (admitted(2), admitted(20));
-    assert!(few.abs_diff(many) * 4 < few, "2 proxies admit {few}, 20 admit {many}");
+    assert!(
+        few.abs_diff(many) * 4 < few,
+        "2 proxies admit {few}, 20 admit {many}"
+    );
     // With under three slots to a proxy the square root of them comes on top, so that chance finds room.
     let slots: f64 = 50.0 * 1.5 / 40.0;
     assert!(admitted(40) as f64 <= 40.0 * (slots + slots.sqrt() + 1.0));
@@ -396,22 +526,58 @@
 
 #[test]
 fn requests_over_their_tenants_share_give_way_first() {
-    let tenants = vec![Tenant { allowance_per_s: 1.0 }, Tenant { allowance_per_s: 1000.0 }];
-    let mut proxy = Proxy::new(Settings { tenants, ..single_zone() }, one_zone(4));
+    let tenants = vec![
+        Tenant {
+            allowance_per_s: 1.0,
+        },
+        Tenant {
+            allowance_per_s: 1000.0,
+        },
+    ];
+    let mut proxy = Proxy::new(
+        Settings {
+            tenants,
+            ..single_zone()
+        },
+        one_zone(4),
+    );
     load(&mut proxy, 10_000, 100, 2, |_| 20 * MS);
     proxy.serve(|_| 0);
     let mut flood = 0;
-    while sent_to(&proxy.request(Request { tenant: 0, ..request(flood, 0) })).is_some() {
+    while sent_to(&proxy.request(Request {
+        tenant: 0,
+        ..request(flood, 0)
+    }))
+    .is_some()
+    {
         flood += 1;
     }
-    let within = sent_to(&proxy.request(Request { tenant: 1, ..request(9000, 0) }));
-    assert!(within.is_some(), "room is left for those within their share");
+    let within = sent_to(&proxy.request(Request {
+        tenant: 1,
+        ..request(9000, 0)
+    }));
+    assert!(
+        within.is_some(),
+        "room is left for those within their share"
+    );
 }
 
 #[test]
 fn in_ask_mode_it_subscribes_and_tries_again_after_a_failure() {
-    let mut proxy = Proxy::new(Settings { discovery_on_request: true, ..settings() }, []);
-    let asked = |proxy: &Proxy| proxy.log.iter().filter(|(_, a)| *a == Action::Subscribe).count();
+    let mut proxy = Proxy::new(
+        Settings {
+            discovery_on_request: true,
+            ..settings()
+        },
+        [],
+    );
+    let asked = |proxy: &Proxy| {
+        proxy
+            .log
+            .iter()
+            .filter(|(_, a)| *a == Action::Subscribe)
+            .count()
+    };
     assert_eq!(asked(&proxy), 1);
     for failures in 1..6 {
         proxy.list(Membership::Failed);
@@ -426,15 +592,28 @@
 fn a_proxy_asks_again_after_a_call_that_failed_within_the_time_that_the_rules_give() {
     for (ask_within, balancers, call) in [(4 * SECOND, 300, 5 * SECOND), (SECOND, 3, 2 * SECOND)] {
         for seed in 0..200 {
-            let settings = Settings { balancers, discovery_on_request: true, ..settings() };
-            let safety = tillerproxy::api::Safety { ask_within, ..settings.safety };
-            let mut balancer =
-                Balancer::new(Settings { safety, ..settings }, seed, SECOND).expect("good settings");
+            let settings = Settings {
+                balancers,
+                discovery_on_request: true,
+                ..settings()
+            };
+            let safety = tillerproxy::api::Safety {
+                ask_within,
+                ..settings.safety
+            };
+            let mut balancer = Balancer::new(Settings { safety, ..settings }, seed, SECOND)
+                .expect("good settings");
             for failures in 1..8 {
                 let mut actions = Vec::new();
                 balancer.handle(SECOND, Event::Membership(Membership::Failed), &mut actions);
-                let [Action::SetTimer { after, .. }] = actions[..] else { panic!("{actions:?}") };
-                assert!(after + call <= 4 * ask_within, "{} s after {failures} failures", after / SECOND);
+                let [Action::SetTimer { after, .. }] = actions[..] else {
+                    panic!("{actions:?}")
+                };
+                assert!(
+                    after + call <= 4 * ask_within,
+                    "{} s after {failures} failures",
+                    after / SECOND
+                );
             }
         }
     }
@@ -443,7 +622,11 @@
 /// How many of so many proxies call discovery in the busiest second after such news.
 fn busiest_second(balancers: u32, news: &[Membership<'_>]) -> usize {
     let ask = |seed| {
-        let settings = Settings { balancers, discovery_on_request: true, ..settings() };
+        let settings = Settings {
+            balancers,
+            discovery_on_request: true,
+            ..settings()
+        };
         let mut balancer = Balancer::new(settings, seed, SECOND).expect("the settings make sense");
         let mut actions = Vec::new();
         news.iter().for_each(|&news| {
@@ -456,29 +639,53 @@
         }
     };
     let asks: Vec<Micros> = (0..u64::from(balancers)).map(ask).collect();
-    asks.iter().map(|&at| asks.iter().filter(|&&a| a == at).count()).max().unwrap_or_default()
+    asks.iter()
+        .map(|&at| asks.iter().filter(|&&a| a == at).count())
+        .max()
+        .unwrap_or_default()
 }
 
 #[test]
 fn a_fleet_that_starts_or_fails_together_does_not_ask_discovery_together() {
     let start = [Membership::Cached(&[])];
-    assert!(busiest_second(100, &start) <= 65, "{} calls", busiest_second(100, &start));
+    assert!(
+        busiest_second(100, &start) <= 65,
+        "{} calls",
+        busiest_second(100, &start)
+    );
     // Five calls a second where the rules leave the time for it, all the time that they leave where they don't.
     let failed = [Membership::Cached(&[]), Membership::Failed];
-    assert!(busiest_second(12, &failed) <= 9, "{} calls", busiest_second(12, &failed));
-    assert!(busiest_second(100, &failed) <= 50, "{} calls", busiest_second(100, &failed));
+    assert!(
+        busiest_second(12, &failed) <= 9,
+        "{} calls",
+        busiest_second(12, &failed)
+    );
+    assert!(
+        busiest_second(100, &failed) <= 50,
+        "{} calls",
+        busiest_second(100, &failed)
+    );
 }
 
 #[test]
 fn a_proxy_of_the_largest_fleet_asks_soon_enough_for_its_call_to_be_answered_in_time() {
     // What discovery has and could tell is known 6 s later, whatever failed before; a call takes up to 3.5 s.
     for seed in 0..300 {
-        let settings = Settings { balancers: 710, discovery_on_request: true, ..settings() };
+        let settings = Settings {
+            balancers: 710,
+            discovery_on_request: true,
+            ..settings()
+        };
         let mut balancer = Balancer::new(settings, seed, SECOND).expect("good settings");
-        for news in [Membership::Cached(&[])].into_iter().chain([Membership::Failed; 8]) {
+        for news in [Membership::Cached(&[])]
+            .into_iter()
+            .chain([Membership::Failed; 8])
+        {
             let mut actions = Vec::new();
             balancer.handle(SECOND, Event::Membership(news), &mut actions);
-            let [Action::SetTimer { after, .. }] = actions[..] else { panic!("{actions:?}") };
+            let [Action::SetTimer { after, .. }] = actions[..] else {
+                panic!("{actions:?}")
+            };
             assert!(after <= 2_500 * MS, "asked after {after} us");
         }
     }
@@ -487,7 +694,11 @@
 /// A module alone, for what only real sockets tell it.
 fn alone(backends: &[Backend]) -> Balancer {
     let mut balancer = Balancer::new(single_zone(), 1, 0).expect("good settings");
-    balancer.handle(0, Event::Membership(Membership::Cached(backends)), &mut Vec::new());
+    balancer.handle(
+        0,
+        Event::Membership(Membership::Cached(backends)),
+        &mut Vec::new(),
+    );
     balancer
 }
 
@@ -499,16 +710,42 @@
         let mut out = Vec::new();
         balancer.handle(now, Event::Request(request(id, 0)), &mut out);
         assert_eq!(sent_to(&out), Some(0), "request {id}");
-        balancer.handle(now, Event::FirstByte { request: id, attempt: 0, elapsed: 5 * MS }, &mut out);
-        assert!(!out.iter().any(|a| matches!(a, Action::Cancel { .. } | Action::Fail { .. })), "{out:?}");
+        balancer.handle(
+            now,
+            Event::FirstByte {
+                request: id,
+                attempt: 0,
+                elapsed: 5 * MS,
+            },
+            &mut out,
+        );
+        assert!(
+            !out.iter()
+                .any(|a| matches!(a, Action::Cancel { .. } | Action::Fail { .. })),
+            "{out:?}"
+        );
     };
     (1..=50).for_each(|id| begin(&mut balancer, u64::from(id) * 10 * MS, id));
     // Their ends, however late and whatever they are, say nothing more of the server.
     let now = 10 * SECOND;
     for id in 1..=50 {
-        let outcome = if id % 2 == 0 { Outcome::Cancelled } else { Outcome::Ok };
-        let (backend, attempt, closed, elapsed, report, spent) = (0, 0, true, now, [].as_slice(), false);
-        let settled = Settled { request: id, backend, attempt, outcome, closed, elapsed, report, spent };
+        let outcome = if id % 2 == 0 {
+            Outcome::Cancelled
+        } else {
+            Outcome::Ok
+        };
+        let (backend, attempt, closed, elapsed, report, spent) =
+            (0, 0, true, now, [].as_slice(), false);
+        let settled = Settled {
+            request: id,
+            backend,
+            attempt,
+            outcome,
+            closed,
+            elapsed,
+            report,
+            spent,
+        };
         balancer.handle(now, Event::Settled(settled), &mut Vec::new());
     }
     begin(&mut balancer, now, 51);
@@ -523,11 +760,25 @@
         balancer.handle(0, Event::Request(request(1, 0)), &mut out);
         let backend = sent_to(&out).expect("it is sent");
         let (outcome, closed, elapsed, report) = (Outcome::ConnectFailed, false, MS, [].as_slice());
-        let settled = Settled { request: 1, backend, attempt: 0, outcome, closed, elapsed, report, spent };
+        let settled = Settled {
+            request: 1,
+            backend,
+            attempt: 0,
+            outcome,
+            closed,
+            elapsed,
+            report,
+            spent,
+        };
         out.clear();
         balancer.handle(MS, Event::Settled(settled), &mut out);
         assert_eq!(sent_to(&out).is_some(), !spent, "{out:?}");
-        assert_eq!(out.iter().any(|a| matches!(a, Action::Refuse { request: 1, .. })), spent, "{out:?}");
+        assert_eq!(
+            out.iter()
+                .any(|a| matches!(a, Action::Refuse { request: 1, .. })),
+            spent,
+            "{out:?}"
+        );
     }
 }
 
@@ -535,10 +786,16 @@
 fn the_module_tells_how_many_listed_servers_it_avoids() {
     let mut proxy = Proxy::new(single_zone(), one_zone(3));
     assert_eq!(proxy.balancer.avoided(proxy.now), 0);
-    let leaving = [Backend { readiness: Readiness::Draining, ..one_zone(1)[0] }];
+    let leaving = [Backend {
+        readiness: Readiness::Draining,
+        ..one_zone(1)[0]
+    }];
     proxy.event(Event::Membership(Membership::Delta(&leaving)));
     assert_eq!(proxy.balancer.avoided(proxy.now), 1);
-    let gone = [Backend { readiness: Readiness::Gone, ..one_zone(1)[0] }];
+    let gone = [Backend {
+        readiness: Readiness::Gone,
+        ..one_zone(1)[0]
+    }];
     proxy.event(Event::Membership(Membership::Delta(&gone)));
     assert_eq!(proxy.balancer.avoided(proxy.now), 0, "it is listed no more");
     proxy.request(request(1, 0));
@@ -550,20 +807,49 @@
 fn a_stream_that_has_begun_is_left_alone() {
     let mut proxy = Proxy::new(single_zone(), one_zone(3));
     proxy.request(request(1, 0));
-    proxy.event(Event::FirstByte { request: 1, attempt: 0, elapsed: 5 });
+    proxy.event(Event::FirstByte {
+        request: 1,
+        attempt: 0,
+        elapsed: 5,
+    });
     proxy.now += SECOND;
     proxy.advance(SECOND / 2);
-    assert!(!proxy.log.iter().any(|(_, a)| matches!(a, Action::Cancel { .. } | Action::Fail { .. })));
+    assert!(
+        !proxy
+            .log
+            .iter()
+            .any(|(_, a)| matches!(a, Action::Cancel { .. } | Action::Fail { .. }))
+    );
 }
 
 /// Incident i7e9ee7: where other proxies died, this one's traffic is more than its part of every allowance, and
 /// tenants within their share were treated as over it.
 #[test]
 fn a_tenant_that_asks_for_less_of_its_allowance_than_others_is_not_over_its_share() {
-    let tenants = vec![Tenant { allowance_per_s: 100.0 }, Tenant { allowance_per_s: 100.0 }];
-    let mut proxy = Proxy::new(Settings { tenants, balancers: 100, ..single_zone() }, one_zone(40));
-    let modest = |id| Request { tenant: 0, ..request(id, 0) };
-    let flood = |id| Request { tenant: 1, ..request(id, 0) };
+    let tenants = vec![
+        Tenant {
+            allowance_per_s: 100.0,
+        },
+        Tenant {
+            allowance_per_s: 100.0,
+        },
+    ];
+    let mut proxy = Proxy::new(
+        Settings {
+            tenants,
+            balancers: 100,
+            ..single_zone()
+        },
+        one_zone(40),
+    );
+    let modest = |id| Request {
+        tenant: 0,
+        ..request(id, 0)
+    };
+    let flood = |id| Request {
+        tenant: 1,
+        ..request(id, 0)
+    };
     let mut held = [0, 0];
     for tick in 0..100 {
         let id = tick * 100;
@@ -574,7 +860,10 @@
         proxy.advance(20 * MS);
         proxy.serve(|_| 400 * MS);
     }
-    assert!(held[0] > 95, "the modest tenant is sent or held, not refused at once: {held:?}");
+    assert!(
+        held[0] > 95,
+        "the modest tenant is sent or held, not refused at once: {held:?}"
+    );
     assert!(held[1] < 60, "the flood gives way: {held:?}");
 }
 
@@ -602,7 +891,10 @@
     let mut round = |proxy: &mut Proxy, rest: Micros, outcome: Outcome| {
         proxy.advance(rest);
         id += 1;
-        let actions = proxy.request(Request { patience: 300 * MS, ..request(id, 1) });
+        let actions = proxy.request(Request {
+            patience: 300 * MS,
+            ..request(id, 1)
+        });
         assert_eq!(sent_to(&actions), Some(0));
         match outcome {
             Outcome::Timeout => proxy.advance(300 * MS),
@@ -611,10 +903,19 @@
         closed(&actions)
     };
     round(&mut proxy, 0, Outcome::Ok);
-    assert!(!round(&mut proxy, SECOND, Outcome::Ok), "trusted until something is lost");
+    assert!(
+        !round(&mut proxy, SECOND, Outcome::Ok),
+        "trusted until something is lost"
+    );
     assert!(!round(&mut proxy, SECOND, Outcome::Timeout));
-    assert!(round(&mut proxy, SECOND, Outcome::Ok), "closed before the send");
-    assert!(!round(&mut proxy, 100 * MS, Outcome::Ok), "a short rest is trusted still");
+    assert!(
+        round(&mut proxy, SECOND, Outcome::Ok),
+        "closed before the send"
+    );
+    assert!(
+        !round(&mut proxy, 100 * MS, Outcome::Ok),
+        "a short rest is trusted still"
+    );
 }
 
 /// A request lost on a rested connection is the connection's fault: the server is not ejected for it. A rest of
@@ -645,11 +946,19 @@
 #[test]
 fn a_proxy_with_few_slots_can_have_more_than_one_request_out_on_different_servers() {
     let two = |me| {
-        let settings = Settings { me, balancers: 100, ..single_zone() };
+        let settings = Settings {
+            me,
+            balancers: 100,
+            ..single_zone()
+        };
         let mut proxy = Proxy::new(settings, one_zone(60));
         (0..4).for_each(|id| _ = proxy.request(request(id, 0)));
         let servers: std::collections::BTreeSet<_> = proxy.out().iter().map(|o| o.2).collect();
-        assert_eq!(servers.len(), proxy.out().len(), "each on a server of its own");
+        assert_eq!(
+            servers.len(),
+            proxy.out().len(),
+            "each on a server of its own"
+        );
         servers.len() >= 2
     };
     assert!((0..40).filter(|&me| two(me)).count() > 20);
@@ -658,18 +967,31 @@
 /// Rooms of slow servers at full size: one answer's report has to do, as windows never fill.
 #[test]
 fn a_report_of_a_slow_server_lowers_its_limit_at_once_where_a_proxy_has_few_slots() {
-    let mut settings = Settings { balancers: 100, ..single_zone() };
+    let mut settings = Settings {
+        balancers: 100,
+        ..single_zone()
+    };
     settings.report.avg_ms = Some(0);
     let back = |slow: bool| {
         let mut sends = 0;
         for me in 0..20 {
-            let mut proxy = Proxy::new(Settings { me, ..settings.clone() }, one_zone(60));
+            let mut proxy = Proxy::new(
+                Settings {
+                    me,
+                    ..settings.clone()
+                },
+                one_zone(60),
+            );
             for id in 0..100 {
                 proxy.request(request(id, 0));
                 proxy.advance(5 * MS);
                 for (id, attempt, server) in proxy.out().into_iter().filter(|_| id % 3 == 0) {
                     sends += u32::from(server % 2 == 0);
-                    let told = if slow && server % 2 == 0 { 900.0 } else { 100.0 };
+                    let told = if slow && server % 2 == 0 {
+                        900.0
+                    } else {
+                        100.0
+                    };
                     proxy.settle_with(id, attempt, Outcome::Ok, &[told]);
                 }
             }
@@ -677,14 +999,23 @@
         sends
     };
     let (slow, usual) = (back(true), back(false));
-    assert!(slow * 4 < usual * 3, "{slow} sends to slow servers, {usual} when they are not slow");
+    assert!(
+        slow * 4 < usual * 3,
+        "{slow} sends to slow servers, {usual} when they are not slow"
+    );
 }
 
 /// A refusal for chance should not cost the client its aim; one for a full fleet should keep it away.
 #[test]
 fn a_refused_client_is_asked_back_sooner_where_a_proxy_has_few_slots() {
     let wait = |balancers| {
-        let mut proxy = Proxy::new(Settings { balancers, ..single_zone() }, one_zone(40));
+        let mut proxy = Proxy::new(
+            Settings {
+                balancers,
+                ..single_zone()
+            },
+            one_zone(40),
+        );
         (0..200).for_each(|id| _ = proxy.request(request(id, 0)));
         proxy.advance(300 * MS);
         let waits = proxy.log.iter().filter_map(|(_, a)| match a {
@@ -702,13 +1033,26 @@
 fn every_proxy_holds_about_as_many_slots_and_so_does_every_server() {
     let (mut by_server, mut by_proxy) = (vec![0; 60], Vec::new());
     for me in 0..200 {
-        let mut proxy = Proxy::new(Settings { me, balancers: 60, ..single_zone() }, one_zone(60));
+        let mut proxy = Proxy::new(
+            Settings {
+                me,
+                balancers: 60,
+                ..single_zone()
+            },
+            one_zone(60),
+        );
         (0..3).for_each(|id| _ = proxy.request(request(id, 0)));
         by_proxy.push(proxy.out().len());
-        proxy.out().iter().for_each(|o| by_server[o.2 as usize] += 1);
+        proxy
+            .out()
+            .iter()
+            .for_each(|o| by_server[o.2 as usize] += 1);
     }
     assert!(by_proxy.iter().all(|&n| n >= 2), "{by_proxy:?}");
-    let (least, most) = (by_server.iter().min().expect("servers"), by_server.iter().max().expect("servers"));
+    let (least, most) = (
+        by_server.iter().min().expect("servers"),
+        by_server.iter().max().expect("servers"),
+    );
     assert!(most - least <= 8, "{by_server:?}");
 }
 
@@ -716,8 +1060,20 @@
 #[test]
 fn times_at_the_far_end_of_the_clock_are_no_trouble() {
     let mut settings = single_zone();
-    settings.classes[2].effect = Effect::Keyed { group: DedupGroup::All, ttl: Micros::MAX };
-    let mut proxy = Proxy::new(settings, [Backend { started: Some(Micros::MAX), ..backend(0) }, backend(2)]);
+    settings.classes[2].effect = Effect::Keyed {
+        group: DedupGroup::All,
+        ttl: Micros::MAX,
+    };
+    let mut proxy = Proxy::new(
+        settings,
+        [
+            Backend {
+                started: Some(Micros::MAX),
+                ..backend(0)
+            },
+            backend(2),
+        ],
+    );
     for id in 0..4 {
         proxy.request(request(id, 2));
     }
@@ -771,7 +1127,11 @@
     // Each proxy holds slots on a part of the servers and has too few requests for its windows.
     let mut sends = [0_u32; 20];
     for me in 0..25 {
-        let settings = Settings { me: 4 * me, balancers: 100, ..single_zone() };
+        let settings = Settings {
+            me: 4 * me,
+            balancers: 100,
+            ..single_zone()
+        };
         let mut proxy = Proxy::new(settings, one_zone(20));
         for id in 0..100 {
             let actions = proxy.request(request(id, 0));
@@ -785,5 +1145,9 @@
         }
     }
     let others = (sends.iter().sum::<u32>() - sends[3]) / 19;
-    assert!(sends[3] * 3 < others, "{} sends to the slow server, {others} to another one", sends[3]);
+    assert!(
+        sends[3] * 3 < others,
+        "{} sends to the slow server, {others} to another one",
+        sends[3]
+    );
 }
--- a/tests/proxy/forms.rs
+++ b/tests/proxy/forms.rs
@@ -49,7 +49,10 @@
     }
     assert!(proxy.peak_memory() < 32 << 10, "{} kB", proxy.peak_memory());
     while proxy.figure("app_in_progress") > 0 {}
-    assert_eq!(proxy.figure("app_handled{category=\"submit\",outcome=\"passed\"}"), 12);
+    assert_eq!(
+        proxy.figure("app_handled{category=\"submit\",outcome=\"passed\"}"),
+        12
+    );
 }
 
 #[test]
@@ -71,7 +74,9 @@
                 } else {
                     "Transfer-Encoding: chunked".into()
                 };
-                stream.write_all(head.replace("Content-Length: 0", &fields).as_bytes()).expect("it reads");
+                stream
+                    .write_all(head.replace("Content-Length: 0", &fields).as_bytes())
+                    .expect("it reads");
                 for piece in body.chunks(100_000) {
                     if i % 2 == 1 {
                         stream
@@ -84,7 +89,9 @@
                     }
                 }
                 if i % 2 == 1 {
-                    stream.write_all(b"0\r\nX-Trailer: y\r\n\r\n").expect("it reads");
+                    stream
+                        .write_all(b"0\r\nX-Trailer: y\r\n\r\n")
+                        .expect("it reads");
                 }
                 read_message(&mut std::io::BufReader::new(stream)).expect("an answer")
             })
@@ -104,16 +111,21 @@
 #[test]
 fn the_first_bytes_of_a_large_answer_do_not_wait_for_the_last() {
     let body = pattern(200_000);
-    for (name, fields) in
-        [("first-length", "Content-Length: 200000\r\n"), ("first-close", "Connection: close\r\n")]
-    {
+    for (name, fields) in [
+        ("first-length", "Content-Length: 200000\r\n"),
+        ("first-close", "Connection: close\r\n"),
+    ] {
         let (release, word) = channel();
         let mut word = Some(word);
         let (first, rest) = (body[..100_000].to_vec(), body[100_000..].to_vec());
         let backend = Backend::start(move |_| {
             let head = format!("HTTP/1.1 200 OK\r\n{fields}\r\n").into_bytes();
             let rest = Reply::WriteAndClose(rest.clone());
-            Reply::Then([head, first.clone()].concat(), word.take().expect("one"), Box::new(rest))
+            Reply::Then(
+                [head, first.clone()].concat(),
+                word.take().expect("one"),
+                Box::new(rest),
+            )
         });
         let proxy = small(name, &backend);
         let mut client = proxy.client();
@@ -128,11 +140,16 @@
 
 #[test]
 fn an_answer_that_breaks_off_once_it_has_begun_looks_broken() {
-    for (name, fields) in
-        [("broken-length", "Content-Length: 200000\r\n"), ("broken-chunks", "Transfer-Encoding: chunked\r\n")]
-    {
+    for (name, fields) in [
+        ("broken-length", "Content-Length: 200000\r\n"),
+        ("broken-chunks", "Transfer-Encoding: chunked\r\n"),
+    ] {
         let backend = Backend::start(move |_| {
-            let chunk = if fields.starts_with('T') { "20000\r\n" } else { "" };
+            let chunk = if fields.starts_with('T') {
+                "20000\r\n"
+            } else {
+                ""
+            };
             let head = format!("HTTP/1.1 200 OK\r\n{fields}\r\n{chunk}");
             Reply::WriteAndClose([head.into_bytes(), pattern(100_000)].concat())
         });
@@ -165,7 +182,9 @@
     thread::spawn(move || {
         for stream in breaker.incoming() {
             let mut stream = stream.expect("a connection");
-            stream.read_exact(&mut [0; 50_000]).expect("a part of the body");
+            stream
+                .read_exact(&mut [0; 50_000])
+                .expect("a part of the body");
             sender.send(()).expect("the test waits");
         }
     });
@@ -173,7 +192,10 @@
     let proxy = Proxy::start(
         "spent",
         &discovery,
-        &[entry("s-1", address, "active", 0), entry("s-2", address, "active", 0)],
+        &[
+            entry("s-1", address, "active", 0),
+            entry("s-2", address, "active", 0),
+        ],
     );
     let mut client = proxy.client();
     let head = request("read", "1", "").replace("Content-Length: 0", "Content-Length: 3000000");
@@ -190,50 +212,117 @@
 fn every_form_of_a_request_is_understood() {
     let discovery = Discovery::start();
     let backend = Backend::start(|seen| ok(&String::from_utf8_lossy(&seen.body)));
-    let proxy = Proxy::start("forms", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start(
+        "forms",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
     let post = |id: &str, fields: &str, body: &str| {
         request("submit", id, "").replace("Content-Length: 0\r\n", fields) + body
     };
     let encoded = "Transfer-Encoding: chunked\r\n";
     let cases = [
-        ("chunked", post("1", encoded, "4\r\nbody\r\n0\r\n\r\n"), "200 body"),
+        (
+            "chunked",
+            post("1", encoded, "4\r\nbody\r\n0\r\n\r\n"),
+            "200 body",
+        ),
         (
             "chunk extensions",
-            post("2", encoded, "2;a=b;c=\"d\"\r\nbo\r\n002 \r\ndy\r\n0;z\r\n\r\n"),
+            post(
+                "2",
+                encoded,
+                "2;a=b;c=\"d\"\r\nbo\r\n002 \r\ndy\r\n0;z\r\n\r\n",
+            ),
+            "200 body",
+        ),
+        (
+            "trailers",
+            post(
+                "3",
+                encoded,
+                "4\r\nbody\r\n0\r\nX-Sum: 1\r\nX-More: 2\r\n\r\n",
+            ),
             "200 body",
         ),
-        ("trailers", post("3", encoded, "4\r\nbody\r\n0\r\nX-Sum: 1\r\nX-More: 2\r\n\r\n"), "200 body"),
-        ("a bad chunk size", post("4", encoded, "zz\r\nbody\r\n0\r\n\r\n"), "400 "),
-        ("a bad chunk end", post("5", encoded, "2\r\nbody\r\n0\r\n\r\n"), "400 "),
+        (
+            "a bad chunk size",
+            post("4", encoded, "zz\r\nbody\r\n0\r\n\r\n"),
+            "400 ",
+        ),
+        (
+            "a bad chunk end",
+            post("5", encoded, "2\r\nbody\r\n0\r\n\r\n"),
+            "400 ",
+        ),
         (
             "absolute form",
             request("submit", "6", "body").replace("/submit", "http://app.svc/submit"),
             "200 body",
         ),
-        ("another case", post("7", "content-LENGTH: 4\r\n", "body"), "200 body"),
-        ("empty lines ahead", format!("\r\n\r\n{}", request("submit", "8", "body")), "200 body"),
-        ("obsolete folding", post("9", "X-Odd: a\r\n b\r\nContent-Length: 4\r\n", "body"), "400 "),
-        ("a space in a name", post("10", "X-Odd : a\r\nContent-Length: 4\r\n", "body"), "400 "),
-        ("HTTP/1.0", request("submit", "11", "body").replace("HTTP/1.1", "HTTP/1.0"), "200 body"),
+        (
+            "another case",
+            post("7", "content-LENGTH: 4\r\n", "body"),
+            "200 body",
+        ),
+        (
+            "empty lines ahead",
+            format!("\r\n\r\n{}", request("submit", "8", "body")),
+            "200 body",
+        ),
+        (
+            "obsolete folding",
+            post("9", "X-Odd: a\r\n b\r\nContent-Length: 4\r\n", "body"),
+            "400 ",
+        ),
+        (
+            "a space in a name",
+            post("10", "X-Odd : a\r\nContent-Length: 4\r\n", "body"),
+            "400 ",
+        ),
+        (
+            "HTTP/1.0",
+            request("submit", "11", "body").replace("HTTP/1.1", "HTTP/1.0"),
+            "200 body",
+        ),
         (
             "an encoding in HTTP/1.0",
             post("12", encoded, "4\r\nbody\r\n0\r\n\r\n").replace("HTTP/1.1", "HTTP/1.0"),
             "400 ",
         ),
-        ("a version to come", request("submit", "13", "body").replace("HTTP/1.1", "HTTP/2.7"), "400 "),
-        ("CONNECT", "CONNECT app.svc:80 HTTP/1.1\r\nHost: app.svc\r\n\r\n".to_owned(), "400 "),
-        ("OPTIONS *", "OPTIONS * HTTP/1.1\r\nHost: app.svc\r\n\r\n".to_owned(), "400 "),
+        (
+            "a version to come",
+            request("submit", "13", "body").replace("HTTP/1.1", "HTTP/2.7"),
+            "400 ",
+        ),
+        (
+            "CONNECT",
+            "CONNECT app.svc:80 HTTP/1.1\r\nHost: app.svc\r\n\r\n".to_owned(),
+            "400 ",
+        ),
+        (
+            "OPTIONS *",
+            "OPTIONS * HTTP/1.1\r\nHost: app.svc\r\n\r\n".to_owned(),
+            "400 ",
+        ),
     ];
     for (form, text, wanted) in cases {
         let got = proxy.client().ask(&text);
         let got = format!(
             "{} {}",
             got.status(),
-            if got.status() == 200 { String::from_utf8_lossy(&got.body).into_owned() } else { String::new() }
+            if got.status() == 200 {
+                String::from_utf8_lossy(&got.body).into_owned()
+            } else {
+                String::new()
+            }
         );
         assert_eq!(got, wanted, "{form}");
     }
-    let absolute = backend.seen.try_iter().find(|seen| seen.header("x-correlation-id") == Some("6"));
+    let absolute = backend
+        .seen
+        .try_iter()
+        .find(|seen| seen.header("x-correlation-id") == Some("6"));
     let absolute = absolute.expect("it was sent on");
     assert_eq!(
         (absolute.first_line(), absolute.header("host")),
@@ -245,7 +334,11 @@
 fn connections_are_kept_or_closed_as_their_requests_say() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
-    let proxy = Proxy::start("kept-or-closed", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start(
+        "kept-or-closed",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
     let keep = "Connection: keep-alive\r\nHost";
     let close = "Connection: foo, Close\r\nHost";
     for (version, fields, kept) in [
@@ -255,8 +348,11 @@
         ("HTTP/1.0", keep, true),
     ] {
         let mut client = proxy.client();
-        let text =
-            |id: &str| request("submit", id, "x").replace("HTTP/1.1", version).replacen("Host", fields, 1);
+        let text = |id: &str| {
+            request("submit", id, "x")
+                .replace("HTTP/1.1", version)
+                .replacen("Host", fields, 1)
+        };
         assert_eq!(client.ask(&text("1")).status(), 200, "{version} {fields}");
         if kept {
             assert_eq!(client.ask(&text("2")).status(), 200, "{version} {fields}");
@@ -273,11 +369,16 @@
         assert_eq!(seen.header("expect"), None);
         ok(&String::from_utf8_lossy(&seen.body))
     });
-    let proxy = Proxy::start("expect", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    let mut client = proxy.client();
-    client.send(
-        &request("submit", "1", "").replace("Content-Length: 0", "Expect: 100-continue\r\nContent-Length: 4"),
+    let proxy = Proxy::start(
+        "expect",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
     );
+    let mut client = proxy.client();
+    client.send(&request("submit", "1", "").replace(
+        "Content-Length: 0",
+        "Expect: 100-continue\r\nContent-Length: 4",
+    ));
     assert_eq!(client.receive().status(), 100);
     assert_eq!(client.ask("body").body, b"body");
 }
@@ -286,11 +387,19 @@
 fn requests_one_behind_another_get_their_answers_in_turn() {
     let discovery = Discovery::start();
     let backend = Backend::start(|seen| ok(seen.header("x-correlation-id").expect("an id")));
-    let proxy = Proxy::start("pipelined", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start(
+        "pipelined",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
     let mut client = proxy.client();
-    let ambiguous = request("submit", "4", "")
-        .replace("Content-Length: 0", "Transfer-Encoding: chunked\r\nContent-Length: 5");
-    let all = ["1", "2", "3"].map(|id| request("submit", id, "x")).concat()
+    let ambiguous = request("submit", "4", "").replace(
+        "Content-Length: 0",
+        "Transfer-Encoding: chunked\r\nContent-Length: 5",
+    );
+    let all = ["1", "2", "3"]
+        .map(|id| request("submit", id, "x"))
+        .concat()
         + UP
         + &ambiguous
         + "0\r\n\r\n"
@@ -300,7 +409,11 @@
         assert_eq!(client.receive().body, id.as_bytes());
     }
     assert_eq!(client.receive().status(), 200);
-    assert_eq!(client.receive().status(), 400, "its end can be read in two ways");
+    assert_eq!(
+        client.receive().status(),
+        400,
+        "its end can be read in two ways"
+    );
     assert!(client.ends_cleanly(), "and so nothing behind it is read");
     assert_eq!(backend.seen.try_iter().count(), 3);
 }
@@ -317,7 +430,11 @@
     for (name, bytes, status) in cases {
         let discovery = Discovery::start();
         let backend = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
-        let proxy = Proxy::start(name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
+        let proxy = Proxy::start(
+            name,
+            &discovery,
+            &[entry("s-1", backend.address, "active", 0)],
+        );
         let got = proxy.client().ask(&request("charge", "1", "x"));
         assert_eq!(got.status(), status, "{name}");
         assert!(status != 200 || got.body == b"body", "{name}");
@@ -328,7 +445,10 @@
     client.send("HEAD /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     let mut text = String::new();
     client.reader.read_to_string(&mut text).expect("text");
-    assert!(text.starts_with("HTTP/1.1 200 ") && text.ends_with("\r\n\r\n"), "{text}");
+    assert!(
+        text.starts_with("HTTP/1.1 200 ") && text.ends_with("\r\n\r\n"),
+        "{text}"
+    );
 }
 
 /// A backend that answers each request with these bytes and resets its connection so long behind them.
@@ -350,21 +470,36 @@
 /// An answer may have no length, so that only the end of its connection ends it; a reset is no such end.
 #[test]
 fn a_reset_never_ends_an_answer_that_has_no_length() {
-    for head in ["HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n"] {
-        for (length, pause_ms) in [(0, 0), (40, 0), (40, 100), (40, 600), (100_000, 0), (100_000, 100)] {
+    for head in [
+        "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
+        "HTTP/1.0 200 OK\r\n\r\n",
+    ] {
+        for (length, pause_ms) in [
+            (0, 0),
+            (40, 0),
+            (40, 100),
+            (40, 600),
+            (100_000, 0),
+            (100_000, 100),
+        ] {
             let bytes = [head.as_bytes(), &pattern(length)].concat();
             let address = resets_behind(bytes, Duration::from_millis(pause_ms));
             let discovery = Discovery::start();
             let name = format!("reset-{length}-{pause_ms}");
             let proxy = Proxy::start(&name, &discovery, &[entry("s-1", address, "active", 0)]);
             let mut client = proxy.client();
-            client.send(&request("charge", "1", "x").replace("Host:", "Connection: close\r\nHost:"));
+            client
+                .send(&request("charge", "1", "x").replace("Host:", "Connection: close\r\nHost:"));
             let mut all = Vec::new();
             let ended = client.reader.read_to_end(&mut all);
             let failed = all.starts_with(b"HTTP/1.1 502 ");
             let text = String::from_utf8_lossy(&all[..200.min(all.len())]).to_lowercase();
             let cut_off = text.contains("chunked") && !all.ends_with(b"0\r\n\r\n");
-            assert!(failed || ended.is_err() || cut_off, "{name}: {} bytes", all.len());
+            assert!(
+                failed || ended.is_err() || cut_off,
+                "{name}: {} bytes",
+                all.len()
+            );
         }
     }
 }
@@ -374,10 +509,16 @@
 fn a_request_in_small_pieces_is_served() {
     let discovery = Discovery::start();
     let backend = Backend::start(|seen| ok(&seen.body.len().to_string()));
-    let proxy = Proxy::start("pieces", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start(
+        "pieces",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
     let mut client = proxy.client();
     client.stream.set_nodelay(true).expect("no delay");
     let text = request("submit", "1", &"x".repeat(3_000));
-    text.as_bytes().chunks(7).for_each(|piece| client.stream.write_all(piece).expect("it reads"));
+    text.as_bytes()
+        .chunks(7)
+        .for_each(|piece| client.stream.write_all(piece).expect("it reads"));
     assert_eq!(client.receive().body, b"3000");
 }
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -16,22 +16,43 @@
 fn the_course_of_a_request_can_be_followed_by_its_correlation_id() {
     let discovery = Discovery::start();
     let failing = Backend::start(|_| Reply::Write(answer("500 No", "", b"")));
-    let variables = [("EDGE_LOG", "info,tillerproxy::request=debug"), ("EDGE_LOG_FORMAT", "json")];
+    let variables = [
+        ("EDGE_LOG", "info,tillerproxy::request=debug"),
+        ("EDGE_LOG_FORMAT", "json"),
+    ];
     let mut proxy = start_logging("log-course", &discovery, &variables);
     discovery.post(true, &[entry("s-1", failing.address, "active", 0)]);
     while proxy.client().ask(UP).status() != 200 {}
-    assert_eq!(proxy.client().ask(&request("charge", "9b1f03aa", "x")).status(), 502);
+    assert_eq!(
+        proxy
+            .client()
+            .ask(&request("charge", "9b1f03aa", "x"))
+            .status(),
+        502
+    );
     proxy.terminate();
     let log = proxy.rest_of_log();
-    let lines: Vec<Value> = log.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
-    let received = lines.iter().find(|line| line["correlation_id"] == "9b1f03aa").expect("it was received");
+    let lines: Vec<Value> = log
+        .lines()
+        .map(|line| serde_json::from_str(line).expect("JSON"))
+        .collect();
+    let received = lines
+        .iter()
+        .find(|line| line["correlation_id"] == "9b1f03aa")
+        .expect("it was received");
     let course: Vec<&str> = lines
         .iter()
         .filter(|line| line["request"] == received["request"])
         .map(|line| line["message"].as_str().expect("a message"))
         .collect();
-    assert_eq!(course, ["received", "attempt started", "attempt ended", "answered"]);
-    let answered = lines.iter().find(|line| line["message"] == "answered").expect("an answer");
+    assert_eq!(
+        course,
+        ["received", "attempt started", "attempt ended", "answered"]
+    );
+    let answered = lines
+        .iter()
+        .find(|line| line["message"] == "answered")
+        .expect("an answer");
     assert_eq!(answered["answer"], "failed");
 }
 
@@ -45,12 +66,19 @@
     let plain = config("log-reload", &discovery);
     let mut verbose = plain.clone();
     verbose["log"] = serde_json::json!({"filter": "info,tillerproxy::request=debug"});
-    for (id, configuration) in [("quiet", None), ("loud", Some(&verbose)), ("again", Some(&plain))] {
+    for (id, configuration) in [
+        ("quiet", None),
+        ("loud", Some(&verbose)),
+        ("again", Some(&plain)),
+    ] {
         if let Some(configuration) = configuration {
             proxy.reload(&configuration.to_string());
             proxy.wait_for_log("read the configuration again");
         }
-        assert_eq!(proxy.client().ask(&request("submit", id, "x")).status(), 200);
+        assert_eq!(
+            proxy.client().ask(&request("submit", id, "x")).status(),
+            200
+        );
         if id == "loud" {
             proxy.wait_for_log("correlation_id=\"loud\"");
         }
@@ -74,9 +102,15 @@
     };
     let plain = config("log-odd", &discovery);
     let text = start(&plain, Some(("EDGE_LOG_FORMAT", "xml")));
-    assert!(text.contains("EDGE_LOG_FORMAT: `xml` must be `text` or `json`"), "{text}");
+    assert!(
+        text.contains("EDGE_LOG_FORMAT: `xml` must be `text` or `json`"),
+        "{text}"
+    );
     let mut odd = plain.clone();
     odd["log"] = serde_json::json!({"filter": "tillerproxy=loud"});
     let text = start(&odd, None);
-    assert!(text.contains("`log.filter`: `tillerproxy=loud` is no filter"), "{text}");
+    assert!(
+        text.contains("`log.filter`: `tillerproxy=loud` is no filter"),
+        "{text}"
+    );
 }
