--- a/tests/proxy/moments.rs
+++ b/tests/proxy/moments.rs
@@ -14,14 +14,20 @@
 /// for long.
 fn ids_that_come(listener: TcpListener) -> Vec<String> {
     let listener = socket2::Socket::from(listener);
-    listener.set_read_timeout(Some(COMES_UP)).expect("a time-out");
+    listener
+        .set_read_timeout(Some(COMES_UP))
+        .expect("a time-out");
     let mut seen = Vec::new();
     while let Ok((stream, _)) = listener.accept() {
         let mut stream = TcpStream::from(stream);
         stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        let Some(got) = read_message(&mut BufReader::new(&stream)) else { continue };
+        let Some(got) = read_message(&mut BufReader::new(&stream)) else {
+            continue;
+        };
         seen.push(got.header("x-correlation-id").expect("an id").to_owned());
-        stream.write_all(&answer("200 OK", "", b"there")).expect("the proxy reads");
+        stream
+            .write_all(&answer("200 OK", "", b"there"))
+            .expect("the proxy reads");
     }
     seen
 }
@@ -30,12 +36,26 @@
 fn a_request_whose_client_left_while_its_connection_came_up_is_not_sent() {
     let discovery = Discovery::start();
     let backend = FullQueue::start();
-    let proxy = Proxy::start("left-dialing", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start(
+        "left-dialing",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
     let mut leaver = proxy.client();
     leaver.send(&request("charge", "left", "x"));
-    assert_eq!(proxy.client().ask(UP).status(), 200, "the proxy has seen what came before");
-    leaver.stream.shutdown(Shutdown::Write).expect("an open connection");
-    assert!(leaver.ends_cleanly(), "the proxy has seen that the client left");
+    assert_eq!(
+        proxy.client().ask(UP).status(),
+        200,
+        "the proxy has seen what came before"
+    );
+    leaver
+        .stream
+        .shutdown(Shutdown::Write)
+        .expect("an open connection");
+    assert!(
+        leaver.ends_cleanly(),
+        "the proxy has seen that the client left"
+    );
     let mut client = proxy.client();
     client.send(&request("charge", "stays", "x"));
     assert_eq!(ids_that_come(backend.empty()), ["stays"]);
@@ -52,7 +72,10 @@
     for group in ["cell", "all"] {
         let discovery = Discovery::start();
         let (release, word) = channel();
-        let mut reply = Some(Reply::After(word, Box::new(Reply::WriteAndClose(Vec::new()))));
+        let mut reply = Some(Reply::After(
+            word,
+            Box::new(Reply::WriteAndClose(Vec::new())),
+        ));
         let breaks = Backend::start(move |_| reply.take().expect("asked once"));
         let late = FullQueue::start();
         let name = format!("window-{group}");
@@ -69,7 +92,11 @@
         // The one span of time that matters here: it is over before the second backend takes a connection.
         std::thread::sleep(WINDOW);
         assert_eq!(ids_that_come(late.empty()), [""; 0]);
-        assert_eq!(client.receive().status(), 502, "it may have run, and is not repeated");
+        assert_eq!(
+            client.receive().status(),
+            502,
+            "it may have run, and is not repeated"
+        );
     }
 }
 
@@ -87,12 +114,17 @@
     match way {
         Way::Close => None,
         Way::HalfClose => {
-            client.stream.shutdown(Shutdown::Write).expect("an open connection");
+            client
+                .stream
+                .shutdown(Shutdown::Write)
+                .expect("an open connection");
             Some(client)
         }
         Way::Reset => {
             let socket = socket2::SockRef::from(&client.stream);
-            socket.set_linger(Some(Duration::ZERO)).expect("an open connection");
+            socket
+                .set_linger(Some(Duration::ZERO))
+                .expect("an open connection");
             None
         }
     }
@@ -115,7 +147,10 @@
 fn in_progress(proxy: &Proxy, requests: usize) -> Duration {
     let began = std::time::Instant::now();
     while proxy.figure("app_in_progress") != requests as u64 {
-        assert!(began.elapsed() < Duration::from_secs(5), "not {requests} in progress");
+        assert!(
+            began.elapsed() < Duration::from_secs(5),
+            "not {requests} in progress"
+        );
     }
     began.elapsed()
 }
@@ -131,7 +166,13 @@
         release.send(()).expect("the backend waits");
         assert_eq!(client.receive().status(), 200);
     }
-    assert_eq!(proxy.client().ask(&request("charge", "stays", "x")).status(), 200);
+    assert_eq!(
+        proxy
+            .client()
+            .ask(&request("charge", "stays", "x"))
+            .status(),
+        200
+    );
     assert_eq!(backend.next().header("x-correlation-id"), Some("stays"));
 }
 
@@ -143,13 +184,22 @@
     let clients = fill(&proxy, &backend);
     let behind = sent_behind();
     let mut leavers = Vec::new();
-    for (i, (way, behind)) in WAYS.iter().flat_map(|way| behind.iter().map(move |b| (*way, b))).enumerate() {
+    for (i, (way, behind)) in WAYS
+        .iter()
+        .flat_map(|way| behind.iter().map(move |b| (*way, b)))
+        .enumerate()
+    {
         let mut client = proxy.client();
-        client.send(&(request("charge", &format!("left-{i}"), "x").replace("15000", "190000") + behind));
+        client.send(
+            &(request("charge", &format!("left-{i}"), "x").replace("15000", "190000") + behind),
+        );
         leavers.push((client, way));
     }
     in_progress(&proxy, ROOM + leavers.len());
-    let left: Vec<_> = leavers.into_iter().filter_map(|(client, way)| leave(client, way)).collect();
+    let left: Vec<_> = leavers
+        .into_iter()
+        .filter_map(|(client, way)| leave(client, way))
+        .collect();
     in_progress(&proxy, ROOM);
     only_new_ones_come(&proxy, &backend, clients, &releases);
     drop(left);
@@ -176,15 +226,25 @@
 
 /// What a client may have sent behind its request when it leaves: nothing, a further request, noise.
 fn sent_behind() -> [String; 3] {
-    [String::new(), request("charge", "behind", "x"), "x".repeat(20_000)]
+    [
+        String::new(),
+        request("charge", "behind", "x"),
+        "x".repeat(20_000),
+    ]
 }
 
 /// A backend that tells when it is asked, answers nothing before a word comes, and then breaks the
 /// connection.
 fn breaks_on_word() -> (Backend, std::sync::mpsc::Sender<()>) {
     let (release, word) = channel();
-    let mut reply = Some(Reply::After(word, Box::new(Reply::WriteAndClose(Vec::new()))));
-    (Backend::start(move |_| reply.take().expect("asked once")), release)
+    let mut reply = Some(Reply::After(
+        word,
+        Box::new(Reply::WriteAndClose(Vec::new())),
+    ));
+    (
+        Backend::start(move |_| reply.take().expect("asked once")),
+        release,
+    )
 }
 
 /// No attempt begins later than this after its client has left.
@@ -202,7 +262,11 @@
     let proxy = Proxy::start_with("left-connecting", config);
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
     let mut noticed = Vec::new();
-    for (i, (way, behind)) in WAYS.iter().flat_map(|way| sent_behind().map(|b| (*way, b))).enumerate() {
+    for (i, (way, behind)) in WAYS
+        .iter()
+        .flat_map(|way| sent_behind().map(|b| (*way, b)))
+        .enumerate()
+    {
         let mut client = proxy.client();
         client.send(&(request("charge", &format!("left-{i}"), "x") + &behind));
         in_progress(&proxy, 1);
@@ -222,7 +286,11 @@
 /// The first attempt is out when its client leaves, and would have been followed by another one.
 #[test]
 fn no_further_attempt_is_made_for_a_client_that_left() {
-    for (i, (way, behind)) in WAYS.iter().flat_map(|way| sent_behind().map(|b| (*way, b))).enumerate() {
+    for (i, (way, behind)) in WAYS
+        .iter()
+        .flat_map(|way| sent_behind().map(|b| (*way, b)))
+        .enumerate()
+    {
         let discovery = Discovery::start();
         let (breaks, release) = breaks_on_word();
         let other = Backend::start(|_| ok("there"));
@@ -234,14 +302,20 @@
         breaks.next();
         discovery.post(
             true,
-            &[entry("s-1", breaks.address, "active", 0), entry("s-2", other.address, "active", 0)],
+            &[
+                entry("s-1", breaks.address, "active", 0),
+                entry("s-2", other.address, "active", 0),
+            ],
         );
         let left = leave(client, way);
         in_progress(&proxy, 0);
         release.send(()).expect("the backend waits");
         discovery.post(true, &[entry("s-2", other.address, "active", 0)]);
         for id in ["stays", "comes later"] {
-            assert_eq!(proxy.client().ask(&request("charge", id, "x")).status(), 200);
+            assert_eq!(
+                proxy.client().ask(&request("charge", id, "x")).status(),
+                200
+            );
             assert_eq!(
                 other.next().header("x-correlation-id"),
                 Some(id),
@@ -256,7 +330,11 @@
 /// The first attempt is over, the second waits for room, and its client leaves meanwhile.
 #[test]
 fn a_further_attempt_that_waits_for_room_is_not_made_for_a_client_that_left() {
-    for (i, (way, behind)) in WAYS.iter().flat_map(|way| sent_behind().map(|b| (*way, b))).enumerate() {
+    for (i, (way, behind)) in WAYS
+        .iter()
+        .flat_map(|way| sent_behind().map(|b| (*way, b)))
+        .enumerate()
+    {
         let discovery = Discovery::start();
         let (breaks, release) = breaks_on_word();
         let (backend, releases) = full_backend();
@@ -284,7 +362,11 @@
     let discovery = Discovery::start();
     let (breaks, release) = breaks_on_word();
     let late = FullQueue::start();
-    let proxy = Proxy::start("time-left", &discovery, &[entry("s-1", breaks.address, "active", 0)]);
+    let proxy = Proxy::start(
+        "time-left",
+        &discovery,
+        &[entry("s-1", breaks.address, "active", 0)],
+    );
     let mut client = proxy.client();
     let sent_at = std::time::Instant::now();
     client.send(&request("read", "slow", ""));
@@ -297,12 +379,24 @@
     let (mut stream, _) = listener.accept().expect("the second attempt");
     let seen = read_message(&mut BufReader::new(&stream)).expect("a request");
     let left = TIME_LEFT.saturating_sub(sent_at.elapsed());
-    stream.write_all(&answer("200 OK", "", b"there")).expect("the proxy reads");
+    stream
+        .write_all(&answer("200 OK", "", b"there"))
+        .expect("the proxy reads");
     assert_eq!(client.receive().body, b"there");
-    let time_left: u64 = seen.header("x-time-left-ms").expect("the time left").parse().expect("a number");
+    let time_left: u64 = seen
+        .header("x-time-left-ms")
+        .expect("the time left")
+        .parse()
+        .expect("a number");
     let time_left = Duration::from_millis(time_left);
-    assert!(time_left <= left + Duration::from_millis(300), "{time_left:?} named, {left:?} left");
-    assert!(time_left + Duration::from_secs(4) > left, "{time_left:?} named, {left:?} left");
+    assert!(
+        time_left <= left + Duration::from_millis(300),
+        "{time_left:?} named, {left:?} left"
+    );
+    assert!(
+        time_left + Duration::from_secs(4) > left,
+        "{time_left:?} named, {left:?} left"
+    );
 }
 
 /// Its end comes behind far more than the kernel takes for a connection that nobody reads.
@@ -314,8 +408,15 @@
     let proxy = patient("far-behind", &discovery, &backend, 192);
     let clients = fill(&proxy, &backend);
     let further = request("charge", "behind", "x");
-    let behind = [further.repeat(FAR_BEHIND / further.len()), "x".repeat(FAR_BEHIND)];
-    for (i, (way, behind)) in WAYS.iter().flat_map(|way| behind.iter().map(move |b| (*way, b))).enumerate() {
+    let behind = [
+        further.repeat(FAR_BEHIND / further.len()),
+        "x".repeat(FAR_BEHIND),
+    ];
+    for (i, (way, behind)) in WAYS
+        .iter()
+        .flat_map(|way| behind.iter().map(move |b| (*way, b)))
+        .enumerate()
+    {
         let mut client = proxy.client();
         client.send(&request("charge", &format!("left-{i}"), "x").replace("15000", "190000"));
         in_progress(&proxy, ROOM + 1);
@@ -342,7 +443,11 @@
             None => own,
         }
     });
-    let proxy = Proxy::start("in-order", &discovery, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start(
+        "in-order",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
     let mut client = proxy.client();
     client.send(&request("charge", "open", "first"));
     backend.next();
@@ -360,9 +465,16 @@
     assert_eq!(client.receive().body, b"first");
     for i in 0..FURTHER {
         let got = client.receive();
-        assert!(got.status() == 200 && got.body == body(i).as_bytes(), "request {i}: {}", got.status());
+        assert!(
+            got.status() == 200 && got.body == body(i).as_bytes(),
+            "request {i}: {}",
+            got.status()
+        );
     }
-    sending.join().expect("a thread").expect("the proxy reads all");
+    sending
+        .join()
+        .expect("a thread")
+        .expect("the proxy reads all");
 }
 
 /// The one connection that there is room for is taken while another waits in the kernel's queue with its
@@ -432,10 +544,17 @@
     for behind in [false, true] {
         let discovery = Discovery::start();
         let (release, word) = channel();
-        let mut reply = Some(Reply::After(word, Box::new(Reply::Write(answer("200 OK", "", &body)))));
+        let mut reply = Some(Reply::After(
+            word,
+            Box::new(Reply::Write(answer("200 OK", "", &body))),
+        ));
         let backend = Backend::start(move |_| reply.take().expect("asked once"));
         let name = format!("read-late-{behind}");
-        let mut proxy = Proxy::start(&name, &discovery, &[entry("s-1", backend.address, "active", 0)]);
+        let mut proxy = Proxy::start(
+            &name,
+            &discovery,
+            &[entry("s-1", backend.address, "active", 0)],
+        );
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
         backend.next();
@@ -452,7 +571,10 @@
             let_begin();
         }
         let got = client.receive();
-        assert_eq!((got.status(), got.header("connection")), (200, behind.then_some("close")));
+        assert_eq!(
+            (got.status(), got.header("connection")),
+            (200, behind.then_some("close"))
+        );
         assert!(got.body == body, "{} bytes", got.body.len());
         assert!(client.ends_cleanly());
         drop(client);
@@ -469,13 +591,22 @@
 fn what_comes_behind_sigterm_is_answered_before_the_process_may_be_killed() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| Reply::Hang);
-    let mut proxy = Proxy::start("killed", &discovery, &[entry("s-1", backend.address, "active", 0)]);
-    let (mut unresponsive, mut flowing, mut late) = (proxy.client(), proxy.client(), proxy.client());
+    let mut proxy = Proxy::start(
+        "killed",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let (mut unresponsive, mut flowing, mut late) =
+        (proxy.client(), proxy.client(), proxy.client());
     assert_eq!(late.ask(UP).status(), 200);
     let whole = request("charge", "flowing", "0123456789");
     let (most, last) = whole.split_at(whole.len() - 5);
     flowing.send(most);
-    assert_eq!(proxy.client().ask(UP).status(), 200, "what came before was seen");
+    assert_eq!(
+        proxy.client().ask(UP).status(),
+        200,
+        "what came before was seen"
+    );
     let began = std::time::Instant::now();
     proxy.terminate();
     proxy.reload("{");
@@ -487,7 +618,11 @@
     for client in [&mut late, &mut flowing] {
         assert_eq!(client.receive().status(), 502, "it may have run");
     }
-    assert!(began.elapsed() < KILLED_AFTER, "after {:?}", began.elapsed());
+    assert!(
+        began.elapsed() < KILLED_AFTER,
+        "after {:?}",
+        began.elapsed()
+    );
     assert!(unresponsive.ends_cleanly());
     drop((unresponsive, flowing, late));
     assert_eq!(proxy.wait().code(), Some(0));
@@ -499,7 +634,9 @@
     let discovery = Discovery::start();
     let mut proxy = Proxy::start_bare("unready", &discovery);
     proxy.terminate();
-    let refused = proxy.client().ask(&request("read", "1", "").replace("15000", "300"));
+    let refused = proxy
+        .client()
+        .ask(&request("read", "1", "").replace("15000", "300"));
     assert_eq!(refused.status(), 503);
     assert_eq!(proxy.wait().code(), Some(0));
 }
@@ -514,8 +651,16 @@
         ("HTTP/1.1 200 OK\r\nX-Long: ", "x", slow),
         ("HTTP/1.1 200 OK\r\n", "X-Field: value\r\n", fast),
         ("", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", fast),
-        ("HTTP/1.1 500 Oops\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", slow),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n", "x", slow),
+        (
+            "HTTP/1.1 500 Oops\r\nTransfer-Encoding: chunked\r\n\r\n",
+            "1\r\nx\r\n",
+            slow,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n",
+            "x",
+            slow,
+        ),
         (ok, "1\r\nx\r\n", slow),
         (ok, &format!("{:x}\r\n{large}\r\n", large.len()), fast),
         ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "x", slow),
@@ -525,8 +670,11 @@
         let (first, again) = (first.as_bytes().to_vec(), again.as_bytes().to_vec());
         let discovery = Discovery::start();
         let backend = Backend::start(move |_| Reply::Endless(first.clone(), again.clone(), pause));
-        let proxy =
-            Proxy::start(&format!("endless-{i}"), &discovery, &[entry("s-1", backend.address, "active", 0)]);
+        let proxy = Proxy::start(
+            &format!("endless-{i}"),
+            &discovery,
+            &[entry("s-1", backend.address, "active", 0)],
+        );
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x").replace("15000", "2000"));
         clients.push(client);
@@ -543,10 +691,18 @@
             got.len()
         );
         let (proxy, ..) = &proxies[i];
-        assert!(proxy.peak_memory() < 40_000, "case {i}: {} kB", proxy.peak_memory());
+        assert!(
+            proxy.peak_memory() < 40_000,
+            "case {i}: {} kB",
+            proxy.peak_memory()
+        );
     }
     // One that fails may stay idle for 2.5 s.
-    assert!(began.elapsed() < Duration::from_millis(5_500), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(5_500),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 /// A backend that answers a request once its head has come, and reads on; how much of the body came.
@@ -577,7 +733,10 @@
     const LENGTH: usize = 3 << 20;
     let large = "x".repeat(100_000);
     let cases = [
-        (answer("503 Service Unavailable", "X-Unprocessed: 1\r\n", b""), 503),
+        (
+            answer("503 Service Unavailable", "X-Unprocessed: 1\r\n", b""),
+            503,
+        ),
         (answer("500 Oops", "", b""), 502),
         (answer("200 OK", "", b"another's"), 502),
         (answer("200 OK", "", large.as_bytes()), 502),
@@ -598,6 +757,9 @@
         drop(client);
         release.send(()).expect("the backend waits");
         let came = came.recv_timeout(PATIENCE).expect("the connection ends");
-        assert!(came < LENGTH as u64, "case {i}: {came} bytes of the body came");
+        assert!(
+            came < LENGTH as u64,
+            "case {i}: {came} bytes of the body came"
+        );
     }
 }
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -24,9 +24,16 @@
     head.send("HEAD /control/ready HTTP/1.1\r\n\r\n");
     let mut text = String::new();
     head.reader.read_to_string(&mut text).expect("text");
-    assert!(text.starts_with("HTTP/1.1 200 ") && text.ends_with("\r\n\r\n"), "a head and no body: {text}");
+    assert!(
+        text.starts_with("HTTP/1.1 200 ") && text.ends_with("\r\n\r\n"),
+        "a head and no body: {text}"
+    );
     let figures = proxy.call("GET", COUNTERS);
-    assert!(figures.header("content-type").is_some_and(|form| form.starts_with("text/plain; version=0.0.4")));
+    assert!(
+        figures
+            .header("content-type")
+            .is_some_and(|form| form.starts_with("text/plain; version=0.0.4"))
+    );
     for class in ["read", "submit", "charge"] {
         for outcome in ["passed", "dropped", "bad_gateway"] {
             let figure = format!("app_handled{{category=\"{class}\",outcome=\"{outcome}\"}}");
@@ -42,12 +49,21 @@
     discovery.post(true, &[]);
     let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(20_000));
     let body = "POST /control/out-of-service HTTP/1.1\r\nContent-Length: 100000\r\n\r\n";
-    let both = "POST /control/out-of-service HTTP/1.1\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n";
+    let both =
+        "POST /control/out-of-service HTTP/1.1\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n";
     let cases = [
         ("GET /control/nothing HTTP/1.1\r\n\r\n", 404, None),
         ("GET /up HTTP/1.1\r\n\r\n", 404, None),
-        ("GET /control/out-of-service HTTP/1.1\r\n\r\n", 405, Some("POST")),
-        ("POST /control/ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405, Some("GET, HEAD")),
+        (
+            "GET /control/out-of-service HTTP/1.1\r\n\r\n",
+            405,
+            Some("POST"),
+        ),
+        (
+            "POST /control/ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
+            405,
+            Some("GET, HEAD"),
+        ),
         ("nonsense\r\n\r\n", 400, None),
         (body, 413, None),
         (both, 400, None),
@@ -56,11 +72,24 @@
     for (text, status, allow) in cases {
         let mut caller = proxy.caller();
         let got = caller.ask(text);
-        assert_eq!((got.status(), got.header("allow")), (status, allow), "{}", &text[..40.min(text.len())]);
+        assert_eq!(
+            (got.status(), got.header("allow")),
+            (status, allow),
+            "{}",
+            &text[..40.min(text.len())]
+        );
         assert!(caller.ends_cleanly());
     }
-    let fields: String = (0..400).map(|n| format!("X-{n}: {}\r\n", "y".repeat(40))).collect();
-    assert_eq!(proxy.caller().ask(&format!("GET {READY} HTTP/1.1\r\n{fields}\r\n")).status(), 431);
+    let fields: String = (0..400)
+        .map(|n| format!("X-{n}: {}\r\n", "y".repeat(40)))
+        .collect();
+    assert_eq!(
+        proxy
+            .caller()
+            .ask(&format!("GET {READY} HTTP/1.1\r\n{fields}\r\n"))
+            .status(),
+        431
+    );
     assert_eq!(proxy.call("GET", READY).status(), 200);
 }
 
@@ -71,18 +100,30 @@
     let proxy = Proxy::start_with("silent-calls", operated("silent-calls", &discovery));
     discovery.post(true, &[]);
     let half = |n: usize| {
-        ["", "GET /contr", "POST /control/out-of-service HTTP/1.1\r\nContent-Length: 4\r\n\r\nab"][n % 3]
+        [
+            "",
+            "GET /contr",
+            "POST /control/out-of-service HTTP/1.1\r\nContent-Length: 4\r\n\r\nab",
+        ][n % 3]
     };
     let mut waiting: Vec<Client> = Vec::new();
     for n in 0..60 {
         let mut caller = proxy.caller();
         caller.send(half(n));
         waiting.push(caller);
-        assert_eq!(proxy.call("GET", READY).status(), 200, "half a drain is none");
+        assert_eq!(
+            proxy.call("GET", READY).status(),
+            200,
+            "half a drain is none"
+        );
     }
     // Each of them comes to its end, too.
     for caller in &mut waiting {
-        caller.reader.get_ref().set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        caller
+            .reader
+            .get_ref()
+            .set_read_timeout(Some(PATIENCE))
+            .expect("a time-out");
         while !matches!(caller.reader.read(&mut [0; 256]), Ok(0) | Err(_)) {}
     }
 }
@@ -106,7 +147,11 @@
         .collect();
     assert_eq!(proxy.call("GET", READY).status(), 200);
     assert_eq!(proxy.figure("app_in_progress"), 2);
-    assert_eq!(proxy.client().ask(UP).status(), 200, "a client that asks is let in at the cost of those");
+    assert_eq!(
+        proxy.client().ask(UP).status(),
+        200,
+        "a client that asks is let in at the cost of those"
+    );
 }
 
 #[test]
@@ -121,27 +166,52 @@
     });
     let proxy = Proxy::start_with("figures", operated("figures", &discovery));
     let draining = entry("s-2", backend.address, "leaving", 0);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0), draining]);
-    assert_eq!((proxy.figure("app_known_backends"), proxy.figure("app_skipped_backends")), (2, 1));
+    discovery.post(
+        true,
+        &[entry("s-1", backend.address, "active", 0), draining],
+    );
+    assert_eq!(
+        (
+            proxy.figure("app_known_backends"),
+            proxy.figure("app_skipped_backends")
+        ),
+        (2, 1)
+    );
     let mut client = proxy.client();
     for id in ["1", "2", "3"] {
         assert_eq!(client.ask(&request("submit", id, "x")).status(), 200);
     }
     assert_eq!(client.ask(&request("charge", "bad", "x")).status(), 502);
-    assert_eq!(proxy.client().ask(&request("charge", "", "x")).status(), 400, "never taken");
+    assert_eq!(
+        proxy.client().ask(&request("charge", "", "x")).status(),
+        400,
+        "never taken"
+    );
     let mut waits = proxy.client();
     waits.send(&request("charge", "wait", "x"));
     (0..5).for_each(|_| drop(backend.next()));
     assert_eq!(proxy.figure("app_in_progress"), 1);
-    assert_eq!(proxy.figure("app_upstream_tries"), 5, "the one that has no answer yet, too");
+    assert_eq!(
+        proxy.figure("app_upstream_tries"),
+        5,
+        "the one that has no answer yet, too"
+    );
     let handled = |class: &str, end: &str| {
-        proxy.figure(&format!("app_handled{{category=\"{class}\",outcome=\"{end}\"}}"))
+        proxy.figure(&format!(
+            "app_handled{{category=\"{class}\",outcome=\"{end}\"}}"
+        ))
     };
-    assert_eq!((handled("submit", "passed"), handled("charge", "passed")), (3, 0));
+    assert_eq!(
+        (handled("submit", "passed"), handled("charge", "passed")),
+        (3, 0)
+    );
     assert_eq!(handled("charge", "bad_gateway"), 1);
     release.send(()).expect("the backend waits");
     assert_eq!(waits.receive().status(), 200);
-    assert_eq!((handled("charge", "passed"), proxy.figure("app_in_progress")), (1, 0));
+    assert_eq!(
+        (handled("charge", "passed"), proxy.figure("app_in_progress")),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -155,7 +225,10 @@
     let clients = fill(&proxy, &backend);
     let short = request("submit", "1", "x").replace("15000", "300");
     assert_eq!(proxy.client().ask(&short).status(), 503);
-    assert_eq!(proxy.figure("app_handled{category=\"submit\",outcome=\"dropped\"}"), 1);
+    assert_eq!(
+        proxy.figure("app_handled{category=\"submit\",outcome=\"dropped\"}"),
+        1
+    );
     assert_eq!(proxy.figure("app_in_progress"), clients.len() as u64);
     drop(clients);
     while proxy.figure("app_in_progress") > 0 {}
@@ -181,12 +254,21 @@
     (0..3).for_each(|_| drop(backend.next()));
     for _ in 0..2 {
         assert_eq!(proxy.call("POST", OUT).status(), 200);
-        assert_eq!((proxy.client().ask(UP).status(), proxy.call("GET", READY).status()), (503, 503));
+        assert_eq!(
+            (
+                proxy.client().ask(UP).status(),
+                proxy.call("GET", READY).status()
+            ),
+            (503, 503)
+        );
     }
     let mut newcomer = proxy.client();
     for (client, id) in [(&mut used, "u2"), (&mut newcomer, "n")] {
         let got = client.ask(&request("submit", id, "x"));
-        assert_eq!((got.status(), got.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (got.status(), got.header("connection")),
+            (200, Some("close"))
+        );
         assert!(client.ends_cleanly());
     }
     assert!(idle.ends_cleanly(), "a connection that nobody uses");
@@ -195,7 +277,13 @@
     assert!(busy.ends_cleanly());
     for _ in 0..2 {
         assert_eq!(proxy.call("POST", IN).status(), 200);
-        assert_eq!((proxy.client().ask(UP).status(), proxy.call("GET", READY).status()), (200, 200));
+        assert_eq!(
+            (
+                proxy.client().ask(UP).status(),
+                proxy.call("GET", READY).status()
+            ),
+            (200, 200)
+        );
     }
     let mut client = proxy.client();
     let got = client.ask(&request("submit", "again", "x"));
@@ -214,7 +302,9 @@
     proxy.terminate();
     while proxy.call("POST", IN).status() != 409 {}
     assert_eq!(proxy.client().ask(UP).status(), 503);
-    releases.iter().for_each(|release| release.send(()).expect("the backend waits"));
+    releases
+        .iter()
+        .for_each(|release| release.send(()).expect("the backend waits"));
     for mut client in clients {
         assert_eq!(client.receive().body, b"first");
     }
@@ -248,7 +338,10 @@
     for id in ["a", "b", "c", "d"] {
         assert_eq!(new.client().ask(&request("submit", id, "x")).status(), 200);
     }
-    assert_eq!(new.figure("app_handled{category=\"submit\",outcome=\"passed\"}"), 4);
+    assert_eq!(
+        new.figure("app_handled{category=\"submit\",outcome=\"passed\"}"),
+        4
+    );
     release.send(()).expect("the backend waits");
     assert_eq!(busy.receive().body, b"old");
     assert!(old.wait().success());
@@ -266,18 +359,26 @@
         if let Some(fd) = fd {
             command.env("EDGE_FD", fd);
         }
-        let output = command.stdin(std::process::Stdio::null()).output().expect("it ends");
+        let output = command
+            .stdin(std::process::Stdio::null())
+            .output()
+            .expect("it ends");
         assert!(!output.status.success());
         let text = String::from_utf8(output.stderr).expect("text");
         assert_eq!(text.lines().count(), 1, "{text}");
         text
     };
     let busy = taken.local_addr().expect("an address").to_string();
-    assert!(start("op-odd", "nowhere".into(), None).contains("`operator` is no address: `nowhere`"));
+    assert!(
+        start("op-odd", "nowhere".into(), None).contains("`operator` is no address: `nowhere`")
+    );
     assert!(start("op-taken", busy.clone(), None).contains(&format!("cannot listen on {busy}")));
-    for (fd, words) in
-        [("seven", "no descriptor"), ("-1", "no descriptor"), ("77", "fails"), ("0", "does not listen")]
-    {
+    for (fd, words) in [
+        ("seven", "no descriptor"),
+        ("-1", "no descriptor"),
+        ("77", "fails"),
+        ("0", "does not listen"),
+    ] {
         let text = start("fd-odd", "127.0.0.1:0".into(), Some(fd));
         assert!(text.contains("EDGE_FD") && text.contains(words), "{text}");
     }
--- a/tests/proxy/pressure.rs
+++ b/tests/proxy/pressure.rs
@@ -41,7 +41,9 @@
     /// Ends it.
     fn leave(self) {
         self.stop.store(true, Ordering::Relaxed);
-        self.clients.into_iter().for_each(|client| client.join().expect("a client ends"));
+        self.clients
+            .into_iter()
+            .for_each(|client| client.join().expect("a client ends"));
     }
 }
 
@@ -49,8 +51,12 @@
 fn stay(address: SocketAddr, words: &str, stop: &AtomicBool) {
     const LOOK_EVERY: Duration = Duration::from_millis(50);
     thread::sleep(LOOK_EVERY);
-    let Ok(mut stream) = TcpStream::connect(address) else { return };
-    stream.set_read_timeout(Some(LOOK_EVERY)).expect("a time-out");
+    let Ok(mut stream) = TcpStream::connect(address) else {
+        return;
+    };
+    stream
+        .set_read_timeout(Some(LOOK_EVERY))
+        .expect("a time-out");
     let _ = stream.write_all(words.as_bytes());
     while !stop.load(Ordering::Relaxed) {
         match stream.read(&mut [0; 1_024]) {
@@ -64,13 +70,19 @@
 /// One request on a connection of its own; nothing where the proxy shuts it unread.
 fn try_once(proxy: &Proxy, id: &str) -> Option<Seen> {
     let mut client = proxy.client();
-    client.stream.write_all(request("read", id, "").as_bytes()).ok()?;
+    client
+        .stream
+        .write_all(request("read", id, "").as_bytes())
+        .ok()?;
     read_message(&mut client.reader)
 }
 
 /// An address where nobody listens. Its host is its own, so that nobody else can be given the port.
 fn nobody_at(host: &str) -> SocketAddr {
-    TcpListener::bind((host, 0)).expect("a port").local_addr().expect("an address")
+    TcpListener::bind((host, 0))
+        .expect("a port")
+        .local_addr()
+        .expect("an address")
 }
 
 /// While discovery is down idle clients take every descriptor that they can get. Discovery and a backend that
@@ -79,7 +91,11 @@
 fn idle_clients_leave_descriptors_to_discovery_and_to_backends() {
     const SERVED_WITHIN: Duration = Duration::from_secs(8);
     let half = request("read", "half", "");
-    let words = [String::new(), UP.to_owned(), half[..half.len() / 2].to_owned()];
+    let words = [
+        String::new(),
+        UP.to_owned(),
+        half[..half.len() / 2].to_owned(),
+    ];
     for mode in ["pushed", "on_request"] {
         let discovery = nobody_at(&format!("127.79.0.{}", mode.len()));
         let mut config = config_at(&format!("crowd-{mode}"), discovery);
@@ -108,7 +124,11 @@
         let held: Vec<_> = (0..8).map(|_| proxy.client()).collect();
         for id in 0..8 {
             let got = try_once(&proxy, &format!("after-{id}")).expect("an answer");
-            assert_eq!((got.status(), got.body.as_slice()), (200, b"there".as_slice()), "{mode}");
+            assert_eq!(
+                (got.status(), got.body.as_slice()),
+                (200, b"there".as_slice()),
+                "{mode}"
+            );
         }
         drop(held);
     }
@@ -135,7 +155,9 @@
     });
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (Ok(stream), calls, newest) = (stream, calls.clone(), newest.clone()) else { return };
+            let (Ok(stream), calls, newest) = (stream, calls.clone(), newest.clone()) else {
+                return;
+            };
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
                 while let Some(call) = read_message(&mut reader) {
@@ -164,12 +186,19 @@
 fn nine_in_ten_of_the_proxies_that_start_together_are_ready_in_time() {
     const FLEET: usize = 16;
     const READY_WITHIN: Duration = Duration::from_secs(10);
-    for start in [Start::SlowDiscovery, Start::NoDiscovery, Start::NothingKnown] {
+    for start in [
+        Start::SlowDiscovery,
+        Start::NoDiscovery,
+        Start::NothingKnown,
+    ] {
         let backend = Backend::start(|_| ok("there"));
         let members = json!([entry("s-1", backend.address, "active", 0)]);
         let discovery = nobody_at("127.79.1.1");
         if !matches!(start, Start::NoDiscovery) {
-            serve_in_turn(discovery, json!({"revision": 9, "complete": true, "members": members}));
+            serve_in_turn(
+                discovery,
+                json!({"revision": 9, "complete": true, "members": members}),
+            );
         }
         let began = Instant::now();
         let launch = |me: usize| {
@@ -191,10 +220,23 @@
             waiting.retain(|proxy| proxy.client().ask(UP).status() != 200);
             thread::sleep(Duration::from_millis(20));
         }
-        assert!(waiting.len() * 10 <= FLEET, "{start:?}: {} of {FLEET} are not ready", waiting.len());
-        let ready = proxies.iter().filter(|proxy| !waiting.iter().any(|other| std::ptr::eq(*proxy, *other)));
+        assert!(
+            waiting.len() * 10 <= FLEET,
+            "{start:?}: {} of {FLEET} are not ready",
+            waiting.len()
+        );
+        let ready = proxies
+            .iter()
+            .filter(|proxy| !waiting.iter().any(|other| std::ptr::eq(*proxy, *other)));
         for (i, proxy) in ready.enumerate() {
-            assert_eq!(proxy.client().ask(&request("read", &i.to_string(), "")).status(), 200, "{start:?}");
+            assert_eq!(
+                proxy
+                    .client()
+                    .ask(&request("read", &i.to_string(), ""))
+                    .status(),
+                200,
+                "{start:?}"
+            );
         }
     }
 }
--- a/tests/proxy/rig.rs
+++ b/tests/proxy/rig.rs
@@ -31,12 +31,18 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.first_line().split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
+        self.first_line()
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .expect("a status line")
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut fields = self.head.lines().filter_map(|line| line.split_once(':'));
-        fields.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
+        fields
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.trim())
     }
 }
 
@@ -48,7 +54,11 @@
             return None;
         }
     }
-    let mut seen = Seen { head, body: Vec::new(), connection: 0 };
+    let mut seen = Seen {
+        head,
+        body: Vec::new(),
+        connection: 0,
+    };
     if seen.header("transfer-encoding") == Some("chunked") {
         loop {
             let mut line = String::new();
@@ -63,7 +73,9 @@
             }
         }
     }
-    let length = seen.header("content-length").map_or(0, |l| l.parse().expect("a length"));
+    let length = seen
+        .header("content-length")
+        .map_or(0, |l| l.parse().expect("a length"));
     seen.body.resize(length, 0);
     reader.read_exact(&mut seen.body).ok()?;
     Some(seen)
@@ -86,7 +98,11 @@
 }
 
 pub fn answer(status: &str, more: &str, body: &[u8]) -> Vec<u8> {
-    let mut bytes = format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
+    let mut bytes = format!(
+        "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n",
+        body.len()
+    )
+    .into_bytes();
     bytes.extend_from_slice(body);
     bytes
 }
@@ -138,7 +154,9 @@
         let script: Arc<Mutex<Script>> = Arc::new(Mutex::new(Box::new(script)));
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                let (Ok(mut stream), sender, script) = (stream, sender.clone(), Arc::clone(&script)) else {
+                let (Ok(mut stream), sender, script) =
+                    (stream, sender.clone(), Arc::clone(&script))
+                else {
                     return;
                 };
                 thread::spawn(move || {
@@ -160,7 +178,9 @@
 
     /// The next request that it sees.
     pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(PATIENCE).expect("the backend sees a request")
+        self.seen
+            .recv_timeout(PATIENCE)
+            .expect("the backend sees a request")
     }
 
     /// What it has seen beyond that.
@@ -173,7 +193,10 @@
     pub fn wait_until_closed(&self) {
         let began = Instant::now();
         while has_established_to(self.address) {
-            assert!(began.elapsed() < PATIENCE, "a connection to the backend stays open");
+            assert!(
+                began.elapsed() < PATIENCE,
+                "a connection to the backend stays open"
+            );
             thread::yield_now();
         }
     }
@@ -182,8 +205,14 @@
 /// Whether some socket of this machine has an established IPv4 connection to that address.
 fn has_established_to(address: SocketAddr) -> bool {
     const ESTABLISHED: &str = "01";
-    let SocketAddr::V4(address) = address else { panic!("an IPv4 address") };
-    let remote = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
+    let SocketAddr::V4(address) = address else {
+        panic!("an IPv4 address")
+    };
+    let remote = format!(
+        "{:08X}:{:04X}",
+        u32::from_ne_bytes(address.ip().octets()),
+        address.port()
+    );
     let table = fs::read_to_string("/proc/net/tcp").expect("the kernel's table of TCP sockets");
     table.lines().skip(1).any(|line| {
         let mut fields = line.split_ascii_whitespace().skip(2);
@@ -201,12 +230,18 @@
 impl FullQueue {
     pub fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
+        socket
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .expect("a port");
         socket.listen(0).expect("it listens");
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("an address");
         let filler = TcpStream::connect(address).expect("the queue takes one");
-        Self { address, listener, _filler: filler }
+        Self {
+            address,
+            listener,
+            _filler: filler,
+        }
     }
 
     /// Lets the connections that wait come up.
@@ -255,7 +290,9 @@
         }
         let text = board.list.clone()?.to_string();
         drop(board);
-        stream.write_all(&answer("200 OK", "", text.as_bytes())).ok()?;
+        stream
+            .write_all(&answer("200 OK", "", text.as_bytes()))
+            .ok()?;
     }
 }
 
@@ -269,18 +306,29 @@
     pub fn start_at(address: &str) -> Self {
         let listener = TcpListener::bind(address).expect("a port");
         let address = listener.local_addr().expect("an address");
-        let board = Arc::new((Mutex::new(Board { revision: 0, list: None }), Condvar::new()));
+        let board = Arc::new((
+            Mutex::new(Board {
+                revision: 0,
+                list: None,
+            }),
+            Condvar::new(),
+        ));
         let (sender, calls) = channel();
         let shared = Arc::clone(&board);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (Ok(stream), board, sender) = (stream, Arc::clone(&shared), sender.clone()) else {
+                let (Ok(stream), board, sender) = (stream, Arc::clone(&shared), sender.clone())
+                else {
                     return;
                 };
                 thread::spawn(move || serve_watch(stream, &board, &sender));
             }
         });
-        Self { address, board, calls }
+        Self {
+            address,
+            board,
+            calls,
+        }
     }
 
     /// The version that the next call knows.
@@ -411,8 +459,16 @@
         let program = command(name, &config.to_string());
         let mut limited = Command::new("sh");
         limited.args(["-c", &format!("ulimit -n {descriptors} && exec \"$0\"")]);
-        limited.arg(program.get_program()).envs(program.get_envs().filter_map(|(k, v)| Some((k, v?))));
-        Self::follow(name, limited.stderr(Stdio::piped()).spawn().expect("the program starts"))
+        limited
+            .arg(program.get_program())
+            .envs(program.get_envs().filter_map(|(k, v)| Some((k, v?))));
+        Self::follow(
+            name,
+            limited
+                .stderr(Stdio::piped())
+                .spawn()
+                .expect("the program starts"),
+        )
     }
 
     /// A proxy that was started: its addresses are in its log.
@@ -420,7 +476,13 @@
         let log = BufReader::new(child.stderr.take().expect("standard error"));
         let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
         // From here on the process ends with the test, also where the log is not what is wanted.
-        let mut proxy = Self { child, address: unknown, operator: None, name: name.into(), log };
+        let mut proxy = Self {
+            child,
+            address: unknown,
+            operator: None,
+            name: name.into(),
+            log,
+        };
         let mut line = String::new();
         while proxy.address == unknown {
             line.clear();
@@ -438,37 +500,59 @@
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the proxy accepts");
         stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        Client { reader: BufReader::new(stream.try_clone().expect("a clone")), stream }
+        Client {
+            reader: BufReader::new(stream.try_clone().expect("a clone")),
+            stream,
+        }
     }
 
     /// A connection to the operators' address.
     pub fn caller(&self) -> Client {
-        let stream = TcpStream::connect(self.operator.expect("an operators' address")).expect("it accepts");
+        let stream =
+            TcpStream::connect(self.operator.expect("an operators' address")).expect("it accepts");
         stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        Client { reader: BufReader::new(stream.try_clone().expect("a clone")), stream }
+        Client {
+            reader: BufReader::new(stream.try_clone().expect("a clone")),
+            stream,
+        }
     }
 
     /// One call of an operator.
     pub fn call(&self, method: &str, path: &str) -> Seen {
-        self.caller().ask(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
+        self.caller()
+            .ask(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
     }
 
     /// The figure of that name and labels.
     pub fn figure(&self, name: &str) -> u64 {
         let text = String::from_utf8(self.call("GET", "/control/counters").body).expect("text");
-        let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-        value.unwrap_or_else(|| panic!("no {name} in {text}")).parse().expect("a number")
+        let value = text
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+        value
+            .unwrap_or_else(|| panic!("no {name} in {text}"))
+            .parse()
+            .expect("a number")
     }
 
     /// The most memory that it has had, in kB.
     pub fn peak_memory(&self) -> u64 {
-        let status = fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a status");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+        let status =
+            fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a status");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))
+            .expect("a peak");
+        line.trim()
+            .trim_end_matches(" kB")
+            .parse()
+            .expect("a number")
     }
 
     fn signal(&self, signal: &str) {
-        let done = Command::new("kill").args([signal, &self.child.id().to_string()]).status();
+        let done = Command::new("kill")
+            .args([signal, &self.child.id().to_string()])
+            .status();
         assert!(done.expect("kill runs").success());
     }
 
@@ -496,7 +580,11 @@
         let mut line = String::new();
         while !line.contains(words) {
             line.clear();
-            assert_ne!(self.log.read_line(&mut line).expect("a log"), 0, "the proxy ended");
+            assert_ne!(
+                self.log.read_line(&mut line).expect("a log"),
+                0,
+                "the proxy ended"
+            );
         }
     }
 
@@ -527,7 +615,11 @@
 /// A request of a class as clients send it. `id` is also its key.
 pub fn request(class: &str, id: &str, body: &str) -> String {
     let method = if class == "read" { "GET" } else { "POST" };
-    let key = if class == "submit" { format!("Idempotency-Key: {id}\r\n") } else { String::new() };
+    let key = if class == "submit" {
+        format!("Idempotency-Key: {id}\r\n")
+    } else {
+        String::new()
+    };
     format!(
         "{method} /{class}?key=7f3a HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {id}\r\n\
          X-Service-Class: {class}\r\nX-Time-Left-Ms: 15000\r\n{key}Content-Length: {}\r\n\r\n{body}",
@@ -537,7 +629,9 @@
 
 impl Client {
     pub fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("the proxy reads");
+        self.stream
+            .write_all(text.as_bytes())
+            .expect("the proxy reads");
     }
 
     pub fn receive(&mut self) -> Seen {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -19,10 +19,22 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Request { class: u8, tenant: u16, key: u64, patience: Micros },
-    Settle { which: usize, outcome: usize },
+    Request {
+        class: u8,
+        tenant: u16,
+        key: u64,
+        patience: Micros,
+    },
+    Settle {
+        which: usize,
+        outcome: usize,
+    },
     Wait(Micros),
-    Change { id: BackendId, readiness: u8, restarted: bool },
+    Change {
+        id: BackendId,
+        readiness: u8,
+        restarted: bool,
+    },
     Full(Vec<BackendId>),
     DiscoveryFails,
     ClientLeaves(usize),
@@ -46,8 +58,16 @@
 
 /// An event that no orderly proxy would bring: unknown ids, stale timers, outcomes told twice.
 fn odd(proxy: &mut Proxy, what: u8, number: u32) {
-    let known = proxy.requests.keys().copied().nth(number as usize % proxy.requests.len().max(1));
-    let request = if what & 64 == 0 { 1_000_000 + number } else { known.unwrap_or(number) };
+    let known = proxy
+        .requests
+        .keys()
+        .copied()
+        .nth(number as usize % proxy.requests.len().max(1));
+    let request = if what & 64 == 0 {
+        1_000_000 + number
+    } else {
+        known.unwrap_or(number)
+    };
     let settled = |attempt| {
         let (backend, outcome) = (number, Outcome::Ok);
         Event::Settled(Settled {
@@ -63,7 +83,11 @@
     };
     match what % 4 {
         0 => proxy.event(Event::Timer(number)),
-        1 => proxy.event(Event::Probed { backend: number, outcome: Outcome::Ok, report: &[] }),
+        1 => proxy.event(Event::Probed {
+            backend: number,
+            outcome: Outcome::Ok,
+            report: &[],
+        }),
         2 => proxy.event(settled(500)),
         _ if known != Some(request) => proxy.event(Event::ClientGone(request)),
         _ => proxy.event(settled(999)),
@@ -74,9 +98,19 @@
     let mut proxy = Proxy::new(settings, (0..6).map(backend));
     for (number, step) in steps.iter().enumerate() {
         match *step {
-            Step::Request { class, tenant, key, patience } => {
+            Step::Request {
+                class,
+                tenant,
+                key,
+                patience,
+            } => {
                 let key = Some(key).filter(|&k| k > 0);
-                proxy.request(Request { tenant, key, patience, ..request(number as u32, class) });
+                proxy.request(Request {
+                    tenant,
+                    key,
+                    patience,
+                    ..request(number as u32, class)
+                });
             }
             Step::Settle { which, outcome } => {
                 let out = proxy.out();
@@ -85,11 +119,19 @@
                 }
             }
             Step::Wait(time) => proxy.advance(time),
-            Step::Change { id, readiness, restarted } => {
-                let readiness =
-                    [Readiness::Ready, Readiness::Draining, Readiness::Gone][usize::from(readiness)];
+            Step::Change {
+                id,
+                readiness,
+                restarted,
+            } => {
+                let readiness = [Readiness::Ready, Readiness::Draining, Readiness::Gone]
+                    [usize::from(readiness)];
                 let started = restarted.then_some(proxy.now);
-                proxy.list(Membership::Delta(&[Backend { readiness, started, ..backend(id) }]));
+                proxy.list(Membership::Delta(&[Backend {
+                    readiness,
+                    started,
+                    ..backend(id)
+                }]));
             }
             Step::Full(ref ids) => {
                 let entries: Vec<Backend> = ids.iter().map(|&id| backend(id)).collect();
@@ -97,10 +139,18 @@
             }
             Step::DiscoveryFails => _ = proxy.list(Membership::Failed),
             Step::ClientLeaves(which) => {
-                let open: Vec<_> =
-                    proxy.requests.iter().filter(|(_, t)| !t.ended).map(|(&id, _)| id).collect();
+                let open: Vec<_> = proxy
+                    .requests
+                    .iter()
+                    .filter(|(_, t)| !t.ended)
+                    .map(|(&id, _)| id)
+                    .collect();
                 if let Some(&id) = open.get(which % open.len().max(1)) {
-                    proxy.requests.get_mut(&id).expect("it was just found").ended = true;
+                    proxy
+                        .requests
+                        .get_mut(&id)
+                        .expect("it was just found")
+                        .ended = true;
                     proxy.event(Event::ClientGone(id));
                 }
             }
@@ -108,7 +158,10 @@
         }
     }
     proxy.advance(3 * SECOND);
-    assert!(proxy.requests.values().all(|t| t.ended), "every request has its final answer");
+    assert!(
+        proxy.requests.values().all(|t| t.ended),
+        "every request has its final answer"
+    );
     proxy.log
 }
 
@@ -137,11 +190,19 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_not_repeated() {
-    for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::Timeout,
+        Outcome::Reset,
+        Outcome::Cancelled,
+    ] {
         let mut proxy = Proxy::new(settings(), (0..6).map(backend));
         proxy.request(request(1, 1));
         let actions = proxy.settle(1, 0, outcome);
-        assert!(failed(&actions) && sent_to(&actions).is_none(), "{outcome:?}: {actions:?}");
+        assert!(
+            failed(&actions) && sent_to(&actions).is_none(),
+            "{outcome:?}: {actions:?}"
+        );
     }
 }
 
@@ -176,9 +237,14 @@
 #[test]
 fn a_drain_binds_at_once_also_for_held_and_repeated_requests() {
     let mut proxy = Proxy::new(settings(), [backend(0)]);
-    let sent = (0..200).filter(|&id| sent_to(&proxy.request(request(id, 0))).is_some()).count();
+    let sent = (0..200)
+        .filter(|&id| sent_to(&proxy.request(request(id, 0))).is_some())
+        .count();
     assert!(sent < 200, "some are held");
-    proxy.list(Membership::Delta(&[Backend { readiness: Readiness::Draining, ..backend(0) }]));
+    proxy.list(Membership::Delta(&[Backend {
+        readiness: Readiness::Draining,
+        ..backend(0)
+    }]));
     for (id, attempt, _) in proxy.out() {
         let actions = proxy.settle(id, attempt, Outcome::Full);
         assert_eq!(sent_to(&actions), None);
@@ -195,25 +261,36 @@
     let mut cold_sends = Vec::new();
     for me in 0..balancers {
         let mut proxy = Proxy::new(
-            Settings { me, ..settings.clone() },
-            (0..10).map(|i| Backend { zone: 0, ..backend(i) }),
+            Settings {
+                me,
+                ..settings.clone()
+            },
+            (0..10).map(|i| Backend {
+                zone: 0,
+                ..backend(i)
+            }),
         );
         let mut id = 0;
-        let mut run = |proxy: &mut Proxy, time: Micros, third: Micros, cold_sends: &mut Vec<Micros>| {
-            for _ in 0..time / (50 * MS) {
-                proxy.advance(50 * MS);
-                proxy.serve(|id| if id == 3 { third } else { latency });
-                if (proxy.now + u64::from(me) * 50 * MS) % pause == 0 {
-                    id += 1;
-                    if sent_to(&proxy.request(request(id, 0))) == Some(3) {
-                        cold_sends.push(proxy.now);
+        let mut run =
+            |proxy: &mut Proxy, time: Micros, third: Micros, cold_sends: &mut Vec<Micros>| {
+                for _ in 0..time / (50 * MS) {
+                    proxy.advance(50 * MS);
+                    proxy.serve(|id| if id == 3 { third } else { latency });
+                    if (proxy.now + u64::from(me) * 50 * MS) % pause == 0 {
+                        id += 1;
+                        if sent_to(&proxy.request(request(id, 0))) == Some(3) {
+                            cold_sends.push(proxy.now);
+                        }
                     }
                 }
-            }
-        };
+            };
         run(&mut proxy, 5 * SECOND, latency, &mut Vec::new());
         let started = Some(proxy.now);
-        proxy.list(Membership::Delta(&[Backend { zone: 0, started, ..backend(3) }]));
+        proxy.list(Membership::Delta(&[Backend {
+            zone: 0,
+            started,
+            ..backend(3)
+        }]));
         run(&mut proxy, 4 * SECOND, cold, &mut cold_sends);
     }
     cold_sends.sort_unstable();
@@ -226,9 +303,17 @@
         let at_warm = f64::from(balancers) * SECOND as f64 / pause as f64 / 10.0;
         let sends = cold_sends(balancers, pause, 40 * MS, 400 * MS);
         let budget = 2.5 * 0.2 * at_warm * 2.0;
-        let most = sends.iter().map(|&t| sends.iter().filter(|&&u| u >= t && u < t + 2 * SECOND).count());
+        let most = sends.iter().map(|&t| {
+            sends
+                .iter()
+                .filter(|&&u| u >= t && u < t + 2 * SECOND)
+                .count()
+        });
         let most = most.max().expect("a cold server gets something");
-        assert!(most > 0 && (most as f64) < budget, "{most} sends in the fall time, {budget} allowed");
+        assert!(
+            most > 0 && (most as f64) < budget,
+            "{most} sends in the fall time, {budget} allowed"
+        );
     }
 }
 
@@ -241,9 +326,16 @@
 
 #[test]
 fn a_cold_server_that_answers_as_soon_as_a_warm_one_gets_more_than_one_that_does_not() {
-    let (slow, quick) =
-        (cold_sends(20, 50 * MS, 40 * MS, 400 * MS), cold_sends(20, 50 * MS, 40 * MS, 40 * MS));
-    assert!(quick.len() > 2 * slow.len(), "{} sends in four seconds, {} if slow", quick.len(), slow.len());
+    let (slow, quick) = (
+        cold_sends(20, 50 * MS, 40 * MS, 400 * MS),
+        cold_sends(20, 50 * MS, 40 * MS, 40 * MS),
+    );
+    assert!(
+        quick.len() > 2 * slow.len(),
+        "{} sends in four seconds, {} if slow",
+        quick.len(),
+        slow.len()
+    );
 }
 
 /// A cold server that bears little, so that the budget binds and not the concurrency limits.
@@ -269,8 +361,18 @@
     (settings.zones, settings.balancers, settings.safety) = (1, balancers, SMALL_BUDGET);
     let mut sends = Vec::new();
     for me in 0..balancers {
-        let servers = (0..10).map(|id| Backend { zone: 0, ..backend(id) });
-        let mut proxy = Proxy::seeded(Settings { me, ..settings.clone() }, u64::from(me), servers);
+        let servers = (0..10).map(|id| Backend {
+            zone: 0,
+            ..backend(id)
+        });
+        let mut proxy = Proxy::seeded(
+            Settings {
+                me,
+                ..settings.clone()
+            },
+            u64::from(me),
+            servers,
+        );
         let restart = proxy.now + WARM_UP;
         let mut id = 0;
         for step in 1..=(WARM_UP + COLD_SPAN) / STEP {
@@ -278,9 +380,19 @@
             let restarted = proxy.now >= restart;
             if proxy.now == restart {
                 let started = Some(restart);
-                proxy.list(Membership::Delta(&[Backend { zone: 0, started, ..backend(RESTARTED) }]));
+                proxy.list(Membership::Delta(&[Backend {
+                    zone: 0,
+                    started,
+                    ..backend(RESTARTED)
+                }]));
             }
-            proxy.serve(|id| if restarted && id == RESTARTED { 400 * MS } else { 40 * MS });
+            proxy.serve(|id| {
+                if restarted && id == RESTARTED {
+                    400 * MS
+                } else {
+                    40 * MS
+                }
+            });
             if (step * STEP) % pause > 0 {
                 continue;
             }
@@ -290,8 +402,19 @@
             }
         }
         // Those too that were held before.
-        let to_it = |action: &Action| matches!(action, Action::Send { backend: RESTARTED, .. });
-        let sent = proxy.log.iter().filter(|(at, action)| *at >= restart && to_it(action));
+        let to_it = |action: &Action| {
+            matches!(
+                action,
+                Action::Send {
+                    backend: RESTARTED,
+                    ..
+                }
+            )
+        };
+        let sent = proxy
+            .log
+            .iter()
+            .filter(|(at, action)| *at >= restart && to_it(action));
         sends.extend(sent.map(|(at, _)| at - restart));
     }
     sends.sort_unstable();
@@ -303,7 +426,12 @@
 /// that is more.
 #[test]
 fn all_proxies_together_stay_under_a_cold_servers_budget_in_bursts() {
-    let Safety { cold_from, fall_multiple, fall_time, .. } = SMALL_BUDGET;
+    let Safety {
+        cold_from,
+        fall_multiple,
+        fall_time,
+        ..
+    } = SMALL_BUDGET;
     for balancers in [20, 30] {
         for (pause, burst) in [(SECOND, 6), (SECOND, 20)] {
             let offered = f64::from(balancers * burst) * SECOND as f64 / pause as f64 / 10.0;
@@ -311,10 +439,25 @@
             let n = fall_multiple * cold_from * capacity * fall_time as f64 / SECOND as f64;
             let allowed = n + 2.0 * n.sqrt() + 2.0;
             let sends = cold_sends_in_bursts(balancers, pause, burst);
-            let window = |&t: &Micros| sends.iter().filter(|&&u| u >= t && u < t + fall_time).count();
-            let most = sends.iter().map(window).max().expect("a cold server gets something");
-            let case = format!("{balancers} proxies, {burst} requests every {} ms", pause / MS);
-            assert!(most as f64 <= allowed, "{case}: {most} sends in the fall time, {allowed:.1} allowed");
+            let window = |&t: &Micros| {
+                sends
+                    .iter()
+                    .filter(|&&u| u >= t && u < t + fall_time)
+                    .count()
+            };
+            let most = sends
+                .iter()
+                .map(window)
+                .max()
+                .expect("a cold server gets something");
+            let case = format!(
+                "{balancers} proxies, {burst} requests every {} ms",
+                pause / MS
+            );
+            assert!(
+                most as f64 <= allowed,
+                "{case}: {most} sends in the fall time, {allowed:.1} allowed"
+            );
         }
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -45,7 +45,8 @@
     ]);
     settings["tenants"] = json!([{"name": "umeda-hall", "share": 0.7, "allowancePerS": 90.0},
                                  {"name": "street-kiosks", "share": 0.3, "allowancePerS": 40.0}]);
-    settings["permissions"] = json!({"maxAttempts": 5, "retryAfter": true, "maxRetryAfterUs": 900_000});
+    settings["permissions"] =
+        json!({"maxAttempts": 5, "retryAfter": true, "maxRetryAfterUs": 900_000});
     settings["loadReport"] = json!({"via": "probe", "fields": ["active"]});
     settings
 }
@@ -58,19 +59,49 @@
         effects,
         [
             Effect::Safe,
-            Effect::Keyed { group: DedupGroup::Zone, ttl: 700_000 },
-            Effect::Keyed { group: DedupGroup::Cell, ttl: 400_000 },
+            Effect::Keyed {
+                group: DedupGroup::Zone,
+                ttl: 700_000
+            },
+            Effect::Keyed {
+                group: DedupGroup::Cell,
+                ttl: 400_000
+            },
         ]
     );
-    assert_eq!(ferries.names.classes, ["sailings", "seat-hold", "boarding-scan"]);
+    assert_eq!(
+        ferries.names.classes,
+        ["sailings", "seat-hold", "boarding-scan"]
+    );
     assert!(ferries.names.tenants.is_empty() && !ferries.settings.discovery_on_request);
-    assert_eq!((ferries.settings.permissions.max_attempts, ferries.dial_timeout), (2, 100_000));
-    assert_eq!((ferries.settings.report.avg_ms, ferries.settings.report.active), (Some(0), None));
+    assert_eq!(
+        (
+            ferries.settings.permissions.max_attempts,
+            ferries.dial_timeout
+        ),
+        (2, 100_000)
+    );
+    assert_eq!(
+        (
+            ferries.settings.report.avg_ms,
+            ferries.settings.report.active
+        ),
+        (Some(0), None)
+    );
     assert_eq!(ferries.settings.permissions.retry_after, None);
 
     let ticketing = parse(&config(&ticketing())).expect("good settings");
-    assert!(ticketing.settings.classes.iter().all(|c| c.effect == Effect::Unsafe));
-    assert_eq!(ticketing.settings.classes.iter().map(|c| c.deadline).max(), Some(400_000));
+    assert!(
+        ticketing
+            .settings
+            .classes
+            .iter()
+            .all(|c| c.effect == Effect::Unsafe)
+    );
+    assert_eq!(
+        ticketing.settings.classes.iter().map(|c| c.deadline).max(),
+        Some(400_000)
+    );
     assert_eq!(ticketing.names.tenants, ["umeda-hall", "street-kiosks"]);
     assert!(ticketing.settings.discovery_on_request && ticketing.settings.report_by_probe);
     assert_eq!(ticketing.settings.permissions.retry_after, Some(900_000));
@@ -80,17 +111,45 @@
 #[test]
 fn settings_that_make_no_sense_are_told_by_the_name_of_their_field() {
     let wrong: [(&str, Value, &str); 14] = [
-        ("/settings/classes/1/deadlineUs", "soon".into(), "classes[1].deadlineUs"),
-        ("/settings/classes/1/deadlineUs", (-1).into(), "classes[1].deadlineUs"),
+        (
+            "/settings/classes/1/deadlineUs",
+            "soon".into(),
+            "classes[1].deadlineUs",
+        ),
+        (
+            "/settings/classes/1/deadlineUs",
+            (-1).into(),
+            "classes[1].deadlineUs",
+        ),
         ("/settings/classes/2/aimUs", 0.into(), "classes[2].aim"),
-        ("/settings/classes/0/effect", "harmless".into(), "classes[0].effect"),
-        ("/settings/classes/1/group", "street".into(), "classes[1].group"),
+        (
+            "/settings/classes/0/effect",
+            "harmless".into(),
+            "classes[0].effect",
+        ),
+        (
+            "/settings/classes/1/group",
+            "street".into(),
+            "classes[1].group",
+        ),
         ("/settings/classes/0/worth", Value::Null, "classes[0].worth"),
-        ("/settings/classes/1/name", "sailings".into(), "classes[1].name"),
+        (
+            "/settings/classes/1/name",
+            "sailings".into(),
+            "classes[1].name",
+        ),
         ("/settings/classes/1/name", "".into(), "classes[1].name"),
         ("/settings/classes", json!([]), "classes"),
-        ("/settings/permissions/maxAttempts", 0.into(), "max_attempts"),
-        ("/settings/membershipMode", "gossip".into(), "membershipMode"),
+        (
+            "/settings/permissions/maxAttempts",
+            0.into(),
+            "max_attempts",
+        ),
+        (
+            "/settings/membershipMode",
+            "gossip".into(),
+            "membershipMode",
+        ),
         ("/settings/safety/coldFrom", 1.5.into(), "cold_from"),
         ("/settings/balancers", 0.into(), "balancers"),
         ("/limits/sockets", "many".into(), "limits.sockets"),
@@ -99,11 +158,24 @@
         let mut config = config(&ferries());
         *config.pointer_mut(pointer).expect("it is there") = value;
         let error = parse(&config).expect_err(pointer);
-        assert!(error.contains(field) && error.lines().count() == 1, "{pointer}: {error}");
+        assert!(
+            error.contains(field) && error.lines().count() == 1,
+            "{pointer}: {error}"
+        );
     }
-    for field in ["me", "balancers", "classes", "permissions", "safety", "membershipMode"] {
+    for field in [
+        "me",
+        "balancers",
+        "classes",
+        "permissions",
+        "safety",
+        "membershipMode",
+    ] {
         let mut config = config(&ferries());
-        config["settings"].as_object_mut().expect("an object").remove(field);
+        config["settings"]
+            .as_object_mut()
+            .expect("an object")
+            .remove(field);
         let error = parse(&config).expect_err(field);
         assert!(error.contains(field), "{error}");
     }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -47,17 +47,28 @@
     let head = String::from_utf8(head).expect("text");
     let number = |name: &str| {
         let (_, rest) = head.lines().next()?.split_once(name)?;
-        rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
+        rest.split(|c: char| !c.is_ascii_digit())
+            .next()?
+            .parse()
+            .ok()
     };
     let wait = Duration::from_millis(number("wait_ms=").unwrap_or_default());
-    Some(Call { at: Instant::now(), after: number("after="), wait, stream })
+    Some(Call {
+        at: Instant::now(),
+        after: number("after="),
+        wait,
+        stream,
+    })
 }
 
 impl Call {
     /// Answers, and waits for the next call on this connection.
     async fn answer(mut self, list: &Value) -> Option<Call> {
         let text = list.to_string();
-        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+        let text = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+            text.len()
+        );
         self.stream.write_all(text.as_bytes()).await.ok()?;
         read_call(self.stream).await
     }
@@ -83,9 +94,12 @@
 
     /// The first call on the next connection.
     async fn next(&self) -> Call {
-        let accepted =
-            timeout(Duration::from_secs(600), self.0.accept()).await.expect("a connection in time");
-        read_call(accepted.expect("a connection").0).await.expect("a call")
+        let accepted = timeout(Duration::from_secs(600), self.0.accept())
+            .await
+            .expect("a connection in time");
+        read_call(accepted.expect("a connection").0)
+            .await
+            .expect("a call")
     }
 }
 
@@ -109,7 +123,13 @@
     }
 
     /// One that has that long for asking.
-    fn start_with(me: u32, proxies: u32, mode: &str, ask_within: Duration, discovery: SocketAddr) -> Self {
+    fn start_with(
+        me: u32,
+        proxies: u32,
+        mode: &str,
+        ask_within: Duration,
+        discovery: SocketAddr,
+    ) -> Self {
         let settings = json!({"me": me, "balancers": proxies, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
             "membershipMode": mode,
             "classes": [{"name": "c", "aimUs": 1_000_000, "deadlineUs": 2_000_000, "worth": 1.0, "effect": "fragile"}],
@@ -119,13 +139,27 @@
         let asked = settings.discovery_on_request;
         let clock = Clock::start();
         let fleet = Fleet::new(10, 250_000, 1_000_000, Vec::new(), Counters::new(&[]));
-        let balancer = Balancer::new(settings, u64::from(me) + 1, clock.now()).expect("good settings");
+        let balancer =
+            Balancer::new(settings, u64::from(me) + 1, clock.now()).expect("good settings");
         let (subscribe, calls) = mpsc::unbounded_channel();
-        let limits = Limits { max_attempts: 1, report_by_probe: false };
+        let limits = Limits {
+            max_attempts: 1,
+            report_by_probe: false,
+        };
         let lifecycle = Lifecycle::start();
-        let (driver, handle) =
-            Driver::new(balancer, clock, Rc::clone(&fleet), limits, subscribe, Rc::clone(&lifecycle));
-        let names = Names { zones: vec!["a".into()], kinds: vec!["m".into()], ..Names::default() };
+        let (driver, handle) = Driver::new(
+            balancer,
+            clock,
+            Rc::clone(&fleet),
+            limits,
+            subscribe,
+            Rc::clone(&lifecycle),
+        );
+        let names = Names {
+            zones: vec!["a".into()],
+            kinds: vec!["m".into()],
+            ..Names::default()
+        };
         let (moves, addresses) = watch::channel(discovery);
         let asked = asked.then(|| Asked::new(calls, me, proxies));
         let translator = Translator::new(clock, &names);
@@ -156,16 +190,20 @@
 /// once the grace is over.
 #[tokio::test(start_paused = true)]
 async fn what_a_silent_watch_misses_is_known_before_it_counts_as_told() {
-    for (mode, turn, grace) in
-        [("pushed", Duration::ZERO, Duration::ZERO), ("on_request", LONGEST_TURN, SHORTEST_GRACE)]
-    {
+    for (mode, turn, grace) in [
+        ("pushed", Duration::ZERO, Duration::ZERO),
+        ("on_request", LONGEST_TURN, SHORTEST_GRACE),
+    ] {
         for answers in 0..3 {
             local(async {
                 let (discovery, address) = Discovery::start().await;
                 let proxy = Proxy::start(0, 1, mode, address);
                 let mut silent = discovery.next().await;
                 for revision in 0..answers {
-                    silent = silent.answer(&list(2 + revision, false, &[])).await.expect("a further call");
+                    silent = silent
+                        .answer(&list(2 + revision, false, &[]))
+                        .await
+                        .expect("a further call");
                 }
                 let (told_at, revision) = (silent.told_at(), silent.after);
                 let again = discovery.next().await;
@@ -194,8 +232,14 @@
             let told_at = Instant::now() + TOLD_AFTER_MOVE;
             proxy.moves.send_replace(address);
             let silent = new.next().await;
-            assert_eq!(silent.after, None, "the version of another service means nothing to this one");
-            assert!(told_at <= silent.told_at(), "a move is told sooner than silence");
+            assert_eq!(
+                silent.after, None,
+                "the version of another service means nothing to this one"
+            );
+            assert!(
+                told_at <= silent.told_at(),
+                "a move is told sooner than silence"
+            );
             let again = new.next().await;
             let _open = again.answer(&list(7, true, &[("s-1", "active")])).await;
             let known = proxy.holds(1).await;
@@ -211,19 +255,26 @@
     const PROXIES: u32 = 60;
     local(async {
         let (discovery, address) = Discovery::start().await;
-        let proxies: Vec<_> =
-            (0..PROXIES).map(|me| Proxy::start(me, PROXIES, "on_request", address)).collect();
+        let proxies: Vec<_> = (0..PROXIES)
+            .map(|me| Proxy::start(me, PROXIES, "on_request", address))
+            .collect();
         let mut began = Vec::new();
         for _ in 0..PROXIES {
             began.push(discovery.next().await);
         }
         let mut watches = Vec::new();
         for call in began {
-            watches.push(call.answer(&list(2, false, &[])).await.expect("the watch goes on"));
+            watches.push(
+                call.answer(&list(2, false, &[]))
+                    .await
+                    .expect("the watch goes on"),
+            );
         }
         let back: Vec<_> = watches.iter().map(|call| call.at + call.wait).collect();
         let busiest = back.iter().map(|&at| {
-            back.iter().filter(|&&other| other >= at && other < at + Duration::from_secs(1)).count()
+            back.iter()
+                .filter(|&&other| other >= at && other < at + Duration::from_secs(1))
+                .count()
         });
         let busiest = busiest.max().unwrap_or_default();
         assert!(busiest <= 4, "{busiest} calls in the busiest second");
@@ -243,7 +294,11 @@
         sleep(Duration::from_millis(7_310)).await;
         let back = Instant::now();
         let discovery = Discovery(TcpListener::bind(address).await.expect("the same port"));
-        let _open = discovery.next().await.answer(&list(2, false, &ONE_LEFT)).await;
+        let _open = discovery
+            .next()
+            .await
+            .answer(&list(2, false, &ONE_LEFT))
+            .await;
         let known = proxy.holds(1).await - back;
         assert!(known <= SHORTEST_GRACE, "{known:?} after its return");
     })
@@ -258,9 +313,15 @@
         let _proxy = Proxy::start(0, 1, "on_request", address);
         let call = discovery.next().await;
         sleep(Duration::from_secs(3) + call.wait).await;
-        let next = call.answer(&list(2, false, &[])).await.expect("it goes on on the same connection");
+        let next = call
+            .answer(&list(2, false, &[]))
+            .await
+            .expect("it goes on on the same connection");
         assert_eq!(next.after, Some(2));
-        assert!(next.wait > Duration::from_secs(10), "one that is continued waits for no turn");
+        assert!(
+            next.wait > Duration::from_secs(10),
+            "one that is continued waits for no turn"
+        );
     })
     .await;
 }
@@ -289,8 +350,13 @@
     Silence,
 }
 
-const FAILURES: [Failure; 5] =
-    [Failure::Refusal, Failure::Reset, Failure::Malformed, Failure::Truncated, Failure::Silence];
+const FAILURES: [Failure; 5] = [
+    Failure::Refusal,
+    Failure::Reset,
+    Failure::Malformed,
+    Failure::Truncated,
+    Failure::Silence,
+];
 
 impl Call {
     /// Fails it in that way; a call that it leaves open is returned.
@@ -302,7 +368,10 @@
             Failure::Reset => "",
             Failure::Silence => return Some(self),
         };
-        self.stream.write_all(text.as_bytes()).await.expect("the proxy reads");
+        self.stream
+            .write_all(text.as_bytes())
+            .await
+            .expect("the proxy reads");
         None
     }
 }
@@ -332,7 +401,10 @@
             latest = latest.max(local(known_after_failures(me, failure)).await);
         }
         let most = TOLD_AFTER_REACHABLE + SHORTEST_GRACE;
-        assert!(latest <= most, "{failure:?}: known {latest:?} after discovery had it, {most:?} at the most");
+        assert!(
+            latest <= most,
+            "{failure:?}: known {latest:?} after discovery had it, {most:?} at the most"
+        );
     }
 }
 
@@ -344,8 +416,12 @@
         let known = local(async {
             // An address of its own: nobody else can be given the port in between.
             let (discovery, address) = Discovery::start_at("127.78.0.2:0").await;
-            let proxy = Proxy::start_with(me, LARGEST_FLEET, "on_request", LONG_ASK_WITHIN, address);
-            drop((discovery.next().await.answer(&list(2, false, &[])).await, discovery));
+            let proxy =
+                Proxy::start_with(me, LARGEST_FLEET, "on_request", LONG_ASK_WITHIN, address);
+            drop((
+                discovery.next().await.answer(&list(2, false, &[])).await,
+                discovery,
+            ));
             sleep(Duration::from_secs(8)).await;
             let back = Instant::now();
             let discovery = Discovery(TcpListener::bind(address).await.expect("the same port"));
@@ -357,5 +433,8 @@
         latest = latest.max(known.await);
     }
     let most = TOLD_AFTER_REACHABLE + SHORTEST_GRACE;
-    assert!(latest <= most, "known {latest:?} after discovery's return, {most:?} at the most");
+    assert!(
+        latest <= most,
+        "known {latest:?} after discovery's return, {most:?} at the most"
+    );
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -5,7 +5,8 @@
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    let pair = |p: &[u8]| u8::from_str_radix(std::str::from_utf8(p).expect("ascii"), 16).expect("hex");
+    let pair =
+        |p: &[u8]| u8::from_str_radix(std::str::from_utf8(p).expect("ascii"), 16).expect("hex");
     digits.chunks(2).map(pair).collect()
 }
 
@@ -41,10 +42,23 @@
     .expect("a good batch");
     assert_eq!(read[0], Record::SwitchTo(3));
     let request = read[1].request().expect("a request");
-    assert_eq!((request.id, request.class, request.tenant), (0x5d3a_91c4, 0, 0));
-    assert_eq!((request.key, request.patience), (Some(0x91f0_3b7c_55d2_0a64), 240_000));
+    assert_eq!(
+        (request.id, request.class, request.tenant),
+        (0x5d3a_91c4, 0, 0)
+    );
+    assert_eq!(
+        (request.key, request.patience),
+        (Some(0x91f0_3b7c_55d2_0a64), 240_000)
+    );
     assert_eq!((request.work, request.repeat), (Some(12_000), false));
-    assert_eq!(read[2..], [Record::Wakeup(77), Record::SwitchTo(5), Record::Vanished(0x0e6f_2b19)]);
+    assert_eq!(
+        read[2..],
+        [
+            Record::Wakeup(77),
+            Record::SwitchTo(5),
+            Record::Vanished(0x0e6f_2b19)
+        ]
+    );
 }
 
 #[test]
@@ -58,12 +72,23 @@
          04 00000016 5d3a91c4 03124a07 01 012e 0002 00004844 01 40200000",
     )
     .expect("a good batch");
-    let Record::Page { list: 0, entries } = read[0] else { panic!("{:?}", read[0]) };
+    let Record::Page { list: 0, entries } = read[0] else {
+        panic!("{:?}", read[0])
+    };
     let entries = wire::parse_entries(entries).expect("good entries");
-    assert_eq!((entries[0].id, entries[0].zone, entries[0].started), (0x0312_4a07, 0, None));
+    assert_eq!(
+        (entries[0].id, entries[0].zone, entries[0].started),
+        (0x0312_4a07, 0, None)
+    );
     assert_eq!(entries[1].started, Some(0x5d_1420));
     assert_eq!(entries[1].readiness, Readiness::Draining);
-    assert_eq!(read[1], Record::Membership { scope: Scope::Cached, list: 0 });
+    assert_eq!(
+        read[1],
+        Record::Membership {
+            scope: Scope::Cached,
+            list: 0
+        }
+    );
     let expected = Record::Settled {
         request: 0x5d3a_91c4,
         backend: 0x0312_4a07,
@@ -78,14 +103,18 @@
 
 #[test]
 fn bad_input_is_named_with_its_offset() {
-    let cut = records("00000001 0000000d 0000000000805c5a 06 00000004").expect_err("fields are missing");
+    let cut =
+        records("00000001 0000000d 0000000000805c5a 06 00000004").expect_err("fields are missing");
     assert_eq!(cut.offset, 16);
-    let short =
-        records("00000001 0000000f 0000000000805c5a 06 00000002 0000").expect_err("a token has 4 bytes");
+    let short = records("00000001 0000000f 0000000000805c5a 06 00000002 0000")
+        .expect_err("a token has 4 bytes");
     assert_eq!(short.offset, 21);
-    let count =
-        records("00000000 0000000f 0000000000805c5a 08 00000002 0000").expect_err("more than counted");
-    assert_eq!((count.offset, count.expected.as_str()), (16, "the end of the batch"));
+    let count = records("00000000 0000000f 0000000000805c5a 08 00000002 0000")
+        .expect_err("more than counted");
+    assert_eq!(
+        (count.offset, count.expected.as_str()),
+        (16, "the end of the batch")
+    );
     let length = records("00000000 00000009 0000000000805c5a").expect_err("a byte is missing");
     assert_eq!(length.offset, 4);
     let outcome = records(
@@ -98,17 +127,28 @@
 
 #[test]
 fn unknown_records_are_stepped_over() {
-    let read = records("00000002 0000001c 0000000000805c5a c8 00000006 010203040506 06 00000004 00000001");
+    let read =
+        records("00000002 0000001c 0000000000805c5a c8 00000006 010203040506 06 00000004 00000001");
     assert_eq!(read, Ok(vec![Record::Unknown(200), Record::Wakeup(1)]));
 }
 
 #[test]
 fn actions_are_written_as_the_wire_says() {
     let mut reply = ReplyWriter::default();
-    let send =
-        Action::Send { request: 0x5d3a_91c4, backend: 0x0312_4a07, give_up_at: 0x8194da, write_by: None };
+    let send = Action::Send {
+        request: 0x5d3a_91c4,
+        backend: 0x0312_4a07,
+        give_up_at: 0x8194da,
+        write_by: None,
+    };
     reply.action(3, &send);
-    reply.action(3, &Action::SetTimer { after: 500_000, token: 77 });
+    reply.action(
+        3,
+        &Action::SetTimer {
+            after: 500_000,
+            token: 77,
+        },
+    );
     reply.action(5, &Action::Log("two servers known".into()));
     let expected = "00000048
         4c 00000002 0003
@@ -117,9 +157,21 @@
         4c 00000002 0005
         48 00000013 0011 74776f2073657276657273206b6e6f776e";
     assert_eq!(reply.finish(), hex(expected));
-    reply.action(1, &Action::Refuse { request: 1, retry_after: 2 });
+    reply.action(
+        1,
+        &Action::Refuse {
+            request: 1,
+            retry_after: 2,
+        },
+    );
     reply.action(1, &Action::Fail { request: 1 });
-    reply.action(1, &Action::Cancel { request: 1, attempt: 3 });
+    reply.action(
+        1,
+        &Action::Cancel {
+            request: 1,
+            attempt: 3,
+        },
+    );
     reply.action(1, &Action::Probe(9));
     reply.action(1, &Action::Subscribe);
     reply.action(1, &Action::CloseIdle(9));
@@ -149,11 +201,26 @@
 fn settings_are_read_and_unknown_keys_passed_over() {
     let settings = wire::parse_settings(SETTINGS.as_bytes()).expect("good settings");
     assert!(settings.discovery_on_request && settings.warm_keys);
-    assert_eq!((settings.me, settings.balancers, settings.zone, settings.zones), (2, 5, 1, 2));
-    let keyed = Effect::Keyed { group: DedupGroup::Cell, ttl: 3_000_000 };
+    assert_eq!(
+        (
+            settings.me,
+            settings.balancers,
+            settings.zone,
+            settings.zones
+        ),
+        (2, 5, 1, 2)
+    );
+    let keyed = Effect::Keyed {
+        group: DedupGroup::Cell,
+        ttl: 3_000_000,
+    };
     assert_eq!(settings.classes[0].effect, keyed);
     assert_eq!(
-        (settings.report.active, settings.report.avg_ms, settings.report.waiting),
+        (
+            settings.report.active,
+            settings.report.avg_ms,
+            settings.report.waiting
+        ),
         (Some(1), Some(0), None)
     );
     assert_eq!(settings.permissions.retry_after, Some(7));
@@ -165,16 +232,38 @@
     let swaps = [
         (r#""balancers": 5"#, r#""balancers": 0"#, "balancers"),
         (r#""aimUs": 500000"#, r#""aimUs": 0"#, "classes[0].aim"),
-        (r#""effect": "dedup""#, r#""effect": "magic""#, "classes[0].effect"),
-        (r#""group": "cell""#, r#""group": "moon""#, "classes[0].group"),
+        (
+            r#""effect": "dedup""#,
+            r#""effect": "magic""#,
+            "classes[0].effect",
+        ),
+        (
+            r#""group": "cell""#,
+            r#""group": "moon""#,
+            "classes[0].group",
+        ),
         (r#""coldFrom": 0.33"#, r#""coldFrom": 7"#, "cold_from"),
-        (r#""membershipMode": "on_request""#, r#""membershipMode": "guess""#, "membershipMode"),
+        (
+            r#""membershipMode": "on_request""#,
+            r#""membershipMode": "guess""#,
+            "membershipMode",
+        ),
     ];
     for (good, bad, field) in swaps {
         let json = SETTINGS.replace(good, bad);
         assert_ne!(json, SETTINGS);
-        assert_eq!(wire::parse_settings(json.as_bytes()).expect_err("it makes no sense").field, field);
+        assert_eq!(
+            wire::parse_settings(json.as_bytes())
+                .expect_err("it makes no sense")
+                .field,
+            field
+        );
     }
     let missing = wire::parse_settings(SETTINGS.replace("\"safety\"", "\"sagety\"").as_bytes());
-    assert!(missing.expect_err("a key is missing").problem.contains("safety"));
+    assert!(
+        missing
+            .expect_err("a key is missing")
+            .problem
+            .contains("safety")
+    );
 }
