--- a/lab/src/fleet/discovery.rs
+++ b/lab/src/fleet/discovery.rs
@@ -308,7 +308,7 @@
         {
             return entries.clone();
         }
-        let listed = |backend: &&Backend| backend.readiness != tillerproxy::api::Readiness::Gone;
+        let listed = |backend: &&Backend| backend.readiness != tillerproxy::api::Readiness::Removed;
         let entries: Arc<[Backend]> = self.list.iter().filter(listed).copied().collect();
         self.latest_list = Some((self.revision, entries.clone()));
         entries
--- a/lab/src/fleet/policy.rs
+++ b/lab/src/fleet/policy.rs
@@ -5,8 +5,8 @@
 use serde::Serialize;
 use std::fmt;
 use tillerproxy::api::{
-    Action, BackendId, Effect, Event, Membership, Micros, Readiness, Request, RequestId, Settings,
-    SettingsError, Settled,
+    Action, AttemptEnd, BackendId, DiscoveryMode, Event, Idempotency, MembershipEvent, Micros,
+    Readiness, Request, RequestId, Settings, SettingsError,
 };
 use tillerproxy::balancer::Balancer;
 
@@ -133,19 +133,22 @@
         }
     }
 
-    fn on_membership(&mut self, news: Membership<'_>, actions: &mut Vec<Action>) {
+    fn on_membership(&mut self, news: MembershipEvent<'_>, actions: &mut Vec<Action>) {
         match news {
-            Membership::Failed => return self.ask_later(actions),
-            Membership::Silent => return actions.push(Action::Subscribe),
-            Membership::Cached(_) if self.settings.discovery_on_request => self.ask_later(actions),
+            MembershipEvent::WatchFailed => return self.ask_later(actions),
+            MembershipEvent::WatchStalled => return actions.push(Action::Subscribe),
+            MembershipEvent::Cached(_) if self.settings.discovery_mode == DiscoveryMode::Polled => {
+                self.ask_later(actions)
+            }
             _ => {}
         }
-        let (Membership::Delta(entries) | Membership::Full(entries) | Membership::Cached(entries)) =
-            news
+        let (MembershipEvent::Delta(entries)
+        | MembershipEvent::Full(entries)
+        | MembershipEvent::Cached(entries)) = news
         else {
             return;
         };
-        if !matches!(news, Membership::Delta(_)) {
+        if !matches!(news, MembershipEvent::Delta(_)) {
             self.ready.clear();
             self.place.fill(0);
         }
@@ -176,7 +179,7 @@
     }
 
     fn ask_later(&mut self, actions: &mut Vec<Action>) {
-        let span = (u64::from(self.settings.balancers) * CALL_EVERY).min(LONGEST_CALL_WAIT);
+        let span = (u64::from(self.settings.proxy_count) * CALL_EVERY).min(LONGEST_CALL_WAIT);
         let after = self.random.u64(0..=span);
         actions.push(Action::SetTimer { after, token: 0 });
     }
@@ -214,8 +217,8 @@
         actions.push(Action::Send {
             request: id,
             backend,
-            give_up_at: open.deadline,
-            write_by: None,
+            deadline: open.deadline,
+            write_deadline: None,
         });
     }
 
@@ -225,11 +228,11 @@
             return;
         };
         let class = &self.settings.classes[usize::from(open.class)];
-        let harmless = match (class.effect, open.may_have_run) {
-            (Effect::Safe, _) | (_, None) => true,
+        let harmless = match (class.idempotency, open.may_have_run) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
             (
-                Effect::Keyed {
-                    group: tillerproxy::api::DedupGroup::All,
+                Idempotency::Keyed {
+                    scope: tillerproxy::api::KeyScope::AllBackends,
                     ttl,
                 },
                 Some(at),
@@ -237,10 +240,13 @@
             _ => false,
         };
         actions.push(if harmless {
-            let retry_after = class
-                .aim
-                .min(self.settings.permissions.retry_after.unwrap_or(class.aim));
-            Action::Refuse {
+            let retry_after = class.latency_objective.min(
+                self.settings
+                    .permissions
+                    .max_retry_after
+                    .unwrap_or(class.latency_objective),
+            );
+            Action::Reject {
                 request: id,
                 retry_after,
             }
@@ -254,13 +260,13 @@
             return false;
         }
         match (
-            self.settings.classes[usize::from(open.class)].effect,
+            self.settings.classes[usize::from(open.class)].idempotency,
             open.may_have_run,
         ) {
-            (Effect::Safe, _) | (_, None) => true,
+            (Idempotency::Idempotent, _) | (_, None) => true,
             (
-                Effect::Keyed {
-                    group: tillerproxy::api::DedupGroup::All,
+                Idempotency::Keyed {
+                    scope: tillerproxy::api::KeyScope::AllBackends,
                     ttl,
                 },
                 Some(at),
@@ -276,9 +282,9 @@
         truth: &dyn TrueState,
         actions: &mut Vec<Action>,
     ) {
-        let deadline = now + request.patience;
+        let deadline = now + request.timeout;
         let open = OpenRequest {
-            class: request.class,
+            class: request.class.0,
             attempts: 0,
             deadline,
             may_have_run: None,
@@ -291,18 +297,18 @@
     fn on_settled(
         &mut self,
         now: Micros,
-        end: &Settled<'_>,
+        end: &AttemptEnd<'_>,
         truth: &dyn TrueState,
         actions: &mut Vec<Action>,
     ) {
         let Some(open) = self.open.get_mut(&end.request) else {
             return;
         };
-        if end.closed {
+        if end.request_answered {
             self.open.remove(&end.request);
             return;
         }
-        if !end.outcome.never_ran() {
+        if !end.outcome.is_not_executed() {
             open.may_have_run = open.may_have_run.or(Some(open.sent_at));
         }
         let open = *open;
@@ -325,10 +331,10 @@
         match event {
             Event::Membership(news) => self.on_membership(news, actions),
             Event::Request(request) => self.on_request(now, request, truth, actions),
-            Event::Settled(end) => self.on_settled(now, &end, truth, actions),
-            Event::ClientGone(id) => _ = self.open.remove(&id),
+            Event::AttemptEnded(end) => self.on_settled(now, &end, truth, actions),
+            Event::ClientDisconnected(id) => _ = self.open.remove(&id),
             Event::Timer(_) => actions.push(Action::Subscribe),
-            Event::FirstByte { .. } | Event::Probed { .. } => {}
+            Event::ResponseStarted { .. } | Event::HealthChecked { .. } => {}
         }
     }
 }
--- a/lab/src/fleet/proxy.rs
+++ b/lab/src/fleet/proxy.rs
@@ -3,7 +3,7 @@
 
 use super::discovery::{Call, ProxyNumber, Revision};
 use super::policy::Policy;
-use tillerproxy::api::{Backend, Membership, Micros, Readiness};
+use tillerproxy::api::{Backend, MembershipEvent, Micros, Readiness};
 
 /// The mean wait of a watch, and by how much waits differ, as `src/proxy/discovery.rs` has them.
 const WATCH_WAIT: Micros = 20_000_000;
@@ -31,7 +31,7 @@
 impl Default for KnownBackend {
     fn default() -> Self {
         Self {
-            readiness: Readiness::Gone,
+            readiness: Readiness::Removed,
             started: None,
             barred_at: None,
         }
@@ -172,13 +172,13 @@
     pub fn learn(&mut self, now: Micros, complete: bool, entries: &[Backend]) {
         if complete {
             let absent = |known: &mut KnownBackend| {
-                known.readiness = Readiness::Gone;
+                known.readiness = Readiness::Removed;
             };
             self.known.iter_mut().for_each(absent);
         }
         for entry in entries {
             let known = &mut self.known[entry.id as usize];
-            (known.readiness, known.started) = (entry.readiness, entry.started);
+            (known.readiness, known.started) = (entry.readiness, entry.started_at);
         }
         let bar = |known: &mut KnownBackend| {
             let ready = known.readiness == Readiness::Ready;
@@ -203,11 +203,11 @@
         let listed = published
             .iter()
             .zip(&self.known)
-            .filter(|(_, known)| known.readiness != Readiness::Gone);
+            .filter(|(_, known)| known.readiness != Readiness::Removed);
         listed
             .map(|(entry, known)| Backend {
                 readiness: known.readiness,
-                started: known.started,
+                started_at: known.started,
                 ..*entry
             })
             .collect()
@@ -216,10 +216,10 @@
 
 /// A list in the policy's terms.
 #[must_use]
-pub fn membership(complete: bool, entries: &[Backend]) -> Membership<'_> {
+pub fn membership(complete: bool, entries: &[Backend]) -> MembershipEvent<'_> {
     if complete {
-        Membership::Full(entries)
+        MembershipEvent::Full(entries)
     } else {
-        Membership::Delta(entries)
+        MembershipEvent::Delta(entries)
     }
 }
--- a/lab/src/fleet/rules.rs
+++ b/lab/src/fleet/rules.rs
@@ -10,7 +10,7 @@
 use super::request::{AttemptState, SentAttempt, TrackedRequest};
 use super::topology::Machine;
 use serde::Serialize;
-use tillerproxy::api::{Class, DedupGroup, Effect, Micros};
+use tillerproxy::api::{Class, Idempotency, KeyScope, Micros};
 
 /// A fall is the proxies' fault where this part of the load came from those that were informed of the start.
 const INFORMED_LOAD: f64 = 2.0 / 3.0;
@@ -163,15 +163,15 @@
             .iter()
             .filter(|attempt| attempt.state != AttemptState::NeverRan)
         {
-            match class.effect {
-                Effect::Safe => {}
-                Effect::Unsafe => effects.unsafe_repeats += 1,
-                Effect::Keyed { group, ttl } => {
+            match class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => effects.unsafe_repeats += 1,
+                Idempotency::Keyed { scope, ttl } => {
                     let from = machine_of(earlier);
-                    let inside = match group {
-                        DedupGroup::All => true,
-                        DedupGroup::Zone => from.zone == to.zone,
-                        DedupGroup::Cell => from.cell == to.cell,
+                    let inside = match scope {
+                        KeyScope::AllBackends => true,
+                        KeyScope::Zone => from.zone == to.zone,
+                        KeyScope::Cell => from.cell == to.cell,
                     };
                     effects.outside_group += u64::from(!inside);
                     effects.outside_window += u64::from(now > earlier.sent_at + ttl);
@@ -197,13 +197,13 @@
             self.counts.final_answers.after_the_end += 1;
         }
         let first = request.first_that_may_have_run();
-        let harmless = match class.effect {
-            Effect::Safe => true,
-            Effect::Keyed {
-                group: DedupGroup::All,
+        let harmless = match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed {
+                scope: KeyScope::AllBackends,
                 ttl,
             } => first.is_none_or(|attempt| now <= attempt.sent_at + ttl),
-            Effect::Keyed { .. } | Effect::Unsafe => first.is_none(),
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => first.is_none(),
         };
         self.counts.effects.refused_after_effect += u64::from(refused && !harmless);
     }
--- a/lab/src/fleet/scenario/mod.rs
+++ b/lab/src/fleet/scenario/mod.rs
@@ -262,25 +262,25 @@
     #[must_use]
     pub fn settings(&self) -> api::Class {
         let group = match self.key_group {
-            KeyGroup::All => api::DedupGroup::All,
-            KeyGroup::Zone => api::DedupGroup::Zone,
-            KeyGroup::Cell => api::DedupGroup::Cell,
+            KeyGroup::All => api::KeyScope::AllBackends,
+            KeyGroup::Zone => api::KeyScope::Zone,
+            KeyGroup::Cell => api::KeyScope::Cell,
         };
         let effect = match self.effect {
-            Effect::Safe => api::Effect::Safe,
-            Effect::Unsafe => api::Effect::Unsafe,
-            Effect::Keyed => api::Effect::Keyed {
-                group,
+            Effect::Safe => api::Idempotency::Idempotent,
+            Effect::Unsafe => api::Idempotency::NonIdempotent,
+            Effect::Keyed => api::Idempotency::Keyed {
+                scope: group,
                 ttl: milliseconds(self.key_ttl_ms),
             },
         };
         api::Class {
-            aim: milliseconds(self.aim_ms),
-            aim_stretch: 0.0,
-            deadline: milliseconds(self.deadline_ms),
-            worth: self.worth,
-            late_worth: self.late_worth,
-            effect,
+            latency_objective: milliseconds(self.aim_ms),
+            objective_work_factor: 0.0,
+            timeout: milliseconds(self.deadline_ms),
+            priority_weight: self.worth,
+            late_weight_factor: self.late_worth,
+            idempotency: effect,
         }
     }
 }
--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -5,7 +5,7 @@
 use super::super::request::{Attempt, AttemptState, SentAttempt};
 use super::super::scenario::milliseconds;
 use super::{SimEvent, Simulation};
-use tillerproxy::api::{BackendId, Event, Micros, Outcome, RequestId, Settled};
+use tillerproxy::api::{AttemptEnd, BackendId, Event, Micros, Outcome, RequestId};
 
 impl Simulation<'_> {
     /// A policy sends a request to a backend.
@@ -38,7 +38,7 @@
             sent_at: now,
             work,
             service: 0,
-            outcome: Outcome::Moot,
+            outcome: Outcome::NotSent,
             report: [0.0; 3],
             settled: false,
             lost: false,
@@ -111,7 +111,7 @@
         match admission {
             Admission::Started(service) => self.schedule_end(place, service),
             Admission::Queued => {}
-            Admission::Full => self.send_back(place, Outcome::Full),
+            Admission::Full => self.send_back(place, Outcome::Rejected),
             Admission::Refused => self.send_back(place, Outcome::ConnectFailed),
             Admission::Unreachable => self.fail_connect_later(place),
         }
@@ -233,7 +233,7 @@
         }
         self.count(outcome);
         let request = &mut self.requests[attempt.request];
-        let never_ran = outcome.never_ran();
+        let never_ran = outcome.is_not_executed();
         request.attempts_mut()[usize::from(attempt.number)].state = if never_ran {
             AttemptState::NeverRan
         } else {
@@ -244,23 +244,23 @@
         }
         let request = &self.requests[attempt.request];
         let with_report = self.scenario.backends.load_reports && outcome == Outcome::Ok;
-        let settled = Settled {
+        let settled = AttemptEnd {
             request: request.id,
             backend: attempt.backend,
             attempt: attempt.number,
             outcome,
-            closed: request.answered || request.client_gone,
+            request_answered: request.answered || request.client_gone,
             elapsed: now - attempt.sent_at,
-            report: if with_report { &attempt.report } else { &[] },
-            spent: false,
+            load_report: if with_report { &attempt.report } else { &[] },
+            body_consumed: false,
         };
-        self.tell_policy(now, attempt.proxy, Event::Settled(settled));
+        self.tell_policy(now, attempt.proxy, Event::AttemptEnded(settled));
     }
 
     fn count(&mut self, outcome: Outcome) {
         let counts = &mut self.metrics.attempts;
         match outcome {
-            Outcome::Full => counts.full += 1,
+            Outcome::Rejected => counts.full += 1,
             Outcome::Timeout => counts.timeouts += 1,
             Outcome::ConnectFailed => counts.connect_failures += 1,
             Outcome::Reset => counts.resets += 1,
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -10,7 +10,7 @@
 use super::super::slab::RefSlab;
 use super::super::topology::Topology;
 use super::{SimEvent, Simulation};
-use tillerproxy::api::{Event, Micros, Request, RequestId, Settings};
+use tillerproxy::api::{ClassIndex, Event, Micros, Request, RequestId, Settings, TenantIndex};
 
 /// What the simulation keeps of the clients.
 pub(super) struct ClientSide {
@@ -34,9 +34,7 @@
     ) -> Self {
         let until = seconds(scenario.duration_s);
         Self {
-            allowances: Allowances::new(
-                settings.tenants.iter().map(|tenant| tenant.allowance_per_s),
-            ),
+            allowances: Allowances::new(settings.tenants.iter().map(|tenant| tenant.quota_per_s)),
             streams: vec![ArrivalStream::new(demand.rate, 0, until, None, seed, 0)],
             demand,
             front: Front::new(topology),
@@ -76,7 +74,7 @@
         let mut call = self.clients.streams[stream as usize].draw(now, &self.clients.demand);
         call.worth = self.scenario.classes[usize::from(call.class)].worth;
         if !self.clients.allowances.take(now, call.tenant) {
-            call.worth *= self.settings.over_share_worth;
+            call.worth *= self.settings.over_quota_weight;
         }
         self.schedule_arrival(stream);
         let place = self.clients.calls.insert(call, 1);
@@ -167,12 +165,12 @@
         let call = &self.clients.calls[call];
         let request = Request {
             id,
-            class,
-            tenant: call.tenant,
+            class: ClassIndex(class),
+            tenant: TenantIndex(call.tenant),
             key: Some(call.key),
-            patience: deadline.saturating_sub(now),
-            work: None,
-            repeat: call.tries > 1,
+            timeout: deadline.saturating_sub(now),
+            expected_work: None,
+            is_retry: call.tries > 1,
         };
         self.tell_policy(now, proxy, Event::Request(request));
     }
@@ -265,7 +263,7 @@
             self.end_try(place, now, TryEnd::TimedOut);
             if self.is_held(&request) {
                 self.checker.on_lost();
-                self.tell_policy(now, request.proxy, Event::ClientGone(request.id));
+                self.tell_policy(now, request.proxy, Event::ClientDisconnected(request.id));
             }
         }
         self.release_request(place);
@@ -277,7 +275,7 @@
             self.requests[place].client_gone = true;
             self.end_call(request.call, CallEnd::Left);
             if self.is_held(&request) {
-                self.tell_policy(now, request.proxy, Event::ClientGone(request.id));
+                self.tell_policy(now, request.proxy, Event::ClientDisconnected(request.id));
             }
         }
         self.release_request(place);
--- a/lab/src/fleet/simulation/control.rs
+++ b/lab/src/fleet/simulation/control.rs
@@ -11,7 +11,10 @@
 use super::{SimEvent, Simulation};
 use rand::Rng;
 use std::collections::VecDeque;
-use tillerproxy::api::{Backend, BackendId, Event, Membership, Micros, Readiness, Settings};
+use tillerproxy::api::{
+    Backend, BackendId, Cell, Event, MachineType, MembershipEvent, Micros, Readiness, Settings,
+    Zone,
+};
 
 /// The region in which discovery stands.
 const DISCOVERY_REGION: u16 = 0;
@@ -65,11 +68,11 @@
     } = machine;
     Backend {
         id,
-        zone,
-        kind,
-        cell,
+        zone: Zone(zone),
+        machine_type: MachineType(kind),
+        cell: Cell(cell),
         readiness: Readiness::Ready,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -196,7 +199,7 @@
         match answer {
             Answer::Failed => {
                 target.watcher.failed();
-                self.tell_policy(now, proxy, Event::Membership(Membership::Failed));
+                self.tell_policy(now, proxy, Event::Membership(MembershipEvent::WatchFailed));
             }
             Answer::List {
                 revision,
@@ -222,7 +225,7 @@
         let target = &mut self.proxies[usize::from(proxy)];
         if target.life == ProxyLife::Up && target.watcher.take_answer(serial) {
             target.watcher.failed();
-            self.tell_policy(now, proxy, Event::Membership(Membership::Silent));
+            self.tell_policy(now, proxy, Event::Membership(MembershipEvent::WatchStalled));
         }
     }
 
@@ -231,7 +234,7 @@
     /// An entry has changed; discovery notices it after a while.
     fn change_entry(&mut self, backend: BackendId, readiness: Readiness, started: Option<Micros>) {
         let entry = &mut self.control.entries[backend as usize];
-        (entry.readiness, entry.started) = (readiness, started);
+        (entry.readiness, entry.started_at) = (readiness, started);
         self.control.unnoticed.push_back(*entry);
         self.queue.push_after(
             milliseconds(self.scenario.discovery.notice_ms),
@@ -279,7 +282,7 @@
                     self.change_entry(
                         id,
                         Readiness::Draining,
-                        self.control.entries[id as usize].started,
+                        self.control.entries[id as usize].started_at,
                     );
                 }
             }
@@ -294,7 +297,9 @@
             Change::Resume(id) => self.resume_backend(now, id),
             Change::Republish(id) => {
                 let Backend {
-                    readiness, started, ..
+                    readiness,
+                    started_at: started,
+                    ..
                 } = self.control.entries[id as usize];
                 self.change_entry(id, readiness, started);
             }
@@ -324,7 +329,7 @@
         tracing::trace!(id, now, ?life, "a backend stops");
         let lost = self.backends[id as usize].stop(life);
         self.lose_attempts(lost, life);
-        self.change_entry(id, Readiness::Gone, None);
+        self.change_entry(id, Readiness::Removed, None);
     }
 
     fn start_backend(&mut self, now: Micros, id: BackendId, life: Life) {
@@ -358,8 +363,8 @@
             return;
         }
         let settings = Settings {
-            me: u32::from(proxy),
-            zone: target.zone,
+            proxy_index: u32::from(proxy),
+            zone: Zone(target.zone),
             ..self.settings.clone()
         };
         let Ok(policy) = (self.factory)(settings, seed, now) else {
@@ -377,7 +382,7 @@
         self.tell_policy(
             self.queue.now(),
             proxy,
-            Event::Membership(Membership::Cached(list)),
+            Event::Membership(MembershipEvent::Cached(list)),
         );
     }
 
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -28,8 +28,8 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 use tillerproxy::api::{
-    Action, Event, Micros, Permissions, Readiness, ReportFields, RequestId, Safety, Settings,
-    SettingsError, Tenant,
+    Action, DiscoveryMode, Event, LoadReportFields, Micros, Permissions, Readiness, RequestId,
+    SafetyLimits, Settings, SettingsError, Tenant, Zone,
 };
 
 /// How often the progress bar moves, in virtual time.
@@ -39,10 +39,10 @@
 /// The place of a request that has ended.
 const NO_PLACE: u32 = u32::MAX;
 /// Positions of the values in a load report (`backend.rs`).
-const REPORT_FIELDS: ReportFields = ReportFields {
-    active: Some(0),
-    waiting: Some(1),
-    avg_ms: Some(2),
+const REPORT_FIELDS: LoadReportFields = LoadReportFields {
+    in_flight: Some(0),
+    queued: Some(1),
+    service_time_ms: Some(2),
 };
 
 /// Something that happens at a point in virtual time. Requests, attempts, calls and replies are named by
@@ -127,17 +127,17 @@
 fn settings(scenario: &FleetScenario, topology: &Topology, demand: &Demand) -> Settings {
     let tenants = scenario.tenants.as_ref();
     let tenant = |number: u16, allowance: f64| Tenant {
-        allowance_per_s: demand.tenant_share(number) * demand.rate * allowance,
+        quota_per_s: demand.tenant_share(number) * demand.rate * allowance,
     };
     let (permissions, safety) = (&scenario.permissions, &scenario.safety);
     Settings {
-        me: 0,
-        balancers: scenario.fleet.proxies,
-        zone: 0,
-        zones: topology.zones,
-        kinds: scenario.kinds.len() as u8,
-        discovery_on_request: true,
-        warm_keys: false,
+        proxy_index: 0,
+        proxy_count: scenario.fleet.proxies,
+        zone: Zone(0),
+        zone_count: topology.zones,
+        machine_type_count: scenario.kinds.len() as u8,
+        discovery_mode: DiscoveryMode::Polled,
+        key_affinity: false,
         classes: scenario
             .classes
             .iter()
@@ -150,30 +150,30 @@
                     .collect()
             })
             .unwrap_or_default(),
-        over_share_worth: tenants.map_or(1.0, |tenants| tenants.over_share_worth),
-        cross_zone_price: permissions.cross_zone_price,
-        probe_price: 0.0,
-        report: if scenario.backends.load_reports {
+        over_quota_weight: tenants.map_or(1.0, |tenants| tenants.over_share_worth),
+        cross_zone_cost: permissions.cross_zone_price,
+        health_check_cost: 0.0,
+        load_report: if scenario.backends.load_reports {
             REPORT_FIELDS
         } else {
-            ReportFields::default()
+            LoadReportFields::default()
         },
-        report_by_probe: false,
+        load_report_by_health_check: false,
         permissions: Permissions {
             max_attempts: permissions.max_attempts,
-            second_copies: permissions.second_copies,
-            cancel: permissions.cancel,
-            probes: false,
-            conn_idle: seconds(permissions.conn_idle_s),
-            multiplex: 1,
-            retry_after: Some(milliseconds(permissions.retry_after_ms)),
+            hedging: permissions.second_copies,
+            cancellation: permissions.cancel,
+            health_checks: false,
+            idle_timeout: seconds(permissions.conn_idle_s),
+            requests_per_connection: 1,
+            max_retry_after: Some(milliseconds(permissions.retry_after_ms)),
         },
-        safety: Safety {
-            ask_within: seconds(safety.ask_within_s),
-            cold_from: safety.cold_from,
-            cold_time: seconds(safety.cold_time_s),
-            fall_multiple: safety.fall_multiple,
-            fall_time: seconds(safety.fall_time_s),
+        safety: SafetyLimits {
+            poll_interval: seconds(safety.ask_within_s),
+            slow_start_initial_capacity: safety.cold_from,
+            slow_start_duration: seconds(safety.cold_time_s),
+            collapse_load_factor: safety.fall_multiple,
+            collapse_time: seconds(safety.fall_time_s),
         },
     }
 }
@@ -261,12 +261,12 @@
         };
         for (number, place) in (0..).zip(&self.topology.proxies) {
             let settings = Settings {
-                me: u32::from(number),
-                zone: place.zone,
+                proxy_index: u32::from(number),
+                zone: Zone(place.zone),
                 ..self.settings.clone()
             };
             let policy = (self.factory)(settings, self.proxy_seeds.random(), 0)?;
-            let mut watcher = Watcher::new(number, self.settings.balancers);
+            let mut watcher = Watcher::new(number, self.settings.proxy_count);
             watcher.revision = Some(self.control.discovery.revision());
             self.proxies.push(HollowProxy {
                 zone: place.zone,
@@ -298,7 +298,7 @@
             .settings
             .classes
             .iter()
-            .map(|class| class.deadline)
+            .map(|class| class.timeout)
             .max()
             .unwrap_or_default();
         let end = seconds(self.scenario.duration_s) + deadline + AFTERMATH;
@@ -366,12 +366,12 @@
             Action::Send {
                 request,
                 backend,
-                give_up_at,
+                deadline: give_up_at,
                 ..
             } => {
                 self.send(now, request, backend, give_up_at);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => self.answer(now, request, Some(retry_after)),
@@ -394,7 +394,7 @@
                 }
             }
             // Probes are not permitted; connections are not emulated one by one.
-            Action::Probe(_) | Action::CloseIdle(_) => {}
+            Action::HealthCheck(_) | Action::CloseIdleConnections(_) => {}
             Action::Log(line) => tracing::trace!(proxy, "{line}"),
         }
     }
--- a/lab/src/live/hollow.rs
+++ b/lab/src/live/hollow.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use tillerproxy::api::{Action, Event, Membership, Settings, SettingsError};
+use tillerproxy::api::{Action, Event, MembershipEvent, Settings, SettingsError};
 use tillerproxy::balancer::Balancer;
 use tillerproxy::proxy::discovery::Asked;
 use tokio::net::TcpStream;
@@ -72,8 +72,8 @@
     /// The first of the settings that makes no sense.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         let (_, calls) = mpsc::unbounded_channel();
-        let asked_wait = Asked::new(calls, settings.me, settings.balancers).wait;
-        let mode = if settings.discovery_on_request {
+        let asked_wait = Asked::new(calls, settings.proxy_index, settings.proxy_count).wait;
+        let mode = if settings.discovery_mode == tillerproxy::api::DiscoveryMode::Polled {
             DiscoveryMode::Ask
         } else {
             DiscoveryMode::Push
@@ -89,7 +89,7 @@
     pub fn first(&mut self) -> Duration {
         match self.mode {
             DiscoveryMode::Push => Duration::ZERO,
-            DiscoveryMode::Ask => self.tell(Membership::Cached(&[])),
+            DiscoveryMode::Ask => self.tell(MembershipEvent::Cached(&[])),
         }
     }
 
@@ -97,17 +97,17 @@
     pub fn after_failure(&mut self) -> Duration {
         match self.mode {
             DiscoveryMode::Push => PUSHED_BACKOFF,
-            DiscoveryMode::Ask => self.tell(Membership::Failed),
+            DiscoveryMode::Ask => self.tell(MembershipEvent::WatchFailed),
         }
     }
 
     /// A call brought an answer.
     pub fn succeeded(&mut self) {
-        self.tell(Membership::Delta(&[]));
+        self.tell(MembershipEvent::Delta(&[]));
     }
 
     /// Tells the decision module of a call, and returns how long it waits ahead of the next one.
-    fn tell(&mut self, news: Membership<'_>) -> Duration {
+    fn tell(&mut self, news: MembershipEvent<'_>) -> Duration {
         let mut actions = Vec::new();
         self.balancer
             .handle(0, Event::Membership(news), &mut actions);
@@ -170,7 +170,7 @@
             revision,
             seed,
         } = settings;
-        let me = settings.me as usize;
+        let me = settings.proxy_index as usize;
         let schedule = CallSchedule::new(settings, seed)?;
         let (connection, is_watching) = (None, false);
         Ok(Self {
--- a/lab/src/slopes/membership.rs
+++ b/lab/src/slopes/membership.rs
@@ -10,7 +10,7 @@
 use rand::seq::index;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use tillerproxy::api::{Backend, Membership};
+use tillerproxy::api::{Backend, MembershipEvent};
 use tillerproxy::proxy::discovery::{DiscoveryError, Translator};
 
 /// Requests between two kinds of change, so that the load stays typical.
@@ -105,11 +105,11 @@
 }
 
 impl Answer {
-    fn membership<'a>(&self, entries: &'a [Backend]) -> Membership<'a> {
+    fn membership<'a>(&self, entries: &'a [Backend]) -> MembershipEvent<'a> {
         if self.complete {
-            Membership::Full(entries)
+            MembershipEvent::Full(entries)
         } else {
-            Membership::Delta(entries)
+            MembershipEvent::Delta(entries)
         }
     }
 }
--- a/lab/src/slopes/virtual_proxy.rs
+++ b/lab/src/slopes/virtual_proxy.rs
@@ -13,8 +13,8 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use tillerproxy::api::{
-    Action, Backend, BackendId, Event, Membership, Micros, Outcome, Request, RequestId, Settings,
-    SettingsError, Settled,
+    Action, AttemptEnd, Backend, BackendId, ClassIndex, Event, MembershipEvent, Micros, Outcome,
+    Request, RequestId, Settings, SettingsError, TenantIndex,
 };
 use tillerproxy::balancer::Balancer;
 
@@ -133,12 +133,12 @@
         let rank = self.tenant.sample(&mut self.random);
         Request {
             id,
-            class: self.random.random_range(0..self.classes),
-            tenant: rank as u16 - 1,
+            class: ClassIndex(self.random.random_range(0..self.classes)),
+            tenant: TenantIndex(rank as u16 - 1),
             key: None,
-            patience: PATIENCE,
-            work: None,
-            repeat: false,
+            timeout: PATIENCE,
+            expected_work: None,
+            is_retry: false,
         }
     }
 
@@ -182,7 +182,7 @@
             actions: Vec::new(),
             counts: Counts::default(),
         };
-        proxy.update(Membership::Full(backends));
+        proxy.update(MembershipEvent::Full(backends));
         Ok(proxy)
     }
 
@@ -227,7 +227,7 @@
     }
 
     /// Tells the balancer of a change of membership; time passes by a millisecond.
-    pub fn update(&mut self, membership: Membership<'_>) {
+    pub fn update(&mut self, membership: MembershipEvent<'_>) {
         self.now += MILLISECOND;
         self.balancer
             .handle(self.now, Event::Membership(membership), &mut self.actions);
@@ -275,7 +275,7 @@
         let events: Vec<Event<'_>> = ended
             .iter()
             .zip(&reports)
-            .map(|(a, r)| Event::Settled(a.settled(r)))
+            .map(|(a, r)| Event::AttemptEnded(a.settled(r)))
             .collect();
         self.handle_all(EventKind::End, &events, meter);
         for attempt in ended.iter().filter(|a| a.in_time) {
@@ -342,10 +342,10 @@
             Action::Send {
                 request,
                 backend,
-                give_up_at,
+                deadline: give_up_at,
                 ..
             } => self.send(request, backend, give_up_at),
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 self.counts.refused += 1;
                 self.open.remove(&request);
             }
@@ -388,8 +388,8 @@
         self.ends_at - self.sent_at
     }
 
-    fn settled<'a>(&self, report: &'a [f32]) -> Settled<'a> {
-        Settled {
+    fn settled<'a>(&self, report: &'a [f32]) -> AttemptEnd<'a> {
+        AttemptEnd {
             request: self.request,
             backend: self.backend,
             attempt: self.number,
@@ -398,10 +398,10 @@
             } else {
                 Outcome::Timeout
             },
-            closed: self.in_time,
+            request_answered: self.in_time,
             elapsed: self.elapsed(),
-            report: if self.in_time { report } else { &[] },
-            spent: false,
+            load_report: if self.in_time { report } else { &[] },
+            body_consumed: false,
         }
     }
 }
--- a/lab/tests/fleet/discovery.rs
+++ b/lab/tests/fleet/discovery.rs
@@ -1,6 +1,6 @@
 //! The discovery stand-in and the proxies' watchers.
 
-use tillerproxy::api::{Backend, Readiness};
+use tillerproxy::api::{Backend, Cell, MachineType, Readiness, Zone};
 use tillerproxy_lab::fleet::discovery::{Answer, Call, Discovery, Received, Reply};
 use tillerproxy_lab::fleet::proxy::Watcher;
 use tillerproxy_lab::fleet::scenario;
@@ -8,11 +8,11 @@
 fn entry(id: u32, readiness: Readiness) -> Backend {
     Backend {
         id,
-        zone: 0,
-        kind: 0,
-        cell: 0,
+        zone: Zone(0),
+        machine_type: MachineType(0),
+        cell: Cell(0),
         readiness,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -69,7 +69,7 @@
         Received::Waiting
     ));
     assert!(discovery.notice(entry(4, Readiness::Draining)));
-    assert!(!discovery.notice(entry(2, Readiness::Gone)));
+    assert!(!discovery.notice(entry(2, Readiness::Removed)));
     assert_eq!(discovery.revision(), 1, "noticed and not yet published");
     let replies = discovery.publish();
     assert_eq!(
@@ -93,7 +93,7 @@
         discovery.notice(entry(
             id,
             if id == 3 {
-                Readiness::Gone
+                Readiness::Removed
             } else {
                 Readiness::Draining
             },
@@ -144,7 +144,7 @@
     let mut discovery = discovery(&scenario::Discovery::default());
     discovery.receive(0, call(0, Some(1), true));
     discovery.mute_watch(0);
-    discovery.notice(entry(1, Readiness::Gone));
+    discovery.notice(entry(1, Readiness::Removed));
     assert!(discovery.publish().is_empty());
     assert!(discovery.end_wait(0, 1).is_none());
 }
@@ -159,7 +159,7 @@
     discovery.receive(0, call(0, Some(1), true));
     discovery.receive(0, call(1, Some(1), true));
     for id in [1, 2] {
-        discovery.notice(entry(id, Readiness::Gone));
+        discovery.notice(entry(id, Readiness::Removed));
         assert!(discovery.publish().is_empty());
     }
     assert_eq!(discovery.next_turn_takes(), Some(10_000));
--- a/lab/tests/fleet/rules.rs
+++ b/lab/tests/fleet/rules.rs
@@ -3,7 +3,7 @@
 use super::small_with;
 use indicatif::ProgressBar;
 use tillerproxy::api::{
-    Action, BackendId, Class, DedupGroup, Effect, Event, Membership, Micros, Settings,
+    Action, BackendId, Class, Event, Idempotency, KeyScope, MembershipEvent, Micros, Settings,
 };
 use tillerproxy_lab::fleet::backend::Fall;
 use tillerproxy_lab::fleet::faults::Plan;
@@ -59,8 +59,8 @@
     Action::Send {
         request,
         backend,
-        give_up_at,
-        write_by: None,
+        deadline: give_up_at,
+        write_deadline: None,
     }
 }
 
@@ -69,9 +69,9 @@
     let report = play(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| match event {
             Event::Request(request) => {
-                actions.push(send(request.id, request.id % 24, now + request.patience))
+                actions.push(send(request.id, request.id % 24, now + request.timeout))
             }
-            Event::Settled(end) if !end.closed => actions.push(Action::Fail {
+            Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
                 request: end.request,
             }),
             _ => {}
@@ -100,7 +100,7 @@
                 actions.push(Action::Fail {
                     request: request.id,
                 });
-                actions.push(send(request.id, 0, now + request.patience));
+                actions.push(send(request.id, 0, now + request.timeout));
                 actions.push(Action::Fail {
                     request: request.id,
                 });
@@ -119,10 +119,10 @@
     let report = play(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| match event {
             Event::Request(request) => {
-                actions.push(send(request.id, 0, now + request.patience));
-                actions.push(send(request.id, 1, now + request.patience));
+                actions.push(send(request.id, 0, now + request.timeout));
+                actions.push(send(request.id, 1, now + request.timeout));
             }
-            Event::Settled(end) if !end.closed => actions.push(Action::Fail {
+            Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
                 request: end.request,
             }),
             _ => {}
@@ -139,8 +139,8 @@
         |now, event, actions: &mut Vec<Action>| match event {
             // Given up before any answer can come.
             Event::Request(request) => actions.push(send(request.id, request.id % 24, now + 10)),
-            Event::Settled(end) if !end.closed => {
-                actions.push(Action::Refuse {
+            Event::AttemptEnded(end) if !end.request_answered => {
+                actions.push(Action::Reject {
                     request: end.request,
                     retry_after: 0,
                 });
@@ -162,9 +162,9 @@
     let report = play(&event, || {
         |now, event, actions: &mut Vec<Action>| match event {
             Event::Request(request) => {
-                actions.push(send(request.id, request.id % 24, now + request.patience))
+                actions.push(send(request.id, request.id % 24, now + request.timeout))
             }
-            Event::Settled(end) if !end.closed => actions.push(Action::Fail {
+            Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
                 request: end.request,
             }),
             _ => {}
@@ -183,17 +183,17 @@
     let report = play(RESTART, || {
         let mut newest: Option<(Micros, BackendId)> = None;
         move |now, event: Event<'_>, actions: &mut Vec<Action>| match event {
-            Event::Membership(Membership::Delta(entries)) => {
+            Event::Membership(MembershipEvent::Delta(entries)) => {
                 let starts = entries
                     .iter()
-                    .filter_map(|entry| entry.started.map(|at| (at, entry.id)));
+                    .filter_map(|entry| entry.started_at.map(|at| (at, entry.id)));
                 newest = newest.max(starts.max());
             }
             Event::Request(request) => {
                 let backend = newest.map_or(request.id % 24, |(_, id)| id);
-                actions.push(send(request.id, backend, now + request.patience));
+                actions.push(send(request.id, backend, now + request.timeout));
             }
-            Event::Settled(end) if !end.closed => actions.push(Action::Fail {
+            Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
                 request: end.request,
             }),
             _ => {}
@@ -245,20 +245,23 @@
 /// The broken parts of rule 2 when a keyed request goes from a backend of zone 0 and cell 0, sent at 0, to
 /// another at `now`: outside its window, outside its group.
 fn keyed_repeat(
-    group: DedupGroup,
+    group: KeyScope,
     now: Micros,
     zone: u16,
     cell: u16,
     state: AttemptState,
 ) -> (u64, u64) {
-    let effect = Effect::Keyed { group, ttl: 1_000 };
+    let effect = Idempotency::Keyed {
+        scope: group,
+        ttl: 1_000,
+    };
     let class = Class {
-        aim: 1,
-        aim_stretch: 0.0,
-        deadline: 1,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
+        latency_objective: 1,
+        objective_work_factor: 0.0,
+        timeout: 1,
+        priority_weight: 1.0,
+        late_weight_factor: 0.0,
+        idempotency: effect,
     };
     let at = |zone, cell| Machine {
         zone,
@@ -299,31 +302,22 @@
 fn keyed_repeats_are_held_to_their_window_and_group() {
     use AttemptState::{MayHaveRun, NeverRan};
     assert_eq!(
-        keyed_repeat(DedupGroup::All, 1_000, 1, 1, MayHaveRun),
+        keyed_repeat(KeyScope::AllBackends, 1_000, 1, 1, MayHaveRun),
         (0, 0)
     );
     assert_eq!(
-        keyed_repeat(DedupGroup::All, 1_001, 1, 1, MayHaveRun),
+        keyed_repeat(KeyScope::AllBackends, 1_001, 1, 1, MayHaveRun),
         (1, 0)
     );
+    assert_eq!(keyed_repeat(KeyScope::Zone, 500, 0, 1, MayHaveRun), (0, 0));
+    assert_eq!(keyed_repeat(KeyScope::Zone, 500, 1, 1, MayHaveRun), (0, 1));
+    assert_eq!(keyed_repeat(KeyScope::Cell, 500, 0, 0, MayHaveRun), (0, 0));
     assert_eq!(
-        keyed_repeat(DedupGroup::Zone, 500, 0, 1, MayHaveRun),
-        (0, 0)
-    );
-    assert_eq!(
-        keyed_repeat(DedupGroup::Zone, 500, 1, 1, MayHaveRun),
-        (0, 1)
-    );
-    assert_eq!(
-        keyed_repeat(DedupGroup::Cell, 500, 0, 0, MayHaveRun),
-        (0, 0)
-    );
-    assert_eq!(
-        keyed_repeat(DedupGroup::Cell, 2_000, 0, 1, MayHaveRun),
+        keyed_repeat(KeyScope::Cell, 2_000, 0, 1, MayHaveRun),
         (1, 1)
     );
     assert_eq!(
-        keyed_repeat(DedupGroup::Cell, 2_000, 1, 1, NeverRan),
+        keyed_repeat(KeyScope::Cell, 2_000, 1, 1, NeverRan),
         (0, 0),
         "it never ran"
     );
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -301,6 +301,6 @@
     let text = answer_text(1, true, endpoints.all());
     let entries = entries_of(&mut translator(&fleet), &text).expect("a list");
     assert_eq!(entries.len(), 300);
-    let zones: BTreeSet<u16> = entries.iter().map(|entry| entry.zone).collect();
+    let zones: BTreeSet<u16> = entries.iter().map(|entry| entry.zone.0).collect();
     assert_eq!(zones.len(), 5);
 }
--- /dev/null
+++ b/src/api/ids.rs
@@ -0,0 +1,52 @@
+//! Identifiers and units of the interface.
+
+/// A point in time or a span, in microseconds.
+pub type Micros = u64;
+
+/// A request, as the proxy numbers it. An id is never used twice while the process runs.
+pub type RequestId = u32;
+
+/// A backend; the same number at every proxy, also after the backend's process restarts.
+pub type BackendId = u32;
+
+/// Declares a number of one kind that cannot be mixed up with another.
+macro_rules! index_type {
+    ($(#[$documentation:meta])* $name:ident($number:ty)) => {
+        $(#[$documentation])*
+        #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+        pub struct $name(pub $number);
+
+        impl $name {
+            /// Returns the number as an index of a list.
+            #[must_use]
+            pub fn index(self) -> usize {
+                usize::from(self.0)
+            }
+        }
+    };
+}
+
+index_type! {
+    /// Position of a request class in [`Settings::classes`](super::Settings::classes).
+    ClassIndex(u8)
+}
+
+index_type! {
+    /// Position of a tenant in [`Settings::tenants`](super::Settings::tenants).
+    TenantIndex(u16)
+}
+
+index_type! {
+    /// A zone, numbered from 0.
+    Zone(u16)
+}
+
+index_type! {
+    /// A type of machine that backends run on, numbered from 0.
+    MachineType(u8)
+}
+
+index_type! {
+    /// A group of backends that know one another's idempotency keys, numbered through all zones.
+    Cell(u16)
+}
--- /dev/null
+++ b/src/api/mod.rs
@@ -0,0 +1,17 @@
+//! The interface of the decisions: what a [`Balancer`](crate::balancer::Balancer) is given ([`Settings`],
+//! [`Event`]) and what it answers ([`Action`]).
+//!
+//! Nothing here does I/O or reads a clock; the time comes in with each call, in microseconds.
+
+mod action;
+mod event;
+mod ids;
+mod settings;
+
+pub use action::{Action, LogEvent};
+pub use event::{AttemptEnd, Backend, Event, MembershipEvent, Outcome, Readiness, Request};
+pub use ids::{BackendId, Cell, ClassIndex, MachineType, Micros, RequestId, TenantIndex, Zone};
+pub use settings::{
+    Class, DiscoveryMode, Idempotency, KeyScope, LoadReportFields, Permissions, SafetyLimits,
+    Settings, SettingsError, Tenant,
+};
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: their start, their end, and what the end says of the backend.
 
 use super::Balancer;
-use crate::api::{Action, Micros, Outcome, RequestId, Settled};
+use crate::api::{Action, AttemptEnd, Micros, Outcome, RequestId};
 use crate::state::{Attempt, AttemptState, Stamped};
 
 /// A bad sample (an error, say), and the most that any sample counts, as multiples of Lmax.
@@ -31,12 +31,16 @@
             + if self.is_quick(class) {
                 overdue
             } else {
-                self.settings.classes[class].deadline
+                self.settings.classes[class].timeout
             };
         let server = &mut self.servers[index];
         if let Some(cold) = &mut server.cold {
             cold.tokens -= 1.0;
-            if now >= cold.started.saturating_add(self.settings.safety.cold_time) {
+            if now
+                >= cold
+                    .started
+                    .saturating_add(self.settings.safety.slow_start_duration)
+            {
                 server.cold = None;
             }
         }
@@ -65,8 +69,8 @@
         out.push(Action::Send {
             request,
             backend,
-            give_up_at,
-            write_by,
+            deadline: give_up_at,
+            write_deadline: write_by,
         });
         self.reindex(now, index);
     }
@@ -95,22 +99,27 @@
         (attempt.answer_began, open.streaming) = (true, true);
         let (class, outcome, backend) = (open.class, Outcome::Ok, self.servers[to.server].id);
         let (closed, report, spent) = (true, [].as_slice(), false);
-        let begun = Settled {
+        let begun = AttemptEnd {
             request,
             backend,
             attempt: number,
             outcome,
-            closed,
+            request_answered: closed,
             elapsed,
-            report,
-            spent,
+            load_report: report,
+            body_consumed: spent,
         };
         self.observe(now, class, to, &begun, out);
         self.reindex(now, to.server);
         self.serve_queue(now, out);
     }
 
-    pub(super) fn on_settled(&mut self, now: Micros, settled: Settled<'_>, out: &mut Vec<Action>) {
+    pub(super) fn on_settled(
+        &mut self,
+        now: Micros,
+        settled: AttemptEnd<'_>,
+        out: &mut Vec<Action>,
+    ) {
         let Some(slot) = self.open.find(settled.request) else {
             return;
         };
@@ -121,21 +130,21 @@
         if attempt.state != AttemptState::Out {
             return;
         }
-        let never_ran = settled.outcome.never_ran();
+        let never_ran = settled.outcome.is_not_executed();
         attempt.state = if never_ran {
             AttemptState::NeverRan
         } else {
             AttemptState::MayHaveRun
         };
         let (attempt, class) = (*attempt, open.class);
-        open.spent |= settled.spent;
+        open.spent |= settled.body_consumed;
         if !attempt.answer_began {
             self.observe(now, class, attempt, &settled, out);
         } else if settled.outcome == Outcome::Ok {
-            self.follow_report(now, attempt.server, settled.report);
+            self.follow_report(now, attempt.server, settled.load_report);
         }
         self.reindex(now, attempt.server);
-        if settled.closed || self.open[slot].answered {
+        if settled.request_answered || self.open[slot].answered {
             self.close(slot);
         } else {
             self.retry(now, slot, never_ran, out);
@@ -149,13 +158,13 @@
         now: Micros,
         class: usize,
         to: Attempt,
-        end: &Settled<'_>,
+        end: &AttemptEnd<'_>,
         out: &mut Vec<Action>,
     ) {
         let index = to.server;
         let kinds = self.kinds.len();
         let server = &mut self.servers[index];
-        let kind = usize::from(server.kind);
+        let kind = server.kind.index();
         let latency = &mut self.latencies[class * kinds + kind];
         let known = latency.base < f64::MAX || self.pool.limit_factor > 1.0;
         let elapsed = end.elapsed as f64;
@@ -163,12 +172,12 @@
         server.trial_in_flight &= !to.trial;
         self.in_flight = self.in_flight.saturating_sub(1);
         let unresponsive = server.unanswered_since <= to.sent_at;
-        if end.outcome == Outcome::Moot {
+        if end.outcome == Outcome::NotSent {
             return;
         }
-        let aim = self.settings.classes[class].aim as f64;
+        let aim = self.settings.classes[class].latency_objective as f64;
         let lmax = latency.lmax(aim);
-        let multiplex = self.settings.permissions.multiplex.max(1);
+        let multiplex = self.settings.permissions.requests_per_connection.max(1);
         if let Some(at) = server
             .connections_used_at
             .get_mut((server.in_flight / multiplex) as usize)
@@ -198,12 +207,14 @@
             }
             // A server that answered others meanwhile is not hung; the request was heavy.
             Outcome::Timeout | Outcome::Cancelled => unresponsive,
-            Outcome::Error | Outcome::Spoilt | Outcome::ConnectFailed | Outcome::Reset => true,
-            Outcome::Full => {
+            Outcome::Error | Outcome::CorruptResponse | Outcome::ConnectFailed | Outcome::Reset => {
+                true
+            }
+            Outcome::Rejected => {
                 server.full_until = now + latency.mean as Micros;
                 false
             }
-            Outcome::Moot => false,
+            Outcome::NotSent => false,
         };
         let lost = matches!(end.outcome, Outcome::Timeout | Outcome::Reset) && failed;
         if lost && self.blame_idle_connection(now, to.connection_idle) {
@@ -225,7 +236,7 @@
         self.judge_health(now, index, failed, to.trial, out);
         // Departure: a spoilt answer, or one that was lost or cut off on the way, says nothing of how crowded
         // its server is: a few must not shrink the limits of all.
-        if matches!(end.outcome, Outcome::Spoilt | Outcome::Reset)
+        if matches!(end.outcome, Outcome::CorruptResponse | Outcome::Reset)
             || (end.outcome == Outcome::Timeout && to.early)
         {
             return;
@@ -236,6 +247,6 @@
             self.judge_kind(now, kind, sample.min(SAMPLE_CAP));
         }
         self.judge_window(now, index, sample.min(SAMPLE_CAP));
-        self.follow_report(now, index, end.report);
+        self.follow_report(now, index, end.load_report);
     }
 }
--- a/src/balancer/cold_start.rs
+++ b/src/balancer/cold_start.rs
@@ -13,10 +13,11 @@
     /// takes: the best seconds of this proxy, for all proxies, over all servers.
     pub(super) fn cold_rate(&self, now: Micros, index: usize, started: Micros) -> f64 {
         let safety = &self.settings.safety;
-        let age = now.saturating_sub(started) as f64 / safety.cold_time.max(1) as f64;
-        let warmth = safety.cold_from + (1.0 - safety.cold_from) * age.min(1.0);
-        let measured =
-            self.served.peak * f64::from(self.settings.balancers) / self.index.ready.max(1) as f64;
+        let age = now.saturating_sub(started) as f64 / safety.slow_start_duration.max(1) as f64;
+        let warmth = safety.slow_start_initial_capacity
+            + (1.0 - safety.slow_start_initial_capacity) * age.min(1.0);
+        let measured = self.served.peak * f64::from(self.settings.proxy_count)
+            / self.index.ready.max(1) as f64;
         // Departure: of a limit under a slot some proxies hold one; the others can't spend their shares.
         let slots = self.limit(index) * self.pool.limit_factor;
         let held = if slots < 1.0 {
@@ -26,7 +27,7 @@
         };
         let warm = measured.max(SECOND as f64 / self.mean(0));
         let share = self.share(self.servers[index].zone);
-        (safety.fall_multiple * COLD_MARGIN).min(1.0) * warmth * warm * share * held
+        (safety.collapse_load_factor * COLD_MARGIN).min(1.0) * warmth * warm * share * held
     }
 
     /// Brings a cold server's budget up to now; from now on it grows at the rate that holds now.
--- a/src/balancer/connections.rs
+++ b/src/balancer/connections.rs
@@ -23,7 +23,7 @@
         index: usize,
         out: &mut Vec<Action>,
     ) -> Micros {
-        let multiplex = self.settings.permissions.multiplex.max(1);
+        let multiplex = self.settings.permissions.requests_per_connection.max(1);
         let trusted = self.trusted_idle_time(now);
         let server = &mut self.servers[index];
         let number = (server.in_flight / multiplex) as usize;
@@ -42,7 +42,7 @@
         };
         if idle > MIN_SUSPECT_IDLE && idle as f64 > trusted {
             server.connections_used_at.truncate(number + 1);
-            out.push(Action::CloseIdle(server.id));
+            out.push(Action::CloseIdleConnections(server.id));
             return 0;
         }
         idle
--- a/src/balancer/indexing.rs
+++ b/src/balancer/indexing.rs
@@ -2,10 +2,11 @@
 //! against it is found by its rank; what is busy, slow or has a limit of its own is compared one by one; what
 //! gets nothing for a time is left out until that time is over.
 
+use super::Balancer;
 use super::limits::RECENT_TTL;
-use super::{Balancer, GOLDEN_RATIO_FRACTION};
 use crate::api::Micros;
 use crate::index::{Change, Group, Position};
+use crate::spread::GOLDEN_RATIO_FRACTION;
 use crate::state::{LimitSource, Server};
 
 impl Balancer {
@@ -60,7 +61,7 @@
 
     /// The list has changed: `changed` are the servers that came, left, or started anew.
     pub(super) fn regroup(&mut self, now: Micros, changed: Vec<Change>) {
-        let me = self.settings.me;
+        let me = self.settings.proxy_index;
         let offset = |rank, members| unwrapped_offset(me, rank, members);
         let places = self.index.apply(changed, &self.servers, offset);
         places
@@ -69,7 +70,7 @@
     }
 
     pub(super) fn slot_offset_of(&self, group: &Group, rank: usize) -> f64 {
-        unwrapped_offset(self.settings.me, rank, group.members.len()).fract()
+        unwrapped_offset(self.settings.proxy_index, rank, group.members.len()).fract()
     }
 
     /// Its part of a turn, as of the present members of its group.
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -29,11 +29,12 @@
 
     /// Whether a class's work takes a small part of the time that clients wait.
     pub(super) fn is_quick(&self, class: usize) -> bool {
-        self.mean(class) * LOST_LEAST <= self.settings.classes[class].aim as f64 * LOST_OVER_AIM
+        self.mean(class) * LOST_LEAST
+            <= self.settings.classes[class].latency_objective as f64 * LOST_OVER_AIM
     }
 
     pub(super) fn overdue(&self, class: usize) -> Micros {
-        let aim = self.settings.classes[class].aim as f64;
+        let aim = self.settings.classes[class].latency_objective as f64;
         (self.mean(class) * OVERDUE_OVER_MEAN)
             .clamp(aim * OVERDUE_OVER_AIM.0, aim * OVERDUE_OVER_AIM.1) as Micros
     }
--- a/src/balancer/limits.rs
+++ b/src/balancer/limits.rs
@@ -2,7 +2,7 @@
 
 use super::attempts::{LATENCY_WEIGHT, SAMPLE_CAP};
 use super::{Balancer, SECOND};
-use crate::api::Micros;
+use crate::api::{MachineType, Micros, Zone};
 use crate::state::{LimitSource, Server, Stamped, Window};
 
 /// The shortest window: limits follow a load that changes within seconds.
@@ -37,8 +37,8 @@
     pub(super) fn follow_report(&mut self, now: Micros, index: usize, report: &[f32]) {
         let reported_ms = self
             .settings
-            .report
-            .avg_ms
+            .load_report
+            .service_time_ms
             .and_then(|i| report.get(i))
             .map(|&ms| f64::from(ms));
         let Some(reported_ms) = reported_ms.filter(|ms| ms.is_finite() && *ms > 0.0) else {
@@ -46,7 +46,7 @@
         };
         let share = self.share(self.servers[index].zone);
         let server = &mut self.servers[index];
-        let common = &mut self.kinds[usize::from(server.kind)];
+        let common = &mut self.kinds[server.kind.index()];
         let usual = if common.service > 0.0 {
             common.service
         } else {
@@ -89,7 +89,7 @@
             since: now,
             ..Window::default()
         };
-        let of_kind = |&index: &usize| usize::from(self.servers[index].kind) == kind;
+        let of_kind = |&index: &usize| self.servers[index].kind.index() == kind;
         let individual: Vec<usize> = self
             .index
             .individual
@@ -122,8 +122,8 @@
     }
 
     /// The limit that a kind's servers in a zone have from this proxy.
-    pub(super) fn common_limit(&self, zone: u16, kind: u8) -> f64 {
-        self.kinds[usize::from(kind)].limit * self.share(zone)
+    pub(super) fn common_limit(&self, zone: Zone, kind: MachineType) -> f64 {
+        self.kinds[kind.index()].limit * self.share(zone)
     }
 
     pub(super) fn limit(&self, index: usize) -> f64 {
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -1,7 +1,9 @@
 //! Membership: what discovery says of the backends, and when it is called.
 
 use super::{Balancer, SECOND, TIMER_SUBSCRIBE};
-use crate::api::{Action, Backend, Membership, Micros, Readiness};
+use crate::api::{
+    Action, Backend, DiscoveryMode, MachineType, MembershipEvent, Micros, Readiness, Zone,
+};
 use crate::index::{Change, sync};
 use crate::state::{ColdBudget, LimitSource, Server, Stamped, Window};
 
@@ -17,21 +19,21 @@
     pub(super) fn on_membership(
         &mut self,
         now: Micros,
-        news: Membership<'_>,
+        news: MembershipEvent<'_>,
         out: &mut Vec<Action>,
     ) {
         let (entries, complete) = match news {
-            Membership::Delta(entries) => (entries, false),
-            Membership::Full(entries) => (entries, true),
-            Membership::Cached(entries) => {
-                if self.settings.discovery_on_request {
+            MembershipEvent::Delta(entries) => (entries, false),
+            MembershipEvent::Full(entries) => (entries, true),
+            MembershipEvent::Cached(entries) => {
+                if self.settings.discovery_mode == DiscoveryMode::Polled {
                     self.subscribe(0, FIRST_CALL_EVERY, out);
                 }
                 (entries, true)
             }
-            Membership::Failed => return self.resubscribe_later(out),
+            MembershipEvent::WatchFailed => return self.resubscribe_later(out),
             // Departure: what a silent subscription misses counts as known soon, so it is renewed at once.
-            Membership::Silent => return out.push(Action::Subscribe),
+            MembershipEvent::WatchStalled => return out.push(Action::Subscribe),
         };
         self.subscribe_failures = 0;
         self.generation += u32::from(complete);
@@ -65,14 +67,14 @@
         let most = self
             .settings
             .safety
-            .ask_within
+            .poll_interval
             .saturating_mul(4)
             .saturating_sub(CALL_TAKES)
             .max(SECOND);
         let most = most.min(LONGEST_WAIT);
         let wait = wait.min(most / 2);
         let span = wait
-            .max(u64::from(self.settings.balancers - 1) * every)
+            .max(u64::from(self.settings.proxy_count - 1) * every)
             .min(most - wait);
         let after = wait + self.rng.u64(0..=span);
         let later = Action::SetTimer {
@@ -85,7 +87,7 @@
     /// Takes one entry of a list; a server whose place in the index changes with it is added to `changed`.
     fn update(&mut self, now: Micros, entry: &Backend, changed: &mut Vec<Change>) {
         let ready = entry.readiness == Readiness::Ready;
-        let listed = entry.readiness != Readiness::Gone;
+        let listed = entry.readiness != Readiness::Removed;
         let index = match self.servers.find(entry.id) {
             Some(index) => index,
             None if !listed => return,
@@ -93,8 +95,8 @@
         };
         let server = &mut self.servers[index];
         server.seen = self.generation;
-        if server.started != entry.started {
-            server.started = entry.started;
+        if server.started != entry.started_at {
+            server.started = entry.started_at;
             changed.push(Change {
                 place: index,
                 group: server.group,
@@ -106,13 +108,15 @@
     }
 
     fn insert(&mut self, now: Micros, entry: &Backend) -> usize {
-        let kind = entry.kind.min(self.settings.kinds.saturating_sub(1));
+        let kind = entry.machine_type.min(MachineType(
+            self.settings.machine_type_count.saturating_sub(1),
+        ));
         let group = self.index.group_of(entry.zone, kind);
         let &Backend {
             id,
             zone,
             cell,
-            started,
+            started_at: started,
             ..
         } = entry;
         let server = Server {
@@ -168,7 +172,7 @@
         server.strikes = 0;
         let started = server
             .started
-            .filter(|&t| now < t.saturating_add(self.settings.safety.cold_time));
+            .filter(|&t| now < t.saturating_add(self.settings.safety.slow_start_duration));
         server.cold = started.map(|started| ColdBudget {
             started,
             tokens,
@@ -179,9 +183,9 @@
 
     /// This proxy's part of a server of a zone: the inverse of how many proxies use it. Departure: bounds
     /// and steps of a limit are the server's, so that the admitted sum does not grow with the bank.
-    pub(super) fn share(&self, zone: u16) -> f64 {
-        let balancers = f64::from(self.settings.balancers);
-        let local = (balancers / f64::from(self.settings.zones)).max(1.0);
+    pub(super) fn share(&self, zone: Zone) -> f64 {
+        let balancers = f64::from(self.settings.proxy_count);
+        let local = (balancers / f64::from(self.settings.zone_count)).max(1.0);
         1.0 / if zone == self.settings.zone {
             local
         } else {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -29,8 +29,6 @@
 use retries::RETRY_BURST;
 
 const SECOND: Micros = 1_000_000;
-/// The golden ratio's fraction spreads the proxies' slot offsets evenly over 0..1, whatever their number.
-const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 /// What a timer is for; the rest of its token is the request's place.
 const TIMER_QUEUE: u32 = 0;
 const TIMER_SUBSCRIBE: u32 = 1;
@@ -73,11 +71,11 @@
             base: f64::MAX,
             base_at: now,
         };
-        let kinds = usize::from(settings.kinds).max(1);
+        let kinds = usize::from(settings.machine_type_count).max(1);
         let latencies = settings
             .classes
             .iter()
-            .flat_map(|c| vec![latency(c.aim); kinds])
+            .flat_map(|c| vec![latency(c.latency_objective); kinds])
             .collect();
         let window = Window {
             since: now,
@@ -89,11 +87,11 @@
             window,
             service: 0.0,
         };
-        let share = f64::from(settings.balancers);
+        let share = f64::from(settings.proxy_count);
         let rates = settings
             .tenants
             .iter()
-            .map(|tenant| tenant.allowance_per_s / share);
+            .map(|tenant| tenant.quota_per_s / share);
         Ok(Self {
             rng: fastrand::Rng::with_seed(seed),
             servers: Servers::default(),
@@ -107,7 +105,7 @@
             tenants: Demand::new(rates, now),
             retry_tokens: RETRY_BURST,
             trusted_idle: Stamped {
-                value: settings.permissions.conn_idle as f64,
+                value: settings.permissions.idle_timeout as f64,
                 at: now,
             },
             pool: Pool {
@@ -132,20 +130,20 @@
         match event {
             Event::Membership(news) => self.on_membership(now, news, out),
             Event::Request(request) => self.on_request(now, request, out),
-            Event::Settled(settled) => self.on_settled(now, settled, out),
-            Event::FirstByte {
+            Event::AttemptEnded(settled) => self.on_settled(now, settled, out),
+            Event::ResponseStarted {
                 request,
                 attempt,
                 elapsed,
             } => {
                 self.on_first_byte(now, request, attempt, elapsed, out);
             }
-            Event::ClientGone(request) => {
+            Event::ClientDisconnected(request) => {
                 if let Some(slot) = self.open.find(request) {
                     self.close(slot);
                 }
             }
-            Event::Probed { .. } => {}
+            Event::HealthChecked { .. } => {}
             Event::Timer(token) => self.on_timer(now, token, out),
         }
     }
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -1,7 +1,7 @@
 //! Outlier detection: backends whose requests fail are ejected and tried again.
 
 use super::{Balancer, SECOND};
-use crate::api::{Action, Micros};
+use crate::api::{Action, LogEvent, Micros};
 
 const EJECT_AT: f64 = 0.5;
 /// First ejection; each further one lasts twice as long, up to 2^4 times, until failures are `FORGIVE_AT`.
@@ -33,19 +33,17 @@
         if !failed && was_ejected {
             server.ejected_until = None;
             server.failures = server.failures.min(EJECT_AT * 0.6);
-            out.push(Action::Log(format!(
-                "readmitted server {} after a trial",
-                server.id
-            )));
+            out.push(Action::Log(LogEvent::Readmitted { backend: server.id }));
         } else if trial_failed || (!was_ejected && server.failures >= EJECT_AT && may_eject) {
             let time = (EJECTION << server.strikes.min(MAX_STRIKES)) as f64 * jitter;
             server.ejected_until = Some(now + time as Micros);
             server.strikes += 1;
             if !was_ejected {
-                out.push(Action::Log(format!(
-                    "ejected server {}: its requests fail",
-                    server.id
-                )));
+                let duration = time as Micros;
+                out.push(Action::Log(LogEvent::Ejected {
+                    backend: server.id,
+                    duration,
+                }));
             }
         }
     }
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -46,10 +46,10 @@
 
     pub(super) fn value(&self, open: &Open) -> f64 {
         let share = if open.over_share {
-            self.settings.over_share_worth
+            self.settings.over_quota_weight
         } else {
             1.0
         };
-        self.settings.classes[open.class].worth * share / self.mean(open.class)
+        self.settings.classes[open.class].priority_weight * share / self.mean(open.class)
     }
 }
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -16,9 +16,9 @@
         if self.open.find(request.id).is_some() {
             return;
         }
-        let class = usize::from(request.class).min(self.settings.classes.len() - 1);
-        let over_share = self.over_share(now, usize::from(request.tenant));
-        let deadline = now + request.patience;
+        let class = request.class.index().min(self.settings.classes.len() - 1);
+        let over_share = self.over_share(now, request.tenant.index());
+        let deadline = now + request.timeout;
         let open = Open::new(request.id, class, over_share, now, deadline);
         let slot = self.open.insert(open);
         self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(RETRY_BURST);
@@ -78,9 +78,9 @@
         out.push(if self.may_refuse(now, open) {
             let (wait, most) = (
                 self.retry_after(open.class),
-                self.settings.permissions.retry_after,
+                self.settings.permissions.max_retry_after,
             );
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after: most.map_or(wait, |most| most.min(wait)),
             }
@@ -95,7 +95,7 @@
     /// aim. With many slots to a proxy a refusal means that the fleet is full.
     pub(super) fn retry_after(&self, class: usize) -> Micros {
         let part = (self.pool.slots / FULL_RETRY_AFTER_SLOTS).clamp(MIN_RETRY_AFTER_SHARE, 1.0);
-        (self.settings.classes[class].aim as f64 * part) as Micros
+        (self.settings.classes[class].latency_objective as f64 * part) as Micros
     }
 
     /// The request is over for the client; its place stays until its attempts have ended.
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -2,7 +2,7 @@
 
 use super::Balancer;
 use super::latency::LOST_OVER_AIM;
-use crate::api::{Action, DedupGroup, Effect, Micros};
+use crate::api::{Action, Idempotency, KeyScope, Micros};
 use crate::state::{AttemptState, Open, Scope};
 
 /// Part of the requests that may get a further attempt after one that may have run, and the burst.
@@ -19,7 +19,7 @@
         if over || open.attempts.len() >= usize::from(permissions.max_attempts) {
             return Scope::Nowhere;
         }
-        if out > 0 && !permissions.second_copies {
+        if out > 0 && !permissions.hedging {
             return Scope::Nowhere;
         }
         let Some(first) = open
@@ -29,20 +29,20 @@
         else {
             return Scope::Anywhere;
         };
-        match self.settings.classes[open.class].effect {
-            Effect::Safe => Scope::Anywhere,
-            Effect::Unsafe => Scope::Nowhere,
-            Effect::Keyed { .. } if self.window_end(open) <= Some(now) => Scope::Nowhere,
-            Effect::Keyed {
-                group: DedupGroup::All,
+        match self.settings.classes[open.class].idempotency {
+            Idempotency::Idempotent => Scope::Anywhere,
+            Idempotency::NonIdempotent => Scope::Nowhere,
+            Idempotency::Keyed { .. } if self.window_end(open) <= Some(now) => Scope::Nowhere,
+            Idempotency::Keyed {
+                scope: KeyScope::AllBackends,
                 ..
             } => Scope::Anywhere,
-            Effect::Keyed {
-                group: DedupGroup::Zone,
+            Idempotency::Keyed {
+                scope: KeyScope::Zone,
                 ..
             } => Scope::Zone(self.servers[first.server].zone),
-            Effect::Keyed {
-                group: DedupGroup::Cell,
+            Idempotency::Keyed {
+                scope: KeyScope::Cell,
                 ..
             } => Scope::Cell(self.servers[first.server].cell),
         }
@@ -54,30 +54,30 @@
             .attempts
             .iter()
             .any(|a| a.state != AttemptState::NeverRan);
-        match self.settings.classes[open.class].effect {
-            Effect::Safe => true,
-            Effect::Keyed {
-                group: DedupGroup::All,
+        match self.settings.classes[open.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed {
+                scope: KeyScope::AllBackends,
                 ..
             } => self.window_end(open).is_none_or(|end| now < end),
-            Effect::Keyed { .. } | Effect::Unsafe => !may_have_run,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => !may_have_run,
         }
     }
 
     /// Whether an attempt started now would come too late to be worth anything.
     pub(super) fn too_late(&self, now: Micros, open: &Open) -> bool {
         let class = &self.settings.classes[open.class];
-        let last = if class.late_worth > 0.0 {
+        let last = if class.late_weight_factor > 0.0 {
             open.deadline
         } else {
-            open.deadline.min(open.arrived + class.aim)
+            open.deadline.min(open.arrived + class.latency_objective)
         };
         now + (self.mean(open.class) / 2.0) as Micros >= last
     }
 
     /// Rule 2: when backends may forget the key of a request that may have run.
     pub(super) fn window_end(&self, open: &Open) -> Option<Micros> {
-        let Effect::Keyed { ttl, .. } = self.settings.classes[open.class].effect else {
+        let Idempotency::Keyed { ttl, .. } = self.settings.classes[open.class].idempotency else {
             return None;
         };
         let first = open
@@ -113,12 +113,12 @@
     pub(super) fn give_up_at(&self, now: Micros, open: &Open) -> (Micros, bool) {
         let class = &self.settings.classes[open.class];
         let last = open.attempts.len() + 1 >= usize::from(self.settings.permissions.max_attempts);
-        if last || class.effect == Effect::Unsafe || self.retry_tokens < 1.0 {
+        if last || class.idempotency == Idempotency::NonIdempotent || self.retry_tokens < 1.0 {
             return (open.deadline, false);
         }
         let early = self.is_quick(open.class);
         let lost = if early {
-            class.aim as f64 * LOST_OVER_AIM
+            class.latency_objective as f64 * LOST_OVER_AIM
         } else {
             self.mean(open.class) * LOST_OVER_MEAN
         };
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,8 +1,9 @@
 //! Choice of a backend: the greatest room, in the near zones first, ties at random.
 
-use super::{Balancer, GOLDEN_RATIO_FRACTION};
-use crate::api::{Effect, Micros};
+use super::Balancer;
+use crate::api::{Cell, Idempotency, Micros, Zone};
 use crate::index::{Candidates, Group, Ties};
+use crate::spread::golden_ratio_position;
 use crate::state::{Scope, Server};
 use fastrand::Rng;
 
@@ -29,7 +30,7 @@
         };
         let slots = self.index.groups.iter().map(common).sum::<f64>();
         let slots = slots + self.index.individual.iter().map(beyond).sum::<f64>();
-        let turn = (f64::from(self.settings.me) * GOLDEN_RATIO_FRACTION).fract();
+        let turn = golden_ratio_position(self.settings.proxy_index);
         self.pool.judged_at = Some(now);
         self.pool.slots = slots;
         self.pool.limit_factor = if slots > 0.0 {
@@ -46,8 +47,8 @@
     }
 
     /// Whether a zone's servers can be sent to without a price for the way.
-    pub(super) fn near(&self, zone: u16) -> bool {
-        zone == self.settings.zone || self.settings.cross_zone_price <= FREE_CROSSING
+    pub(super) fn near(&self, zone: Zone) -> bool {
+        zone == self.settings.zone || self.settings.cross_zone_cost <= FREE_CROSSING
     }
 
     /// The server with the greatest room, in the own zone first.
@@ -89,7 +90,8 @@
         if scope == Scope::Nowhere || full {
             return None;
         }
-        let repeatable = self.settings.classes[open.class].effect != Effect::Unsafe;
+        let repeatable =
+            self.settings.classes[open.class].idempotency != Idempotency::NonIdempotent;
         Some(Query {
             scope,
             repeatable,
@@ -247,7 +249,7 @@
 
 impl Query {
     /// Whether servers of a zone, and of a cell where it is known, are in scope.
-    fn covers(&self, zone: u16, cell: Option<u16>) -> bool {
+    fn covers(&self, zone: Zone, cell: Option<Cell>) -> bool {
         match self.scope {
             Scope::Zone(only) => zone == only,
             Scope::Cell(only) => cell == Some(only),
--- a/src/balancer/selection/tests.rs
+++ b/src/balancer/selection/tests.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 use crate::api::{
-    Action, Backend, Class, DedupGroup, Event, Membership, Outcome, Permissions, Readiness,
-    ReportFields, Request, RequestId, Safety, Settings, Settled,
+    Action, AttemptEnd, Backend, Cell, Class, ClassIndex, DiscoveryMode, Event, KeyScope,
+    LoadReportFields, MachineType, MembershipEvent, Outcome, Permissions, Readiness, Request,
+    RequestId, SafetyLimits, Settings, TenantIndex, Zone,
 };
 use crate::state::{Attempt, AttemptState, Open};
 use std::collections::BTreeSet;
@@ -106,58 +107,58 @@
 
 fn settings(rng: &mut Rng) -> Settings {
     let class = |effect, aim: Micros| Class {
-        aim,
-        aim_stretch: 0.0,
-        deadline: 4 * aim,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
+        latency_objective: aim,
+        objective_work_factor: 0.0,
+        timeout: 4 * aim,
+        priority_weight: 1.0,
+        late_weight_factor: 0.0,
+        idempotency: effect,
     };
-    let keyed = |group| Effect::Keyed {
-        group,
+    let keyed = |group| Idempotency::Keyed {
+        scope: group,
         ttl: 3 * SECOND,
     };
     let classes = vec![
-        class(Effect::Safe, 500 * MS),
-        class(Effect::Unsafe, 300 * MS),
-        class(keyed(DedupGroup::Zone), 400 * MS),
-        class(keyed(DedupGroup::Cell), 2_000 * MS),
-        class(keyed(DedupGroup::All), 400 * MS),
+        class(Idempotency::Idempotent, 500 * MS),
+        class(Idempotency::NonIdempotent, 300 * MS),
+        class(keyed(KeyScope::Zone), 400 * MS),
+        class(keyed(KeyScope::Cell), 2_000 * MS),
+        class(keyed(KeyScope::AllBackends), 400 * MS),
     ];
     let balancers = [1, 3, 30, 300][rng.usize(0..4)];
     Settings {
-        me: rng.u32(0..balancers),
-        balancers,
-        zone: 0,
-        zones: 3,
-        kinds: 2,
-        discovery_on_request: false,
-        warm_keys: false,
+        proxy_index: rng.u32(0..balancers),
+        proxy_count: balancers,
+        zone: Zone(0),
+        zone_count: 3,
+        machine_type_count: 2,
+        discovery_mode: DiscoveryMode::Pushed,
+        key_affinity: false,
         classes,
         tenants: Vec::new(),
-        over_share_worth: 0.1,
-        cross_zone_price: [0.0, 0.05][rng.usize(0..2)],
-        probe_price: 0.0,
-        report: ReportFields {
-            avg_ms: rng.bool().then_some(0),
-            ..ReportFields::default()
+        over_quota_weight: 0.1,
+        cross_zone_cost: [0.0, 0.05][rng.usize(0..2)],
+        health_check_cost: 0.0,
+        load_report: LoadReportFields {
+            service_time_ms: rng.bool().then_some(0),
+            ..LoadReportFields::default()
         },
-        report_by_probe: false,
+        load_report_by_health_check: false,
         permissions: Permissions {
             max_attempts: 3,
-            second_copies: false,
-            cancel: false,
-            probes: false,
-            conn_idle: 5 * SECOND,
-            multiplex: 1,
-            retry_after: None,
+            hedging: false,
+            cancellation: false,
+            health_checks: false,
+            idle_timeout: 5 * SECOND,
+            requests_per_connection: 1,
+            max_retry_after: None,
         },
-        safety: Safety {
-            ask_within: SECOND,
-            cold_from: 0.2,
-            cold_time: 4 * SECOND,
-            fall_multiple: 2.5,
-            fall_time: SECOND,
+        safety: SafetyLimits {
+            poll_interval: SECOND,
+            slow_start_initial_capacity: 0.2,
+            slow_start_duration: 4 * SECOND,
+            collapse_load_factor: 2.5,
+            collapse_time: SECOND,
         },
     }
 }
@@ -189,24 +190,24 @@
             sent: Vec::new(),
         };
         let list: Vec<Backend> = (0..servers).map(|id| play.backend(id)).collect();
-        play.event(Event::Membership(Membership::Full(&list)));
+        play.event(Event::Membership(MembershipEvent::Full(&list)));
         play
     }
 
     fn backend(&mut self, id: u32) -> Backend {
         let readiness = match self.rng.u8(0..8) {
             0 => Readiness::Draining,
-            1 => Readiness::Gone,
+            1 => Readiness::Removed,
             _ => Readiness::Ready,
         };
         let started = (self.rng.u8(0..4) == 0).then(|| self.now - self.rng.u64(0..SECOND));
         Backend {
             id,
-            zone: (id % 3) as u16,
-            kind: (id / 3 % 2) as u8,
-            cell: (id % 7) as u16,
+            zone: Zone((id % 3) as u16),
+            machine_type: MachineType((id / 3 % 2) as u8),
+            cell: Cell((id % 7) as u16),
             readiness,
-            started,
+            started_at: started,
         }
     }
 
@@ -247,9 +248,9 @@
             .collect();
         let list: Vec<Backend> = ids.into_iter().map(|id| self.backend(id)).collect();
         let news = if whole {
-            Membership::Full(&list)
+            MembershipEvent::Full(&list)
         } else {
-            Membership::Delta(&list)
+            MembershipEvent::Delta(&list)
         };
         self.event(Event::Membership(news));
     }
@@ -262,27 +263,27 @@
             self.out.swap_remove(self.rng.usize(0..self.out.len()));
         let outcome = match self.rng.u8(0..14) {
             0 => Outcome::Error,
-            1 => Outcome::Full,
+            1 => Outcome::Rejected,
             2 => Outcome::Timeout,
             3 => Outcome::ConnectFailed,
             4 => Outcome::Reset,
-            5 => Outcome::Spoilt,
+            5 => Outcome::CorruptResponse,
             _ => Outcome::Ok,
         };
         let report = [self.rng.f32() * 100.0];
         let elapsed = self.now - sent_at;
         let closed = outcome == Outcome::Ok;
-        let settled = Settled {
+        let settled = AttemptEnd {
             request,
             backend,
             attempt,
             outcome,
-            closed,
+            request_answered: closed,
             elapsed,
-            report: &report,
-            spent: false,
+            load_report: &report,
+            body_consumed: false,
         };
-        self.event(Event::Settled(settled));
+        self.event(Event::AttemptEnded(settled));
     }
 
     fn step(&mut self) {
@@ -295,12 +296,12 @@
                 let class = self.rng.u8(0..5);
                 let request = Request {
                     id: self.next,
-                    class,
-                    tenant: 0,
+                    class: ClassIndex(class),
+                    tenant: TenantIndex(0),
                     key: None,
-                    patience: 2 * SECOND,
-                    work: None,
-                    repeat: false,
+                    timeout: 2 * SECOND,
+                    expected_work: None,
+                    is_retry: false,
                 };
                 self.event(Event::Request(request));
             }
--- a/src/bin/tillerproxy-simhost.rs
+++ b/src/bin/tillerproxy-simhost.rs
@@ -5,7 +5,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 use std::rc::Rc;
-use tillerproxy::api::{Action, Backend, Event, Membership, Micros, Settled};
+use tillerproxy::api::{Action, AttemptEnd, Backend, Event, MembershipEvent, Micros};
 use tillerproxy::balancer::Balancer;
 use tillerproxy::wire::{self, BATCH_HEADER, BatchReader, Record, ReplyWriter, Scope, WireError};
 
@@ -133,10 +133,10 @@
                         }
                     };
                     let news = match scope {
-                        Scope::Delta => Membership::Delta(&entries),
-                        Scope::Full => Membership::Full(&entries),
-                        Scope::Cached => Membership::Cached(&entries),
-                        Scope::Failed => Membership::Failed,
+                        Scope::Delta => MembershipEvent::Delta(&entries),
+                        Scope::Full => MembershipEvent::Full(&entries),
+                        Scope::Cached => MembershipEvent::Cached(&entries),
+                        Scope::Failed => MembershipEvent::WatchFailed,
                     };
                     self.step(who()?, at, |b, out| {
                         b.handle(now, Event::Membership(news), out)
@@ -154,7 +154,7 @@
                     attempt,
                     elapsed,
                 } => {
-                    let event = Event::FirstByte {
+                    let event = Event::ResponseStarted {
                         request,
                         attempt,
                         elapsed,
@@ -172,18 +172,18 @@
                 } => {
                     let elapsed = Micros::from(elapsed);
                     let spent = false;
-                    let settled = Settled {
+                    let settled = AttemptEnd {
                         request,
                         backend,
                         attempt,
                         outcome,
-                        closed,
+                        request_answered: closed,
                         elapsed,
-                        report,
-                        spent,
+                        load_report: report,
+                        body_consumed: spent,
                     };
                     self.step(who()?, at, |b, out| {
-                        b.handle(now, Event::Settled(settled), out)
+                        b.handle(now, Event::AttemptEnded(settled), out)
                     })?;
                 }
                 Record::Probed {
@@ -191,16 +191,16 @@
                     outcome,
                     ref report,
                 } => {
-                    let event = Event::Probed {
+                    let event = Event::HealthChecked {
                         backend,
                         outcome,
-                        report,
+                        load_report: report,
                     };
                     self.step(who()?, at, |b, out| b.handle(now, event, out))?;
                 }
                 Record::Vanished(request) => {
                     self.step(who()?, at, |b, out| {
-                        b.handle(now, Event::ClientGone(request), out)
+                        b.handle(now, Event::ClientDisconnected(request), out)
                     })?;
                 }
                 Record::Wakeup(token) => {
--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -110,17 +110,17 @@
     let longest = settings
         .classes
         .iter()
-        .map(|c| c.deadline)
+        .map(|c| c.timeout)
         .max()
         .unwrap_or_default();
     let limits = Limits {
         max_attempts: settings.permissions.max_attempts,
-        report_by_probe: settings.report_by_probe,
+        report_by_probe: settings.load_report_by_health_check,
     };
     let fleet = Fleet::new(
         config.budget.backends,
         config.dial_timeout,
-        settings.permissions.conn_idle,
+        settings.permissions.idle_timeout,
         config.names.report.clone(),
         Rc::clone(&counters),
     );
@@ -149,8 +149,9 @@
         tokio::task::spawn_local(operator.serve(calls));
     }
     let translator = Translator::new(clock, &config.names);
-    let asked = Asked::new(subscriptions, settings.me, settings.balancers);
-    let asked = settings.discovery_on_request.then_some(asked);
+    let asked = Asked::new(subscriptions, settings.proxy_index, settings.proxy_count);
+    let asked =
+        (settings.discovery_mode == tillerproxy::api::DiscoveryMode::Polled).then_some(asked);
     let (discovery, addresses) = watch::channel(config.discovery);
     let mut watcher = Watcher::new(
         addresses,
--- a/src/index.rs
+++ b/src/index.rs
@@ -2,7 +2,7 @@
 //!
 //! What they are ordered by, and which backends they hold, is decided in `src/balancer/`.
 
-use crate::api::{BackendId, Micros};
+use crate::api::{BackendId, Cell, MachineType, Micros, Zone};
 use crate::state::{LimitSource, Server, Servers};
 use fastrand::Rng;
 use indexmap::IndexSet;
@@ -181,8 +181,8 @@
 /// The ready backends of one zone and kind of machine, in the order of their ids. Each has an offset that grows with its
 /// rank and wraps around 1 once, so there are two runs in which it grows.
 pub(crate) struct Group {
-    pub(crate) zone: u16,
-    pub(crate) kind: u8,
+    pub(crate) zone: Zone,
+    pub(crate) kind: MachineType,
     /// Flagged: those that the choice finds by their rank alone.
     pub(crate) members: RankedSet,
     /// Grows with each change of the members; ranks of another version are out of date.
@@ -313,7 +313,7 @@
 #[derive(Default)]
 pub(crate) struct ChoiceIndex {
     pub(crate) groups: Vec<Group>,
-    by_key: FxHashMap<(u16, u8), usize>,
+    by_key: FxHashMap<(Zone, MachineType), usize>,
     /// Those that the choice compares one by one.
     pub(crate) scanned: PlaceSet,
     /// Those with a limit of their own.
@@ -321,7 +321,7 @@
     /// Those that are ejected.
     pub(crate) ejected: PlaceSet,
     /// The ready backends of each cell.
-    pub(crate) cells: FxHashMap<u16, PlaceSet>,
+    pub(crate) cells: FxHashMap<Cell, PlaceSet>,
     /// How many backends are ready.
     pub(crate) ready: usize,
     /// When the position of a backend is to be worked out again.
@@ -330,7 +330,7 @@
 
 impl ChoiceIndex {
     /// The group of a zone and kind, made where it is new.
-    pub(crate) fn group_of(&mut self, zone: u16, kind: u8) -> usize {
+    pub(crate) fn group_of(&mut self, zone: Zone, kind: MachineType) -> usize {
         *self.by_key.entry((zone, kind)).or_insert_with(|| {
             self.groups.push(Group {
                 zone,
--- a/src/index/tests.rs
+++ b/src/index/tests.rs
@@ -105,8 +105,11 @@
 fn groups_name_their_members_once_and_count_all_that_are_ready() {
     let mut index = ChoiceIndex::default();
     let mut servers = Servers::default();
-    let (own, other) = (index.group_of(0, 0), index.group_of(1, 0));
-    assert_eq!(index.group_of(0, 0), own);
+    let (own, other) = (
+        index.group_of(Zone(0), MachineType(0)),
+        index.group_of(Zone(1), MachineType(0)),
+    );
+    assert_eq!(index.group_of(Zone(0), MachineType(0)), own);
     let places =
         [(5, own), (3, own), (4, other)].map(|(id, group)| servers.insert(ready(id, group)));
     let came = |n: usize, group, id| change(places[n], group, id);
@@ -138,7 +141,7 @@
         for shift in [0.0, 0.3, 5.99] {
             let mut index = ChoiceIndex::default();
             let mut servers = Servers::default();
-            let group = index.group_of(0, 0);
+            let group = index.group_of(Zone(0), MachineType(0));
             let batch = (0..members)
                 .map(|id| change(servers.insert(ready(id, group)), group, id))
                 .collect();
@@ -166,7 +169,7 @@
 fn rechecks_come_in_the_order_of_their_times_and_not_before() {
     let mut index = ChoiceIndex::default();
     let mut servers = Servers::default();
-    index.group_of(0, 0);
+    index.group_of(Zone(0), MachineType(0));
     let places = [0, 1, 2].map(|id| servers.insert(ready(id, 0)));
     for (at, place) in [(30, places[0]), (10, places[1]), (20, places[2])] {
         index.set(place, &mut servers[place], Position::Barred, Some(at));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,5 +6,6 @@
 mod demand;
 mod index;
 pub mod proxy;
+mod spread;
 mod state;
 pub mod wire;
--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -63,8 +63,8 @@
         let connection = tokio::select! {
             biased;
             connection = self.fleet.connection(self.endpoint, self.deadlines.give_up) => connection,
-            Ok(()) = &mut cancel => return Outcome::Moot.into(),
-            () = self.unwanted() => return Outcome::Moot.into(),
+            Ok(()) = &mut cancel => return Outcome::NotSent.into(),
+            () = self.unwanted() => return Outcome::NotSent.into(),
         };
         let mut connection = match connection {
             Ok(connection) => connection,
@@ -72,7 +72,7 @@
         };
         // Rule 3: while the connection came up, the backend may have begun to drain or have been replaced.
         if !self.endpoint.is_ready() || connection.generation != self.endpoint.generation() {
-            return Outcome::Moot.into();
+            return Outcome::NotSent.into();
         }
         let left = self
             .deadlines
@@ -80,10 +80,10 @@
             .saturating_duration_since(Instant::now());
         if left < LEAST_TIME {
             self.fleet.keep(self.endpoint, connection);
-            return Outcome::Moot.into();
+            return Outcome::NotSent.into();
         }
         let Some(body) = self.call.body.for_attempt() else {
-            return Outcome::Moot.into();
+            return Outcome::NotSent.into();
         };
         let request = build_request(self.call, body, self.endpoint.address(), left);
         let whole_at = whole_at(&connection, &request);
@@ -213,7 +213,7 @@
     fn answered_early(&self, reply: Reply) -> AttemptResult {
         let result = self.fleet.result_of(reply);
         if result.outcome == Outcome::Ok {
-            Outcome::Spoilt.into()
+            Outcome::CorruptResponse.into()
         } else {
             result
         }
@@ -228,11 +228,11 @@
         };
         match error {
             // The client's own doing is reported of no backend.
-            _ if !all_written && client_broke() => Outcome::Moot,
+            _ if !all_written && client_broke() => Outcome::NotSent,
             // Also ahead of the whole request: nobody knows what an early answer means.
-            ExchangeError::Malformed => Outcome::Spoilt,
+            ExchangeError::Malformed => Outcome::CorruptResponse,
             ExchangeError::Cancelled if all_written => Outcome::Cancelled,
-            ExchangeError::Cancelled => Outcome::Moot,
+            ExchangeError::Cancelled => Outcome::NotSent,
             ExchangeError::TimedOut if all_written => Outcome::Timeout,
             ExchangeError::Connection if all_written => Outcome::Reset,
             ExchangeError::TimedOut | ExchangeError::Connection => Outcome::ConnectFailed,
--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -213,7 +213,7 @@
     pub(super) fn outcome(&self) -> Outcome {
         match self {
             Self::Backend => Outcome::ConnectFailed,
-            Self::Local => Outcome::Moot,
+            Self::Local => Outcome::NotSent,
         }
     }
 }
--- a/src/proxy/backends/fleet.rs
+++ b/src/proxy/backends/fleet.rs
@@ -119,7 +119,7 @@
         started: Option<Micros>,
     ) {
         let mut endpoints = self.endpoints.borrow_mut();
-        if readiness == Readiness::Gone {
+        if readiness == Readiness::Removed {
             // Attempts that are out there hold it until they end; a backend of its name later is another one.
             return endpoints
                 .remove(&id)
--- a/src/proxy/backends/probe.rs
+++ b/src/proxy/backends/probe.rs
@@ -32,12 +32,12 @@
         connection.wire.begin_request(None);
         let reply = match timeout_at(until, exchange(&mut connection.sender, request)).await {
             Err(_) => return Outcome::Timeout.into(),
-            Ok(Err(ExchangeError::Malformed)) => return Outcome::Spoilt.into(),
+            Ok(Err(ExchangeError::Malformed)) => return Outcome::CorruptResponse.into(),
             Ok(Err(_)) => return Outcome::Reset.into(),
             Ok(Ok(reply)) => reply,
         };
         let ReplyBody::Whole(body) = &reply.body else {
-            return Outcome::Spoilt.into();
+            return Outcome::CorruptResponse.into();
         };
         let text = String::from_utf8_lossy(&body.joined()).into_owned();
         self.keep(&endpoint, connection);
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -56,7 +56,7 @@
         };
         passed += data.len() as u64;
         if passed > PASS_CAP {
-            return Outcome::Spoilt;
+            return Outcome::CorruptResponse;
         }
         if sender.send(data, ANSWER_STALL).await.is_err() {
             return Outcome::Cancelled;
@@ -76,7 +76,7 @@
 
 fn broken_off(error: hyper::Error) -> Outcome {
     match ExchangeError::from(error) {
-        ExchangeError::Malformed => Outcome::Spoilt,
+        ExchangeError::Malformed => Outcome::CorruptResponse,
         _ => Outcome::Reset,
     }
 }
--- a/src/proxy/backends/reply.rs
+++ b/src/proxy/backends/reply.rs
@@ -44,7 +44,7 @@
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
                 if self.headers.get(UNPROCESSED).is_some_and(|v| v == "1") =>
             {
-                Outcome::Full
+                Outcome::Rejected
             }
             _ => Outcome::Error,
         }
--- a/src/proxy/backends/tests.rs
+++ b/src/proxy/backends/tests.rs
@@ -10,7 +10,7 @@
     for id in 0..100 {
         fleet.update(id, address, Readiness::Ready, None);
         if id % 2 == 0 {
-            fleet.update(id, address, Readiness::Gone, None);
+            fleet.update(id, address, Readiness::Removed, None);
         } else {
             fleet.retain(|listed| listed > id);
         }
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -5,7 +5,7 @@
     forwarded, origin_form,
 };
 use super::{Class, Clients};
-use crate::api::Micros;
+use crate::api::{ClassIndex, Micros, TenantIndex};
 use crate::proxy::backends::{CORRELATION_ID, Call, CancelSignal};
 use crate::proxy::bodies::{BodyBuffer, BodyDeadline, CallBody, Upload, next_data};
 use crate::proxy::budget::Reserved;
@@ -103,8 +103,8 @@
         // The time of a request counts from its last byte.
         let arrived = self.clock.now();
         if let Some(left) = self.lifecycle.time_left() {
-            request.patience = request
-                .patience
+            request.timeout = request
+                .timeout
                 .min(left.as_micros().try_into().unwrap_or(Micros::MAX));
         }
         Ok(Inbound {
@@ -126,13 +126,13 @@
         let (class, facts) = self.class(head)?;
         check_method_and_ids(head, facts)?;
         Ok(crate::api::Request {
-            tenant: self.tenant(head)?,
-            patience: patience(head)?.min(facts.deadline),
+            tenant: TenantIndex(self.tenant(head)?),
+            timeout: patience(head)?.min(facts.deadline),
             id: self.handle.next_request_id(),
-            class,
+            class: ClassIndex(class),
             key: head.uri.query().and_then(key),
-            work: text(head, &WEIGHT_HINT).and_then(|v| v.trim().parse().ok()),
-            repeat: text(head, &REPEAT) == Some("1"),
+            expected_work: text(head, &WEIGHT_HINT).and_then(|v| v.trim().parse().ok()),
+            is_retry: text(head, &REPEAT) == Some("1"),
         })
     }
 
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -13,7 +13,7 @@
 use super::lifecycle::Lifecycle;
 use super::limits::{ACCEPT_BACKOFF, CLIENT_HEAD_CAP};
 use super::messages::Handle;
-use crate::api::{Effect, Micros, Settings};
+use crate::api::{Idempotency, Micros, Settings};
 use hyper::Method;
 use hyper::header::HeaderValue;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -64,9 +64,9 @@
         budget: Budget,
     ) -> Rc<Self> {
         let class = |c: &crate::api::Class| Class {
-            deadline: c.deadline,
-            needs_key: matches!(c.effect, Effect::Keyed { .. }),
-            method: if c.effect == Effect::Safe {
+            deadline: c.timeout,
+            needs_key: matches!(c.idempotency, Idempotency::Keyed { .. }),
+            method: if c.idempotency == Idempotency::Idempotent {
                 Method::GET
             } else {
                 Method::POST
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -104,7 +104,7 @@
             ));
         };
         let upload = inbound.call.body.pending_upload();
-        let ticket = self.counters.begin_request(inbound.request.class);
+        let ticket = self.counters.begin_request(inbound.request.class.0);
         let (response, outcome) = match self
             .wait_for_answer(inbound, connection, upload.is_some())
             .await?
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -5,7 +5,8 @@
 use super::connect;
 use super::lifecycle::Lifecycle;
 use super::messages::{Handle, Listed, Message, Scope};
-use crate::api::{Backend, BackendId, Readiness};
+use crate::api::{Backend, BackendId, Cell, MachineType, Readiness, Zone};
+use crate::spread::golden_ratio_position;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -44,8 +45,6 @@
 /// How late the answer to a standing watch may be, which waits for no turn and was seen to come within a millisecond.
 /// What it misses counts as told two seconds after its wait: most of them are for the turn of the call that opens it anew.
 const SILENT_AFTER: Duration = Duration::from_millis(250);
-/// The golden ratio's fraction spreads the proxies' waits evenly, whatever their number.
-const GOLDEN: f64 = 0.618_033_988_749_894_9;
 /// How long after a failed call an agent is asked again. What it hears at the return of discovery counts as told at
 /// once, so this has to be short beside the grace for drains, which some settings put at a quarter of a second.
 const AGENT_BACKOFF: Duration = Duration::from_millis(100);
@@ -66,7 +65,7 @@
     #[must_use]
     pub fn new(calls: mpsc::UnboundedReceiver<()>, me: u32, proxies: u32) -> Self {
         let span = (WAITS_DIFFER * proxies.saturating_sub(1)).min(WAITS_DIFFER_MOST);
-        let place = (f64::from(me) * GOLDEN).fract();
+        let place = golden_ratio_position(me);
         Self {
             calls,
             wait: ASKED_WAIT - span / 2 + span.mul_f64(place),
@@ -179,7 +178,7 @@
         for member in raw.members {
             match self.member(member) {
                 Ok((listed, name)) => {
-                    if listed.backend.readiness == Readiness::Gone {
+                    if listed.backend.readiness == Readiness::Removed {
                         gone.push(name);
                     }
                     entries.push(listed);
@@ -213,7 +212,7 @@
         let stays = list
             .entries
             .iter()
-            .filter(|entry| entry.backend.readiness != Readiness::Gone);
+            .filter(|entry| entry.backend.readiness != Readiness::Removed);
         let stays: FxHashSet<BackendId> = stays.map(|entry| entry.backend.id).collect();
         if list.complete {
             self.numbers.retain(|_, id| stays.contains(id));
@@ -243,7 +242,7 @@
         let readiness = match raw.phase.as_ref() {
             "active" => Readiness::Ready,
             "leaving" => Readiness::Draining,
-            "left" => Readiness::Gone,
+            "left" => Readiness::Removed,
             other => return Err(format!("unknown phase `{other}`")),
         };
         let zone = self.zones.get(raw.locality.as_ref()).copied();
@@ -254,11 +253,11 @@
         let started = self.started(id, raw.up_since_ms);
         let backend = Backend {
             id,
-            zone,
-            kind,
-            cell: raw.cell,
+            zone: Zone(zone),
+            machine_type: MachineType(kind),
+            cell: Cell(raw.cell),
             readiness,
-            started,
+            started_at: started,
         };
         Ok((Listed { backend, address }, raw.id))
     }
--- a/src/proxy/driver.rs
+++ b/src/proxy/driver.rs
@@ -7,7 +7,7 @@
 use super::messages::{Answer, Handle, Inbound, Listed, Message, Scope};
 use super::request_log;
 use crate::api::{
-    Action, Backend, BackendId, Event, Membership, Micros, Outcome, RequestId, Settled,
+    Action, AttemptEnd, Backend, BackendId, Event, MembershipEvent, Micros, Outcome, RequestId,
 };
 use crate::balancer::Balancer;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -188,7 +188,7 @@
             return;
         };
         give_answer(request, client, Answer::Failed);
-        self.handle_event(now, Event::ClientGone(request));
+        self.handle_event(now, Event::ClientDisconnected(request));
         self.remove_if_finished(request);
     }
 
@@ -203,7 +203,7 @@
                     request_log::client_left(request);
                     // Rule 1: an attempt that still waits for its connection is not sent for nobody.
                     open.call.cancel.trigger();
-                    self.handle_event(now, Event::ClientGone(request));
+                    self.handle_event(now, Event::ClientDisconnected(request));
                     self.remove_if_finished(request);
                 }
             }
@@ -236,10 +236,10 @@
             arrived,
             call,
         } = inbound;
-        let end = arrived.saturating_add(request.patience);
+        let end = arrived.saturating_add(request.timeout);
         let left = end.saturating_sub(now);
         // A client with hardly any time at all is not robbed of what it has.
-        request.patience = left.saturating_sub(ANSWER_MARGIN.min(left / 2));
+        request.timeout = left.saturating_sub(ANSWER_MARGIN.min(left / 2));
         let last = now + left.saturating_sub(LAST_MARGIN.min(left / 4));
         let open = OpenRequest {
             call: Rc::new(call),
@@ -261,15 +261,15 @@
         }
         for Listed { backend, address } in entries {
             self.fleet
-                .update(backend.id, *address, backend.readiness, backend.started);
+                .update(backend.id, *address, backend.readiness, backend.started_at);
         }
         let backends: Vec<Backend> = entries.iter().map(|e| e.backend).collect();
         let news = match scope {
-            Scope::Delta => Membership::Delta(&backends),
-            Scope::Full => Membership::Full(&backends),
-            Scope::Cached => Membership::Cached(&backends),
-            Scope::Failed => Membership::Failed,
-            Scope::Silent => Membership::Silent,
+            Scope::Delta => MembershipEvent::Delta(&backends),
+            Scope::Full => MembershipEvent::Full(&backends),
+            Scope::Cached => MembershipEvent::Cached(&backends),
+            Scope::Failed => MembershipEvent::WatchFailed,
+            Scope::Silent => MembershipEvent::WatchStalled,
         };
         self.handle_event(now, Event::Membership(news));
     }
@@ -285,10 +285,10 @@
         while let Some(pending) = self.pending.pop_front() {
             match pending {
                 Pending::Probed { backend, result } => {
-                    let event = Event::Probed {
+                    let event = Event::HealthChecked {
                         backend,
                         outcome: result.outcome,
-                        report: &result.report,
+                        load_report: &result.report,
                     };
                     self.balancer.handle(now, event, &mut self.actions);
                 }
@@ -332,7 +332,7 @@
         let elapsed = self.elapsed(now, open, attempt);
         self.handle_event(
             now,
-            Event::FirstByte {
+            Event::ResponseStarted {
                 request,
                 attempt: number,
                 elapsed,
@@ -366,18 +366,18 @@
         }
         let closed = open.client.is_none();
         let (outcome, report, spent) = (result.outcome, result.report.as_slice(), result.spent);
-        let settled = Settled {
+        let settled = AttemptEnd {
             request,
             backend,
             attempt: number,
             outcome,
-            closed,
+            request_answered: closed,
             elapsed,
-            report,
-            spent,
+            load_report: report,
+            body_consumed: spent,
         };
         self.balancer
-            .handle(now, Event::Settled(settled), &mut self.actions);
+            .handle(now, Event::AttemptEnded(settled), &mut self.actions);
         self.execute_actions(now);
         self.remove_if_finished(request);
     }
@@ -400,12 +400,12 @@
                 Action::Send {
                     request,
                     backend,
-                    give_up_at,
-                    write_by,
+                    deadline,
+                    write_deadline,
                 } => {
-                    self.send(now, request, backend, give_up_at, write_by);
+                    self.send(now, request, backend, deadline, write_deadline);
                 }
-                Action::Refuse {
+                Action::Reject {
                     request,
                     retry_after,
                 } => {
@@ -420,8 +420,8 @@
                 Action::Subscribe => {
                     let _ = self.subscribe.send(());
                 }
-                Action::Probe(backend) => self.probe(backend),
-                Action::CloseIdle(backend) => self.fleet.close_idle(backend),
+                Action::HealthCheck(backend) => self.probe(backend),
+                Action::CloseIdleConnections(backend) => self.fleet.close_idle(backend),
                 Action::Log(line) => tracing::info!("{line}"),
             }
         }
@@ -461,7 +461,7 @@
         let may_go =
             open.client.is_some() && usize::from(number) < self.max_attempts && give_up_at > now;
         let Some(endpoint) = self.fleet.endpoint(backend).filter(|_| may_go) else {
-            let result = Outcome::Moot.into();
+            let result = Outcome::NotSent.into();
             self.pending.push_back(Pending::Settled {
                 request,
                 attempt: number,
--- a/src/proxy/request_log.rs
+++ b/src/proxy/request_log.rs
@@ -16,9 +16,9 @@
         target: REQUEST_TARGET,
         request = request.id,
         correlation_id = inbound.call.correlation_id(),
-        class = request.class,
-        tenant = request.tenant,
-        time_left = ?Duration::from_micros(request.patience),
+        class = request.class.0,
+        tenant = request.tenant.0,
+        time_left = ?Duration::from_micros(request.timeout),
         "received",
     );
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What a balancer remembers: plain data for `balancer/`, where everything is decided.
 
-use crate::api::{BackendId, Micros, RequestId};
+use crate::api::{BackendId, Cell, MachineType, Micros, RequestId, Zone};
 use rustc_hash::FxHashMap;
 
 /// A figure as of a point in time.
@@ -59,9 +59,9 @@
 #[derive(Default)]
 pub(crate) struct Server {
     pub(crate) id: BackendId,
-    pub(crate) zone: u16,
-    pub(crate) kind: u8,
-    pub(crate) cell: u16,
+    pub(crate) zone: Zone,
+    pub(crate) kind: MachineType,
+    pub(crate) cell: Cell,
     /// Discovery lists it; one that is gone is forgotten once no request names it.
     pub(crate) listed: bool,
     pub(crate) ready: bool,
@@ -277,8 +277,8 @@
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Scope {
     Anywhere,
-    Zone(u16),
-    Cell(u16),
+    Zone(Zone),
+    Cell(Cell),
     Nowhere,
 }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,8 +1,9 @@
 //! The simulator's wire: binary frames in and out, and the settings in JSON. No decision is taken here.
 
 use crate::api::{
-    Action, Backend, Class, DedupGroup, Effect, Micros, Outcome, Permissions, Readiness,
-    ReportFields, Request, RequestId, Safety, Settings, SettingsError, Tenant,
+    Action, Backend, Cell, Class, ClassIndex, DiscoveryMode, Idempotency, KeyScope,
+    LoadReportFields, MachineType, Micros, Outcome, Permissions, Readiness, Request, RequestId,
+    SafetyLimits, Settings, SettingsError, Tenant, TenantIndex, Zone,
 };
 use serde::Deserialize;
 use std::fmt;
@@ -116,12 +117,12 @@
         };
         Some(Request {
             id,
-            class,
-            tenant,
+            class: ClassIndex(class),
+            tenant: TenantIndex(tenant),
             key: (key != 0).then_some(key),
-            patience: Micros::from(patience),
-            work: work.map(Micros::from),
-            repeat,
+            timeout: Micros::from(patience),
+            expected_work: work.map(Micros::from),
+            is_retry: repeat,
         })
     }
 }
@@ -177,12 +178,12 @@
         Ok(match self.u16(at)? {
             100 => Outcome::Ok,
             301 => Outcome::Error,
-            302 => Outcome::Full,
+            302 => Outcome::Rejected,
             303 => Outcome::Timeout,
             304 => Outcome::ConnectFailed,
             305 => Outcome::Reset,
             306 => Outcome::Cancelled,
-            307 => Outcome::Moot,
+            307 => Outcome::NotSent,
             other => {
                 return self.wrong(at, &format!("an outcome of 100 or 301 to 307, not {other}"));
             }
@@ -332,16 +333,16 @@
         };
         Ok(Backend {
             id: f.u32(0)?,
-            zone: f.u16(4)?,
-            kind: f.u8(6)?,
-            cell: f.u16(7)?,
+            zone: Zone(f.u16(4)?),
+            machine_type: MachineType(f.u8(6)?),
+            cell: Cell(f.u16(7)?),
             readiness: match f.u8(9)? {
-                0 => Readiness::Gone,
+                0 => Readiness::Removed,
                 1 => Readiness::Ready,
                 2 => Readiness::Draining,
                 other => return f.wrong(9, &format!("a readiness of 0 to 2, not {other}")),
             },
-            started: Some(f.u64(14)?).filter(|&t| t != 0),
+            started_at: Some(f.u64(14)?).filter(|&t| t != 0),
         })
     };
     entries.chunks_exact(ENTRY).enumerate().map(parse).collect()
@@ -391,7 +392,7 @@
             Action::Send {
                 request,
                 backend,
-                give_up_at,
+                deadline: give_up_at,
                 ..
             } => {
                 self.record(
@@ -403,7 +404,7 @@
                     ],
                 );
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -416,9 +417,9 @@
             Action::SetTimer { after, token } => {
                 self.record(68, &[&micros(*after), &token.to_be_bytes()])
             }
-            Action::Probe(backend) => self.record(69, &[&backend.to_be_bytes()]),
-            Action::CloseIdle(backend) => self.record(70, &[&backend.to_be_bytes()]),
-            Action::Log(text) => self.text(72, text),
+            Action::HealthCheck(backend) => self.record(69, &[&backend.to_be_bytes()]),
+            Action::CloseIdleConnections(backend) => self.record(70, &[&backend.to_be_bytes()]),
+            Action::Log(event) => self.text(72, &event.to_string()),
             Action::Subscribe => self.record(74, &[&[1]]),
         }
     }
@@ -551,29 +552,29 @@
 
 fn class(index: usize, raw: &RawClass) -> Result<Class, SettingsError> {
     let effect = match raw.effect.as_str() {
-        "retryable" => Effect::Safe,
-        "fragile" => Effect::Unsafe,
+        "retryable" => Idempotency::Idempotent,
+        "fragile" => Idempotency::NonIdempotent,
         "dedup" => {
             let group = match raw.group.as_str() {
-                "all" => DedupGroup::All,
-                "zone" => DedupGroup::Zone,
-                "cell" => DedupGroup::Cell,
+                "all" => KeyScope::AllBackends,
+                "zone" => KeyScope::Zone,
+                "cell" => KeyScope::Cell,
                 other => return Err(unknown(&format!("classes[{index}].group"), other)),
             };
-            Effect::Keyed {
-                group,
+            Idempotency::Keyed {
+                scope: group,
                 ttl: raw.key_ttl_us,
             }
         }
         other => return Err(unknown(&format!("classes[{index}].effect"), other)),
     };
     Ok(Class {
-        aim: raw.aim_us,
-        aim_stretch: raw.aim_stretch,
-        deadline: raw.deadline_us,
-        worth: raw.worth,
-        late_worth: raw.late_worth,
-        effect,
+        latency_objective: raw.aim_us,
+        objective_work_factor: raw.aim_stretch,
+        timeout: raw.deadline_us,
+        priority_weight: raw.worth,
+        late_weight_factor: raw.late_worth,
+        idempotency: effect,
     })
 }
 
@@ -597,52 +598,52 @@
         .map(|(i, c)| class(i, c))
         .collect::<Result<_, _>>()?;
     let settings = Settings {
-        me: raw.me,
-        balancers: raw.balancers,
-        zone: raw.zone,
-        zones: raw.failure_domains.len().max(1) as u16,
-        kinds: raw.kinds.len().clamp(1, 255) as u8,
-        discovery_on_request: match raw.membership_mode.as_str() {
-            "pushed" => false,
-            "on_request" => true,
+        proxy_index: raw.me,
+        proxy_count: raw.balancers,
+        zone: Zone(raw.zone),
+        zone_count: raw.failure_domains.len().max(1) as u16,
+        machine_type_count: raw.kinds.len().clamp(1, 255) as u8,
+        discovery_mode: match raw.membership_mode.as_str() {
+            "pushed" => DiscoveryMode::Pushed,
+            "on_request" => DiscoveryMode::Polled,
             other => return Err(unknown("membershipMode", other)),
         },
-        warm_keys: raw.family_info.warm_keys,
+        key_affinity: raw.family_info.warm_keys,
         classes,
         tenants: raw
             .tenants
             .iter()
             .map(|t| Tenant {
-                allowance_per_s: t.allowance_per_s,
+                quota_per_s: t.allowance_per_s,
             })
             .collect(),
-        over_share_worth: raw.over_share_worth,
-        cross_zone_price: raw.penalties.cross_zone,
-        probe_price: raw.penalties.probe,
-        report: ReportFields {
-            active: position("active"),
-            waiting: position("waiting"),
-            avg_ms: position("avg_ms"),
+        over_quota_weight: raw.over_share_worth,
+        cross_zone_cost: raw.penalties.cross_zone,
+        health_check_cost: raw.penalties.probe,
+        load_report: LoadReportFields {
+            in_flight: position("active"),
+            queued: position("waiting"),
+            service_time_ms: position("avg_ms"),
         },
-        report_by_probe: raw.load_report.via == "probe",
+        load_report_by_health_check: raw.load_report.via == "probe",
         permissions: Permissions {
             max_attempts: raw.permissions.max_attempts,
-            second_copies: raw.permissions.second_copies,
-            cancel: raw.permissions.cancel,
-            probes: raw.permissions.probes,
-            conn_idle: raw.permissions.conn_idle_us,
-            multiplex: raw.permissions.multiplex,
-            retry_after: raw
+            hedging: raw.permissions.second_copies,
+            cancellation: raw.permissions.cancel,
+            health_checks: raw.permissions.probes,
+            idle_timeout: raw.permissions.conn_idle_us,
+            requests_per_connection: raw.permissions.multiplex,
+            max_retry_after: raw
                 .permissions
                 .retry_after
                 .then_some(raw.permissions.max_retry_after_us),
         },
-        safety: Safety {
-            ask_within: raw.safety.ask_within_us,
-            cold_from: raw.safety.cold_from,
-            cold_time: raw.safety.cold_us,
-            fall_multiple: raw.safety.fall_multiple,
-            fall_time: raw.safety.fall_us,
+        safety: SafetyLimits {
+            poll_interval: raw.safety.ask_within_us,
+            slow_start_initial_capacity: raw.safety.cold_from,
+            slow_start_duration: raw.safety.cold_us,
+            collapse_load_factor: raw.safety.fall_multiple,
+            collapse_time: raw.safety.fall_us,
         },
     };
     settings.validate()?;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,61 +10,61 @@
 /// How far past its deadline a request may be answered.
 const SLACK: Micros = 20 * MS;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
-        aim: 500 * MS,
-        aim_stretch: 0.0,
-        deadline: 2 * SECOND,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
+        latency_objective: 500 * MS,
+        objective_work_factor: 0.0,
+        timeout: 2 * SECOND,
+        priority_weight: 1.0,
+        late_weight_factor: 0.0,
+        idempotency: effect,
     }
 }
 
 /// Two zones, one proxy, one class of each effect: safe, unsafe, keyed for all, for a zone, for a cell.
 pub fn settings() -> Settings {
     let keyed = |group| {
-        class(Effect::Keyed {
-            group,
+        class(Idempotency::Keyed {
+            scope: group,
             ttl: 600 * MS,
         })
     };
     Settings {
-        me: 0,
-        balancers: 1,
-        zone: 0,
-        zones: 2,
-        kinds: 1,
-        discovery_on_request: false,
-        warm_keys: false,
+        proxy_index: 0,
+        proxy_count: 1,
+        zone: Zone(0),
+        zone_count: 2,
+        machine_type_count: 1,
+        discovery_mode: DiscoveryMode::Pushed,
+        key_affinity: false,
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            keyed(DedupGroup::All),
-            keyed(DedupGroup::Zone),
-            keyed(DedupGroup::Cell),
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+            keyed(KeyScope::AllBackends),
+            keyed(KeyScope::Zone),
+            keyed(KeyScope::Cell),
         ],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
-        cross_zone_price: 0.05,
-        probe_price: 0.01,
-        report: ReportFields::default(),
-        report_by_probe: false,
+        over_quota_weight: 0.1,
+        cross_zone_cost: 0.05,
+        health_check_cost: 0.01,
+        load_report: LoadReportFields::default(),
+        load_report_by_health_check: false,
         permissions: Permissions {
             max_attempts: 4,
-            second_copies: false,
-            cancel: true,
-            probes: false,
-            conn_idle: 5 * SECOND,
-            multiplex: 1,
-            retry_after: Some(SECOND),
+            hedging: false,
+            cancellation: true,
+            health_checks: false,
+            idle_timeout: 5 * SECOND,
+            requests_per_connection: 1,
+            max_retry_after: Some(SECOND),
         },
-        safety: Safety {
-            ask_within: 10 * SECOND,
-            cold_from: 0.2,
-            cold_time: 10 * SECOND,
-            fall_multiple: 2.5,
-            fall_time: 2 * SECOND,
+        safety: SafetyLimits {
+            poll_interval: 10 * SECOND,
+            slow_start_initial_capacity: 0.2,
+            slow_start_duration: 10 * SECOND,
+            collapse_load_factor: 2.5,
+            collapse_time: 2 * SECOND,
         },
     }
 }
@@ -73,23 +73,23 @@
 pub fn backend(id: BackendId) -> Backend {
     Backend {
         id,
-        zone: (id % 2) as u16,
-        kind: 0,
-        cell: (id / 6 * 2 + id % 2) as u16,
+        zone: Zone((id % 2) as u16),
+        machine_type: MachineType(0),
+        cell: Cell((id / 6 * 2 + id % 2) as u16),
         readiness: Readiness::Ready,
-        started: None,
+        started_at: None,
     }
 }
 
 pub fn request(id: RequestId, class: u8) -> Request {
     Request {
         id,
-        class,
-        tenant: 0,
+        class: ClassIndex(class),
+        tenant: TenantIndex(0),
         key: None,
-        patience: 2 * SECOND,
-        work: None,
-        repeat: false,
+        timeout: 2 * SECOND,
+        expected_work: None,
+        is_retry: false,
     }
 }
 
@@ -131,7 +131,7 @@
 
 impl Proxy {
     pub fn new(settings: Settings, servers: impl IntoIterator<Item = Backend>) -> Self {
-        let seed = 7 + u64::from(settings.me);
+        let seed = 7 + u64::from(settings.proxy_index);
         Self::seeded(settings, seed, servers)
     }
 
@@ -154,7 +154,7 @@
             log: Vec::new(),
         };
         let list: Vec<Backend> = servers.into_iter().collect();
-        proxy.list(Membership::Cached(&list));
+        proxy.list(MembershipEvent::Cached(&list));
         proxy
     }
 
@@ -174,10 +174,10 @@
             Action::Send {
                 request,
                 backend,
-                give_up_at,
+                deadline: give_up_at,
                 ..
             } => self.check_send(request, backend, give_up_at),
-            Action::Refuse { request, .. } => self.check_end(request, true),
+            Action::Reject { request, .. } => self.check_end(request, true),
             Action::Fail { request } => self.check_end(request, false),
             Action::Cancel { request, attempt } => {
                 let tracked = &self.requests[&request];
@@ -185,13 +185,15 @@
                     usize::from(attempt) < tracked.attempts.len(),
                     "cancelled an attempt never made"
                 );
-                assert!(self.settings.permissions.cancel);
+                assert!(self.settings.permissions.cancellation);
             }
             Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
-            Action::Probe(backend) => {
-                assert!(self.settings.permissions.probes && self.servers.contains_key(&backend));
+            Action::HealthCheck(backend) => {
+                assert!(
+                    self.settings.permissions.health_checks && self.servers.contains_key(&backend)
+                );
             }
-            Action::CloseIdle(backend) => assert!(self.servers.contains_key(&backend)),
+            Action::CloseIdleConnections(backend) => assert!(self.servers.contains_key(&backend)),
             Action::Subscribe | Action::Log(_) => {}
         }
     }
@@ -219,7 +221,7 @@
         assert!(tracked.attempts.len() < usize::from(settings.permissions.max_attempts));
         let out = tracked.attempts.iter().any(|a| a.state == State::Out);
         assert!(
-            !out || settings.permissions.second_copies,
+            !out || settings.permissions.hedging,
             "rule 2: two attempts out"
         );
         let ran: Vec<&Attempt> = tracked
@@ -227,20 +229,22 @@
             .iter()
             .filter(|a| a.state != State::NeverRan)
             .collect();
-        match settings.classes[usize::from(tracked.class)].effect {
-            Effect::Safe => {}
-            Effect::Unsafe => assert!(ran.is_empty(), "rule 2: an unsafe request was repeated"),
-            Effect::Keyed { group, ttl } => {
+        match settings.classes[usize::from(tracked.class)].idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NonIdempotent => {
+                assert!(ran.is_empty(), "rule 2: an unsafe request was repeated")
+            }
+            Idempotency::Keyed { scope, ttl } => {
                 for earlier in ran {
                     let other = self.servers[&earlier.backend];
                     assert!(
                         self.now <= earlier.sent_at + ttl,
                         "rule 2: a repeat after the key's time"
                     );
-                    assert!(match group {
-                        DedupGroup::All => true,
-                        DedupGroup::Zone => other.zone == server.zone,
-                        DedupGroup::Cell => other.cell == server.cell,
+                    assert!(match scope {
+                        KeyScope::AllBackends => true,
+                        KeyScope::Zone => other.zone == server.zone,
+                        KeyScope::Cell => other.cell == server.cell,
                     });
                 }
             }
@@ -264,10 +268,10 @@
             "rule 1: a late final answer"
         );
         let first = tracked.attempts.iter().find(|a| a.state != State::NeverRan);
-        let harmless = match self.settings.classes[usize::from(tracked.class)].effect {
-            Effect::Safe => true,
-            Effect::Keyed {
-                group: DedupGroup::All,
+        let harmless = match self.settings.classes[usize::from(tracked.class)].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed {
+                scope: KeyScope::AllBackends,
                 ttl,
             } => first.is_none_or(|a| self.now < a.sent_at.saturating_add(ttl)),
             _ => first.is_none(),
@@ -276,13 +280,14 @@
         tracked.ended = true;
     }
 
-    pub fn list(&mut self, news: Membership<'_>) -> Vec<Action> {
-        let (Membership::Delta(entries) | Membership::Full(entries) | Membership::Cached(entries)) =
-            news
+    pub fn list(&mut self, news: MembershipEvent<'_>) -> Vec<Action> {
+        let (MembershipEvent::Delta(entries)
+        | MembershipEvent::Full(entries)
+        | MembershipEvent::Cached(entries)) = news
         else {
             return self.event(Event::Membership(news));
         };
-        if !matches!(news, Membership::Delta(_)) {
+        if !matches!(news, MembershipEvent::Delta(_)) {
             self.servers
                 .keys()
                 .for_each(|&id| _ = self.barred.entry(id).or_insert(self.now));
@@ -299,10 +304,10 @@
     }
 
     pub fn request(&mut self, request: Request) -> Vec<Action> {
-        let class = request.class.min(self.settings.classes.len() as u8 - 1);
+        let class = request.class.0.min(self.settings.classes.len() as u8 - 1);
         let tracked = Tracked {
             class,
-            deadline: self.now + request.patience,
+            deadline: self.now + request.timeout,
             ended: false,
             attempts: Vec::new(),
         };
@@ -328,7 +333,7 @@
             .expect("a request that is known");
         let which = &mut tracked.attempts[usize::from(attempt)];
         assert_eq!(which.state, State::Out);
-        which.state = if outcome.never_ran() {
+        which.state = if outcome.is_not_executed() {
             State::NeverRan
         } else {
             State::MayHaveRun
@@ -336,15 +341,15 @@
         let (backend, elapsed) = (which.backend, self.now - which.sent_at);
         tracked.ended |= outcome == Outcome::Ok;
         let closed = tracked.ended;
-        self.event(Event::Settled(Settled {
+        self.event(Event::AttemptEnded(AttemptEnd {
             request,
             backend,
             attempt,
             outcome,
-            closed,
+            request_answered: closed,
             elapsed,
-            report,
-            spent: false,
+            load_report: report,
+            body_consumed: false,
         }))
     }
 
@@ -409,7 +414,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -9,8 +9,8 @@
 fn one_zone(n: u32) -> Vec<Backend> {
     (0..n)
         .map(|id| Backend {
-            zone: 0,
-            cell: 0,
+            zone: Zone(0),
+            cell: Cell(0),
             ..backend(id)
         })
         .collect()
@@ -18,7 +18,7 @@
 
 fn single_zone() -> Settings {
     Settings {
-        zones: 1,
+        zone_count: 1,
         ..settings()
     }
 }
@@ -71,7 +71,7 @@
     let refusals = proxy.log.iter().filter(|(_, a)| {
         matches!(
             a,
-            Action::Refuse {
+            Action::Reject {
                 retry_after: 1..,
                 ..
             }
@@ -97,7 +97,7 @@
 #[test]
 fn a_held_request_of_higher_worth_goes_first() {
     let mut settings = single_zone();
-    settings.classes[2].worth = 10.0;
+    settings.classes[2].priority_weight = 10.0;
     let mut proxy = Proxy::new(settings, one_zone(1));
     (0..10).for_each(|id| _ = proxy.request(request(id, 0)));
     proxy.request(request(50, 2));
@@ -129,7 +129,7 @@
 fn a_server_that_turns_away_is_left_alone_for_a_while() {
     let mut proxy = Proxy::new(single_zone(), one_zone(3));
     let full = sent_to(&proxy.request(request(0, 0))).expect("there is room");
-    proxy.settle(0, 0, Outcome::Full);
+    proxy.settle(0, 0, Outcome::Rejected);
     assert_eq!(proxy.in_flight(full), 0);
     (1..9).for_each(|id| _ = proxy.request(request(id, 0)));
     assert_eq!(
@@ -146,7 +146,7 @@
     while !proxy
         .log
         .iter()
-        .any(|(_, a)| matches!(a, Action::Log(line) if line.starts_with("ejected server 2")))
+        .any(|(_, a)| matches!(a, Action::Log(LogEvent::Ejected { backend: 2, .. })))
     {
         id += 1;
         assert!(id < 400, "server 2 fails every request and must be ejected");
@@ -177,9 +177,10 @@
     let (id, attempt, _) = *proxy.out().iter().find(|o| o.2 == 2).expect("the trial");
     proxy.settle(id, attempt, Outcome::Ok);
     assert!(
-        proxy.log.iter().any(
-            |(_, a)| matches!(a, Action::Log(line) if line.starts_with("readmitted server 2"))
-        )
+        proxy
+            .log
+            .iter()
+            .any(|(_, a)| matches!(a, Action::Log(LogEvent::Readmitted { backend: 2 })))
     );
 }
 
@@ -200,7 +201,7 @@
     let ejected = proxy
         .log
         .iter()
-        .filter(|(_, a)| matches!(a, Action::Log(line) if line.starts_with("ejected")));
+        .filter(|(_, a)| matches!(a, Action::Log(LogEvent::Ejected { .. })));
     assert!(ejected.count() >= 3);
     let sent = (1000..1040)
         .filter(|&id| sent_to(&proxy.request(request(id, 0))).is_some())
@@ -217,7 +218,7 @@
         for id in 0..800 {
             proxy.request(request(id, 0));
             proxy.advance(10 * MS);
-            let (turn, outcomes) = (id % part, [Outcome::Ok, Outcome::Spoilt]);
+            let (turn, outcomes) = (id % part, [Outcome::Ok, Outcome::CorruptResponse]);
             for (request, attempt, _) in proxy.out() {
                 let spoilt = turn == 0 && request == id && attempt == 0;
                 proxy.settle(request, attempt, outcomes[usize::from(spoilt)]);
@@ -227,7 +228,7 @@
         let ejected = proxy
             .log
             .iter()
-            .filter(|(_, a)| matches!(a, Action::Log(line) if line.starts_with("ejected")));
+            .filter(|(_, a)| matches!(a, Action::Log(LogEvent::Ejected { .. })));
         (ejected.count(), proxy.out().len())
     };
     let (unspoilt, spoilt) = (ejections(u32::MAX), ejections(10));
@@ -242,7 +243,7 @@
 }
 
 fn ejections(proxy: &Proxy) -> usize {
-    let ejected = |a: &Action| matches!(a, Action::Log(line) if line.starts_with("ejected"));
+    let ejected = |a: &Action| matches!(a, Action::Log(LogEvent::Ejected { .. }));
     proxy.log.iter().filter(|(_, a)| ejected(a)).count()
 }
 
@@ -338,7 +339,7 @@
     proxy.serve(|_| 0);
     for id in 0..6 {
         proxy.request(request(id, 0));
-        proxy.settle(id, 0, Outcome::Spoilt);
+        proxy.settle(id, 0, Outcome::CorruptResponse);
         assert_eq!(proxy.requests[&id].attempts.len(), 2, "request {id}");
         proxy.advance(5 * MS);
         proxy.settle(id, 1, Outcome::Ok);
@@ -470,7 +471,7 @@
         let outcome = if id % 3 == 0 {
             Outcome::Error
         } else {
-            Outcome::Full
+            Outcome::Rejected
         };
         proxy
             .out()
@@ -488,8 +489,8 @@
 fn a_proxy_without_any_slot_still_serves() {
     for me in 0..40 {
         let settings = Settings {
-            me,
-            balancers: 40,
+            proxy_index: me,
+            proxy_count: 40,
             ..single_zone()
         };
         let mut proxy = Proxy::new(settings, one_zone(1));
@@ -503,8 +504,8 @@
         let sent = |me| {
             let mut proxy = Proxy::new(
                 Settings {
-                    me,
-                    balancers,
+                    proxy_index: me,
+                    proxy_count: balancers,
                     ..single_zone()
                 },
                 one_zone(50),
@@ -527,11 +528,9 @@
 #[test]
 fn requests_over_their_tenants_share_give_way_first() {
     let tenants = vec![
+        Tenant { quota_per_s: 1.0 },
         Tenant {
-            allowance_per_s: 1.0,
-        },
-        Tenant {
-            allowance_per_s: 1000.0,
+            quota_per_s: 1000.0,
         },
     ];
     let mut proxy = Proxy::new(
@@ -545,7 +544,7 @@
     proxy.serve(|_| 0);
     let mut flood = 0;
     while sent_to(&proxy.request(Request {
-        tenant: 0,
+        tenant: TenantIndex(0),
         ..request(flood, 0)
     }))
     .is_some()
@@ -553,7 +552,7 @@
         flood += 1;
     }
     let within = sent_to(&proxy.request(Request {
-        tenant: 1,
+        tenant: TenantIndex(1),
         ..request(9000, 0)
     }));
     assert!(
@@ -566,7 +565,7 @@
 fn in_ask_mode_it_subscribes_and_tries_again_after_a_failure() {
     let mut proxy = Proxy::new(
         Settings {
-            discovery_on_request: true,
+            discovery_mode: DiscoveryMode::Polled,
             ..settings()
         },
         [],
@@ -580,7 +579,7 @@
     };
     assert_eq!(asked(&proxy), 1);
     for failures in 1..6 {
-        proxy.list(Membership::Failed);
+        proxy.list(MembershipEvent::WatchFailed);
         assert_eq!(asked(&proxy), failures, "not at once");
         proxy.advance(5 * SECOND);
         assert_eq!(asked(&proxy), failures + 1);
@@ -593,19 +592,23 @@
     for (ask_within, balancers, call) in [(4 * SECOND, 300, 5 * SECOND), (SECOND, 3, 2 * SECOND)] {
         for seed in 0..200 {
             let settings = Settings {
-                balancers,
-                discovery_on_request: true,
+                proxy_count: balancers,
+                discovery_mode: DiscoveryMode::Polled,
                 ..settings()
             };
-            let safety = tillerproxy::api::Safety {
-                ask_within,
+            let safety = tillerproxy::api::SafetyLimits {
+                poll_interval: ask_within,
                 ..settings.safety
             };
             let mut balancer = Balancer::new(Settings { safety, ..settings }, seed, SECOND)
                 .expect("good settings");
             for failures in 1..8 {
                 let mut actions = Vec::new();
-                balancer.handle(SECOND, Event::Membership(Membership::Failed), &mut actions);
+                balancer.handle(
+                    SECOND,
+                    Event::Membership(MembershipEvent::WatchFailed),
+                    &mut actions,
+                );
                 let [Action::SetTimer { after, .. }] = actions[..] else {
                     panic!("{actions:?}")
                 };
@@ -620,11 +623,11 @@
 }
 
 /// How many of so many proxies call discovery in the busiest second after such news.
-fn busiest_second(balancers: u32, news: &[Membership<'_>]) -> usize {
+fn busiest_second(balancers: u32, news: &[MembershipEvent<'_>]) -> usize {
     let ask = |seed| {
         let settings = Settings {
-            balancers,
-            discovery_on_request: true,
+            proxy_count: balancers,
+            discovery_mode: DiscoveryMode::Polled,
             ..settings()
         };
         let mut balancer = Balancer::new(settings, seed, SECOND).expect("the settings make sense");
@@ -647,14 +650,14 @@
 
 #[test]
 fn a_fleet_that_starts_or_fails_together_does_not_ask_discovery_together() {
-    let start = [Membership::Cached(&[])];
+    let start = [MembershipEvent::Cached(&[])];
     assert!(
         busiest_second(100, &start) <= 65,
         "{} calls",
         busiest_second(100, &start)
     );
     // Five calls a second where the rules leave the time for it, all the time that they leave where they don't.
-    let failed = [Membership::Cached(&[]), Membership::Failed];
+    let failed = [MembershipEvent::Cached(&[]), MembershipEvent::WatchFailed];
     assert!(
         busiest_second(12, &failed) <= 9,
         "{} calls",
@@ -672,14 +675,14 @@
     // What discovery has and could tell is known 6 s later, whatever failed before; a call takes up to 3.5 s.
     for seed in 0..300 {
         let settings = Settings {
-            balancers: 710,
-            discovery_on_request: true,
+            proxy_count: 710,
+            discovery_mode: DiscoveryMode::Polled,
             ..settings()
         };
         let mut balancer = Balancer::new(settings, seed, SECOND).expect("good settings");
-        for news in [Membership::Cached(&[])]
+        for news in [MembershipEvent::Cached(&[])]
             .into_iter()
-            .chain([Membership::Failed; 8])
+            .chain([MembershipEvent::WatchFailed; 8])
         {
             let mut actions = Vec::new();
             balancer.handle(SECOND, Event::Membership(news), &mut actions);
@@ -696,7 +699,7 @@
     let mut balancer = Balancer::new(single_zone(), 1, 0).expect("good settings");
     balancer.handle(
         0,
-        Event::Membership(Membership::Cached(backends)),
+        Event::Membership(MembershipEvent::Cached(backends)),
         &mut Vec::new(),
     );
     balancer
@@ -712,7 +715,7 @@
         assert_eq!(sent_to(&out), Some(0), "request {id}");
         balancer.handle(
             now,
-            Event::FirstByte {
+            Event::ResponseStarted {
                 request: id,
                 attempt: 0,
                 elapsed: 5 * MS,
@@ -736,17 +739,17 @@
         };
         let (backend, attempt, closed, elapsed, report, spent) =
             (0, 0, true, now, [].as_slice(), false);
-        let settled = Settled {
+        let settled = AttemptEnd {
             request: id,
             backend,
             attempt,
             outcome,
-            closed,
+            request_answered: closed,
             elapsed,
-            report,
-            spent,
+            load_report: report,
+            body_consumed: spent,
         };
-        balancer.handle(now, Event::Settled(settled), &mut Vec::new());
+        balancer.handle(now, Event::AttemptEnded(settled), &mut Vec::new());
     }
     begin(&mut balancer, now, 51);
     assert_eq!(balancer.avoided(now), 0);
@@ -760,22 +763,22 @@
         balancer.handle(0, Event::Request(request(1, 0)), &mut out);
         let backend = sent_to(&out).expect("it is sent");
         let (outcome, closed, elapsed, report) = (Outcome::ConnectFailed, false, MS, [].as_slice());
-        let settled = Settled {
+        let settled = AttemptEnd {
             request: 1,
             backend,
             attempt: 0,
             outcome,
-            closed,
+            request_answered: closed,
             elapsed,
-            report,
-            spent,
+            load_report: report,
+            body_consumed: spent,
         };
         out.clear();
-        balancer.handle(MS, Event::Settled(settled), &mut out);
+        balancer.handle(MS, Event::AttemptEnded(settled), &mut out);
         assert_eq!(sent_to(&out).is_some(), !spent, "{out:?}");
         assert_eq!(
             out.iter()
-                .any(|a| matches!(a, Action::Refuse { request: 1, .. })),
+                .any(|a| matches!(a, Action::Reject { request: 1, .. })),
             spent,
             "{out:?}"
         );
@@ -790,13 +793,13 @@
         readiness: Readiness::Draining,
         ..one_zone(1)[0]
     }];
-    proxy.event(Event::Membership(Membership::Delta(&leaving)));
+    proxy.event(Event::Membership(MembershipEvent::Delta(&leaving)));
     assert_eq!(proxy.balancer.avoided(proxy.now), 1);
     let gone = [Backend {
-        readiness: Readiness::Gone,
+        readiness: Readiness::Removed,
         ..one_zone(1)[0]
     }];
-    proxy.event(Event::Membership(Membership::Delta(&gone)));
+    proxy.event(Event::Membership(MembershipEvent::Delta(&gone)));
     assert_eq!(proxy.balancer.avoided(proxy.now), 0, "it is listed no more");
     proxy.request(request(1, 0));
     proxy.now += 9 * SECOND;
@@ -807,7 +810,7 @@
 fn a_stream_that_has_begun_is_left_alone() {
     let mut proxy = Proxy::new(single_zone(), one_zone(3));
     proxy.request(request(1, 0));
-    proxy.event(Event::FirstByte {
+    proxy.event(Event::ResponseStarted {
         request: 1,
         attempt: 0,
         elapsed: 5,
@@ -826,28 +829,21 @@
 /// tenants within their share were treated as over it.
 #[test]
 fn a_tenant_that_asks_for_less_of_its_allowance_than_others_is_not_over_its_share() {
-    let tenants = vec![
-        Tenant {
-            allowance_per_s: 100.0,
-        },
-        Tenant {
-            allowance_per_s: 100.0,
-        },
-    ];
+    let tenants = vec![Tenant { quota_per_s: 100.0 }, Tenant { quota_per_s: 100.0 }];
     let mut proxy = Proxy::new(
         Settings {
             tenants,
-            balancers: 100,
+            proxy_count: 100,
             ..single_zone()
         },
         one_zone(40),
     );
     let modest = |id| Request {
-        tenant: 0,
+        tenant: TenantIndex(0),
         ..request(id, 0)
     };
     let flood = |id| Request {
-        tenant: 1,
+        tenant: TenantIndex(1),
         ..request(id, 0)
     };
     let mut held = [0, 0];
@@ -879,7 +875,9 @@
 }
 
 fn closed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::CloseIdle(_)))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::CloseIdleConnections(_)))
 }
 
 /// kochi-main's idle_reap days: connections were dropped unseen while they rested, and each use of one lost a
@@ -892,7 +890,7 @@
         proxy.advance(rest);
         id += 1;
         let actions = proxy.request(Request {
-            patience: 300 * MS,
+            timeout: 300 * MS,
             ..request(id, 1)
         });
         assert_eq!(sent_to(&actions), Some(0));
@@ -947,8 +945,8 @@
 fn a_proxy_with_few_slots_can_have_more_than_one_request_out_on_different_servers() {
     let two = |me| {
         let settings = Settings {
-            me,
-            balancers: 100,
+            proxy_index: me,
+            proxy_count: 100,
             ..single_zone()
         };
         let mut proxy = Proxy::new(settings, one_zone(60));
@@ -968,16 +966,16 @@
 #[test]
 fn a_report_of_a_slow_server_lowers_its_limit_at_once_where_a_proxy_has_few_slots() {
     let mut settings = Settings {
-        balancers: 100,
+        proxy_count: 100,
         ..single_zone()
     };
-    settings.report.avg_ms = Some(0);
+    settings.load_report.service_time_ms = Some(0);
     let back = |slow: bool| {
         let mut sends = 0;
         for me in 0..20 {
             let mut proxy = Proxy::new(
                 Settings {
-                    me,
+                    proxy_index: me,
                     ..settings.clone()
                 },
                 one_zone(60),
@@ -1011,7 +1009,7 @@
     let wait = |balancers| {
         let mut proxy = Proxy::new(
             Settings {
-                balancers,
+                proxy_count: balancers,
                 ..single_zone()
             },
             one_zone(40),
@@ -1019,7 +1017,7 @@
         (0..200).for_each(|id| _ = proxy.request(request(id, 0)));
         proxy.advance(300 * MS);
         let waits = proxy.log.iter().filter_map(|(_, a)| match a {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         });
         waits.max().expect("some are refused")
@@ -1035,8 +1033,8 @@
     for me in 0..200 {
         let mut proxy = Proxy::new(
             Settings {
-                me,
-                balancers: 60,
+                proxy_index: me,
+                proxy_count: 60,
                 ..single_zone()
             },
             one_zone(60),
@@ -1060,15 +1058,15 @@
 #[test]
 fn times_at_the_far_end_of_the_clock_are_no_trouble() {
     let mut settings = single_zone();
-    settings.classes[2].effect = Effect::Keyed {
-        group: DedupGroup::All,
+    settings.classes[2].idempotency = Idempotency::Keyed {
+        scope: KeyScope::AllBackends,
         ttl: Micros::MAX,
     };
     let mut proxy = Proxy::new(
         settings,
         [
             Backend {
-                started: Some(Micros::MAX),
+                started_at: Some(Micros::MAX),
                 ..backend(0)
             },
             backend(2),
@@ -1087,12 +1085,12 @@
 fn a_refused_client_is_told_when_to_come_back_also_where_nothing_is_known_of_how_long_it_heeds() {
     for (most, told) in [(None, 1..=500 * MS), (Some(30 * MS), 30 * MS..=30 * MS)] {
         let mut settings = single_zone();
-        settings.permissions.retry_after = most;
+        settings.permissions.max_retry_after = most;
         let mut proxy = Proxy::new(settings, one_zone(2));
         (0..10).for_each(|id| _ = proxy.request(request(id, 0)));
         proxy.advance(300 * MS);
         let mut waits = proxy.log.iter().filter_map(|(_, a)| match a {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         });
         assert!(waits.clone().next().is_some() && waits.all(|wait| told.contains(&wait)));
@@ -1128,8 +1126,8 @@
     let mut sends = [0_u32; 20];
     for me in 0..25 {
         let settings = Settings {
-            me: 4 * me,
-            balancers: 100,
+            proxy_index: 4 * me,
+            proxy_count: 100,
             ..single_zone()
         };
         let mut proxy = Proxy::new(settings, one_zone(20));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -10,7 +10,7 @@
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
@@ -70,26 +70,26 @@
     };
     let settled = |attempt| {
         let (backend, outcome) = (number, Outcome::Ok);
-        Event::Settled(Settled {
+        Event::AttemptEnded(AttemptEnd {
             request,
             backend,
             attempt,
             outcome,
-            closed: false,
+            request_answered: false,
             elapsed: 5,
-            report: &[1.0],
-            spent: false,
+            load_report: &[1.0],
+            body_consumed: false,
         })
     };
     match what % 4 {
         0 => proxy.event(Event::Timer(number)),
-        1 => proxy.event(Event::Probed {
+        1 => proxy.event(Event::HealthChecked {
             backend: number,
             outcome: Outcome::Ok,
-            report: &[],
+            load_report: &[],
         }),
         2 => proxy.event(settled(500)),
-        _ if known != Some(request) => proxy.event(Event::ClientGone(request)),
+        _ if known != Some(request) => proxy.event(Event::ClientDisconnected(request)),
         _ => proxy.event(settled(999)),
     };
 }
@@ -106,9 +106,9 @@
             } => {
                 let key = Some(key).filter(|&k| k > 0);
                 proxy.request(Request {
-                    tenant,
+                    tenant: TenantIndex(tenant),
                     key,
-                    patience,
+                    timeout: patience,
                     ..request(number as u32, class)
                 });
             }
@@ -124,20 +124,20 @@
                 readiness,
                 restarted,
             } => {
-                let readiness = [Readiness::Ready, Readiness::Draining, Readiness::Gone]
+                let readiness = [Readiness::Ready, Readiness::Draining, Readiness::Removed]
                     [usize::from(readiness)];
                 let started = restarted.then_some(proxy.now);
-                proxy.list(Membership::Delta(&[Backend {
+                proxy.list(MembershipEvent::Delta(&[Backend {
                     readiness,
-                    started,
+                    started_at: started,
                     ..backend(id)
                 }]));
             }
             Step::Full(ref ids) => {
                 let entries: Vec<Backend> = ids.iter().map(|&id| backend(id)).collect();
-                proxy.list(Membership::Full(&entries));
+                proxy.list(MembershipEvent::Full(&entries));
             }
-            Step::DiscoveryFails => _ = proxy.list(Membership::Failed),
+            Step::DiscoveryFails => _ = proxy.list(MembershipEvent::WatchFailed),
             Step::ClientLeaves(which) => {
                 let open: Vec<_> = proxy
                     .requests
@@ -151,7 +151,7 @@
                         .get_mut(&id)
                         .expect("it was just found")
                         .ended = true;
-                    proxy.event(Event::ClientGone(id));
+                    proxy.event(Event::ClientDisconnected(id));
                 }
             }
             Step::Odd(what, number) => odd(&mut proxy, what, number),
@@ -177,12 +177,16 @@
         max_attempts in 1..6_u16,
     ) {
         let mut settings = settings();
-        settings.permissions.second_copies = second_copies;
+        settings.permissions.hedging = second_copies;
         settings.permissions.max_attempts = max_attempts;
-        settings.balancers = balancers;
-        settings.warm_keys = warm_keys;
-        settings.discovery_on_request = max_attempts % 2 == 0;
-        settings.tenants = vec![Tenant { allowance_per_s: 5.0 }, Tenant { allowance_per_s: 50.0 }];
+        settings.proxy_count = balancers;
+        settings.key_affinity = warm_keys;
+        settings.discovery_mode = if max_attempts % 2 == 0 {
+            DiscoveryMode::Polled
+        } else {
+            DiscoveryMode::Pushed
+        };
+        settings.tenants = vec![Tenant { quota_per_s: 5.0 }, Tenant { quota_per_s: 50.0 }];
         let log = play(settings.clone(), &steps);
         prop_assert_eq!(log, play(settings, &steps), "the same events lead to the same actions");
     }
@@ -208,7 +212,7 @@
 
 #[test]
 fn an_unsafe_request_that_never_ran_goes_elsewhere() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot] {
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut proxy = Proxy::new(settings(), (0..6).map(backend));
         let first = sent_to(&proxy.request(request(1, 1)));
         let second = sent_to(&proxy.settle(1, 0, outcome));
@@ -241,12 +245,12 @@
         .filter(|&id| sent_to(&proxy.request(request(id, 0))).is_some())
         .count();
     assert!(sent < 200, "some are held");
-    proxy.list(Membership::Delta(&[Backend {
+    proxy.list(MembershipEvent::Delta(&[Backend {
         readiness: Readiness::Draining,
         ..backend(0)
     }]));
     for (id, attempt, _) in proxy.out() {
-        let actions = proxy.settle(id, attempt, Outcome::Full);
+        let actions = proxy.settle(id, attempt, Outcome::Rejected);
         assert_eq!(sent_to(&actions), None);
     }
     proxy.advance(3 * SECOND);
@@ -257,16 +261,16 @@
 /// after `cold` by the other.
 fn cold_sends(balancers: u32, pause: Micros, latency: Micros, cold: Micros) -> Vec<Micros> {
     let mut settings = settings();
-    (settings.zones, settings.balancers) = (1, balancers);
+    (settings.zone_count, settings.proxy_count) = (1, balancers);
     let mut cold_sends = Vec::new();
     for me in 0..balancers {
         let mut proxy = Proxy::new(
             Settings {
-                me,
+                proxy_index: me,
                 ..settings.clone()
             },
             (0..10).map(|i| Backend {
-                zone: 0,
+                zone: Zone(0),
                 ..backend(i)
             }),
         );
@@ -286,9 +290,9 @@
             };
         run(&mut proxy, 5 * SECOND, latency, &mut Vec::new());
         let started = Some(proxy.now);
-        proxy.list(Membership::Delta(&[Backend {
-            zone: 0,
-            started,
+        proxy.list(MembershipEvent::Delta(&[Backend {
+            zone: Zone(0),
+            started_at: started,
             ..backend(3)
         }]));
         run(&mut proxy, 4 * SECOND, cold, &mut cold_sends);
@@ -339,12 +343,12 @@
 }
 
 /// A cold server that bears little, so that the budget binds and not the concurrency limits.
-const SMALL_BUDGET: Safety = Safety {
-    ask_within: 10 * SECOND,
-    cold_from: 0.1,
-    cold_time: 10 * SECOND,
-    fall_multiple: 1.5,
-    fall_time: 2 * SECOND,
+const SMALL_BUDGET: SafetyLimits = SafetyLimits {
+    poll_interval: 10 * SECOND,
+    slow_start_initial_capacity: 0.1,
+    slow_start_duration: 10 * SECOND,
+    collapse_load_factor: 1.5,
+    collapse_time: 2 * SECOND,
 };
 
 /// How long after its restart sends to a cold server are looked at.
@@ -358,16 +362,16 @@
     const STEP: Micros = 50 * MS;
     const WARM_UP: Micros = 12 * SECOND;
     let mut settings = settings();
-    (settings.zones, settings.balancers, settings.safety) = (1, balancers, SMALL_BUDGET);
+    (settings.zone_count, settings.proxy_count, settings.safety) = (1, balancers, SMALL_BUDGET);
     let mut sends = Vec::new();
     for me in 0..balancers {
         let servers = (0..10).map(|id| Backend {
-            zone: 0,
+            zone: Zone(0),
             ..backend(id)
         });
         let mut proxy = Proxy::seeded(
             Settings {
-                me,
+                proxy_index: me,
                 ..settings.clone()
             },
             u64::from(me),
@@ -380,9 +384,9 @@
             let restarted = proxy.now >= restart;
             if proxy.now == restart {
                 let started = Some(restart);
-                proxy.list(Membership::Delta(&[Backend {
-                    zone: 0,
-                    started,
+                proxy.list(MembershipEvent::Delta(&[Backend {
+                    zone: Zone(0),
+                    started_at: started,
                     ..backend(RESTARTED)
                 }]));
             }
@@ -426,23 +430,27 @@
 /// that is more.
 #[test]
 fn all_proxies_together_stay_under_a_cold_servers_budget_in_bursts() {
-    let Safety {
-        cold_from,
-        fall_multiple,
-        fall_time,
+    let SafetyLimits {
+        slow_start_initial_capacity,
+        collapse_load_factor,
+        collapse_time,
         ..
     } = SMALL_BUDGET;
     for balancers in [20, 30] {
         for (pause, burst) in [(SECOND, 6), (SECOND, 20)] {
             let offered = f64::from(balancers * burst) * SECOND as f64 / pause as f64 / 10.0;
             let capacity = offered.max(SECOND as f64 / (40 * MS) as f64);
-            let n = fall_multiple * cold_from * capacity * fall_time as f64 / SECOND as f64;
+            let n = collapse_load_factor
+                * slow_start_initial_capacity
+                * capacity
+                * collapse_time as f64
+                / SECOND as f64;
             let allowed = n + 2.0 * n.sqrt() + 2.0;
             let sends = cold_sends_in_bursts(balancers, pause, burst);
             let window = |&t: &Micros| {
                 sends
                     .iter()
-                    .filter(|&&u| u >= t && u < t + fall_time)
+                    .filter(|&&u| u >= t && u < t + collapse_time)
                     .count()
             };
             let most = sends
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of other customers: all that tells one deployment from another is taken from the configuration.
 
 use serde_json::{Value, json};
-use tillerproxy::api::{DedupGroup, Effect};
+use tillerproxy::api::{Idempotency, KeyScope};
 use tillerproxy::proxy::config::Config;
 
 fn config(settings: &Value) -> Value {
@@ -54,17 +54,22 @@
 #[test]
 fn settings_of_unlike_customers_are_taken_as_they_are() {
     let ferries = parse(&config(&ferries())).expect("good settings");
-    let effects: Vec<_> = ferries.settings.classes.iter().map(|c| c.effect).collect();
+    let effects: Vec<_> = ferries
+        .settings
+        .classes
+        .iter()
+        .map(|c| c.idempotency)
+        .collect();
     assert_eq!(
         effects,
         [
-            Effect::Safe,
-            Effect::Keyed {
-                group: DedupGroup::Zone,
+            Idempotency::Idempotent,
+            Idempotency::Keyed {
+                scope: KeyScope::Zone,
                 ttl: 700_000
             },
-            Effect::Keyed {
-                group: DedupGroup::Cell,
+            Idempotency::Keyed {
+                scope: KeyScope::Cell,
                 ttl: 400_000
             },
         ]
@@ -73,7 +78,10 @@
         ferries.names.classes,
         ["sailings", "seat-hold", "boarding-scan"]
     );
-    assert!(ferries.names.tenants.is_empty() && !ferries.settings.discovery_on_request);
+    assert!(
+        ferries.names.tenants.is_empty()
+            && ferries.settings.discovery_mode == tillerproxy::api::DiscoveryMode::Pushed
+    );
     assert_eq!(
         (
             ferries.settings.permissions.max_attempts,
@@ -83,12 +91,12 @@
     );
     assert_eq!(
         (
-            ferries.settings.report.avg_ms,
-            ferries.settings.report.active
+            ferries.settings.load_report.service_time_ms,
+            ferries.settings.load_report.in_flight
         ),
         (Some(0), None)
     );
-    assert_eq!(ferries.settings.permissions.retry_after, None);
+    assert_eq!(ferries.settings.permissions.max_retry_after, None);
 
     let ticketing = parse(&config(&ticketing())).expect("good settings");
     assert!(
@@ -96,16 +104,22 @@
             .settings
             .classes
             .iter()
-            .all(|c| c.effect == Effect::Unsafe)
+            .all(|c| c.idempotency == Idempotency::NonIdempotent)
     );
     assert_eq!(
-        ticketing.settings.classes.iter().map(|c| c.deadline).max(),
+        ticketing.settings.classes.iter().map(|c| c.timeout).max(),
         Some(400_000)
     );
     assert_eq!(ticketing.names.tenants, ["umeda-hall", "street-kiosks"]);
-    assert!(ticketing.settings.discovery_on_request && ticketing.settings.report_by_probe);
-    assert_eq!(ticketing.settings.permissions.retry_after, Some(900_000));
-    assert_eq!(ticketing.settings.zones, 1);
+    assert!(
+        ticketing.settings.discovery_mode == tillerproxy::api::DiscoveryMode::Polled
+            && ticketing.settings.load_report_by_health_check
+    );
+    assert_eq!(
+        ticketing.settings.permissions.max_retry_after,
+        Some(900_000)
+    );
+    assert_eq!(ticketing.settings.zone_count, 1);
 }
 
 #[test]
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -136,7 +136,7 @@
             "permissions": {"maxAttempts": 1},
             "safety": {"askWithinUs": ask_within.as_micros() as u64, "coldFrom": 0.3, "coldUs": 1_000_000, "fallMultiple": 3.0, "fallUs": 2_000_000}});
         let settings = parse_settings(settings.to_string().as_bytes()).expect("good settings");
-        let asked = settings.discovery_on_request;
+        let asked = settings.discovery_mode == tillerproxy::api::DiscoveryMode::Polled;
         let clock = Clock::start();
         let fleet = Fleet::new(10, 250_000, 1_000_000, Vec::new(), Counters::new(&[]));
         let balancer =
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -44,13 +44,16 @@
     let request = read[1].request().expect("a request");
     assert_eq!(
         (request.id, request.class, request.tenant),
-        (0x5d3a_91c4, 0, 0)
+        (0x5d3a_91c4, ClassIndex(0), TenantIndex(0))
     );
     assert_eq!(
-        (request.key, request.patience),
+        (request.key, request.timeout),
         (Some(0x91f0_3b7c_55d2_0a64), 240_000)
     );
-    assert_eq!((request.work, request.repeat), (Some(12_000), false));
+    assert_eq!(
+        (request.expected_work, request.is_retry),
+        (Some(12_000), false)
+    );
     assert_eq!(
         read[2..],
         [
@@ -77,10 +80,10 @@
     };
     let entries = wire::parse_entries(entries).expect("good entries");
     assert_eq!(
-        (entries[0].id, entries[0].zone, entries[0].started),
-        (0x0312_4a07, 0, None)
+        (entries[0].id, entries[0].zone, entries[0].started_at),
+        (0x0312_4a07, Zone(0), None)
     );
-    assert_eq!(entries[1].started, Some(0x5d_1420));
+    assert_eq!(entries[1].started_at, Some(0x5d_1420));
     assert_eq!(entries[1].readiness, Readiness::Draining);
     assert_eq!(
         read[1],
@@ -93,7 +96,7 @@
         request: 0x5d3a_91c4,
         backend: 0x0312_4a07,
         attempt: 2,
-        outcome: Outcome::Full,
+        outcome: Outcome::Rejected,
         closed: true,
         elapsed: 0x4844,
         report: vec![2.5],
@@ -138,8 +141,8 @@
     let send = Action::Send {
         request: 0x5d3a_91c4,
         backend: 0x0312_4a07,
-        give_up_at: 0x8194da,
-        write_by: None,
+        deadline: 0x8194da,
+        write_deadline: None,
     };
     reply.action(3, &send);
     reply.action(
@@ -149,17 +152,17 @@
             token: 77,
         },
     );
-    reply.action(5, &Action::Log("two servers known".into()));
-    let expected = "00000048
+    reply.action(5, &Action::Log(LogEvent::Readmitted { backend: 9 }));
+    let expected = "00000061
         4c 00000002 0003
         40 00000010 5d3a91c4 00000000008194da 03124a07
         44 00000008 0007a120 0000004d
         4c 00000002 0005
-        48 00000013 0011 74776f2073657276657273206b6e6f776e";
+        48 0000002c 002a 726561646d6974746564206261636b656e642039206166746572206120747269616c2072657175657374";
     assert_eq!(reply.finish(), hex(expected));
     reply.action(
         1,
-        &Action::Refuse {
+        &Action::Reject {
             request: 1,
             retry_after: 2,
         },
@@ -172,9 +175,9 @@
             attempt: 3,
         },
     );
-    reply.action(1, &Action::Probe(9));
+    reply.action(1, &Action::HealthCheck(9));
     reply.action(1, &Action::Subscribe);
-    reply.action(1, &Action::CloseIdle(9));
+    reply.action(1, &Action::CloseIdleConnections(9));
     reply.fatal(1, "x");
     let expected = "00000048 4c 00000002 0001
         41 00000008 00000001 00000002
@@ -200,31 +203,31 @@
 #[test]
 fn settings_are_read_and_unknown_keys_passed_over() {
     let settings = wire::parse_settings(SETTINGS.as_bytes()).expect("good settings");
-    assert!(settings.discovery_on_request && settings.warm_keys);
+    assert!(settings.discovery_mode == DiscoveryMode::Polled && settings.key_affinity);
     assert_eq!(
         (
-            settings.me,
-            settings.balancers,
+            settings.proxy_index,
+            settings.proxy_count,
             settings.zone,
-            settings.zones
+            settings.zone_count
         ),
-        (2, 5, 1, 2)
+        (2, 5, Zone(1), 2)
     );
-    let keyed = Effect::Keyed {
-        group: DedupGroup::Cell,
+    let keyed = Idempotency::Keyed {
+        scope: KeyScope::Cell,
         ttl: 3_000_000,
     };
-    assert_eq!(settings.classes[0].effect, keyed);
+    assert_eq!(settings.classes[0].idempotency, keyed);
     assert_eq!(
         (
-            settings.report.active,
-            settings.report.avg_ms,
-            settings.report.waiting
+            settings.load_report.in_flight,
+            settings.load_report.service_time_ms,
+            settings.load_report.queued
         ),
         (Some(1), Some(0), None)
     );
-    assert_eq!(settings.permissions.retry_after, Some(7));
-    assert_eq!(settings.tenants[0].allowance_per_s, 12.5);
+    assert_eq!(settings.permissions.max_retry_after, Some(7));
+    assert_eq!(settings.tenants[0].quota_per_s, 12.5);
 }
 
 #[test]
