--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a balancer, fixed while it runs.
 
-use super::{Micros, Zone};
+use super::{ClassIndex, Micros, Zone};
 use thiserror::Error;
 
 /// Which backends drop a repeated request with the same idempotency key.
@@ -156,6 +156,15 @@
 }
 
 impl Settings {
+    /// Returns a class.
+    ///
+    /// # Panics
+    /// If there is no such class.
+    #[must_use]
+    pub fn class(&self, index: ClassIndex) -> &Class {
+        &self.classes[index.index()]
+    }
+
     /// Checks that the figures can be worked with.
     ///
     /// # Errors
--- /dev/null
+++ b/src/balancer/index/ranked_set.rs
@@ -0,0 +1,197 @@
+//! An ordered set with a flag for each member.
+
+use crate::api::BackendId;
+use std::ops::Range;
+
+const WORD_BITS: usize = u64::BITS as usize;
+/// A batch of at least this many changes ...
+const MIN_MERGED_BATCH: usize = 8;
+/// ... and of this part of the set is merged in one pass over the set.
+const MERGED_PART_DIVISOR: usize = 64;
+
+/// A set of backends in the order of their ids, each with a value and a flag.
+///
+/// The position of a member in that order is its rank. A flag is set or read in constant time once the rank is known;
+/// counting flags looks at one word for 64 members.
+pub(crate) struct RankedSet<V> {
+    ids: Vec<BackendId>,
+    values: Vec<V>,
+    flags: Vec<u64>,
+}
+
+impl<V> Default for RankedSet<V> {
+    fn default() -> Self {
+        Self {
+            ids: Vec::new(),
+            values: Vec::new(),
+            flags: Vec::new(),
+        }
+    }
+}
+
+impl<V: Copy> RankedSet<V> {
+    /// Returns the number of members.
+    pub(crate) fn len(&self) -> usize {
+        self.ids.len()
+    }
+
+    /// Returns the rank of a member.
+    pub(crate) fn rank(&self, id: BackendId) -> Option<usize> {
+        self.ids.binary_search(&id).ok()
+    }
+
+    /// Returns the value that the member of that rank was inserted with.
+    pub(crate) fn value(&self, rank: usize) -> V {
+        self.values[rank]
+    }
+
+    /// Returns the flag of a member.
+    pub(crate) fn flag(&self, rank: usize) -> bool {
+        self.flags[rank / WORD_BITS] >> (rank % WORD_BITS) & 1 == 1
+    }
+
+    /// Sets the flag of a member.
+    pub(crate) fn set_flag(&mut self, rank: usize, flag: bool) {
+        let bit = 1 << (rank % WORD_BITS);
+        let word = &mut self.flags[rank / WORD_BITS];
+        if flag {
+            *word |= bit;
+        } else {
+            *word &= !bit;
+        }
+    }
+
+    /// Makes each id of the batch a member with the given value, or none where the value is `None`. An id must not stand
+    /// in the batch twice. Flags of members that stay are kept, new members have none.
+    pub(crate) fn apply(&mut self, mut batch: Vec<(BackendId, Option<V>)>) {
+        let is_large =
+            batch.len() >= MIN_MERGED_BATCH && batch.len() >= self.len() / MERGED_PART_DIVISOR;
+        if is_large {
+            batch.sort_unstable_by_key(|&(id, _)| id);
+            self.merge(&batch);
+            return;
+        }
+        for (id, value) in batch {
+            match (self.ids.binary_search(&id), value) {
+                (Ok(rank), Some(value)) => self.values[rank] = value,
+                (Ok(rank), None) => self.remove(rank),
+                (Err(rank), Some(value)) => self.insert(rank, id, value),
+                (Err(_), None) => {}
+            }
+        }
+    }
+
+    fn insert(&mut self, rank: usize, id: BackendId, value: V) {
+        self.ids.insert(rank, id);
+        self.values.insert(rank, value);
+        self.flags.resize(self.len().div_ceil(WORD_BITS), 0);
+        let low_bits = (1_u64 << (rank % WORD_BITS)) - 1;
+        let first = &mut self.flags[rank / WORD_BITS];
+        let mut carry = *first >> (WORD_BITS - 1);
+        *first = (*first & low_bits) | (*first & !low_bits) << 1;
+        for word in &mut self.flags[rank / WORD_BITS + 1..] {
+            let top_bit = *word >> (WORD_BITS - 1);
+            *word = *word << 1 | carry;
+            carry = top_bit;
+        }
+    }
+
+    fn remove(&mut self, rank: usize) {
+        self.ids.remove(rank);
+        self.values.remove(rank);
+        let low_bits = (1_u64 << (rank % WORD_BITS)) - 1;
+        let mut carry = 0;
+        for word in self.flags[rank / WORD_BITS + 1..].iter_mut().rev() {
+            let bottom_bit = *word & 1;
+            *word = *word >> 1 | carry << (WORD_BITS - 1);
+            carry = bottom_bit;
+        }
+        let first = &mut self.flags[rank / WORD_BITS];
+        *first = (*first & low_bits) | (*first >> 1 & !low_bits) | carry << (WORD_BITS - 1);
+        self.flags.truncate(self.ids.len().div_ceil(WORD_BITS));
+    }
+
+    fn merge(&mut self, batch: &[(BackendId, Option<V>)]) {
+        let old = std::mem::take(self);
+        let mut changes = batch.iter().peekable();
+        for (rank, &id) in old.ids.iter().enumerate() {
+            while let Some(&(new_id, value)) = changes.next_if(|&&(new_id, _)| new_id < id) {
+                self.push(new_id, value, false);
+            }
+            let value = match changes.next_if(|&&(changed, _)| changed == id) {
+                Some(&(_, value)) => value,
+                None => Some(old.values[rank]),
+            };
+            self.push(id, value, old.flag(rank));
+        }
+        for &(new_id, value) in changes {
+            self.push(new_id, value, false);
+        }
+    }
+
+    fn push(&mut self, id: BackendId, value: Option<V>, flag: bool) {
+        let Some(value) = value else {
+            return;
+        };
+        self.ids.push(id);
+        self.values.push(value);
+        self.flags.resize(self.len().div_ceil(WORD_BITS), 0);
+        self.set_flag(self.len() - 1, flag);
+    }
+
+    /// Counts the members of these ranks that have the flag.
+    pub(crate) fn count(&self, ranks: Range<usize>) -> usize {
+        self.words(ranks)
+            .map(|(_, word)| word.count_ones() as usize)
+            .sum()
+    }
+
+    /// Returns the rank of the `nth` member, from 0, that has the flag among these ranks.
+    pub(crate) fn select(&self, ranks: Range<usize>, nth: usize) -> Option<usize> {
+        let mut to_skip = nth;
+        for (position, mut word) in self.words(ranks) {
+            let flagged = word.count_ones() as usize;
+            if to_skip >= flagged {
+                to_skip -= flagged;
+                continue;
+            }
+            for _ in 0..to_skip {
+                let without_lowest_bit = word & (word - 1);
+                word = without_lowest_bit;
+            }
+            return Some(position * WORD_BITS + word.trailing_zeros() as usize);
+        }
+        None
+    }
+
+    /// Returns the words of flags that cover these ranks, with their positions; the flags of other ranks are cleared.
+    fn words(&self, ranks: Range<usize>) -> impl Iterator<Item = (usize, u64)> {
+        let first = ranks.start / WORD_BITS;
+        let end = if ranks.is_empty() {
+            first
+        } else {
+            ranks.end.div_ceil(WORD_BITS)
+        };
+        let words = self.flags[first..end].iter().enumerate();
+        words.map(move |(offset, word)| {
+            let position = first + offset;
+            (position, word & mask(&ranks, position))
+        })
+    }
+}
+
+/// Returns the bits of the word at `position` whose ranks are among `ranks`.
+fn mask(ranks: &Range<usize>, position: usize) -> u64 {
+    let from_start = if position == ranks.start / WORD_BITS {
+        u64::MAX << (ranks.start % WORD_BITS)
+    } else {
+        u64::MAX
+    };
+    let word_end = (position + 1) * WORD_BITS;
+    let to_end = if word_end > ranks.end {
+        u64::MAX >> (word_end - ranks.end)
+    } else {
+        u64::MAX
+    };
+    from_start & to_end
+}
--- a/src/index/tests.rs
+++ b/src/balancer/index/tests.rs
@@ -1,18 +1,20 @@
+use super::ranked_set::RankedSet;
 use super::*;
 use std::collections::BTreeMap;
+use std::ops::Range;
 
 /// A ranked set beside a plain ordered map that has to hold the same.
 #[derive(Default)]
 struct Pair {
-    set: RankedSet,
+    set: RankedSet<usize>,
     plain: BTreeMap<BackendId, (usize, bool)>,
 }
 
 impl Pair {
     fn apply(&mut self, batch: Vec<(BackendId, Option<usize>)>) {
-        for &(id, place) in &batch {
-            match place {
-                Some(place) => self.plain.entry(id).or_insert((place, false)).0 = place,
+        for &(id, value) in &batch {
+            match value {
+                Some(value) => self.plain.entry(id).or_insert((value, false)).0 = value,
                 None => drop(self.plain.remove(&id)),
             }
         }
@@ -32,14 +34,14 @@
         let members: Vec<_> = self
             .plain
             .iter()
-            .map(|(&id, &(place, flag))| (id, place, flag))
+            .map(|(&id, &(value, flag))| (id, value, flag))
             .collect();
         assert_eq!(self.set.len(), members.len());
-        for (rank, &(id, place, flag)) in members.iter().enumerate() {
+        for (rank, &(id, value, flag)) in members.iter().enumerate() {
             assert_eq!(self.set.rank(id), Some(rank));
             assert_eq!(
-                (self.set.place(rank), self.set.flag(rank)),
-                (place, flag),
+                (self.set.value(rank), self.set.flag(rank)),
+                (value, flag),
                 "rank {rank}"
             );
         }
@@ -87,49 +89,49 @@
     }
 }
 
-fn ready(id: BackendId, group: usize) -> Server {
-    Server {
+fn ready(id: BackendId, group: GroupKey) -> BackendState {
+    BackendState {
         id,
-        group,
+        index_entry: IndexEntry::new(group),
         ready: true,
         listed: true,
-        ..Server::default()
+        ..BackendState::default()
     }
 }
 
-fn change(place: usize, group: usize, id: BackendId) -> Change {
-    Change { place, group, id }
+fn change(backend: BackendKey, group: GroupKey, id: BackendId) -> Change {
+    Change { backend, group, id }
 }
 
 #[test]
-fn groups_name_their_members_once_and_count_all_that_are_ready() {
-    let mut index = ChoiceIndex::default();
-    let mut servers = Servers::default();
+fn groups_hold_each_member_once_and_count_all_that_are_ready() {
+    let mut index = SelectionIndex::default();
+    let mut backends = BackendTable::default();
     let (own, other) = (
         index.group_of(Zone(0), MachineType(0)),
         index.group_of(Zone(1), MachineType(0)),
     );
     assert_eq!(index.group_of(Zone(0), MachineType(0)), own);
-    let places =
-        [(5, own), (3, own), (4, other)].map(|(id, group)| servers.insert(ready(id, group)));
-    let came = |n: usize, group, id| change(places[n], group, id);
+    let keys =
+        [(5, own), (3, own), (4, other)].map(|(id, group)| backends.insert(ready(id, group)));
+    let added = |n: usize, group, id| change(keys[n], group, id);
     let all = vec![
-        came(0, own, 5),
-        came(1, own, 3),
-        came(2, other, 4),
-        came(0, own, 5),
+        added(0, own, 5),
+        added(1, own, 3),
+        added(2, other, 4),
+        added(0, own, 5),
     ];
-    index.apply(all, &servers, |rank, members| rank as f64 / members as f64);
-    assert_eq!((index.ready, index.groups[own].members.len()), (3, 2));
-    servers[places[0]].ready = false;
-    index.apply(vec![came(0, own, 5)], &servers, |rank, members| {
+    index.apply(all, &backends, |rank, members| rank as f64 / members as f64);
+    assert_eq!((index.ready, index.groups[own.0].members().len()), (3, 2));
+    backends[keys[0]].ready = false;
+    index.apply(vec![added(0, own, 5)], &backends, |rank, members| {
         rank as f64 / members as f64
     });
     assert_eq!(
         (
             index.ready,
-            index.groups[own].version,
-            index.groups[other].version
+            index.groups[own.0].version(),
+            index.groups[other.0].version()
         ),
         (2, 2, 1)
     );
@@ -139,18 +141,18 @@
 fn the_members_of_the_highest_offsets_are_found_from_any_guess() {
     for members in [0, 1, 2, 7, 64, 65] {
         for shift in [0.0, 0.3, 5.99] {
-            let mut index = ChoiceIndex::default();
-            let mut servers = Servers::default();
+            let mut index = SelectionIndex::default();
+            let mut backends = BackendTable::default();
             let group = index.group_of(Zone(0), MachineType(0));
             let batch = (0..members)
-                .map(|id| change(servers.insert(ready(id, group)), group, id))
+                .map(|id| change(backends.insert(ready(id, group)), group, id))
                 .collect();
             let unwrapped_offset =
                 |rank: usize, members: usize| rank as f64 / members as f64 + shift;
-            index.apply(batch, &servers, unwrapped_offset);
+            index.apply(batch, &backends, unwrapped_offset);
             let offset = |rank: usize| unwrapped_offset(rank, members as usize).fract();
             for (least, guess) in [(0.0, 0), (0.2, 3), (0.5, 99), (0.97, 1), (2.0, 5)] {
-                let found = index.groups[group].highest(guess, |rank| offset(rank) >= least);
+                let found = index.groups[group.0].highest(guess, |rank| offset(rank) >= least);
                 let mut found: Vec<usize> = found.into_iter().flatten().collect();
                 found.sort_unstable();
                 let expected: Vec<usize> = (0..members as usize)
@@ -167,14 +169,14 @@
 
 #[test]
 fn rechecks_come_in_the_order_of_their_times_and_not_before() {
-    let mut index = ChoiceIndex::default();
-    let mut servers = Servers::default();
-    index.group_of(Zone(0), MachineType(0));
-    let places = [0, 1, 2].map(|id| servers.insert(ready(id, 0)));
-    for (at, place) in [(30, places[0]), (10, places[1]), (20, places[2])] {
-        index.set(place, &mut servers[place], Position::Barred, Some(at));
+    let mut index = SelectionIndex::default();
+    let mut backends = BackendTable::default();
+    let group = index.group_of(Zone(0), MachineType(0));
+    let keys = [0, 1, 2].map(|id| backends.insert(ready(id, group)));
+    for (at, key) in [(30, keys[0]), (10, keys[1]), (20, keys[2])] {
+        index.set(key, &mut backends[key], Position::Excluded, Some(at));
     }
-    assert_eq!(index.next_due(9, &mut servers), None);
-    let due = [20, 20, 20].map(|now| index.next_due(now, &mut servers));
-    assert_eq!(due, [Some(places[1]), Some(places[2]), None]);
+    assert_eq!(index.next_due(9, &mut backends), None);
+    let due = [20, 20, 20].map(|now| index.next_due(now, &mut backends));
+    assert_eq!(due, [Some(keys[1]), Some(keys[2]), None]);
 }
--- a/src/balancer/indexing.rs
+++ b/src/balancer/indexing.rs
@@ -1,92 +1,101 @@
-//! Where each backend stands in the index of the choice. An idle one with its kind's limit and nothing
-//! against it is found by its rank; what is busy, slow or has a limit of its own is compared one by one; what
-//! gets nothing for a time is left out until that time is over.
+//! How selection finds each backend: its position in the index, and its slot offset.
 
 use super::Balancer;
-use super::limits::RECENT_TTL;
+use super::backends::{BackendKey, BackendState};
+use super::index::{Change, Group, Position};
+use super::limits::LimitSource;
+use super::outliers::HealthState;
 use crate::api::Micros;
-use crate::index::{Change, Group, Position};
 use crate::spread::GOLDEN_RATIO_FRACTION;
-use crate::state::{LimitSource, Server};
 
 impl Balancer {
-    /// How the choice finds a server, and until when.
-    fn position(&self, now: Micros, index: usize) -> (Position, Option<Micros>) {
-        match &self.servers[index] {
-            server if !server.ready => (Position::Barred, None),
-            server if server.in_flight > 0 => (Position::Scanned, None),
-            &Server {
-                ejected_until: Some(until),
-                ..
-            } if now < until => (Position::Barred, Some(until)),
-            Server {
-                ejected_until: Some(_),
-                ..
-            } => (Position::Scanned, None),
-            server if now < server.full_until => (Position::Barred, Some(server.full_until)),
-            Server {
-                cold: Some(cold), ..
-            } if cold.tokens < 1.0 => (Position::Barred, Some(cold.recheck_at())),
-            server if server.recent_latency(now) > 1.0 => {
-                (Position::Scanned, Some(server.recent.at + RECENT_TTL))
-            }
-            server if server.limit_source == LimitSource::Kind => (Position::Indexed, None),
-            _ => (Position::Scanned, None),
+    /// Evaluates a backend's position anew. Called after whatever changes something that [`position`] reads.
+    pub(super) fn reindex(&mut self, now: Micros, key: BackendKey) {
+        if self.backends[key].in_flight.count() == 0 {
+            self.refill_slow_start(now, key);
         }
+        let slot_offset = self.slot_offset(key);
+        let backend = &mut self.backends[key];
+        let (position, valid_until) = position(now, backend);
+        let group = self.index.group(backend.index_entry.group);
+        backend.index_entry.slot_offset = slot_offset;
+        backend.index_entry.slot_offset_version = group.map_or(0, Group::version);
+        self.index.set(key, backend, position, valid_until);
     }
 
-    /// Works out a server's position anew. Called after whatever changes something that `position` reads.
-    pub(super) fn reindex(&mut self, now: Micros, index: usize) {
-        if self.servers[index].in_flight == 0 {
-            self.refill_cold(now, index);
+    /// Evaluates the positions that held until now.
+    pub(super) fn reindex_due(&mut self, now: Micros) {
+        while let Some(key) = self.index.next_due(now, &mut self.backends) {
+            self.reindex(now, key);
         }
-        let slot_offset = self.slot_offset(index);
-        let (position, until) = self.position(now, index);
-        let server = &mut self.servers[index];
-        let version = self
-            .index
-            .groups
-            .get(server.group)
-            .map_or(0, |group| group.version);
-        (server.slot_offset, server.slot_offset_version) = (slot_offset, version);
-        self.index.set(index, server, position, until);
     }
 
-    /// Reindexes the servers whose time has come.
-    pub(super) fn recheck_due(&mut self, now: Micros) {
-        while let Some(index) = self.index.next_due(now, &mut self.servers) {
-            self.reindex(now, index);
+    /// Takes the backends that were added, removed or restarted into the index.
+    pub(super) fn apply_changes(&mut self, now: Micros, changes: Vec<Change>) {
+        let proxy_index = self.settings.proxy_index;
+        let offset = |rank, members| unwrapped_slot_offset(proxy_index, rank, members);
+        let to_evaluate = self.index.apply(changes, &self.backends, offset);
+        for key in to_evaluate {
+            self.reindex(now, key);
         }
     }
 
-    /// The list has changed: `changed` are the servers that came, left, or started anew.
-    pub(super) fn regroup(&mut self, now: Micros, changed: Vec<Change>) {
-        let me = self.settings.proxy_index;
-        let offset = |rank, members| unwrapped_offset(me, rank, members);
-        let places = self.index.apply(changed, &self.servers, offset);
-        places
-            .into_iter()
-            .for_each(|place| self.reindex(now, place));
+    /// Returns the slot offset of a rank in a group, from 0 to 1.
+    pub(super) fn slot_offset_of_rank(&self, group: &Group, rank: usize) -> f64 {
+        let members = group.members().len();
+        unwrapped_slot_offset(self.settings.proxy_index, rank, members).fract()
     }
 
-    pub(super) fn slot_offset_of(&self, group: &Group, rank: usize) -> f64 {
-        unwrapped_offset(self.settings.proxy_index, rank, group.members.len()).fract()
+    /// Returns a backend's slot offset as of the present members of its group, from 0 to 1.
+    pub(super) fn slot_offset(&self, key: BackendKey) -> f64 {
+        let backend = &self.backends[key];
+        let entry = &backend.index_entry;
+        let Some(group) = self.index.group(entry.group) else {
+            return entry.slot_offset;
+        };
+        if group.version() == entry.slot_offset_version {
+            return entry.slot_offset;
+        }
+        match group.members().rank(backend.id) {
+            Some(rank) => self.slot_offset_of_rank(group, rank),
+            None => entry.slot_offset,
+        }
     }
+}
 
-    /// Its part of a turn, as of the present members of its group.
-    pub(super) fn slot_offset(&self, index: usize) -> f64 {
-        let server = &self.servers[index];
-        let group = self.index.groups.get(server.group);
-        let group = group.filter(|group| group.version != server.slot_offset_version);
-        let rank = group.and_then(|group| Some((group, group.members.rank(server.id)?)));
-        rank.map_or(server.slot_offset, |(group, rank)| {
-            self.slot_offset_of(group, rank)
-        })
+/// Returns how selection finds a backend, and until when that holds.
+fn position(now: Micros, backend: &BackendState) -> (Position, Option<Micros>) {
+    if !backend.ready {
+        return (Position::Excluded, None);
+    }
+    if backend.in_flight.count() > 0 {
+        return (Position::Compared, None);
+    }
+    match backend.health.state(now) {
+        HealthState::Ejected(until) => return (Position::Excluded, Some(until)),
+        HealthState::HalfOpen => return (Position::Compared, None),
+        HealthState::Healthy => {}
+    }
+    if now < backend.rejecting_until {
+        return (Position::Excluded, Some(backend.rejecting_until));
+    }
+    if let Some(budget) = &backend.slow_start
+        && !budget.had_token()
+    {
+        return (Position::Excluded, Some(budget.next_check_at()));
+    }
+    if backend.recent_latency.value(now) > 1.0 {
+        let expires_at = backend.recent_latency.expires_at();
+        return (Position::Compared, Some(expires_at));
+    }
+    if backend.limit.source() == LimitSource::MachineType {
+        return (Position::Indexed, None);
     }
+    (Position::Compared, None)
 }
 
-/// Spaces a proxy's slot offsets evenly over the servers of a zone and kind, and the proxies' over each
-/// server; whole turns don't count. Drawn by chance for each server, they left some proxies without a slot.
-fn unwrapped_offset(me: u32, rank: usize, members: usize) -> f64 {
-    rank as f64 / members as f64 + f64::from(me) * GOLDEN_RATIO_FRACTION
+/// Returns a slot offset with the whole turns before it. It spaces a proxy's offsets evenly over the backends of a group,
+/// and the proxies' over each backend; sampled at random, they left some proxies without a slot.
+fn unwrapped_slot_offset(proxy_index: u32, rank: usize, members: usize) -> f64 {
+    rank as f64 / members as f64 + f64::from(proxy_index) * GOLDEN_RATIO_FRACTION
 }
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -1,195 +1,153 @@
-//! Membership: what discovery says of the backends, and when it is called.
+//! Membership: changes of the backends, and the calls to discovery that bring them.
 
-use super::{Balancer, SECOND, TIMER_SUBSCRIBE};
-use crate::api::{
-    Action, Backend, DiscoveryMode, MachineType, MembershipEvent, Micros, Readiness, Zone,
-};
-use crate::index::{Change, sync};
-use crate::state::{ColdBudget, LimitSource, Server, Stamped, Window};
-
-/// All proxies together call discovery this often: when they start, and after calls that failed.
-const FIRST_CALL_EVERY: Micros = SECOND / 50;
-const CALL_EVERY: Micros = SECOND / 5;
-/// The longest wait ahead of a call and the time that one takes at the most, with a second to spare.
-const CALL_TAKES: Micros = 8 * SECOND;
-/// A proxy has to know a change 6 s after discovery had it and could be reached; a call takes 3.5 s at most.
-const LONGEST_WAIT: Micros = 5 * SECOND / 2;
+use super::Balancer;
+use super::backends::{BackendKey, BackendState};
+use super::in_flight::InFlight;
+use super::index::{Change, IndexEntry};
+use super::slow_start::SlowStartBudget;
+use super::timers::Timer;
+use crate::api::{Action, Backend, DiscoveryMode, MachineType, MembershipEvent, Micros, Readiness};
 
 impl Balancer {
     pub(super) fn on_membership(
         &mut self,
         now: Micros,
-        news: MembershipEvent<'_>,
+        event: MembershipEvent<'_>,
         out: &mut Vec<Action>,
     ) {
-        let (entries, complete) = match news {
-            MembershipEvent::Delta(entries) => (entries, false),
-            MembershipEvent::Full(entries) => (entries, true),
-            MembershipEvent::Cached(entries) => {
+        match event {
+            MembershipEvent::Delta(backends) => self.take_list(now, backends, false, out),
+            MembershipEvent::Full(backends) => self.take_list(now, backends, true, out),
+            MembershipEvent::Cached(backends) => {
                 if self.settings.discovery_mode == DiscoveryMode::Polled {
-                    self.subscribe(0, FIRST_CALL_EVERY, out);
+                    let delay = self.subscription.first_delay(&self.settings, &mut self.rng);
+                    subscribe_after(delay, out);
                 }
-                (entries, true)
+                self.take_list(now, backends, true, out);
             }
-            MembershipEvent::WatchFailed => return self.resubscribe_later(out),
-            // Departure: what a silent subscription misses counts as known soon, so it is renewed at once.
-            MembershipEvent::WatchStalled => return out.push(Action::Subscribe),
-        };
-        self.subscribe_failures = 0;
-        self.generation += u32::from(complete);
-        let mut changed = Vec::new();
-        for entry in entries {
-            self.update(now, entry, &mut changed);
-        }
-        if complete {
-            let named = |s: &Server| !s.listed || s.seen == self.generation;
-            let gone: Vec<_> = (0..self.servers.len())
-                .filter(|&i| !named(&self.servers[i]))
-                .collect();
-            gone.into_iter()
-                .for_each(|index| self.list(index, false, false, &mut changed));
+            MembershipEvent::WatchFailed => {
+                let delay = self.subscription.next_delay(&self.settings, &mut self.rng);
+                subscribe_after(delay, out);
+            }
+            // Departure: a change that a stalled watch misses counts as known soon, so there is no backoff.
+            MembershipEvent::WatchStalled => out.push(Action::Subscribe),
         }
-        self.regroup(now, changed);
-        self.serve_queue(now, out);
     }
 
-    /// A call failed or the subscription broke: ask again, later each time and not all proxies at once.
-    pub(super) fn resubscribe_later(&mut self, out: &mut Vec<Action>) {
-        let wait = (SECOND / 8) << self.subscribe_failures.min(4);
-        self.subscribe_failures += 1;
-        self.subscribe(wait, CALL_EVERY, out);
+    fn take_list(
+        &mut self,
+        now: Micros,
+        backends: &[Backend],
+        is_complete: bool,
+        out: &mut Vec<Action>,
+    ) {
+        self.subscription.reset();
+        self.list_generation += u32::from(is_complete);
+        let mut changes = Vec::new();
+        for backend in backends {
+            self.update_backend(now, backend, &mut changes);
+        }
+        if is_complete {
+            self.remove_unlisted(&mut changes);
+        }
+        self.apply_changes(now, changes);
+        self.serve_queue(now, out);
     }
 
-    /// Asks discovery. Departure: not at once, but `wait` from now and at random in the time that all proxies
-    /// take at one call `every` so long, within what the rules allow; together they would keep it overbooked.
-    pub(super) fn subscribe(&mut self, wait: Micros, every: Micros, out: &mut Vec<Action>) {
-        // A proxy is held to what it could have asked from four times `ask_within` after a call that failed.
-        let most = self
-            .settings
-            .safety
-            .poll_interval
-            .saturating_mul(4)
-            .saturating_sub(CALL_TAKES)
-            .max(SECOND);
-        let most = most.min(LONGEST_WAIT);
-        let wait = wait.min(most / 2);
-        let span = wait
-            .max(u64::from(self.settings.proxy_count - 1) * every)
-            .min(most - wait);
-        let after = wait + self.rng.u64(0..=span);
-        let later = Action::SetTimer {
-            after,
-            token: TIMER_SUBSCRIBE,
-        };
-        out.push(if after > 0 { later } else { Action::Subscribe });
+    /// Removes the backends that the last complete list lacks.
+    fn remove_unlisted(&mut self, changes: &mut Vec<Change>) {
+        let generation = self.list_generation;
+        for key in self.backends.keys() {
+            let backend = &self.backends[key];
+            if backend.listed && backend.last_seen_generation != generation {
+                self.set_listed(key, false, false, changes);
+            }
+        }
     }
 
-    /// Takes one entry of a list; a server whose place in the index changes with it is added to `changed`.
-    fn update(&mut self, now: Micros, entry: &Backend, changed: &mut Vec<Change>) {
-        let ready = entry.readiness == Readiness::Ready;
-        let listed = entry.readiness != Readiness::Removed;
-        let index = match self.servers.find(entry.id) {
-            Some(index) => index,
-            None if !listed => return,
-            None => self.insert(now, entry),
+    /// Takes one backend of a list; if its position in the index changes with it, it is added to `changes`.
+    fn update_backend(&mut self, now: Micros, update: &Backend, changes: &mut Vec<Change>) {
+        let is_listed = update.readiness != Readiness::Removed;
+        let is_ready = update.readiness == Readiness::Ready;
+        let key = match self.backends.find(update.id) {
+            Some(key) => key,
+            None if !is_listed => return,
+            None => self.insert_backend(now, update),
         };
-        let server = &mut self.servers[index];
-        server.seen = self.generation;
-        if server.started != entry.started_at {
-            server.started = entry.started_at;
-            changed.push(Change {
-                place: index,
-                group: server.group,
-                id: entry.id,
-            });
-            self.restarted(now, index);
+        let backend = &mut self.backends[key];
+        backend.last_seen_generation = self.list_generation;
+        if backend.started_at != update.started_at {
+            backend.started_at = update.started_at;
+            changes.push(change_of(key, backend));
+            self.restart_backend(now, key);
         }
-        self.list(index, listed, ready, changed);
+        self.set_listed(key, is_listed, is_ready, changes);
     }
 
-    fn insert(&mut self, now: Micros, entry: &Backend) -> usize {
-        let kind = entry.machine_type.min(MachineType(
-            self.settings.machine_type_count.saturating_sub(1),
-        ));
-        let group = self.index.group_of(entry.zone, kind);
-        let &Backend {
-            id,
-            zone,
-            cell,
-            started_at: started,
-            ..
-        } = entry;
-        let server = Server {
-            id,
-            zone,
-            kind,
-            cell,
-            group,
-            started,
-            unanswered_since: now,
-            ..Server::default()
-        };
-        let index = self.servers.insert(server);
-        self.restarted(now, index);
-        index
+    fn insert_backend(&mut self, now: Micros, update: &Backend) -> BackendKey {
+        let last_machine_type = MachineType(self.settings.machine_type_count.saturating_sub(1));
+        let machine_type = update.machine_type.min(last_machine_type);
+        let group = self.index.group_of(update.zone, machine_type);
+        let key = self.backends.insert(BackendState {
+            id: update.id,
+            zone: update.zone,
+            machine_type,
+            cell: update.cell,
+            started_at: update.started_at,
+            in_flight: InFlight::new(now),
+            index_entry: IndexEntry::new(group),
+            ..BackendState::default()
+        });
+        self.restart_backend(now, key);
+        key
     }
 
-    /// Whether a server is listed and ready from now on; one that is gone is forgotten once nothing names it.
-    fn list(&mut self, index: usize, listed: bool, ready: bool, changed: &mut Vec<Change>) {
-        let server = &mut self.servers[index];
-        if server.ready != ready {
-            changed.push(Change {
-                place: index,
-                group: server.group,
-                id: server.id,
-            });
-            sync(
-                self.index.cells.entry(server.cell).or_default(),
-                index,
-                ready,
-            );
+    /// Sets whether a backend is listed and ready.
+    fn set_listed(
+        &mut self,
+        key: BackendKey,
+        is_listed: bool,
+        is_ready: bool,
+        changes: &mut Vec<Change>,
+    ) {
+        let backend = &mut self.backends[key];
+        if backend.ready != is_ready {
+            changes.push(change_of(key, backend));
+            self.index.set_cell_member(backend.cell, key, is_ready);
         }
-        (server.listed, server.ready) = (listed, ready);
-        self.servers.forget_if_gone(index);
+        backend.listed = is_listed;
+        backend.ready = is_ready;
+        self.backends.remove_if_unused(key);
     }
 
-    /// A server's process is new: what was known of the old one counts no more.
-    pub(super) fn restarted(&mut self, now: Micros, index: usize) {
+    /// Takes note that a backend's process is new. It warms up if it started within the slow start's duration.
+    fn restart_backend(&mut self, now: Micros, key: BackendKey) {
         let tokens = self.rng.f64();
-        let server = &mut self.servers[index];
-        server.limit_source = LimitSource::Kind;
-        server.report_factor = Stamped {
-            value: 1.0,
-            at: now,
-        };
-        server.window = Window {
-            since: now,
-            ..Window::default()
-        };
-        server.connections_used_at.clear();
-        server.failures = 0.0;
-        server.ejected_until = None;
-        server.strikes = 0;
-        let started = server
-            .started
-            .filter(|&t| now < t.saturating_add(self.settings.safety.slow_start_duration));
-        server.cold = started.map(|started| ColdBudget {
-            started,
-            tokens,
-            filled_at: now,
-            rate: 0.0,
-        });
+        let backend = &mut self.backends[key];
+        let slow_start = backend
+            .started_at
+            .map(|started_at| SlowStartBudget::new(now, started_at, tokens))
+            .filter(|budget| !budget.is_over(now, &self.settings.safety));
+        backend.restart(now, slow_start);
     }
+}
 
-    /// This proxy's part of a server of a zone: the inverse of how many proxies use it. Departure: bounds
-    /// and steps of a limit are the server's, so that the admitted sum does not grow with the bank.
-    pub(super) fn share(&self, zone: Zone) -> f64 {
-        let balancers = f64::from(self.settings.proxy_count);
-        let local = (balancers / f64::from(self.settings.zone_count)).max(1.0);
-        1.0 / if zone == self.settings.zone {
-            local
-        } else {
-            balancers
-        }
+fn change_of(key: BackendKey, backend: &BackendState) -> Change {
+    Change {
+        backend: key,
+        group: backend.index_entry.group,
+        id: backend.id,
     }
 }
+
+fn subscribe_after(delay: Micros, out: &mut Vec<Action>) {
+    let action = if delay > 0 {
+        Action::SetTimer {
+            after: delay,
+            token: Timer::Subscribe.token(),
+        }
+    } else {
+        Action::Subscribe
+    };
+    out.push(action);
+}
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,182 +1,185 @@
-//! Every decision of the load balancer. The interface (settings, events, actions) is in `src/api.rs`.
+//! The decisions of the load balancer: which backend gets a request, whether it is queued, retried or rejected, and what
+//! each backend's limit is. The interface (settings, events, actions) is in [`crate::api`].
 //!
-//! The ordinary path: each proxy keeps, for every ready server, its requests in flight (IFR) and an AIMD
-//! limit. A request goes where room (limit - IFR) is greatest. When no server has room it is held for a
-//! tenth of its time left, then refused. Departures are marked `Departure:` with the condition under which
-//! they act; `docs/design.md` lists them. The four rules are kept in `scope` and `may_refuse` (effects),
-//! `answer` and `send` (one answer, nothing after it), `index` (drains) and `ColdBudget` (cold servers).
+//! The ordinary path: each proxy keeps, for every ready backend, its requests in flight and a concurrency limit that
+//! follows windowed latency (AIMD, `limits`). A request goes where the available capacity (limit less requests in flight)
+//! is greatest (`selection`). Without any, it is queued for a tenth of its remaining time (`queue`) and then rejected
+//! (`admission`). A place where the decisions leave this path is marked `Departure:` with the condition under which it
+//! acts; `docs/design.md` lists them.
+//!
+//! Four rules always hold: one final answer to a request and nothing started after it (rule 1, `admission`); attempts and
+//! rejections only as idempotency allows (rule 2, `retries`); nothing new to a draining or removed backend (rule 3,
+//! `index`); a backend that warms up gets no more from all proxies than it can take (rule 4, `slow_start`).
+//!
+//! Each policy is a type that owns its state and knows no other policy; [`Balancer`] composes them. Nothing here does
+//! I/O or reads a clock, and the same events with the same seed give the same actions.
 
+mod admission;
 mod attempts;
-mod cold_start;
+mod backends;
+mod capacity;
 mod connections;
+mod in_flight;
+mod index;
 mod indexing;
 mod latency;
+mod limit_updates;
 mod limits;
 mod membership;
+mod outcome;
 mod outliers;
 mod queue;
+mod quotas;
 mod requests;
 mod retries;
 mod selection;
+mod slow_start;
+mod subscription;
+mod throughput;
+mod time;
+mod timers;
 
-use crate::api::{Action, Event, Micros, Settings, SettingsError};
-use crate::demand::Demand;
-use crate::index::ChoiceIndex;
-use crate::state::{
-    CommonLimit, Latency, PeakRate, Pool, Requests, Server, Servers, Stamped, Window,
-};
-use limits::INITIAL_LIMIT;
-use retries::RETRY_BURST;
-
-const SECOND: Micros = 1_000_000;
-/// What a timer is for; the rest of its token is the request's place.
-const TIMER_QUEUE: u32 = 0;
-const TIMER_SUBSCRIBE: u32 = 1;
+use crate::api::{Action, ClassIndex, Event, Micros, RequestId, Settings, SettingsError};
+use backends::{BackendState, BackendTable};
+use capacity::ProxyCapacity;
+use connections::IdleTrust;
+use index::SelectionIndex;
+use latency::LatencyTable;
+use limits::MachineTypeLimit;
+use queue::WaitQueue;
+use quotas::TenantQuotas;
+use requests::{RequestKey, RequestTable};
+use retries::RetryBudget;
+use subscription::SubscriptionBackoff;
+use throughput::PeakRate;
+use timers::Timer;
 
 /// The decisions of one proxy.
+///
+/// # Example
+/// ```
+/// use tillerproxy::api::{Event, MembershipEvent, Micros, Settings, SettingsError};
+/// use tillerproxy::balancer::Balancer;
+///
+/// fn start(settings: Settings, now: Micros) -> Result<Balancer, SettingsError> {
+///     let mut balancer = Balancer::new(settings, 7, now)?;
+///     let mut actions = Vec::new();
+///     balancer.handle(now, Event::Membership(MembershipEvent::Full(&[])), &mut actions);
+///     assert!(actions.is_empty());
+///     Ok(balancer)
+/// }
+/// ```
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
-    servers: Servers,
-    /// The servers that may be sent to. Rule 3: a draining or gone server is not in here.
-    index: ChoiceIndex,
-    /// Counts the complete lists of servers.
-    generation: u32,
-    open: Requests,
-    queue: Vec<usize>,
+    backends: BackendTable,
+    index: SelectionIndex,
+    /// Counts the complete lists of backends.
+    list_generation: u32,
+    subscription: SubscriptionBackoff,
+    requests: RequestTable,
+    queue: WaitQueue,
+    /// Attempts in flight at all backends.
     in_flight: u32,
-    latencies: Vec<Latency>,
-    /// What the servers of each kind of machine take.
-    kinds: Vec<CommonLimit>,
-    tenants: Demand,
-    retry_tokens: f64,
-    /// How long a connection may have been idle and is still used, microseconds.
-    trusted_idle: Stamped,
-    pool: Pool,
-    /// Requests served a second.
-    served: PeakRate,
-    subscribe_failures: u32,
+    latencies: LatencyTable,
+    machine_type_limits: Vec<MachineTypeLimit>,
+    capacity: ProxyCapacity,
+    quotas: TenantQuotas,
+    retry_budget: RetryBudget,
+    idle_trust: IdleTrust,
+    /// Requests that this proxy got served.
+    throughput: PeakRate,
 }
 
 impl Balancer {
-    /// A balancer that knows no backends yet.
+    /// Returns a balancer that knows no backends yet.
     ///
     /// # Errors
     /// The first of the settings that makes no sense.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let latency = |aim: Micros| Latency {
-            count: 0,
-            mean: aim as f64 / 4.0,
-            base: f64::MAX,
-            base_at: now,
-        };
-        let kinds = usize::from(settings.machine_type_count).max(1);
-        let latencies = settings
-            .classes
-            .iter()
-            .flat_map(|c| vec![latency(c.latency_objective); kinds])
-            .collect();
-        let window = Window {
-            since: now,
-            ..Window::default()
-        };
-        let common = CommonLimit {
-            limit: INITIAL_LIMIT,
-            growing: true,
-            window,
-            service: 0.0,
-        };
-        let share = f64::from(settings.proxy_count);
-        let rates = settings
-            .tenants
-            .iter()
-            .map(|tenant| tenant.quota_per_s / share);
+        let machine_types = usize::from(settings.machine_type_count).max(1);
         Ok(Self {
             rng: fastrand::Rng::with_seed(seed),
-            servers: Servers::default(),
-            index: ChoiceIndex::default(),
-            generation: 0,
-            open: Requests::default(),
-            queue: Vec::new(),
+            backends: BackendTable::default(),
+            index: SelectionIndex::default(),
+            list_generation: 0,
+            subscription: SubscriptionBackoff::default(),
+            requests: RequestTable::default(),
+            queue: WaitQueue::default(),
             in_flight: 0,
-            latencies,
-            kinds: vec![common; kinds],
-            tenants: Demand::new(rates, now),
-            retry_tokens: RETRY_BURST,
-            trusted_idle: Stamped {
-                value: settings.permissions.idle_timeout as f64,
-                at: now,
-            },
-            pool: Pool {
-                slots: 0.0,
-                limit_factor: 1.0,
-                max_in_flight: u32::MAX,
-                judged_at: None,
-            },
-            served: PeakRate {
-                count: 0.0,
-                since: now,
-                peak: 0.0,
-            },
-            subscribe_failures: 0,
+            latencies: LatencyTable::new(&settings, now),
+            machine_type_limits: vec![MachineTypeLimit::new(now); machine_types],
+            capacity: ProxyCapacity::unbounded(),
+            quotas: TenantQuotas::from_settings(&settings, now),
+            retry_budget: RetryBudget::new(),
+            idle_trust: IdleTrust::new(settings.permissions.idle_timeout, now),
+            throughput: PeakRate::new(now),
             settings,
         })
     }
 
     /// Takes one event and appends what is to be done about it.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Action>) {
-        self.recheck_due(now);
+        self.reindex_due(now);
         match event {
-            Event::Membership(news) => self.on_membership(now, news, out),
+            Event::Membership(event) => self.on_membership(now, event, out),
             Event::Request(request) => self.on_request(now, request, out),
-            Event::AttemptEnded(settled) => self.on_settled(now, settled, out),
+            Event::AttemptEnded(end) => self.on_attempt_ended(now, end, out),
             Event::ResponseStarted {
                 request,
                 attempt,
                 elapsed,
-            } => {
-                self.on_first_byte(now, request, attempt, elapsed, out);
-            }
-            Event::ClientDisconnected(request) => {
-                if let Some(slot) = self.open.find(request) {
-                    self.close(slot);
-                }
-            }
+            } => self.on_response_started(now, request, attempt, elapsed, out),
+            Event::ClientDisconnected(request) => self.on_client_disconnected(request),
             Event::HealthChecked { .. } => {}
             Event::Timer(token) => self.on_timer(now, token, out),
         }
     }
 
-    /// The listed backends that it avoids now: draining, ejected, unresponsive, or full of late.
+    /// Counts the listed backends that get no request now: draining, ejected, unresponsive, or rejecting of late.
     #[must_use]
-    pub fn avoided(&self, now: Micros) -> usize {
-        let overdue = (0..self.settings.classes.len())
-            .map(|c| self.overdue(c))
+    pub fn avoided_backends(&self, now: Micros) -> usize {
+        let classes = self.settings.classes.iter().enumerate();
+        let overdue_after = classes
+            .map(|(index, class)| {
+                let index = ClassIndex(index as u8);
+                self.latencies.overdue_after(index, class)
+            })
             .max()
             .unwrap_or_default();
-        let avoids = |s: &Server| {
-            !s.ready
-                || s.ejected_until.is_some()
-                || s.is_unresponsive(now, overdue)
-                || now < s.full_until
+        let is_avoided = |backend: &&BackendState| {
+            !backend.ready
+                || backend.health.is_ejected()
+                || backend.in_flight.is_unresponsive(now, overdue_after)
+                || now < backend.rejecting_until
         };
-        (0..self.servers.len())
-            .filter(|&i| self.servers[i].listed && avoids(&self.servers[i]))
-            .count()
+        let listed = self.backends.iter().filter(|backend| backend.listed);
+        listed.filter(is_avoided).count()
+    }
+
+    fn on_client_disconnected(&mut self, request: RequestId) {
+        if let Some(key) = self.requests.find(request) {
+            self.close(key);
+        }
     }
 
     fn on_timer(&mut self, now: Micros, token: u32, out: &mut Vec<Action>) {
-        let slot = (token >> 2) as usize;
-        let expired = self
-            .open
-            .get(slot)
-            .and_then(|o| o.queued_until)
-            .is_some_and(|until| until <= now);
-        match token & 3 {
-            TIMER_SUBSCRIBE => out.push(Action::Subscribe),
-            TIMER_QUEUE if expired => self.expire(now, slot, out),
-            _ => {}
+        match Timer::from_token(token) {
+            Some(Timer::Subscribe) => out.push(Action::Subscribe),
+            Some(Timer::QueueTimeout(request)) if self.has_waited(now, request) => {
+                self.end_wait(now, request, out);
+            }
+            Some(Timer::QueueTimeout(_)) | None => {}
         }
     }
+
+    /// Whether a request has waited in the queue for its time. Its key may be another request's by now.
+    fn has_waited(&self, now: Micros, request: RequestKey) -> bool {
+        let queued_until = self
+            .requests
+            .get(request)
+            .and_then(|open| open.queued_until);
+        queued_until.is_some_and(|until| until <= now)
+    }
 }
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -1,50 +1,163 @@
-//! Outlier detection: backends whose requests fail are ejected and tried again.
+//! Outlier detection: a backend whose requests fail is ejected, and readmitted when a single trial request succeeds.
 
-use super::{Balancer, SECOND};
-use crate::api::{Action, LogEvent, Micros};
+use super::time::SECOND;
+use crate::api::Micros;
 
-const EJECT_AT: f64 = 0.5;
-/// First ejection; each further one lasts twice as long, up to 2^4 times, until failures are `FORGIVE_AT`.
-const EJECTION: Micros = SECOND;
-const MAX_STRIKES: u32 = 4;
-const FORGIVE_AT: f64 = 0.1;
-/// Part of the servers that may be ejected at once.
+/// Weight of one more outcome in a backend's failure rate.
+const FAILURE_WEIGHT: f64 = 0.25;
+/// Failure rate at which a backend is ejected.
+const EJECTION_FAILURE_RATE: f64 = 0.5;
+/// Greatest failure rate of a backend that was just readmitted.
+const READMISSION_FAILURE_RATE: f64 = 0.6 * EJECTION_FAILURE_RATE;
+/// Failure rate below which earlier ejections are forgotten.
+const RECOVERED_FAILURE_RATE: f64 = 0.1;
+/// Time of a first ejection; each consecutive one takes twice as long.
+const BASE_EJECTION_TIME: Micros = SECOND;
+/// Most times that the time of an ejection is doubled.
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
+/// Part of the ready backends that may be ejected at once.
 const MAX_EJECTED: f64 = 0.6;
 
-impl Balancer {
-    /// Departure: a server whose requests fail is ejected, and readmitted when a single trial succeeds.
-    pub(super) fn judge_health(
+/// Whether one more backend may be ejected.
+pub(crate) fn may_eject_another(ejected: usize, ready: usize) -> bool {
+    ejected < (ready as f64 * MAX_EJECTED) as usize
+}
+
+/// The end of an attempt, as outlier detection sees it.
+#[derive(Clone, Copy)]
+pub(crate) struct HealthSample {
+    /// Whether the backend failed.
+    pub(crate) failed: bool,
+    /// Weight of this outcome beside that of an ordinary one.
+    pub(crate) weight: f64,
+    /// Whether the attempt was a trial request.
+    pub(crate) is_trial: bool,
+}
+
+/// What an outcome changed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum HealthChange {
+    /// The backend is ejected for this long.
+    Ejected {
+        /// Time of the ejection.
+        duration: Micros,
+    },
+    /// A trial request failed: the ejection goes on.
+    EjectionProlonged,
+    /// A request succeeded while the backend was ejected: it takes requests again.
+    Readmitted,
+}
+
+/// Whether a backend may be sent a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum HealthState {
+    /// It takes requests.
+    Healthy,
+    /// It gets no request until then.
+    Ejected(Micros),
+    /// Its ejection is over: it gets a single trial request (half open).
+    HalfOpen,
+}
+
+/// What outlier detection keeps of one backend.
+#[derive(Default)]
+pub(crate) struct Health {
+    /// Share of failures among the latest outcomes.
+    failure_rate: f64,
+    ejected_until: Option<Micros>,
+    consecutive_ejections: u32,
+    trial_in_flight: bool,
+}
+
+impl Health {
+    /// Forgets the outcomes of the backend's previous process.
+    pub(crate) fn reset(&mut self) {
+        self.failure_rate = 0.0;
+        self.ejected_until = None;
+        self.consecutive_ejections = 0;
+    }
+
+    /// Returns whether the backend may be sent a request.
+    pub(crate) fn state(&self, now: Micros) -> HealthState {
+        match self.ejected_until {
+            None => HealthState::Healthy,
+            Some(until) if now < until => HealthState::Ejected(until),
+            Some(_) => HealthState::HalfOpen,
+        }
+    }
+
+    /// Whether the backend is ejected and not readmitted yet.
+    pub(crate) fn is_ejected(&self) -> bool {
+        self.ejected_until.is_some()
+    }
+
+    /// Whether a trial request is in flight.
+    pub(crate) fn is_trial_in_flight(&self) -> bool {
+        self.trial_in_flight
+    }
+
+    /// Notes that an attempt starts; returns nothing of its outcome.
+    pub(crate) fn start_attempt(&mut self, is_trial: bool) {
+        self.trial_in_flight |= is_trial;
+    }
+
+    /// Notes that an attempt has ended.
+    pub(crate) fn end_attempt(&mut self, is_trial: bool) {
+        if is_trial {
+            self.trial_in_flight = false;
+        }
+    }
+
+    /// Takes an outcome into account. `jitter`, a factor around 1, spreads the ends of ejections.
+    ///
+    /// Departure: a backend whose requests fail is ejected, unless too many others are.
+    pub(crate) fn record(
+        &mut self,
+        now: Micros,
+        sample: HealthSample,
+        may_eject: bool,
+        jitter: f64,
+    ) -> Option<HealthChange> {
+        let target = f64::from(u8::from(sample.failed));
+        self.failure_rate += (target - self.failure_rate) * FAILURE_WEIGHT * sample.weight;
+        if self.failure_rate < RECOVERED_FAILURE_RATE {
+            self.consecutive_ejections = 0;
+        }
+        if self.is_ejected() {
+            return self.record_while_ejected(now, sample, jitter);
+        }
+        let is_outlier = self.failure_rate >= EJECTION_FAILURE_RATE;
+        if sample.failed && is_outlier && may_eject {
+            let duration = self.eject(now, jitter);
+            return Some(HealthChange::Ejected { duration });
+        }
+        None
+    }
+
+    fn record_while_ejected(
         &mut self,
         now: Micros,
-        index: usize,
-        failed: bool,
-        trial: bool,
-        out: &mut Vec<Action>,
-    ) {
-        let may_eject =
-            failed && self.index.ejected.len() < (self.index.ready as f64 * MAX_EJECTED) as usize;
-        let jitter = 0.75 + self.rng.f64() / 2.0;
-        let server = &mut self.servers[index];
-        if server.failures < FORGIVE_AT {
-            server.strikes = 0;
+        sample: HealthSample,
+        jitter: f64,
+    ) -> Option<HealthChange> {
+        if !sample.failed {
+            self.ejected_until = None;
+            self.failure_rate = self.failure_rate.min(READMISSION_FAILURE_RATE);
+            return Some(HealthChange::Readmitted);
         }
-        let was_ejected = server.ejected_until.is_some();
-        let trial_failed = was_ejected && failed && trial;
-        if !failed && was_ejected {
-            server.ejected_until = None;
-            server.failures = server.failures.min(EJECT_AT * 0.6);
-            out.push(Action::Log(LogEvent::Readmitted { backend: server.id }));
-        } else if trial_failed || (!was_ejected && server.failures >= EJECT_AT && may_eject) {
-            let time = (EJECTION << server.strikes.min(MAX_STRIKES)) as f64 * jitter;
-            server.ejected_until = Some(now + time as Micros);
-            server.strikes += 1;
-            if !was_ejected {
-                let duration = time as Micros;
-                out.push(Action::Log(LogEvent::Ejected {
-                    backend: server.id,
-                    duration,
-                }));
-            }
+        if !sample.is_trial {
+            return None;
         }
+        self.eject(now, jitter);
+        Some(HealthChange::EjectionProlonged)
+    }
+
+    fn eject(&mut self, now: Micros, jitter: f64) -> Micros {
+        let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
+        let time = (BASE_EJECTION_TIME << doublings) as f64 * jitter;
+        let duration = time as Micros;
+        self.ejected_until = Some(now + duration);
+        self.consecutive_ejections += 1;
+        duration
     }
 }
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -1,55 +1,44 @@
-//! Requests that wait briefly for room.
+//! The queue: requests without a backend that has available capacity wait briefly.
 
-use super::{Balancer, TIMER_QUEUE};
-use crate::api::{Action, Micros};
-use crate::state::Open;
+use super::requests::RequestKey;
+use crate::api::Micros;
 
-/// A request without room waits this part of its time left.
-const QUEUE_TIME_DIVISOR: Micros = 10;
+/// A request waits for this part of its remaining time.
+const WAIT_DIVISOR: Micros = 10;
 
-impl Balancer {
-    pub(super) fn enqueue(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
-        let wait = self.open[slot].deadline.saturating_sub(now) / QUEUE_TIME_DIVISOR;
-        self.kinds.iter_mut().for_each(|s| s.window.filled = true);
-        self.open[slot].queued_until = Some(now + wait);
-        self.queue.push(slot);
-        out.push(Action::SetTimer {
-            after: wait,
-            token: (slot as u32) << 2 | TIMER_QUEUE,
-        });
-    }
+/// Returns how long a request waits whose client gives it up at `deadline`.
+pub(crate) fn max_wait(now: Micros, deadline: Micros) -> Micros {
+    deadline.saturating_sub(now) / WAIT_DIVISOR
+}
+
+/// The requests that wait, in the order of their arrival.
+#[derive(Default)]
+pub(crate) struct WaitQueue {
+    requests: Vec<RequestKey>,
+}
 
-    pub(super) fn dequeue(&mut self, slot: usize) {
-        if self.open[slot].queued_until.take().is_some() {
-            self.queue.retain(|&s| s != slot);
-        }
+impl WaitQueue {
+    /// Adds a request.
+    pub(crate) fn push(&mut self, request: RequestKey) {
+        self.requests.push(request);
     }
 
-    /// Room may have come free: the held request of the highest worth per work goes first.
-    pub(super) fn serve_queue(&mut self, now: Micros, out: &mut Vec<Action>) {
-        while !self.queue.is_empty() {
-            let value = |slot: usize| self.value(&self.open[slot]);
-            let Some(best) = self
-                .queue
-                .iter()
-                .copied()
-                .reduce(|a, b| if value(b) > value(a) { b } else { a })
-            else {
-                return;
-            };
-            let Some(server) = self.pick(now, best) else {
-                return;
-            };
-            self.send(now, best, server, out);
-        }
+    /// Removes a request.
+    pub(crate) fn remove(&mut self, request: RequestKey) {
+        self.requests.retain(|&queued| queued != request);
     }
 
-    pub(super) fn value(&self, open: &Open) -> f64 {
-        let share = if open.over_share {
-            self.settings.over_quota_weight
-        } else {
-            1.0
-        };
-        self.settings.classes[open.class].priority_weight * share / self.mean(open.class)
+    /// Returns the request of the greatest priority; of equal ones, the first that came.
+    pub(crate) fn first_by_priority(
+        &self,
+        priority: impl Fn(RequestKey) -> f64,
+    ) -> Option<RequestKey> {
+        self.requests.iter().copied().reduce(|best, next| {
+            if priority(next) > priority(best) {
+                next
+            } else {
+                best
+            }
+        })
     }
 }
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -1,113 +1,181 @@
-//! The course of a request from its arrival to its final answer, and its tenant's share.
-
-use super::Balancer;
-use super::limits::WINDOW;
-use super::retries::{RETRY_BURST, RETRY_SHARE};
-use crate::api::{Action, Micros, Request};
-use crate::state::{Open, Scope};
-
-/// A refused client waits for its aim where a proxy has this many slots, for less where it has fewer, and for
-/// this part of the aim at the least.
-const FULL_RETRY_AFTER_SLOTS: f64 = 16.0;
-const MIN_RETRY_AFTER_SHARE: f64 = 0.125;
-
-impl Balancer {
-    pub(super) fn on_request(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
-        if self.open.find(request.id).is_some() {
-            return;
-        }
-        let class = request.class.index().min(self.settings.classes.len() - 1);
-        let over_share = self.over_share(now, request.tenant.index());
-        let deadline = now + request.timeout;
-        let open = Open::new(request.id, class, over_share, now, deadline);
-        let slot = self.open.insert(open);
-        self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(RETRY_BURST);
-        if self.pool.judged_at.is_none_or(|at| now >= at + WINDOW) {
-            self.judge_pool(now);
-        }
-        self.dispatch(now, slot, out);
+//! The requests that this proxy took and whose attempts have not all ended.
+
+use super::backends::BackendKey;
+use crate::api::{ClassIndex, Micros, RequestId};
+use rustc_hash::FxHashMap;
+use std::ops::{Index, IndexMut};
+
+/// Key of a request in the [`RequestTable`]. It stays the same as long as the request is open.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct RequestKey(u32);
+
+impl RequestKey {
+    /// Returns the key with this index in the table.
+    pub(crate) fn from_index(index: usize) -> Self {
+        Self(index as u32)
     }
 
-    /// Whether a tenant is beyond its share; a request within it takes a token. A proxy knows only its own
-    /// part of the traffic, and that is more than one in `balancers` where others died: a tenant without a
-    /// token is over its share only if it also asks for more of its allowance here than the tenants do on
-    /// the whole.
-    fn over_share(&mut self, now: Micros, tenant: usize) -> bool {
-        !self.tenants.take(now, tenant) && self.tenants.is_above_average(now, tenant)
+    /// Returns the index in the table.
+    pub(crate) fn index(self) -> usize {
+        self.0 as usize
     }
+}
 
-    /// Sends a request where there is room, or holds it, or ends it. Departure: where crossing zones is
-    /// priced, other zones are used when the own one has no room.
-    pub(super) fn dispatch(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
-        if let Some(server) = self.pick(now, slot) {
-            return self.send(now, slot, server, out);
-        }
-        let open = &self.open[slot];
-        if open.over_share || self.scope(now, open) == Scope::Nowhere || self.too_late(now, open) {
-            return self.expire(now, slot, out);
+/// Whether an attempt is still in flight, and what is known of it if not.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum AttemptState {
+    InFlight,
+    /// It ended, and the backend did not run the request.
+    NotExecuted,
+    /// It ended, and the backend may have run the request.
+    MayHaveExecuted,
+}
+
+/// One attempt of a request.
+#[derive(Clone, Copy)]
+pub(crate) struct Attempt {
+    pub(crate) backend: BackendKey,
+    pub(crate) sent_at: Micros,
+    /// How long its connection had been idle; 0 for a new one.
+    pub(crate) connection_idle: Micros,
+    /// It times out so late compared with its work that a timeout means that it was lost.
+    pub(crate) timeout_means_lost: bool,
+    /// When it is overdue.
+    pub(crate) overdue_at: Micros,
+    /// It is the single request that shows whether its backend has recovered.
+    pub(crate) is_trial: bool,
+    /// Its response is streamed and has begun: the backend's work is done.
+    pub(crate) response_started: bool,
+    pub(crate) state: AttemptState,
+}
+
+impl Attempt {
+    /// Returns an attempt that is sent now, on a new connection.
+    pub(crate) fn new(backend: BackendKey, now: Micros) -> Self {
+        Self {
+            backend,
+            sent_at: now,
+            connection_idle: 0,
+            timeout_means_lost: false,
+            overdue_at: now,
+            is_trial: false,
+            response_started: false,
+            state: AttemptState::InFlight,
         }
-        self.enqueue(now, slot, out);
     }
+}
 
-    /// The hold is over, or there was none.
-    pub(super) fn expire(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
-        let open = &self.open[slot];
-        if !self.too_late(now, open)
-            && let Some(server) = self.pick(now, slot)
-        {
-            return self.send(now, slot, server, out);
+/// A request that this proxy took and whose attempts have not all ended.
+pub(crate) struct OpenRequest {
+    pub(crate) id: RequestId,
+    pub(crate) class: ClassIndex,
+    pub(crate) arrived_at: Micros,
+    pub(crate) deadline: Micros,
+    /// Its tenant is over its quota.
+    pub(crate) over_quota: bool,
+    /// The client has its final answer, or disconnected.
+    pub(crate) answered: bool,
+    /// A response is being streamed to the client.
+    pub(crate) streaming: bool,
+    /// Its body is not buffered any more: it can't be sent again.
+    pub(crate) body_consumed: bool,
+    /// Until when it waits for available capacity, while it does.
+    pub(crate) queued_until: Option<Micros>,
+    pub(crate) attempts: Vec<Attempt>,
+}
+
+impl OpenRequest {
+    /// Returns a request without attempts.
+    pub(crate) fn new(
+        id: RequestId,
+        class: ClassIndex,
+        over_quota: bool,
+        arrived_at: Micros,
+        deadline: Micros,
+    ) -> Self {
+        Self {
+            id,
+            class,
+            arrived_at,
+            deadline,
+            over_quota,
+            answered: false,
+            streaming: false,
+            body_consumed: false,
+            queued_until: None,
+            attempts: Vec::new(),
         }
-        self.dequeue(slot);
-        self.give_up(now, slot, out);
     }
 
-    /// Nothing more can be started for the request: it ends unless an attempt is still out.
-    pub(super) fn give_up(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
-        if self.open[slot].out() == 0 {
-            self.answer(now, slot, out);
-        }
+    /// Whether an attempt is in flight.
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// The only place where a final answer is given (rule 1).
-    pub(super) fn answer(&mut self, now: Micros, slot: usize, out: &mut Vec<Action>) {
-        let open = &self.open[slot];
-        if open.answered {
-            return;
-        }
-        let request = open.id;
-        out.push(if self.may_refuse(now, open) {
-            let (wait, most) = (
-                self.retry_after(open.class),
-                self.settings.permissions.max_retry_after,
-            );
-            Action::Reject {
-                request,
-                retry_after: most.map_or(wait, |most| most.min(wait)),
-            }
-        } else {
-            Action::Fail { request }
-        });
-        self.close(slot);
+    /// Returns the first attempt that a backend may have run. One that is in flight counts.
+    pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.state != AttemptState::NotExecuted)
+    }
+}
+
+/// The open requests. Keys are used again.
+#[derive(Default)]
+pub(crate) struct RequestTable {
+    entries: Vec<OpenRequest>,
+    free: Vec<RequestKey>,
+    by_id: FxHashMap<RequestId, RequestKey>,
+}
+
+impl RequestTable {
+    /// Finds the key of a request.
+    pub(crate) fn find(&self, id: RequestId) -> Option<RequestKey> {
+        self.by_id.get(&id).copied()
     }
 
-    /// How long a refused client should stay away. Departure: a proxy with few slots refuses mostly because
-    /// requests came together there, and the client's next try, likely at another proxy, can still meet the
-    /// aim. With many slots to a proxy a refusal means that the fleet is full.
-    pub(super) fn retry_after(&self, class: usize) -> Micros {
-        let part = (self.pool.slots / FULL_RETRY_AFTER_SLOTS).clamp(MIN_RETRY_AFTER_SHARE, 1.0);
-        (self.settings.classes[class].latency_objective as f64 * part) as Micros
+    /// Returns the entry of a key that may be out of date, such as that of a timer.
+    pub(crate) fn get(&self, key: RequestKey) -> Option<&OpenRequest> {
+        self.entries.get(key.index())
     }
 
-    /// The request is over for the client; its place stays until its attempts have ended.
-    pub(super) fn close(&mut self, slot: usize) {
-        self.dequeue(slot);
-        self.open[slot].answered = true;
-        if self.open[slot].out() == 0 {
-            self.open[slot]
-                .attempts
-                .iter()
-                .for_each(|a| self.servers.let_go(a.server));
-            self.open.release(slot);
+    /// Adds a request.
+    pub(crate) fn insert(&mut self, mut request: OpenRequest) -> RequestKey {
+        let next = RequestKey::from_index(self.entries.len());
+        let key = self.free.pop().unwrap_or(next);
+        self.by_id.insert(request.id, key);
+        match self.entries.get_mut(key.index()) {
+            Some(unused) => {
+                // The list of attempts keeps its memory: no allocation on the hot path.
+                std::mem::swap(&mut request.attempts, &mut unused.attempts);
+                request.attempts.clear();
+                *unused = request;
+            }
+            None => self.entries.push(request),
         }
+        key
+    }
+
+    /// Removes a request.
+    pub(crate) fn remove(&mut self, key: RequestKey) {
+        let id = self[key].id;
+        self.by_id.remove(&id);
+        self.free.push(key);
+    }
+}
+
+impl Index<RequestKey> for RequestTable {
+    type Output = OpenRequest;
+
+    fn index(&self, key: RequestKey) -> &OpenRequest {
+        &self.entries[key.index()]
+    }
+}
+
+impl IndexMut<RequestKey> for RequestTable {
+    fn index_mut(&mut self, key: RequestKey) -> &mut OpenRequest {
+        &mut self.entries[key.index()]
     }
 }
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -1,127 +1,113 @@
-//! Further attempts: where the rules on effects allow them, and while they are worth it (rule 2).
+//! Retries: where a further attempt may go, whether a rejection is harmless (rule 2), and how many retries this proxy
+//! may make.
 
-use super::Balancer;
-use super::latency::LOST_OVER_AIM;
-use crate::api::{Action, Idempotency, KeyScope, Micros};
-use crate::state::{AttemptState, Open, Scope};
+use super::backends::BackendTable;
+use super::requests::OpenRequest;
+use crate::api::{Cell, Idempotency, KeyScope, Micros, Permissions, Zone};
 
-/// Part of the requests that may get a further attempt after one that may have run, and the burst.
-pub(super) const RETRY_SHARE: f64 = 0.1;
-pub(super) const RETRY_BURST: f64 = 10.0;
-const LOST_OVER_MEAN: f64 = 24.0;
+/// Tokens that each request adds: the part of the requests that may be retried after an attempt that may have run.
+const TOKENS_PER_REQUEST: f64 = 0.1;
+/// The most tokens, and thus retries in a burst.
+const MAX_TOKENS: f64 = 10.0;
 
-impl Balancer {
-    /// Rule 2: where a further attempt may go. Attempts that are out count as such that may have run.
-    pub(super) fn scope(&self, now: Micros, open: &Open) -> Scope {
-        let permissions = &self.settings.permissions;
-        let out = open.out();
-        let over = open.answered || open.streaming || open.spent;
-        if over || open.attempts.len() >= usize::from(permissions.max_attempts) {
-            return Scope::Nowhere;
-        }
-        if out > 0 && !permissions.hedging {
-            return Scope::Nowhere;
-        }
-        let Some(first) = open
-            .attempts
-            .iter()
-            .find(|a| a.state != AttemptState::NeverRan)
-        else {
-            return Scope::Anywhere;
-        };
-        match self.settings.classes[open.class].idempotency {
-            Idempotency::Idempotent => Scope::Anywhere,
-            Idempotency::NonIdempotent => Scope::Nowhere,
-            Idempotency::Keyed { .. } if self.window_end(open) <= Some(now) => Scope::Nowhere,
-            Idempotency::Keyed {
-                scope: KeyScope::AllBackends,
-                ..
-            } => Scope::Anywhere,
-            Idempotency::Keyed {
-                scope: KeyScope::Zone,
-                ..
-            } => Scope::Zone(self.servers[first.server].zone),
-            Idempotency::Keyed {
-                scope: KeyScope::Cell,
-                ..
-            } => Scope::Cell(self.servers[first.server].cell),
-        }
+/// The retries that this proxy may make after attempts that may have run, so that retries cannot multiply an overload.
+pub(crate) struct RetryBudget {
+    tokens: f64,
+}
+
+impl RetryBudget {
+    /// Returns a full budget.
+    pub(crate) fn new() -> Self {
+        Self { tokens: MAX_TOKENS }
     }
 
-    /// Rule 2: whether the client may be told that trying again is harmless.
-    pub(super) fn may_refuse(&self, now: Micros, open: &Open) -> bool {
-        let may_have_run = open
-            .attempts
-            .iter()
-            .any(|a| a.state != AttemptState::NeverRan);
-        match self.settings.classes[open.class].idempotency {
-            Idempotency::Idempotent => true,
-            Idempotency::Keyed {
-                scope: KeyScope::AllBackends,
-                ..
-            } => self.window_end(open).is_none_or(|end| now < end),
-            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => !may_have_run,
-        }
+    /// Adds what one request allows.
+    pub(crate) fn deposit(&mut self) {
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Whether an attempt started now would come too late to be worth anything.
-    pub(super) fn too_late(&self, now: Micros, open: &Open) -> bool {
-        let class = &self.settings.classes[open.class];
-        let last = if class.late_weight_factor > 0.0 {
-            open.deadline
-        } else {
-            open.deadline.min(open.arrived + class.latency_objective)
-        };
-        now + (self.mean(open.class) / 2.0) as Micros >= last
+    /// Whether a retry may be made.
+    pub(crate) fn has_token(&self) -> bool {
+        self.tokens >= 1.0
     }
 
-    /// Rule 2: when backends may forget the key of a request that may have run.
-    pub(super) fn window_end(&self, open: &Open) -> Option<Micros> {
-        let Idempotency::Keyed { ttl, .. } = self.settings.classes[open.class].idempotency else {
-            return None;
-        };
-        let first = open
-            .attempts
-            .iter()
-            .find(|a| a.state != AttemptState::NeverRan)?;
-        Some(first.sent_at.saturating_add(ttl))
+    /// Takes the token of a retry.
+    pub(crate) fn withdraw(&mut self) {
+        self.tokens -= 1.0;
     }
+}
 
-    /// An attempt failed and the client waits: another one, if the rules and the budget allow it.
-    pub(super) fn retry(
-        &mut self,
-        now: Micros,
-        slot: usize,
-        never_ran: bool,
-        out: &mut Vec<Action>,
-    ) {
-        if self.open[slot].out() > 0 || self.open[slot].queued_until.is_some() {
-            return;
-        }
-        let open = &self.open[slot];
-        let hopeless = self.scope(now, open) == Scope::Nowhere || self.too_late(now, open);
-        if hopeless || (!never_ran && self.retry_tokens < 1.0) {
-            return self.give_up(now, slot, out);
-        }
-        self.retry_tokens -= f64::from(u8::from(!never_ran));
-        self.dispatch(now, slot, out);
+/// Where the next attempt of a request may go.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum RetryScope {
+    /// To any backend.
+    Anywhere,
+    /// To a backend of this zone.
+    Zone(Zone),
+    /// To a backend of this cell.
+    Cell(Cell),
+    /// Nowhere.
+    Nowhere,
+}
+
+/// Returns where the next attempt of a request may go (rule 2). An attempt in flight counts as one that may have run.
+pub(crate) fn next_attempt_scope(
+    now: Micros,
+    request: &OpenRequest,
+    idempotency: Idempotency,
+    permissions: &Permissions,
+    backends: &BackendTable,
+) -> RetryScope {
+    let is_over = request.answered || request.streaming || request.body_consumed;
+    if is_over || request.attempts.len() >= usize::from(permissions.max_attempts) {
+        return RetryScope::Nowhere;
+    }
+    if request.is_in_flight() && !permissions.hedging {
+        return RetryScope::Nowhere;
+    }
+    let Some(first) = request.first_possibly_executed() else {
+        return RetryScope::Anywhere;
+    };
+    let (scope, ttl) = match idempotency {
+        Idempotency::Idempotent => return RetryScope::Anywhere,
+        Idempotency::NonIdempotent => return RetryScope::Nowhere,
+        Idempotency::Keyed { scope, ttl } => (scope, ttl),
+    };
+    let is_key_expired = first.sent_at.saturating_add(ttl) <= now;
+    if is_key_expired {
+        return RetryScope::Nowhere;
     }
+    match scope {
+        KeyScope::AllBackends => RetryScope::Anywhere,
+        KeyScope::Zone => RetryScope::Zone(backends[first.backend].zone),
+        KeyScope::Cell => RetryScope::Cell(backends[first.backend].cell),
+    }
+}
 
-    /// When an attempt that starts now is given up, and whether that tells that it was lost. Departure:
-    /// where work is quick, an attempt that may be repeated and has no answer long after its time is lost
-    /// (its connection fell silent, say); waited for to the deadline it leaves no time for another one.
-    pub(super) fn give_up_at(&self, now: Micros, open: &Open) -> (Micros, bool) {
-        let class = &self.settings.classes[open.class];
-        let last = open.attempts.len() + 1 >= usize::from(self.settings.permissions.max_attempts);
-        if last || class.idempotency == Idempotency::NonIdempotent || self.retry_tokens < 1.0 {
-            return (open.deadline, false);
+/// Whether the client may be told that a retry is harmless (rule 2).
+pub(crate) fn is_rejection_harmless(
+    now: Micros,
+    request: &OpenRequest,
+    idempotency: Idempotency,
+) -> bool {
+    match idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::Keyed {
+            scope: KeyScope::AllBackends,
+            ..
+        } => key_expires_at(request, idempotency).is_none_or(|expires_at| now < expires_at),
+        Idempotency::Keyed { .. } | Idempotency::NonIdempotent => {
+            request.first_possibly_executed().is_none()
         }
-        let early = self.is_quick(open.class);
-        let lost = if early {
-            class.latency_objective as f64 * LOST_OVER_AIM
-        } else {
-            self.mean(open.class) * LOST_OVER_MEAN
-        };
-        (open.deadline.min(now.saturating_add(lost as Micros)), early)
     }
 }
+
+/// Returns when backends may forget the idempotency key of a request that may have run (rule 2); `None` for a request
+/// without a key, or one that has not run.
+pub(crate) fn key_expires_at(request: &OpenRequest, idempotency: Idempotency) -> Option<Micros> {
+    let Idempotency::Keyed { ttl, .. } = idempotency else {
+        return None;
+    };
+    let first = request.first_possibly_executed()?;
+    Some(first.sent_at.saturating_add(ttl))
+}
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,264 +1,279 @@
-//! Choice of a backend: the greatest room, in the near zones first, ties at random.
+//! Selection of a backend: the greatest available capacity, near zones first, ties at random.
 
 use super::Balancer;
+use super::backends::{BackendKey, BackendState};
+use super::index::{Candidates, Group, GroupKey, TiedCandidates};
+use super::outliers::HealthState;
+use super::requests::RequestKey;
+use super::retries::RetryScope;
 use crate::api::{Cell, Idempotency, Micros, Zone};
-use crate::index::{Candidates, Group, Ties};
-use crate::spread::golden_ratio_position;
-use crate::state::{Scope, Server};
 use fastrand::Rng;
 
 #[cfg(test)]
 mod tests;
 
-/// Servers that a proxy spreads its requests over, at the least, where its limits add up to fewer slots.
-const MIN_SPREAD_SERVERS: f64 = 3.0;
-/// Part of a server's limit that requests beyond their tenant's share may fill.
-const OVER_SHARE_LIMIT: f64 = 0.6;
-/// A crossing of zones that costs less than this part of a request's worth counts as free.
-const FREE_CROSSING: f64 = 0.01;
+/// Part of a backend's limit that requests over their tenant's quota may fill.
+const OVER_QUOTA_LIMIT_FACTOR: f64 = 0.6;
+/// A request that crosses zones at less than this part of its priority weight is not kept in its zone.
+const FREE_CROSSING_COST: f64 = 0.01;
+/// Available capacity of a backend that gets a single trial request.
+const TRIAL_CAPACITY: i64 = 1;
 
-impl Balancer {
-    /// Departure: where a proxy's limits add up to few slots (many proxies with little traffic each), its
-    /// slots spread over more servers, and the sum of its limits, with the square root of it for the chance
-    /// that requests come together, bounds what it has out in all.
-    pub(super) fn judge_pool(&mut self, now: Micros) {
-        let common =
-            |group: &Group| group.members.len() as f64 * self.common_limit(group.zone, group.kind);
-        let beyond = |&index: &usize| {
-            let server = &self.servers[index];
-            self.limit(index) - self.common_limit(server.zone, server.kind)
-        };
-        let slots = self.index.groups.iter().map(common).sum::<f64>();
-        let slots = slots + self.index.individual.iter().map(beyond).sum::<f64>();
-        let turn = golden_ratio_position(self.settings.proxy_index);
-        self.pool.judged_at = Some(now);
-        self.pool.slots = slots;
-        self.pool.limit_factor = if slots > 0.0 {
-            (MIN_SPREAD_SERVERS / slots).max(1.0)
-        } else {
-            1.0
-        };
-        let most = if self.pool.limit_factor > 1.0 {
-            (slots + slots.sqrt() + turn) as u32
-        } else {
-            u32::MAX
-        };
-        self.pool.max_in_flight = most.max(1);
-    }
+/// What a request asks of a backend.
+struct Query {
+    scope: RetryScope,
+    is_repeatable: bool,
+    /// An attempt that is lost would time out soon.
+    detects_loss_early: bool,
+    /// The time after which an attempt of its class is overdue.
+    overdue_after: Micros,
+    /// Factor on limits.
+    limit_factor: f64,
+}
 
-    /// Whether a zone's servers can be sent to without a price for the way.
-    pub(super) fn near(&self, zone: Zone) -> bool {
-        zone == self.settings.zone || self.settings.cross_zone_cost <= FREE_CROSSING
+impl Query {
+    /// Whether the backends of a zone, and of a cell where it is known, are in scope.
+    fn covers(&self, zone: Zone, cell: Option<Cell>) -> bool {
+        match self.scope {
+            RetryScope::Zone(only) => zone == only,
+            RetryScope::Cell(only) => cell == Some(only),
+            RetryScope::Anywhere | RetryScope::Nowhere => true,
+        }
     }
+}
 
-    /// The server with the greatest room, in the own zone first.
-    pub(super) fn pick(&mut self, now: Micros, slot: usize) -> Option<usize> {
-        let query = self.query(now, slot)?;
-        let tried: Vec<usize> = self.open[slot].attempts.iter().map(|a| a.server).collect();
-        tried
-            .iter()
-            .for_each(|&server| self.index.flag(&self.servers[server], false));
+impl Balancer {
+    /// Selects the backend of a request's next attempt, if one has available capacity.
+    pub(super) fn select_backend(
+        &mut self,
+        now: Micros,
+        request: RequestKey,
+    ) -> Option<BackendKey> {
+        let query = self.query(now, request)?;
+        let attempts = &self.requests[request].attempts;
+        let tried: Vec<BackendKey> = attempts.iter().map(|attempt| attempt.backend).collect();
+        for &backend in &tried {
+            self.index.set_indexed(&self.backends[backend], false);
+        }
         let mut rng = self.rng.clone();
         let best = self
-            .best(now, &query, &tried, &mut rng)
-            .and_then(|best| self.index.draw(&best, &mut rng));
+            .most_available(now, &query, &tried, &mut rng)
+            .and_then(|candidates| self.index.sample(&candidates, &mut rng));
         self.rng = rng;
-        // Departure: a proxy that holds no slot on any server would serve nobody. One request may be out.
-        let idle = self.in_flight == 0;
-        let chosen = best.or_else(|| self.spare(now, &query, &tried).filter(|_| idle));
-        tried
-            .into_iter()
-            .for_each(|server| self.reindex(now, server));
-        chosen
+        // Departure: a proxy without a slot on any backend would serve nobody. It may have one request in flight.
+        let selected = if best.is_none() && self.in_flight == 0 {
+            self.greatest_limit(now, &query, &tried)
+        } else {
+            best
+        };
+        for backend in tried {
+            self.reindex(now, backend);
+        }
+        selected
     }
 
-    /// What a request asks of a server; none where nothing may start for it now.
-    fn query(&self, now: Micros, slot: usize) -> Option<Query> {
-        let open = &self.open[slot];
-        let scope = self.scope(now, open);
-        // What is overdue was lost, or its server is barred for it.
-        let out = |&s: &usize| {
-            self.servers[s]
-                .overdue_at
-                .iter()
-                .filter(|&&at| at >= now)
-                .count() as u32
-        };
-        let bounded = self.pool.max_in_flight < u32::MAX;
-        let full =
-            bounded && self.index.scanned.iter().map(out).sum::<u32>() >= self.pool.max_in_flight;
-        if scope == Scope::Nowhere || full {
+    /// Whether attempts to a zone's backends cost nothing extra.
+    fn is_near(&self, zone: Zone) -> bool {
+        zone == self.settings.zone || self.settings.cross_zone_cost <= FREE_CROSSING_COST
+    }
+
+    /// Returns what a request asks of a backend; `None` where no attempt may start now.
+    fn query(&self, now: Micros, request: RequestKey) -> Option<Query> {
+        let scope = self.next_attempt_scope(now, request);
+        if scope == RetryScope::Nowhere || self.is_in_flight_bound_reached(now) {
             return None;
         }
-        let repeatable =
-            self.settings.classes[open.class].idempotency != Idempotency::NonIdempotent;
+        let request = &self.requests[request];
+        let class = self.settings.class(request.class);
+        let is_repeatable = class.idempotency != Idempotency::NonIdempotent;
+        let is_quick = self.latencies.is_quick(request.class, class);
+        let quota_factor = if request.over_quota {
+            OVER_QUOTA_LIMIT_FACTOR
+        } else {
+            1.0
+        };
         Some(Query {
             scope,
-            repeatable,
-            detects_loss_early: repeatable && self.is_quick(open.class),
-            overdue: self.overdue(open.class),
-            limit_factor: self.pool.limit_factor
-                * if open.over_share {
-                    OVER_SHARE_LIMIT
-                } else {
-                    1.0
-                },
+            is_repeatable,
+            detects_loss_early: is_repeatable && is_quick,
+            overdue_after: self.latencies.overdue_after(request.class, class),
+            limit_factor: self.capacity.limit_factor() * quota_factor,
         })
     }
 
-    /// The servers of the highest rank, near ones first.
-    fn best(
+    /// Whether this proxy has as much in flight as it may. What is overdue was lost, or its backend gets nothing for it.
+    fn is_in_flight_bound_reached(&self, now: Micros) -> bool {
+        let Some(max_in_flight) = self.capacity.max_in_flight() else {
+            return false;
+        };
+        let not_overdue = |&key: &BackendKey| self.backends[key].in_flight.not_overdue(now);
+        self.index.compared().iter().map(not_overdue).sum::<u32>() >= max_in_flight
+    }
+
+    /// Returns the backends of the greatest preference, near ones first.
+    fn most_available(
         &self,
         now: Micros,
         query: &Query,
-        tried: &[usize],
+        tried: &[BackendKey],
         rng: &mut Rng,
     ) -> Option<Candidates> {
-        let mut near = Ties::default();
-        let mut far = Ties::default();
-        for index in self.compared(query, tried) {
-            let Some(rank) = self.rank(now, query, index) else {
+        let mut near = TiedCandidates::default();
+        let mut far = TiedCandidates::default();
+        for key in self.compared(query, tried) {
+            let Some(preference) = self.preference(now, query, key) else {
                 continue;
             };
-            let ties = if self.near(self.servers[index].zone) {
+            let tied = if self.is_near(self.backends[key].zone) {
                 &mut near
             } else {
                 &mut far
             };
-            ties.offer(rank, Candidates::One(index), rng);
+            tied.offer(preference, Candidates::One(key), rng);
         }
-        for (ties, wanted) in [(&mut near, true), (&mut far, false)] {
-            for (number, group) in self.index.groups.iter().enumerate() {
-                if self.near(group.zone) == wanted
-                    && query.covers(group.zone, None)
-                    && let Some((room, candidates)) = self.group_room(number, query.limit_factor)
-                {
-                    ties.offer(rank_of(room, true), candidates, rng);
-                }
-            }
-            if ties.best.is_some() {
-                return ties.best.take();
+        self.offer_groups(query, true, &mut near, rng);
+        if !near.is_empty() {
+            return near.into_best();
+        }
+        self.offer_groups(query, false, &mut far, rng);
+        far.into_best()
+    }
+
+    /// Offers the indexed backends of all near, or all far, groups.
+    fn offer_groups(&self, query: &Query, near: bool, tied: &mut TiedCandidates, rng: &mut Rng) {
+        for (key, group) in self.index.keyed_groups() {
+            let is_eligible =
+                self.is_near(group.zone()) == near && query.covers(group.zone(), None);
+            if is_eligible
+                && let Some((available, candidates)) =
+                    self.most_available_of_group(key, group, query)
+            {
+                tied.offer(preference_of(available, true), candidates, rng);
             }
         }
-        None
     }
 
-    /// The servers that are compared one by one.
-    fn compared(&self, query: &Query, tried: &[usize]) -> impl Iterator<Item = usize> {
-        let servers = match query.scope {
-            Scope::Cell(cell) => self.index.cells.get(&cell),
-            _ => Some(&self.index.scanned),
+    /// Returns the backends that are compared one by one.
+    fn compared(&self, query: &Query, tried: &[BackendKey]) -> impl Iterator<Item = BackendKey> {
+        let backends = match query.scope {
+            RetryScope::Cell(cell) => self.index.cell(cell),
+            _ => Some(self.index.compared()),
         };
-        let in_scope = |server: &Server| query.covers(server.zone, Some(server.cell));
-        let servers = servers
+        let untried = backends
             .into_iter()
             .flatten()
             .copied()
-            .filter(|index| !tried.contains(index));
-        servers.filter(move |&index| in_scope(&self.servers[index]))
+            .filter(|key| !tried.contains(key));
+        untried.filter(move |&key| {
+            let backend = &self.backends[key];
+            query.covers(backend.zone, Some(backend.cell))
+        })
     }
 
-    /// A server's rank if it may have the request. Of the same room, one that was slow of late comes last:
-    /// what goes there holds its slot for long, and its window may take many seconds to fill.
-    fn rank(&self, now: Micros, query: &Query, index: usize) -> Option<i64> {
-        let server = &self.servers[index];
-        if !self.available(now, server, query) {
+    /// Returns a backend's preference if it may have the request. Of the same available capacity, a backend that was slow
+    /// of late comes last: a request there holds its slot for long, and its window may take many seconds to complete.
+    fn preference(&self, now: Micros, query: &Query, key: BackendKey) -> Option<i64> {
+        let backend = &self.backends[key];
+        if !self.is_eligible(now, backend, query) {
             return None;
         }
-        // Departure: a quick attempt that its server passed over was lost on the way; it holds no slot.
-        let taken = i64::from(server.in_flight) - server.passed_over() as i64;
-        let trial = server.is_unresponsive(now, query.overdue);
-        let room = if trial {
-            1
+        let is_trial = backend.in_flight.is_unresponsive(now, query.overdue_after);
+        let available = if is_trial {
+            TRIAL_CAPACITY
         } else {
-            self.slots(index, query.limit_factor) - taken
+            self.slots(key, query.limit_factor) - taken_slots(backend)
         };
-        (room > 0).then(|| rank_of(room, server.recent_latency(now) <= 1.0))
+        let is_quick = backend.recent_latency.value(now) <= 1.0;
+        (available > 0).then(|| preference_of(available, is_quick))
     }
 
-    /// The most room that indexed servers of a group have, and those that have it. All have the same limit,
-    /// so those of the highest slot offsets have a slot more than the others.
-    fn group_room(&self, number: usize, factor: f64) -> Option<(i64, Candidates)> {
-        let group = &self.index.groups[number];
-        let limit = self.common_limit(group.zone, group.kind) * factor;
-        let (least, more) = (limit.floor(), limit.floor() + 1.0);
-        let expected = (limit - least) * group.members.len() as f64;
-        let highest = group.highest(expected as usize, |rank| {
-            limit + self.slot_offset_of(group, rank) >= more
-        });
-        let rooms = [(more as i64, highest), (least as i64, group.runs())];
-        rooms
-            .into_iter()
-            .filter(|(room, _)| *room > 0)
-            .find_map(|(room, runs)| {
-                let count = group.count(&runs);
-                (count > 0).then_some((room, Candidates::Members(count, number, runs)))
-            })
+    /// Returns the greatest available capacity among the indexed backends of a group, and those that have it. All have
+    /// the same limit, so those of the highest slot offsets have a slot more than the others.
+    fn most_available_of_group(
+        &self,
+        key: GroupKey,
+        group: &Group,
+        query: &Query,
+    ) -> Option<(i64, Candidates)> {
+        let machine_type_limit = self.machine_type_limit(group.zone(), group.machine_type());
+        let limit = machine_type_limit * query.limit_factor;
+        let fewer_slots = limit.floor();
+        let more_slots = limit.floor() + 1.0;
+        let expected = (limit - fewer_slots) * group.members().len() as f64;
+        let has_more_slots = |rank| limit + self.slot_offset_of_rank(group, rank) >= more_slots;
+        let with_more_slots = group.highest(expected as usize, has_more_slots);
+        let by_slots = [
+            (more_slots as i64, with_more_slots),
+            (fewer_slots as i64, group.runs()),
+        ];
+        for (available, runs) in by_slots {
+            let count = group.count(&runs);
+            if available > 0 && count > 0 {
+                let group = key;
+                return Some((available, Candidates::Members { count, group, runs }));
+            }
+        }
+        None
     }
 
-    /// The server with most of its limit left although no whole slot, for a proxy that has nothing out.
-    fn spare(&self, now: Micros, query: &Query, tried: &[usize]) -> Option<usize> {
-        let left = |index: usize| self.limit(index) * query.limit_factor + self.slot_offset(index);
-        let compared = self.compared(query, tried);
-        let compared = compared.filter(|&index| self.available(now, &self.servers[index], query));
-        let groups = self
+    /// Returns the backend with the greatest limit although no whole slot, for a proxy that has nothing in flight.
+    fn greatest_limit(
+        &self,
+        now: Micros,
+        query: &Query,
+        tried: &[BackendKey],
+    ) -> Option<BackendKey> {
+        let limit = |key| self.limit(key) * query.limit_factor + self.slot_offset(key);
+        let compared = self
+            .compared(query, tried)
+            .filter(|&key| self.is_eligible(now, &self.backends[key], query));
+        let indexed = self
             .index
-            .groups
+            .groups()
             .iter()
-            .filter(|group| query.covers(group.zone, None));
+            .filter(|group| query.covers(group.zone(), None))
+            .flat_map(Group::highest_of_runs);
         compared
-            .chain(groups.flat_map(Group::tops))
-            .max_by(|&a, &b| left(a).total_cmp(&left(b)))
+            .chain(indexed)
+            .max_by(|&a, &b| limit(a).total_cmp(&limit(b)))
     }
 
-    /// Whether a server may be chosen at all, apart from its room.
-    fn available(&self, now: Micros, server: &Server, query: &Query) -> bool {
-        if let Some(until) = server.ejected_until {
-            // Departure: an ejected server gets one trial, of a request that can be repeated.
-            return now >= until && !server.trial_in_flight && query.repeatable;
+    /// Whether a backend may be selected at all, apart from its available capacity.
+    fn is_eligible(&self, now: Micros, backend: &BackendState, query: &Query) -> bool {
+        let is_trial_in_flight = backend.health.is_trial_in_flight();
+        match backend.health.state(now) {
+            HealthState::Healthy => {}
+            HealthState::Ejected(_) => return false,
+            // Departure: a backend whose ejection is over gets one trial, of a request that can be repeated.
+            HealthState::HalfOpen => return !is_trial_in_flight && query.is_repeatable,
         }
-        // Departure: a server that owes answers and gave none for long may hang: nothing more goes
-        // there. Where what it owes may have been lost on the way, it gets one trial that is given up soon.
-        if server.is_unresponsive(now, query.overdue)
-            && (server.trial_in_flight || !query.detects_loss_early)
+        // Departure: a backend that has owed responses for long may hang and gets nothing more. Where the requests may
+        // have been lost on the way, it gets one trial, of a request that times out soon.
+        if backend.in_flight.is_unresponsive(now, query.overdue_after)
+            && (is_trial_in_flight || !query.detects_loss_early)
         {
             return false;
         }
-        // Departure: a server that turns requests away answers at once and so looks the emptiest of all. It
-        // is left alone for about the time in which one of its requests ends.
-        if now < server.full_until {
+        // Departure: a backend that rejects requests answers at once and so looks the least loaded of all. It gets nothing
+        // for about the time in which one of its requests ends.
+        if now < backend.rejecting_until {
             return false;
         }
-        server
-            .cold
-            .as_ref()
-            .is_none_or(|cold| cold.available(now) >= 1.0)
+        match &backend.slow_start {
+            Some(budget) => budget.has_token(now),
+            None => true,
+        }
     }
 }
 
-/// What a request asks of a server.
-struct Query {
-    scope: Scope,
-    repeatable: bool,
-    /// An attempt that was lost would be given up soon.
-    detects_loss_early: bool,
-    overdue: Micros,
-    /// The factor on limits.
-    limit_factor: f64,
-}
-
-impl Query {
-    /// Whether servers of a zone, and of a cell where it is known, are in scope.
-    fn covers(&self, zone: Zone, cell: Option<Cell>) -> bool {
-        match self.scope {
-            Scope::Zone(only) => zone == only,
-            Scope::Cell(only) => cell == Some(only),
-            Scope::Anywhere | Scope::Nowhere => true,
-        }
-    }
+/// Returns how many slots of a backend are taken.
+///
+/// Departure: a quick attempt that was overtaken was lost on the way; it takes no slot.
+fn taken_slots(backend: &BackendState) -> i64 {
+    i64::from(backend.in_flight.count()) - backend.in_flight.overtaken() as i64
 }
 
-/// How a server compares with others, from its room and whether it was quick of late.
-fn rank_of(room: i64, quick: bool) -> i64 {
-    2 * room + i64::from(quick)
+/// Returns how a backend compares with others: by its available capacity, then by whether it was quick of late.
+fn preference_of(available: i64, is_quick: bool) -> i64 {
+    2 * available + i64::from(is_quick)
 }
--- a/src/balancer/selection/tests.rs
+++ b/src/balancer/selection/tests.rs
@@ -1,4 +1,4 @@
-//! The indexed choice beside a plain scan of every backend, on random events.
+//! The indexed selection compared with a plain scan of every backend, on random events.
 
 use super::*;
 use crate::api::{
@@ -6,53 +6,59 @@
     LoadReportFields, MachineType, MembershipEvent, Outcome, Permissions, Readiness, Request,
     RequestId, SafetyLimits, Settings, TenantIndex, Zone,
 };
-use crate::state::{Attempt, AttemptState, Open};
+use crate::balancer::requests::{Attempt, AttemptState, OpenRequest};
+use crate::balancer::time::SECOND;
 use std::collections::BTreeSet;
 
 const MS: Micros = 1_000;
-const SECOND: Micros = 1_000_000;
 
-/// What a scan finds: the servers that tie for the choice, or those of which an idle proxy may use one without a slot.
+/// What a scan finds: the backends that tie, or those of which an idle proxy may use one without a slot.
 #[derive(Debug, PartialEq)]
 enum Found {
-    Ties(BTreeSet<usize>),
-    Spare(BTreeSet<usize>),
+    Tied(BTreeSet<BackendKey>),
+    WithoutSlot(BTreeSet<BackendKey>),
     Nothing,
 }
 
 /// The choice as the design states it, with a look at every server.
-fn scan(balancer: &Balancer, now: Micros, slot: usize) -> Found {
-    let Some(query) = balancer.query(now, slot) else {
+fn scan(balancer: &Balancer, now: Micros, request: RequestKey) -> Found {
+    let Some(query) = balancer.query(now, request) else {
         return Found::Nothing;
     };
-    let tried: Vec<usize> = balancer.open[slot]
+    let tried: Vec<BackendKey> = balancer.requests[request]
         .attempts
         .iter()
-        .map(|a| a.server)
+        .map(|attempt| attempt.backend)
         .collect();
-    let eligible: Vec<usize> = (0..balancer.servers.len())
-        .filter(|&i| balancer.servers[i].ready && !tried.contains(&i))
-        .filter(|&i| query.covers(balancer.servers[i].zone, Some(balancer.servers[i].cell)))
-        .filter(|&i| balancer.available(now, &balancer.servers[i], &query))
+    let eligible: Vec<BackendKey> = balancer
+        .backends
+        .keys()
+        .filter(|&i| balancer.backends[i].ready && !tried.contains(&i))
+        .filter(|&i| query.covers(balancer.backends[i].zone, Some(balancer.backends[i].cell)))
+        .filter(|&i| balancer.is_eligible(now, &balancer.backends[i], &query))
         .collect();
     for near in [true, false] {
         let ranks = eligible
             .iter()
-            .filter(|&&i| balancer.near(balancer.servers[i].zone) == near)
+            .filter(|&&i| balancer.is_near(balancer.backends[i].zone) == near)
             .filter_map(|&i| {
-                let server = &balancer.servers[i];
-                let taken = i64::from(server.in_flight) - server.passed_over() as i64;
-                let trial = server.is_unresponsive(now, query.overdue);
-                let room = if trial {
+                let backend = &balancer.backends[i];
+                let taken =
+                    i64::from(backend.in_flight.count()) - backend.in_flight.overtaken() as i64;
+                let is_trial = backend.in_flight.is_unresponsive(now, query.overdue_after);
+                let available = if is_trial {
                     1
                 } else {
                     balancer.slots(i, query.limit_factor) - taken
                 };
-                (room > 0).then_some((2 * room + i64::from(server.recent_latency(now) <= 1.0), i))
+                (available > 0).then_some((
+                    2 * available + i64::from(backend.recent_latency.value(now) <= 1.0),
+                    i,
+                ))
             });
-        let ranks: Vec<(i64, usize)> = ranks.collect();
+        let ranks: Vec<(i64, BackendKey)> = ranks.collect();
         if let Some(&(most, _)) = ranks.iter().max() {
-            return Found::Ties(
+            return Found::Tied(
                 ranks
                     .into_iter()
                     .filter(|&(rank, _)| rank == most)
@@ -61,21 +67,26 @@
             );
         }
     }
-    let left = |i: usize| balancer.limit(i) * query.limit_factor + balancer.slot_offset(i);
+    let left = |i: BackendKey| balancer.limit(i) * query.limit_factor + balancer.slot_offset(i);
     let most = eligible.iter().map(|&i| left(i)).max_by(f64::total_cmp);
     match most {
         Some(most) if balancer.in_flight == 0 => {
-            Found::Spare(eligible.into_iter().filter(|&i| left(i) == most).collect())
+            Found::WithoutSlot(eligible.into_iter().filter(|&i| left(i) == most).collect())
         }
         _ => Found::Nothing,
     }
 }
 
 /// The servers that the indexed choice takes in so many draws that each of those that tie is most likely among them.
-fn indexed(balancer: &mut Balancer, now: Micros, slot: usize, ties: usize) -> BTreeSet<usize> {
+fn indexed(
+    balancer: &mut Balancer,
+    now: Micros,
+    request: RequestKey,
+    ties: usize,
+) -> BTreeSet<BackendKey> {
     let draws = ties * (12 + ties.max(1).ilog2() as usize);
     (0..draws)
-        .filter_map(|_| balancer.pick(now, slot))
+        .filter_map(|_| balancer.select_backend(now, request))
         .collect()
 }
 
@@ -83,19 +94,19 @@
 fn compare(
     balancer: &mut Balancer,
     now: Micros,
-    slot: usize,
-) -> Result<usize, (Found, BTreeSet<usize>)> {
-    let expected = scan(balancer, now, slot);
-    let ties = if let Found::Ties(ties) = &expected {
+    request: RequestKey,
+) -> Result<usize, (Found, BTreeSet<BackendKey>)> {
+    let expected = scan(balancer, now, request);
+    let ties = if let Found::Tied(ties) = &expected {
         ties.len()
     } else {
         1
     };
-    let found = indexed(balancer, now, slot, ties);
+    let found = indexed(balancer, now, request, ties);
     let agree = match &expected {
-        Found::Ties(ties) => found == *ties,
+        Found::Tied(ties) => found == *ties,
         // No draw: any of those with the same limit left will do.
-        Found::Spare(equal) => found.len() == 1 && found.is_subset(equal),
+        Found::WithoutSlot(equal) => found.len() == 1 && found.is_subset(equal),
         Found::Nothing => found.is_empty(),
     };
     if agree {
@@ -310,46 +321,31 @@
     }
 
     /// A request that has failed up to twice, of any class, for which a choice is due.
-    fn open_request(&mut self) -> usize {
-        let class = self.rng.usize(0..5);
-        let tried =
-            (0..self.rng.usize(0..3)).map(|_| self.rng.usize(0..self.balancer.servers.len()));
-        let tried: BTreeSet<usize> = tried.collect();
-        let mut attempt = |server| Attempt {
-            server,
-            sent_at: self.now,
-            connection_idle: 0,
-            early: false,
-            overdue_at: self.now,
-            trial: false,
-            answer_began: false,
+    fn open_request(&mut self) -> RequestKey {
+        let class = ClassIndex(self.rng.usize(0..5) as u8);
+        let keys: Vec<BackendKey> = self.balancer.backends.keys().collect();
+        let tried = (0..self.rng.usize(0..3)).map(|_| keys[self.rng.usize(0..keys.len())]);
+        let tried: BTreeSet<BackendKey> = tried.collect();
+        let mut attempt = |backend| Attempt {
             state: if self.rng.bool() {
-                AttemptState::NeverRan
+                AttemptState::NotExecuted
             } else {
-                AttemptState::MayHaveRun
+                AttemptState::MayHaveExecuted
             },
+            ..Attempt::new(backend, self.now)
         };
         let attempts = tried.into_iter().map(&mut attempt).collect();
-        let over_share = self.rng.u8(0..4) == 0;
-        let slot = self.balancer.open.insert(Open {
-            id: RequestId::MAX,
-            class,
-            arrived: self.now,
-            deadline: self.now + SECOND,
-            over_share,
-            answered: false,
-            streaming: false,
-            spent: false,
-            queued_until: None,
-            attempts: Vec::new(),
-        });
-        self.balancer.open[slot].attempts = attempts;
-        slot
+        let over_quota = self.rng.u8(0..4) == 0;
+        let deadline = self.now + SECOND;
+        let open = OpenRequest::new(RequestId::MAX, class, over_quota, self.now, deadline);
+        let request = self.balancer.requests.insert(open);
+        self.balancer.requests[request].attempts = attempts;
+        request
     }
 }
 
 #[test]
-fn the_indexed_choice_draws_from_the_servers_that_a_plain_scan_finds() {
+fn the_indexed_selection_samples_from_the_backends_that_a_plain_scan_finds() {
     let mut compared = 0;
     let mut ties = 0;
     for seed in 0..60 {
@@ -360,14 +356,14 @@
                 continue;
             }
             let now = play.now;
-            play.balancer.recheck_due(now);
-            let slot = play.open_request();
-            let tied = compare(&mut play.balancer, now, slot).unwrap_or_else(|(scan, index)| {
+            play.balancer.reindex_due(now);
+            let request = play.open_request();
+            let tied = compare(&mut play.balancer, now, request).unwrap_or_else(|(scan, index)| {
                 panic!("seed {seed}, step {step}: {scan:?}, indexed {index:?}")
             });
             compared += 1;
             ties += usize::from(tied > 1);
-            play.balancer.open.release(slot);
+            play.balancer.requests.remove(request);
         }
     }
     assert!(
@@ -377,18 +373,18 @@
 }
 
 #[test]
-fn servers_that_tie_are_drawn_equally_often() {
+fn backends_that_tie_are_sampled_equally_often() {
     const DRAWS: usize = 400;
     let mut play = Play::new(11);
     let mut judged = 0;
     for _ in 0..300 {
         play.step();
         let now = play.now;
-        play.balancer.recheck_due(now);
-        let slot = play.open_request();
-        if let Found::Ties(ties) = scan(&play.balancer, now, slot) {
-            let mut drawn: Vec<usize> = (0..DRAWS * ties.len())
-                .filter_map(|_| play.balancer.pick(now, slot))
+        play.balancer.reindex_due(now);
+        let request = play.open_request();
+        if let Found::Tied(ties) = scan(&play.balancer, now, request) {
+            let mut drawn: Vec<BackendKey> = (0..DRAWS * ties.len())
+                .filter_map(|_| play.balancer.select_backend(now, request))
                 .collect();
             drawn.sort_unstable();
             for alike in drawn.chunk_by(|a, b| a == b) {
@@ -403,7 +399,7 @@
             }
             judged += 1;
         }
-        play.balancer.open.release(slot);
+        play.balancer.requests.remove(request);
     }
     assert!(judged > 50, "{judged} choices were judged");
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,9 +3,6 @@
 
 pub mod api;
 pub mod balancer;
-mod demand;
-mod index;
 pub mod proxy;
 mod spread;
-mod state;
 pub mod wire;
--- a/src/proxy/driver.rs
+++ b/src/proxy/driver.rs
@@ -224,7 +224,7 @@
             }
             Message::Listed(scope, entries) => self.on_list(now, scope, &entries),
             Message::Avoided(asked) => {
-                let _ = asked.send(self.balancer.avoided(now));
+                let _ = asked.send(self.balancer.avoided_backends(now));
             }
         }
     }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -752,7 +752,7 @@
         balancer.handle(now, Event::AttemptEnded(settled), &mut Vec::new());
     }
     begin(&mut balancer, now, 51);
-    assert_eq!(balancer.avoided(now), 0);
+    assert_eq!(balancer.avoided_backends(now), 0);
 }
 
 #[test]
@@ -788,22 +788,30 @@
 #[test]
 fn the_module_tells_how_many_listed_servers_it_avoids() {
     let mut proxy = Proxy::new(single_zone(), one_zone(3));
-    assert_eq!(proxy.balancer.avoided(proxy.now), 0);
+    assert_eq!(proxy.balancer.avoided_backends(proxy.now), 0);
     let leaving = [Backend {
         readiness: Readiness::Draining,
         ..one_zone(1)[0]
     }];
     proxy.event(Event::Membership(MembershipEvent::Delta(&leaving)));
-    assert_eq!(proxy.balancer.avoided(proxy.now), 1);
+    assert_eq!(proxy.balancer.avoided_backends(proxy.now), 1);
     let gone = [Backend {
         readiness: Readiness::Removed,
         ..one_zone(1)[0]
     }];
     proxy.event(Event::Membership(MembershipEvent::Delta(&gone)));
-    assert_eq!(proxy.balancer.avoided(proxy.now), 0, "it is listed no more");
+    assert_eq!(
+        proxy.balancer.avoided_backends(proxy.now),
+        0,
+        "it is listed no more"
+    );
     proxy.request(request(1, 0));
     proxy.now += 9 * SECOND;
-    assert_eq!(proxy.balancer.avoided(proxy.now), 1, "one owes an answer");
+    assert_eq!(
+        proxy.balancer.avoided_backends(proxy.now),
+        1,
+        "one owes an answer"
+    );
 }
 
 #[test]
