--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -8,14 +8,13 @@
 use crate::proxy::dial::connect;
 use crate::proxy::limits::BACKEND_HEAD_CAP;
 use crate::proxy::socket::Socket;
+use crate::proxy::socket_io::{ObservedSocket, SocketIo};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use std::cell::Cell;
 use std::io;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use std::task::Poll;
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout_at};
 
@@ -73,64 +72,21 @@
     }
 }
 
-/// The half of a [`Wire`] that the HTTP side drives.
-struct WireIo(Rc<Wire>);
-
-impl WireIo {
-    fn record(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if let Poll::Ready(Ok(written)) = written {
-            self.0.record_written(written as u64);
-        }
-        written
+impl ObservedSocket for Wire {
+    fn socket(&self) -> &Socket {
+        &self.socket
     }
-}
 
-impl AsyncRead for WireIo {
-    fn poll_read(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        let old = buf.filled().len();
-        let read = self.0.socket.poll_read(cx, buf);
-        if buf.filled().len() > old && !self.0.in_use.get() {
-            self.0.stray_bytes.record();
+    fn on_read(&self, _: &[u8]) {
+        if !self.in_use.get() {
+            self.stray_bytes.record();
         }
-        read
     }
-}
 
-impl AsyncWrite for WireIo {
-    fn poll_write(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        self.record(self.0.socket.poll_write(cx, |stream| stream.try_write(buf)))
-    }
-
-    fn poll_write_vectored(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        self.record(
-            self.0
-                .socket
-                .poll_write(cx, |stream| stream.try_write_vectored(bufs)),
-        )
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        true
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
-    }
-
-    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.0.socket.end_sending())
+    fn on_write(&self, written: &Poll<io::Result<usize>>) {
+        if let Poll::Ready(Ok(bytes)) = written {
+            self.record_written(*bytes as u64);
+        }
     }
 }
 
@@ -174,7 +130,7 @@
         let stream = connecting.map_err(|_| ConnectError::Backend)??;
         tracing::debug!(backend = %endpoint.address(), local = ?stream.local_addr().ok(), "connected");
         let wire = Rc::new(Wire::new(Socket::new(stream), stray_bytes, counters));
-        let io = TokioIo::new(WireIo(Rc::clone(&wire)));
+        let io = TokioIo::new(SocketIo::new(&wire));
         let handshake = http1::Builder::new()
             .max_buf_size(BACKEND_HEAD_CAP)
             .handshake(io)
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -10,6 +10,7 @@
 use crate::proxy::limits::REQUEST_TIME;
 use crate::proxy::messages::{Answer, Handle, Inbound, Message};
 use crate::proxy::responses::{Rejection, close, plain, refusal};
+use crate::proxy::socket_io::ObservedSocket;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Request, Response, StatusCode};
@@ -34,7 +35,7 @@
     ) -> Response<ResponseBody> {
         let now = Instant::now();
         let late = if number == 1 {
-            connection.connected() + REQUEST_TIME
+            connection.connected_at() + REQUEST_TIME
         } else {
             now + REQUEST_TIME
         };
@@ -144,7 +145,7 @@
             .tell(Message::Request(Box::new(inbound), sender));
         let client_gone = async {
             if is_upload {
-                connection.socket().ended().await;
+                connection.socket().closed_by_peer().await;
             } else {
                 connection.closed_by_client(&self.budget.bodies).await;
             }
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -2,8 +2,9 @@
 
 use super::Clients;
 use crate::proxy::bodies::ResponseBody;
-use crate::proxy::connections::{ClientConnection, ClientIo};
+use crate::proxy::connections::ClientConnection;
 use crate::proxy::limits::{CLIENT_HEAD_CAP, REQUEST_TIME};
+use crate::proxy::socket_io::{ObservedSocket, SocketIo};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
@@ -40,7 +41,7 @@
             .timer(TokioTimer::new())
             .header_read_timeout(None)
             .max_buf_size(CLIENT_HEAD_CAP)
-            .serve_connection(TokioIo::new(ClientIo(Rc::clone(connection))), service);
+            .serve_connection(TokioIo::new(SocketIo::new(connection)), service);
         let mut stages = self.lifecycle.subscribe();
         let mut close_at = self.lifecycle.closes_at();
         let mut recheck = pin!(sleep_until(
@@ -88,7 +89,7 @@
         drop(http);
         if ended.is_err_and(|error| error.is_user()) {
             // An answer broke off: one whose length the client does not know would look whole at a plain end.
-            connection.socket().break_off();
+            connection.socket().reset_on_close();
         } else {
             connection.socket().linger().await;
         }
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -1,19 +1,20 @@
-//! The clients' connections as they look from outside: how far each one is, since when, and what it would
-//! cost to lose it.
+//! The clients' connections as they look from outside: the state of each one, since when, and what it would
+//! cost to close it.
 
 use super::budget;
 use super::framing::Framing;
 use super::limits::{ANSWER_STALL, REQUEST_TIME};
 use super::read_ahead::{READ_PIECE, ReadAhead};
 use super::socket::{Socket, Unread};
+use super::socket_io::ObservedSocket;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::io;
-use std::pin::{Pin, pin};
+use std::pin::pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -21,7 +22,27 @@
 /// How long a client may take for a head; for the first one on a connection this counts from connecting.
 const HEAD_TIME: Duration = Duration::from_millis(2_750);
 
-/// What it costs to lose a connection, the cheapest first.
+/// A connection with activity this lately may well go on.
+const ACTIVE_WINDOW: Duration = Duration::from_millis(500);
+
+/// How far a connection is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectionState {
+    /// Its client takes what it is sent more slowly than it comes.
+    WriteBlocked,
+    /// It has a request without a complete response.
+    Serving,
+    /// It never brought a byte of a request.
+    Unused,
+    /// It had requests and has none now.
+    Idle,
+    /// A part of a head has come.
+    ReadingHead,
+    /// What comes is the rest of a body whose request is answered, or malformed.
+    Discarding,
+}
+
+/// What it costs to close a connection, the cheapest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionCost {
     /// It never brought a byte, and had time for some.
@@ -34,32 +55,29 @@
     Active,
 }
 
-/// A connection on which something went this lately may well go on.
-const ACTIVE_WINDOW: Duration = Duration::from_millis(500);
-
 /// One connection of a client.
 pub struct ClientConnection {
     socket: Socket,
     ahead: RefCell<ReadAhead>,
     framing: RefCell<Framing>,
-    connected: Instant,
+    connected_at: Instant,
     /// When bytes last went either way.
     last_activity: Cell<Instant>,
     /// When the present head began.
-    head_began: Cell<Instant>,
-    /// Requests that have come, and those of them that have their answers.
+    head_started_at: Cell<Instant>,
+    /// Requests that have come, and those of them that have their responses.
     requests: Cell<u64>,
-    answers: Cell<u64>,
+    responses: Cell<u64>,
     /// Its client takes what it is sent more slowly than it comes.
     write_blocked: Cell<bool>,
-    /// Tells its task to close it, so that others get its place.
-    evict: Notify,
-    /// It was told so, and has not looked yet.
-    evicting: Cell<bool>,
+    /// Asks its task to close it, so that another client can be accepted.
+    eviction: Notify,
+    /// The task was asked, and has not looked yet.
+    eviction_pending: Cell<bool>,
 }
 
 impl ClientConnection {
-    /// One that was accepted now, whose heads may have so many bytes.
+    /// Creates one that was accepted now, whose heads may have so many bytes.
     #[must_use]
     pub fn new(stream: TcpStream, head_cap: usize) -> Self {
         let now = Instant::now();
@@ -67,42 +85,36 @@
             socket: Socket::new(stream),
             ahead: RefCell::default(),
             framing: RefCell::new(Framing::new(head_cap)),
-            connected: now,
+            connected_at: now,
             last_activity: Cell::new(now),
-            head_began: Cell::new(now),
+            head_started_at: Cell::new(now),
             requests: Cell::new(0),
-            answers: Cell::new(0),
+            responses: Cell::new(0),
             write_blocked: Cell::new(false),
-            evict: Notify::new(),
-            evicting: Cell::new(false),
+            eviction: Notify::new(),
+            eviction_pending: Cell::new(false),
         }
     }
 
-    /// Its socket.
-    #[must_use]
-    pub fn socket(&self) -> &Socket {
-        &self.socket
-    }
-
-    /// Whether its client has ended it, as far as the runtime knows, whatever is still unread.
+    /// Returns whether its client has closed it, as far as the runtime knows, whatever is still unread.
     #[must_use]
     pub fn is_closed_by_client(&self) -> bool {
-        pin!(self.socket.ended())
+        pin!(self.socket.closed_by_peer())
             .poll(&mut Context::from_waker(Waker::noop()))
             .is_ready()
     }
 
-    /// Waits until its client has ended it. What the client sends meanwhile is read ahead, as far as there is
+    /// Waits until its client has closed it. What the client sends meanwhile is read ahead, as far as there is
     /// `memory` for it: behind more than the kernel takes, the end would not be seen. Whatever of the request
-    /// itself is still to come would be read as well, so it has to be whole.
+    /// itself is still to come would be read as well, so it has to be complete.
     pub async fn closed_by_client(&self, memory: &budget::Bytes) {
         tokio::select! {
-            () = self.socket.ended() => {}
+            () = self.socket.closed_by_peer() => {}
             () = self.read_ahead(memory) => {}
         }
     }
 
-    /// Reads ahead; ends where its client has ended it.
+    /// Reads ahead until its client has closed it.
     async fn read_ahead(&self, memory: &budget::Bytes) {
         while self.socket.has_bytes().await {
             if !self.ahead.borrow_mut().make_room(memory) {
@@ -115,101 +127,116 @@
         }
     }
 
-    /// When it was accepted.
+    /// Returns when it was accepted.
     #[must_use]
-    pub fn connected(&self) -> Instant {
-        self.connected
+    pub fn connected_at(&self) -> Instant {
+        self.connected_at
     }
 
-    /// A request has come; its number, from 1 on.
+    /// Begins a request, and returns its number, from 1 on.
     #[must_use]
     pub fn begin_request(&self) -> u64 {
         self.requests.set(self.requests.get() + 1);
         self.requests.get()
     }
 
-    /// A request has its answer, or the head of it.
+    /// Ends a request, which has its response or the last byte of it.
     pub fn end_request(&self) {
-        self.answers.set(self.answers.get() + 1);
+        self.responses.set(self.responses.get() + 1);
     }
 
-    /// Whether the body of that request can be read in two ways.
+    /// Returns whether the body of that request can be read in two ways.
     #[must_use]
     pub fn is_ambiguous(&self, number: u64) -> bool {
         self.framing.borrow().is_ambiguous(number)
     }
 
-    /// Whether no request is on it, nor a part of one, not even in the kernel.
+    /// Returns whether no request is on it, nor a part of one, not even in the kernel.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        !self.has_request()
-            && !self.write_blocked.get()
-            && self.framing.borrow().is_between()
-            && !self.has_unread()
+        let is_idle = matches!(
+            self.state(),
+            ConnectionState::Unused | ConnectionState::Idle
+        );
+        is_idle && !self.has_unread()
     }
 
-    /// Whether no whole request is on it, as far as the kernel knows.
+    /// Returns whether no complete request is on it, as far as the kernel knows.
     #[must_use]
     pub fn is_evictable(&self) -> bool {
         self.eviction_cost().is_some() && !self.has_unread()
     }
 
-    /// Whether bytes wait that were not read yet.
+    /// Returns whether bytes wait that were not read yet.
     #[must_use]
     pub fn has_unread(&self) -> bool {
         !self.ahead.borrow().is_empty() || self.socket.unread() == Unread::Bytes
     }
 
-    /// When its client has taken too long, where it is the client's turn.
+    /// Returns when its client has taken too long, where it is the client's turn.
     #[must_use]
     pub fn deadline(&self) -> Option<Instant> {
-        if self.write_blocked.get() {
-            return Some(self.last_activity.get() + ANSWER_STALL);
-        }
-        if self.has_request() {
-            return None;
+        match self.state() {
+            ConnectionState::Serving => None,
+            ConnectionState::WriteBlocked => Some(self.last_activity.get() + ANSWER_STALL),
+            ConnectionState::Unused | ConnectionState::Idle => {
+                Some(self.last_activity.get() + REQUEST_TIME)
+            }
+            // What is malformed is the library's to reject, and has no longer than a head.
+            ConnectionState::ReadingHead | ConnectionState::Discarding => {
+                let started_at = if self.requests.get() == 0 {
+                    self.connected_at
+                } else {
+                    self.head_started_at.get()
+                };
+                Some(started_at + HEAD_TIME)
+            }
         }
-        // What makes no sense is the library's to turn away, and has no longer than a head.
-        Some(if self.framing.borrow().is_between() {
-            self.last_activity.get() + REQUEST_TIME
-        } else if self.requests.get() == 0 {
-            self.connected + HEAD_TIME
-        } else {
-            self.head_began.get() + HEAD_TIME
-        })
     }
 
-    /// Waits until it is to be closed because others need its place.
+    /// Waits until it is to be closed so that another client can be accepted.
     pub async fn eviction_requested(&self) {
-        self.evict.notified().await;
-        self.evicting.set(false);
+        self.eviction.notified().await;
+        self.eviction_pending.set(false);
     }
 
-    fn has_request(&self) -> bool {
-        self.requests.get().max(self.framing.borrow().heads()) > self.answers.get()
+    /// Asks its task to close it.
+    fn request_eviction(&self) {
+        self.eviction_pending.set(true);
+        self.eviction.notify_one();
     }
 
-    /// `None` for one with a request.
-    fn eviction_cost(&self) -> Option<EvictionCost> {
+    fn state(&self) -> ConnectionState {
         let framing = self.framing.borrow();
-        if self.has_request() || self.write_blocked.get() {
-            return None;
-        }
-        let cost = match (
-            framing.is_between(),
-            framing.is_in_head(),
-            self.requests.get(),
-        ) {
-            (true, _, 0) => EvictionCost::Unused,
-            (true, ..) => return Some(EvictionCost::Idle),
-            (_, true, _) => EvictionCost::PartialHead,
-            _ => return None,
-        };
-        Some(if self.last_activity.get().elapsed() < ACTIVE_WINDOW {
-            EvictionCost::Active
+        if self.write_blocked.get() {
+            ConnectionState::WriteBlocked
+        } else if self.requests.get().max(framing.heads()) > self.responses.get() {
+            ConnectionState::Serving
+        } else if framing.is_between() && self.requests.get() == 0 {
+            ConnectionState::Unused
+        } else if framing.is_between() {
+            ConnectionState::Idle
+        } else if framing.is_in_head() {
+            ConnectionState::ReadingHead
         } else {
-            cost
-        })
+            ConnectionState::Discarding
+        }
+    }
+
+    /// Returns what it costs to close it; `None` where it must not be closed for another client.
+    fn eviction_cost(&self) -> Option<EvictionCost> {
+        let is_active = self.last_activity.get().elapsed() < ACTIVE_WINDOW;
+        match self.state() {
+            ConnectionState::Idle => Some(EvictionCost::Idle),
+            ConnectionState::Unused | ConnectionState::ReadingHead if is_active => {
+                Some(EvictionCost::Active)
+            }
+            ConnectionState::Unused => Some(EvictionCost::Unused),
+            ConnectionState::ReadingHead => Some(EvictionCost::PartialHead),
+            ConnectionState::WriteBlocked
+            | ConnectionState::Serving
+            | ConnectionState::Discarding => None,
+        }
     }
 
     fn record_read(&self, bytes: &[u8]) {
@@ -218,7 +245,7 @@
         framing.feed(bytes);
         self.last_activity.set(Instant::now());
         if !was_in_head {
-            self.head_began.set(self.last_activity.get());
+            self.head_started_at.set(self.last_activity.get());
         }
     }
 }
@@ -231,111 +258,69 @@
 }
 
 impl ClientConnections {
-    /// One more; its number.
+    /// Adds a connection, and returns its number.
     pub fn add(&mut self, connection: &Rc<ClientConnection>) -> u64 {
         self.next += 1;
         self.open.insert(self.next, Rc::clone(connection));
         self.next
     }
 
-    /// It has ended.
+    /// Removes a connection that has ended.
     pub fn remove(&mut self, number: u64) {
         self.open.remove(&number);
     }
 
-    /// Has the one connection closed that is cheapest to lose, of several the one on which nothing has moved
-    /// for longest; one with a request is none of them.
+    /// Asks the one connection to close that is cheapest to lose, of several the one on which nothing has moved
+    /// for longest. One with a request is none of them.
     pub fn evict_one(&self) {
-        let staying = self
-            .open
-            .values()
-            .filter(|connection| !connection.evicting.get());
-        let mut cheapest: Vec<_> = staying
-            .filter_map(|connection| {
-                Some((
-                    (connection.eviction_cost()?, connection.last_activity.get()),
-                    connection,
-                ))
-            })
-            .collect();
-        cheapest.sort_unstable_by_key(|(cost, _)| *cost);
-        // The kernel is asked of few of them.
-        if let Some((_, connection)) = cheapest
+        let mut candidates = Vec::new();
+        for connection in self.open.values() {
+            if connection.eviction_pending.get() {
+                continue;
+            }
+            if let Some(cost) = connection.eviction_cost() {
+                candidates.push(((cost, connection.last_activity.get()), connection));
+            }
+        }
+        candidates.sort_unstable_by_key(|(order, _)| *order);
+        // Whether bytes are unread costs a system call, so it is looked up for few of them.
+        let evicted = candidates
             .into_iter()
-            .find(|(_, connection)| !connection.has_unread())
-        {
-            connection.evicting.set(true);
-            connection.evict.notify_one();
+            .find(|(_, connection)| !connection.has_unread());
+        if let Some((_, connection)) = evicted {
+            connection.request_eviction();
         }
     }
 }
 
-/// The half of a [`ClientConnection`] that the HTTP side drives.
-pub struct ClientIo(pub Rc<ClientConnection>);
-
-impl ClientIo {
-    fn record_written(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        self.0.write_blocked.set(written.is_pending());
-        if written.is_ready() {
-            self.0.last_activity.set(Instant::now());
-        }
-        written
+impl ObservedSocket for ClientConnection {
+    fn socket(&self) -> &Socket {
+        &self.socket
     }
-}
 
-impl AsyncRead for ClientIo {
-    fn poll_read(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        let old = buf.filled().len();
-        let mut ahead = self.0.ahead.borrow_mut();
+    /// Reads what was read ahead before anything else.
+    fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let mut ahead = self.ahead.borrow_mut();
         if !ahead.is_empty() {
             ahead.move_into(buf);
-        } else if self.0.socket.poll_read(cx, buf)?.is_pending() {
-            ahead.register_reader(cx.waker());
-            return Poll::Pending;
+            return Poll::Ready(Ok(()));
         }
-        drop(ahead);
-        if buf.filled().len() > old {
-            self.0.record_read(&buf.filled()[old..]);
+        let read = self.socket.poll_read(cx, buf);
+        if read.is_pending() {
+            ahead.register_reader(cx.waker());
         }
-        Poll::Ready(Ok(()))
-    }
-}
-
-impl AsyncWrite for ClientIo {
-    fn poll_write(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        self.record_written(self.0.socket.poll_write(cx, |stream| stream.try_write(buf)))
+        read
     }
 
-    fn poll_write_vectored(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        self.record_written(
-            self.0
-                .socket
-                .poll_write(cx, |stream| stream.try_write_vectored(bufs)),
-        )
+    fn on_read(&self, bytes: &[u8]) {
+        self.record_read(bytes);
     }
 
-    fn is_write_vectored(&self) -> bool {
-        true
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
-    }
-
-    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.0.socket.end_sending())
+    fn on_write(&self, written: &Poll<io::Result<usize>>) {
+        self.write_blocked.set(written.is_pending());
+        if written.is_ready() {
+            self.last_activity.set(Instant::now());
+        }
     }
 }
 
--- a/src/proxy/connections/tests.rs
+++ b/src/proxy/connections/tests.rs
@@ -25,7 +25,7 @@
 }
 
 fn evicting<const N: usize>(all: &[Rc<ClientConnection>; N]) -> Vec<usize> {
-    (0..N).filter(|&i| all[i].evicting.get()).collect()
+    (0..N).filter(|&i| all[i].eviction_pending.get()).collect()
 }
 
 #[tokio::test(start_paused = true)]
@@ -89,17 +89,20 @@
     client.write_all(HEAD).await.expect("it is open");
     assert!(!connection.is_idle() && !connection.is_evictable());
     connections.evict_one();
-    assert!(!connection.evicting.get(), "the request would be lost");
+    assert!(
+        !connection.eviction_pending.get(),
+        "the request would be lost"
+    );
     let mut request = [0; HEAD.len()];
     assert_eq!(
         connection.socket().read(&mut request).await,
         Some(HEAD.len())
     );
     drop(client);
-    connection.socket().ended().await;
+    connection.socket().closed_by_peer().await;
     assert!(connection.is_idle() && connection.is_closed_by_client());
     connections.evict_one();
-    assert!(connection.evicting.get());
+    assert!(connection.eviction_pending.get());
 }
 
 #[tokio::test(start_paused = true)]
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -23,5 +23,6 @@
 mod request_log;
 mod responses;
 pub mod socket;
+mod socket_io;
 
 use dial::connect;
--- a/src/proxy/socket.rs
+++ b/src/proxy/socket.rs
@@ -1,4 +1,4 @@
-//! A connection's socket that more than the HTTP library looks at.
+//! The socket of a connection. Besides the HTTP library, the connection reads and closes it.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 /// How long a closing connection is read on after its last byte, and in all, so that the kernel does not
-/// answer late bytes with a reset that destroys an answer on its way.
+/// answer late bytes with a reset that destroys a response on its way.
 const LINGER: Duration = Duration::from_millis(500);
 const LINGER_TOTAL: Duration = Duration::from_secs(2);
 const LINGER_BUFFER: usize = 8 * 1024;
@@ -23,7 +23,7 @@
     Nothing,
     /// Some bytes.
     Bytes,
-    /// The other side has ended the connection, or it broke.
+    /// The peer has closed the connection, or it broke.
     End,
 }
 
@@ -32,27 +32,26 @@
 pub struct Socket(Rc<TcpStream>);
 
 impl Socket {
-    /// Shares this one.
+    /// Shares this stream.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
         Self(Rc::new(stream))
     }
 
-    /// What waits to be read. The runtime may not have seen yet what the kernel knows already, so the socket
-    /// itself is asked.
+    /// Returns what waits to be read, as the kernel knows it: the runtime may not have seen it yet.
     #[must_use]
     pub fn unread(&self) -> Unread {
         let mut byte = [MaybeUninit::uninit()];
         match socket2::SockRef::from(&*self.0).peek(&mut byte) {
             Ok(1..) => Unread::Bytes,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Unread::Nothing,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Unread::Nothing,
             Ok(0) | Err(_) => Unread::End,
         }
     }
 
-    /// Waits until the other side has ended its sending or the connection broke, whatever is still unread.
-    pub async fn ended(&self) {
-        // No urgent data is waited for at the kernel, so this is woken by nothing else.
+    /// Waits until the peer has closed its sending side or the connection broke, whatever is still unread.
+    pub async fn closed_by_peer(&self) {
+        // The kernel reports no urgent data, so nothing else wakes this.
         while self
             .0
             .ready(Interest::PRIORITY)
@@ -61,42 +60,42 @@
         {}
     }
 
-    /// Waits until something can be read, without taking it; `false` at the end.
+    /// Waits until something can be read, without taking it. Returns false at the end.
     pub async fn has_bytes(&self) -> bool {
         matches!(self.0.peek(&mut [0]).await, Ok(1..))
     }
 
-    /// Reads what has come; `None` where nothing has, and at the end.
+    /// Reads what has come. Returns `None` where nothing has, and at the end.
     pub fn read_now(&self, buffer: &mut [u8]) -> Option<usize> {
         self.0.try_read(buffer).ok().filter(|&read| read > 0)
     }
 
-    /// Ends the sending side.
+    /// Closes the sending side.
     ///
     /// # Errors
-    /// Where it is gone already.
+    /// Where the connection has ended already.
     pub fn end_sending(&self) -> io::Result<()> {
         socket2::SockRef::from(&*self.0).shutdown(Shutdown::Write)
     }
 
-    /// When it is closed, the other side sees it break.
-    pub fn break_off(&self) {
+    /// Makes the close a reset, so that the peer sees the connection break.
+    pub fn reset_on_close(&self) {
         let _ = socket2::SockRef::from(&*self.0).set_linger(Some(Duration::ZERO));
     }
 
-    /// Reads what has come, once something has; `None` at the end.
+    /// Reads what has come, once something has. Returns `None` at the end.
     pub async fn read(&self, buffer: &mut [u8]) -> Option<usize> {
         loop {
             self.0.readable().await.ok()?;
             match self.0.try_read(buffer) {
                 Ok(read) => return Some(read).filter(|&read| read > 0),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return None,
             }
         }
     }
 
-    /// Ends the sending side and reads what still comes, until nothing does for a while.
+    /// Closes the sending side and reads what still comes, until nothing does for a while.
     pub async fn linger(&self) {
         if self.end_sending().is_err() {
             return;
@@ -108,7 +107,7 @@
         .await;
     }
 
-    /// As [`tokio::io::AsyncRead::poll_read`].
+    /// Reads as [`tokio::io::AsyncRead::poll_read`] does.
     pub fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -117,13 +116,13 @@
                     buf.advance(read);
                     return Poll::Ready(Ok(()));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => return Poll::Ready(Err(e)),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
             }
         }
     }
 
-    /// Writes as `write` does, once there is room.
+    /// Writes as `write` does, once the kernel has room.
     pub fn poll_write(
         &self,
         cx: &mut Context<'_>,
@@ -132,7 +131,7 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match write(&self.0) {
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 written => return Poll::Ready(written),
             }
         }
