--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tillerproxy::balancer::Balancer;
-use tillerproxy::proxy::backends::Fleet;
+use tillerproxy::proxy::backends::Backends;
 use tillerproxy::proxy::clients::Clients;
 use tillerproxy::proxy::clock::Clock;
 use tillerproxy::proxy::config::Config;
@@ -117,7 +117,7 @@
         max_attempts: settings.permissions.max_attempts,
         report_by_probe: settings.load_report_by_health_check,
     };
-    let fleet = Fleet::new(
+    let backends = Backends::new(
         config.budget.backends,
         config.dial_timeout,
         settings.permissions.idle_timeout,
@@ -138,14 +138,14 @@
     let (driver, handle) = Driver::new(
         balancer,
         clock,
-        Rc::clone(&fleet),
+        Rc::clone(&backends),
         limits,
         subscribe,
         Rc::clone(&lifecycle),
     );
     if let Some(calls) = calls {
         let (lifecycle, counters) = (Rc::clone(&lifecycle), Rc::clone(&counters));
-        let operator = Operator::new(lifecycle, counters, Rc::clone(&fleet), handle.clone());
+        let operator = Operator::new(lifecycle, counters, Rc::clone(&backends), handle.clone());
         tokio::task::spawn_local(operator.serve(calls));
     }
     let translator = Translator::new(clock, &config.names);
@@ -174,7 +174,7 @@
     let Signals { mut stop, reload } = signals;
     tokio::task::spawn_local(follow_configuration(reload, discovery, log, shared));
     let driver = tokio::task::spawn_local(driver.run());
-    tokio::task::spawn_local(fleet.sweep());
+    tokio::task::spawn_local(backends.sweep());
     let accepting = tokio::task::spawn_local(Rc::clone(&clients).accept(Rc::clone(&listener)));
     watcher.start_from(config.known);
     tokio::task::spawn_local(watcher.run());
--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -1,44 +1,45 @@
 //! One attempt of a request on a backend.
 
+use super::Backends;
 use super::call::{AttemptDeadlines, AttemptResult, Call, Served};
 use super::connection::Connection;
-use super::exchange::{ExchangeError, exchange};
-use super::fleet::{Endpoint, Fleet};
-use super::relay::relay_answer;
-use super::reply::{PartialBody, Reply, ReplyBody};
-use super::request::{build_request, least_size};
+use super::endpoint::Endpoint;
+use super::error::BackendError;
+use super::exchange::exchange;
+use super::relay::relay_body;
+use super::request::{build_request, minimum_size};
+use super::response::{BackendBody, BackendResponse, PartialBody, ResponseHead};
 use crate::api::Outcome;
-use crate::proxy::bodies::{AnswerBody, BufferedBody, RequestBody, StreamedAnswer};
+use crate::proxy::bodies::{AnswerBody, RequestBody, StreamedAnswer};
 use hyper::Request;
 use hyper::body::Body;
-use hyper::header::{CONTENT_TYPE, HeaderMap};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until};
 
-/// With less time than this left, nothing is sent any more.
-const LEAST_TIME: Duration = Duration::from_millis(1);
+/// With less time than this until the deadline, nothing is sent any more.
+const MIN_REMAINING: Duration = Duration::from_millis(1);
 
-impl Fleet {
-    /// One attempt of a request on a backend, given up as `deadlines` says or when `cancel` fires. An answer
-    /// that flows through is handed to `begins` when it begins; the attempt then ends with it.
+impl Backends {
+    /// Makes one attempt of a request on a backend, until the deadlines or until `cancel` fires. A response that
+    /// is streamed is handed to `on_response_start` when it starts; the attempt then ends with it.
     pub async fn attempt(
         self: Rc<Self>,
         endpoint: Rc<Endpoint>,
         call: Rc<Call>,
         deadlines: AttemptDeadlines,
         cancel: oneshot::Receiver<()>,
-        begins: impl FnOnce(Served),
+        on_response_start: impl FnOnce(Served),
     ) -> AttemptResult {
         let attempt = Attempt {
-            fleet: &self,
+            backends: &self,
             endpoint: &endpoint,
             call: &call,
             deadlines,
         };
-        let mut result = attempt.run(cancel, begins).await;
-        result.spent = call
+        let mut result = attempt.run(cancel, on_response_start).await;
+        result.body_consumed = call
             .body
             .progress()
             .is_some_and(|progress| progress.is_spent());
@@ -48,93 +49,123 @@
 
 /// What an attempt refers to.
 struct Attempt<'a> {
-    fleet: &'a Fleet,
+    backends: &'a Backends,
     endpoint: &'a Rc<Endpoint>,
     call: &'a Call,
     deadlines: AttemptDeadlines,
 }
 
+/// A request that is ready to be written.
+struct Prepared {
+    request: Request<RequestBody>,
+    /// The time until the deadline, as the backend is told.
+    remaining: Duration,
+    /// The count of written bytes at which the request is complete; `None` for a body without a length.
+    complete_at: Option<u64>,
+}
+
 impl Attempt<'_> {
     async fn run(
         &self,
         mut cancel: oneshot::Receiver<()>,
-        begins: impl FnOnce(Served),
+        on_response_start: impl FnOnce(Served),
     ) -> AttemptResult {
-        let connection = tokio::select! {
-            biased;
-            connection = self.fleet.connection(self.endpoint, self.deadlines.give_up) => connection,
-            Ok(()) = &mut cancel => return Outcome::NotSent.into(),
-            () = self.unwanted() => return Outcome::NotSent.into(),
-        };
-        let mut connection = match connection {
+        let mut connection = match self.connect(&mut cancel).await {
             Ok(connection) => connection,
-            Err(error) => return error.outcome().into(),
+            Err(outcome) => return outcome.into(),
         };
         // Rule 3: while the connection came up, the backend may have begun to drain or have been replaced.
         if !self.endpoint.is_ready() || connection.generation != self.endpoint.generation() {
             return Outcome::NotSent.into();
         }
-        let left = self
+        let remaining = self
             .deadlines
-            .give_up
+            .deadline
             .saturating_duration_since(Instant::now());
-        if left < LEAST_TIME {
-            self.fleet.keep(self.endpoint, connection);
+        if remaining < MIN_REMAINING {
+            self.backends.pool.keep(self.endpoint, connection);
             return Outcome::NotSent.into();
         }
-        let Some(body) = self.call.body.for_attempt() else {
+        let Some(prepared) = self.prepare(&connection, remaining) else {
             return Outcome::NotSent.into();
         };
-        let request = build_request(self.call, body, self.endpoint.address(), left);
-        let whole_at = whole_at(&connection, &request);
-        connection.wire.begin_request(whole_at);
-        let exchanged = self
-            .exchange(&mut connection, request, whole_at, left, &mut cancel)
-            .await;
-        // Rule 2: what the socket did not take whole can't run; of anything else nothing is certain. Reading
-        // the count and dropping the connection happen in one step, so nothing more is written in between.
-        let all_written = self.is_written(&connection, whole_at);
+        let complete_at = prepared.complete_at;
+        let exchanged = self.exchange(&mut connection, prepared, &mut cancel).await;
+        // Rule 2: a request that the socket did not take completely cannot run; of anything else nothing is
+        // certain. Reading the count and dropping the connection happen in one step, so nothing more is written
+        // in between.
+        let is_written = self.is_written(connection.socket.written(), complete_at);
         match exchanged {
-            Ok(reply) if all_written => self.answered(reply, connection, cancel, begins).await,
-            Ok(reply) => self.answered_early(reply),
-            Err(error) => self.failure(&error, all_written).into(),
+            Ok(response) if is_written => {
+                self.on_response(response, connection, cancel, on_response_start)
+                    .await
+            }
+            Ok(response) => self.early_response(response),
+            Err(error) => self.failure(&error, is_written).into(),
         }
     }
 
-    /// Writes the request and reads its answer, unless it is given up or withdrawn before.
+    /// Returns a connection, or the outcome of an attempt that gets none.
+    async fn connect(&self, cancel: &mut oneshot::Receiver<()>) -> Result<Connection, Outcome> {
+        let pool = &self.backends.pool;
+        let connected = tokio::select! {
+            biased;
+            connected = pool.connection(self.endpoint, self.deadlines.deadline) => connected,
+            Ok(()) = cancel => return Err(Outcome::NotSent),
+            () = self.withdrawn() => return Err(Outcome::NotSent),
+        };
+        connected.map_err(|error| error.connect_outcome())
+    }
+
+    /// Builds the request; `None` where another attempt has its body.
+    fn prepare(&self, connection: &Connection, remaining: Duration) -> Option<Prepared> {
+        let body = self.call.body.for_attempt()?;
+        let request = build_request(self.call, body, self.endpoint.address(), remaining);
+        let length = request.body().size_hint().exact();
+        let complete_at =
+            length.map(|length| connection.socket.written() + minimum_size(&request, length));
+        Some(Prepared {
+            request,
+            remaining,
+            complete_at,
+        })
+    }
+
+    /// Writes the request and reads its response, unless it times out or is cancelled before.
     async fn exchange(
         &self,
         connection: &mut Connection,
-        request: Request<RequestBody>,
-        whole_at: Option<u64>,
-        left: Duration,
+        prepared: Prepared,
         cancel: &mut oneshot::Receiver<()>,
-    ) -> Result<Reply, ExchangeError> {
-        let wire = Rc::clone(&connection.wire);
+    ) -> Result<BackendResponse, BackendError> {
+        let Prepared {
+            request,
+            remaining,
+            complete_at,
+        } = prepared;
+        let socket = Rc::clone(&connection.socket);
+        socket.begin_request(complete_at);
         let withdrawn = async {
-            self.unwanted().await;
-            if self.is_written_on(wire.written(), whole_at) {
+            self.withdrawn().await;
+            // A request that may run is not withdrawn.
+            if self.is_written(socket.written(), complete_at) {
                 std::future::pending::<()>().await;
             }
         };
         tokio::select! {
             biased;
-            () = withdrawn => Err(ExchangeError::Cancelled),
+            () = withdrawn => Err(BackendError::Cancelled),
             exchanged = exchange(&mut connection.sender, request) => exchanged,
-            Ok(()) = cancel => Err(ExchangeError::Cancelled),
-            () = self.given_up(left) => Err(ExchangeError::TimedOut),
+            Ok(()) = cancel => Err(BackendError::Cancelled),
+            () = self.timed_out(remaining) => Err(BackendError::TimedOut),
         }
     }
 
-    fn is_written(&self, connection: &Connection, whole_at: Option<u64>) -> bool {
-        self.is_written_on(connection.wire.written(), whole_at)
-    }
-
-    /// Whether the request is written whole on a connection that took so many bytes. Of one that flows
-    /// through without a length, its end tells.
-    fn is_written_on(&self, written: u64, whole_at: Option<u64>) -> bool {
-        match whole_at {
-            Some(whole) => written >= whole,
+    /// Returns whether the request is complete on a connection that took so many bytes. Of one that is streamed
+    /// without a length, the end of its body tells.
+    fn is_written(&self, written: u64, complete_at: Option<u64>) -> bool {
+        match complete_at {
+            Some(complete_at) => written >= complete_at,
             None => self
                 .call
                 .body
@@ -143,75 +174,57 @@
         }
     }
 
-    /// The result of an answer that came behind the whole request.
-    async fn answered(
+    /// Returns the result of a response that came behind the complete request.
+    async fn on_response(
         &self,
-        reply: Reply,
+        response: BackendResponse,
         connection: Connection,
         cancel: oneshot::Receiver<()>,
-        begins: impl FnOnce(Served),
+        on_response_start: impl FnOnce(Served),
     ) -> AttemptResult {
-        let Reply {
-            status,
-            headers,
-            body,
-        } = reply;
-        match body {
-            ReplyBody::Partial(answer) => {
-                let outcome = self.relay(answer, &headers, cancel, begins).await;
+        let load_reports = &self.backends.load_reports;
+        match response.body {
+            BackendBody::Partial(body) => {
+                let outcome = self
+                    .relay(body, &response.head, cancel, on_response_start)
+                    .await;
                 if outcome == Outcome::Ok {
-                    self.fleet.keep(self.endpoint, connection);
+                    self.backends.pool.keep(self.endpoint, connection);
                 }
-                let body = ReplyBody::Whole(BufferedBody::default());
-                let result = self.fleet.result_of(Reply {
-                    status,
-                    headers,
-                    body,
-                });
                 AttemptResult {
                     outcome,
-                    served: None,
-                    ..result
+                    ..response.head.result(load_reports)
                 }
             }
-            ReplyBody::Whole(_) => {
-                self.fleet.keep(self.endpoint, connection);
-                self.fleet.result_of(Reply {
-                    status,
-                    headers,
-                    body,
-                })
+            BackendBody::Complete(_) => {
+                self.backends.pool.keep(self.endpoint, connection);
+                response.into_result(load_reports)
             }
-            ReplyBody::Unread => self.fleet.result_of(Reply {
-                status,
-                headers,
-                body,
-            }),
+            BackendBody::Unread => response.into_result(load_reports),
         }
     }
 
-    /// Hands an answer on that has begun, and passes on what comes of it.
+    /// Relays a response that has started, and returns its outcome.
     async fn relay(
         &self,
-        answer: PartialBody,
-        headers: &HeaderMap,
+        body: PartialBody,
+        head: &ResponseHead,
         cancel: oneshot::Receiver<()>,
-        begins: impl FnOnce(Served),
+        on_response_start: impl FnOnce(Served),
     ) -> Outcome {
-        let (sender, streamed) = StreamedAnswer::channel(answer.length);
-        let body = AnswerBody::Streamed(streamed);
-        begins(Served {
-            body,
-            content_type: headers.get(CONTENT_TYPE).cloned(),
+        let (sender, streamed) = StreamedAnswer::channel(body.length);
+        on_response_start(Served {
+            body: AnswerBody::Streamed(streamed),
+            content_type: head.content_type(),
         });
-        relay_answer(sender, answer, cancel, &self.call.cancel).await
+        relay_body(sender, body, cancel, &self.call.cancel).await
     }
 
-    /// The result of an answer that came ahead of the whole request. Rule 2: kept, the connection would take
-    /// the rest of a request that is over, and that would run. Good or begun, it can't be the request's
-    /// answer.
-    fn answered_early(&self, reply: Reply) -> AttemptResult {
-        let result = self.fleet.result_of(reply);
+    /// Returns the result of a response that came ahead of the complete request. Rule 2: kept, the connection
+    /// would take the rest of a request that is over, and that would run. A good response can't be the
+    /// request's own.
+    fn early_response(&self, response: BackendResponse) -> AttemptResult {
+        let result = response.into_result(&self.backends.load_reports);
         if result.outcome == Outcome::Ok {
             Outcome::CorruptResponse.into()
         } else {
@@ -219,47 +232,49 @@
         }
     }
 
-    fn failure(&self, error: &ExchangeError, all_written: bool) -> Outcome {
-        let client_broke = || {
-            self.call
-                .body
-                .progress()
-                .is_some_and(|progress| progress.is_broken())
-        };
-        match error {
-            // The client's own doing is reported of no backend.
-            _ if !all_written && client_broke() => Outcome::NotSent,
-            // Also ahead of the whole request: nobody knows what an early answer means.
-            ExchangeError::Malformed => Outcome::CorruptResponse,
-            ExchangeError::Cancelled if all_written => Outcome::Cancelled,
-            ExchangeError::Cancelled => Outcome::NotSent,
-            ExchangeError::TimedOut if all_written => Outcome::Timeout,
-            ExchangeError::Connection if all_written => Outcome::Reset,
-            ExchangeError::TimedOut | ExchangeError::Connection => Outcome::ConnectFailed,
+    fn failure(&self, error: &BackendError, is_written: bool) -> Outcome {
+        tracing::debug!(backend = %self.endpoint.address(), %error, "attempt failed");
+        if !is_written && self.is_broken_by_client() {
+            // It is reported of no backend.
+            Outcome::NotSent
+        } else if error.is_malformed() {
+            // Also ahead of the complete request: nobody knows what an early response means.
+            Outcome::CorruptResponse
+        } else if error.is_cancelled() && is_written {
+            Outcome::Cancelled
+        } else if error.is_cancelled() {
+            Outcome::NotSent
+        } else if !is_written {
+            Outcome::ConnectFailed
+        } else if error.is_timeout() {
+            Outcome::Timeout
+        } else {
+            Outcome::Reset
         }
     }
 
-    /// Waits until what is not written of the attempt is not to be sent.
-    async fn unwanted(&self) {
-        let write_by = self.deadlines.write_by;
+    fn is_broken_by_client(&self) -> bool {
+        self.call
+            .body
+            .progress()
+            .is_some_and(|progress| progress.is_broken())
+    }
+
+    /// Waits until the request is not to be sent any more, unless it is complete by then.
+    async fn withdrawn(&self) {
+        let write_deadline = self.deadlines.write_deadline;
         tokio::select! {
             () = self.call.cancel.triggered() => {}
-            () = sleep_until(write_by.unwrap_or_else(Instant::now)), if write_by.is_some() => {}
+            () = sleep_until(write_deadline.unwrap_or_else(Instant::now)), if write_deadline.is_some() => {}
         }
     }
 
-    /// Waits until the attempt has to be given up. The time of a request counts from its last byte, so where
-    /// that is still to come the time that is left begins with it.
-    async fn given_up(&self, left: Duration) {
+    /// Waits until the attempt has timed out. The time of a request counts from its last byte, so where that is
+    /// still to come the remaining time begins with it.
+    async fn timed_out(&self, remaining: Duration) {
         match self.call.body.progress() {
-            None => sleep_until(self.deadlines.give_up).await,
-            Some(progress) => sleep_until(progress.finished().await + left).await,
+            None => sleep_until(self.deadlines.deadline).await,
+            Some(progress) => sleep_until(progress.finished().await + remaining).await,
         }
     }
 }
-
-/// The count of bytes at which a request is written whole; `None` for a body without a length.
-fn whole_at(connection: &Connection, request: &Request<RequestBody>) -> Option<u64> {
-    let length = request.body().size_hint().exact()?;
-    Some(connection.wire.written() + least_size(request, length))
-}
--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -1,4 +1,4 @@
-//! What an attempt takes and gives.
+//! What an attempt takes and returns.
 
 use crate::api::Outcome;
 use crate::proxy::bodies::{AnswerBody, CallBody};
@@ -8,10 +8,10 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The id that a client gives a request, and that goes on with each attempt.
+/// The id that a client gives a request, and that is forwarded with each attempt.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 
-/// Whether a request is over: its client has left or has its final answer, or its time has ended.
+/// Signals that a request is over: its client has left or has its final response, or its time has ended.
 #[derive(Debug, Default)]
 pub struct CancelSignal {
     triggered: Cell<bool>,
@@ -19,7 +19,7 @@
 }
 
 impl CancelSignal {
-    /// The request is over. Triggered again it changes nothing.
+    /// Ends the request. Triggered again it changes nothing.
     pub fn trigger(&self) {
         self.triggered.set(true);
         self.waiting.notify_waiters();
@@ -33,23 +33,23 @@
     }
 }
 
-/// What goes to a backend, the same at every attempt.
+/// What is sent to a backend, the same at every attempt.
 #[derive(Debug)]
 pub struct Call {
     /// The client's method.
     pub method: Method,
     /// Path and query, unchanged.
     pub target: Uri,
-    /// The client's headers that pass through a proxy.
+    /// The client's headers that a proxy forwards.
     pub headers: HeaderMap,
     /// The body, unchanged.
     pub body: CallBody,
-    /// What is not written whole when this is triggered is not sent any more.
+    /// An attempt that is not written completely when this is triggered is not sent any more.
     pub cancel: CancelSignal,
 }
 
 impl Call {
-    /// The client's id of the request; empty where it is no text.
+    /// Returns the client's id of the request; empty where it is no text.
     #[must_use]
     pub fn correlation_id(&self) -> &str {
         self.headers
@@ -59,35 +59,35 @@
     }
 }
 
-/// A backend's 200 answer.
+/// A backend's 200 response.
 #[derive(Debug)]
 pub struct Served {
     /// Its body, unchanged.
     pub body: AnswerBody,
-    /// What the body is.
+    /// Its media type.
     pub content_type: Option<HeaderValue>,
 }
 
 /// When an attempt ends at the latest.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadlines {
-    /// The attempt is given up.
-    pub give_up: Instant,
-    /// What is not written whole by then is not sent any more.
-    pub write_by: Option<Instant>,
+    /// The attempt times out.
+    pub deadline: Instant,
+    /// An attempt that is not written completely by then is not sent any more.
+    pub write_deadline: Option<Instant>,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Debug)]
 pub struct AttemptResult {
     /// The outcome in the balancer's terms.
     pub outcome: Outcome,
-    /// The answer, where the outcome is [`Outcome::Ok`].
+    /// The response, where the outcome is [`Outcome::Ok`] and it was not streamed.
     pub served: Option<Served>,
     /// The load report that came along, in the order of the settings; empty: none.
-    pub report: Vec<f32>,
-    /// The request's body can't be sent again.
-    pub spent: bool,
+    pub load_report: Vec<f32>,
+    /// Some of the request's body was forwarded and is not held any more, so it can't be sent again.
+    pub body_consumed: bool,
 }
 
 impl From<Outcome> for AttemptResult {
@@ -95,8 +95,8 @@
         Self {
             outcome,
             served: None,
-            report: Vec::new(),
-            spent: false,
+            load_report: Vec::new(),
+            body_consumed: false,
         }
     }
 }
--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -1,84 +1,91 @@
-//! One connection to a backend: dialing, and the count of what its socket took.
+//! One connection to a backend: connecting, and the count of the bytes that its socket took.
 
-use super::fleet::Endpoint;
+use super::error::BackendError;
 use super::stray_bytes::StrayBytes;
-use crate::api::Outcome;
 use crate::proxy::bodies::RequestBody;
 use crate::proxy::counters::Counters;
 use crate::proxy::dial::connect;
 use crate::proxy::limits::BACKEND_HEAD_CAP;
-use crate::proxy::socket::Socket;
+use crate::proxy::socket::{Socket, Unread};
 use crate::proxy::socket_io::{ObservedSocket, SocketIo};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use std::cell::Cell;
 use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::task::Poll;
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout_at};
 
-/// A connection's socket and what went through it.
-pub(super) struct Wire {
-    pub(super) socket: Socket,
+/// How far the exchange on a connection is.
+#[derive(Clone, Copy)]
+enum ExchangeState {
+    /// No request is on it: what comes belongs to none.
+    Idle,
+    /// A request is being written. It is complete once the socket took this many bytes, of all requests.
+    Writing { complete_at: u64 },
+    /// A request is complete, or its end is not known. What comes may be its response.
+    AwaitingResponse,
+}
+
+/// The socket of a connection to a backend, and how much was written to it.
+pub(super) struct BackendSocket {
+    socket: Socket,
     /// Bytes that the socket took, of all requests.
     written: Cell<u64>,
-    /// The count at which the present attempt is written whole, until it is.
-    whole_at: Cell<Option<u64>>,
-    /// A request is out on it: what comes may be its answer.
-    in_use: Cell<bool>,
+    state: Cell<ExchangeState>,
     stray_bytes: Rc<StrayBytes>,
     counters: Rc<Counters>,
 }
 
-impl Wire {
+impl BackendSocket {
     fn new(socket: Socket, stray_bytes: Rc<StrayBytes>, counters: Rc<Counters>) -> Self {
         Self {
             socket,
             written: Cell::new(0),
-            whole_at: Cell::new(None),
-            in_use: Cell::new(false),
+            state: Cell::new(ExchangeState::Idle),
             stray_bytes,
             counters,
         }
     }
 
-    /// Bytes that the socket took so far.
+    /// Returns the number of bytes that the socket took so far.
     pub(super) fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// A request goes out now, which is written whole at that count of bytes, where its size is known.
-    pub(super) fn begin_request(&self, whole_at: Option<u64>) {
-        self.whole_at.set(whole_at);
-        self.in_use.set(true);
+    /// Begins a request, which is complete at that count of written bytes, where its size is known.
+    pub(super) fn begin_request(&self, complete_at: Option<u64>) {
+        self.state.set(match complete_at {
+            Some(complete_at) => ExchangeState::Writing { complete_at },
+            None => ExchangeState::AwaitingResponse,
+        });
     }
 
-    /// The answer has come: what comes from now on belongs to no request.
-    pub(super) fn end_request(&self) {
-        self.in_use.set(false);
+    /// Ends the exchange: what comes from now on belongs to no request.
+    fn end_request(&self) {
+        self.state.set(ExchangeState::Idle);
     }
 
     fn record_written(&self, bytes: u64) {
         self.written.set(self.written.get() + bytes);
-        if self
-            .whole_at
-            .get()
-            .is_some_and(|whole| self.written.get() >= whole)
+        if let ExchangeState::Writing { complete_at } = self.state.get()
+            && self.written.get() >= complete_at
         {
-            self.whole_at.set(None);
+            self.state.set(ExchangeState::AwaitingResponse);
             self.counters.record_attempt();
         }
     }
 }
 
-impl ObservedSocket for Wire {
+impl ObservedSocket for BackendSocket {
     fn socket(&self) -> &Socket {
         &self.socket
     }
 
     fn on_read(&self, _: &[u8]) {
-        if !self.in_use.get() {
+        if matches!(self.state.get(), ExchangeState::Idle) {
             self.stray_bytes.record();
         }
     }
@@ -91,10 +98,10 @@
 }
 
 /// Counts an open socket until it is dropped.
-pub(super) struct SocketCount(Rc<Cell<usize>>);
+struct SocketCount(Rc<Cell<usize>>);
 
 impl SocketCount {
-    pub(super) fn new(count: &Rc<Cell<usize>>) -> Self {
+    fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(Rc::clone(count))
     }
@@ -106,43 +113,65 @@
     }
 }
 
-/// One connection to a backend. Dropping it closes it, whatever is out on it.
-pub(super) struct Connection {
-    pub(super) sender: SendRequest<RequestBody>,
-    pub(super) wire: Rc<Wire>,
-    task: JoinHandle<()>,
-    /// The generation of the endpoint that it belongs to.
-    pub(super) generation: u64,
-    _count: SocketCount,
+/// Establishes connections, and counts those that are open.
+pub(super) struct Connector {
+    open_sockets: Rc<Cell<usize>>,
+    stray_bytes: Rc<StrayBytes>,
+    counters: Rc<Counters>,
 }
 
-impl Connection {
-    /// Connects to an endpoint by `until`.
-    pub(super) async fn dial(
-        endpoint: &Endpoint,
-        until: Instant,
-        count: SocketCount,
-        stray_bytes: Rc<StrayBytes>,
-        counters: Rc<Counters>,
-    ) -> Result<Self, ConnectError> {
-        let generation = endpoint.generation();
-        let connecting = timeout_at(until, connect(endpoint.address())).await;
-        let stream = connecting.map_err(|_| ConnectError::Backend)??;
-        tracing::debug!(backend = %endpoint.address(), local = ?stream.local_addr().ok(), "connected");
-        let wire = Rc::new(Wire::new(Socket::new(stream), stray_bytes, counters));
-        let io = TokioIo::new(SocketIo::new(&wire));
-        let handshake = http1::Builder::new()
+impl Connector {
+    pub(super) fn new(counters: Rc<Counters>) -> Self {
+        Self {
+            open_sockets: Rc::default(),
+            stray_bytes: Rc::default(),
+            counters,
+        }
+    }
+
+    /// Returns the number of open sockets to backends, idle ones too.
+    pub(super) fn open_sockets(&self) -> usize {
+        self.open_sockets.get()
+    }
+
+    /// Returns when bytes last came that belong to no request.
+    pub(super) fn stray_bytes(&self) -> &StrayBytes {
+        &self.stray_bytes
+    }
+
+    /// Connects to a backend, whose present generation this is.
+    ///
+    /// # Errors
+    /// Where no connection is established by the deadline.
+    pub(super) async fn connect(
+        &self,
+        address: SocketAddr,
+        generation: u64,
+        deadline: Instant,
+    ) -> Result<Connection, BackendError> {
+        let count = SocketCount::new(&self.open_sockets);
+        let stream = timeout_at(deadline, connect(address))
+            .await
+            .map_err(|_| BackendError::ConnectTimeout)?
+            .map_err(BackendError::from_connect)?;
+        tracing::debug!(backend = %address, local = ?stream.local_addr().ok(), "connected");
+        let socket = Rc::new(BackendSocket::new(
+            Socket::new(stream),
+            Rc::clone(&self.stray_bytes),
+            Rc::clone(&self.counters),
+        ));
+        let (sender, connection) = http1::Builder::new()
             .max_buf_size(BACKEND_HEAD_CAP)
-            .handshake(io)
-            .await;
-        let (sender, connection) = handshake.map_err(|_| ConnectError::Backend)?;
+            .handshake(TokioIo::new(SocketIo::new(&socket)))
+            .await
+            .map_err(BackendError::Handshake)?;
         let task = tokio::task::spawn_local(async move {
             // How it ended shows in the exchange that was on it.
             let _ = connection.await;
         });
-        Ok(Self {
+        Ok(Connection {
             sender,
-            wire,
+            socket,
             task,
             generation,
             _count: count,
@@ -150,37 +179,48 @@
     }
 }
 
-impl Drop for Connection {
-    fn drop(&mut self) {
-        self.task.abort();
-    }
+/// One connection to a backend. Dropping it closes it, whatever is in flight on it.
+pub(super) struct Connection {
+    pub(super) sender: SendRequest<RequestBody>,
+    pub(super) socket: Rc<BackendSocket>,
+    task: JoinHandle<()>,
+    /// The generation of the endpoint that it belongs to.
+    pub(super) generation: u64,
+    _count: SocketCount,
 }
 
-/// Whose fault it is that there is no connection.
-pub(super) enum ConnectError {
-    /// The backend's.
-    Backend,
-    /// This proxy is out of descriptors, ports or memory. That is reported of no backend: healthy ones would
-    /// be ejected for it.
-    Local,
-}
+impl Connection {
+    /// Waits until the connection can take another request.
+    ///
+    /// # Errors
+    /// Where it cannot: the backend has closed it, or closes it after this response.
+    pub(super) async fn ready(&mut self) -> Result<(), hyper::Error> {
+        self.sender.ready().await
+    }
 
-impl ConnectError {
-    pub(super) fn outcome(&self) -> Outcome {
-        match self {
-            Self::Backend => Outcome::ConnectFailed,
-            Self::Local => Outcome::NotSent,
-        }
+    /// Ends the exchange: what comes from now on belongs to no request.
+    pub(super) fn end_request(&self) {
+        self.socket.end_request();
+    }
+
+    /// Returns whether the connection can take a request, as far as the runtime knows.
+    pub(super) fn is_ready(&self) -> bool {
+        self.sender.is_ready()
+    }
+
+    /// Returns whether the connection has ended, as far as the runtime knows.
+    pub(super) fn is_closed(&self) -> bool {
+        self.sender.is_closed()
+    }
+
+    /// Returns what has come in on the socket and was not read.
+    pub(super) fn unread(&self) -> Unread {
+        self.socket.socket.unread()
     }
 }
 
-impl From<io::Error> for ConnectError {
-    fn from(error: io::Error) -> Self {
-        use io::ErrorKind::*;
-        match error.kind() {
-            ConnectionRefused | ConnectionReset | ConnectionAborted | TimedOut | NotConnected
-            | HostUnreachable | NetworkUnreachable => Self::Backend,
-            _ => Self::Local,
-        }
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.task.abort();
     }
 }
--- /dev/null
+++ b/src/proxy/backends/health_check.rs
@@ -0,0 +1,86 @@
+//! A health check of one backend.
+
+use super::Backends;
+use super::call::{AttemptResult, Call, CancelSignal};
+use super::endpoint::Endpoint;
+use super::error::BackendError;
+use super::exchange::exchange;
+use super::request::build_request;
+use super::response::BackendBody;
+use crate::api::Outcome;
+use crate::proxy::bodies::{BufferedBody, RequestBody};
+use hyper::header::HeaderMap;
+use hyper::{Method, Uri};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, timeout_at};
+
+/// How long a health check may take once its connection is up.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+const LIVENESS_PATH: &str = "/alive";
+const LOAD_PATH: &str = "/metrics/load";
+
+impl Backends {
+    /// Checks whether a backend lives, and asks it for its load report as well if wanted.
+    pub async fn health_check(
+        self: Rc<Self>,
+        endpoint: Rc<Endpoint>,
+        with_load_report: bool,
+    ) -> AttemptResult {
+        let deadline = Instant::now() + self.pool.connect_timeout() + HEALTH_CHECK_TIMEOUT;
+        let mut connection = match self.pool.connection(&endpoint, deadline).await {
+            Ok(connection) => connection,
+            Err(error) => return error.connect_outcome().into(),
+        };
+        let path = if with_load_report {
+            LOAD_PATH
+        } else {
+            LIVENESS_PATH
+        };
+        let body = RequestBody::Buffered(BufferedBody::default());
+        let call = health_check_call(path);
+        let request = build_request(&call, body, endpoint.address(), HEALTH_CHECK_TIMEOUT);
+        connection.socket.begin_request(None);
+        let exchanged = timeout_at(deadline, exchange(&mut connection.sender, request)).await;
+        let response = match exchanged.unwrap_or(Err(BackendError::TimedOut)) {
+            Ok(response) => response,
+            Err(error) => return failure(&error, &endpoint).into(),
+        };
+        let BackendBody::Complete(body) = &response.body else {
+            return Outcome::CorruptResponse.into();
+        };
+        let text = String::from_utf8_lossy(&body.joined()).into_owned();
+        self.pool.keep(&endpoint, connection);
+        let mut result = response.head.result(&self.load_reports);
+        // The load report may stand in the body instead of in a header.
+        if with_load_report
+            && !text.is_empty()
+            && result.outcome == Outcome::Ok
+            && result.load_report.is_empty()
+        {
+            result.load_report = self.load_reports.parse(text.trim());
+        }
+        result
+    }
+}
+
+fn health_check_call(path: &'static str) -> Call {
+    Call {
+        method: Method::GET,
+        target: Uri::from_static(path),
+        headers: HeaderMap::new(),
+        body: BufferedBody::default().into(),
+        cancel: CancelSignal::default(),
+    }
+}
+
+fn failure(error: &BackendError, endpoint: &Endpoint) -> Outcome {
+    tracing::debug!(backend = %endpoint.address(), %error, "health check failed");
+    if error.is_timeout() {
+        Outcome::Timeout
+    } else if error.is_malformed() {
+        Outcome::CorruptResponse
+    } else {
+        Outcome::Reset
+    }
+}
--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -1,64 +1,99 @@
 //! The pool of connections: idle ones are kept for the next attempt, and closed when they grow old.
 
-use super::connection::{ConnectError, Connection, SocketCount};
-use super::fleet::{Endpoint, Fleet};
+use super::connection::{Connection, Connector};
+use super::endpoint::{Endpoint, IdleConnection};
+use super::endpoints::Endpoints;
+use super::error::BackendError;
+use crate::proxy::counters::Counters;
 use crate::proxy::socket::Unread;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How often idle connections are looked through for old ones.
+/// How often idle connections are checked for their age.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a connection may take to become free again behind its answer.
+/// How long a connection may take to become ready again behind its response.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long before its idle timeout a connection is no longer used: the backend's clock started earlier.
+const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
-/// A connection that no attempt uses.
-pub(super) struct Idle {
-    connection: Connection,
-    since: Instant,
+/// The limits of a [`ConnectionPool`].
+pub(super) struct PoolLimits {
+    /// The most sockets to backends that are open at a time, idle ones too.
+    pub(super) max_sockets: usize,
+    /// How long a connect may take.
+    pub(super) connect_timeout: Duration,
+    /// How long backends keep an idle connection.
+    pub(super) idle_timeout: Duration,
 }
 
-impl Fleet {
-    /// Closes connections that have stood idle for too long, for as long as the proxy runs.
-    pub async fn sweep(self: Rc<Self>) {
+/// The connections to all listed backends.
+pub(super) struct ConnectionPool {
+    pub(super) endpoints: Endpoints,
+    connector: Connector,
+    max_sockets: usize,
+    connect_timeout: Duration,
+    /// How long a connection may be idle and still be used.
+    max_idle: Duration,
+}
+
+impl ConnectionPool {
+    pub(super) fn new(limits: PoolLimits, counters: Rc<Counters>) -> Self {
+        let idle_timeout = limits.idle_timeout;
+        Self {
+            endpoints: Endpoints::default(),
+            connector: Connector::new(counters),
+            max_sockets: limits.max_sockets,
+            connect_timeout: limits.connect_timeout,
+            max_idle: idle_timeout
+                .saturating_sub(IDLE_MARGIN)
+                .max(idle_timeout / 2),
+        }
+    }
+
+    pub(super) fn connect_timeout(&self) -> Duration {
+        self.connect_timeout
+    }
+
+    /// Closes connections that have been idle for too long, for as long as the proxy runs.
+    pub(super) async fn sweep(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
-            for endpoint in self.endpoints.borrow().values() {
-                endpoint
-                    .idle
-                    .borrow_mut()
-                    .retain(|idle| self.is_usable(idle));
-            }
+            self.endpoints
+                .for_each(|endpoint| endpoint.retain_idle(|idle| self.is_usable(idle)));
         }
     }
 
-    /// A clean connection that is past its delay for reuse, or a new one by `until`.
+    /// Returns a clean connection that is past its delay for reuse, or a new one.
+    ///
+    /// # Errors
+    /// Where no connection is established by the deadline.
     pub(super) async fn connection(
         &self,
         endpoint: &Endpoint,
-        until: Instant,
-    ) -> Result<Connection, ConnectError> {
+        deadline: Instant,
+    ) -> Result<Connection, BackendError> {
         while let Some(idle) = self.take_idle(endpoint) {
-            let reusable_at = idle.since + self.stray_bytes.reuse_delay();
+            let reusable_at = idle.since + self.connector.stray_bytes().reuse_delay();
             if Instant::now() >= reusable_at {
                 return Ok(idle.connection);
             }
-            sleep_until(reusable_at.min(until)).await;
+            sleep_until(reusable_at.min(deadline)).await;
             if self.is_clean(&idle) {
                 return Ok(idle.connection);
             }
         }
-        self.dial(endpoint, until).await
+        self.connect(endpoint, deadline).await
     }
 
-    /// Keeps a connection for the next attempt once it is free again.
+    /// Keeps a connection for the next attempt once it is ready again.
     pub(super) fn keep(&self, endpoint: &Rc<Endpoint>, mut connection: Connection) {
-        connection.wire.end_request();
+        connection.end_request();
         let endpoint = Rc::clone(endpoint);
         tokio::task::spawn_local(async move {
-            let free = timeout(SETTLE_TIMEOUT, connection.sender.ready()).await;
-            if matches!(free, Ok(Ok(()))) && endpoint.generation() == connection.generation {
-                endpoint.idle.borrow_mut().push(Idle {
+            let ready = timeout(SETTLE_TIMEOUT, connection.ready()).await;
+            if matches!(ready, Ok(Ok(()))) && endpoint.generation() == connection.generation {
+                endpoint.push_idle(IdleConnection {
                     connection,
                     since: Instant::now(),
                 });
@@ -66,26 +101,25 @@
         });
     }
 
-    fn is_usable(&self, idle: &Idle) -> bool {
-        !idle.connection.sender.is_closed() && idle.since.elapsed() < self.idle_limit
+    fn is_usable(&self, idle: &IdleConnection) -> bool {
+        !idle.connection.is_closed() && idle.since.elapsed() < self.max_idle
     }
 
-    /// Whether nothing has come in on it since its answer: neither the backend's close nor stray bytes.
-    fn is_clean(&self, idle: &Idle) -> bool {
-        if !self.is_usable(idle) || !idle.connection.sender.is_ready() {
+    /// Returns whether nothing has come in since its response: neither the backend's close nor stray bytes.
+    fn is_clean(&self, idle: &IdleConnection) -> bool {
+        if !self.is_usable(idle) || !idle.connection.is_ready() {
             return false;
         }
-        let unread = idle.connection.wire.socket.unread();
+        let unread = idle.connection.unread();
         if unread == Unread::Bytes {
-            self.stray_bytes.record();
+            self.connector.stray_bytes().record();
         }
         unread == Unread::Nothing
     }
 
-    /// The clean connection that was used last. The others may then grow old and be closed.
-    fn take_idle(&self, endpoint: &Endpoint) -> Option<Idle> {
-        let mut all = endpoint.idle.borrow_mut();
-        while let Some(idle) = all.pop() {
+    /// Takes the clean connection that was used last. The others may then grow old and be closed.
+    fn take_idle(&self, endpoint: &Endpoint) -> Option<IdleConnection> {
+        while let Some(idle) = endpoint.pop_idle() {
             if self.is_clean(&idle) {
                 return Some(idle);
             }
@@ -93,29 +127,24 @@
         None
     }
 
-    /// Makes room for one more socket; false where every socket is in use.
+    /// Makes room for one more socket. Returns false where every socket is in use.
     fn make_room(&self) -> bool {
-        if self.sockets.get() < self.max_sockets {
-            return true;
-        }
-        let endpoints = self.endpoints.borrow();
-        let oldest = endpoints
-            .values()
-            .filter_map(|e| Some((e.idle.borrow().first()?.since, e)));
-        let Some((_, endpoint)) = oldest.min_by_key(|(since, _)| *since) else {
-            return false;
-        };
-        endpoint.idle.borrow_mut().remove(0);
-        true
+        self.connector.open_sockets() < self.max_sockets || self.endpoints.close_oldest_idle()
     }
 
-    async fn dial(&self, endpoint: &Endpoint, until: Instant) -> Result<Connection, ConnectError> {
+    async fn connect(
+        &self,
+        endpoint: &Endpoint,
+        deadline: Instant,
+    ) -> Result<Connection, BackendError> {
         if !self.make_room() {
-            return Err(ConnectError::Local);
+            return Err(BackendError::SocketLimit);
         }
-        let count = SocketCount::new(&self.sockets);
-        let until = until.min(Instant::now() + self.dial_timeout);
-        let (stray_bytes, counters) = (Rc::clone(&self.stray_bytes), Rc::clone(&self.counters));
-        Connection::dial(endpoint, until, count, stray_bytes, counters).await
+        let connect_deadline = deadline.min(Instant::now() + self.connect_timeout);
+        let address = endpoint.address();
+        self.connector
+            .connect(address, endpoint.generation(), connect_deadline)
+            .await
+            .inspect_err(|error| tracing::debug!(backend = %address, %error, "connecting failed"))
     }
 }
--- a/src/proxy/backends/request.rs
+++ b/src/proxy/backends/request.rs
@@ -8,14 +8,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left-ms");
+const TIMEOUT: HeaderName = HeaderName::from_static("x-time-left-ms");
 
-/// The request of a call to the backend at `address`, which has `left` to answer.
+/// Builds the request of a call to the backend at `address`, which has `remaining` to respond.
 pub(super) fn build_request(
     call: &Call,
     body: RequestBody,
     address: SocketAddr,
-    left: Duration,
+    remaining: Duration,
 ) -> Request<RequestBody> {
     let length = body.size_hint().exact();
     let mut request = Request::new(body);
@@ -23,8 +23,8 @@
     *request.uri_mut() = call.target.clone();
     let headers = request.headers_mut();
     headers.clone_from(&call.headers);
-    let millis = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-    headers.insert(TIME_LEFT, HeaderValue::from(millis));
+    let millis = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
+    headers.insert(TIMEOUT, HeaderValue::from(millis));
     if call.method != Method::GET
         && let Some(length) = length
     {
@@ -38,16 +38,19 @@
     request
 }
 
-/// The bytes that a request takes on the wire at the least. Fewer written: the backend can't have begun it.
-pub(super) fn least_size(request: &Request<RequestBody>, body: u64) -> u64 {
-    let target = request
+/// Returns the least number of bytes that a request takes on the wire. If fewer were written, the backend can't
+/// have begun it.
+pub(super) fn minimum_size(request: &Request<RequestBody>, body_size: u64) -> u64 {
+    let target_size = request
         .uri()
         .path_and_query()
-        .map_or(1, |t| t.as_str().len());
-    let line = request.method().as_str().len() + " ".len() + target + " HTTP/1.1\r\n".len();
-    let fields = request
+        .map_or("/".len(), |target| target.as_str().len());
+    let line_size =
+        request.method().as_str().len() + " ".len() + target_size + " HTTP/1.1\r\n".len();
+    let headers_size: usize = request
         .headers()
         .iter()
-        .map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len());
-    (line + fields.sum::<usize>() + "\r\n".len()) as u64 + body
+        .map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len())
+        .sum();
+    (line_size + headers_size + "\r\n".len()) as u64 + body_size
 }
--- a/src/proxy/backends/stray_bytes.rs
+++ b/src/proxy/backends/stray_bytes.rs
@@ -1,14 +1,14 @@
-//! Bytes from backends that belong to no request, such as a second answer to the same one.
+//! Bytes from backends that belong to no request, such as a second response to the same one.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection waits behind an answer before it carries a further request, where second answers
-/// were seen of late. They come some milliseconds behind the first; once a request is out, one would be taken
-/// for its own.
+/// How long a connection rests behind a response before it carries another request, where second responses were
+/// seen lately. They come some milliseconds behind the first; with a request in flight, one would be taken for
+/// its response.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
-/// How long a second answer counts as seen of late.
+/// How long a second response counts as seen lately.
 const MEMORY: Duration = Duration::from_secs(60);
 
 /// When bytes last came that belong to no request, on any connection.
@@ -16,15 +16,19 @@
 pub(super) struct StrayBytes(Cell<Option<Instant>>);
 
 impl StrayBytes {
-    /// Some came now.
+    /// Records that some came now.
     pub(super) fn record(&self) {
         self.0.set(Some(Instant::now()));
     }
 
-    /// How long a connection has to wait behind an answer. Departure: it has to where second answers were
-    /// seen of late; elsewhere the wait would cost service for nothing.
+    /// Returns how long a connection rests behind a response. Departure: it rests only where second responses
+    /// were seen lately; elsewhere the delay would cost capacity for nothing.
     pub(super) fn reuse_delay(&self) -> Duration {
-        let lately = self.0.get().is_some_and(|at| at.elapsed() < MEMORY);
-        if lately { REUSE_DELAY } else { Duration::ZERO }
+        let seen_lately = self.0.get().is_some_and(|at| at.elapsed() < MEMORY);
+        if seen_lately {
+            REUSE_DELAY
+        } else {
+            Duration::ZERO
+        }
     }
 }
--- a/src/proxy/driver.rs
+++ b/src/proxy/driver.rs
@@ -1,7 +1,7 @@
 //! Owns the [`Balancer`]: feeds it events on one clock, carries out its actions, keeps its timers and the
 //! table of requests. All other tasks talk to it through a [`Handle`].
 
-use super::backends::{AttemptDeadlines, AttemptResult, Call, Fleet, Served};
+use super::backends::{AttemptDeadlines, AttemptResult, Backends, Call, Served};
 use super::clock::Clock;
 use super::lifecycle::Lifecycle;
 use super::messages::{Answer, Handle, Inbound, Listed, Message, Scope};
@@ -72,7 +72,7 @@
 pub struct Driver {
     balancer: Balancer,
     clock: Clock,
-    fleet: Rc<Fleet>,
+    backends: Rc<Backends>,
     lifecycle: Rc<Lifecycle>,
     handle: Handle,
     messages: mpsc::UnboundedReceiver<Message>,
@@ -101,7 +101,7 @@
     pub fn new(
         balancer: Balancer,
         clock: Clock,
-        fleet: Rc<Fleet>,
+        backends: Rc<Backends>,
         limits: Limits,
         subscribe: mpsc::UnboundedSender<()>,
         lifecycle: Rc<Lifecycle>,
@@ -110,7 +110,7 @@
         let driver = Self {
             balancer,
             clock,
-            fleet,
+            backends,
             lifecycle,
             handle: handle.clone(),
             messages,
@@ -257,10 +257,10 @@
         // The sockets learn of it first, so that an attempt which this very list starts finds its backend.
         if matches!(scope, Scope::Full | Scope::Cached) {
             let listed: FxHashSet<_> = entries.iter().map(|e| e.backend.id).collect();
-            self.fleet.retain(|id| listed.contains(&id));
+            self.backends.retain(|id| listed.contains(&id));
         }
         for Listed { backend, address } in entries {
-            self.fleet
+            self.backends
                 .update(backend.id, *address, backend.readiness, backend.started_at);
         }
         let backends: Vec<Backend> = entries.iter().map(|e| e.backend).collect();
@@ -288,7 +288,7 @@
                     let event = Event::HealthChecked {
                         backend,
                         outcome: result.outcome,
-                        load_report: &result.report,
+                        load_report: &result.load_report,
                     };
                     self.balancer.handle(now, event, &mut self.actions);
                 }
@@ -365,7 +365,11 @@
             give_answer(request, client, Answer::Served(served));
         }
         let closed = open.client.is_none();
-        let (outcome, report, spent) = (result.outcome, result.report.as_slice(), result.spent);
+        let (outcome, report, spent) = (
+            result.outcome,
+            result.load_report.as_slice(),
+            result.body_consumed,
+        );
         let settled = AttemptEnd {
             request,
             backend,
@@ -421,7 +425,7 @@
                     let _ = self.subscribe.send(());
                 }
                 Action::HealthCheck(backend) => self.probe(backend),
-                Action::CloseIdleConnections(backend) => self.fleet.close_idle(backend),
+                Action::CloseIdleConnections(backend) => self.backends.close_idle(backend),
                 Action::Log(line) => tracing::info!("{line}"),
             }
         }
@@ -460,7 +464,7 @@
         request_log::attempt_started(request, number, backend, give_up_at.saturating_sub(now));
         let may_go =
             open.client.is_some() && usize::from(number) < self.max_attempts && give_up_at > now;
-        let Some(endpoint) = self.fleet.endpoint(backend).filter(|_| may_go) else {
+        let Some(endpoint) = self.backends.endpoint(backend).filter(|_| may_go) else {
             let result = Outcome::NotSent.into();
             self.pending.push_back(Pending::Settled {
                 request,
@@ -469,18 +473,18 @@
             });
             return;
         };
-        let (fleet, call, handle) = (
-            Rc::clone(&self.fleet),
+        let (backends, call, handle) = (
+            Rc::clone(&self.backends),
             Rc::clone(&open.call),
             self.handle.clone(),
         );
         let deadlines = AttemptDeadlines {
-            give_up: self.clock.instant(give_up_at),
-            write_by: write_by.map(|at| self.clock.instant(at)),
+            deadline: self.clock.instant(give_up_at),
+            write_deadline: write_by.map(|at| self.clock.instant(at)),
         };
         tokio::task::spawn_local(async move {
             let begins = |served| handle.tell(Message::Begins(request, number, served));
-            let result = fleet
+            let result = backends
                 .attempt(endpoint, call, deadlines, cancelled, begins)
                 .await;
             handle.tell(Message::Ended(request, number, result));
@@ -499,16 +503,16 @@
     }
 
     fn probe(&self, backend: BackendId) {
-        let Some(endpoint) = self.fleet.endpoint(backend) else {
+        let Some(endpoint) = self.backends.endpoint(backend) else {
             return;
         };
-        let (fleet, handle, deep) = (
-            Rc::clone(&self.fleet),
+        let (backends, handle, deep) = (
+            Rc::clone(&self.backends),
             self.handle.clone(),
             self.report_by_probe,
         );
         tokio::task::spawn_local(async move {
-            let result = fleet.probe(endpoint, deep).await;
+            let result = backends.health_check(endpoint, deep).await;
             handle.tell(Message::Probed(backend, result));
         });
     }
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -1,6 +1,6 @@
 //! The operators' address: one call to a connection, answered from memory.
 
-use super::backends::Fleet;
+use super::backends::Backends;
 use super::bodies::BufferedBody;
 use super::counters::Counters;
 use super::lifecycle::{IsStopping, Lifecycle};
@@ -43,7 +43,7 @@
 pub struct Operator {
     lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
-    fleet: Rc<Fleet>,
+    backends: Rc<Backends>,
     handle: Handle,
 }
 
@@ -53,13 +53,13 @@
     pub fn new(
         lifecycle: Rc<Lifecycle>,
         counters: Rc<Counters>,
-        fleet: Rc<Fleet>,
+        backends: Rc<Backends>,
         handle: Handle,
     ) -> Rc<Self> {
         Rc::new(Self {
             lifecycle,
             counters,
-            fleet,
+            backends,
             handle,
         })
     }
@@ -173,7 +173,7 @@
         self.handle.tell(Message::Avoided(sender));
         let text = self
             .counters
-            .text(self.fleet.len(), avoided.await.unwrap_or_default());
+            .text(self.backends.len(), avoided.await.unwrap_or_default());
         let mut response = Response::new(BufferedBody::from(Bytes::from(text)));
         response.headers_mut().insert(header::CONTENT_TYPE, FORM);
         response
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tillerproxy::api::{Outcome, Readiness};
-use tillerproxy::proxy::backends::{AttemptDeadlines, Call, CancelSignal, Fleet, Served};
+use tillerproxy::proxy::backends::{AttemptDeadlines, Backends, Call, CancelSignal, Served};
 use tillerproxy::proxy::bodies::{AnswerBody, BufferedBody, CallBody, ResponseBody};
 use tillerproxy::proxy::counters::Counters;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -61,10 +61,10 @@
     })
 }
 
-/// A fleet of one backend, whose connections are served so.
-async fn fleet<F: Future<Output = ()> + 'static>(
+/// One backend, whose connections are served so.
+async fn backends<F: Future<Output = ()> + 'static>(
     serve: impl Fn(TcpStream) -> F + 'static,
-) -> Rc<Fleet> {
+) -> Rc<Backends> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     spawn_local(async move {
@@ -72,20 +72,20 @@
             spawn_local(serve(stream));
         }
     });
-    let fleet = Fleet::new(10, 250_000, 60_000_000, Vec::new(), Counters::new(&[]));
-    fleet.update(BACKEND, address, Readiness::Ready, None);
-    fleet
+    let backends = Backends::new(10, 250_000, 60_000_000, Vec::new(), Counters::new(&[]));
+    backends.update(BACKEND, address, Readiness::Ready, None);
+    backends
 }
 
-async fn ask(fleet: &Rc<Fleet>, path: &'static str) -> String {
+async fn ask(backends: &Rc<Backends>, path: &'static str) -> String {
     let call = call(path);
     let deadlines = AttemptDeadlines {
-        give_up: Instant::now() + Duration::from_secs(1),
-        write_by: None,
+        deadline: Instant::now() + Duration::from_secs(1),
+        write_deadline: None,
     };
     let (_keep, cancel) = oneshot::channel();
-    let endpoint = fleet.endpoint(BACKEND).expect("it is listed");
-    let ended = Rc::clone(fleet)
+    let endpoint = backends.endpoint(BACKEND).expect("it is listed");
+    let ended = Rc::clone(backends)
         .attempt(endpoint, call, deadlines, cancel, |_| {})
         .await;
     assert_eq!(ended.outcome, Outcome::Ok);
@@ -98,12 +98,12 @@
 #[tokio::test(start_paused = true)]
 async fn once_second_answers_were_seen_none_is_taken_for_the_next_requests_own() {
     let test = async {
-        let fleet = fleet(answers_twice).await;
-        assert_eq!(ask(&fleet, "/first").await, "/first");
+        let backends = backends(answers_twice).await;
+        assert_eq!(ask(&backends, "/first").await, "/first");
         // Nobody asks meanwhile, so the second answer is seen for what it is.
         sleep(2 * LATE).await;
         for path in ["/second", "/third", "/fourth"] {
-            assert_eq!(ask(&fleet, path).await, path);
+            assert_eq!(ask(&backends, path).await, path);
         }
     };
     LocalSet::new().run_until(test).await;
@@ -122,7 +122,7 @@
     ];
     for (size, pause_ms, pieces, slowly) in cases {
         let test = async {
-            let fleet = fleet(move |mut stream: TcpStream| async move {
+            let backends = backends(move |mut stream: TcpStream| async move {
                 let mut head = Vec::new();
                 while !head.ends_with(b"\r\n\r\n") {
                     head.push(stream.read_u8().await.expect("a head"));
@@ -142,12 +142,12 @@
             .await;
             let call = call("/long");
             let deadlines = AttemptDeadlines {
-                give_up: Instant::now() + Duration::from_secs(1),
-                write_by: None,
+                deadline: Instant::now() + Duration::from_secs(1),
+                write_deadline: None,
             };
             let (_keep, cancel) = oneshot::channel();
             let (sender, body) = oneshot::channel();
-            let endpoint = fleet.endpoint(BACKEND).expect("it is listed");
+            let endpoint = backends.endpoint(BACKEND).expect("it is listed");
             let over = Rc::clone(&call);
             spawn_local(async move {
                 sleep(OVER).await;
@@ -163,10 +163,11 @@
                 }
                 got
             });
-            let begins = |served: Served| assert!(sender.send(served.body.into()).is_ok());
+            let on_response_start =
+                |served: Served| assert!(sender.send(served.body.into()).is_ok());
             let began = Instant::now();
-            let ended = fleet
-                .attempt(endpoint, call, deadlines, cancel, begins)
+            let ended = backends
+                .attempt(endpoint, call, deadlines, cancel, on_response_start)
                 .await;
             (
                 ended.outcome,
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tillerproxy::balancer::Balancer;
-use tillerproxy::proxy::backends::Fleet;
+use tillerproxy::proxy::backends::Backends;
 use tillerproxy::proxy::clock::Clock;
 use tillerproxy::proxy::config::Names;
 use tillerproxy::proxy::counters::Counters;
@@ -113,7 +113,7 @@
 
 /// One proxy without clients, as far as it follows discovery.
 struct Proxy {
-    fleet: Rc<Fleet>,
+    fleet: Rc<Backends>,
     moves: watch::Sender<SocketAddr>,
 }
 
@@ -138,7 +138,7 @@
         let settings = parse_settings(settings.to_string().as_bytes()).expect("good settings");
         let asked = settings.discovery_mode == tillerproxy::api::DiscoveryMode::Polled;
         let clock = Clock::start();
-        let fleet = Fleet::new(10, 250_000, 1_000_000, Vec::new(), Counters::new(&[]));
+        let fleet = Backends::new(10, 250_000, 1_000_000, Vec::new(), Counters::new(&[]));
         let balancer =
             Balancer::new(settings, u64::from(me) + 1, clock.now()).expect("good settings");
         let (subscribe, calls) = mpsc::unbounded_channel();
