--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -10,7 +10,7 @@
 use super::request::{build_request, minimum_size};
 use super::response::{BackendBody, BackendResponse, PartialBody, ResponseHead};
 use crate::api::Outcome;
-use crate::proxy::bodies::{AnswerBody, RequestBody, StreamedAnswer};
+use crate::proxy::bodies::{RequestBody, ServedBody, StreamedResponse};
 use hyper::Request;
 use hyper::body::Body;
 use std::rc::Rc;
@@ -42,7 +42,7 @@
         result.body_consumed = call
             .body
             .progress()
-            .is_some_and(|progress| progress.is_spent());
+            .is_some_and(|progress| progress.is_consumed());
         result
     }
 }
@@ -212,9 +212,9 @@
         cancel: oneshot::Receiver<()>,
         on_response_start: impl FnOnce(Served),
     ) -> Outcome {
-        let (sender, streamed) = StreamedAnswer::channel(body.length);
+        let (sender, streamed) = StreamedResponse::channel(body.length);
         on_response_start(Served {
-            body: AnswerBody::Streamed(streamed),
+            body: ServedBody::Streamed(streamed),
             content_type: head.content_type(),
         });
         relay_body(sender, body, cancel, &self.call.cancel).await
--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -1,7 +1,7 @@
 //! What an attempt takes and returns.
 
 use crate::api::Outcome;
-use crate::proxy::bodies::{AnswerBody, CallBody};
+use crate::proxy::bodies::{CallBody, ServedBody};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Uri};
 use std::cell::Cell;
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct Served {
     /// Its body, unchanged.
-    pub body: AnswerBody,
+    pub body: ServedBody,
     /// Its media type.
     pub content_type: Option<HeaderValue>,
 }
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -4,7 +4,7 @@
 use super::error::BackendError;
 use super::response::PartialBody;
 use crate::api::Outcome;
-use crate::proxy::bodies::{AnswerSender, BodyDeadline, BufferedBody, ReceiverGone, next_data};
+use crate::proxy::bodies::{BodyDeadline, BufferedBody, ReceiverClosed, ResponseSender, next_data};
 use crate::proxy::limits::{ANSWER_STALL, BODY_CAP, PASS_CAP};
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -16,7 +16,7 @@
 /// Relays a body as fast as its client takes it. One of unknown length that has a usual size so far and comes
 /// too slowly once its request is over is taken for one without an end.
 pub(super) async fn relay_body(
-    sender: AnswerSender,
+    sender: ResponseSender,
     body: PartialBody,
     mut cancel: oneshot::Receiver<()>,
     request_over: &CancelSignal,
@@ -66,7 +66,10 @@
 }
 
 /// Forwards what had come before, and returns its size in bytes.
-async fn forward_first(sender: &AnswerSender, first: BufferedBody) -> Result<u64, ReceiverGone> {
+async fn forward_first(
+    sender: &ResponseSender,
+    first: BufferedBody,
+) -> Result<u64, ReceiverClosed> {
     let mut forwarded = 0;
     for piece in first.into_pieces() {
         forwarded += piece.len() as u64;
--- a/src/proxy/backends/response.rs
+++ b/src/proxy/backends/response.rs
@@ -3,7 +3,7 @@
 use super::call::{AttemptResult, Served};
 use super::load_report::LoadReportParser;
 use crate::api::Outcome;
-use crate::proxy::bodies::{AnswerBody, BufferedBody};
+use crate::proxy::bodies::{BufferedBody, ServedBody};
 use hyper::StatusCode;
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName, HeaderValue};
@@ -51,7 +51,7 @@
             && let BackendBody::Complete(body) = self.body
         {
             result.served = Some(Served {
-                body: AnswerBody::Buffered(body),
+                body: ServedBody::Buffered(body),
                 content_type: self.head.content_type(),
             });
         }
--- a/src/proxy/bodies/buffered.rs
+++ b/src/proxy/bodies/buffered.rs
@@ -1,61 +1,59 @@
-//! Bodies that are buffered whole.
+//! Bodies that are buffered completely.
 
+use super::stream::{BodyError, FramePoll};
 use crate::proxy::limits::BODY_CAP;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::collections::VecDeque;
-use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A body that is held whole, in pieces.
+/// A body that is held completely, in pieces.
 #[derive(Clone, Debug, Default)]
 pub struct BufferedBody {
     pub(super) pieces: VecDeque<Bytes>,
     /// The bytes of the pieces together.
-    pub(super) left: u64,
+    pub(super) remaining: u64,
 }
 
 impl From<Bytes> for BufferedBody {
     fn from(bytes: Bytes) -> Self {
-        let left = bytes.len() as u64;
-        Self {
-            pieces: [bytes]
-                .into_iter()
-                .filter(|piece| !piece.is_empty())
-                .collect(),
-            left,
+        let remaining = bytes.len() as u64;
+        let mut pieces = VecDeque::new();
+        if !bytes.is_empty() {
+            pieces.push_back(bytes);
         }
+        Self { pieces, remaining }
     }
 }
 
 impl BufferedBody {
-    /// Its pieces, in order.
+    /// Returns its pieces, in order.
     pub fn into_pieces(self) -> impl Iterator<Item = Bytes> {
         self.pieces.into_iter()
     }
 
-    /// Its bytes in one piece.
+    /// Returns its bytes in one piece.
     #[must_use]
     pub fn joined(&self) -> Vec<u8> {
-        self.pieces
-            .iter()
-            .flat_map(|piece| piece.iter().copied())
-            .collect()
+        let mut joined = Vec::new();
+        for piece in &self.pieces {
+            joined.extend_from_slice(piece);
+        }
+        joined
     }
 }
 
 impl Body for BufferedBody {
     type Data = Bytes;
-    type Error = io::Error;
-
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        _: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let piece = self.pieces.pop_front();
-        self.left -= piece.as_ref().map_or(0, |piece| piece.len() as u64);
-        Poll::Ready(piece.map(|piece| Ok(Frame::data(piece))))
+    type Error = BodyError;
+
+    fn poll_frame(mut self: Pin<&mut Self>, _: &mut Context<'_>) -> FramePoll {
+        let Some(piece) = self.pieces.pop_front() else {
+            return Poll::Ready(None);
+        };
+        self.remaining -= piece.len() as u64;
+        Poll::Ready(Some(Ok(Frame::data(piece))))
     }
 
     fn is_end_stream(&self) -> bool {
@@ -63,15 +61,17 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.left)
+        SizeHint::with_exact(self.remaining)
     }
 }
 
-/// Holds what comes, without a copy where it is a single piece, else in pieces of one size: grown in place,
-/// large bodies left as much memory unused behind them as they took.
+/// Collects a body as it comes. A single piece is held without a copy; several are copied to pieces of
+/// [`BODY_CAP`] bytes: a buffer that grows in place leaves as much memory unused as a large body takes.
 #[derive(Default)]
 pub struct BodyBuffer {
+    /// The pieces that are full.
     full: BufferedBody,
+    /// The piece that is being filled.
     last: Vec<u8>,
 }
 
@@ -82,10 +82,15 @@
             self.full = data.into();
             return;
         }
-        if self.last.is_empty() && self.full.pieces.len() == 1 && self.full.left < BODY_CAP as u64 {
+        if self.last.is_empty()
+            && self.full.pieces.len() == 1
+            && self.full.remaining < BODY_CAP as u64
+        {
             // The first one was not copied.
             let first = std::mem::take(&mut self.full);
-            first.pieces.iter().for_each(|piece| self.copy(piece));
+            for piece in &first.pieces {
+                self.copy(piece);
+            }
         }
         self.copy(&data);
     }
@@ -96,38 +101,39 @@
             if self.last.is_empty() && !self.full.pieces.is_empty() {
                 self.last.reserve_exact(BODY_CAP);
             }
-            let (now, later) = data.split_at(data.len().min(BODY_CAP - self.last.len()));
-            self.last.extend_from_slice(now);
+            let fitting = data.len().min(BODY_CAP - self.last.len());
+            let (copied, rest) = data.split_at(fitting);
+            self.last.extend_from_slice(copied);
             if self.last.len() == BODY_CAP {
-                self.finish();
+                self.finish_piece();
             }
-            data = later;
+            data = rest;
         }
     }
 
-    fn finish(&mut self) {
+    fn finish_piece(&mut self) {
         let last = std::mem::take(&mut self.last);
-        self.full.left += last.len() as u64;
+        self.full.remaining += last.len() as u64;
         self.full.pieces.push_back(last.into());
     }
 
-    /// How many bytes there are.
+    /// Returns the number of collected bytes.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.full.left as usize + self.last.len()
+        self.full.remaining as usize + self.last.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are none.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All of them.
+    /// Returns the collected body.
     #[must_use]
     pub fn take(mut self) -> BufferedBody {
         if !self.last.is_empty() {
-            self.finish();
+            self.finish_piece();
         }
         self.full
     }
--- a/src/proxy/bodies/deadline.rs
+++ b/src/proxy/bodies/deadline.rs
@@ -3,22 +3,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Whoever sends a body or an answer slower than this many bytes a second, beyond the time that any may take,
-/// is cut off.
+/// A sender that is slower than this, beyond the time that any body may take, is cut off.
 const MIN_BYTES_PER_SECOND: u64 = 32 * 1024;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// How long a body may take.
+/// How long a body may take: a grace, and longer the more bytes of it have come.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyDeadline {
-    /// When one without bytes is late.
+    /// When a body is late of which nothing has come.
     pub grace_ends: Instant,
 }
 
 impl BodyDeadline {
-    /// When one is late of which so many bytes have come.
+    /// Returns when a body is late of which this many bytes have come.
     #[must_use]
     pub fn after(&self, bytes: u64) -> Instant {
-        self.grace_ends
-            + Duration::from_micros(bytes.saturating_mul(1_000_000) / MIN_BYTES_PER_SECOND)
+        let transfer_micros = bytes.saturating_mul(MICROS_PER_SECOND) / MIN_BYTES_PER_SECOND;
+        self.grace_ends + Duration::from_micros(transfer_micros)
     }
 }
--- a/src/proxy/bodies/mod.rs
+++ b/src/proxy/bodies/mod.rs
@@ -1,26 +1,36 @@
-//! Bodies: buffered whole, or streamed piece by piece. One that is streamed is held back by whoever reads it,
-//! so it takes the memory of a few pieces whatever its size.
+//! Bodies: buffered completely, or streamed piece by piece. Whoever reads a streamed one holds back its sender,
+//! so that it takes the memory of a few pieces whatever its size.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `buffered` | bodies that are held completely |
+//! | `upload`, `streamed` | a request's and a response's body that is streamed |
+//! | `stream` | what both share: the length, the error |
+//! | `outgoing` | a body as it is written, buffered or streamed |
+//! | `deadline` | how long a body may take |
 
 mod buffered;
 mod deadline;
 mod outgoing;
+mod stream;
 mod streamed;
 mod upload;
 
 pub use buffered::{BodyBuffer, BufferedBody};
 pub use deadline::BodyDeadline;
-pub use outgoing::{AnswerBody, CallBody, OutgoingBody, PendingUpload, RequestBody, ResponseBody};
-pub use streamed::{AnswerSender, ReceiverGone, StreamedAnswer};
+pub use outgoing::{CallBody, OutgoingBody, PendingUpload, RequestBody, ResponseBody, ServedBody};
+pub use stream::BodyError;
+pub use streamed::{ReceiverClosed, ResponseSender, StreamedResponse};
 pub use upload::{Progress, Upload};
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// The next data of a body; `None` at its end.
+/// Reads the next data of a body. Returns `None` at its end.
 ///
 /// # Errors
-/// Where it breaks off or can't be read.
+/// Where the body breaks off or can't be parsed.
 pub async fn next_data(body: &mut Incoming) -> Result<Option<Bytes>, hyper::Error> {
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame?.into_data() {
--- a/src/proxy/bodies/outgoing.rs
+++ b/src/proxy/bodies/outgoing.rs
@@ -1,22 +1,22 @@
-//! Bodies on their way out: to a backend, or to a client.
+//! Bodies as they are written: to a backend, or to a client.
 
-use super::{BufferedBody, Progress, StreamedAnswer, Upload};
+use super::stream::{BodyError, FramePoll};
+use super::{BufferedBody, Progress, StreamedResponse, Upload};
 use crate::proxy::budget::Reserved;
 use bytes::Bytes;
-use hyper::body::{Body, Frame, SizeHint};
+use hyper::body::{Body, SizeHint};
 use std::cell::RefCell;
 use std::fmt;
-use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
+use std::task::Context;
 
-/// A body that flows through, until an attempt takes it.
+/// A body that is streamed, until an attempt takes it.
 pub type PendingUpload = Rc<RefCell<Option<Upload>>>;
 
-/// A request's body as an attempt finds it.
+/// A request's body, for its attempts.
 pub enum CallBody {
-    /// It can be sent as often as the balancer wants.
+    /// It can be sent any number of times. The memory is reserved until this is dropped.
     Buffered(BufferedBody, Vec<Reserved>),
     /// The first attempt that has a connection takes it.
     Streamed(PendingUpload, Rc<Progress>),
@@ -25,7 +25,7 @@
 impl fmt::Debug for CallBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Buffered(buffered, _) => write!(f, "{} bytes", buffered.left),
+            Self::Buffered(buffered, _) => write!(f, "{} bytes", buffered.remaining),
             Self::Streamed(_, progress) => progress.fmt(f),
         }
     }
@@ -45,7 +45,7 @@
 }
 
 impl CallBody {
-    /// How far it is, if it flows through.
+    /// Returns its progress, if it is streamed.
     #[must_use]
     pub fn progress(&self) -> Option<&Rc<Progress>> {
         match self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// It, as long as no attempt has taken it, if it flows through.
+    /// Returns where an attempt takes it from, if it is streamed.
     #[must_use]
     pub fn pending_upload(&self) -> Option<PendingUpload> {
         match self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// What an attempt sends; `None` where another one has it.
+    /// Returns what an attempt sends; `None` where another one has taken it.
     #[must_use]
     pub fn for_attempt(&self) -> Option<RequestBody> {
         match self {
@@ -75,27 +75,24 @@
     }
 }
 
-/// A body on its way out.
+/// A body that is written.
 pub enum OutgoingBody<P> {
-    /// Buffered whole.
+    /// Buffered completely.
     Buffered(BufferedBody),
-    /// Flows through.
+    /// Streamed piece by piece.
     Streamed(P),
 }
 
 /// The body of an attempt.
 pub type RequestBody = OutgoingBody<Box<Upload>>;
-/// The body of an answer to a client.
-pub type ResponseBody = OutgoingBody<StreamedAnswer>;
+/// The body of a response to a client.
+pub type ResponseBody = OutgoingBody<StreamedResponse>;
 
-impl<P: Body<Data = Bytes, Error = io::Error> + Unpin> Body for OutgoingBody<P> {
+impl<P: Body<Data = Bytes, Error = BodyError> + Unpin> Body for OutgoingBody<P> {
     type Data = Bytes;
-    type Error = io::Error;
+    type Error = BodyError;
 
-    fn poll_frame(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
         match self.get_mut() {
             Self::Buffered(body) => Pin::new(body).poll_frame(cx),
             Self::Streamed(body) => Pin::new(body).poll_frame(cx),
@@ -117,20 +114,20 @@
     }
 }
 
-/// A backend's answer.
+/// The body of a backend's response.
 #[derive(Debug)]
-pub enum AnswerBody {
-    /// Buffered whole.
+pub enum ServedBody {
+    /// Buffered completely.
     Buffered(BufferedBody),
-    /// It has begun.
-    Streamed(StreamedAnswer),
+    /// Its beginning has come.
+    Streamed(StreamedResponse),
 }
 
-impl From<AnswerBody> for ResponseBody {
-    fn from(body: AnswerBody) -> Self {
+impl From<ServedBody> for ResponseBody {
+    fn from(body: ServedBody) -> Self {
         match body {
-            AnswerBody::Buffered(buffered) => Self::Buffered(buffered),
-            AnswerBody::Streamed(streamed) => Self::Streamed(streamed),
+            ServedBody::Buffered(buffered) => Self::Buffered(buffered),
+            ServedBody::Streamed(streamed) => Self::Streamed(streamed),
         }
     }
 }
--- a/src/proxy/bodies/streamed.rs
+++ b/src/proxy/bodies/streamed.rs
@@ -1,145 +1,139 @@
-//! An answer that is streamed from its backend to its client.
+//! A response that is streamed from its backend to its client.
 
+use super::stream::{BodyError, FramePoll, StreamLength};
 use crate::proxy::connections::ClientConnection;
 use crate::proxy::counters::{RequestOutcome, RequestTicket};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::fmt;
-use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// What goes through the channel of an answer.
+/// What goes through the channel of a response.
 enum Piece {
     Data(Bytes),
-    /// It was whole.
+    /// It is complete.
     End,
 }
 
-/// An answer that flows through, at the side of the backend.
-pub struct AnswerSender(mpsc::Sender<Piece>);
+/// A streamed response at the side of the backend.
+pub struct ResponseSender(mpsc::Sender<Piece>);
 
-/// The client is gone, or reads no more.
-#[derive(Debug)]
-pub struct ReceiverGone;
+/// The client has disconnected, or reads no more.
+#[derive(Debug, thiserror::Error)]
+#[error("the client takes no more of the response")]
+pub struct ReceiverClosed;
 
-impl AnswerSender {
-    /// Hands on a piece once there is room for it, within `patience`.
+impl ResponseSender {
+    /// Forwards a piece once there is room for it, within `timeout`.
     ///
     /// # Errors
-    /// Where nobody takes it.
-    pub async fn send(&self, data: Bytes, patience: Duration) -> Result<(), ReceiverGone> {
+    /// Where the client does not take it.
+    pub async fn send(&self, data: Bytes, timeout: Duration) -> Result<(), ReceiverClosed> {
         self.0
-            .send_timeout(Piece::Data(data), patience)
+            .send_timeout(Piece::Data(data), timeout)
             .await
-            .map_err(|_| ReceiverGone)
+            .map_err(|_| ReceiverClosed)
     }
 
-    /// That was all. An answer whose sender is dropped without this has broken off.
+    /// Marks the response as complete. One whose sender is dropped without this has broken off.
     pub async fn finish(self) {
         let _ = self.0.send(Piece::End).await;
     }
 
-    /// Waits until nobody wants the answer any more.
+    /// Waits until the client takes no more of the response.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
-/// An answer that flows through, at the side of the client.
-pub struct StreamedAnswer {
+/// A streamed response at the side of the client.
+pub struct StreamedResponse {
     pieces: mpsc::Receiver<Piece>,
-    /// Its bytes that are still to come, where the backend told their number.
-    left: Option<u64>,
-    /// Counted as passed with its last byte.
+    length: StreamLength,
+    /// Counted as passed with the last byte.
     ticket: Option<RequestTicket>,
-    /// The connection that it goes out on, which has its answer when this is dropped.
+    /// The connection that it goes out on, whose request is answered when this is dropped.
     connection: Option<Rc<ClientConnection>>,
 }
 
-impl Drop for StreamedAnswer {
+impl Drop for StreamedResponse {
     fn drop(&mut self) {
-        self.connection
-            .iter()
-            .for_each(|connection| connection.end_request());
+        if let Some(connection) = &self.connection {
+            connection.end_request();
+        }
     }
 }
 
-impl fmt::Debug for StreamedAnswer {
+impl fmt::Debug for StreamedResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "streamed, {:?} left", self.left)
+        write!(f, "streamed, {:?} remaining", self.length.remaining())
     }
 }
 
-impl StreamedAnswer {
-    /// The two ends of an answer of that length.
+impl StreamedResponse {
+    /// Creates the two ends of a response whose body has that length.
     #[must_use]
-    pub fn channel(length: Option<u64>) -> (AnswerSender, Self) {
+    pub fn channel(length: Option<u64>) -> (ResponseSender, Self) {
         let (sender, pieces) = mpsc::channel(1);
-        (
-            AnswerSender(sender),
-            Self {
-                pieces,
-                left: length,
-                ticket: None,
-                connection: None,
-            },
-        )
+        let streamed = Self {
+            pieces,
+            length: StreamLength::new(length),
+            ticket: None,
+            connection: None,
+        };
+        (ResponseSender(sender), streamed)
     }
 
-    /// The request that it answers, counted when it ends.
+    /// Sets the request that it answers, which is counted when it ends.
     pub fn set_ticket(&mut self, ticket: RequestTicket) {
         self.ticket = Some(ticket);
     }
 
-    /// The connection that it goes out on.
+    /// Sets the connection that it goes out on.
     pub fn set_connection(&mut self, connection: Rc<ClientConnection>) {
         self.connection = Some(connection);
     }
 
     fn set_outcome(&self, outcome: RequestOutcome) {
-        self.ticket
-            .iter()
-            .for_each(|ticket| ticket.set_outcome(outcome));
+        if let Some(ticket) = &self.ticket {
+            ticket.set_outcome(outcome);
+        }
     }
 }
 
-impl Body for StreamedAnswer {
+impl Body for StreamedResponse {
     type Data = Bytes;
-    type Error = io::Error;
+    type Error = BodyError;
 
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
         match ready!(self.pieces.poll_recv(cx)) {
             Some(Piece::Data(data)) => {
-                self.left = self.left.map(|left| left.saturating_sub(data.len() as u64));
-                if self.left == Some(0) {
+                self.length.forward(data.len());
+                if self.length.is_complete() {
                     self.set_outcome(RequestOutcome::Passed);
                 }
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
-            Some(Piece::End) if self.left.is_none_or(|left| left == 0) => {
+            Some(Piece::End) if self.length.remaining().is_none_or(|bytes| bytes == 0) => {
                 self.set_outcome(RequestOutcome::Passed);
                 Poll::Ready(None)
             }
             Some(Piece::End) | None => {
                 self.set_outcome(RequestOutcome::BadGateway);
-                Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into())))
+                Poll::Ready(Some(Err(BodyError::Incomplete(None))))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left == Some(0)
+        self.length.is_complete()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left
-            .map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.length.size_hint()
     }
 }
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -1,5 +1,6 @@
-//! A request's body that is streamed to a backend, and how far it is.
+//! A request's body that is streamed to a backend, and its progress.
 
+use super::stream::{BodyError, FramePoll, StreamLength};
 use super::{BodyDeadline, BufferedBody};
 use crate::proxy::budget::Reserved;
 use crate::proxy::counters::Counters;
@@ -8,81 +9,88 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::Cell;
-use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 use tokio::sync::Notify;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// How far a body is that flows through to a backend.
+/// How far an upload is.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum UploadState {
+    /// Its last byte was not forwarded yet.
+    #[default]
+    Sending,
+    /// Its last byte was forwarded at that time.
+    Finished(Instant),
+    /// The client did not send it as it should have.
+    Broken,
+}
+
+/// The progress of a body that is streamed to a backend.
 #[derive(Debug, Default)]
 pub struct Progress {
-    length: Option<u64>,
-    finished_at: Cell<Option<Instant>>,
-    spent: Cell<bool>,
-    broken: Cell<bool>,
-    finish_notify: Notify,
+    state: Cell<UploadState>,
+    /// Some of it was forwarded, and is not held any more.
+    consumed: Cell<bool>,
+    finished: Notify,
 }
 
 impl Progress {
-    /// When its last byte was handed on.
+    /// Returns when its last byte was forwarded.
     #[must_use]
     pub fn finished_at(&self) -> Option<Instant> {
-        self.finished_at.get()
+        match self.state.get() {
+            UploadState::Finished(at) => Some(at),
+            UploadState::Sending | UploadState::Broken => None,
+        }
     }
 
-    /// Some of it has left, so that it can't be sent again.
+    /// Returns whether some of it was forwarded, so that it can't be sent again.
     #[must_use]
-    pub fn is_spent(&self) -> bool {
-        self.spent.get()
+    pub fn is_consumed(&self) -> bool {
+        self.consumed.get()
     }
 
-    /// The client did not send it as it should have.
+    /// Returns whether the client did not send it as it should have.
     #[must_use]
     pub fn is_broken(&self) -> bool {
-        self.broken.get()
+        self.state.get() == UploadState::Broken
     }
 
-    /// Its length, if the client told it.
-    #[must_use]
-    pub fn length(&self) -> Option<u64> {
-        self.length
-    }
-
-    /// Waits until its last byte has been handed on.
+    /// Waits until its last byte was forwarded, and returns when that was.
     pub async fn finished(&self) -> Instant {
         loop {
-            if let Some(at) = self.finished_at.get() {
+            if let Some(at) = self.finished_at() {
                 return at;
             }
-            self.finish_notify.notified().await;
+            self.finished.notified().await;
         }
     }
 
     fn finish(&self) {
-        if self.finished_at.get().is_none() {
-            self.finished_at.set(Some(Instant::now()));
-            self.finish_notify.notify_one();
+        if self.finished_at().is_none() {
+            self.state.set(UploadState::Finished(Instant::now()));
+            self.finished.notify_one();
         }
     }
 }
 
-/// A request's body that flows through: what has come of it, and the rest.
+/// A request's body that is streamed: what has come of it, and the rest.
 pub struct Upload {
     first: BufferedBody,
-    /// What `first` takes.
+    /// Memory for `first`, a reservation a piece.
     reserved: Vec<Reserved>,
     rest: Incoming,
     deadline: BodyDeadline,
     sleep: Pin<Box<Sleep>>,
-    passed: u64,
+    length: StreamLength,
     pub(super) progress: Rc<Progress>,
     counters: Rc<Counters>,
 }
 
 impl Upload {
-    /// Of whose bytes `first` have come.
+    /// Creates an upload, of which `first` has come.
     #[must_use]
     pub fn new(
         first: BufferedBody,
@@ -91,59 +99,70 @@
         deadline: BodyDeadline,
         counters: Rc<Counters>,
     ) -> Self {
-        let came = first.left;
-        let progress = Progress {
-            length: rest.size_hint().exact().map(|l| l + came),
-            ..Progress::default()
-        };
-        let sleep = Box::pin(sleep_until(deadline.after(came)));
+        let received = first.remaining;
+        let total = rest.size_hint().exact().map(|rest| rest + received);
         Self {
             first,
             reserved,
             rest,
             deadline,
-            sleep,
-            passed: 0,
-            progress: Rc::new(progress),
+            sleep: Box::pin(sleep_until(deadline.after(received))),
+            length: StreamLength::new(total),
+            progress: Rc::default(),
             counters,
         }
     }
 
-    /// Reads what is still to come, for nobody, within its time.
+    /// Reads what is still to come and drops it, within its time.
     pub async fn drain(mut self) {
         while let Some(Ok(_)) = self.frame().await {}
     }
 
-    fn pass(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        self.progress.spent.set(true);
-        self.passed += data.len() as u64;
-        if self.passed > PASS_CAP {
-            return self.broke(io::ErrorKind::FileTooLarge);
+    fn forward(&mut self, data: Bytes) -> FramePoll {
+        self.progress.consumed.set(true);
+        self.length.forward(data.len());
+        if self.length.forwarded() > PASS_CAP {
+            return self.fail(BodyError::TooLarge);
         }
-        if self.progress.length == Some(self.passed) {
+        if self.length.is_complete() {
             self.progress.finish();
         }
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
-    fn broke(&self, kind: io::ErrorKind) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        self.progress.broken.set(true);
-        Poll::Ready(Some(Err(kind.into())))
+    fn fail(&self, error: BodyError) -> FramePoll {
+        self.progress.state.set(UploadState::Broken);
+        Poll::Ready(Some(Err(error)))
+    }
+
+    fn finish(&self) {
+        // One of unknown length is written completely only now.
+        if self.length.remaining().is_none() && self.progress.finished_at().is_none() {
+            self.counters.record_attempt();
+        }
+        self.progress.finish();
+    }
+
+    /// Fails once the body is late.
+    fn poll_late(&mut self, cx: &mut Context<'_>) -> FramePoll {
+        let deadline = self.deadline.after(self.length.forwarded());
+        if self.sleep.deadline() < deadline {
+            self.sleep.as_mut().reset(deadline);
+        }
+        ready!(self.sleep.as_mut().poll(cx));
+        self.fail(BodyError::TimedOut)
     }
 }
 
 impl Body for Upload {
     type Data = Bytes;
-    type Error = io::Error;
+    type Error = BodyError;
 
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
         if let Some(piece) = self.first.pieces.pop_front() {
             // Whoever wants a further one has written the one before.
             self.reserved.pop();
-            return self.pass(piece);
+            return self.forward(piece);
         }
         self.reserved.clear();
         loop {
@@ -151,36 +170,26 @@
                 Poll::Ready(Some(Ok(frame))) => {
                     // Trailers say nothing that a backend needs.
                     if let Ok(data) = frame.into_data() {
-                        return self.pass(data);
+                        return self.forward(data);
                     }
                 }
-                Poll::Ready(Some(Err(_))) => return self.broke(io::ErrorKind::UnexpectedEof),
+                Poll::Ready(Some(Err(error))) => {
+                    return self.fail(BodyError::Incomplete(Some(error)));
+                }
                 Poll::Ready(None) => {
-                    if self.progress.length.is_none() && self.progress.finished_at.get().is_none() {
-                        self.counters.record_attempt();
-                    }
-                    self.progress.finish();
+                    self.finish();
                     return Poll::Ready(None);
                 }
-                Poll::Pending => {
-                    let late = self.deadline.after(self.passed);
-                    if self.sleep.deadline() < late {
-                        self.sleep.as_mut().reset(late);
-                    }
-                    ready!(self.sleep.as_mut().poll(cx));
-                    return self.broke(io::ErrorKind::TimedOut);
-                }
+                Poll::Pending => return self.poll_late(cx),
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.progress.length == Some(self.passed)
+        self.length.is_complete()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.progress
-            .length
-            .map_or_else(SizeHint::default, |l| SizeHint::with_exact(l - self.passed))
+        self.length.size_hint()
     }
 }
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -4,7 +4,7 @@
 use super::headers::SERVICE_CLASS;
 use crate::api::RequestId;
 use crate::proxy::backends::{CORRELATION_ID, Served};
-use crate::proxy::bodies::{AnswerBody, BodyDeadline, BufferedBody, ResponseBody};
+use crate::proxy::bodies::{BodyDeadline, BufferedBody, ResponseBody, ServedBody};
 use crate::proxy::connections::ClientConnection;
 use crate::proxy::counters::{RequestOutcome, RequestTicket};
 use crate::proxy::limits::REQUEST_TIME;
@@ -173,8 +173,8 @@
 fn served_response(served: Served, ticket: RequestTicket) -> Response<ResponseBody> {
     let mut body = served.body;
     match &mut body {
-        AnswerBody::Buffered(_) => ticket.set_outcome(RequestOutcome::Passed),
-        AnswerBody::Streamed(streamed) => streamed.set_ticket(ticket),
+        ServedBody::Buffered(_) => ticket.set_outcome(RequestOutcome::Passed),
+        ServedBody::Streamed(streamed) => streamed.set_ticket(ticket),
     }
     let mut response = Response::new(ResponseBody::from(body));
     if let Some(content_type) = served.content_type {
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tillerproxy::api::{Outcome, Readiness};
 use tillerproxy::proxy::backends::{AttemptDeadlines, Backends, Call, CancelSignal, Served};
-use tillerproxy::proxy::bodies::{AnswerBody, BufferedBody, CallBody, ResponseBody};
+use tillerproxy::proxy::bodies::{BufferedBody, CallBody, ResponseBody, ServedBody};
 use tillerproxy::proxy::counters::Counters;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -89,7 +89,7 @@
         .attempt(endpoint, call, deadlines, cancel, |_| {})
         .await;
     assert_eq!(ended.outcome, Outcome::Ok);
-    let AnswerBody::Buffered(body) = ended.served.expect("an answer").body else {
+    let ServedBody::Buffered(body) = ended.served.expect("an answer").body else {
         panic!("it fits")
     };
     String::from_utf8(body.joined()).expect("text")
