--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -4,8 +4,10 @@
 use super::error::BackendError;
 use super::response::PartialBody;
 use crate::api::Outcome;
-use crate::proxy::bodies::{BodyDeadline, BufferedBody, ReceiverClosed, ResponseSender, next_data};
+use crate::proxy::bodies::{BodyDeadline, BufferedBody, ResponseSender, next_data};
 use crate::proxy::limits::{ANSWER_STALL, BODY_CAP, PASS_CAP};
+use bytes::Bytes;
+use hyper::body::Incoming;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until, timeout};
@@ -13,69 +15,92 @@
 /// How long a relayed response may come too slowly at first. A response may be half a second late.
 const GRACE: Duration = Duration::from_millis(250);
 
-/// Relays a body as fast as its client takes it. One of unknown length that has a usual size so far and comes
-/// too slowly once its request is over is taken for one without an end.
+/// Relays a body as fast as its client takes it, and returns the outcome of its attempt. One of unknown length
+/// that has a usual size so far and comes too slowly once its request is over is taken for one without an end.
 pub(super) async fn relay_body(
     sender: ResponseSender,
     body: PartialBody,
-    mut cancel: oneshot::Receiver<()>,
+    cancel: oneshot::Receiver<()>,
     request_over: &CancelSignal,
 ) -> Outcome {
-    let PartialBody {
-        first,
-        mut rest,
-        length,
-    } = body;
-    let deadline = BodyDeadline {
-        grace_ends: Instant::now() + GRACE,
+    let mut relay = Relay {
+        sender,
+        rest: body.rest,
+        length: body.length,
+        forwarded: 0,
+        deadline: BodyDeadline {
+            grace_ends: Instant::now() + GRACE,
+        },
+        cancel,
+        request_over,
     };
-    let Ok(mut forwarded) = forward_first(&sender, first).await else {
-        return Outcome::Cancelled;
-    };
-    loop {
+    match relay.run(body.first).await {
+        Ok(()) => {
+            relay.sender.finish().await;
+            Outcome::Ok
+        }
+        Err(outcome) => outcome,
+    }
+}
+
+/// A body that is being relayed.
+struct Relay<'a> {
+    sender: ResponseSender,
+    rest: Incoming,
+    length: Option<u64>,
+    /// Bytes that the client's side has taken.
+    forwarded: u64,
+    deadline: BodyDeadline,
+    cancel: oneshot::Receiver<()>,
+    request_over: &'a CancelSignal,
+}
+
+impl Relay<'_> {
+    /// Forwards `first` and then what comes.
+    async fn run(&mut self, first: BufferedBody) -> Result<(), Outcome> {
+        for piece in first.into_pieces() {
+            self.forward(piece).await?;
+        }
+        while let Some(data) = self.receive().await? {
+            self.forward(data).await?;
+        }
+        Ok(())
+    }
+
+    /// Returns the next data of the body; `None` at its end.
+    async fn receive(&mut self) -> Result<Option<Bytes>, Outcome> {
+        let request_over = self.request_over;
+        let late_at = self.deadline.after(self.forwarded);
         // While this waits, all that has come was forwarded, however slowly its client reads.
         let too_slow = async {
             request_over.triggered().await;
-            sleep_until(deadline.after(forwarded)).await;
+            sleep_until(late_at).await;
         };
-        let may_be_endless = length.is_none() && forwarded <= BODY_CAP as u64;
-        let received = tokio::select! {
+        let may_be_endless = self.length.is_none() && self.forwarded <= BODY_CAP as u64;
+        tokio::select! {
             biased;
-            received = timeout(ANSWER_STALL, next_data(&mut rest)) => received,
-            () = sender.closed() => return Outcome::Cancelled,
-            Ok(()) = &mut cancel => return Outcome::Cancelled,
-            () = too_slow, if may_be_endless => return Outcome::Timeout,
-        };
-        let data = match received {
-            Ok(Ok(Some(data))) => data,
-            Ok(Ok(None)) => {
-                sender.finish().await;
-                return Outcome::Ok;
-            }
-            Ok(Err(error)) => return failure(error),
-            Err(_) => return Outcome::Timeout,
-        };
-        forwarded += data.len() as u64;
-        if forwarded > PASS_CAP {
-            return Outcome::CorruptResponse;
-        }
-        if sender.send(data, ANSWER_STALL).await.is_err() {
-            return Outcome::Cancelled;
+            received = timeout(ANSWER_STALL, next_data(&mut self.rest)) => match received {
+                Ok(Ok(data)) => Ok(data),
+                Ok(Err(error)) => Err(failure(error)),
+                Err(_) => Err(Outcome::Timeout),
+            },
+            () = self.sender.closed() => Err(Outcome::Cancelled),
+            Ok(()) = &mut self.cancel => Err(Outcome::Cancelled),
+            () = too_slow, if may_be_endless => Err(Outcome::Timeout),
         }
     }
-}
 
-/// Forwards what had come before, and returns its size in bytes.
-async fn forward_first(
-    sender: &ResponseSender,
-    first: BufferedBody,
-) -> Result<u64, ReceiverClosed> {
-    let mut forwarded = 0;
-    for piece in first.into_pieces() {
-        forwarded += piece.len() as u64;
-        sender.send(piece, ANSWER_STALL).await?;
+    /// Forwards data once the client's side takes it.
+    async fn forward(&mut self, data: Bytes) -> Result<(), Outcome> {
+        self.forwarded += data.len() as u64;
+        if self.forwarded > PASS_CAP {
+            return Err(Outcome::CorruptResponse);
+        }
+        self.sender
+            .send(data, ANSWER_STALL)
+            .await
+            .map_err(|_| Outcome::Cancelled)
     }
-    Ok(forwarded)
 }
 
 fn failure(error: hyper::Error) -> Outcome {
