--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -220,7 +220,7 @@
         // A connection that has come in this very turn would be reset.
         if !listener
             .as_ref()
-            .is_some_and(|listener| clients.take_waiting(listener))
+            .is_some_and(|listener| clients.accept_waiting(listener))
         {
             return;
         }
--- /dev/null
+++ b/src/proxy/clients/error.rs
@@ -0,0 +1,72 @@
+//! Why a request is answered without the balancer.
+
+use crate::proxy::bodies::BufferedBody;
+use crate::proxy::responses::plain;
+use hyper::header::{ALLOW, HeaderValue};
+use hyper::{Method, Response, StatusCode};
+
+/// A request that is not forwarded. The message is what its client is told.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum RequestError {
+    #[error("the body may end in two places")]
+    AmbiguousBody,
+    #[error("a header comes twice")]
+    DuplicateHeader,
+    #[error("unknown class")]
+    UnknownClass,
+    #[error("the class of the header is not that of the path")]
+    ClassMismatch,
+    #[error("unknown account")]
+    UnknownAccount,
+    #[error("not the method for this")]
+    MethodNotAllowed { allowed: Method },
+    #[error("Idempotency-Key is missing")]
+    MissingIdempotencyKey,
+    #[error("X-Correlation-Id is missing")]
+    MissingCorrelationId,
+    #[error("X-Time-Left-Ms is missing or makes no sense")]
+    InvalidTimeout,
+    #[error("the body is too large")]
+    BodyTooLarge,
+    #[error("the body is late")]
+    BodyTimedOut,
+    #[error("the body is broken")]
+    BodyIncomplete(#[from] hyper::Error),
+    #[error("a request of this id is open")]
+    DuplicateRequest,
+    /// Nobody reads this one.
+    #[error("the client has left")]
+    ClientDisconnected,
+}
+
+impl RequestError {
+    fn status(&self) -> StatusCode {
+        match self {
+            Self::MethodNotAllowed { .. } => StatusCode::METHOD_NOT_ALLOWED,
+            Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::BodyTimedOut => StatusCode::REQUEST_TIMEOUT,
+            Self::DuplicateRequest => StatusCode::CONFLICT,
+            Self::AmbiguousBody
+            | Self::DuplicateHeader
+            | Self::UnknownClass
+            | Self::ClassMismatch
+            | Self::UnknownAccount
+            | Self::MissingIdempotencyKey
+            | Self::MissingCorrelationId
+            | Self::InvalidTimeout
+            | Self::BodyIncomplete(_)
+            | Self::ClientDisconnected => StatusCode::BAD_REQUEST,
+        }
+    }
+
+    /// Returns the response that tells the client.
+    pub(super) fn into_response(self) -> Response<BufferedBody> {
+        let mut response = plain(self.status(), format!("{self}\n"));
+        if let Self::MethodNotAllowed { allowed } = &self
+            && let Ok(allowed) = HeaderValue::try_from(allowed.as_str())
+        {
+            response.headers_mut().insert(ALLOW, allowed);
+        }
+        response
+    }
+}
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -1,8 +1,9 @@
 //! A client's request: checked, described for the balancer, and its body read as far as it is to be buffered.
 
+use super::error::RequestError;
 use super::headers::{
-    ACCOUNT, IDEMPOTENCY_KEY, REPEAT, SERVICE_CLASS, SINGLE_HEADERS, TIME_LEFT, WEIGHT_HINT,
-    forwarded, origin_form,
+    ACCOUNT, IDEMPOTENCY_KEY, RETRY, SERVICE_CLASS, SINGLE_HEADERS, TIMEOUT, WEIGHT_HINT,
+    end_to_end_headers, origin_form,
 };
 use super::{Class, Clients};
 use crate::api::{ClassIndex, Micros, TenantIndex};
@@ -11,88 +12,35 @@
 use crate::proxy::budget::Reserved;
 use crate::proxy::limits::{BODY_CAP, PASS_CAP};
 use crate::proxy::messages::Inbound;
-use crate::proxy::responses::Rejection;
+use hyper::Request;
 use hyper::body::{Body, Incoming};
 use hyper::header::HeaderName;
 use hyper::http::request::Parts;
-use hyper::{Method, Request, StatusCode};
 use rustc_hash::FxHasher;
 use std::hash::Hasher;
 use std::rc::Rc;
 use tokio::time::timeout_at;
 
-/// Of a request's body beyond the usual size, this much is buffered whole where the memory for it is left.
+/// A request's body beyond the usual size is buffered up to this many bytes, while there is memory for it.
 const BUFFER_CAP: usize = 2 << 20;
-/// A time left beyond this makes no sense.
-const MAX_TIME_LEFT_MS: u64 = 3_600_000;
+/// The longest timeout that is understood: an hour.
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
 const MICROS_PER_MILLI: Micros = 1_000;
-const TOO_LARGE: Rejection =
-    Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
 
 impl Clients {
-    /// Reads a request's body, as far as it is to be buffered.
-    async fn collect(
-        &self,
-        mut body: Incoming,
-        deadline: BodyDeadline,
-    ) -> Result<CallBody, Rejection> {
-        let is_small = body
-            .size_hint()
-            .exact()
-            .is_none_or(|length| length <= BUFFER_CAP as u64);
-        let (mut buffered, mut reserved) = (BodyBuffer::default(), Vec::new());
-        while is_small && buffered.len() <= BUFFER_CAP {
-            let data =
-                timeout_at(deadline.after(buffered.len() as u64), next_data(&mut body)).await;
-            let data = data
-                .map_err(|_| Rejection::new(StatusCode::REQUEST_TIMEOUT, "the body is late\n"))?;
-            match data
-                .map_err(|_| Rejection::new(StatusCode::BAD_REQUEST, "the body is broken\n"))?
-            {
-                Some(data) => buffered.add(data),
-                None => return Ok(CallBody::Buffered(buffered.take(), reserved)),
-            }
-            // Memory is reserved as the bytes come: a slow client takes no more than it has sent.
-            while buffered.len() > (reserved.len() + 1) * BODY_CAP {
-                let Some(memory) = self.budget.bodies.reserve(BODY_CAP) else {
-                    return Ok(self.upload(buffered, reserved, body, deadline));
-                };
-                reserved.push(memory);
-            }
-        }
-        Ok(self.upload(buffered, reserved, body, deadline))
-    }
-
-    fn upload(
-        &self,
-        buffered: BodyBuffer,
-        reserved: Vec<Reserved>,
-        rest: Incoming,
-        deadline: BodyDeadline,
-    ) -> CallBody {
-        Upload::new(
-            buffered.take(),
-            reserved,
-            rest,
-            deadline,
-            Rc::clone(&self.counters),
-        )
-        .into()
-    }
-
-    /// Reads a request whole, or as far as it is to be buffered.
-    pub(super) async fn inbound(
+    /// Reads a request completely, or as far as it is to be buffered.
+    pub(super) async fn read_request(
         &self,
         request: Request<Incoming>,
         deadline: BodyDeadline,
-    ) -> Result<Inbound, Rejection> {
+    ) -> Result<Inbound, RequestError> {
         let (head, body) = request.into_parts();
         if body.size_hint().lower() > PASS_CAP {
-            return Err(TOO_LARGE);
+            return Err(RequestError::BodyTooLarge);
         }
         let mut request = self.describe(&head)?;
-        let body = self.collect(body, deadline).await?;
-        let (target, headers) = origin_form(head.uri, forwarded(head.headers));
+        let body = self.read_body(body, deadline).await?;
+        let (target, headers) = origin_form(head.uri, end_to_end_headers(head.headers));
         let call = Call {
             method: head.method,
             target,
@@ -102,10 +50,9 @@
         };
         // The time of a request counts from its last byte.
         let arrived = self.clock.now();
-        if let Some(left) = self.lifecycle.time_left() {
-            request.timeout = request
-                .timeout
-                .min(left.as_micros().try_into().unwrap_or(Micros::MAX));
+        if let Some(remaining) = self.lifecycle.time_left() {
+            let remaining = remaining.as_micros().try_into().unwrap_or(Micros::MAX);
+            request.timeout = request.timeout.min(remaining);
         }
         Ok(Inbound {
             request,
@@ -114,106 +61,140 @@
         })
     }
 
-    /// What the balancer is told of a request with that head.
-    fn describe(&self, head: &Parts) -> Result<crate::api::Request, Rejection> {
+    /// Reads a request's body as far as it is to be buffered. The rest is streamed.
+    async fn read_body(
+        &self,
+        mut body: Incoming,
+        deadline: BodyDeadline,
+    ) -> Result<CallBody, RequestError> {
+        let may_fit = body
+            .size_hint()
+            .exact()
+            .is_none_or(|length| length <= BUFFER_CAP as u64);
+        let mut buffer = BodyBuffer::default();
+        let mut reserved = Vec::new();
+        while may_fit && buffer.len() <= BUFFER_CAP {
+            let late_at = deadline.after(buffer.len() as u64);
+            let received = timeout_at(late_at, next_data(&mut body))
+                .await
+                .map_err(|_| RequestError::BodyTimedOut)?;
+            let Some(data) = received? else {
+                return Ok(CallBody::Buffered(buffer.take(), reserved));
+            };
+            buffer.add(data);
+            if !self.reserve_memory(buffer.len(), &mut reserved) {
+                break;
+            }
+        }
+        let counters = Rc::clone(&self.counters);
+        Ok(Upload::new(buffer.take(), reserved, body, deadline, counters).into())
+    }
+
+    /// Reserves memory for what is buffered of a body. Returns false where none is left. It is reserved as the
+    /// bytes come: a slow client takes no more than it has sent.
+    fn reserve_memory(&self, buffered: usize, reserved: &mut Vec<Reserved>) -> bool {
+        while buffered > (reserved.len() + 1) * BODY_CAP {
+            let Some(memory) = self.budget.bodies.reserve(BODY_CAP) else {
+                return false;
+            };
+            reserved.push(memory);
+        }
+        true
+    }
+
+    /// Describes a request with that head for the balancer.
+    fn describe(&self, head: &Parts) -> Result<crate::api::Request, RequestError> {
         // Whoever reads the other one of two takes the request for something else.
-        if SINGLE_HEADERS
-            .iter()
-            .any(|name| head.headers.get_all(name).iter().nth(1).is_some())
-        {
-            return Err(bad_request("a header comes twice\n"));
+        let is_duplicate = |name| head.headers.get_all(name).iter().nth(1).is_some();
+        if SINGLE_HEADERS.iter().any(is_duplicate) {
+            return Err(RequestError::DuplicateHeader);
         }
-        let (class, facts) = self.class(head)?;
-        check_method_and_ids(head, facts)?;
+        let (class, settings) = self.class(head)?;
+        check_method_and_ids(head, settings)?;
         Ok(crate::api::Request {
-            tenant: TenantIndex(self.tenant(head)?),
-            timeout: patience(head)?.min(facts.deadline),
+            tenant: self.tenant(head)?,
+            timeout: timeout(head)?.min(settings.timeout),
             id: self.handle.next_request_id(),
-            class: ClassIndex(class),
-            key: head.uri.query().and_then(key),
-            expected_work: text(head, &WEIGHT_HINT).and_then(|v| v.trim().parse().ok()),
-            is_retry: text(head, &REPEAT) == Some("1"),
+            class,
+            key: head.uri.query().and_then(affinity_key),
+            expected_work: ascii_header(head, &WEIGHT_HINT)
+                .and_then(|value| value.trim().parse().ok()),
+            is_retry: ascii_header(head, &RETRY) == Some("1"),
         })
     }
 
-    /// The class that the path names, which the header has to name as well where it is there.
-    fn class(&self, head: &Parts) -> Result<(u8, &Class), Rejection> {
+    /// Returns the class that the path names, which the header has to name as well where it is there.
+    fn class(&self, head: &Parts) -> Result<(ClassIndex, &Class), RequestError> {
         let in_path = head.uri.path().split('/').nth(1).unwrap_or_default();
-        let (class, facts) = self
+        let (class, settings) = self
             .classes
             .get(in_path)
-            .ok_or(bad_request("unknown class\n"))?;
+            .ok_or(RequestError::UnknownClass)?;
         if head.headers.contains_key(SERVICE_CLASS)
-            && utf8_text(head, &SERVICE_CLASS) != Some(in_path)
+            && utf8_header(head, &SERVICE_CLASS) != Some(in_path)
         {
-            return Err(bad_request(
-                "the class of the header is not that of the path\n",
-            ));
+            return Err(RequestError::ClassMismatch);
         }
-        Ok((*class, facts))
+        Ok((*class, settings))
     }
 
-    /// The tenant whose account the header names; 0 where the settings name no tenants.
-    fn tenant(&self, head: &Parts) -> Result<u16, Rejection> {
+    /// Returns the tenant whose account the header names, or the first one where the settings name none.
+    fn tenant(&self, head: &Parts) -> Result<TenantIndex, RequestError> {
         if self.tenants.is_empty() {
-            return Ok(0);
+            return Ok(TenantIndex(0));
         }
-        let tenant = utf8_text(head, &ACCOUNT).and_then(|account| self.tenants.get(account));
-        tenant.copied().ok_or(bad_request("unknown account\n"))
+        utf8_header(head, &ACCOUNT)
+            .and_then(|account| self.tenants.get(account))
+            .copied()
+            .ok_or(RequestError::UnknownAccount)
     }
 }
 
-const fn bad_request(why: &'static str) -> Rejection {
-    Rejection::new(StatusCode::BAD_REQUEST, why)
-}
-
-/// A header of visible ASCII characters.
-fn text<'a>(head: &'a Parts, name: &HeaderName) -> Option<&'a str> {
+/// Returns the value of a header of visible ASCII characters.
+fn ascii_header<'a>(head: &'a Parts, name: &HeaderName) -> Option<&'a str> {
     head.headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// A header that holds a customer's own name, which may have letters beyond ASCII.
-fn utf8_text<'a>(head: &'a Parts, name: &HeaderName) -> Option<&'a str> {
+/// Returns the value of a header that holds a customer's own name, which may have letters beyond ASCII.
+fn utf8_header<'a>(head: &'a Parts, name: &HeaderName) -> Option<&'a str> {
     head.headers
         .get(name)
         .and_then(|value| std::str::from_utf8(value.as_bytes()).ok())
 }
 
-fn check_method_and_ids(head: &Parts, class: &Class) -> Result<(), Rejection> {
+fn check_method_and_ids(head: &Parts, class: &Class) -> Result<(), RequestError> {
     if head.method != class.method {
-        return Err(Rejection::method(if class.method == Method::GET {
-            "GET"
-        } else {
-            "POST"
-        }));
+        return Err(RequestError::MethodNotAllowed {
+            allowed: class.method.clone(),
+        });
     }
-    // Without its key a repeat would not be dropped.
-    if class.needs_key && text(head, &IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
-        return Err(bad_request("Idempotency-Key is missing\n"));
+    // Without its key a backend would not drop a repeat.
+    if class.needs_key && ascii_header(head, &IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
+        return Err(RequestError::MissingIdempotencyKey);
     }
-    if text(head, &CORRELATION_ID).is_none_or(str::is_empty) {
-        return Err(bad_request("X-Correlation-Id is missing\n"));
+    if ascii_header(head, &CORRELATION_ID).is_none_or(str::is_empty) {
+        return Err(RequestError::MissingCorrelationId);
     }
     Ok(())
 }
 
-/// How long the client waits, by its header.
-fn patience(head: &Parts) -> Result<Micros, Rejection> {
-    // The type's own parser would take a sign.
-    let digits =
-        text(head, &TIME_LEFT).filter(|value| value.bytes().all(|byte| byte.is_ascii_digit()));
-    let millis = digits
-        .and_then(|value| value.parse::<u64>().ok())
-        .filter(|&ms| ms <= MAX_TIME_LEFT_MS);
-    let millis = millis.ok_or(bad_request("X-Time-Left-Ms is missing or makes no sense\n"))?;
-    Ok(millis * MICROS_PER_MILLI)
+/// Returns how long the client waits.
+fn timeout(head: &Parts) -> Result<Micros, RequestError> {
+    ascii_header(head, &TIMEOUT)
+        // The parser of numbers would take a sign.
+        .filter(|value| value.bytes().all(|byte| byte.is_ascii_digit()))
+        .and_then(|digits| digits.parse::<u64>().ok())
+        .filter(|&millis| millis <= MAX_TIMEOUT_MS)
+        .map(|millis| millis * MICROS_PER_MILLI)
+        .ok_or(RequestError::InvalidTimeout)
 }
 
-/// What a request is about, as a number.
-fn key(query: &str) -> Option<u64> {
+/// Returns the key of a request by which the balancer prefers backends: its number, or a hash.
+fn affinity_key(query: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(name, _)| *name == "key")?;
-    u64::from_str_radix(value, 16).ok().or_else(|| {
+    let number = u64::from_str_radix(value, 16).ok();
+    number.or_else(|| {
         let mut hasher = FxHasher::default();
         hasher.write(value.as_bytes());
         Some(hasher.finish())
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -1,5 +1,13 @@
-//! The clients' side: the listener, requests in, answers out.
+//! The clients' side: the listener, requests in, responses out.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `serve` | one connection, until it ends |
+//! | `inbound`, `headers` | a request read, checked and described for the balancer |
+//! | `respond` | the response to a request |
+//! | `error` | why a request is not forwarded |
 
+mod error;
 mod headers;
 mod inbound;
 mod respond;
@@ -13,7 +21,7 @@
 use super::lifecycle::Lifecycle;
 use super::limits::{ACCEPT_BACKOFF, CLIENT_HEAD_CAP};
 use super::messages::Handle;
-use crate::api::{Idempotency, Micros, Settings};
+use crate::api::{ClassIndex, Idempotency, Micros, Settings, TenantIndex};
 use hyper::Method;
 use hyper::header::HeaderValue;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -27,32 +35,52 @@
 
 /// What the settings say of a class of requests.
 struct Class {
-    deadline: Micros,
+    /// How long a client waits at the most.
+    timeout: Micros,
+    /// Whether a request must have an idempotency key.
     needs_key: bool,
     method: Method,
 }
 
+impl Class {
+    fn new(settings: &crate::api::Class) -> Self {
+        let is_idempotent = settings.idempotency == Idempotency::Idempotent;
+        Self {
+            timeout: settings.timeout,
+            needs_key: matches!(settings.idempotency, Idempotency::Keyed { .. }),
+            method: if is_idempotent {
+                Method::GET
+            } else {
+                Method::POST
+            },
+        }
+    }
+}
+
 /// What all client connections share.
 pub struct Clients {
     handle: Handle,
     clock: Clock,
-    classes: FxHashMap<String, (u8, Class)>,
-    tenants: FxHashMap<String, u16>,
+    classes: FxHashMap<String, (ClassIndex, Class)>,
+    tenants: FxHashMap<String, TenantIndex>,
     lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
     budget: Budget,
+    /// The number of open connections.
     open: Cell<usize>,
-    freed: Notify,
-    /// Somebody waits to be accepted, and looks again when a connection has ended or become idle.
+    /// Fires when a connection has ended, or may be cheaper to close than before.
+    connection_freed: Notify,
+    /// No more connections are accepted until one has ended.
     is_full: Cell<bool>,
     connections: RefCell<ClientConnections>,
+    /// When a client last connected.
     accepted_at: Cell<Instant>,
-    /// The ids of the requests that have no answer yet.
+    /// The ids of the requests that have no response yet.
     ids: RefCell<FxHashSet<HeaderValue>>,
 }
 
 impl Clients {
-    /// No connections yet.
+    /// Creates the clients' side, without connections.
     #[must_use]
     pub fn new(
         handle: Handle,
@@ -63,28 +91,25 @@
         counters: Rc<Counters>,
         budget: Budget,
     ) -> Rc<Self> {
-        let class = |c: &crate::api::Class| Class {
-            deadline: c.timeout,
-            needs_key: matches!(c.idempotency, Idempotency::Keyed { .. }),
-            method: if c.idempotency == Idempotency::Idempotent {
-                Method::GET
-            } else {
-                Method::POST
-            },
-        };
-        let classes = names.classes.iter().zip(0..=u8::MAX).zip(&settings.classes);
+        let mut classes = FxHashMap::default();
+        for (index, (name, class)) in (0..=u8::MAX).zip(names.classes.iter().zip(&settings.classes))
+        {
+            classes.insert(name.clone(), (ClassIndex(index), Class::new(class)));
+        }
+        let mut tenants = FxHashMap::default();
+        for (index, name) in (0..=u16::MAX).zip(&names.tenants) {
+            tenants.insert(name.clone(), TenantIndex(index));
+        }
         Rc::new(Self {
             handle,
             clock,
-            classes: classes
-                .map(|((name, i), c)| (name.clone(), (i, class(c))))
-                .collect(),
-            tenants: names.tenants.iter().cloned().zip(0..).collect(),
+            classes,
+            tenants,
             lifecycle,
             counters,
             budget,
             open: Cell::new(0),
-            freed: Notify::new(),
+            connection_freed: Notify::new(),
             is_full: Cell::new(false),
             connections: RefCell::default(),
             accepted_at: Cell::new(Instant::now()),
@@ -92,13 +117,13 @@
         })
     }
 
-    /// Open client connections.
+    /// Returns the number of open client connections.
     #[must_use]
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Time since a client last connected.
+    /// Returns the time since a client last connected.
     #[must_use]
     pub fn since_last_accept(&self) -> Duration {
         self.accepted_at.get().elapsed()
@@ -106,57 +131,59 @@
 
     /// Waits until a client connection has ended.
     pub async fn connection_ended(&self) {
-        self.freed.notified().await;
+        self.connection_freed.notified().await;
     }
 
     /// Accepts connections for as long as the proxy runs.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
             // Beyond the cap clients wait in the kernel's queue instead of taking the backends' descriptors.
-            // Connections that are held without a request would keep them there: the cheapest to lose goes.
+            // Connections without a request would keep them waiting, so the cheapest one is closed.
             while self.open.get() >= self.budget.clients {
                 self.connections.borrow().evict_one();
                 self.is_full.set(true);
-                self.freed.notified().await;
+                self.connection_freed.notified().await;
             }
             self.is_full.set(false);
             match listener.accept().await {
-                Ok((stream, _)) => self.take(stream),
-                // Out of descriptors, or a client that is gone already: neither ends the proxy.
+                Ok((stream, _)) => self.spawn_connection(stream),
+                // Out of descriptors, or a client that has left already: neither ends the proxy.
                 Err(error) => {
-                    tracing::warn!("accept: {error}");
+                    tracing::warn!(%error, "accepting a client failed");
                     sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
-    fn take(self: &Rc<Self>, stream: TcpStream) {
+    fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
         self.accepted_at.set(Instant::now());
         self.open.set(self.open.get() + 1);
         tokio::task::spawn_local(Rc::clone(self).connection(stream));
     }
 
-    /// Takes a connection that waits in the kernel's queue, if one does. The runtime may not have seen it
-    /// yet, so the listener itself is asked.
-    pub fn take_waiting(self: &Rc<Self>, listener: &TcpListener) -> bool {
+    /// Accepts a connection that waits in the kernel's queue, if one does. The runtime may not have seen it yet,
+    /// so the listener itself is asked. Returns whether others may wait behind it.
+    pub fn accept_waiting(self: &Rc<Self>, listener: &TcpListener) -> bool {
         match socket2::SockRef::from(listener).accept() {
             Ok((socket, _)) => {
                 let stream = socket
                     .set_nonblocking(true)
                     .and_then(|()| TcpStream::from_std(socket.into()));
-                stream.into_iter().for_each(|stream| self.take(stream));
+                if let Ok(stream) = stream {
+                    self.spawn_connection(stream);
+                }
                 true
             }
-            // That one is gone already; others may wait behind it.
+            // That client has left already; others may wait behind it.
             Err(error) => error.kind() == io::ErrorKind::ConnectionAborted,
         }
     }
 
-    /// Some connection may be cheaper to lose than before.
+    /// Notifies the listener that a connection may be cheaper to close than before.
     fn notify_if_full(&self) {
         if self.is_full.get() {
-            self.freed.notify_waiters();
+            self.connection_freed.notify_waiters();
         }
     }
 
@@ -167,6 +194,6 @@
         self.serve(&connection).await;
         self.connections.borrow_mut().remove(number);
         self.open.set(self.open.get() - 1);
-        self.freed.notify_waiters();
+        self.connection_freed.notify_waiters();
     }
 }
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -1,6 +1,7 @@
-//! The answer to one request of a client.
+//! The response to one request of a client.
 
 use super::Clients;
+use super::error::RequestError;
 use super::headers::SERVICE_CLASS;
 use crate::api::RequestId;
 use crate::proxy::backends::{CORRELATION_ID, Served};
@@ -9,7 +10,7 @@
 use crate::proxy::counters::{RequestOutcome, RequestTicket};
 use crate::proxy::limits::REQUEST_TIME;
 use crate::proxy::messages::{Answer, Handle, Inbound, Message};
-use crate::proxy::responses::{Rejection, close, plain, refusal};
+use crate::proxy::responses::{close, plain, refusal};
 use crate::proxy::socket_io::ObservedSocket;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -20,13 +21,11 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A body has this long at the least, however late its head came, and longer the more of it has come.
+/// How long a body has at the least, however late its head came. It has longer the more of it has come.
 const MIN_BODY_TIME: Duration = Duration::from_millis(300);
-/// Nobody reads it.
-const CLIENT_GONE: Rejection = Rejection::new(StatusCode::BAD_REQUEST, "the client has left\n");
 
 impl Clients {
-    /// Answers the request of that number on a connection.
+    /// Responds to the request of that number on a connection.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
@@ -34,19 +33,20 @@
         number: u64,
     ) -> Response<ResponseBody> {
         let now = Instant::now();
-        let late = if number == 1 {
+        let late_at = if number == 1 {
             connection.connected_at() + REQUEST_TIME
         } else {
             now + REQUEST_TIME
         };
         let deadline = BodyDeadline {
-            grace_ends: late.max(now + MIN_BODY_TIME),
+            grace_ends: late_at.max(now + MIN_BODY_TIME),
         };
         let mut response = if self.is_health_check(&request) {
             self.health().map(ResponseBody::Buffered)
         } else {
-            let answered = self.answer(request, connection, number, deadline).await;
-            answered.unwrap_or_else(rejection_response)
+            self.serve_class_request(request, connection, number, deadline)
+                .await
+                .unwrap_or_else(error_response)
         };
         if self.lifecycle.is_leaving() {
             close(&mut response);
@@ -54,30 +54,27 @@
         response
     }
 
-    async fn answer(
+    async fn serve_class_request(
         &self,
         request: Request<Incoming>,
         connection: &ClientConnection,
         number: u64,
         deadline: BodyDeadline,
-    ) -> Result<Response<ResponseBody>, Rejection> {
+    ) -> Result<Response<ResponseBody>, RequestError> {
         // Rule 2: whoever reads the other end of the body takes a part of it for a request.
         if connection.is_ambiguous(number) {
-            return Err(Rejection::new(
-                StatusCode::BAD_REQUEST,
-                "the body may end in two places\n",
-            ));
+            return Err(RequestError::AmbiguousBody);
         }
-        let inbound = self.inbound(request, deadline).await?;
-        self.ask(inbound, connection).await
+        let inbound = self.read_request(request, deadline).await?;
+        self.forward(inbound, connection).await
     }
 
-    /// Whether the front asks if this proxy serves. A class may have the name of that call; its requests name
-    /// it.
+    /// Returns whether the front asks if this proxy serves. A class may have the name of that path; its requests
+    /// name it in a header.
     fn is_health_check(&self, request: &Request<Incoming>) -> bool {
-        let asks_a_class =
-            || self.classes.contains_key("up") && request.headers().contains_key(SERVICE_CLASS);
-        request.uri().path() == "/up" && !asks_a_class()
+        let names_a_class =
+            self.classes.contains_key("up") && request.headers().contains_key(SERVICE_CLASS);
+        request.uri().path() == "/up" && !names_a_class
     }
 
     fn health(&self) -> Response<BufferedBody> {
@@ -88,28 +85,26 @@
         }
     }
 
-    async fn ask(
+    /// Hands a request to the driver and returns the response to its client.
+    async fn forward(
         &self,
         inbound: Inbound,
         connection: &ClientConnection,
-    ) -> Result<Response<ResponseBody>, Rejection> {
+    ) -> Result<Response<ResponseBody>, RequestError> {
         // It may have left before its connection was accepted, say.
         if connection.is_closed_by_client() {
-            return Err(CLIENT_GONE);
+            return Err(RequestError::ClientDisconnected);
         }
-        // Rule 2: passed on, a second request of the same id would be a second copy of the first.
+        // Rule 2: forwarded, a second request of the same id would be a second copy of the first.
         let Some(_id) = OpenId::claim(&self.ids, &inbound.call.headers) else {
-            return Err(Rejection::new(
-                StatusCode::CONFLICT,
-                "a request of this id is open\n",
-            ));
+            return Err(RequestError::DuplicateRequest);
         };
         let upload = inbound.call.body.pending_upload();
         let ticket = self.counters.begin_request(inbound.request.class.0);
-        let (response, outcome) = match self
+        let answer = self
             .wait_for_answer(inbound, connection, upload.is_some())
-            .await?
-        {
+            .await?;
+        let (response, outcome) = match answer {
             Some(Answer::Served(served)) => return Ok(served_response(served, ticket)),
             Some(Answer::Refused { retry_after }) => {
                 (refusal(retry_after), RequestOutcome::Dropped)
@@ -120,30 +115,30 @@
             ),
         };
         ticket.set_outcome(outcome);
-        // A request is taken with its last byte. Answered before, its client would be cut off.
+        // Responded to before its last byte has come, a client that still sends would be cut off.
         if let Some(upload) = upload.and_then(|upload| upload.take()) {
             upload.drain().await;
         }
         Ok(response.map(ResponseBody::Buffered))
     }
 
-    /// Hands a request to the driver and waits for its answer, as long as its client does; `None` where the
-    /// driver gives none.
+    /// Hands a request to the driver and waits for its answer, as long as its client does. Returns `None` where
+    /// the driver gives none.
     async fn wait_for_answer(
         &self,
         inbound: Inbound,
         connection: &ClientConnection,
         is_upload: bool,
-    ) -> Result<Option<Answer>, Rejection> {
+    ) -> Result<Option<Answer>, RequestError> {
         let (sender, answer) = oneshot::channel();
-        let guard = ClientGoneGuard {
+        let guard = DisconnectGuard {
             handle: &self.handle,
             request: inbound.request.id,
             answered: false,
         };
         self.handle
             .tell(Message::Request(Box::new(inbound), sender));
-        let client_gone = async {
+        let disconnected = async {
             if is_upload {
                 connection.socket().closed_by_peer().await;
             } else {
@@ -154,22 +149,23 @@
         let answer = tokio::select! {
             biased;
             answer = answer => answer,
-            () = client_gone => return Err(CLIENT_GONE),
+            () = disconnected => return Err(RequestError::ClientDisconnected),
         };
-        guard.answered();
+        guard.disarm();
         Ok(answer.ok())
     }
 }
 
-/// The response to a request that is not passed on. What follows one that makes no sense may be a part of it,
-/// so the connection ends with it.
-fn rejection_response(rejection: Rejection) -> Response<ResponseBody> {
-    let mut response = rejection.into_response().map(ResponseBody::Buffered);
+/// Returns the response to a request that is not forwarded. What follows a malformed one may be a part of it, so
+/// the connection ends with it.
+fn error_response(error: RequestError) -> Response<ResponseBody> {
+    tracing::debug!(%error, "request not forwarded");
+    let mut response = error.into_response().map(ResponseBody::Buffered);
     close(&mut response);
     response
 }
 
-/// The response of a backend's answer.
+/// Returns the response to a request that a backend has served.
 fn served_response(served: Served, ticket: RequestTicket) -> Response<ResponseBody> {
     let mut body = served.body;
     match &mut body {
@@ -185,21 +181,22 @@
     response
 }
 
-/// Tells the driver when a client leaves while its request is open: its connection then drops the answer's
-/// future.
-struct ClientGoneGuard<'a> {
+/// Notifies the driver when a client leaves while its request is open: its connection then drops the future of
+/// the response.
+struct DisconnectGuard<'a> {
     handle: &'a Handle,
     request: RequestId,
     answered: bool,
 }
 
-impl ClientGoneGuard<'_> {
-    fn answered(mut self) {
+impl DisconnectGuard<'_> {
+    /// Ends the watch: the request has its answer.
+    fn disarm(mut self) {
         self.answered = true;
     }
 }
 
-impl Drop for ClientGoneGuard<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if !self.answered {
             self.handle.tell(Message::ClientGone(self.request));
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -5,8 +5,10 @@
 use crate::proxy::connections::ClientConnection;
 use crate::proxy::limits::{CLIENT_HEAD_CAP, REQUEST_TIME};
 use crate::proxy::socket_io::{ObservedSocket, SocketIo};
+use hyper::body::Incoming;
 use hyper::server::conn::http1;
-use hyper::service::service_fn;
+use hyper::service::Service;
+use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,83 +17,182 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// A connection that is to go and has a request on it is looked at again after this time.
+/// A connection that is to be closed and has a request on it is checked again after this time.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
+/// How the HTTP side of a connection ended.
+enum ConnectionEnd {
+    /// The proxy closes it: nothing is in flight on it.
+    Closed,
+    /// The library has ended it: its client has left, or is to leave with its last response.
+    Finished,
+    /// A response broke off.
+    ResponseFailed,
+}
+
+impl From<hyper::Result<()>> for ConnectionEnd {
+    fn from(result: hyper::Result<()>) -> Self {
+        match result {
+            Err(error) if error.is_user() => Self::ResponseFailed,
+            // Any other error matters only to the client: one that left has been reported by its guard.
+            Ok(()) | Err(_) => Self::Finished,
+        }
+    }
+}
+
 impl Clients {
     /// Serves one connection to its end.
     pub(super) async fn serve(self: &Rc<Self>, connection: &Rc<ClientConnection>) {
-        let (clients, shared) = (Rc::clone(self), Rc::clone(connection));
-        let service = service_fn(move |request| -> Pin<Box<dyn Future<Output = _>>> {
-            let (clients, connection) = (Rc::clone(&clients), Rc::clone(&shared));
-            let number = connection.begin_request();
-            Box::pin(async move {
-                let mut response = clients.respond(request, &connection, number).await;
-                match response.body_mut() {
-                    ResponseBody::Buffered(_) => {
-                        connection.end_request();
-                        clients.notify_if_full();
-                    }
-                    ResponseBody::Streamed(streamed) => streamed.set_connection(connection),
-                }
-                Ok::<_, Infallible>(response)
-            })
-        });
-        let mut http = http1::Builder::new()
-            .timer(TokioTimer::new())
-            .header_read_timeout(None)
-            .max_buf_size(CLIENT_HEAD_CAP)
-            .serve_connection(TokioIo::new(SocketIo::new(connection)), service);
+        match self.serve_requests(connection).await {
+            ConnectionEnd::Closed => {}
+            ConnectionEnd::Finished => connection.socket().linger().await,
+            // A response whose length the client does not know would look complete at a plain end.
+            ConnectionEnd::ResponseFailed => connection.socket().reset_on_close(),
+        }
+    }
+
+    /// Serves requests until the connection ends. What the library holds of it, an unanswered request too, is
+    /// dropped by then.
+    async fn serve_requests(self: &Rc<Self>, connection: &Rc<ClientConnection>) -> ConnectionEnd {
+        let mut http = RequestService::serve(self, connection);
         let mut stages = self.lifecycle.subscribe();
         let mut close_at = self.lifecycle.closes_at();
-        let mut recheck = pin!(sleep_until(
+        let mut deadline_check = DeadlineCheck::new(connection);
+        let mut check_timer = pin!(sleep_until(
             connection.deadline().unwrap_or_else(Instant::now)
         ));
-        let mut rechecked = false;
-        let ended = loop {
+        loop {
             tokio::select! {
                 biased;
-                // How it ended matters only to the client: one that left has been reported by its guard.
-                ended = std::future::poll_fn(|cx| http.poll_without_shutdown(cx)) => break ended,
+                ended = std::future::poll_fn(|cx| http.poll_without_shutdown(cx)) => {
+                    return ended.into();
+                }
                 Ok(()) = stages.changed() => {
                     stages.mark_unchanged();
-                    let closes_at = self.lifecycle.closes_at();
-                    close_at = closes_at.map(|at| close_at.map_or(at, |sooner| sooner.min(at)));
+                    close_at = earlier_of(self.lifecycle.closes_at(), close_at);
                 }
                 () = sleep_until(close_at.unwrap_or_else(Instant::now)), if close_at.is_some() => {
-                    // One with a request on it ends with the answer.
+                    // One with a request on it ends with the response.
                     if connection.is_idle() {
-                        return;
+                        return ConnectionEnd::Closed;
                     }
                     close_at = Some(Instant::now() + RECHECK_INTERVAL);
                 }
-                () = recheck.as_mut() => {
-                    let late = connection.deadline();
-                    let is_late = late.is_some_and(|late| late <= Instant::now());
-                    // What has come and was not read yet may be a request: it is read within that time, or
-                    // never.
-                    if is_late && (rechecked || !connection.has_unread()) {
-                        return;
-                    }
-                    rechecked = is_late;
-                    let soon = Instant::now() + if is_late { RECHECK_INTERVAL } else { REQUEST_TIME / 4 };
-                    recheck.as_mut().reset(late.filter(|_| !is_late).unwrap_or(soon));
-                }
+                () = check_timer.as_mut() => match deadline_check.run() {
+                    DeadlineState::Passed => return ConnectionEnd::Closed,
+                    DeadlineState::CheckAgainAt(at) => check_timer.as_mut().reset(at),
+                },
                 () = connection.eviction_requested() => {
                     if connection.is_evictable() {
-                        return;
+                        return ConnectionEnd::Closed;
                     }
                     self.notify_if_full();
                 }
             }
+        }
+    }
+
+    /// Responds to the request of that number. Its response ends it, at once or with its last byte.
+    async fn serve_request(
+        &self,
+        request: Request<Incoming>,
+        connection: Rc<ClientConnection>,
+        number: u64,
+    ) -> Response<ResponseBody> {
+        let mut response = self.respond(request, &connection, number).await;
+        match response.body_mut() {
+            ResponseBody::Buffered(_) => {
+                connection.end_request();
+                self.notify_if_full();
+            }
+            ResponseBody::Streamed(streamed) => streamed.set_connection(connection),
+        }
+        response
+    }
+}
+
+/// Responds to the requests of one connection.
+struct RequestService {
+    clients: Rc<Clients>,
+    connection: Rc<ClientConnection>,
+}
+
+/// The HTTP side of a connection.
+type HttpConnection = http1::Connection<TokioIo<SocketIo<ClientConnection>>, RequestService>;
+
+impl RequestService {
+    /// Returns the HTTP side of a connection. It does nothing unless it is polled.
+    fn serve(clients: &Rc<Clients>, connection: &Rc<ClientConnection>) -> HttpConnection {
+        let service = Self {
+            clients: Rc::clone(clients),
+            connection: Rc::clone(connection),
         };
-        // What the library holds of it, an unanswered request too, ends here.
-        drop(http);
-        if ended.is_err_and(|error| error.is_user()) {
-            // An answer broke off: one whose length the client does not know would look whole at a plain end.
-            connection.socket().reset_on_close();
-        } else {
-            connection.socket().linger().await;
+        http1::Builder::new()
+            .timer(TokioTimer::new())
+            .header_read_timeout(None)
+            .max_buf_size(CLIENT_HEAD_CAP)
+            .serve_connection(TokioIo::new(SocketIo::new(connection)), service)
+    }
+}
+
+impl Service<Request<Incoming>> for RequestService {
+    type Response = Response<ResponseBody>;
+    type Error = Infallible;
+    type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Self::Error>>>>;
+
+    fn call(&self, request: Request<Incoming>) -> Self::Future {
+        let clients = Rc::clone(&self.clients);
+        let connection = Rc::clone(&self.connection);
+        let number = connection.begin_request();
+        Box::pin(async move {
+            let response = clients.serve_request(request, connection, number).await;
+            Ok(response)
+        })
+    }
+}
+
+/// Returns the new time of a close, or the present one if that is sooner; `None` where nothing is to be closed.
+fn earlier_of(new: Option<Instant>, present: Option<Instant>) -> Option<Instant> {
+    let new = new?;
+    Some(present.map_or(new, |present| present.min(new)))
+}
+
+/// What a check of a connection's deadline tells.
+enum DeadlineState {
+    /// The client has taken too long.
+    Passed,
+    /// The deadline is checked again then.
+    CheckAgainAt(Instant),
+}
+
+/// Checks whether a client takes too long.
+struct DeadlineCheck<'a> {
+    connection: &'a ClientConnection,
+    /// The last check found the deadline passed.
+    was_late: bool,
+}
+
+impl<'a> DeadlineCheck<'a> {
+    fn new(connection: &'a ClientConnection) -> Self {
+        Self {
+            connection,
+            was_late: false,
+        }
+    }
+
+    fn run(&mut self) -> DeadlineState {
+        let now = Instant::now();
+        let deadline = self.connection.deadline();
+        let is_late = deadline.is_some_and(|deadline| deadline <= now);
+        // What has come and was not read yet may be a request: it is read until the next check, or never.
+        if is_late && (self.was_late || !self.connection.has_unread()) {
+            return DeadlineState::Passed;
         }
+        self.was_late = is_late;
+        DeadlineState::CheckAgainAt(match deadline {
+            _ if is_late => now + RECHECK_INTERVAL,
+            Some(deadline) => deadline,
+            None => now + REQUEST_TIME / 4,
+        })
     }
 }
--- a/src/proxy/responses.rs
+++ b/src/proxy/responses.rs
@@ -42,8 +42,8 @@
 }
 
 /// An answer of plain text.
-pub(super) fn plain(status: StatusCode, text: &'static str) -> Response<BufferedBody> {
-    let mut response = Response::new(BufferedBody::from(Bytes::from_static(text.as_bytes())));
+pub(super) fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<BufferedBody> {
+    let mut response = Response::new(BufferedBody::from(text.into()));
     *response.status_mut() = status;
     response
         .headers_mut()
