--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -212,9 +212,9 @@
             ConnectionState::WriteBlocked
         } else if self.requests.get().max(framing.heads()) > self.responses.get() {
             ConnectionState::Serving
-        } else if framing.is_between() && self.requests.get() == 0 {
+        } else if framing.is_between_messages() && self.requests.get() == 0 {
             ConnectionState::Unused
-        } else if framing.is_between() {
+        } else if framing.is_between_messages() {
             ConnectionState::Idle
         } else if framing.is_in_head() {
             ConnectionState::ReadingHead
--- a/src/proxy/framing.rs
+++ b/src/proxy/framing.rs
@@ -1,10 +1,15 @@
-//! Where the messages of a client's connection begin and end. The HTTP library reads them too, but drops a
-//! length beside an encoding and merges repeated lengths without a word; and it does not tell whether a head
-//! has begun, which decides what a connection that has to go would cost.
+//! Where the messages of a client's connection begin and end.
+//!
+//! The HTTP library parses them too, but it ignores a length beside an encoding and merges repeated lengths,
+//! which a backend may read otherwise (request smuggling). It does not tell either whether a head has begun,
+//! which decides what it costs to close the connection.
 
-/// The largest line of a chunk's size with its extensions, or of a trailer.
+/// The largest line, in bytes, of a chunk's size with its extensions, or of a trailer.
 const MAX_LINE: usize = 4 * 1024;
 
+/// What follows the data of a chunk.
+const CHUNK_END: &[u8] = b"\r\n";
+
 /// How a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyLength {
@@ -13,140 +18,151 @@
     Chunked,
 }
 
+/// What comes next on the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum Reading {
     Head,
-    /// So many bytes of a body.
-    Length(u64),
+    /// This many bytes of a body of known length.
+    Body(u64),
     /// The line with a chunk's size.
-    Size,
-    /// So many bytes of a chunk, its line's end included.
+    ChunkSize,
+    /// This many bytes of a chunk, the end of its line included.
     Chunk(u64),
     Trailers,
-    /// What comes makes no sense; the library says so to the client.
+    /// Nothing that can be read; the library rejects it.
     Malformed,
 }
 
 /// Follows the bytes of one connection.
 #[derive(Debug)]
 pub struct Framing {
-    state: State,
+    reading: Reading,
     /// The present head, or line, as far as it has come.
     partial: Vec<u8>,
-    cap: usize,
+    /// The largest head, in bytes.
+    head_cap: usize,
+    /// Heads that are complete.
     heads: u64,
+    /// The number of the head whose body may end in two places. Nothing is read behind it.
     ambiguous_head: Option<u64>,
 }
 
 impl Framing {
-    /// Nothing has come yet. Heads beyond `cap` bytes are the library's to turn away.
+    /// Follows a connection from its first byte. Heads beyond `head_cap` bytes are the library's to reject.
     #[must_use]
-    pub fn new(cap: usize) -> Self {
+    pub fn new(head_cap: usize) -> Self {
         Self {
-            state: State::Head,
+            reading: Reading::Head,
             partial: Vec::new(),
-            cap,
+            head_cap,
             heads: 0,
             ambiguous_head: None,
         }
     }
 
-    /// How many heads are whole.
+    /// Returns the number of complete heads.
     #[must_use]
     pub fn heads(&self) -> u64 {
         self.heads
     }
 
-    /// Whether the head of that number, from 1 on, says in two ways, or in a way of its own, where its body
-    /// ends.
+    /// Returns whether the head of that number, from 1 on, says in two ways, or in a way of its own, where its
+    /// body ends.
     #[must_use]
     pub fn is_ambiguous(&self, head: u64) -> bool {
         self.ambiguous_head == Some(head)
     }
 
-    /// Whether the last message is whole and no byte of a next one has come.
+    /// Returns whether the last message is complete and no byte of a next one has come.
     #[must_use]
-    pub fn is_between(&self) -> bool {
-        self.state == State::Head && self.partial.is_empty()
+    pub fn is_between_messages(&self) -> bool {
+        self.reading == Reading::Head && self.partial.is_empty()
     }
 
-    /// Whether a part of a head has come.
+    /// Returns whether a part of a head has come.
     #[must_use]
     pub fn is_in_head(&self) -> bool {
-        self.state == State::Head && !self.partial.is_empty()
+        self.reading == Reading::Head && !self.partial.is_empty()
     }
 
-    /// Takes the next bytes.
+    /// Reads the next bytes.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            bytes = match self.state {
-                State::Malformed => return,
-                State::Head => self.head(bytes),
-                State::Length(left) => self.skip(bytes, left, State::Length, State::Head),
-                State::Chunk(left) => self.skip(bytes, left, State::Chunk, State::Size),
-                State::Size | State::Trailers => self.line(bytes),
+            bytes = match self.reading {
+                Reading::Malformed => return,
+                Reading::Head => self.read_head(bytes),
+                Reading::Body(left) => self.skip(bytes, left, Reading::Body, Reading::Head),
+                Reading::Chunk(left) => self.skip(bytes, left, Reading::Chunk, Reading::ChunkSize),
+                Reading::ChunkSize | Reading::Trailers => self.read_line(bytes),
             };
         }
     }
 
+    /// Skips `left` bytes, as far as they have come: `unfinished` then holds the rest, or `next` follows. Returns
+    /// the bytes behind them.
     fn skip<'a>(
         &mut self,
         bytes: &'a [u8],
         left: u64,
-        same: fn(u64) -> State,
-        next: State,
+        unfinished: fn(u64) -> Reading,
+        next: Reading,
     ) -> &'a [u8] {
-        let taken = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
-        let left = left - taken as u64;
-        self.state = if left == 0 { next } else { same(left) };
-        &bytes[taken..]
+        let skipped = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
+        let still_left = left - skipped as u64;
+        self.reading = if still_left == 0 {
+            next
+        } else {
+            unfinished(still_left)
+        };
+        &bytes[skipped..]
     }
 
-    fn head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+    /// Reads a head, as far as it has come. Returns the bytes behind it.
+    fn read_head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         // Empty lines ahead of a request are no part of it.
         if self.partial.is_empty() && matches!(bytes[0], b'\r' | b'\n') {
             return &bytes[1..];
         }
-        let old = self.partial.len();
-        self.partial
-            .extend_from_slice(&bytes[..bytes.len().min(self.cap)]);
-        let Some(end) = head_end(&self.partial, old.saturating_sub(3)) else {
-            if self.partial.len() >= self.cap {
-                self.state = State::Malformed;
+        let already_read = self.partial.len();
+        let taken = bytes.len().min(self.head_cap);
+        self.partial.extend_from_slice(&bytes[..taken]);
+        // The end may have begun with up to three bytes that came before.
+        let Some(end) = head_end(&self.partial, already_read.saturating_sub(3)) else {
+            if self.partial.len() >= self.head_cap {
+                self.reading = Reading::Malformed;
             }
-            return &bytes[bytes.len().min(self.cap)..];
+            return &bytes[taken..];
         };
         self.heads += 1;
-        self.state = match body(&self.partial[..end]) {
-            Some(BodyLength::None | BodyLength::Known(0)) => State::Head,
-            Some(BodyLength::Known(length)) => State::Length(length),
-            Some(BodyLength::Chunked) => State::Size,
+        self.reading = match body_length(&self.partial[..end]) {
+            Some(BodyLength::None | BodyLength::Known(0)) => Reading::Head,
+            Some(BodyLength::Known(length)) => Reading::Body(length),
+            Some(BodyLength::Chunked) => Reading::ChunkSize,
             None => {
                 self.ambiguous_head = Some(self.heads);
-                State::Malformed
+                Reading::Malformed
             }
         };
         self.partial.clear();
-        &bytes[end - old..]
+        &bytes[end - already_read..]
     }
 
-    fn line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
-        let end = bytes.iter().position(|&b| b == b'\n');
+    /// Reads a line of a chunked body, as far as it has come. Returns the bytes behind it.
+    fn read_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let end = bytes.iter().position(|&byte| byte == b'\n');
         let taken = end.map_or(bytes.len(), |end| end + 1);
         if self.partial.len() + taken > MAX_LINE {
-            (self.state, self.partial) = (State::Malformed, Vec::new());
+            self.reading = Reading::Malformed;
+            self.partial = Vec::new();
             return &[];
         }
         self.partial.extend_from_slice(&bytes[..taken]);
         if end.is_some() {
-            self.state = match (self.state, self.partial.as_slice()) {
-                (State::Size, line) => match size(line) {
-                    Some(0) => State::Trailers,
-                    Some(size) => State::Chunk(size.saturating_add(2)),
-                    None => State::Malformed,
-                },
-                (_, b"\r\n" | b"\n") => State::Head,
-                (state, _) => state,
+            self.reading = match self.reading {
+                Reading::ChunkSize => behind_chunk_size(&self.partial),
+                // An empty line ends the trailers.
+                _ if matches!(self.partial.as_slice(), b"\r\n" | b"\n") => Reading::Head,
+                reading => reading,
             };
             self.partial.clear();
         }
@@ -154,7 +170,16 @@
     }
 }
 
-/// The length of a head, up to and with its empty line, if that is there behind `from`.
+/// Returns what follows the line of a chunk's size.
+fn behind_chunk_size(line: &[u8]) -> Reading {
+    match chunk_size(line) {
+        Some(0) => Reading::Trailers,
+        Some(size) => Reading::Chunk(size.saturating_add(CHUNK_END.len() as u64)),
+        None => Reading::Malformed,
+    }
+}
+
+/// Returns the length of a head, up to and with its empty line, if that is there behind `from`.
 fn head_end(bytes: &[u8], from: usize) -> Option<usize> {
     let rest = |at: usize| &bytes[at + 1..];
     (from..bytes.len())
@@ -166,15 +191,17 @@
         })
 }
 
-/// How the body behind a head ends; `None` where that can be read in two ways.
-fn body(head: &[u8]) -> Option<BodyLength> {
-    let mut body = BodyLength::None;
-    for line in head.split(|&b| b == b'\n').skip(1) {
-        let Some(colon) = line.iter().position(|&b| b == b':') else {
+/// Returns how the body behind a head ends; `None` where that can be read in two ways.
+fn body_length(head: &[u8]) -> Option<BodyLength> {
+    let mut length = BodyLength::None;
+    for line in head.split(|&byte| byte == b'\n').skip(1) {
+        let Some(colon) = line.iter().position(|&byte| byte == b':') else {
             continue;
         };
-        let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
+        let name = &line[..colon];
+        let value = line[colon + 1..].trim_ascii();
         let found = if name.eq_ignore_ascii_case(b"content-length") {
+            // The parser of numbers would take a sign.
             let digits = value.iter().all(u8::is_ascii_digit).then_some(value)?;
             BodyLength::Known(std::str::from_utf8(digits).ok()?.parse().ok()?)
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
@@ -185,18 +212,22 @@
         } else {
             continue;
         };
-        if body != BodyLength::None {
+        if length != BodyLength::None {
             return None;
         }
-        body = found;
+        length = found;
     }
-    Some(body)
+    Some(length)
 }
 
-/// The size that a chunk's line tells, whatever extensions follow.
-fn size(line: &[u8]) -> Option<u64> {
-    let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
-    u64::from_str_radix(std::str::from_utf8(&line[..digits]).ok()?, 16).ok()
+/// Returns the size in a chunk's line, whatever extensions follow.
+fn chunk_size(line: &[u8]) -> Option<u64> {
+    let digit_count = line
+        .iter()
+        .take_while(|byte| byte.is_ascii_hexdigit())
+        .count();
+    let digits = std::str::from_utf8(&line[..digit_count]).ok()?;
+    u64::from_str_radix(digits, 16).ok()
 }
 
 #[cfg(test)]
--- a/src/proxy/framing/tests.rs
+++ b/src/proxy/framing/tests.rs
@@ -9,10 +9,10 @@
     text.as_bytes().chunks(1).for_each(|byte| pieces.feed(byte));
     let seen = |f: &Framing| {
         (
-            f.state,
+            f.reading,
             f.heads,
             f.ambiguous_head,
-            f.is_between(),
+            f.is_between_messages(),
             f.is_in_head(),
         )
     };
@@ -36,13 +36,15 @@
     for text in &whole {
         let framing = after(text);
         assert!(
-            framing.is_between() && framing.heads() == 1 && framing.ambiguous_head.is_none(),
+            framing.is_between_messages()
+                && framing.heads() == 1
+                && framing.ambiguous_head.is_none(),
             "{text}"
         );
     }
     let framing = after(&whole.concat());
     assert!(
-        framing.is_between() && framing.heads() == 6,
+        framing.is_between_messages() && framing.heads() == 6,
         "one behind another"
     );
 }
@@ -50,14 +52,14 @@
 #[test]
 fn what_has_come_of_a_message_shows() {
     assert!(after("GET /up HTT").is_in_head());
-    assert!(after(&format!("{POST}Content-Length: 3\r\n\r\nab\r")).is_between());
+    assert!(after(&format!("{POST}Content-Length: 3\r\n\r\nab\r")).is_between_messages());
     for text in [
         "Content-Length: 3\r\n\r\nab",
         "Transfer-Encoding: chunked\r\n\r\n3\r\nabc",
     ] {
         let framing = after(&format!("{POST}{text}"));
         assert!(
-            !framing.is_between() && !framing.is_in_head() && framing.heads() == 1,
+            !framing.is_between_messages() && !framing.is_in_head() && framing.heads() == 1,
             "{text}"
         );
     }
@@ -96,7 +98,7 @@
     ));
     let odd = after(&format!("{POST}Transfer-Encoding: chunked\r\n\r\nxyz\r\n"));
     for framing in [head, size, odd] {
-        assert_eq!(framing.state, State::Malformed);
+        assert_eq!(framing.reading, Reading::Malformed);
         assert!(framing.partial.capacity() < 20_000);
     }
 }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,5 +1,9 @@
-//! The proxy on real sockets. It carries out what the [`Balancer`](crate::balancer::Balancer) decides and
-//! reports what came of it; it never picks a backend, retries, holds or refuses by itself.
+//! The proxy on real sockets. It executes what the [`Balancer`](crate::balancer::Balancer) decides and reports the
+//! results. It never selects a backend, retries, queues or rejects a request by itself.
+//!
+//! A request goes from [`clients`] through [`driver`], which asks the balancer, to [`backends`], and its response
+//! back; [`discovery`] reports the backends to the driver. [`operator`], [`lifecycle`] and [`config`] serve
+//! those who run the proxy.
 
 pub mod backends;
 pub mod bodies;
--- a/src/proxy/read_ahead.rs
+++ b/src/proxy/read_ahead.rs
@@ -1,7 +1,7 @@
-//! Bytes that were read from a connection ahead of the HTTP side, in the order in which they came.
+//! Bytes that were read from a client's connection before the HTTP library asked for them, in their order.
 //!
-//! The end of a connection is seen only once all that came ahead of it has left the kernel, and the HTTP side
-//! reads nothing behind an open request. What a client sends there is kept here, so that its leaving is
+//! The end of a connection is seen only once all that came before it has left the kernel, and the HTTP library
+//! reads nothing behind an open request. What a client sends there is held here, so that its disconnect is
 //! noticed.
 
 use super::budget::{self, Reserved};
@@ -15,24 +15,24 @@
 /// The most bytes that one read takes.
 pub const READ_PIECE: usize = 16 * 1024;
 
-/// What one connection holds. The default holds nothing.
+/// The bytes that were read ahead on one connection; none by default.
 #[derive(Default)]
 pub struct ReadAhead {
     bytes: BytesMut,
     /// Memory for the bytes, in units of [`BODY_CAP`].
     reserved: Vec<Reserved>,
-    /// The HTTP side, where it waits for bytes.
+    /// The HTTP library, where it waits for bytes.
     reader: Option<Waker>,
 }
 
 impl ReadAhead {
-    /// Whether nothing is held.
+    /// Returns whether nothing is held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Makes room for [`READ_PIECE`] more bytes; false where the cap is reached or no memory is left.
+    /// Makes room for [`READ_PIECE`] more bytes. Returns false where the cap is reached or no memory is left.
     pub fn make_room(&mut self, memory: &budget::Bytes) -> bool {
         let wanted = self.bytes.len() + READ_PIECE;
         if wanted > READ_AHEAD_CAP {
@@ -47,7 +47,7 @@
         true
     }
 
-    /// Takes bytes that were read, and wakes the HTTP side if it waits for some.
+    /// Adds bytes that were read, and wakes the HTTP library if it waits for some.
     pub fn add(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
         if let Some(reader) = self.reader.take() {
@@ -55,18 +55,18 @@
         }
     }
 
-    /// Moves as many bytes to `buffer` as it has room for. What is not held any more is given back.
+    /// Moves as many bytes to `buffer` as it has room for, and releases their memory.
     pub fn move_into(&mut self, buffer: &mut ReadBuf<'_>) {
-        let taken = self.bytes.len().min(buffer.remaining());
-        buffer.put_slice(&self.bytes[..taken]);
-        self.bytes.advance(taken);
+        let moved = self.bytes.len().min(buffer.remaining());
+        buffer.put_slice(&self.bytes[..moved]);
+        self.bytes.advance(moved);
         if self.is_empty() {
             self.bytes = BytesMut::new();
         }
         self.reserved.truncate(self.bytes.len().div_ceil(BODY_CAP));
     }
 
-    /// Remembers the HTTP side, which has found nothing to read: bytes may go past it from now on.
+    /// Registers the HTTP library, which has found nothing to read, to be woken by the next bytes.
     pub fn register_reader(&mut self, reader: &Waker) {
         self.reader = Some(reader.clone());
     }
--- a/src/proxy/read_ahead/tests.rs
+++ b/src/proxy/read_ahead/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn bytes_come_out_in_their_order_and_their_memory_is_given_back() {
+fn bytes_come_out_in_their_order_and_their_memory_is_released() {
     let (memory, mut ahead) = (memory(), ReadAhead::default());
     let held = fill(&mut ahead, &memory);
     assert_eq!(held, 1 << 20, "as much as there is memory for");
