--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -58,7 +58,7 @@
 /// A request that is ready to be written.
 struct Prepared {
     request: Request<RequestBody>,
-    /// The time until the deadline, as the backend is told.
+    /// The time until the deadline, which the backend is sent.
     remaining: Duration,
     /// The count of written bytes at which the request is complete; `None` for a body without a length.
     complete_at: Option<u64>,
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Returns whether the request is complete on a connection that took so many bytes. Of one that is streamed
-    /// without a length, the end of its body tells.
+    /// Returns whether the request is complete on a connection that took this many bytes. One that is streamed
+    /// without a length is complete at the end of its body.
     fn is_written(&self, written: u64, complete_at: Option<u64>) -> bool {
         match complete_at {
             Some(complete_at) => written >= complete_at,
--- a/src/proxy/backends/exchange.rs
+++ b/src/proxy/backends/exchange.rs
@@ -3,7 +3,7 @@
 use super::error::BackendError;
 use super::response::{BackendBody, BackendResponse, PartialBody, ResponseHead};
 use crate::proxy::bodies::{BodyBuffer, RequestBody, next_data};
-use crate::proxy::limits::{BODY_CAP, PASS_CAP};
+use crate::proxy::limits::{BODY_CAP, FORWARDED_BODY_CAP};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::SendRequest;
 use hyper::header::{CONNECTION, TRANSFER_ENCODING};
@@ -50,7 +50,7 @@
     while may_fit(length, &buffer) {
         let data = match timeout_at(stream_at, next_data(&mut incoming)).await {
             Ok(data) => data,
-            // Of a known length this short, the last byte is what matters.
+            // A body of known length this short is of use only when it is complete.
             Err(_) if length.is_some() => next_data(&mut incoming).await,
             Err(_) => break,
         };
@@ -86,13 +86,15 @@
 
 /// Returns whether the response may become complete. Where it may not, failing at once leaves time for another
 /// attempt: the rest of a response of gigabytes would be read for nothing. One that only the end of its
-/// connection ends has to say so, or it could not be told from one whose length was lost.
+/// connection ends has to announce that, or it could not be distinguished from one whose length was lost.
 fn can_become_complete(response: &Response<Incoming>) -> bool {
     let length = response.body().size_hint();
     let has_end = length.exact().is_some()
         || response.headers().contains_key(TRANSFER_ENCODING)
         || closes_connection(response);
-    has_end && length.lower() <= PASS_CAP && response.status() != StatusCode::SWITCHING_PROTOCOLS
+    has_end
+        && length.lower() <= FORWARDED_BODY_CAP
+        && response.status() != StatusCode::SWITCHING_PROTOCOLS
 }
 
 fn closes_connection(response: &Response<Incoming>) -> bool {
--- a/src/proxy/backends/health_check.rs
+++ b/src/proxy/backends/health_check.rs
@@ -21,7 +21,7 @@
 const LOAD_PATH: &str = "/metrics/load";
 
 impl Backends {
-    /// Checks whether a backend lives, and asks it for its load report as well if wanted.
+    /// Checks whether a backend is alive, and requests its load report as well if wanted.
     pub async fn health_check(
         self: Rc<Self>,
         endpoint: Rc<Endpoint>,
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -5,7 +5,7 @@
 use super::response::PartialBody;
 use crate::api::Outcome;
 use crate::proxy::bodies::{BodyDeadline, BufferedBody, ResponseSender, next_data};
-use crate::proxy::limits::{ANSWER_STALL, BODY_CAP, PASS_CAP};
+use crate::proxy::limits::{BODY_CAP, FORWARDED_BODY_CAP, RESPONSE_STALL_TIMEOUT};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use std::time::Duration;
@@ -79,7 +79,7 @@
         let may_be_endless = self.length.is_none() && self.forwarded <= BODY_CAP as u64;
         tokio::select! {
             biased;
-            received = timeout(ANSWER_STALL, next_data(&mut self.rest)) => match received {
+            received = timeout(RESPONSE_STALL_TIMEOUT, next_data(&mut self.rest)) => match received {
                 Ok(Ok(data)) => Ok(data),
                 Ok(Err(error)) => Err(failure(error)),
                 Err(_) => Err(Outcome::Timeout),
@@ -93,11 +93,11 @@
     /// Forwards data once the client's side takes it.
     async fn forward(&mut self, data: Bytes) -> Result<(), Outcome> {
         self.forwarded += data.len() as u64;
-        if self.forwarded > PASS_CAP {
+        if self.forwarded > FORWARDED_BODY_CAP {
             return Err(Outcome::CorruptResponse);
         }
         self.sender
-            .send(data, ANSWER_STALL)
+            .send(data, RESPONSE_STALL_TIMEOUT)
             .await
             .map_err(|_| Outcome::Cancelled)
     }
--- a/src/proxy/bodies/streamed.rs
+++ b/src/proxy/bodies/streamed.rs
@@ -24,14 +24,14 @@
 
 /// The client has disconnected, or reads no more.
 #[derive(Debug, thiserror::Error)]
-#[error("the client takes no more of the response")]
+#[error("the client reads no more of the response")]
 pub struct ReceiverClosed;
 
 impl ResponseSender {
     /// Forwards a piece once there is room for it, within `timeout`.
     ///
     /// # Errors
-    /// Where the client does not take it.
+    /// Where the client does not read it.
     pub async fn send(&self, data: Bytes, timeout: Duration) -> Result<(), ReceiverClosed> {
         self.0
             .send_timeout(Piece::Data(data), timeout)
@@ -44,7 +44,7 @@
         let _ = self.0.send(Piece::End).await;
     }
 
-    /// Waits until the client takes no more of the response.
+    /// Waits until the client reads no more of the response.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -4,7 +4,7 @@
 use super::{BodyDeadline, BufferedBody};
 use crate::proxy::budget::Reserved;
 use crate::proxy::counters::Counters;
-use crate::proxy::limits::PASS_CAP;
+use crate::proxy::limits::FORWARDED_BODY_CAP;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -121,7 +121,7 @@
     fn forward(&mut self, data: Bytes) -> FramePoll {
         self.progress.consumed.set(true);
         self.length.forward(data.len());
-        if self.length.forwarded() > PASS_CAP {
+        if self.length.forwarded() > FORWARDED_BODY_CAP {
             return self.fail(BodyError::TooLarge);
         }
         if self.length.is_complete() {
--- a/src/proxy/clients/error.rs
+++ b/src/proxy/clients/error.rs
@@ -1,11 +1,11 @@
-//! Why a request is answered without the balancer.
+//! Why a request is rejected before the balancer sees it.
 
 use crate::proxy::bodies::BufferedBody;
 use crate::proxy::responses::plain;
 use hyper::header::{ALLOW, HeaderValue};
 use hyper::{Method, Response, StatusCode};
 
-/// A request that is not forwarded. The message is what its client is told.
+/// A request that is rejected before the balancer sees it. The message is the body of the response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
     #[error("the body may end in two places")]
@@ -34,7 +34,7 @@
     BodyIncomplete(#[from] hyper::Error),
     #[error("a request of this id is open")]
     DuplicateRequest,
-    /// Nobody reads this one.
+    /// Nobody reads this response.
     #[error("the client has left")]
     ClientDisconnected,
 }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the response that tells the client.
+    /// Returns the response to the client.
     pub(super) fn into_response(self) -> Response<BufferedBody> {
         let mut response = plain(self.status(), format!("{self}\n"));
         if let Self::MethodNotAllowed { allowed } = &self
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -10,7 +10,7 @@
 use crate::proxy::backends::{CORRELATION_ID, Call, CancelSignal};
 use crate::proxy::bodies::{BodyBuffer, BodyDeadline, CallBody, Upload, next_data};
 use crate::proxy::budget::Reserved;
-use crate::proxy::limits::{BODY_CAP, PASS_CAP};
+use crate::proxy::limits::{BODY_CAP, FORWARDED_BODY_CAP};
 use crate::proxy::messages::Inbound;
 use hyper::Request;
 use hyper::body::{Body, Incoming};
@@ -35,7 +35,7 @@
         deadline: BodyDeadline,
     ) -> Result<Inbound, RequestError> {
         let (head, body) = request.into_parts();
-        if body.size_hint().lower() > PASS_CAP {
+        if body.size_hint().lower() > FORWARDED_BODY_CAP {
             return Err(RequestError::BodyTooLarge);
         }
         let mut request = self.describe(&head)?;
@@ -104,7 +104,7 @@
 
     /// Describes a request with that head for the balancer.
     fn describe(&self, head: &Parts) -> Result<crate::api::Request, RequestError> {
-        // Whoever reads the other one of two takes the request for something else.
+        // A backend may read the other one of two and take the request for something else.
         let is_duplicate = |name| head.headers.get_all(name).iter().nth(1).is_some();
         if SINGLE_HEADERS.iter().any(is_duplicate) {
             return Err(RequestError::DuplicateHeader);
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -147,7 +147,7 @@
             self.is_full.set(false);
             match listener.accept().await {
                 Ok((stream, _)) => self.spawn_connection(stream),
-                // Out of descriptors, or a client that has left already: neither ends the proxy.
+                // Neither a lack of descriptors nor a client that has closed it already ends the proxy.
                 Err(error) => {
                     tracing::warn!(%error, "accepting a client failed");
                     sleep(ACCEPT_BACKOFF).await;
@@ -175,7 +175,7 @@
                 }
                 true
             }
-            // That client has left already; others may wait behind it.
+            // That client has closed it already; others may wait behind it.
             Err(error) => error.kind() == io::ErrorKind::ConnectionAborted,
         }
     }
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -61,7 +61,7 @@
         number: u64,
         deadline: BodyDeadline,
     ) -> Result<Response<ResponseBody>, RequestError> {
-        // Rule 2: whoever reads the other end of the body takes a part of it for a request.
+        // Rule 2: a backend that reads the other end of the body would run a part of it as a request.
         if connection.is_ambiguous(number) {
             return Err(RequestError::AmbiguousBody);
         }
@@ -91,7 +91,7 @@
         inbound: Inbound,
         connection: &ClientConnection,
     ) -> Result<Response<ResponseBody>, RequestError> {
-        // It may have left before its connection was accepted, say.
+        // The client may have disconnected while its connection waited to be accepted.
         if connection.is_closed_by_client() {
             return Err(RequestError::ClientDisconnected);
         }
@@ -134,7 +134,7 @@
         let guard = DisconnectGuard {
             handle: &self.handle,
             request: inbound.request.id,
-            answered: false,
+            is_armed: true,
         };
         self.handle
             .tell(Message::Request(Box::new(inbound), sender));
@@ -145,7 +145,7 @@
                 connection.closed_by_client(&self.budget.bodies).await;
             }
         };
-        // The library sees that a client has left only where it has read all that came ahead of it.
+        // The library notices a disconnect only once it has read all that came before it.
         let answer = tokio::select! {
             biased;
             answer = answer => answer,
@@ -186,19 +186,20 @@
 struct DisconnectGuard<'a> {
     handle: &'a Handle,
     request: RequestId,
-    answered: bool,
+    /// The request has no answer yet.
+    is_armed: bool,
 }
 
 impl DisconnectGuard<'_> {
-    /// Ends the watch: the request has its answer.
+    /// Ends the watch, because the request has its answer.
     fn disarm(mut self) {
-        self.answered = true;
+        self.is_armed = false;
     }
 }
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if !self.answered {
+        if self.is_armed {
             self.handle.tell(Message::ClientGone(self.request));
         }
     }
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -24,7 +24,7 @@
 enum ConnectionEnd {
     /// The proxy closes it: nothing is in flight on it.
     Closed,
-    /// The library has ended it: its client has left, or is to leave with its last response.
+    /// The library has ended it: its client has closed it, or it closes with its last response.
     Finished,
     /// A response broke off.
     ResponseFailed,
@@ -34,7 +34,7 @@
     fn from(result: hyper::Result<()>) -> Self {
         match result {
             Err(error) if error.is_user() => Self::ResponseFailed,
-            // Any other error matters only to the client: one that left has been reported by its guard.
+            // Any other error is the client's. A disconnect was reported by the guard of its request.
             Ok(()) | Err(_) => Self::Finished,
         }
     }
@@ -157,7 +157,7 @@
     Some(present.map_or(new, |present| present.min(new)))
 }
 
-/// What a check of a connection's deadline tells.
+/// The result of a check of a connection's deadline.
 enum DeadlineState {
     /// The client has taken too long.
     Passed,
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -3,7 +3,7 @@
 
 use super::budget;
 use super::framing::Framing;
-use super::limits::{ANSWER_STALL, REQUEST_TIME};
+use super::limits::{REQUEST_TIME, RESPONSE_STALL_TIMEOUT};
 use super::read_ahead::{READ_PIECE, ReadAhead};
 use super::socket::{Socket, Unread};
 use super::socket_io::ObservedSocket;
@@ -28,7 +28,7 @@
 /// How far a connection is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// Its client takes what it is sent more slowly than it comes.
+    /// Its client reads more slowly than its response comes.
     WriteBlocked,
     /// It has a request without a complete response.
     Serving,
@@ -68,11 +68,11 @@
     /// Requests that have come, and those of them that have their responses.
     requests: Cell<u64>,
     responses: Cell<u64>,
-    /// Its client takes what it is sent more slowly than it comes.
+    /// Its client reads more slowly than its response comes.
     write_blocked: Cell<bool>,
-    /// Asks its task to close it, so that another client can be accepted.
+    /// Tells its task to close it, so that another client can be accepted.
     eviction: Notify,
-    /// The task was asked, and has not looked yet.
+    /// The task was notified, and has not checked yet.
     eviction_pending: Cell<bool>,
 }
 
@@ -178,7 +178,9 @@
     pub fn deadline(&self) -> Option<Instant> {
         match self.state() {
             ConnectionState::Serving => None,
-            ConnectionState::WriteBlocked => Some(self.last_activity.get() + ANSWER_STALL),
+            ConnectionState::WriteBlocked => {
+                Some(self.last_activity.get() + RESPONSE_STALL_TIMEOUT)
+            }
             ConnectionState::Unused | ConnectionState::Idle => {
                 Some(self.last_activity.get() + REQUEST_TIME)
             }
@@ -200,7 +202,7 @@
         self.eviction_pending.set(false);
     }
 
-    /// Asks its task to close it.
+    /// Tells its task to close it.
     fn request_eviction(&self) {
         self.eviction_pending.set(true);
         self.eviction.notify_one();
@@ -270,8 +272,8 @@
         self.open.remove(&number);
     }
 
-    /// Asks the one connection to close that is cheapest to lose, of several the one on which nothing has moved
-    /// for longest. One with a request is none of them.
+    /// Asks the connection to close that is cheapest to close, of several the one without activity for longest.
+    /// One with a request is never closed.
     pub fn evict_one(&self) {
         let mut candidates = Vec::new();
         for connection in self.open.values() {
--- a/src/proxy/framing.rs
+++ b/src/proxy/framing.rs
@@ -91,28 +91,34 @@
             bytes = match self.reading {
                 Reading::Malformed => return,
                 Reading::Head => self.read_head(bytes),
-                Reading::Body(left) => self.skip(bytes, left, Reading::Body, Reading::Head),
-                Reading::Chunk(left) => self.skip(bytes, left, Reading::Chunk, Reading::ChunkSize),
+                Reading::Body(remaining) => {
+                    self.skip(bytes, remaining, Reading::Body, Reading::Head)
+                }
+                Reading::Chunk(remaining) => {
+                    self.skip(bytes, remaining, Reading::Chunk, Reading::ChunkSize)
+                }
                 Reading::ChunkSize | Reading::Trailers => self.read_line(bytes),
             };
         }
     }
 
-    /// Skips `left` bytes, as far as they have come: `unfinished` then holds the rest, or `next` follows. Returns
-    /// the bytes behind them.
+    /// Skips `remaining` bytes, as far as they have come: `unfinished` then holds the rest, or `next` follows.
+    /// Returns the bytes behind them.
     fn skip<'a>(
         &mut self,
         bytes: &'a [u8],
-        left: u64,
+        remaining: u64,
         unfinished: fn(u64) -> Reading,
         next: Reading,
     ) -> &'a [u8] {
-        let skipped = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
-        let still_left = left - skipped as u64;
-        self.reading = if still_left == 0 {
+        let skipped = usize::try_from(remaining)
+            .unwrap_or(usize::MAX)
+            .min(bytes.len());
+        let still_remaining = remaining - skipped as u64;
+        self.reading = if still_remaining == 0 {
             next
         } else {
-            unfinished(still_left)
+            unfinished(still_remaining)
         };
         &bytes[skipped..]
     }
