--- a/tests/proxy/forms.rs
+++ b/tests/proxy/http1.rs
@@ -1,4 +1,4 @@
-//! Large bodies, slow peers and the forms of HTTP/1.1.
+//! HTTP/1.1: the forms of requests and responses, large bodies and slow peers.
 
 use crate::UP;
 use crate::rig::*;
@@ -11,7 +11,7 @@
 const LARGE: usize = 32 << 20;
 
 /// A proxy with little memory and a backend.
-fn small(name: &str, backend: &Backend) -> Proxy {
+fn start_with_little_memory(name: &str, backend: &Backend) -> Proxy {
     let discovery = Discovery::start();
     let mut config = operated(name, &discovery);
     config["limits"]["memory_mb"] = 32.into();
@@ -26,16 +26,16 @@
 }
 
 #[test]
-fn large_answers_flow_through_little_memory_to_clients_that_read_slowly() {
+fn large_responses_are_streamed_through_little_memory_to_slow_clients() {
     let body = pattern(LARGE);
     let answered = answer("200 OK", "", &body);
     let backend = Backend::start(move |_| Reply::Write(answered.clone()));
-    let proxy = small("large-answers", &backend);
+    let proxy = start_with_little_memory("large-answers", &backend);
     let mut clients: Vec<_> = (0..12)
         .map(|i| {
             let mut client = proxy.client();
             client.send(&request("submit", &format!("l-{i}"), "x"));
-            // The one that came before has begun: it holds no slot any more.
+            // A response that has started holds no slot any more.
             let mut head = [0; 12];
             client.reader.read_exact(&mut head).expect("it begins");
             assert_eq!(&head, b"HTTP/1.1 200");
@@ -56,9 +56,9 @@
 }
 
 #[test]
-fn large_bodies_flow_through_little_memory_to_a_backend() {
+fn large_bodies_are_streamed_through_little_memory_to_a_backend() {
     let backend = Backend::start(|seen| ok(&seen.body.len().to_string()));
-    let proxy = small("large-bodies", &backend);
+    let proxy = start_with_little_memory("large-bodies", &backend);
     let body = pattern(LARGE);
     let address = proxy.address;
     let senders: Vec<_> = (0..4)
@@ -66,7 +66,9 @@
             let body = body.clone();
             thread::spawn(move || {
                 let mut stream = std::net::TcpStream::connect(address).expect("it accepts");
-                stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                stream
+                    .set_read_timeout(Some(TEST_TIMEOUT))
+                    .expect("a time-out");
                 let head = request("charge", &format!("u-{i}"), "");
                 // With a length, and in chunks.
                 let fields = if i % 2 == 0 {
@@ -109,25 +111,25 @@
 }
 
 #[test]
-fn the_first_bytes_of_a_large_answer_do_not_wait_for_the_last() {
+fn the_first_bytes_of_a_large_response_do_not_wait_for_the_last() {
     let body = pattern(200_000);
     for (name, fields) in [
         ("first-length", "Content-Length: 200000\r\n"),
         ("first-close", "Connection: close\r\n"),
     ] {
-        let (release, word) = channel();
-        let mut word = Some(word);
+        let (release, signal) = channel();
+        let mut signal = Some(signal);
         let (first, rest) = (body[..100_000].to_vec(), body[100_000..].to_vec());
         let backend = Backend::start(move |_| {
             let head = format!("HTTP/1.1 200 OK\r\n{fields}\r\n").into_bytes();
             let rest = Reply::WriteAndClose(rest.clone());
             Reply::Then(
                 [head, first.clone()].concat(),
-                word.take().expect("one"),
+                signal.take().expect("one"),
                 Box::new(rest),
             )
         });
-        let proxy = small(name, &backend);
+        let proxy = start_with_little_memory(name, &backend);
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
         let mut begun = [0; 15];
@@ -139,7 +141,7 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_once_it_has_begun_looks_broken() {
+fn a_response_that_breaks_off_once_it_has_started_looks_broken() {
     for (name, fields) in [
         ("broken-length", "Content-Length: 200000\r\n"),
         ("broken-chunks", "Transfer-Encoding: chunked\r\n"),
@@ -153,7 +155,7 @@
             let head = format!("HTTP/1.1 200 OK\r\n{fields}\r\n{chunk}");
             Reply::WriteAndClose([head.into_bytes(), pattern(100_000)].concat())
         });
-        let proxy = small(name, &backend);
+        let proxy = start_with_little_memory(name, &backend);
         for version in ["HTTP/1.1", "HTTP/1.0"] {
             let mut client = proxy.client();
             client.send(&request("submit", version, "x").replace("HTTP/1.1", version));
@@ -172,10 +174,10 @@
     }
 }
 
-/// The connection breaks before the last byte, so it has not run, and this class may be sent anywhere again;
-/// but what has left of its body is not held any more.
+/// The connection breaks before the last byte, so the request has not run, and its class is idempotent; but what
+/// was streamed of its body is not held any more.
 #[test]
-fn a_body_that_has_partly_left_is_not_sent_again() {
+fn a_partly_streamed_body_is_not_sent_again() {
     let (sender, accepted) = channel();
     let breaker = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = breaker.local_addr().expect("an address");
@@ -201,13 +203,13 @@
     let head = request("read", "1", "").replace("Content-Length: 0", "Content-Length: 3000000");
     client.send(&head);
     let _ = client.stream.write_all(&pattern(3_000_000));
-    accepted.recv_timeout(PATIENCE).expect("it comes once");
+    accepted.recv_timeout(TEST_TIMEOUT).expect("it comes once");
     let got = client.receive();
     assert!(got.status() == 503 || got.status() == 502, "{}", got.head);
     assert!(accepted.try_recv().is_err(), "and only once");
 }
 
-/// Each form that a client may use, and what it gets.
+/// Each form that a client may use, and the response.
 #[test]
 fn every_form_of_a_request_is_understood() {
     let discovery = Discovery::start();
@@ -363,7 +365,7 @@
 }
 
 #[test]
-fn a_client_that_waits_for_a_word_to_send_its_body_gets_it() {
+fn a_client_that_expects_100_continue_gets_it() {
     let discovery = Discovery::start();
     let backend = Backend::start(|seen| {
         assert_eq!(seen.header("expect"), None);
@@ -384,7 +386,7 @@
 }
 
 #[test]
-fn requests_one_behind_another_get_their_answers_in_turn() {
+fn pipelined_requests_get_their_responses_in_order() {
     let discovery = Discovery::start();
     let backend = Backend::start(|seen| ok(seen.header("x-correlation-id").expect("an id")));
     let proxy = Proxy::start(
@@ -419,7 +421,7 @@
 }
 
 #[test]
-fn answers_without_a_body_and_those_that_their_connection_ends_are_understood() {
+fn responses_without_a_body_or_ended_by_a_close_are_understood() {
     let cases: [(&str, &[u8], u16); 5] = [
         ("closes", b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody", 200),
         ("old", b"HTTP/1.0 200 OK\r\n\r\nbody", 200),
@@ -451,8 +453,8 @@
     );
 }
 
-/// A backend that answers each request with these bytes and resets its connection so long behind them.
-fn resets_behind(bytes: Vec<u8>, pause: Duration) -> SocketAddr {
+/// A backend that answers each request with these bytes and resets its connection after a pause.
+fn resets_after(bytes: Vec<u8>, pause: Duration) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -467,9 +469,9 @@
     address
 }
 
-/// An answer may have no length, so that only the end of its connection ends it; a reset is no such end.
+/// A response without a length ends with its connection, but not with a reset.
 #[test]
-fn a_reset_never_ends_an_answer_that_has_no_length() {
+fn a_reset_never_completes_a_response_without_a_length() {
     for head in [
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
         "HTTP/1.0 200 OK\r\n\r\n",
@@ -483,7 +485,7 @@
             (100_000, 100),
         ] {
             let bytes = [head.as_bytes(), &pattern(length)].concat();
-            let address = resets_behind(bytes, Duration::from_millis(pause_ms));
+            let address = resets_after(bytes, Duration::from_millis(pause_ms));
             let discovery = Discovery::start();
             let name = format!("reset-{length}-{pause_ms}");
             let proxy = Proxy::start(&name, &discovery, &[entry("s-1", address, "active", 0)]);
@@ -504,7 +506,7 @@
     }
 }
 
-/// A client may be slow, as long as it goes on.
+/// A client may be slow, as long as it continues.
 #[test]
 fn a_request_in_small_pieces_is_served() {
     let discovery = Discovery::start();
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -1,10 +1,10 @@
 //! The proxy's program over loopback sockets: what must hold whatever backends and clients do.
 
-mod forms;
+mod http1;
 mod logging;
-mod moments;
 mod operating;
-mod pressure;
+mod overload;
+mod races;
 mod rig;
 
 use rig::*;
@@ -14,29 +14,29 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::Duration;
 
-/// What the module lets out to a lone backend at the start.
-const ROOM: usize = 2;
+/// The concurrency limit of a single backend at the start.
+const INITIAL_LIMIT: usize = 2;
 
 const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// Clients whose requests take all the room that the module gives a lone backend at its start, the backend,
-/// and the words that let it answer them. Further requests are answered at once.
+/// A backend that holds its first requests, as many as its limit allows at the start, each until it gets a
+/// signal. Later requests are answered at once.
 fn full_backend() -> (Backend, Vec<Sender<()>>) {
-    let (mut words, mut releases) = (Vec::new(), Vec::new());
-    for _ in 0..ROOM {
-        let (release, word) = channel();
-        words.push(word);
+    let (mut signals, mut releases) = (Vec::new(), Vec::new());
+    for _ in 0..INITIAL_LIMIT {
+        let (release, signal) = channel();
+        signals.push(signal);
         releases.push(release);
     }
-    let backend = Backend::start(move |_| match words.pop() {
-        Some(word) => Reply::After(word, Box::new(ok("first"))),
+    let backend = Backend::start(move |_| match signals.pop() {
+        Some(signal) => Reply::After(signal, Box::new(ok("first"))),
         None => ok("later"),
     });
     (backend, releases)
 }
 
 fn fill(proxy: &Proxy, backend: &Backend) -> Vec<Client> {
-    let fill = (0..ROOM).map(|i| {
+    let fill = (0..INITIAL_LIMIT).map(|i| {
         let mut client = proxy.client();
         client.send(&request("charge", &format!("fill-{i}"), "x"));
         backend.next();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn requests_and_answers_pass_unchanged() {
+fn requests_and_responses_are_forwarded_unchanged() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| Reply::Write(answer("200 OK", "", b"\x00\xffbody\r\n\r\n")));
     let proxy = Proxy::start(
@@ -91,7 +91,7 @@
     }
 }
 
-/// Names are the customer's own: one is that of the front's call, another has letters beyond ASCII.
+/// Customers choose names: one is the path of the front's health check, another has letters beyond ASCII.
 #[test]
 fn classes_and_tenants_of_any_name_are_served() {
     let discovery = Discovery::start();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_gets_a_plain_4xx_and_does_no_harm() {
+fn malformed_requests_get_a_plain_4xx_and_do_no_harm() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let proxy = Proxy::start(
@@ -134,7 +134,7 @@
         (good.replace("15000", "99999999999999999999999"), 400),
         (good.replace("Idempotency-Key: 7\r\n", ""), 400),
         (good.replace("POST", "GET"), 405),
-        // Numbers that others may read otherwise, and headers of which others may read the other one.
+        // Numbers that backends may parse otherwise, and headers of which they may read the other one.
         (good.replace("15000", "+480"), 400),
         (good.replace("15000", " "), 400),
         (good.replace("15000", "480, 15000"), 400),
@@ -175,7 +175,7 @@
             ),
             400,
         ),
-        // No byte of such a body has to come for the answer.
+        // It is rejected before a byte of its body has come.
         (
             good.replace(
                 "Content-Length: 1\r\n\r\nx",
@@ -197,9 +197,9 @@
     assert_eq!(proxy.client().ask(&good).status(), 200);
 }
 
-/// Whoever goes by the length finds another request in the body of the first.
+/// A backend that reads the length finds another request in the body of the first.
 #[test]
-fn a_request_with_a_length_and_an_encoding_is_turned_away_with_all_that_follows() {
+fn a_request_with_a_length_and_an_encoding_is_rejected_with_all_that_follows() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let proxy = Proxy::start(
@@ -229,12 +229,12 @@
 }
 
 #[test]
-fn a_second_request_with_the_id_of_an_open_one_is_turned_away() {
+fn a_second_request_with_the_id_of_an_open_one_is_rejected() {
     let discovery = Discovery::start();
-    let (release, word) = channel();
-    let mut word = Some(word);
-    let backend = Backend::start(move |_| match word.take() {
-        Some(word) => Reply::After(word, Box::new(ok("first"))),
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
+    let backend = Backend::start(move |_| match signal.take() {
+        Some(signal) => Reply::After(signal, Box::new(ok("first"))),
         None => ok("later"),
     });
     let proxy = Proxy::start(
@@ -259,10 +259,9 @@
     );
 }
 
-/// Clients that are owed an end within 3 s. The span is checked loosely, so that a busy machine changes
-/// nothing.
+/// These clients must get an end within 3 s. The time is checked loosely for the sake of busy machines.
 #[test]
-fn silence_and_half_a_request_end_with_an_error_or_a_close() {
+fn silent_and_partial_requests_end_with_an_error_or_a_close() {
     let discovery = Discovery::start();
     let proxy = Proxy::start("half", &discovery, &[]);
     let good = request("charge", "1", "body");
@@ -287,11 +286,11 @@
         asked.ends_cleanly(),
         "a connection that is kept and not used"
     );
-    assert!(began.elapsed() < PATIENCE / 3, "{:?}", began.elapsed());
+    assert!(began.elapsed() < TEST_TIMEOUT / 3, "{:?}", began.elapsed());
 }
 
 #[test]
-fn a_body_at_the_cap_passes() {
+fn a_body_at_the_cap_is_forwarded() {
     let discovery = Discovery::start();
     let body = "y".repeat(64 * 1024);
     let answered = body.clone();
@@ -306,10 +305,9 @@
     assert_eq!(backend.next().body.len(), body.len());
 }
 
-/// Backends send good answers beyond the protocol's cap, and as many as come are passed on, one after
-/// another.
+/// Backends send good responses beyond the cap of the protocol, and each of them is forwarded.
 #[test]
-fn a_large_answer_passes() {
+fn large_responses_are_forwarded() {
     let discovery = Discovery::start();
     let large = "z".repeat(400_000);
     let answered = large.clone();
@@ -325,7 +323,7 @@
 }
 
 #[test]
-fn a_broken_answer_is_never_a_200_and_an_unsafe_request_is_not_sent_again() {
+fn a_broken_response_is_never_a_200_and_a_non_idempotent_request_is_not_retried() {
     let breaks: [&[u8]; 3] = [
         b"",
         b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
@@ -346,12 +344,12 @@
     }
 }
 
-/// What can't become an answer, from a backend that keeps the connection open and says no more. Waiting on
-/// would leave no time for another attempt; taking it for a broken connection would blame a healthy backend.
+/// Backends send what can't become a response and keep the connection open. Waiting would leave no time for
+/// another attempt; a reset would be counted against a healthy backend.
 #[test]
-fn an_answer_that_cannot_become_good_fails_at_once_and_is_tried_elsewhere_only_where_it_may() {
+fn a_corrupt_response_fails_at_once_and_only_idempotent_requests_are_retried() {
     let endless_head = format!("HTTP/1.1 200 OK\r\nX-Long: {}", "y".repeat(20_000));
-    let spoilt: [&[u8]; 10] = [
+    let corrupt: [&[u8]; 10] = [
         b"\x00\xfe\x17 noise \x9c\r\n\r\n",
         b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbody",
         b"HTTP/1.1 200 OK\r\nCont\x00ent: 4\r\n\r\nbody",
@@ -363,7 +361,7 @@
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
         endless_head.as_bytes(),
     ];
-    for (i, bytes) in spoilt.into_iter().enumerate() {
+    for (i, bytes) in corrupt.into_iter().enumerate() {
         let discovery = Discovery::start();
         let shared = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
         let start = |bytes: Vec<u8>| {
@@ -380,7 +378,7 @@
             entry("s-1", one.address, "active", 0),
             entry("s-2", two.address, "active", 0),
         ];
-        let proxy = Proxy::start(&format!("spoilt-{i}"), &discovery, &members);
+        let proxy = Proxy::start(&format!("corrupt-{i}"), &discovery, &members);
         let got = proxy.client().ask(&request("read", "1", ""));
         assert_eq!(
             (got.status(), got.body.as_slice()),
@@ -394,10 +392,9 @@
     }
 }
 
-/// A good answer with more behind it is good, its connection is not used again, and nobody is blamed for what
-/// lay in it.
+/// A good response with more bytes behind it is good. Its connection is not reused, and no later request fails.
 #[test]
-fn what_comes_behind_a_good_answer_is_served_to_nobody() {
+fn bytes_behind_a_response_are_served_to_nobody() {
     let behind: [&[u8]; 3] = [
         b"\x00noise",
         b"\r\n",
@@ -425,9 +422,9 @@
     }
 }
 
-/// 1xx answers go ahead of the final one, and a load report that can't be read is none.
+/// 1xx responses come before the final one, and a malformed load report is ignored.
 #[test]
-fn early_hints_and_unreadable_reports_do_no_harm() {
+fn early_hints_and_malformed_load_reports_do_no_harm() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| {
         let early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
@@ -449,15 +446,15 @@
 }
 
 #[test]
-fn only_the_mark_tells_that_a_request_was_turned_away() {
+fn only_x_unprocessed_shows_that_a_backend_rejected_a_request() {
     for (more, status, attempts) in [
         ("X-Unprocessed: 1\r\n", 503, 2),
         ("", 502, 1),
         ("X-Unprocessed: 0\r\n", 502, 1),
     ] {
         let discovery = Discovery::start();
-        let turn_away = move |_: &Seen| Reply::Write(answer("503 Service Unavailable", more, b""));
-        let (one, two) = (Backend::start(turn_away), Backend::start(turn_away));
+        let reject = move |_: &Message| Reply::Write(answer("503 Service Unavailable", more, b""));
+        let (one, two) = (Backend::start(reject), Backend::start(reject));
         let members = [
             entry("s-1", one.address, "active", 0),
             entry("s-2", two.address, "active", 0),
@@ -477,7 +474,7 @@
 }
 
 #[test]
-fn a_backend_that_cannot_be_reached_leaves_an_unsafe_request_free_to_go_elsewhere() {
+fn a_non_idempotent_request_is_retried_where_its_backend_cannot_be_reached() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let nobody = std::net::TcpListener::bind("127.77.0.2:0")
@@ -498,7 +495,7 @@
 }
 
 #[test]
-fn a_connection_that_its_backend_has_closed_is_not_used_again() {
+fn a_connection_that_its_backend_has_closed_is_not_reused() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| Reply::WriteAndClose(answer("200 OK", "", b"last")));
     let proxy = Proxy::start(
@@ -510,22 +507,22 @@
     for id in ["1", "2", "3", "4"] {
         assert_eq!(client.ask(&request("charge", id, "x")).status(), 200);
         backend.next();
-        // A close that is still to come can't be known to the proxy, and would reset the next request.
+        // The proxy can't know of a close that is still to come, which would reset the next request.
         backend.wait_until_closed();
     }
 }
 
-/// Closed while the process stood still, a connection looks open to the runtime when the next request comes.
+/// A connection that is closed while the process is stopped looks open to the runtime when the next request comes.
 #[test]
-fn a_connection_whose_close_the_runtime_has_not_seen_is_not_used_again() {
+fn a_connection_whose_close_the_runtime_has_not_seen_is_not_reused() {
     let discovery = Discovery::start();
-    let (closes, words): (Vec<_>, Vec<_>) = (0..4).map(|_| channel()).unzip();
-    let mut words = words.into_iter();
+    let (closes, signals): (Vec<_>, Vec<_>) = (0..4).map(|_| channel()).unzip();
+    let mut signals = signals.into_iter();
     let backend = Backend::start(move |_| {
-        let word = words.next().expect("as many requests as words");
+        let signal = signals.next().expect("as many requests as signals");
         Reply::Then(
             answer("200 OK", "", b"last"),
-            word,
+            signal,
             Box::new(Reply::WriteAndClose(Vec::new())),
         )
     });
@@ -547,7 +544,7 @@
 }
 
 #[test]
-fn a_request_that_a_backend_never_answers_fails_in_its_time() {
+fn a_request_without_a_response_times_out() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| Reply::Hang);
     let proxy = Proxy::start(
@@ -566,7 +563,7 @@
 }
 
 #[test]
-fn without_room_a_request_is_refused_with_a_word_on_when_to_return() {
+fn without_capacity_a_request_is_rejected_with_retry_after() {
     let discovery = Discovery::start();
     let (backend, releases) = full_backend();
     let proxy = Proxy::start(
@@ -593,7 +590,7 @@
 }
 
 #[test]
-fn a_client_that_left_while_it_was_held_is_forgotten() {
+fn a_queued_request_whose_client_disconnects_is_dropped() {
     let discovery = Discovery::start();
     let (backend, releases) = full_backend();
     let proxy = Proxy::start(
@@ -602,16 +599,16 @@
         &[entry("s-1", backend.address, "active", 0)],
     );
     let mut first = fill(&proxy, &backend);
-    let mut leaver = proxy.client();
-    leaver.send(&request("charge", "2", "x"));
+    let mut disconnecting = proxy.client();
+    disconnecting.send(&request("charge", "2", "x"));
     // The answer on another connection shows that the proxy has seen what came before it.
     assert_eq!(proxy.client().ask(UP).status(), 200);
-    leaver
+    disconnecting
         .stream
         .shutdown(Shutdown::Write)
         .expect("an open connection");
     assert!(
-        leaver.ends_cleanly(),
+        disconnecting.ends_cleanly(),
         "the proxy has seen that the client left, and ended its side too"
     );
     for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
@@ -626,7 +623,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_backend_that_drains_or_is_gone() {
+fn no_new_request_is_sent_to_a_draining_or_removed_backend() {
     for phase in ["leaving", "left"] {
         let discovery = Discovery::start();
         let backend = Backend::start(|_| ok("there"));
@@ -665,15 +662,15 @@
     assert_ne!(backend.next().connection, second);
 }
 
-/// A connection that was in use while its backend left belongs to a process that is gone.
+/// A connection that was in use while its backend was removed belongs to a process that has ended.
 #[test]
-fn connections_of_a_backend_that_is_gone_are_never_used_again() {
+fn connections_of_a_removed_backend_are_never_reused() {
     for complete in [false, true] {
         let discovery = Discovery::start();
-        let (release, word) = channel();
-        let mut word = Some(word);
-        let backend = Backend::start(move |_| match word.take() {
-            Some(word) => Reply::After(word, Box::new(ok("of the old one"))),
+        let (release, signal) = channel();
+        let mut signal = Some(signal);
+        let backend = Backend::start(move |_| match signal.take() {
+            Some(signal) => Reply::After(signal, Box::new(ok("of the old one"))),
             None => ok("of the new one"),
         });
         let here = |id: &str| entry(id, backend.address, "active", 0);
@@ -711,7 +708,7 @@
 }
 
 #[test]
-fn odd_entries_of_a_list_are_passed_over() {
+fn malformed_endpoints_of_a_list_are_skipped() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let good = entry("s-1", backend.address, "active", 0);
@@ -734,7 +731,7 @@
 }
 
 #[test]
-fn it_is_up_only_once_it_holds_a_list() {
+fn it_is_up_only_with_an_endpoint_list() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let proxy = Proxy::start_bare("up", &discovery);
@@ -744,7 +741,7 @@
 }
 
 #[test]
-fn a_proxy_that_starts_serves_from_the_list_it_knows_and_asks_for_what_is_newer() {
+fn a_proxy_starts_from_the_cached_endpoint_list_and_watches_for_changes() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let mut config = config("known", &discovery);
@@ -765,7 +762,7 @@
 }
 
 #[test]
-fn an_answer_older_than_the_list_that_is_held_is_passed_over_and_the_whole_list_asked_for_later() {
+fn a_list_older_than_the_cached_one_is_ignored_and_the_complete_list_requested_later() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let mut config = config("older", &discovery);
@@ -779,9 +776,9 @@
 }
 
 #[test]
-fn a_call_that_discovery_has_not_come_to_yet_is_not_dropped_and_made_again() {
+fn a_call_that_waits_in_the_queue_of_discovery_is_not_repeated() {
     let discovery = Discovery::start();
-    let _proxy = Proxy::start_with("patient", config("patient", &discovery));
+    let _proxy = Proxy::start_with("queued-call", config("queued-call", &discovery));
     assert_eq!(discovery.next_call(), None);
     std::thread::sleep(Duration::from_millis(2_500));
     assert_eq!(
@@ -792,7 +789,7 @@
 }
 
 #[test]
-fn where_discovery_is_asked_the_module_begins_the_watch_whatever_was_known() {
+fn where_discovery_is_polled_the_balancer_begins_the_watch_whatever_is_cached() {
     for known in [serde_json::Value::Null, "nonsense".into()] {
         let discovery = Discovery::start();
         let backend = Backend::start(|_| ok("there"));
@@ -805,9 +802,9 @@
     }
 }
 
-/// Each backend takes one request and keeps it; there are more backends than descriptors for them.
+/// Each backend holds one request; there are more backends than descriptors for them.
 #[test]
-fn a_shortage_of_descriptors_is_blamed_on_no_backend() {
+fn a_shortage_of_descriptors_ejects_no_backend() {
     let discovery = Discovery::start();
     let backends: Vec<_> = (0..14).map(|_| Backend::start(|_| Reply::Hang)).collect();
     let members: Vec<_> = backends
@@ -845,14 +842,14 @@
     let mut config = config("idle", &discovery);
     config["limits"]["sockets"] = 64.into();
     let proxy = Proxy::start_with("idle", config);
-    // More than the proxy may hold at a time, and none of them says a word.
+    // More than the proxy may hold at a time, and none of them sends a byte.
     let clients: Vec<_> = (0..64).map(|_| proxy.client()).collect();
     assert_eq!(proxy.client().ask(UP).status(), 503);
     drop(clients);
 }
 
 #[test]
-fn a_backend_that_began_to_drain_while_its_connection_came_up_gets_nothing() {
+fn a_backend_that_began_to_drain_during_the_connect_gets_no_request() {
     let discovery = Discovery::start();
     let full = FullQueue::start();
     let address = full.address;
@@ -871,18 +868,20 @@
     let got = client.receive();
     assert_eq!(got.status(), 503, "it never ran, so a repeat is harmless");
     let mut sent = Vec::new();
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     let _ = stream.read_to_end(&mut sent);
     assert!(sent.is_empty(), "{}", String::from_utf8_lossy(&sent));
 }
 
 #[test]
-fn at_sighup_it_goes_over_to_the_new_discovery_and_serves_on() {
+fn at_sighup_it_changes_to_the_new_discovery_and_keeps_serving() {
     let (old, new) = (Discovery::start(), Discovery::start());
-    let (release, word) = channel();
-    let mut word = Some(word);
-    let before = Backend::start(move |_| match word.take() {
-        Some(word) => Reply::After(word, Box::new(ok("taken before"))),
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
+    let before = Backend::start(move |_| match signal.take() {
+        Some(signal) => Reply::After(signal, Box::new(ok("taken before"))),
         None => ok("before"),
     });
     let after = Backend::start(|_| ok("after"));
@@ -911,7 +910,7 @@
             None,
             "the version of another service means nothing to this one"
         );
-        // Until the new service has told its list, the old list serves.
+        // Until the new service has sent its list, the old list is used.
         assert_eq!(proxy.client().ask(&request("read", "3", "")).status(), 200);
         to.post(true, &[entry(name, after.address, "active", 0)]);
         assert_eq!(proxy.client().ask(&request("read", "4", "")).body, b"after");
@@ -921,13 +920,13 @@
 }
 
 #[test]
-fn at_sigterm_it_finishes_what_it_took_and_what_still_comes() {
+fn at_sigterm_it_finishes_open_requests_and_those_that_still_arrive() {
     let discovery = Discovery::start();
-    let (release, word) = channel();
-    let mut word = Some(word);
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
     let one = Backend::start(move |seen| match seen.header("x-correlation-id") {
         Some("1") => Reply::After(
-            word.take().expect("asked once"),
+            signal.take().expect("asked once"),
             Box::new(ok("taken before")),
         ),
         _ => ok("still comes"),
@@ -960,7 +959,7 @@
 }
 
 #[test]
-fn a_restarted_proxy_takes_its_old_address_while_connections_of_the_old_one_linger() {
+fn a_restarted_proxy_binds_its_address_while_connections_of_the_old_one_linger() {
     let discovery = Discovery::start();
     // An address of its own: no other test can be given the port in between.
     let mut first = config("first-life", &discovery);
@@ -982,9 +981,9 @@
 }
 
 #[test]
-fn a_bad_configuration_ends_the_start_with_one_clear_line() {
+fn a_bad_configuration_fails_the_start_with_one_clear_line() {
     let bad_address = r#"{"listen":"here","discovery":"127.0.0.1:1","settings":{}}"#;
-    for (name, config, word) in [
+    for (name, config, expected) in [
         ("no-json", "{", "malformed configuration"),
         ("no-settings", "{}", "settings"),
         ("bad-address", bad_address, "listen"),
@@ -999,6 +998,6 @@
             .expect("text");
         assert_eq!(child.wait().expect("it ends").code(), Some(1));
         assert_eq!(text.lines().count(), 1, "{text}");
-        assert!(text.contains(word), "{text}");
+        assert!(text.contains(expected), "{text}");
     }
 }
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -122,7 +122,7 @@
         caller
             .reader
             .get_ref()
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a time-out");
         while !matches!(caller.reader.read(&mut [0; 256]), Ok(0) | Err(_)) {}
     }
--- a/tests/proxy/pressure.rs
+++ b/tests/proxy/overload.rs
@@ -1,4 +1,4 @@
-//! Many at once: crowds of idle clients that fill the descriptors, fleets of proxies that start together.
+//! Overload: idle clients that take every descriptor, and many proxies that start together.
 
 use crate::UP;
 use crate::rig::*;
@@ -13,17 +13,17 @@
 
 /// The descriptors of a small proxy, and more clients than it may hold.
 const DESCRIPTORS: usize = 64;
-const CROWD: usize = 100;
+const IDLE_CLIENT_COUNT: usize = 100;
 
-/// Clients that connect, say what they have to say, and stay until the proxy ends the connection; then they
-/// come again.
-struct Crowd {
+/// Clients that connect, send some bytes, and stay until the proxy closes the connection; then they connect
+/// again.
+struct IdleClients {
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
-impl Crowd {
-    /// Each client says the next one of these words.
+impl IdleClients {
+    /// Starts the clients, which send these texts in turn.
     fn gather(address: SocketAddr, words: &[String]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let client = |number: usize| {
@@ -34,12 +34,12 @@
                 }
             })
         };
-        let clients = (0..CROWD).map(client).collect();
+        let clients = (0..IDLE_CLIENT_COUNT).map(client).collect();
         Self { stop, clients }
     }
 
-    /// Ends it.
-    fn leave(self) {
+    /// Ends the clients.
+    fn disconnect(self) {
         self.stop.store(true, Ordering::Relaxed);
         self.clients
             .into_iter()
@@ -49,13 +49,13 @@
 
 /// One connection of an idle client.
 fn stay(address: SocketAddr, words: &str, stop: &AtomicBool) {
-    const LOOK_EVERY: Duration = Duration::from_millis(50);
-    thread::sleep(LOOK_EVERY);
+    const POLL_INTERVAL: Duration = Duration::from_millis(50);
+    thread::sleep(POLL_INTERVAL);
     let Ok(mut stream) = TcpStream::connect(address) else {
         return;
     };
     stream
-        .set_read_timeout(Some(LOOK_EVERY))
+        .set_read_timeout(Some(POLL_INTERVAL))
         .expect("a time-out");
     let _ = stream.write_all(words.as_bytes());
     while !stop.load(Ordering::Relaxed) {
@@ -67,8 +67,8 @@
     }
 }
 
-/// One request on a connection of its own; nothing where the proxy shuts it unread.
-fn try_once(proxy: &Proxy, id: &str) -> Option<Seen> {
+/// Sends a request on its own connection. Returns `None` where the proxy closes it without a response.
+fn try_request(proxy: &Proxy, id: &str) -> Option<Message> {
     let mut client = proxy.client();
     client
         .stream
@@ -77,18 +77,18 @@
     read_message(&mut client.reader)
 }
 
-/// An address where nobody listens. Its host is its own, so that nobody else can be given the port.
-fn nobody_at(host: &str) -> SocketAddr {
+/// An address without a listener. No other test uses its host, so that the port stays free.
+fn unused_address(host: &str) -> SocketAddr {
     TcpListener::bind((host, 0))
         .expect("a port")
         .local_addr()
         .expect("an address")
 }
 
-/// While discovery is down idle clients take every descriptor that they can get. Discovery and a backend that
-/// it names at its return still get theirs, and once the crowd has left every new client is served at once.
+/// While discovery is down, idle clients take every descriptor that they can get. Discovery and a backend that it
+/// lists at its return still get theirs, and new clients are served at once when the idle ones have left.
 #[test]
-fn idle_clients_leave_descriptors_to_discovery_and_to_backends() {
+fn idle_clients_leave_descriptors_to_discovery_and_backends() {
     const SERVED_WITHIN: Duration = Duration::from_secs(8);
     let half = request("read", "half", "");
     let words = [
@@ -97,22 +97,23 @@
         half[..half.len() / 2].to_owned(),
     ];
     for mode in ["pushed", "on_request"] {
-        let discovery = nobody_at(&format!("127.79.0.{}", mode.len()));
+        let discovery = unused_address(&format!("127.79.0.{}", mode.len()));
         let mut config = config_at(&format!("crowd-{mode}"), discovery);
         config["limits"]["sockets"] = DESCRIPTORS.into();
         config["settings"]["membershipMode"] = mode.into();
-        let known = entry("old", nobody_at("127.79.0.1"), "active", 0);
+        let known = entry("old", unused_address("127.79.0.1"), "active", 0);
         config["known"] = json!({"revision": 3, "complete": true, "members": [known]});
         let proxy = Proxy::start_limited(&format!("crowd-{mode}"), &config, DESCRIPTORS);
-        let crowd = Crowd::gather(proxy.address, &words);
-        // It has held as many as it takes for a while by then.
+        let crowd = IdleClients::gather(proxy.address, &words);
+        // By then it has held as many connections as it accepts for a while.
         thread::sleep(Duration::from_secs(2));
         let discovery = Discovery::start_at(&discovery.to_string());
         let back = Instant::now();
         let backend = Backend::start(|_| ok("there"));
         discovery.post(true, &[entry("new", backend.address, "active", 0)]);
         let mut tries = 0;
-        while try_once(&proxy, &format!("crowded-{tries}")).is_none_or(|got| got.status() != 200) {
+        while try_request(&proxy, &format!("crowded-{tries}")).is_none_or(|got| got.status() != 200)
+        {
             tries += 1;
             assert!(
                 back.elapsed() < SERVED_WITHIN,
@@ -120,10 +121,10 @@
                 back.elapsed()
             );
         }
-        crowd.leave();
+        crowd.disconnect();
         let held: Vec<_> = (0..8).map(|_| proxy.client()).collect();
         for id in 0..8 {
-            let got = try_once(&proxy, &format!("after-{id}")).expect("an answer");
+            let got = try_request(&proxy, &format!("after-{id}")).expect("an answer");
             assert_eq!(
                 (got.status(), got.body.as_slice()),
                 (200, b"there".as_slice()),
@@ -134,10 +135,10 @@
     }
 }
 
-/// Discovery as one service for a whole fleet, of which each call takes a while: it answers them in turn, and
-/// ends with 503 those that wait too long. A call for what is newer than its list stays open.
+/// Discovery as one service for all proxies. It answers slow calls one after another, and those that have waited
+/// too long with 503. A call for what is newer than its list stays open.
 fn serve_in_turn(address: SocketAddr, list: Value) {
-    const TAKES: Duration = Duration::from_millis(200);
+    const CALL_DURATION: Duration = Duration::from_millis(200);
     const LONGEST_WAIT: Duration = Duration::from_secs(3);
     let listener = TcpListener::bind(address).expect("the address");
     let (calls, queue) = channel::<(Instant, TcpStream)>();
@@ -147,7 +148,7 @@
             let reply = if came.elapsed() > LONGEST_WAIT {
                 answer("503 Service Unavailable", "", b"")
             } else {
-                thread::sleep(TAKES);
+                thread::sleep(CALL_DURATION);
                 answer("200 OK", "", list.to_string().as_bytes())
             };
             let _ = stream.write_all(&reply);
@@ -170,21 +171,21 @@
     });
 }
 
-/// How a fleet that starts finds discovery, and what its configuration knows.
+/// The state of discovery when the proxies start, and what their configuration caches.
 #[derive(Clone, Copy, Debug)]
 enum Start {
-    /// Discovery answers in turn.
+    /// Discovery answers one call after another.
     SlowDiscovery,
-    /// Discovery is down for longer than it may take to be ready.
+    /// Discovery is down for longer than a proxy may take to be ready.
     NoDiscovery,
-    /// Discovery answers in turn and no backend is known.
+    /// Discovery answers one call after another, and no endpoint is cached.
     NothingKnown,
 }
 
-/// A fleet of processes that start together, as after a crash of many: nine in ten are ready in time.
+/// Many processes start together, as after a common crash: nine in ten are ready in time.
 #[test]
 fn nine_in_ten_of_the_proxies_that_start_together_are_ready_in_time() {
-    const FLEET: usize = 16;
+    const PROXY_COUNT: usize = 16;
     const READY_WITHIN: Duration = Duration::from_secs(10);
     for start in [
         Start::SlowDiscovery,
@@ -193,7 +194,7 @@
     ] {
         let backend = Backend::start(|_| ok("there"));
         let members = json!([entry("s-1", backend.address, "active", 0)]);
-        let discovery = nobody_at("127.79.1.1");
+        let discovery = unused_address("127.79.1.1");
         if !matches!(start, Start::NoDiscovery) {
             serve_in_turn(
                 discovery,
@@ -206,7 +207,7 @@
             let mut config = config_at(&name, discovery);
             config["settings"]["membershipMode"] = "on_request".into();
             config["settings"]["me"] = me.into();
-            config["settings"]["balancers"] = FLEET.into();
+            config["settings"]["balancers"] = PROXY_COUNT.into();
             config["settings"]["safety"]["askWithinUs"] = 10_000_000.into();
             if !matches!(start, Start::NothingKnown) {
                 config["known"] = json!({"revision": 3, "complete": true, "members": members});
@@ -214,15 +215,15 @@
             config["seed"] = format!("{me:016x}").into();
             Proxy::start_with(&name, config)
         };
-        let proxies: Vec<_> = (0..FLEET).map(launch).collect();
+        let proxies: Vec<_> = (0..PROXY_COUNT).map(launch).collect();
         let mut waiting: Vec<_> = proxies.iter().collect();
         while !waiting.is_empty() && began.elapsed() < READY_WITHIN {
             waiting.retain(|proxy| proxy.client().ask(UP).status() != 200);
             thread::sleep(Duration::from_millis(20));
         }
         assert!(
-            waiting.len() * 10 <= FLEET,
-            "{start:?}: {} of {FLEET} are not ready",
+            waiting.len() * 10 <= PROXY_COUNT,
+            "{start:?}: {} of {PROXY_COUNT} are not ready",
             waiting.len()
         );
         let ready = proxies
--- a/tests/proxy/moments.rs
+++ b/tests/proxy/races.rs
@@ -1,26 +1,28 @@
-//! Ill-timed moments: what comes between a decision and what follows from it.
+//! Races: what happens between a decision and its execution, such as a disconnect during a connect.
 
 use crate::rig::*;
-use crate::{ROOM, UP, fill, full_backend};
+use crate::{INITIAL_LIMIT, UP, fill, full_backend};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-/// A connection that is asked for again and again comes up this long after its queue has room, at the latest.
-const COMES_UP: Duration = Duration::from_secs(4);
+/// The kernel repeats a connect at most this long after the queue of the listener has room.
+const RECONNECTS_WITHIN: Duration = Duration::from_secs(4);
 
-/// The ids of the requests that come on connections to a backend, which answers them, until none has come up
-/// for long.
-fn ids_that_come(listener: TcpListener) -> Vec<String> {
+/// Accepts connections and answers a request on each, until no connection has come for long. Returns the ids of
+/// the requests.
+fn received_ids(listener: TcpListener) -> Vec<String> {
     let listener = socket2::Socket::from(listener);
     listener
-        .set_read_timeout(Some(COMES_UP))
+        .set_read_timeout(Some(RECONNECTS_WITHIN))
         .expect("a time-out");
     let mut seen = Vec::new();
     while let Ok((stream, _)) = listener.accept() {
         let mut stream = TcpStream::from(stream);
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         let Some(got) = read_message(&mut BufReader::new(&stream)) else {
             continue;
         };
@@ -33,7 +35,7 @@
 }
 
 #[test]
-fn a_request_whose_client_left_while_its_connection_came_up_is_not_sent() {
+fn a_request_whose_client_disconnects_during_the_connect_is_not_sent() {
     let discovery = Discovery::start();
     let backend = FullQueue::start();
     let proxy = Proxy::start(
@@ -41,46 +43,46 @@
         &discovery,
         &[entry("s-1", backend.address, "active", 0)],
     );
-    let mut leaver = proxy.client();
-    leaver.send(&request("charge", "left", "x"));
+    let mut disconnecting = proxy.client();
+    disconnecting.send(&request("charge", "left", "x"));
     assert_eq!(
         proxy.client().ask(UP).status(),
         200,
         "the proxy has seen what came before"
     );
-    leaver
+    disconnecting
         .stream
         .shutdown(Shutdown::Write)
         .expect("an open connection");
     assert!(
-        leaver.ends_cleanly(),
+        disconnecting.ends_cleanly(),
         "the proxy has seen that the client left"
     );
     let mut client = proxy.client();
     client.send(&request("charge", "stays", "x"));
-    assert_eq!(ids_that_come(backend.empty()), ["stays"]);
+    assert_eq!(received_ids(backend.empty()), ["stays"]);
     assert_eq!(client.receive().body, b"there");
 }
 
-/// For how long backends drop a repeat.
-const WINDOW: Duration = Duration::from_millis(600);
+/// How long backends drop a repeated key.
+const KEY_TTL: Duration = Duration::from_millis(600);
 
-/// The window counts from the first attempt that may have run, and ends before the connection of the second
-/// comes up. From then on a refusal, which says that trying again is harmless, would be wrong as well.
+/// The time of the key counts from the first attempt that may have run, and ends before the connection of the
+/// second comes up. From then on a rejection, which allows the client to retry, would be wrong as well.
 #[test]
-fn a_repeat_of_a_key_is_not_sent_once_backends_may_have_forgotten_it() {
+fn a_keyed_request_is_not_retried_after_its_key_may_have_expired() {
     for group in ["cell", "all"] {
         let discovery = Discovery::start();
-        let (release, word) = channel();
+        let (release, signal) = channel();
         let mut reply = Some(Reply::After(
-            word,
+            signal,
             Box::new(Reply::WriteAndClose(Vec::new())),
         ));
         let breaks = Backend::start(move |_| reply.take().expect("asked once"));
         let late = FullQueue::start();
         let name = format!("window-{group}");
         let mut config = config(&name, &discovery);
-        config["settings"]["classes"][1]["keyTtlUs"] = (WINDOW.as_micros() as u64).into();
+        config["settings"]["classes"][1]["keyTtlUs"] = (KEY_TTL.as_micros() as u64).into();
         config["settings"]["classes"][1]["group"] = group.into();
         let proxy = Proxy::start_with(&name, config);
         discovery.post(true, &[entry("s-1", breaks.address, "active", 0)]);
@@ -89,9 +91,9 @@
         breaks.next();
         discovery.post(false, &[entry("s-2", late.address, "active", 0)]);
         release.send(()).expect("the backend waits");
-        // The one span of time that matters here: it is over before the second backend takes a connection.
-        std::thread::sleep(WINDOW);
-        assert_eq!(ids_that_come(late.empty()), [""; 0]);
+        // This test is about the time: the key expires before the second backend accepts a connection.
+        std::thread::sleep(KEY_TTL);
+        assert_eq!(received_ids(late.empty()), [""; 0]);
         assert_eq!(
             client.receive().status(),
             502,
@@ -101,26 +103,26 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum Disconnect {
     Close,
     HalfClose,
     Reset,
 }
 
-const WAYS: [Way; 3] = [Way::Close, Way::HalfClose, Way::Reset];
+const DISCONNECTS: [Disconnect; 3] = [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset];
 
-/// Leaves in that way; what is still held after a half-close is returned.
-fn leave(client: Client, way: Way) -> Option<Client> {
+/// Disconnects in that way. After a half-close the client is returned, because dropping it would close it.
+fn disconnect(client: Client, way: Disconnect) -> Option<Client> {
     match way {
-        Way::Close => None,
-        Way::HalfClose => {
+        Disconnect::Close => None,
+        Disconnect::HalfClose => {
             client
                 .stream
                 .shutdown(Shutdown::Write)
                 .expect("an open connection");
             Some(client)
         }
-        Way::Reset => {
+        Disconnect::Reset => {
             let socket = socket2::SockRef::from(&client.stream);
             socket
                 .set_linger(Some(Duration::ZERO))
@@ -130,8 +132,13 @@
     }
 }
 
-/// A proxy whose held requests wait for many seconds.
-fn patient(name: &str, discovery: &Discovery, backend: &Backend, memory_mb: u64) -> Proxy {
+/// A proxy whose queued requests wait for many seconds.
+fn start_with_long_timeouts(
+    name: &str,
+    discovery: &Discovery,
+    backend: &Backend,
+    memory_mb: u64,
+) -> Proxy {
     let mut config = operated(name, discovery);
     for class in [0, 2] {
         config["settings"]["classes"][class]["deadlineUs"] = 200_000_000.into();
@@ -143,8 +150,8 @@
     proxy
 }
 
-/// Waits until so many requests are in progress, for less time than any is held; how long that took.
-fn in_progress(proxy: &Proxy, requests: usize) -> Duration {
+/// Waits until this many requests are in progress, for less time than any is queued. Returns how long it took.
+fn wait_for_in_progress(proxy: &Proxy, requests: usize) -> Duration {
     let began = std::time::Instant::now();
     while proxy.figure("app_in_progress") != requests as u64 {
         assert!(
@@ -155,8 +162,8 @@
     began.elapsed()
 }
 
-/// Lets the backend answer, and asks for more: whatever else it sees was sent on for nobody.
-fn only_new_ones_come(
+/// Lets the backend answer and sends one more request, which is the only one that the backend may receive.
+fn only_new_requests_arrive(
     proxy: &Proxy,
     backend: &Backend,
     clients: Vec<Client>,
@@ -177,14 +184,14 @@
 }
 
 #[test]
-fn held_requests_whose_clients_leave_in_a_burst_are_not_sent_whatever_came_behind_them() {
+fn queued_requests_whose_clients_disconnect_in_a_burst_are_not_sent() {
     let discovery = Discovery::start();
     let (backend, releases) = full_backend();
-    let proxy = patient("burst", &discovery, &backend, 192);
+    let proxy = start_with_long_timeouts("burst", &discovery, &backend, 192);
     let clients = fill(&proxy, &backend);
-    let behind = sent_behind();
-    let mut leavers = Vec::new();
-    for (i, (way, behind)) in WAYS
+    let behind = pipelined_input();
+    let mut disconnecting = Vec::new();
+    for (i, (way, behind)) in DISCONNECTS
         .iter()
         .flat_map(|way| behind.iter().map(move |b| (*way, b)))
         .enumerate()
@@ -193,39 +200,39 @@
         client.send(
             &(request("charge", &format!("left-{i}"), "x").replace("15000", "190000") + behind),
         );
-        leavers.push((client, way));
+        disconnecting.push((client, way));
     }
-    in_progress(&proxy, ROOM + leavers.len());
-    let left: Vec<_> = leavers
+    wait_for_in_progress(&proxy, INITIAL_LIMIT + disconnecting.len());
+    let left: Vec<_> = disconnecting
         .into_iter()
-        .filter_map(|(client, way)| leave(client, way))
+        .filter_map(|(client, way)| disconnect(client, way))
         .collect();
-    in_progress(&proxy, ROOM);
-    only_new_ones_come(&proxy, &backend, clients, &releases);
+    wait_for_in_progress(&proxy, INITIAL_LIMIT);
+    only_new_requests_arrive(&proxy, &backend, clients, &releases);
     drop(left);
 }
 
-/// The end of its body is in the kernel still, for nobody reads it before the request has room.
+/// The end of its body is still in the kernel: nobody reads it before the request is sent to a backend.
 #[test]
-fn a_held_request_whose_client_leaves_behind_its_unread_body_is_not_sent() {
-    for way in WAYS {
+fn a_queued_request_whose_client_disconnects_behind_its_unread_body_is_not_sent() {
+    for way in DISCONNECTS {
         let discovery = Discovery::start();
         let (backend, releases) = full_backend();
-        let proxy = patient(&format!("unread-{way:?}"), &discovery, &backend, 8);
+        let proxy = start_with_long_timeouts(&format!("unread-{way:?}"), &discovery, &backend, 8);
         let clients = fill(&proxy, &backend);
         let mut client = proxy.client();
         let body = "x".repeat(1_740_000);
         client.send(&request("charge", "left", &body).replace("15000", "190000"));
-        in_progress(&proxy, ROOM + 1);
-        let left = leave(client, way);
-        in_progress(&proxy, ROOM);
-        only_new_ones_come(&proxy, &backend, clients, &releases);
+        wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
+        let left = disconnect(client, way);
+        wait_for_in_progress(&proxy, INITIAL_LIMIT);
+        only_new_requests_arrive(&proxy, &backend, clients, &releases);
         drop(left);
     }
 }
 
-/// What a client may have sent behind its request when it leaves: nothing, a further request, noise.
-fn sent_behind() -> [String; 3] {
+/// What a client may have sent behind its request when it disconnects: nothing, another request, garbage.
+fn pipelined_input() -> [String; 3] {
     [
         String::new(),
         request("charge", "behind", "x"),
@@ -233,12 +240,11 @@
     ]
 }
 
-/// A backend that tells when it is asked, answers nothing before a word comes, and then breaks the
-/// connection.
-fn breaks_on_word() -> (Backend, std::sync::mpsc::Sender<()>) {
-    let (release, word) = channel();
+/// A backend that reports its request, and closes the connection without a response at a signal.
+fn closes_on_signal() -> (Backend, std::sync::mpsc::Sender<()>) {
+    let (release, signal) = channel();
     let mut reply = Some(Reply::After(
-        word,
+        signal,
         Box::new(Reply::WriteAndClose(Vec::new())),
     ));
     (
@@ -247,52 +253,54 @@
     )
 }
 
-/// No attempt begins later than this after its client has left.
-const NOTICED_WITHIN: Duration = Duration::from_millis(100);
+/// No attempt starts later than this after its client has disconnected.
+const DISCONNECT_NOTICED_WITHIN: Duration = Duration::from_millis(100);
 
-/// The connection is on its way up when the client leaves, in each way and whatever it sent behind its
-/// request.
+/// The client disconnects during the connect, in each way and whatever it sent behind its request.
 #[test]
-fn a_request_is_not_sent_on_a_connection_that_comes_up_after_its_client_left() {
+fn a_request_is_not_sent_on_a_connection_that_comes_up_after_its_client_disconnected() {
     let discovery = Discovery::start();
     let backend = FullQueue::start();
     let mut config = operated("left-connecting", &discovery);
-    // A lone backend has room for few; the others would wait for a slot.
+    // A single backend has a low limit; requests beyond it would be queued.
     config["settings"]["permissions"]["dialTimeoutUs"] = 15_000_000.into();
     let proxy = Proxy::start_with("left-connecting", config);
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-    let mut noticed = Vec::new();
-    for (i, (way, behind)) in WAYS
+    let mut noticed_after = Vec::new();
+    for (i, (way, behind)) in DISCONNECTS
         .iter()
-        .flat_map(|way| sent_behind().map(|b| (*way, b)))
+        .flat_map(|way| pipelined_input().map(|b| (*way, b)))
         .enumerate()
     {
         let mut client = proxy.client();
         client.send(&(request("charge", &format!("left-{i}"), "x") + &behind));
-        in_progress(&proxy, 1);
-        let left = leave(client, way);
-        noticed.push(in_progress(&proxy, 0));
+        wait_for_in_progress(&proxy, 1);
+        let left = disconnect(client, way);
+        noticed_after.push(wait_for_in_progress(&proxy, 0));
         drop(left);
     }
     // A machine that is busy elsewhere may hold up some of them.
-    noticed.sort_unstable();
-    assert!(noticed[noticed.len() / 2] <= NOTICED_WITHIN, "{noticed:?}");
+    noticed_after.sort_unstable();
+    assert!(
+        noticed_after[noticed_after.len() / 2] <= DISCONNECT_NOTICED_WITHIN,
+        "{noticed_after:?}"
+    );
     let mut client = proxy.client();
     client.send(&request("charge", "stays", "x"));
-    assert_eq!(ids_that_come(backend.empty()), ["stays"]);
+    assert_eq!(received_ids(backend.empty()), ["stays"]);
     assert_eq!(client.receive().body, b"there");
 }
 
-/// The first attempt is out when its client leaves, and would have been followed by another one.
+/// The first attempt is in flight when its client disconnects, and a retry would have followed.
 #[test]
-fn no_further_attempt_is_made_for_a_client_that_left() {
-    for (i, (way, behind)) in WAYS
+fn a_request_is_not_retried_after_its_client_disconnected() {
+    for (i, (way, behind)) in DISCONNECTS
         .iter()
-        .flat_map(|way| sent_behind().map(|b| (*way, b)))
+        .flat_map(|way| pipelined_input().map(|b| (*way, b)))
         .enumerate()
     {
         let discovery = Discovery::start();
-        let (breaks, release) = breaks_on_word();
+        let (breaks, release) = closes_on_signal();
         let other = Backend::start(|_| ok("there"));
         let name = format!("left-retry-{i}");
         let proxy = Proxy::start_with(&name, operated(&name, &discovery));
@@ -307,8 +315,8 @@
                 entry("s-2", other.address, "active", 0),
             ],
         );
-        let left = leave(client, way);
-        in_progress(&proxy, 0);
+        let left = disconnect(client, way);
+        wait_for_in_progress(&proxy, 0);
         release.send(()).expect("the backend waits");
         discovery.post(true, &[entry("s-2", other.address, "active", 0)]);
         for id in ["stays", "comes later"] {
@@ -327,18 +335,19 @@
     }
 }
 
-/// The first attempt is over, the second waits for room, and its client leaves meanwhile.
+/// The first attempt has ended, the retry is queued, and its client disconnects meanwhile.
 #[test]
-fn a_further_attempt_that_waits_for_room_is_not_made_for_a_client_that_left() {
-    for (i, (way, behind)) in WAYS
+fn a_queued_retry_is_not_sent_after_its_client_disconnected() {
+    for (i, (way, behind)) in DISCONNECTS
         .iter()
-        .flat_map(|way| sent_behind().map(|b| (*way, b)))
+        .flat_map(|way| pipelined_input().map(|b| (*way, b)))
         .enumerate()
     {
         let discovery = Discovery::start();
-        let (breaks, release) = breaks_on_word();
+        let (breaks, release) = closes_on_signal();
         let (backend, releases) = full_backend();
-        let proxy = patient(&format!("left-waiting-{i}"), &discovery, &breaks, 192);
+        let proxy =
+            start_with_long_timeouts(&format!("left-waiting-{i}"), &discovery, &breaks, 192);
         let mut client = proxy.client();
         client.send(&(request("read", "left", "").replace("15000", "190000") + &behind));
         breaks.next();
@@ -347,20 +356,20 @@
         release.send(()).expect("the backend waits");
         // By then it has seen that the first attempt broke.
         (0..20).for_each(|_| _ = proxy.client().ask(UP));
-        let left = leave(client, way);
-        in_progress(&proxy, ROOM);
-        only_new_ones_come(&proxy, &backend, clients, &releases);
+        let left = disconnect(client, way);
+        wait_for_in_progress(&proxy, INITIAL_LIMIT);
+        only_new_requests_arrive(&proxy, &backend, clients, &releases);
         drop(left);
     }
 }
 
 /// The first attempt takes some of the client's time, and the second one's connection some more.
 #[test]
-fn a_further_attempt_tells_its_backend_no_more_time_than_the_client_has_left() {
+fn a_retry_sends_its_backend_no_more_than_the_remaining_time() {
     const FIRST_TAKES: Duration = Duration::from_millis(400);
     const TIME_LEFT: Duration = Duration::from_millis(15_000);
     let discovery = Discovery::start();
-    let (breaks, release) = breaks_on_word();
+    let (breaks, release) = closes_on_signal();
     let late = FullQueue::start();
     let proxy = Proxy::start(
         "time-left",
@@ -399,47 +408,47 @@
     );
 }
 
-/// Its end comes behind far more than the kernel takes for a connection that nobody reads.
+/// The end comes behind far more bytes than the kernel buffers for a connection that nobody reads.
 #[test]
-fn a_client_that_leaves_behind_more_than_the_kernel_takes_is_seen_to_leave() {
+fn a_disconnect_behind_more_than_the_kernel_buffers_is_noticed() {
     const FAR_BEHIND: usize = 1_000_000;
     let discovery = Discovery::start();
     let (backend, releases) = full_backend();
-    let proxy = patient("far-behind", &discovery, &backend, 192);
+    let proxy = start_with_long_timeouts("far-behind", &discovery, &backend, 192);
     let clients = fill(&proxy, &backend);
     let further = request("charge", "behind", "x");
     let behind = [
         further.repeat(FAR_BEHIND / further.len()),
         "x".repeat(FAR_BEHIND),
     ];
-    for (i, (way, behind)) in WAYS
+    for (i, (way, behind)) in DISCONNECTS
         .iter()
         .flat_map(|way| behind.iter().map(move |b| (*way, b)))
         .enumerate()
     {
         let mut client = proxy.client();
         client.send(&request("charge", &format!("left-{i}"), "x").replace("15000", "190000"));
-        in_progress(&proxy, ROOM + 1);
+        wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
         client.send(behind);
-        let left = leave(client, way);
-        in_progress(&proxy, ROOM);
+        let left = disconnect(client, way);
+        wait_for_in_progress(&proxy, INITIAL_LIMIT);
         drop(left);
     }
-    only_new_ones_come(&proxy, &backend, clients, &releases);
+    only_new_requests_arrive(&proxy, &backend, clients, &releases);
 }
 
-/// More comes behind an open request than is read ahead, and each request is served in its turn.
+/// More comes behind an open request than is read ahead.
 #[test]
-fn requests_that_come_behind_an_open_one_are_served_in_their_order() {
+fn pipelined_requests_behind_an_open_one_are_served_in_order() {
     const FURTHER: usize = 60;
     const BODY: usize = 60_000;
     let discovery = Discovery::start();
-    let (release, word) = channel();
-    let mut word = Some(word);
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
     let backend = Backend::start(move |seen| {
         let own = ok(&String::from_utf8_lossy(&seen.body));
-        match word.take() {
-            Some(word) => Reply::After(word, Box::new(own)),
+        match signal.take() {
+            Some(signal) => Reply::After(signal, Box::new(own)),
             None => own,
         }
     });
@@ -477,15 +486,15 @@
         .expect("the proxy reads all");
 }
 
-/// The one connection that there is room for is taken while another waits in the kernel's queue with its
-/// request. The process is told to end, and the first connection ends when nothing else keeps the process.
+/// The proxy may hold a single connection, and another one waits in the kernel's queue with its request. After
+/// SIGTERM, the first connection ends when nothing else keeps the process alive.
 #[test]
 fn a_request_that_waits_to_be_accepted_is_served_before_the_process_ends() {
     let discovery = Discovery::start();
-    let (release, word) = channel();
-    let mut word = Some(word);
-    let backend = Backend::start(move |_| match word.take() {
-        Some(word) => Reply::After(word, Box::new(ok("first"))),
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
+    let backend = Backend::start(move |_| match signal.take() {
+        Some(signal) => Reply::After(signal, Box::new(ok("first"))),
         None => ok("queued"),
     });
     let mut config = config("queued", &discovery);
@@ -498,7 +507,7 @@
     let mut queued = proxy.client();
     queued.send(&request("charge", "2", "x"));
     proxy.terminate();
-    // The time for which connections are accepted in any case is over; nothing tells so from outside.
+    // Connections are accepted for a minimum time; its end cannot be seen from outside.
     std::thread::sleep(Duration::from_millis(1_200));
     release.send(()).expect("the backend waits");
     assert_eq!(first.receive().body, b"first");
@@ -508,10 +517,10 @@
     assert_eq!(proxy.wait().code(), Some(0));
 }
 
-/// The process gets no core until the time is over for which connections are accepted in any case, and one
-/// waits then.
+/// The process is stopped until the minimum time for which connections are accepted has passed, and one waits
+/// then.
 #[test]
-fn a_request_that_came_while_the_process_stood_still_is_served_before_it_ends() {
+fn a_request_that_came_while_the_process_was_stopped_is_served_before_it_ends() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let members = [entry("s-1", backend.address, "active", 0)];
@@ -520,14 +529,14 @@
         proxy.terminate();
         while proxy.client().ask(UP).status() == 200 {}
         proxy.halt();
-        // A test that got no core itself for so long that the process has ended begins anew.
+        // Where the test itself was delayed for so long that the process has ended, it starts again.
         if proxy.child.try_wait().expect("a child").is_none() {
             break proxy;
         }
     };
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
-    // Nothing tells from outside when that time is over.
+    // The end of that time cannot be seen from outside.
     std::thread::sleep(Duration::from_millis(1_500));
     proxy.go_on();
     assert_eq!(client.receive().body, b"there");
@@ -535,17 +544,17 @@
     assert_eq!(proxy.wait().code(), Some(0));
 }
 
-/// Its client reads nothing until the process has been told to end, so most of the answer waits in front of
-/// it. It begins before the signal, or behind it and then closes its connection.
+/// The client reads nothing until SIGTERM, so most of the response waits. The response starts before the signal,
+/// or behind it and then closes its connection.
 #[test]
-fn an_answer_that_is_read_late_is_whole_before_the_process_ends() {
+fn a_response_that_is_read_late_is_complete_before_the_process_ends() {
     const LENGTH: usize = 8 << 20;
     let body: Vec<u8> = (0..LENGTH).map(|i| (i / 7) as u8).collect();
     for behind in [false, true] {
         let discovery = Discovery::start();
-        let (release, word) = channel();
+        let (release, signal) = channel();
         let mut reply = Some(Reply::After(
-            word,
+            signal,
             Box::new(Reply::Write(answer("200 OK", "", &body))),
         ));
         let backend = Backend::start(move |_| reply.take().expect("asked once"));
@@ -585,10 +594,9 @@
 /// The platform may kill the process 3.7 s after the signal, however long the deadlines are.
 const KILLED_AFTER: Duration = Duration::from_millis(3_700);
 
-/// Signals come twice and together, the backend hangs, one connection says nothing, one body is still
-/// flowing.
+/// Signals come twice and together, the backend hangs, one connection is silent, one body is still coming.
 #[test]
-fn what_comes_behind_sigterm_is_answered_before_the_process_may_be_killed() {
+fn requests_behind_sigterm_are_answered_before_the_process_may_be_killed() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| Reply::Hang);
     let mut proxy = Proxy::start(
@@ -630,7 +638,7 @@
 }
 
 #[test]
-fn a_process_that_is_told_to_end_before_it_can_serve_ends_well() {
+fn a_sigterm_before_the_process_can_serve_ends_it_cleanly() {
     let discovery = Discovery::start();
     let mut proxy = Proxy::start_bare("unready", &discovery);
     proxy.terminate();
@@ -641,9 +649,9 @@
     assert_eq!(proxy.wait().code(), Some(0));
 }
 
-/// Answers without an end, as fast as they are taken and drop by drop.
+/// Responses without an end, as fast as they are read and byte by byte.
 #[test]
-fn answers_that_never_end_fail_in_time_and_take_no_memory() {
+fn endless_responses_time_out_and_take_no_memory() {
     let ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let (fast, slow) = (Duration::ZERO, Duration::from_millis(20));
     let large = "x".repeat(64 * 1024);
@@ -705,14 +713,17 @@
     );
 }
 
-/// A backend that answers a request once its head has come, and reads on; how much of the body came.
-fn answers_early(early: Vec<u8>, word: Receiver<()>) -> (SocketAddr, Receiver<u64>) {
+/// A backend that responds once the head of a request has come, and reads on at a signal. Sends how many bytes of
+/// the body came.
+fn responds_early(early: Vec<u8>, signal: Receiver<()>) -> (SocketAddr, Receiver<u64>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let (sender, came) = channel();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
         let mut line = String::new();
         while line != "\r\n" {
@@ -720,16 +731,16 @@
             reader.read_line(&mut line).expect("a head");
         }
         stream.write_all(&early).expect("the proxy reads");
-        word.recv_timeout(PATIENCE).expect("a word");
+        signal.recv_timeout(TEST_TIMEOUT).expect("a signal");
         let _ = sender.send(std::io::copy(&mut reader, &mut std::io::sink()).unwrap_or_default());
     });
     (address, came)
 }
 
-/// Its client has an answer, so the rest of the body must not make it run after all; and nothing that comes
-/// ahead of the whole request can be its answer.
+/// The client has its response, so the backend must not get the rest of the body and run the request. A 200 that
+/// comes before the complete request can't be its response.
 #[test]
-fn a_request_that_is_answered_ahead_of_its_body_does_not_arrive_whole_later() {
+fn a_request_answered_before_its_body_never_arrives_completely() {
     const LENGTH: usize = 3 << 20;
     let large = "x".repeat(100_000);
     let cases = [
@@ -743,8 +754,8 @@
     ];
     for (i, (early, status)) in cases.into_iter().enumerate() {
         let discovery = Discovery::start();
-        let (release, word) = channel();
-        let (address, came) = answers_early(early, word);
+        let (release, signal) = channel();
+        let (address, came) = responds_early(early, signal);
         let name = format!("answered-early-{i}");
         let proxy = Proxy::start(&name, &discovery, &[entry("s-1", address, "active", 0)]);
         let mut client = proxy.client();
@@ -752,11 +763,13 @@
         let (most, last) = whole.split_at(whole.len() - 1_000);
         client.send(most);
         assert_eq!(client.receive().status(), status, "case {i}");
-        // Where the proxy has let the request go, nobody reads this.
+        // Where the proxy has ended the request, nobody reads this.
         let _ = client.stream.write_all(last.as_bytes());
         drop(client);
         release.send(()).expect("the backend waits");
-        let came = came.recv_timeout(PATIENCE).expect("the connection ends");
+        let came = came
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the connection ends");
         assert!(
             came < LENGTH as u64,
             "case {i}: {came} bytes of the body came"
--- a/tests/proxy/rig.rs
+++ b/tests/proxy/rig.rs
@@ -1,5 +1,5 @@
-//! The proxy's program with stand-ins for backends, discovery and clients, all on loopback sockets. Nothing
-//! here waits for a span of time: tests wait for events, and the time-outs only end a test that has failed.
+//! The proxy's program with fake backends, discovery and clients, all on loopback sockets. Nothing here waits for
+//! a fixed time: tests wait for events, and the timeouts only end a test that has failed.
 
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -13,19 +13,19 @@
 use std::time::{Duration, Instant};
 use std::{env, fs, thread};
 
-/// Ends a test that waits for what never comes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Ends a test that waits for an event that never comes.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A message as it came: its head and its body.
+/// An HTTP message as it was received: its head and its body.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct Message {
     pub head: String,
     pub body: Vec<u8>,
-    /// Which of the backend's connections it came on.
+    /// The number of the backend's connection that it came on.
     pub connection: usize,
 }
 
-impl Seen {
+impl Message {
     pub fn first_line(&self) -> &str {
         self.head.lines().next().unwrap_or_default()
     }
@@ -47,14 +47,14 @@
 }
 
 /// Reads one message; `None` at the end of the connection.
-pub fn read_message(reader: &mut impl BufRead) -> Option<Seen> {
+pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if reader.read_line(&mut head).ok()? == 0 {
             return None;
         }
     }
-    let mut seen = Seen {
+    let mut seen = Message {
         head,
         body: Vec::new(),
         connection: 0,
@@ -87,9 +87,9 @@
     Write(Vec<u8>),
     /// Writes these bytes and closes the connection.
     WriteAndClose(Vec<u8>),
-    /// Waits for a word from the test, then does that.
+    /// Waits for a signal from the test, then does that.
     After(Receiver<()>, Box<Reply>),
-    /// Writes these bytes, waits for a word, then does that.
+    /// Writes these bytes, waits for a signal, then does that.
     Then(Vec<u8>, Receiver<()>, Box<Reply>),
     /// Writes these bytes, then those again and again with a pause between them.
     Endless(Vec<u8>, Vec<u8>, Duration),
@@ -111,29 +111,29 @@
     Reply::Write(answer("200 OK", "", body.as_bytes()))
 }
 
-type Script = Box<dyn FnMut(&Seen) -> Reply + Send>;
+type Script = Box<dyn FnMut(&Message) -> Reply + Send>;
 
-/// A backend that answers as its script says and tells the test what it saw.
+/// A backend that answers by its script and sends the test what it received.
 pub struct Backend {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
+    pub seen: Receiver<Message>,
 }
 
-fn carry_out(reply: Reply, stream: &mut TcpStream) -> bool {
+fn execute(reply: Reply, stream: &mut TcpStream) -> bool {
     match reply {
         Reply::Write(bytes) => stream.write_all(&bytes).is_ok(),
         Reply::WriteAndClose(bytes) => {
             let _ = stream.write_all(&bytes);
             false
         }
-        Reply::After(word, reply) => {
-            let _ = word.recv_timeout(PATIENCE);
-            carry_out(*reply, stream)
+        Reply::After(signal, reply) => {
+            let _ = signal.recv_timeout(TEST_TIMEOUT);
+            execute(*reply, stream)
         }
-        Reply::Then(bytes, word, reply) => {
+        Reply::Then(bytes, signal, reply) => {
             let _ = stream.write_all(&bytes);
-            let _ = word.recv_timeout(PATIENCE);
-            carry_out(*reply, stream)
+            let _ = signal.recv_timeout(TEST_TIMEOUT);
+            execute(*reply, stream)
         }
         Reply::Endless(first, again, pause) => {
             let _ = stream.write_all(&first);
@@ -147,7 +147,7 @@
 }
 
 impl Backend {
-    pub fn start(script: impl FnMut(&Seen) -> Reply + Send + 'static) -> Self {
+    pub fn start(script: impl FnMut(&Message) -> Reply + Send + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (sender, seen) = channel();
@@ -165,7 +165,7 @@
                         request.connection = connection;
                         let reply = script.lock().expect("a script")(&request);
                         let _ = sender.send(request);
-                        if !carry_out(reply, &mut stream) {
+                        if !execute(reply, &mut stream) {
                             let _ = stream.shutdown(std::net::Shutdown::Both);
                             return;
                         }
@@ -176,25 +176,25 @@
         Self { address, seen }
     }
 
-    /// The next request that it sees.
-    pub fn next(&self) -> Seen {
+    /// Returns the next request that it receives.
+    pub fn next(&self) -> Message {
         self.seen
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("the backend sees a request")
     }
 
-    /// What it has seen beyond that.
+    /// Returns the number of requests that it has received beyond those.
     pub fn rest(&self) -> usize {
         self.seen.try_iter().count()
     }
 
-    /// Waits until the kernel holds no connection to it that its peer could still take for open: the close of
-    /// each has reached the peer's socket, whether or not the peer's process has looked at it.
+    /// Waits until no connection to it looks open to its peer's kernel: each close has reached the peer's socket,
+    /// whether or not the peer's process has seen it.
     pub fn wait_until_closed(&self) {
         let began = Instant::now();
         while has_established_to(self.address) {
             assert!(
-                began.elapsed() < PATIENCE,
+                began.elapsed() < TEST_TIMEOUT,
                 "a connection to the backend stays open"
             );
             thread::yield_now();
@@ -202,7 +202,7 @@
     }
 }
 
-/// Whether some socket of this machine has an established IPv4 connection to that address.
+/// Returns whether some socket of this machine has an established IPv4 connection to that address.
 fn has_established_to(address: SocketAddr) -> bool {
     const ESTABLISHED: &str = "01";
     let SocketAddr::V4(address) = address else {
@@ -220,7 +220,7 @@
     })
 }
 
-/// A backend whose queue of connections is full: those to it come up only once it is emptied.
+/// A backend whose accept queue is full: connects to it wait until it is emptied.
 pub struct FullQueue {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Lets the connections that wait come up.
+    /// Lets the waiting connects succeed.
     pub fn empty(self) -> TcpListener {
         drop(self.listener.accept().expect("the filler"));
         self.listener
@@ -257,21 +257,21 @@
            "phase": phase, "size": 1.0, "up_since_ms": up_since_ms})
 }
 
-struct Board {
+struct Published {
     revision: u64,
     list: Option<Value>,
 }
 
-/// Discovery that tells what the test posts, and which version each call knows.
+/// Discovery that sends what the test posts, and reports which version each call holds.
 pub struct Discovery {
     pub address: SocketAddr,
-    board: Arc<(Mutex<Board>, Condvar)>,
+    published: Arc<(Mutex<Published>, Condvar)>,
     calls: Receiver<Option<u64>>,
 }
 
 fn serve_watch(
     stream: TcpStream,
-    board: &(Mutex<Board>, Condvar),
+    published: &(Mutex<Published>, Condvar),
     sender: &Sender<Option<u64>>,
 ) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
@@ -283,13 +283,13 @@
             digits.parse::<u64>().expect("a version")
         });
         sender.send(after).ok()?;
-        let (lock, changed) = board;
-        let mut board = lock.lock().expect("the board");
-        while board.list.is_none() || after == Some(board.revision) {
-            board = changed.wait(board).expect("the board");
+        let (lock, changed) = published;
+        let mut published = lock.lock().expect("the published list");
+        while published.list.is_none() || after == Some(published.revision) {
+            published = changed.wait(published).expect("the published list");
         }
-        let text = board.list.clone()?.to_string();
-        drop(board);
+        let text = published.list.clone()?.to_string();
+        drop(published);
         stream
             .write_all(&answer("200 OK", "", text.as_bytes()))
             .ok()?;
@@ -306,55 +306,61 @@
     pub fn start_at(address: &str) -> Self {
         let listener = TcpListener::bind(address).expect("a port");
         let address = listener.local_addr().expect("an address");
-        let board = Arc::new((
-            Mutex::new(Board {
+        let published = Arc::new((
+            Mutex::new(Published {
                 revision: 0,
                 list: None,
             }),
             Condvar::new(),
         ));
         let (sender, calls) = channel();
-        let shared = Arc::clone(&board);
+        let shared = Arc::clone(&published);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (Ok(stream), board, sender) = (stream, Arc::clone(&shared), sender.clone())
+                let (Ok(stream), published, sender) = (stream, Arc::clone(&shared), sender.clone())
                 else {
                     return;
                 };
-                thread::spawn(move || serve_watch(stream, &board, &sender));
+                thread::spawn(move || serve_watch(stream, &published, &sender));
             }
         });
         Self {
             address,
-            board,
+            published,
             calls,
         }
     }
 
-    /// The version that the next call knows.
+    /// Returns the version that the next call holds.
     pub fn next_call(&self) -> Option<u64> {
-        self.calls.recv_timeout(PATIENCE).expect("a call")
+        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call")
     }
 
-    /// How many calls came that the test has not looked at; it has then.
+    /// Takes the calls that have come, and returns their number.
     pub fn calls(&self) -> usize {
         self.calls.try_iter().count()
     }
 
-    /// Posts a list and waits until the proxy holds it: it then asks for what is newer.
+    /// Posts a list and waits until the proxy holds it: it then requests what is newer.
     pub fn post(&self, complete: bool, members: &[Value]) {
         let revision = self.put(complete, members);
-        while self.calls.recv_timeout(PATIENCE).expect("a further watch") != Some(revision) {}
+        while self
+            .calls
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("a further watch")
+            != Some(revision)
+        {}
     }
 
-    /// Posts a list; its version.
+    /// Posts a list, and returns its version.
     pub fn put(&self, complete: bool, members: &[Value]) -> u64 {
-        let (lock, changed) = &*self.board;
-        let mut board = lock.lock().expect("the board");
-        board.revision += 1;
-        let revision = board.revision;
-        board.list = Some(json!({"revision": revision, "complete": complete, "members": members}));
-        drop(board);
+        let (lock, changed) = &*self.published;
+        let mut published = lock.lock().expect("the published list");
+        published.revision += 1;
+        let revision = published.revision;
+        published.list =
+            Some(json!({"revision": revision, "complete": complete, "members": members}));
+        drop(published);
         changed.notify_all();
         revision
     }
@@ -374,14 +380,14 @@
         "safety": {"coldFrom": 0.3, "coldUs": 8_000_000, "fallMultiple": 3.0, "fallUs": 2_000_000}})
 }
 
-/// A configuration that knows no backends and names an operators' address.
+/// A configuration without cached endpoints and with an operators' address.
 pub fn operated(name: &str, discovery: &Discovery) -> Value {
     let mut config = config(name, discovery);
     config["operator"] = "127.0.0.1:0".into();
     config
 }
 
-/// A configuration that knows no backends.
+/// A configuration without cached endpoints.
 pub fn config(name: &str, discovery: &Discovery) -> Value {
     config_at(name, discovery.address)
 }
@@ -407,7 +413,7 @@
     env::temp_dir().join(format!("tillerproxy-{}-{name}.json", std::process::id()))
 }
 
-/// Starts the program with this configuration, its standard error at hand.
+/// Starts the program with this configuration and captures its standard error.
 pub fn launch(name: &str, config: &str) -> Child {
     command(name, config).spawn().expect("the program starts")
 }
@@ -444,7 +450,7 @@
         proxy
     }
 
-    /// A proxy that has been told nothing yet.
+    /// A proxy that has no endpoint list yet.
     pub fn start_bare(name: &str, discovery: &Discovery) -> Self {
         Self::start_with(name, config(name, discovery))
     }
@@ -454,7 +460,7 @@
         Self::follow(name, launch(name, &config.to_string()))
     }
 
-    /// A proxy with this configuration, whose process may have so many descriptors.
+    /// A proxy with this configuration, whose process may have this many descriptors.
     pub fn start_limited(name: &str, config: &Value, descriptors: usize) -> Self {
         let program = command(name, &config.to_string());
         let mut limited = Command::new("sh");
@@ -499,7 +505,9 @@
 
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the proxy accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         Client {
             reader: BufReader::new(stream.try_clone().expect("a clone")),
             stream,
@@ -510,7 +518,9 @@
     pub fn caller(&self) -> Client {
         let stream =
             TcpStream::connect(self.operator.expect("an operators' address")).expect("it accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         Client {
             reader: BufReader::new(stream.try_clone().expect("a clone")),
             stream,
@@ -518,12 +528,12 @@
     }
 
     /// One call of an operator.
-    pub fn call(&self, method: &str, path: &str) -> Seen {
+    pub fn call(&self, method: &str, path: &str) -> Message {
         self.caller()
             .ask(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
     }
 
-    /// The figure of that name and labels.
+    /// Returns the metric of that name and labels.
     pub fn figure(&self, name: &str) -> u64 {
         let text = String::from_utf8(self.call("GET", "/control/counters").body).expect("text");
         let value = text
@@ -535,7 +545,7 @@
             .expect("a number")
     }
 
-    /// The most memory that it has had, in kB.
+    /// Returns the peak of its memory, in kB.
     pub fn peak_memory(&self) -> u64 {
         let status =
             fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a status");
@@ -560,7 +570,7 @@
         self.signal("-TERM");
     }
 
-    /// Halts the process, as a machine without a free core does.
+    /// Stops the process, as a machine without a free core does.
     pub fn halt(&self) {
         self.signal("-STOP");
     }
@@ -569,7 +579,7 @@
         self.signal("-CONT");
     }
 
-    /// Replaces the configuration's file and tells the proxy so.
+    /// Replaces the configuration's file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         fs::write(config_path(&self.name), config).expect("the configuration is written");
         self.signal("-HUP");
@@ -588,7 +598,7 @@
         }
     }
 
-    /// What it still logs until it ends.
+    /// Returns what it still logs until it ends.
     pub fn rest_of_log(&mut self) -> String {
         let mut text = String::new();
         self.log.read_to_string(&mut text).expect("a log");
@@ -634,16 +644,16 @@
             .expect("the proxy reads");
     }
 
-    pub fn receive(&mut self) -> Seen {
+    pub fn receive(&mut self) -> Message {
         read_message(&mut self.reader).expect("a whole answer")
     }
 
-    pub fn ask(&mut self, text: &str) -> Seen {
+    pub fn ask(&mut self, text: &str) -> Message {
         self.send(text);
         self.receive()
     }
 
-    /// Whether the proxy ends the connection without a reset and without a further byte.
+    /// Returns whether the proxy closes the connection without a reset and without a further byte.
     pub fn ends_cleanly(&mut self) -> bool {
         matches!(self.reader.read(&mut [0; 64]), Ok(0))
     }
