--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -65,6 +65,7 @@
 }
 
 impl Attempt<'_> {
+    /// Connects, writes the request and reads the response.
     async fn run(
         &self,
         mut cancel: oneshot::Receiver<()>,
@@ -232,6 +233,7 @@
         }
     }
 
+    /// Classifies a failed exchange.
     fn failure(&self, error: &BackendError, is_written: bool) -> Outcome {
         tracing::debug!(backend = %self.endpoint.address(), %error, "attempt failed");
         if !is_written && self.is_broken_by_client() {
@@ -253,6 +255,7 @@
         }
     }
 
+    /// Returns whether the client did not send the body as it should have.
     fn is_broken_by_client(&self) -> bool {
         self.call
             .body
--- a/src/proxy/backends/health_check.rs
+++ b/src/proxy/backends/health_check.rs
@@ -74,6 +74,7 @@
     }
 }
 
+/// Classifies a failed health check.
 fn failure(error: &BackendError, endpoint: &Endpoint) -> Outcome {
     tracing::debug!(backend = %endpoint.address(), %error, "health check failed");
     if error.is_timeout() {
--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -101,6 +101,7 @@
         });
     }
 
+    /// Returns whether a connection is open and was not idle for too long.
     fn is_usable(&self, idle: &IdleConnection) -> bool {
         !idle.connection.is_closed() && idle.since.elapsed() < self.max_idle
     }
@@ -132,6 +133,7 @@
         self.connector.open_sockets() < self.max_sockets || self.endpoints.close_oldest_idle()
     }
 
+    /// Connects to a backend, if there is room for another socket.
     async fn connect(
         &self,
         endpoint: &Endpoint,
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -103,6 +103,7 @@
     }
 }
 
+/// Classifies a body that broke off.
 fn failure(error: hyper::Error) -> Outcome {
     if BackendError::from(error).is_malformed() {
         Outcome::CorruptResponse
--- a/src/proxy/bodies/buffered/tests.rs
+++ b/src/proxy/bodies/buffered/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn what_comes_in_pieces_is_held_in_pieces_of_one_size() {
+fn a_body_is_held_in_pieces_of_one_size() {
     let whole: Vec<u8> = (0..700_000_u32).map(|i| (i / 3) as u8).collect();
     for size in [13, 9_000, 700_000] {
         let mut gathered = BodyBuffer::default();
-        whole
-            .chunks(size)
-            .for_each(|piece| gathered.add(Bytes::copy_from_slice(piece)));
+        for piece in whole.chunks(size) {
+            gathered.add(Bytes::copy_from_slice(piece));
+        }
         assert_eq!(gathered.len(), whole.len());
         let held = gathered.take();
         assert_eq!(held.size_hint().exact(), Some(whole.len() as u64));
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -68,6 +68,7 @@
         }
     }
 
+    /// Notes the time of the last byte, once.
     fn finish(&self) {
         if self.finished_at().is_none() {
             self.state.set(UploadState::Finished(Instant::now()));
@@ -118,6 +119,7 @@
         while let Some(Ok(_)) = self.frame().await {}
     }
 
+    /// Hands data to the writer, and counts it.
     fn forward(&mut self, data: Bytes) -> FramePoll {
         self.progress.consumed.set(true);
         self.length.forward(data.len());
@@ -130,11 +132,13 @@
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
+    /// Ends the body early.
     fn fail(&self, error: BodyError) -> FramePoll {
         self.progress.state.set(UploadState::Broken);
         Poll::Ready(Some(Err(error)))
     }
 
+    /// Ends the body after its last byte.
     fn finish(&self) {
         // One of unknown length is written completely only now.
         if self.length.remaining().is_none() && self.progress.finished_at().is_none() {
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -162,6 +162,7 @@
         .and_then(|value| std::str::from_utf8(value.as_bytes()).ok())
 }
 
+/// Checks the method and the headers that identify a request.
 fn check_method_and_ids(head: &Parts, class: &Class) -> Result<(), RequestError> {
     if head.method != class.method {
         return Err(RequestError::MethodNotAllowed {
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -129,7 +129,7 @@
         self.accepted_at.get().elapsed()
     }
 
-    /// Waits until a client connection has ended.
+    /// Waits until a client connection has ended, or may be cheaper to close than before.
     pub async fn connection_ended(&self) {
         self.connection_freed.notified().await;
     }
@@ -156,6 +156,7 @@
         }
     }
 
+    /// Starts to serve a connection.
     fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
         self.accepted_at.set(Instant::now());
         self.open.set(self.open.get() + 1);
@@ -187,6 +188,7 @@
         }
     }
 
+    /// Serves a connection, listed among the open ones.
     async fn connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let connection = Rc::new(ClientConnection::new(stream, CLIENT_HEAD_CAP));
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -54,6 +54,7 @@
         response
     }
 
+    /// Reads a request of a class, and forwards it.
     async fn serve_class_request(
         &self,
         request: Request<Incoming>,
@@ -77,6 +78,7 @@
         request.uri().path() == "/up" && !names_a_class
     }
 
+    /// Returns the response to the front's health check.
     fn health(&self) -> Response<BufferedBody> {
         if self.lifecycle.is_up() {
             plain(StatusCode::OK, "up\n")
@@ -212,6 +214,7 @@
 }
 
 impl<'a> OpenId<'a> {
+    /// Claims the id of a request. Returns `None` where a request of this id is open.
     fn claim(ids: &'a RefCell<FxHashSet<HeaderValue>>, headers: &HeaderMap) -> Option<Self> {
         let id = headers.get(CORRELATION_ID)?.clone();
         let is_new = ids.borrow_mut().insert(id.clone());
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -180,6 +180,7 @@
         }
     }
 
+    /// Checks the deadline.
     fn run(&mut self) -> DeadlineState {
         let now = Instant::now();
         let deadline = self.connection.deadline();
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -19,13 +19,13 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a client may take for a head; for the first one on a connection this counts from connecting.
+/// How long a client may take for a head. For the first one on a connection this counts from the accept.
 const HEAD_TIME: Duration = Duration::from_millis(2_750);
 
 /// A connection with activity this lately may well go on.
 const ACTIVE_WINDOW: Duration = Duration::from_millis(500);
 
-/// How far a connection is.
+/// The state of a connection, as its deadline and its eviction need it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
     /// Its client reads more slowly than its response comes.
@@ -208,6 +208,7 @@
         self.eviction.notify_one();
     }
 
+    /// Derives the state from what was read, answered and written.
     fn state(&self) -> ConnectionState {
         let framing = self.framing.borrow();
         if self.write_blocked.get() {
@@ -272,8 +273,10 @@
         self.open.remove(&number);
     }
 
-    /// Asks the connection to close that is cheapest to close, of several the one without activity for longest.
-    /// One with a request is never closed.
+    /// Closes the connection that is cheapest to close, of several the one without activity for longest. One with a
+    /// request is never closed.
+    ///
+    /// The task of the connection is notified, and closes it unless a request has come by then.
     pub fn evict_one(&self) {
         let mut candidates = Vec::new();
         for connection in self.open.values() {
--- a/src/proxy/connections/tests.rs
+++ b/src/proxy/connections/tests.rs
@@ -3,7 +3,7 @@
 
 const HEAD: &[u8] = b"GET /up HTTP/1.1\r\n\r\n";
 
-/// Connections whose clients send nothing by themselves.
+/// Open connections whose clients send nothing.
 async fn connections<const N: usize>() -> (ClientConnections, [Rc<ClientConnection>; N]) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
@@ -18,9 +18,9 @@
     let all: [_; N] = all
         .try_into()
         .unwrap_or_else(|_| unreachable!("as many as asked for"));
-    all.iter().for_each(|connection| {
+    for connection in &all {
         connections.add(connection);
-    });
+    }
     (connections, all)
 }
 
@@ -29,52 +29,50 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_cheapest_to_lose_goes_first_and_one_with_a_request_never() {
+async fn the_cheapest_connection_is_evicted_first_and_one_with_a_request_never() {
     let (connections, all) = connections::<9>().await;
     let step = || tokio::time::advance(Duration::from_millis(10));
     let [
-        asking,
-        begun,
-        begun_later,
-        kept,
+        serving,
+        partial,
+        partial_later,
+        idle,
         unused,
-        _pipelined,
+        pipelined,
         write_blocked,
-        fresh,
-        coming,
+        just_connected,
+        just_reading,
     ] = &all;
     write_blocked.write_blocked.set(true);
-    asking.record_read(HEAD);
-    let _ = asking.begin_request();
-    all[5].record_read(&HEAD.repeat(2));
-    let _ = all[5].begin_request();
-    all[5].end_request();
-    kept.record_read(HEAD);
-    let _ = kept.begin_request();
-    kept.end_request();
-    begun.record_read(&HEAD[..5]);
+    serving.record_read(HEAD);
+    let _ = serving.begin_request();
+    pipelined.record_read(&HEAD.repeat(2));
+    let _ = pipelined.begin_request();
+    pipelined.end_request();
+    idle.record_read(HEAD);
+    let _ = idle.begin_request();
+    idle.end_request();
+    partial.record_read(&HEAD[..5]);
     step().await;
-    begun_later.record_read(&HEAD[..5]);
+    partial_later.record_read(&HEAD[..5]);
     tokio::time::advance(ACTIVE_WINDOW).await;
-    fresh.last_activity.set(Instant::now());
-    coming.record_read(&HEAD[..5]);
-    assert!(unused.is_idle() && kept.is_idle() && !begun.is_idle() && begun.is_evictable());
+    just_connected.last_activity.set(Instant::now());
+    just_reading.record_read(&HEAD[..5]);
+    assert!(unused.is_idle() && idle.is_idle() && !partial.is_idle() && partial.is_evictable());
     for most in 1..=4 {
         connections.evict_one();
         let mut order = [4, 3, 1, 2][..most].to_vec();
         order.sort_unstable();
         assert_eq!(evicting(&all), order);
     }
-    (0..3).for_each(|_| connections.evict_one());
-    assert_eq!(
-        evicting(&all),
-        [1, 2, 3, 4, 7, 8],
-        "those that may go on come last"
-    );
+    for _ in 0..3 {
+        connections.evict_one();
+    }
+    assert_eq!(evicting(&all), [1, 2, 3, 4, 7, 8], "active ones come last");
 }
 
 #[tokio::test]
-async fn a_connection_with_bytes_in_the_kernel_is_neither_idle_nor_cheap() {
+async fn a_connection_with_unread_bytes_is_neither_idle_nor_evicted() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port");
@@ -106,13 +104,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_has_its_time_for_a_head_and_for_staying_idle() {
+async fn a_client_has_a_deadline_for_a_head_and_for_staying_idle() {
     let (_, [connection]) = connections::<1>().await;
     let start = Instant::now();
     assert_eq!(
         connection.deadline(),
         Some(start + REQUEST_TIME),
-        "it says nothing"
+        "it is silent"
     );
     tokio::time::advance(Duration::from_secs(1)).await;
     connection.record_read(&HEAD[..5]);
--- a/src/proxy/framing/tests.rs
+++ b/src/proxy/framing/tests.rs
@@ -4,9 +4,12 @@
 
 /// Fed at once and byte by byte.
 fn after(text: &str) -> Framing {
-    let (mut whole, mut pieces) = (Framing::new(1_000), Framing::new(1_000));
+    let mut whole = Framing::new(1_000);
     whole.feed(text.as_bytes());
-    text.as_bytes().chunks(1).for_each(|byte| pieces.feed(byte));
+    let mut pieces = Framing::new(1_000);
+    for byte in text.as_bytes().chunks(1) {
+        pieces.feed(byte);
+    }
     let seen = |f: &Framing| {
         (
             f.reading,
@@ -66,7 +69,7 @@
 }
 
 #[test]
-fn a_body_with_two_ends_is_told_by_the_number_of_its_head() {
+fn a_body_with_two_ends_is_known_by_the_number_of_its_head() {
     for fields in [
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n",
