--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -1,82 +1,113 @@
-//! An answer that is passed on to its client while it comes.
+//! A response that is relayed to its client while it comes.
 
 use super::call::CancelSignal;
-use super::exchange::ExchangeError;
-use super::reply::PartialBody;
+use super::error::BackendError;
+use super::response::PartialBody;
 use crate::api::Outcome;
-use crate::proxy::bodies::{AnswerSender, BodyDeadline, BufferedBody, ReceiverGone, next_data};
-use crate::proxy::limits::{ANSWER_STALL, BODY_CAP, PASS_CAP};
+use crate::proxy::bodies::{BodyDeadline, BufferedBody, ResponseSender, next_data};
+use crate::proxy::limits::{BODY_CAP, FORWARDED_BODY_CAP, RESPONSE_STALL_TIMEOUT};
+use bytes::Bytes;
+use hyper::body::Incoming;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// How long an answer that flows may come too slowly at first. An answer may be half a second late.
-const SLOW_START_GRACE: Duration = Duration::from_millis(250);
+/// How long a relayed response may come too slowly at first. A response may be half a second late.
+const GRACE: Duration = Duration::from_millis(250);
 
-/// Passes an answer on as fast as its client takes it. One whose length nobody knows, that is of a usual size
-/// so far and comes too slowly when its request's time is over, is taken for one without an end.
-pub(super) async fn relay_answer(
-    sender: AnswerSender,
-    answer: PartialBody,
-    mut cancel: oneshot::Receiver<()>,
-    over: &CancelSignal,
+/// Relays a body as fast as its client takes it, and returns the outcome of its attempt. One of unknown length
+/// that has a usual size so far and comes too slowly once its request is over is taken for one without an end.
+pub(super) async fn relay_body(
+    sender: ResponseSender,
+    body: PartialBody,
+    cancel: oneshot::Receiver<()>,
+    request_over: &CancelSignal,
 ) -> Outcome {
-    let PartialBody {
-        first,
-        rest: mut body,
-        length,
-    } = answer;
-    let deadline = BodyDeadline {
-        grace_ends: Instant::now() + SLOW_START_GRACE,
+    let mut relay = Relay {
+        sender,
+        rest: body.rest,
+        length: body.length,
+        forwarded: 0,
+        deadline: BodyDeadline {
+            grace_ends: Instant::now() + GRACE,
+        },
+        cancel,
+        request_over,
     };
-    let Ok(mut passed) = pass_first(&sender, first).await else {
-        return Outcome::Cancelled;
-    };
-    loop {
-        // Where it is waited for, all that has come was passed on, however slowly its client reads.
+    match relay.run(body.first).await {
+        Ok(()) => {
+            relay.sender.finish().await;
+            Outcome::Ok
+        }
+        Err(outcome) => outcome,
+    }
+}
+
+/// A body that is being relayed.
+struct Relay<'a> {
+    sender: ResponseSender,
+    rest: Incoming,
+    length: Option<u64>,
+    /// Bytes that the client's side has taken.
+    forwarded: u64,
+    deadline: BodyDeadline,
+    cancel: oneshot::Receiver<()>,
+    request_over: &'a CancelSignal,
+}
+
+impl Relay<'_> {
+    /// Forwards `first` and then what comes.
+    async fn run(&mut self, first: BufferedBody) -> Result<(), Outcome> {
+        for piece in first.into_pieces() {
+            self.forward(piece).await?;
+        }
+        while let Some(data) = self.receive().await? {
+            self.forward(data).await?;
+        }
+        Ok(())
+    }
+
+    /// Returns the next data of the body; `None` at its end.
+    async fn receive(&mut self) -> Result<Option<Bytes>, Outcome> {
+        let request_over = self.request_over;
+        let late_at = self.deadline.after(self.forwarded);
+        // While this waits, all that has come was forwarded, however slowly its client reads.
         let too_slow = async {
-            over.triggered().await;
-            sleep_until(deadline.after(passed)).await;
+            request_over.triggered().await;
+            sleep_until(late_at).await;
         };
-        let data = tokio::select! {
+        let may_be_endless = self.length.is_none() && self.forwarded <= BODY_CAP as u64;
+        tokio::select! {
             biased;
-            data = timeout(ANSWER_STALL, next_data(&mut body)) => data,
-            () = sender.closed() => return Outcome::Cancelled,
-            Ok(()) = &mut cancel => return Outcome::Cancelled,
-            () = too_slow, if length.is_none() && passed <= BODY_CAP as u64 => return Outcome::Timeout,
-        };
-        let data = match data {
-            Ok(Ok(Some(data))) => data,
-            Ok(Ok(None)) => {
-                sender.finish().await;
-                return Outcome::Ok;
-            }
-            Ok(Err(error)) => return broken_off(error),
-            Err(_) => return Outcome::Timeout,
-        };
-        passed += data.len() as u64;
-        if passed > PASS_CAP {
-            return Outcome::CorruptResponse;
-        }
-        if sender.send(data, ANSWER_STALL).await.is_err() {
-            return Outcome::Cancelled;
+            received = timeout(RESPONSE_STALL_TIMEOUT, next_data(&mut self.rest)) => match received {
+                Ok(Ok(data)) => Ok(data),
+                Ok(Err(error)) => Err(failure(error)),
+                Err(_) => Err(Outcome::Timeout),
+            },
+            () = self.sender.closed() => Err(Outcome::Cancelled),
+            Ok(()) = &mut self.cancel => Err(Outcome::Cancelled),
+            () = too_slow, if may_be_endless => Err(Outcome::Timeout),
         }
     }
-}
 
-/// Passes on what had come at the beginning; its bytes.
-async fn pass_first(sender: &AnswerSender, first: BufferedBody) -> Result<u64, ReceiverGone> {
-    let mut passed = 0;
-    for piece in first.into_pieces() {
-        passed += piece.len() as u64;
-        sender.send(piece, ANSWER_STALL).await?;
+    /// Forwards data once the client's side takes it.
+    async fn forward(&mut self, data: Bytes) -> Result<(), Outcome> {
+        self.forwarded += data.len() as u64;
+        if self.forwarded > FORWARDED_BODY_CAP {
+            return Err(Outcome::CorruptResponse);
+        }
+        self.sender
+            .send(data, RESPONSE_STALL_TIMEOUT)
+            .await
+            .map_err(|_| Outcome::Cancelled)
     }
-    Ok(passed)
 }
 
-fn broken_off(error: hyper::Error) -> Outcome {
-    match ExchangeError::from(error) {
-        ExchangeError::Malformed => Outcome::CorruptResponse,
-        _ => Outcome::Reset,
+/// Classifies a body that broke off.
+fn failure(error: hyper::Error) -> Outcome {
+    if BackendError::from(error).is_malformed() {
+        Outcome::CorruptResponse
+    } else {
+        Outcome::Reset
     }
 }
--- a/src/proxy/framing/tests.rs
+++ b/src/proxy/framing/tests.rs
@@ -4,15 +4,18 @@
 
 /// Fed at once and byte by byte.
 fn after(text: &str) -> Framing {
-    let (mut whole, mut pieces) = (Framing::new(1_000), Framing::new(1_000));
+    let mut whole = Framing::new(1_000);
     whole.feed(text.as_bytes());
-    text.as_bytes().chunks(1).for_each(|byte| pieces.feed(byte));
+    let mut pieces = Framing::new(1_000);
+    for byte in text.as_bytes().chunks(1) {
+        pieces.feed(byte);
+    }
     let seen = |f: &Framing| {
         (
-            f.state,
+            f.reading,
             f.heads,
             f.ambiguous_head,
-            f.is_between(),
+            f.is_between_messages(),
             f.is_in_head(),
         )
     };
@@ -36,13 +39,15 @@
     for text in &whole {
         let framing = after(text);
         assert!(
-            framing.is_between() && framing.heads() == 1 && framing.ambiguous_head.is_none(),
+            framing.is_between_messages()
+                && framing.heads() == 1
+                && framing.ambiguous_head.is_none(),
             "{text}"
         );
     }
     let framing = after(&whole.concat());
     assert!(
-        framing.is_between() && framing.heads() == 6,
+        framing.is_between_messages() && framing.heads() == 6,
         "one behind another"
     );
 }
@@ -50,21 +55,21 @@
 #[test]
 fn what_has_come_of_a_message_shows() {
     assert!(after("GET /up HTT").is_in_head());
-    assert!(after(&format!("{POST}Content-Length: 3\r\n\r\nab\r")).is_between());
+    assert!(after(&format!("{POST}Content-Length: 3\r\n\r\nab\r")).is_between_messages());
     for text in [
         "Content-Length: 3\r\n\r\nab",
         "Transfer-Encoding: chunked\r\n\r\n3\r\nabc",
     ] {
         let framing = after(&format!("{POST}{text}"));
         assert!(
-            !framing.is_between() && !framing.is_in_head() && framing.heads() == 1,
+            !framing.is_between_messages() && !framing.is_in_head() && framing.heads() == 1,
             "{text}"
         );
     }
 }
 
 #[test]
-fn a_body_with_two_ends_is_told_by_the_number_of_its_head() {
+fn a_body_with_two_ends_is_known_by_the_number_of_its_head() {
     for fields in [
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n",
@@ -96,7 +101,7 @@
     ));
     let odd = after(&format!("{POST}Transfer-Encoding: chunked\r\n\r\nxyz\r\n"));
     for framing in [head, size, odd] {
-        assert_eq!(framing.state, State::Malformed);
+        assert_eq!(framing.reading, Reading::Malformed);
         assert!(framing.partial.capacity() < 20_000);
     }
 }
