--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,9 +1,9 @@
-//! What a balancer wants done.
+//! The output of a balancer: what its proxy is to do.
 
 use super::{BackendId, Micros, RequestId};
 use std::fmt;
 
-/// What a balancer wants done.
+/// What a balancer's proxy is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told: changes of the backends, requests, and how attempts end.
+//! The input of a balancer: changes of the backends, requests, and how attempts end.
 
 use super::{BackendId, Cell, ClassIndex, MachineType, Micros, RequestId, TenantIndex, Zone};
 
@@ -120,7 +120,7 @@
     pub body_consumed: bool,
 }
 
-/// What a balancer is told.
+/// An input of a balancer.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// The backends changed, or the watch that reports them did.
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! The interface of the decisions: what a [`Balancer`](crate::balancer::Balancer) is given ([`Settings`],
-//! [`Event`]) and what it answers ([`Action`]).
+//! The interface of the decisions: the input of a [`Balancer`](crate::balancer::Balancer) ([`Settings`],
+//! [`Event`]) and its output ([`Action`]).
 //!
 //! Nothing here does I/O or reads a clock; the time comes in with each call, in microseconds.
 
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,23 +1,15 @@
-//! Attempts: their start, the start of their response, their end, and what each policy is told of it.
+//! Attempts: their start, the start of their response, and their end. What an end says of the backend is in
+//! `observation`.
 
 use super::Balancer;
 use super::backends::BackendKey;
 use super::latency::lost_after;
-use super::limits::MAX_SAMPLE;
-use super::outcome::{Classification, Effect, LimitEvidence, classify};
-use super::outliers::{HealthChange, HealthSample, may_eject_another};
-use super::requests::{Attempt, AttemptState, OpenRequest, RequestKey};
-use super::slow_start::WarmCapacity;
-use super::time::MICROS_PER_SECOND;
-use crate::api::{
-    Action, AttemptEnd, BackendId, ClassIndex, Idempotency, LogEvent, MachineType, Micros, Outcome,
-    RequestId,
-};
+use super::requests::{Attempt, AttemptState, RequestKey};
+use super::retries;
+use crate::api::{Action, AttemptEnd, Idempotency, Micros, Outcome, RequestId};
 
 /// An attempt of a class that is not quick counts as lost after this multiple of the class's mean latency.
 const LOST_OVER_MEAN: f64 = 24.0;
-/// The least factor that jitter scales the time of an ejection by; the greatest is as far above 1.
-const MIN_EJECTION_JITTER: f64 = 0.75;
 
 /// When an attempt times out.
 struct AttemptTimeout {
@@ -73,7 +65,7 @@
         0
     }
 
-    fn requests_per_connection(&self) -> u32 {
+    pub(super) fn requests_per_connection(&self) -> u32 {
         self.settings.permissions.requests_per_connection.max(1)
     }
 
@@ -227,192 +219,10 @@
         self.serve_queue(now, out);
     }
 
-    /// Tells each policy what the end of an attempt says of its backend. An attempt whose response is streamed ends here
-    /// when the response begins.
-    ///
-    /// Limits come last: they compare the sample with the threshold that held before it, and learn nothing where an idle
-    /// connection is to blame.
-    fn observe(
-        &mut self,
-        now: Micros,
-        class: ClassIndex,
-        attempt: &Attempt,
-        end: &AttemptEnd<'_>,
-        out: &mut Vec<Action>,
-    ) {
-        let key = attempt.backend;
-        let machine_type = self.backends[key].machine_type;
-        let is_base_known = self.latencies.estimate(class, machine_type).is_base_known();
-        let backend_answered = self.backends[key]
-            .in_flight
-            .has_answered_since(attempt.sent_at);
-        let classification = classify(end.outcome, attempt, backend_answered);
-        self.free_slot(attempt);
-        if classification.effect == Effect::Ignored {
-            return;
-        }
-        self.release_connection(now, key);
-        let latency = end.elapsed as f64;
-        let threshold = self.latency_threshold(class, machine_type);
-        let sample = classification.effect.sample(latency, threshold);
-        let sample = sample.min(MAX_SAMPLE);
-        match classification.effect {
-            Effect::Responded => self.record_response(now, class, attempt, latency, threshold),
-            Effect::Rejected => self.record_rejection(now, class, key),
-            Effect::Ignored | Effect::Slow | Effect::Failed { .. } => {}
-        }
-        if classification.is_lost && self.idle_trust.blame(now, attempt.connection_idle) {
-            return;
-        }
-        self.backends[key].recent_latency.record(now, sample);
-        self.record_health(now, attempt, classification, out);
-        let learns_machine_type = is_base_known || self.capacity.has_few_slots();
-        self.update_limits(now, key, sample, classification, learns_machine_type);
-        if classification.limit_evidence != LimitEvidence::None {
-            self.follow_load_report(now, key, end.load_report);
-        }
-    }
-
-    /// Books that an attempt is no longer in flight.
-    fn free_slot(&mut self, attempt: &Attempt) {
-        let backend = &mut self.backends[attempt.backend];
-        backend.in_flight.end(attempt.overdue_at);
-        backend.health.end_attempt(attempt.is_trial);
-        self.in_flight = self.in_flight.saturating_sub(1);
-    }
-
-    fn release_connection(&mut self, now: Micros, key: BackendKey) {
-        let per_connection = self.requests_per_connection();
-        let backend = &mut self.backends[key];
-        let in_flight = backend.in_flight.count();
-        backend.connections.release(now, in_flight, per_connection);
-    }
-
-    /// Returns the latency threshold of a class on a machine type, microseconds.
-    fn latency_threshold(&self, class: ClassIndex, machine_type: MachineType) -> f64 {
-        let objective = self.settings.class(class).latency_objective;
-        let estimate = self.latencies.estimate(class, machine_type);
-        estimate.threshold(objective)
-    }
-
-    /// Takes a response that came after `latency`, microseconds.
-    fn record_response(
-        &mut self,
-        now: Micros,
-        class: ClassIndex,
-        attempt: &Attempt,
-        latency: f64,
-        threshold: f64,
-    ) {
-        let backend = &mut self.backends[attempt.backend];
-        let estimate = self.latencies.estimate_mut(class, backend.machine_type);
-        estimate.record(now, latency);
-        self.throughput.record(now);
-        backend.in_flight.record_response(now, attempt.sent_at);
-        let is_in_time = estimate.is_base_known() && latency <= threshold;
-        if let Some(budget) = &mut backend.slow_start
-            && is_in_time
-            && budget.started_at() <= attempt.sent_at
-        {
-            budget.deposit();
-        }
-    }
-
-    /// Takes a rejection: the backend has no capacity for about the time of one request.
-    fn record_rejection(&mut self, now: Micros, class: ClassIndex, key: BackendKey) {
-        let backend = &mut self.backends[key];
-        let estimate = self.latencies.estimate(class, backend.machine_type);
-        backend.rejecting_until = now + estimate.mean() as Micros;
-    }
-
-    /// Tells outlier detection of an outcome.
-    fn record_health(
-        &mut self,
-        now: Micros,
-        attempt: &Attempt,
-        classification: Classification,
-        out: &mut Vec<Action>,
-    ) {
-        let may_eject = may_eject_another(self.index.ejected_count(), self.index.ready_count());
-        let jitter = MIN_EJECTION_JITTER + self.rng.f64() / 2.0;
-        let sample = HealthSample {
-            failed: classification.effect.is_failure(),
-            weight: classification.effect.weight(),
-            is_trial: attempt.is_trial,
-        };
-        let backend = &mut self.backends[attempt.backend];
-        let change = backend.health.record(now, sample, may_eject, jitter);
-        let event = change.and_then(|change| log_event(backend.id, change));
-        out.extend(event.map(Action::Log));
-    }
-
-    /// Tells the limits of a sample.
-    fn update_limits(
-        &mut self,
-        now: Micros,
-        key: BackendKey,
-        sample: f64,
-        classification: Classification,
-        learns_machine_type: bool,
-    ) {
-        let evidence = classification.limit_evidence;
-        if evidence == LimitEvidence::None {
-            return;
-        }
-        if evidence == LimitEvidence::BackendAndMachineType && learns_machine_type {
-            let machine_type = self.backends[key].machine_type;
-            self.update_machine_type_limit(now, machine_type, sample);
-        }
-        self.update_backend_limit(now, key, sample);
-    }
-
-    /// Brings the budget of a backend that warms up to now.
-    pub(super) fn refill_slow_start(&mut self, now: Micros, key: BackendKey) {
-        let Some(mut budget) = self.backends[key].slow_start else {
-            return;
-        };
-        let capacity = self.warm_capacity(key);
-        budget.refill(now, &self.settings.safety, &capacity);
-        self.backends[key].slow_start = Some(budget);
-    }
-
-    /// Returns what the budget of a backend that warms up follows from. Its full capacity is taken to be that of a warm
-    /// backend: what this proxy got served in its best seconds, for all proxies, over all backends.
-    fn warm_capacity(&self, key: BackendKey) -> WarmCapacity {
-        let proxies = f64::from(self.settings.proxy_count);
-        let ready = self.index.ready_count().max(1) as f64;
-        let measured = self.throughput.per_second() * proxies / ready;
-        let one_at_a_time = MICROS_PER_SECOND / self.latencies.mean(ClassIndex(0));
-        WarmCapacity {
-            requests_per_s: measured.max(one_at_a_time),
-            proxy_fraction: self.proxy_fraction(key),
-            slots_per_limit: self.slots_per_limit(key),
-        }
-    }
-
-    /// Departure: of a limit under a slot some proxies hold one; the others can't spend their part.
-    fn slots_per_limit(&self, key: BackendKey) -> f64 {
-        let limit_factor = self.capacity.limit_factor();
-        let limit = self.limit(key) * limit_factor;
-        if limit < 1.0 {
-            self.slots(key, limit_factor) as f64 / limit
-        } else {
-            1.0
-        }
-    }
-
     /// Returns when backends may forget the idempotency key of a request.
     fn key_expires_at(&self, key: RequestKey) -> Option<Micros> {
-        let request: &OpenRequest = &self.requests[key];
+        let request = &self.requests[key];
         let idempotency = self.settings.class(request.class).idempotency;
-        super::retries::key_expires_at(request, idempotency)
-    }
-}
-
-fn log_event(backend: BackendId, change: HealthChange) -> Option<LogEvent> {
-    match change {
-        HealthChange::Ejected { duration } => Some(LogEvent::Ejected { backend, duration }),
-        HealthChange::EjectionProlonged => None,
-        HealthChange::Readmitted => Some(LogEvent::Readmitted { backend }),
+        retries::key_expires_at(request, idempotency)
     }
 }
--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -5,7 +5,9 @@
 use super::backends::BackendKey;
 use super::index::Group;
 use super::limits::whole_slots;
-use crate::api::{MachineType, Micros, Settings, Zone};
+use super::slow_start::WarmCapacity;
+use super::time::MICROS_PER_SECOND;
+use crate::api::{ClassIndex, MachineType, Micros, Settings, Zone};
 use crate::spread::golden_ratio_position;
 
 /// Backends that a proxy spreads its requests over, at the least, where its limits add up to fewer slots.
@@ -133,4 +135,39 @@
     pub(super) fn slots(&self, key: BackendKey, factor: f64) -> i64 {
         whole_slots(self.limit(key) * factor, self.slot_offset(key))
     }
+
+    /// Brings the budget of a backend that warms up to now.
+    pub(super) fn refill_slow_start(&mut self, now: Micros, key: BackendKey) {
+        let Some(mut budget) = self.backends[key].slow_start else {
+            return;
+        };
+        let capacity = self.warm_capacity(key);
+        budget.refill(now, &self.settings.safety, &capacity);
+        self.backends[key].slow_start = Some(budget);
+    }
+
+    /// Returns what the budget of a backend that warms up follows from. Its full capacity is taken to be that of a warm
+    /// backend: what this proxy got served in its best seconds, for all proxies, over all backends.
+    fn warm_capacity(&self, key: BackendKey) -> WarmCapacity {
+        let proxies = f64::from(self.settings.proxy_count);
+        let ready = self.index.ready_count().max(1) as f64;
+        let measured = self.throughput.per_second() * proxies / ready;
+        let one_at_a_time = MICROS_PER_SECOND / self.latencies.mean(ClassIndex(0));
+        WarmCapacity {
+            requests_per_s: measured.max(one_at_a_time),
+            proxy_fraction: self.proxy_fraction(key),
+            slots_per_limit: self.slots_per_limit(key),
+        }
+    }
+
+    /// Departure: of a limit under a slot some proxies hold one; the others can't spend their part.
+    fn slots_per_limit(&self, key: BackendKey) -> f64 {
+        let limit_factor = self.capacity.limit_factor();
+        let limit = self.limit(key) * limit_factor;
+        if limit < 1.0 {
+            self.slots(key, limit_factor) as f64 / limit
+        } else {
+            1.0
+        }
+    }
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -4,8 +4,8 @@
 //! The ordinary path: each proxy keeps, for every ready backend, its requests in flight and a concurrency limit that
 //! follows windowed latency (AIMD, `limits`). A request goes where the available capacity (limit less requests in flight)
 //! is greatest (`selection`). Without any, it is queued for a tenth of its remaining time (`queue`) and then rejected
-//! (`admission`). A place where the decisions leave this path is marked `Departure:` with the condition under which it
-//! acts; `docs/design.md` lists them.
+//! (`admission`). Where the decisions leave this path it is marked `Departure:` with the condition under which that
+//! happens; `docs/design.md` lists them.
 //!
 //! Four rules always hold: one final answer to a request and nothing started after it (rule 1, `admission`); attempts and
 //! rejections only as idempotency allows (rule 2, `retries`); nothing new to a draining or removed backend (rule 3,
@@ -26,6 +26,7 @@
 mod limit_updates;
 mod limits;
 mod membership;
+mod observation;
 mod outcome;
 mod outliers;
 mod queue;
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -1,6 +1,6 @@
 //! Classification of outcomes: what the end of an attempt says of its backend.
 //!
-//! The policies (latency, limits, outlier detection, slow start, idle connections) read no [`Outcome`]; they are told
+//! The policies (latency, limits, outlier detection, slow start, idle connections) read no [`Outcome`]; they get
 //! what [`classify`] makes of it.
 
 use super::requests::Attempt;
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// Whether the client may be told that a retry is harmless (rule 2).
+/// Whether a request may be rejected, which promises the client that a retry is harmless (rule 2).
 pub(crate) fn is_rejection_harmless(
     now: Micros,
     request: &OpenRequest,
