--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -1,10 +1,8 @@
 //! Command line of the lab.
 
 use crate::error::LabError;
-use crate::results::RunInfo;
 use crate::{fleet, live, slopes};
-use clap::{Args, Parser, Subcommand};
-use std::path::PathBuf;
+use clap::{Parser, Subcommand};
 use tracing_subscriber::EnvFilter;
 
 /// Measures tillerproxy at the size of a large fleet.
@@ -16,20 +14,6 @@
     pub experiment: Experiment,
 }
 
-/// Options that every experiment takes.
-#[derive(Args, Clone, Debug)]
-pub struct CommonOptions {
-    /// Seed of all random numbers; the same seed gives the same figures, processor time aside.
-    #[arg(long, default_value_t = 1)]
-    pub seed: u64,
-    /// File that the JSON result is written to.
-    #[arg(long, value_name = "FILE")]
-    pub json: Option<PathBuf>,
-    /// Hide the progress bar.
-    #[arg(long)]
-    pub quiet: bool,
-}
-
 /// One experiment of the lab.
 #[derive(Debug, Subcommand)]
 pub enum Experiment {
@@ -55,7 +39,7 @@
     /// Runs the experiment.
     ///
     /// # Errors
-    /// What kept it from running or its result from being written.
+    /// Returns what kept it from running or its result from being written.
     pub fn run(&self) -> Result<(), LabError> {
         match &self.experiment {
             Experiment::Slopes(options) => slopes::run(options),
@@ -64,11 +48,3 @@
         }
     }
 }
-
-impl CommonOptions {
-    /// What the result says about the run.
-    #[must_use]
-    pub fn run_info(&self, experiment: &'static str) -> RunInfo {
-        RunInfo::new(experiment, self.seed)
-    }
-}
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -27,8 +27,8 @@
 pub mod table;
 pub mod topology;
 
-use crate::cli::CommonOptions;
 use crate::error::LabError;
+use crate::options::CommonOptions;
 use crate::results::RunResult;
 use crate::scenario::{InvalidValue, Scenario};
 use clap::Args;
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod error;
 pub mod fleet;
 pub mod live;
+pub mod options;
 pub mod results;
 pub mod scenario;
 pub mod slopes;
--- a/lab/src/live/mod.rs
+++ b/lab/src/live/mod.rs
@@ -26,8 +26,8 @@
 #[cfg(test)]
 mod tests;
 
-use crate::cli::CommonOptions;
 use crate::error::LabError;
+use crate::options::CommonOptions;
 use crate::results::RunResult;
 use clap::Args;
 use experiment::Experiment;
--- a/lab/src/slopes/mod.rs
+++ b/lab/src/slopes/mod.rs
@@ -21,8 +21,8 @@
 pub mod stopwatch;
 pub mod virtual_proxy;
 
-use crate::cli::CommonOptions;
 use crate::error::LabError;
+use crate::options::CommonOptions;
 use crate::results::RunResult;
 use crate::scenario::{Scenario, read};
 use analysis::Analysis;
