--- a/lab/src/fleet/events.rs
+++ b/lab/src/fleet/events.rs
@@ -1,17 +1,17 @@
 //! The event queue: what happens next in virtual time.
 //!
 //! Events of the same time come in the order in which they were pushed, so that a run depends on its seed
-//! alone. The near future is a binary heap; later events wait in the slots of a wheel, unsorted, until their
-//! slot is near. Pushing costs constant time for most events, however many deadlines are pending.
+//! alone. The near future is a binary heap; later events wait in the buckets of a wheel, unsorted, until their
+//! bucket is near. Pushing costs constant time for most events, however many deadlines are pending.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use tillerproxy::api::Micros;
 
-/// Width of a slot, as a power of two: 512 us.
-const SLOT_BITS: u32 = 9;
-/// Number of slots: a horizon of 8.4 s.
-const SLOTS: usize = 1 << 14;
+/// Width of a bucket, as a power of two: 512 us.
+const BUCKET_BITS: u32 = 9;
+/// Number of buckets: a horizon of 8.4 s.
+const BUCKETS: usize = 1 << 14;
 
 /// An event with its time and its place among those of the same time.
 #[derive(Clone, Copy, Debug)]
@@ -47,13 +47,13 @@
 pub struct EventQueue<T> {
     now: Micros,
     sequence: u64,
-    /// Events of the current slot and before.
+    /// Events of the current bucket and before.
     near: BinaryHeap<Entry<T>>,
-    /// The number of the current slot, counted from time 0.
-    slot: u64,
+    /// The number of the current bucket, counted from time 0.
+    bucket: u64,
     wheel: Vec<Vec<Entry<T>>>,
     in_wheel: usize,
-    /// Empty vectors of slots that have passed: they keep their memory for others.
+    /// Empty vectors of buckets that have passed: they keep their memory for others.
     spare: Vec<Vec<Entry<T>>>,
     /// Events beyond the wheel's horizon.
     far: BinaryHeap<Entry<T>>,
@@ -67,8 +67,8 @@
             now: 0,
             sequence: 0,
             near: BinaryHeap::new(),
-            slot: 0,
-            wheel: (0..SLOTS).map(|_| Vec::new()).collect(),
+            bucket: 0,
+            wheel: (0..BUCKETS).map(|_| Vec::new()).collect(),
             in_wheel: 0,
             spare: Vec::new(),
             far: BinaryHeap::new(),
@@ -102,11 +102,11 @@
             event,
         };
         self.sequence += 1;
-        let slot = at >> SLOT_BITS;
-        if slot <= self.slot {
+        let bucket = at >> BUCKET_BITS;
+        if bucket <= self.bucket {
             self.near.push(entry);
-        } else if slot - self.slot < SLOTS as u64 {
-            let entries = &mut self.wheel[slot as usize % SLOTS];
+        } else if bucket - self.bucket < BUCKETS as u64 {
+            let entries = &mut self.wheel[bucket as usize % BUCKETS];
             if entries.capacity() == 0 {
                 *entries = self.spare.pop().unwrap_or_default();
             }
@@ -135,14 +135,14 @@
         Some((entry.at, entry.event))
     }
 
-    /// Moves to the next slot, or to the next one that holds anything where the wheel is empty.
+    /// Moves to the next bucket, or to the next one that holds anything where the wheel is empty.
     fn advance(&mut self) {
-        let next_far = self.far.peek().map(|entry| entry.at >> SLOT_BITS);
-        self.slot = match next_far {
-            Some(slot) if self.in_wheel == 0 => slot,
-            _ => self.slot + 1,
+        let next_far = self.far.peek().map(|entry| entry.at >> BUCKET_BITS);
+        self.bucket = match next_far {
+            Some(bucket) if self.in_wheel == 0 => bucket,
+            _ => self.bucket + 1,
         };
-        let mut due = std::mem::take(&mut self.wheel[self.slot as usize % SLOTS]);
+        let mut due = std::mem::take(&mut self.wheel[self.bucket as usize % BUCKETS]);
         self.in_wheel -= due.len();
         self.near.extend(due.drain(..));
         if due.capacity() > 0 {
@@ -151,7 +151,7 @@
         while self
             .far
             .peek()
-            .is_some_and(|entry| entry.at >> SLOT_BITS <= self.slot)
+            .is_some_and(|entry| entry.at >> BUCKET_BITS <= self.bucket)
         {
             self.near.extend(self.far.pop());
         }
--- a/lab/src/fleet/random.rs
+++ b/lab/src/fleet/random.rs
@@ -6,35 +6,36 @@
 /// What a stream of random numbers is for.
 #[derive(Clone, Copy, Debug)]
 pub enum Stream {
-    /// Arrivals, their classes, tenants, work and ways.
+    /// Arrivals of calls, with their classes, tenants, work and choices.
     Arrivals,
-    /// What clients do after an answer.
+    /// Retries of clients.
     Clients,
     /// Latencies of the network.
     Network,
     /// Speeds of the machines, traffic of the proxies.
     Topology,
-    /// Whom the timeline's events hit.
+    /// Machines that the timeline's events affect.
     Faults,
     /// Seeds of the proxies.
     Proxies,
 }
 
-/// Multiplier of the SplitMix64 sequence (Steele, Lea and Flood, "Fast splittable pseudorandom number
+/// Increment of the SplitMix64 sequence (Steele, Lea and Flood, "Fast splittable pseudorandom number
 /// generators").
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The generator of one concern, or of the `index`th part of it.
+/// Returns the generator of one concern, or of the `index`th part of it.
 #[must_use]
 pub fn stream(seed: u64, stream: Stream, index: u64) -> SmallRng {
-    SmallRng::seed_from_u64(mix(mix(seed.wrapping_add(GOLDEN_GAMMA))
-        ^ mix(stream as u64 + 1)
-        ^ mix(!index)))
+    let mixed_seed = mix(seed.wrapping_add(GOLDEN_GAMMA));
+    let mixed_stream = mix(stream as u64 + 1);
+    let mixed_index = mix(!index);
+    SmallRng::seed_from_u64(mix(mixed_seed ^ mixed_stream ^ mixed_index))
 }
 
-/// The finalizer of SplitMix64.
+/// Applies the finalizer of SplitMix64.
 fn mix(value: u64) -> u64 {
-    let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    value ^ (value >> 31)
+    let first = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let second = (first ^ (first >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    second ^ (second >> 31)
 }
