--- /dev/null
+++ b/lab/src/fleet/backend/mod.rs
@@ -0,0 +1,247 @@
+//! An emulated backend: cores, a bounded queue, a slow start, and the ways in which it fails.
+//!
+//! It holds attempts by their keys and never looks into them; the simulation tells it what arrives and what is
+//! done, and schedules the ends of the work that it starts.
+
+mod slow_start;
+
+pub use slow_start::{Collapse, SlowStartModel};
+
+use super::process::ProcessState;
+use super::request::AttemptKey;
+use super::topology::Machine;
+use slow_start::SlowStartLoad;
+use std::collections::VecDeque;
+use tillerproxy::api::{LoadReportFields, Micros};
+
+/// Weight of the latest service time in the moving average that load reports carry.
+const SERVICE_TIME_WEIGHT: f64 = 1.0 / 16.0;
+const MICROS_PER_MILLISECOND: f64 = 1e3;
+
+/// A load report: requests running, requests queued, mean service time in milliseconds.
+pub type LoadReport = [f32; 3];
+
+/// The positions of the values in a [`LoadReport`].
+pub const LOAD_REPORT_FIELDS: LoadReportFields = LoadReportFields {
+    in_flight: Some(0),
+    queued: Some(1),
+    service_time_ms: Some(2),
+};
+
+/// What a backend does with an attempt that reaches it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Admission {
+    /// A core works on it; the simulation schedules its end after this span.
+    Started(Micros),
+    /// It waits for a core.
+    Queued,
+    /// The queue is full.
+    QueueFull,
+    /// No process accepts connections.
+    ConnectionRefused,
+    /// Nothing answers.
+    Unreachable,
+}
+
+/// One emulated backend.
+#[derive(Debug)]
+pub struct EmulatedBackend {
+    /// Its machine.
+    pub machine: Machine,
+    /// Whether its process runs.
+    pub state: ProcessState,
+    /// When its process last started; `None`: long ago.
+    pub started_at: Option<Micros>,
+    /// How many times slower than usual it works.
+    pub slowdown: f64,
+    /// Whether it accepts requests and answers none.
+    pub hung: bool,
+    /// Whether it collapsed; it stays down.
+    pub collapsed: bool,
+    /// Attempts that reached its machine while its process ran.
+    pub arrivals: u64,
+    running: Vec<AttemptKey>,
+    queue: VecDeque<AttemptKey>,
+    /// Attempts whose work ended while it hung.
+    stalled: Vec<AttemptKey>,
+    queue_limit: usize,
+    service_time_ms: f64,
+    /// The load of its slow start, while that lasts.
+    slow_start: Option<SlowStartLoad>,
+}
+
+impl EmulatedBackend {
+    /// Creates a backend that has run for long and holds no attempt.
+    #[must_use]
+    pub fn new(machine: Machine, queue_limit: u32) -> Self {
+        Self {
+            machine,
+            state: ProcessState::Running,
+            started_at: None,
+            slowdown: 1.0,
+            hung: false,
+            collapsed: false,
+            arrivals: 0,
+            running: Vec::new(),
+            queue: VecDeque::new(),
+            stalled: Vec::new(),
+            queue_limit: queue_limit as usize,
+            service_time_ms: 0.0,
+            slow_start: None,
+        }
+    }
+
+    /// Returns the number of attempts that it holds, running or queued.
+    #[must_use]
+    pub fn in_flight(&self) -> u32 {
+        (self.running.len() + self.queue.len()) as u32
+    }
+
+    /// Returns its present load report.
+    #[must_use]
+    pub fn load_report(&self) -> LoadReport {
+        [
+            self.running.len() as f32,
+            self.queue.len() as f32,
+            self.service_time_ms as f32,
+        ]
+    }
+
+    /// Returns whether its process runs.
+    #[must_use]
+    pub fn is_running(&self) -> bool {
+        self.state == ProcessState::Running
+    }
+
+    fn has_free_core(&self) -> bool {
+        !self.hung && self.running.len() < usize::from(self.machine.cores)
+    }
+
+    /// Returns how long a core takes for `work` (microseconds on a core of speed 1) that starts now.
+    fn service_time(&self, now: Micros, work: f64, model: &SlowStartModel) -> Micros {
+        let capacity_fraction = self.started_at.map_or(1.0, |started_at| {
+            model.capacity_fraction(now.saturating_sub(started_at))
+        });
+        let speed = self.machine.speed * capacity_fraction;
+        ((work * self.slowdown / speed) as Micros).max(1)
+    }
+
+    /// Takes an attempt that reached it, if it can; `work` is in microseconds on a core of speed 1.
+    pub fn admit(
+        &mut self,
+        now: Micros,
+        attempt: AttemptKey,
+        work: f64,
+        model: &SlowStartModel,
+    ) -> Admission {
+        match self.state {
+            ProcessState::Crashed => return Admission::ConnectionRefused,
+            ProcessState::Unreachable => return Admission::Unreachable,
+            ProcessState::Running => self.arrivals += 1,
+        }
+        if self.has_free_core() {
+            return Admission::Started(self.start_work(now, attempt, work, model));
+        }
+        // A hung process rejects nothing: its machine goes on accepting connections.
+        if self.queue.len() >= self.queue_limit && !self.hung {
+            return Admission::QueueFull;
+        }
+        self.queue.push_back(attempt);
+        Admission::Queued
+    }
+
+    /// Adds an attempt to the load of a slow start, also one that it rejects. `informed` tells whether its proxy
+    /// had been informed of the start. Returns the collapse if the load exceeds the limit.
+    pub fn add_slow_start_load(
+        &mut self,
+        now: Micros,
+        work: f64,
+        informed: bool,
+        model: &SlowStartModel,
+    ) -> Option<Collapse> {
+        let load = self.slow_start.as_mut()?;
+        let age = now.saturating_sub(self.started_at.unwrap_or_default());
+        if age >= model.duration {
+            self.slow_start = None;
+            return None;
+        }
+        load.add(now, work / model.mean_work, informed);
+        load.remove_before(now.saturating_sub(model.collapse_time));
+        load.collapse(model.load_limit(self.machine.capacity(), age))
+    }
+
+    /// Ends the work on an attempt. Returns whether its response is sent now; a hung backend keeps it.
+    pub fn finish_work(&mut self, attempt: AttemptKey, service_time: Micros) -> bool {
+        if self.hung {
+            self.stalled.push(attempt);
+            return false;
+        }
+        self.remove_running(attempt);
+        let service_time_ms = service_time as f64 / MICROS_PER_MILLISECOND;
+        self.service_time_ms += (service_time_ms - self.service_time_ms) * SERVICE_TIME_WEIGHT;
+        true
+    }
+
+    fn remove_running(&mut self, attempt: AttemptKey) {
+        let position = self.running.iter().position(|&running| running == attempt);
+        if let Some(position) = position {
+            self.running.swap_remove(position);
+        }
+    }
+
+    /// Removes the next attempt from the queue, if a core is free.
+    pub fn next_queued(&mut self) -> Option<AttemptKey> {
+        if self.is_running() && self.has_free_core() {
+            self.queue.pop_front()
+        } else {
+            None
+        }
+    }
+
+    /// Starts the work on an attempt; returns how long it takes.
+    pub fn start_work(
+        &mut self,
+        now: Micros,
+        attempt: AttemptKey,
+        work: f64,
+        model: &SlowStartModel,
+    ) -> Micros {
+        self.running.push(attempt);
+        self.service_time(now, work, model)
+    }
+
+    /// Resumes after a hang. Returns the attempts whose work ended meanwhile.
+    pub fn resume(&mut self) -> Vec<AttemptKey> {
+        self.hung = false;
+        let ended = std::mem::take(&mut self.stalled);
+        for &attempt in &ended {
+            self.remove_running(attempt);
+        }
+        ended
+    }
+
+    /// Ends its process. Returns the attempts that it held.
+    pub fn stop(&mut self, state: ProcessState) -> Vec<AttemptKey> {
+        self.state = state;
+        self.hung = false;
+        self.slow_start = None;
+        self.stalled.clear();
+        let mut in_flight = std::mem::take(&mut self.running);
+        in_flight.extend(self.queue.drain(..));
+        in_flight
+    }
+
+    /// Starts its process; the slow start begins. Returns whether it started: one that collapsed stays down.
+    pub fn start(&mut self, now: Micros) -> bool {
+        if self.collapsed || self.is_running() {
+            return false;
+        }
+        self.state = ProcessState::Running;
+        self.hung = false;
+        self.started_at = Some(now);
+        self.slowdown = 1.0;
+        self.service_time_ms = 0.0;
+        self.slow_start = Some(SlowStartLoad::default());
+        true
+    }
+}
--- a/lab/src/fleet/faults.rs
+++ b/lab/src/fleet/faults.rs
@@ -1,55 +1,69 @@
-//! The timeline's events, worked out into single changes of single machines.
+//! The timeline's events, expanded into single changes of single machines.
 
-use super::backend::Life;
 use super::client::TrafficShift;
-use super::discovery::ProxyNumber;
-use super::proxy::ProxyLife;
+use super::ids::{ProxyIndex, Rack};
+use super::process::ProcessState;
 use super::random::{Stream, stream};
-use super::scenario::timeline::TimelineEvent;
+use super::scenario::timeline::{self, TimelineEvent};
 use super::scenario::{FleetScenario, seconds};
 use super::topology::Topology;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
-use tillerproxy::api::{BackendId, Micros};
+use tillerproxy::api::{BackendId, Micros, TenantIndex, Zone};
 
 /// One change to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Change {
-    /// A backend drains: discovery will notice.
-    Drain(BackendId),
-    /// A backend's process or machine goes.
-    StopBackend(BackendId, Life),
-    /// A backend that went in this way starts, cold.
-    StartBackend(BackendId, Life),
+pub enum FleetChange {
+    /// A backend begins to drain.
+    DrainBackend(BackendId),
+    /// A backend's process or machine fails and is in this state from then on.
+    StopBackend(BackendId, ProcessState),
+    /// A backend starts again if it is still in the state in which it was stopped.
+    StartBackend(BackendId, ProcessState),
     /// A backend works so many times slower than usual; 1 ends it.
-    Slow(BackendId, f64),
-    /// A backend takes requests and answers none.
-    Hang(BackendId),
-    /// It answers again.
-    Resume(BackendId),
-    /// A backend's entry changes without a change of readiness.
-    Republish(BackendId),
-    /// A proxy's process or machine goes.
-    StopProxy(ProxyNumber, ProxyLife),
-    /// A proxy that went starts again.
-    StartProxy(ProxyNumber),
-    /// Nothing passes between regions, or everything again.
-    Partition(bool),
-    /// Discovery goes down or comes back.
-    DiscoveryUp(bool),
-    /// A proxy's watch becomes unresponsive.
-    MuteWatch(ProxyNumber),
-    /// A tenant's surge begins: its number among the surges.
-    Surge(u32),
-    /// A traffic shift begins or ends.
-    Shift(TrafficShift, bool),
+    SlowBackend(BackendId, f64),
+    /// A backend accepts requests and answers none.
+    HangBackend(BackendId),
+    /// A hung backend answers again.
+    ResumeBackend(BackendId),
+    /// A backend's endpoint changes without a change of readiness.
+    RepublishBackend(BackendId),
+    /// A proxy's process or machine fails and is in this state from then on.
+    StopProxy(ProxyIndex, ProcessState),
+    /// A stopped proxy starts again.
+    StartProxy(ProxyIndex),
+    /// No message passes between regions from now on.
+    PartitionRegions,
+    /// Messages pass between regions again.
+    HealPartition,
+    /// Discovery goes down.
+    StopDiscovery,
+    /// Discovery answers again.
+    StartDiscovery,
+    /// A proxy's watch stalls.
+    StallWatch(ProxyIndex),
+    /// A tenant's surge begins: its index in [`FaultSchedule::surges`].
+    BeginSurge(u32),
+    /// A traffic shift begins.
+    BeginShift(TrafficShift),
+    /// A traffic shift ends.
+    EndShift(TrafficShift),
+}
+
+/// A change and its time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ScheduledChange {
+    /// When it happens.
+    pub at: Micros,
+    /// What happens.
+    pub change: FleetChange,
 }
 
 /// A surge of one tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Surge {
     /// Which tenant.
-    pub tenant: u16,
+    pub tenant: TenantIndex,
     /// When it ends.
     pub until: Micros,
     /// How many times its usual traffic.
@@ -58,250 +72,233 @@
 
 /// All changes of a run, in the order of the timeline.
 #[derive(Debug, Default)]
-pub struct Plan {
-    /// Changes and their times, not sorted.
-    pub changes: Vec<(Micros, Change)>,
-    /// The surges, by number.
+pub struct FaultSchedule {
+    /// The changes, not sorted by time.
+    pub changes: Vec<ScheduledChange>,
+    /// The surges, by index.
     pub surges: Vec<Surge>,
 }
 
-impl Plan {
-    /// Works out a scenario's timeline: whom it hits depends on the seed alone.
+impl FaultSchedule {
+    /// Expands a scenario's timeline; which machines it affects depends on the seed alone.
     #[must_use]
     pub fn new(scenario: &FleetScenario, topology: &Topology, seed: u64) -> Self {
-        let mut plan = Self::default();
+        let mut schedule = Self::default();
         for (index, event) in scenario.events.iter().enumerate() {
-            let mut random = stream(seed, Stream::Faults, index as u64);
-            plan.add(event, topology, &mut random);
+            let mut expansion = EventExpansion {
+                schedule: &mut schedule,
+                topology,
+                random: stream(seed, Stream::Faults, index as u64),
+                at: event.at(),
+            };
+            expansion.expand(event);
         }
-        plan
+        schedule
     }
+}
 
-    fn push(&mut self, at: Micros, change: Change) {
-        self.changes.push((at, change));
-    }
+/// Expands one event of the timeline.
+struct EventExpansion<'a> {
+    schedule: &'a mut FaultSchedule,
+    topology: &'a Topology,
+    random: SmallRng,
+    /// When the event begins.
+    at: Micros,
+}
 
-    fn add(&mut self, event: &TimelineEvent, topology: &Topology, random: &mut SmallRng) {
-        let at = event.at();
-        match *event {
-            TimelineEvent::RollingRestart {
-                over_s,
-                fraction,
-                drain_s,
-                down_s,
-                ..
-            } => {
-                self.rolling_restart(topology, random, at, fraction, [over_s, drain_s, down_s]);
-            }
-            TimelineEvent::ZoneLoss {
-                zone,
-                return_after_s,
-                ..
-            } => {
-                self.zone_loss(topology, at, zone, return_after_s);
-            }
-            TimelineEvent::RackLoss {
-                zone,
-                rack,
-                return_after_s,
-                ..
-            } => {
-                let inside = |&id: &BackendId| topology.machines[id as usize].rack == rack;
-                let lost = topology
-                    .backends_of_zone(zone)
-                    .filter(inside)
-                    .collect::<Vec<_>>();
-                self.lose_backends(&lost, at, Life::Vanished, return_after_s);
-            }
-            TimelineEvent::RegionPartition { for_s, .. } => {
-                self.push(at, Change::Partition(true));
-                self.push(at + seconds(for_s), Change::Partition(false));
-            }
-            TimelineEvent::DiscoveryDown { for_s, .. } => {
-                self.push(at, Change::DiscoveryUp(false));
-                self.push(at + seconds(for_s), Change::DiscoveryUp(true));
-            }
-            TimelineEvent::DiscoverySilent { fraction, .. } => {
-                for proxy in chosen(topology.proxies.len(), fraction, random) {
-                    self.push(at, Change::MuteWatch(proxy as ProxyNumber));
-                }
-            }
-            TimelineEvent::ConfigBurst {
-                entries, over_s, ..
-            } => {
-                self.config_burst(topology, random, at, entries, over_s);
-            }
-            TimelineEvent::TenantSurge {
-                for_s,
-                tenant,
-                multiple,
-                ..
-            } => {
-                self.push(at, Change::Surge(self.surges.len() as u32));
-                self.surges.push(Surge {
-                    tenant,
-                    until: at + seconds(for_s),
-                    multiple,
-                });
-            }
-            TimelineEvent::BackendSlow {
-                for_s,
-                fraction,
-                factor,
-                ..
-            } => {
-                for id in chosen(topology.machines.len(), fraction, random) {
-                    self.push(at, Change::Slow(id, factor));
-                    self.push(at + seconds(for_s), Change::Slow(id, 1.0));
-                }
-            }
-            TimelineEvent::BackendHang {
-                for_s, fraction, ..
-            } => {
-                for id in chosen(topology.machines.len(), fraction, random) {
-                    self.push(at, Change::Hang(id));
-                    self.push(at + seconds(for_s), Change::Resume(id));
-                }
-            }
-            TimelineEvent::BackendCrash {
-                fraction,
-                return_after_s,
-                ..
-            } => {
-                let lost = chosen(topology.machines.len(), fraction, random);
-                self.lose_backends(&lost, at, Life::Dead, return_after_s);
-            }
-            TimelineEvent::ProxyRestart {
-                over_s,
-                fraction,
-                down_s,
-                ..
-            } => {
-                let proxies = chosen(topology.proxies.len(), fraction, random);
-                for (proxy, begins) in spread_over(&proxies, at, over_s) {
-                    self.push(
-                        begins,
-                        Change::StopProxy(proxy as ProxyNumber, ProxyLife::Dead),
-                    );
-                    self.push(
-                        begins + seconds(down_s),
-                        Change::StartProxy(proxy as ProxyNumber),
-                    );
-                }
-            }
-            TimelineEvent::TrafficShift {
-                for_s,
-                from_zone,
-                to_zone,
-                fraction,
-                ..
-            } => {
-                let shift = TrafficShift {
-                    from: from_zone,
-                    to: to_zone,
-                    fraction,
-                };
-                self.push(at, Change::Shift(shift, true));
-                if let Some(span) = for_s {
-                    self.push(at + seconds(span), Change::Shift(shift, false));
-                }
-            }
+impl EventExpansion<'_> {
+    fn expand(&mut self, event: &TimelineEvent) {
+        match event {
+            TimelineEvent::RollingRestart(event) => self.rolling_restart(event),
+            TimelineEvent::ZoneLoss(event) => self.zone_loss(event),
+            TimelineEvent::RackLoss(event) => self.rack_loss(event),
+            TimelineEvent::RegionPartition(event) => self.region_partition(event),
+            TimelineEvent::DiscoveryDown(event) => self.discovery_down(event),
+            TimelineEvent::WatchStall(event) => self.watch_stall(event),
+            TimelineEvent::ConfigBurst(event) => self.config_burst(event),
+            TimelineEvent::TenantSurge(event) => self.tenant_surge(event),
+            TimelineEvent::BackendSlow(event) => self.backend_slow(event),
+            TimelineEvent::BackendHang(event) => self.backend_hang(event),
+            TimelineEvent::BackendCrash(event) => self.backend_crash(event),
+            TimelineEvent::ProxyRestart(event) => self.proxy_restart(event),
+            TimelineEvent::TrafficShift(event) => self.traffic_shift(event),
         }
     }
 
-    fn rolling_restart(
-        &mut self,
-        topology: &Topology,
-        random: &mut SmallRng,
-        at: Micros,
-        fraction: f64,
-        [over_s, drain_s, down_s]: [f64; 3],
-    ) {
-        let backends = chosen(topology.machines.len(), fraction, random);
-        for (id, begins) in spread_over(&backends, at, over_s) {
-            let stops = begins + seconds(drain_s);
-            self.push(begins, Change::Drain(id));
-            self.push(stops, Change::StopBackend(id, Life::Dead));
-            self.push(
-                stops + seconds(down_s),
-                Change::StartBackend(id, Life::Dead),
-            );
+    fn push(&mut self, at: Micros, change: FleetChange) {
+        self.schedule.changes.push(ScheduledChange { at, change });
+    }
+
+    /// Draws a part of the backends, in random order.
+    fn sample_backends(&mut self, fraction: f64) -> Vec<BackendId> {
+        sample(self.topology.machines.len(), fraction, &mut self.random)
+    }
+
+    /// Draws a part of the proxies, in random order.
+    fn sample_proxies(&mut self, fraction: f64) -> Vec<ProxyIndex> {
+        let indices = sample(self.topology.proxies.len(), fraction, &mut self.random);
+        indices
+            .into_iter()
+            .map(|index| ProxyIndex(index as u16))
+            .collect()
+    }
+
+    fn rolling_restart(&mut self, event: &timeline::RollingRestart) {
+        let backends = self.sample_backends(event.fraction);
+        for (backend, drains_at) in spread_over(&backends, self.at, event.over_s) {
+            let stops_at = drains_at + seconds(event.drain_s);
+            let starts_at = stops_at + seconds(event.down_s);
+            let crashed = ProcessState::Crashed;
+            self.push(drains_at, FleetChange::DrainBackend(backend));
+            self.push(stops_at, FleetChange::StopBackend(backend, crashed));
+            self.push(starts_at, FleetChange::StartBackend(backend, crashed));
         }
     }
 
-    fn zone_loss(
-        &mut self,
-        topology: &Topology,
-        at: Micros,
-        zone: u16,
-        return_after_s: Option<f64>,
-    ) {
-        let lost: Vec<BackendId> = topology.backends_of_zone(zone).collect();
-        self.lose_backends(&lost, at, Life::Vanished, return_after_s);
-        for (proxy, place) in (0..).zip(&topology.proxies) {
-            if place.zone != zone {
-                continue;
-            }
-            self.push(at, Change::StopProxy(proxy, ProxyLife::Vanished));
-            if let Some(span) = return_after_s {
-                self.push(at + seconds(span), Change::StartProxy(proxy));
+    fn zone_loss(&mut self, event: &timeline::ZoneLoss) {
+        let zone = Zone(event.zone);
+        let backends: Vec<BackendId> = self.topology.backends_of_zone(zone).collect();
+        self.stop_backends(&backends, ProcessState::Unreachable, event.return_after_s);
+        let proxies: Vec<ProxyIndex> = self.topology.proxies_of_zone(zone).collect();
+        for proxy in proxies {
+            let unreachable = ProcessState::Unreachable;
+            self.push(self.at, FleetChange::StopProxy(proxy, unreachable));
+            if let Some(down_s) = event.return_after_s {
+                let starts_at = self.at + seconds(down_s);
+                self.push(starts_at, FleetChange::StartProxy(proxy));
             }
         }
     }
 
-    fn lose_backends(
-        &mut self,
-        lost: &[BackendId],
-        at: Micros,
-        life: Life,
-        return_after_s: Option<f64>,
-    ) {
-        for &id in lost {
-            self.push(at, Change::StopBackend(id, life));
-            if let Some(span) = return_after_s {
-                self.push(at + seconds(span), Change::StartBackend(id, life));
-            }
+    fn rack_loss(&mut self, event: &timeline::RackLoss) {
+        let rack = Rack(event.rack);
+        let backends: Vec<BackendId> = self
+            .topology
+            .backends_of_zone(Zone(event.zone))
+            .filter(|&backend| self.topology.machines[backend as usize].rack == rack)
+            .collect();
+        self.stop_backends(&backends, ProcessState::Unreachable, event.return_after_s);
+    }
+
+    fn region_partition(&mut self, event: &timeline::RegionPartition) {
+        let ends_at = self.at + seconds(event.for_s);
+        self.push(self.at, FleetChange::PartitionRegions);
+        self.push(ends_at, FleetChange::HealPartition);
+    }
+
+    fn discovery_down(&mut self, event: &timeline::DiscoveryDown) {
+        let ends_at = self.at + seconds(event.for_s);
+        self.push(self.at, FleetChange::StopDiscovery);
+        self.push(ends_at, FleetChange::StartDiscovery);
+    }
+
+    fn watch_stall(&mut self, event: &timeline::WatchStall) {
+        for proxy in self.sample_proxies(event.fraction) {
+            self.push(self.at, FleetChange::StallWatch(proxy));
         }
     }
 
-    fn config_burst(
-        &mut self,
-        topology: &Topology,
-        random: &mut SmallRng,
-        at: Micros,
-        entries: u32,
-        over_s: f64,
-    ) {
-        let order = chosen(topology.machines.len(), 1.0, random);
-        let repeated: Vec<BackendId> = order
+    fn config_burst(&mut self, event: &timeline::ConfigBurst) {
+        let shuffled = self.sample_backends(1.0);
+        let changed: Vec<BackendId> = shuffled
             .iter()
             .cycle()
-            .take(entries as usize)
+            .take(event.endpoints as usize)
             .copied()
             .collect();
-        for (id, when) in spread_over(&repeated, at, over_s) {
-            self.push(when, Change::Republish(id));
+        for (backend, changes_at) in spread_over(&changed, self.at, event.over_s) {
+            self.push(changes_at, FleetChange::RepublishBackend(backend));
+        }
+    }
+
+    fn tenant_surge(&mut self, event: &timeline::TenantSurge) {
+        let index = self.schedule.surges.len() as u32;
+        self.push(self.at, FleetChange::BeginSurge(index));
+        self.schedule.surges.push(Surge {
+            tenant: TenantIndex(event.tenant),
+            until: self.at + seconds(event.for_s),
+            multiple: event.multiple,
+        });
+    }
+
+    fn backend_slow(&mut self, event: &timeline::BackendSlow) {
+        let ends_at = self.at + seconds(event.for_s);
+        for backend in self.sample_backends(event.fraction) {
+            self.push(self.at, FleetChange::SlowBackend(backend, event.factor));
+            self.push(ends_at, FleetChange::SlowBackend(backend, 1.0));
+        }
+    }
+
+    fn backend_hang(&mut self, event: &timeline::BackendHang) {
+        let ends_at = self.at + seconds(event.for_s);
+        for backend in self.sample_backends(event.fraction) {
+            self.push(self.at, FleetChange::HangBackend(backend));
+            self.push(ends_at, FleetChange::ResumeBackend(backend));
+        }
+    }
+
+    fn backend_crash(&mut self, event: &timeline::BackendCrash) {
+        let backends = self.sample_backends(event.fraction);
+        self.stop_backends(&backends, ProcessState::Crashed, event.return_after_s);
+    }
+
+    fn proxy_restart(&mut self, event: &timeline::ProxyRestart) {
+        let proxies = self.sample_proxies(event.fraction);
+        for (proxy, stops_at) in spread_over(&proxies, self.at, event.over_s) {
+            let starts_at = stops_at + seconds(event.down_s);
+            let crashed = ProcessState::Crashed;
+            self.push(stops_at, FleetChange::StopProxy(proxy, crashed));
+            self.push(starts_at, FleetChange::StartProxy(proxy));
+        }
+    }
+
+    fn traffic_shift(&mut self, event: &timeline::TrafficShift) {
+        let shift = TrafficShift {
+            from: Zone(event.from_zone),
+            to: Zone(event.to_zone),
+            fraction: event.fraction,
+        };
+        self.push(self.at, FleetChange::BeginShift(shift));
+        if let Some(duration_s) = event.for_s {
+            let ends_at = self.at + seconds(duration_s);
+            self.push(ends_at, FleetChange::EndShift(shift));
+        }
+    }
+
+    /// Stops backends when the event begins and starts them again after a time, if they return.
+    fn stop_backends(
+        &mut self,
+        backends: &[BackendId],
+        state: ProcessState,
+        return_after_s: Option<f64>,
+    ) {
+        for &backend in backends {
+            self.push(self.at, FleetChange::StopBackend(backend, state));
+            if let Some(down_s) = return_after_s {
+                let starts_at = self.at + seconds(down_s);
+                self.push(starts_at, FleetChange::StartBackend(backend, state));
+            }
         }
     }
 }
 
-/// A random part of 0..count, in random order.
-fn chosen(count: usize, fraction: f64, random: &mut SmallRng) -> Vec<u32> {
-    let mut all: Vec<u32> = (0..count as u32).collect();
-    all.shuffle(random);
-    all.truncate((count as f64 * fraction).round() as usize);
-    all
+/// Draws a part of the numbers below `count`, in random order.
+fn sample(count: usize, fraction: f64, random: &mut SmallRng) -> Vec<u32> {
+    let mut numbers: Vec<u32> = (0..count as u32).collect();
+    numbers.shuffle(random);
+    numbers.truncate((count as f64 * fraction).round() as usize);
+    numbers
 }
 
-/// Spaces things evenly over a span that begins at `at`.
-fn spread_over(
-    things: &[u32],
+/// Gives each item a time, evenly over a span that begins at `at`.
+fn spread_over<T: Copy>(
+    items: &[T],
     at: Micros,
     over_s: f64,
-) -> impl Iterator<Item = (u32, Micros)> + '_ {
-    let step = seconds(over_s) as f64 / things.len().max(1) as f64;
-    things
+) -> impl Iterator<Item = (T, Micros)> + '_ {
+    let interval = seconds(over_s) as f64 / items.len().max(1) as f64;
+    items
         .iter()
         .enumerate()
-        .map(move |(rank, &thing)| (thing, at + (rank as f64 * step) as Micros))
+        .map(move |(rank, &item)| (item, at + (rank as f64 * interval) as Micros))
 }
--- /dev/null
+++ b/lab/src/fleet/metrics/mod.rs
@@ -0,0 +1,291 @@
+//! The measurements of a run.
+
+mod propagation;
+mod traffic;
+
+use super::backend::EmulatedBackend;
+use super::client::ClientCall;
+use super::discovery::{Revision, Traffic};
+use super::ids::ProxyIndex;
+use super::report::{
+    AttemptCounts, BackendLoad, CallCounts, ClassMetrics, NamedClass, Percentiles, PolicyReport,
+    SecondReport,
+};
+use super::rules::RuleCounts;
+use hdrhistogram::Histogram;
+use propagation::PropagationTracker;
+use tillerproxy::api::Micros;
+use traffic::DiscoveryTraffic;
+
+/// Significant digits of latencies.
+const LATENCY_DIGITS: u8 = 3;
+/// Significant digits of latencies in the time series, which has a histogram for each second.
+const SECOND_LATENCY_DIGITS: u8 = 2;
+/// Longer latencies are recorded as this.
+const MAX_LATENCY: Micros = 120_000_000;
+const MICROS_PER_SECOND: Micros = 1_000_000;
+const MICROS_PER_MILLISECOND: f64 = 1e3;
+
+/// How a client's call ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CallEnd {
+    /// Answered.
+    Served {
+        /// Time since the client made the call.
+        latency: Micros,
+        /// Whether the latency is within the class's objective.
+        within_objective: bool,
+    },
+    /// The last attempt was rejected.
+    Rejected,
+    /// The last attempt failed, or no proxy accepted it.
+    Failed,
+    /// The last attempt timed out.
+    TimedOut,
+    /// The client disconnected.
+    Disconnected,
+}
+
+impl CallCounts {
+    fn add(&mut self, end: CallEnd) {
+        self.offered += 1;
+        match end {
+            CallEnd::Served {
+                within_objective: true,
+                ..
+            } => self.within_objective += 1,
+            CallEnd::Served {
+                within_objective: false,
+                ..
+            } => self.late += 1,
+            CallEnd::Rejected => self.rejected += 1,
+            CallEnd::Failed => self.failed += 1,
+            CallEnd::TimedOut => self.timed_out += 1,
+            CallEnd::Disconnected => self.disconnected += 1,
+        }
+    }
+
+    fn add_all(&mut self, other: &Self) {
+        self.offered += other.offered;
+        self.within_objective += other.within_objective;
+        self.late += other.late;
+        self.rejected += other.rejected;
+        self.failed += other.failed;
+        self.timed_out += other.timed_out;
+        self.disconnected += other.disconnected;
+    }
+}
+
+/// The calls that clients made in one second.
+#[derive(Clone, Debug)]
+struct SecondMetrics {
+    calls: CallCounts,
+    latency: Histogram<u64>,
+}
+
+impl SecondMetrics {
+    fn report(&self, second: usize) -> SecondReport {
+        let p99 = self.latency.value_at_quantile(0.99);
+        SecondReport {
+            second,
+            calls: self.calls,
+            p99_ms: p99 as f64 / MICROS_PER_MILLISECOND,
+        }
+    }
+}
+
+impl Percentiles {
+    fn of(latency: &Histogram<u64>) -> Self {
+        let at =
+            |quantile: f64| latency.value_at_quantile(quantile) as f64 / MICROS_PER_MILLISECOND;
+        Self {
+            p50_ms: at(0.5),
+            p99_ms: at(0.99),
+            p999_ms: at(0.999),
+        }
+    }
+}
+
+impl BackendLoad {
+    /// Summarizes the attempts that reached each backend.
+    #[must_use]
+    pub fn of(backends: &[EmulatedBackend]) -> Self {
+        let mut arrivals: Vec<u64> = backends.iter().map(|backend| backend.arrivals).collect();
+        arrivals.sort_unstable();
+        let last = arrivals.len() - 1;
+        let at = |quantile: f64| arrivals[(last as f64 * quantile).round() as usize];
+        Self {
+            p1: at(0.01),
+            p50: at(0.5),
+            p99: at(0.99),
+            max: at(1.0),
+            idle_backends: arrivals.iter().filter(|&&count| count == 0).count() as u64,
+        }
+    }
+}
+
+/// The measurements of a run.
+#[derive(Debug)]
+pub struct Metrics {
+    warmup: Micros,
+    latency: Histogram<u64>,
+    seconds: Vec<SecondMetrics>,
+    classes: Vec<ClassMetrics>,
+    propagation: PropagationTracker,
+    discovery: DiscoveryTraffic,
+    /// Attempts of clients and proxies.
+    pub attempts: AttemptCounts,
+}
+
+fn latency_histogram(digits: u8) -> Histogram<u64> {
+    Histogram::new_with_bounds(1, MAX_LATENCY, digits).expect("bounds and digits are in range")
+}
+
+impl Metrics {
+    /// Creates the metrics of a run in which clients send requests for `duration`. Calls made during the warm-up
+    /// count in the time series alone.
+    #[must_use]
+    pub fn new(duration: Micros, warmup: Micros, classes: usize, proxies: usize) -> Self {
+        let empty = SecondMetrics {
+            calls: CallCounts::default(),
+            latency: latency_histogram(SECOND_LATENCY_DIGITS),
+        };
+        Self {
+            warmup,
+            latency: latency_histogram(LATENCY_DIGITS),
+            seconds: vec![empty; duration.div_ceil(MICROS_PER_SECOND) as usize],
+            classes: vec![ClassMetrics::default(); classes],
+            propagation: PropagationTracker::new(proxies),
+            discovery: DiscoveryTraffic::default(),
+            attempts: AttemptCounts::default(),
+        }
+    }
+
+    /// Records the end of a call. Past its latency objective it earns `late_weight_factor` of its weight.
+    pub fn on_call_end(&mut self, call: &ClientCall, late_weight_factor: f64, end: CallEnd) {
+        self.record_in_time_series(call, end);
+        if call.started_at < self.warmup {
+            return;
+        }
+        let class = &mut self.classes[call.class.index()];
+        class.calls.add(end);
+        if end == CallEnd::Disconnected {
+            return;
+        }
+        class.offered_weight += call.priority_weight;
+        if let CallEnd::Served {
+            latency,
+            within_objective,
+        } = end
+        {
+            self.latency.saturating_record(latency);
+            let factor = if within_objective {
+                1.0
+            } else {
+                late_weight_factor
+            };
+            class.earned_weight += call.priority_weight * factor;
+        }
+    }
+
+    fn record_in_time_series(&mut self, call: &ClientCall, end: CallEnd) {
+        let last = self.seconds.len() - 1;
+        let index = (call.started_at / MICROS_PER_SECOND) as usize;
+        let second = &mut self.seconds[index.min(last)];
+        second.calls.add(end);
+        if let CallEnd::Served { latency, .. } = end {
+            second.latency.saturating_record(latency);
+        }
+    }
+
+    /// Records a publication of changes, the first of which happened at `changed_at`.
+    pub fn on_publication(
+        &mut self,
+        revision: Revision,
+        changed_at: Micros,
+        running_proxies: usize,
+    ) {
+        self.propagation
+            .on_publication(revision, changed_at, running_proxies);
+    }
+
+    /// Records that a proxy's list has reached a revision.
+    pub fn on_update(&mut self, now: Micros, proxy: ProxyIndex, revision: Revision) {
+        self.propagation.on_update(now, proxy, revision);
+    }
+
+    /// Records the traffic of discovery up to now.
+    pub fn on_discovery_traffic(&mut self, now: Micros, traffic: Traffic) {
+        self.discovery.record(now, traffic);
+    }
+
+    fn total_calls(&self) -> CallCounts {
+        let mut total = CallCounts::default();
+        for class in &self.classes {
+            total.add_all(&class.calls);
+        }
+        total
+    }
+
+    /// Returns the earned weight as a part of the offered weight.
+    fn earned_weight_fraction(&self) -> f64 {
+        let offered: f64 = self.classes.iter().map(|class| class.offered_weight).sum();
+        let earned: f64 = self.classes.iter().map(|class| class.earned_weight).sum();
+        if offered > 0.0 { earned / offered } else { 0.0 }
+    }
+
+    fn class_reports(&self, names: Vec<String>) -> Vec<NamedClass> {
+        names
+            .into_iter()
+            .zip(&self.classes)
+            .map(|(name, &metrics)| NamedClass { name, metrics })
+            .collect()
+    }
+
+    fn second_reports(&self) -> Vec<SecondReport> {
+        self.seconds
+            .iter()
+            .enumerate()
+            .map(|(second, metrics)| metrics.report(second))
+            .collect()
+    }
+
+    /// Returns the figures of a run.
+    #[must_use]
+    pub fn report(&self, run: RunSummary) -> PolicyReport {
+        PolicyReport {
+            policy: run.policy,
+            earned_weight_fraction: self.earned_weight_fraction(),
+            calls: self.total_calls(),
+            classes: self.class_reports(run.class_names),
+            latency: Percentiles::of(&self.latency),
+            attempts: self.attempts,
+            backend_load: run.backend_load,
+            change_propagation: self.propagation.report(),
+            discovery: self
+                .discovery
+                .report(run.elapsed, self.propagation.proxies()),
+            rules: run.rules,
+            rule_violations: run.rules.violations(),
+            events: run.events,
+            seconds: self.second_reports(),
+        }
+    }
+}
+
+/// What the simulation adds to the metrics for a report.
+#[derive(Clone, Debug)]
+pub struct RunSummary {
+    /// Name of the policy.
+    pub policy: String,
+    /// Names of the classes.
+    pub class_names: Vec<String>,
+    /// Attempts over the backends.
+    pub backend_load: BackendLoad,
+    /// How the rules were kept.
+    pub rules: RuleCounts,
+    /// Events of the simulation.
+    pub events: u64,
+    /// Virtual time that passed.
+    pub elapsed: Micros,
+}
--- /dev/null
+++ b/lab/src/fleet/metrics/propagation.rs
@@ -0,0 +1,107 @@
+//! How long changes of the endpoint list take to reach the proxies.
+
+use super::super::discovery::Revision;
+use super::super::ids::ProxyIndex;
+use super::super::report::ChangePropagation;
+use tillerproxy::api::Micros;
+
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// A publication of changes on its way to the proxies.
+#[derive(Debug)]
+struct Publication {
+    revision: Revision,
+    /// When its first change happened.
+    changed_at: Micros,
+    /// Proxies that ran at the publication.
+    running_proxies: usize,
+    /// When proxies were informed, in order of time.
+    informed_at: Vec<Micros>,
+}
+
+impl Publication {
+    /// Returns the time from the change until this fraction of the proxies was informed, seconds.
+    fn propagation_s(&self, fraction: f64) -> Option<f64> {
+        let needed = ((self.running_proxies as f64 * fraction).ceil() as usize).max(1);
+        let informed_at = self.informed_at.get(needed - 1)?;
+        Some((informed_at - self.changed_at) as f64 / MICROS_PER_SECOND)
+    }
+}
+
+/// Tracks all publications of a run.
+#[derive(Debug)]
+pub(super) struct PropagationTracker {
+    publications: Vec<Publication>,
+    /// The number of publications that each proxy knows.
+    known: Vec<usize>,
+}
+
+impl PropagationTracker {
+    pub(super) fn new(proxies: usize) -> Self {
+        Self {
+            publications: Vec::new(),
+            known: vec![0; proxies],
+        }
+    }
+
+    /// Returns the number of proxies.
+    pub(super) fn proxies(&self) -> usize {
+        self.known.len()
+    }
+
+    pub(super) fn on_publication(
+        &mut self,
+        revision: Revision,
+        changed_at: Micros,
+        running_proxies: usize,
+    ) {
+        self.publications.push(Publication {
+            revision,
+            changed_at,
+            running_proxies,
+            informed_at: Vec::with_capacity(running_proxies),
+        });
+    }
+
+    /// Records that a proxy's list has reached a revision.
+    pub(super) fn on_update(&mut self, now: Micros, proxy: ProxyIndex, revision: Revision) {
+        let known = &mut self.known[proxy.index()];
+        while let Some(publication) = self.publications.get_mut(*known)
+            && publication.revision <= revision
+        {
+            publication.informed_at.push(now);
+            *known += 1;
+        }
+    }
+
+    /// Returns how long publications took to inform this fraction of the proxies, sorted.
+    fn sorted_times(&self, fraction: f64) -> Vec<f64> {
+        let mut times: Vec<f64> = self
+            .publications
+            .iter()
+            .filter_map(|publication| publication.propagation_s(fraction))
+            .collect();
+        times.sort_unstable_by(f64::total_cmp);
+        times
+    }
+
+    pub(super) fn report(&self) -> ChangePropagation {
+        let half = self.sorted_times(0.5);
+        let p99 = self.sorted_times(0.99);
+        let all = self.sorted_times(1.0);
+        ChangePropagation {
+            publications: self.publications.len(),
+            median_half_s: median(&half),
+            median_p99_s: median(&p99),
+            median_all_s: median(&all),
+            worst_half_s: half.last().copied(),
+            worst_p99_s: p99.last().copied(),
+            worst_all_s: all.last().copied(),
+            not_known_to_all: self.publications.len() - all.len(),
+        }
+    }
+}
+
+fn median(sorted: &[f64]) -> Option<f64> {
+    sorted.get(sorted.len() / 2).copied()
+}
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -1,21 +1,23 @@
 //! The `fleet` experiment: a whole fleet in virtual time.
 //!
-//! Every proxy hosts the real decision module with its own settings, state and seed. Backends, discovery,
-//! networks and clients are emulated by a discrete-event simulation that depends on its seed alone. Beside
-//! the module two baselines are played on the same arrivals and events.
+//! Every proxy hosts the decision module with its own settings, state and seed. Backends, discovery, networks and
+//! clients are emulated by a discrete-event simulation that depends on its seed alone. Beside the module two
+//! baselines are played on the same arrivals and events.
 //!
-//! What is not emulated: processor time of the proxies, single connections and their setup, streamed answers,
-//! probes, services (every backend serves every request), and the rule that a proxy which has not asked for
-//! long counts as informed: rules 3 and 4 go by what discovery has in fact sent it.
+//! Not emulated are: processor time of the proxies, single connections and their setup, streamed responses, health
+//! checks, services (every backend serves every request), and the rule that a proxy which has not polled for long
+//! counts as informed: rules 3 and 4 go by what discovery has in fact sent it.
 
 pub mod backend;
 pub mod client;
 pub mod discovery;
 pub mod events;
 pub mod faults;
+pub mod ids;
 pub mod metrics;
 pub mod plot;
 pub mod policy;
+pub mod process;
 pub mod proxy;
 pub mod random;
 pub mod report;
@@ -32,7 +34,7 @@
 use crate::results::RunResult;
 use crate::scenario::{InvalidValue, Scenario};
 use clap::Args;
-use faults::Plan;
+use faults::FaultSchedule;
 use indicatif::{MultiProgress, ProgressBar, ProgressDrawTarget, ProgressStyle};
 use policy::PolicyKind;
 use report::{FleetReport, PolicyReport};
@@ -81,12 +83,12 @@
     let measured = play(&scenario, &options.policies, seed, options.common.quiet)?;
     println!("{measured}");
     if let Some(path) = &options.common.json {
-        RunResult {
+        let result = RunResult {
             run,
             scenario: &scenario,
             measured: &measured,
-        }
-        .write(path)?;
+        };
+        result.write(path)?;
     }
     if let Some(path) = &options.plot {
         plot::draw(&measured, path)?;
@@ -98,12 +100,7 @@
 fn read_scenario(options: &FleetOptions) -> Result<FleetScenario, LabError> {
     let mut scenario: FleetScenario = crate::scenario::read(&options.scenario)?;
     if let Some(factor) = options.scale {
-        if !(factor.is_finite() && factor > 0.0) {
-            return Err(invalid_option(
-                "--scale",
-                format!("{factor} must be above 0"),
-            ));
-        }
+        check_scale(factor)?;
         scenario = scenario.scaled(factor);
     }
     if let Some(duration) = options.duration_s {
@@ -118,18 +115,21 @@
     Ok(scenario)
 }
 
-fn invalid_option(option: &str, problem: String) -> LabError {
-    LabError::Scenario {
-        path: PathBuf::from("command line"),
-        key: option.to_owned(),
-        problem,
+fn check_scale(factor: f64) -> Result<(), LabError> {
+    if factor.is_finite() && factor > 0.0 {
+        return Ok(());
     }
+    Err(LabError::Scenario {
+        path: PathBuf::from("command line"),
+        key: "--scale".to_owned(),
+        problem: format!("{factor} must be above 0"),
+    })
 }
 
 /// Plays a scenario under each policy, each on a thread of its own.
 ///
 /// # Errors
-/// [`LabError::Failed`] where a policy does not take its settings.
+/// [`LabError::Failed`] where a policy rejects its settings or its thread panics.
 pub fn play(
     scenario: &FleetScenario,
     policies: &[PolicyKind],
@@ -137,21 +137,16 @@
     quiet: bool,
 ) -> Result<FleetReport, LabError> {
     let topology = Topology::new(scenario, seed);
-    let plan = Plan::new(scenario, &topology, seed);
-    let target = if quiet {
-        ProgressDrawTarget::hidden()
-    } else {
-        ProgressDrawTarget::stderr()
-    };
-    let bars = MultiProgress::with_draw_target(target);
-    let play = |kind: PolicyKind| {
-        let bar = bars.add(progress_bar(kind));
-        play_policy(scenario, &topology, &plan, kind, seed, &bar)
+    let schedule = FaultSchedule::new(scenario, &topology, seed);
+    let bars = MultiProgress::with_draw_target(progress_target(quiet));
+    let play = |policy: PolicyKind| {
+        let bar = bars.add(progress_bar(policy));
+        play_policy(scenario, &topology, &schedule, policy, seed, &bar)
     };
     let results: Vec<_> = thread::scope(|scope| {
         let threads: Vec<_> = policies
             .iter()
-            .map(|&kind| scope.spawn(move || play(kind)))
+            .map(|&policy| scope.spawn(move || play(policy)))
             .collect();
         threads.into_iter().map(|thread| thread.join()).collect()
     });
@@ -164,34 +159,38 @@
     Ok(FleetReport::new(scenario, &topology, reports))
 }
 
-fn progress_bar(kind: PolicyKind) -> ProgressBar {
+fn progress_target(quiet: bool) -> ProgressDrawTarget {
+    if quiet {
+        ProgressDrawTarget::hidden()
+    } else {
+        ProgressDrawTarget::stderr()
+    }
+}
+
+fn progress_bar(policy: PolicyKind) -> ProgressBar {
     let style =
         ProgressStyle::with_template("{prefix:>12} {bar:40} {pos}/{len} ms of virtual time, {eta}");
-    let style = style.unwrap_or_else(|_| ProgressStyle::default_bar());
     ProgressBar::new(0)
-        .with_style(style)
-        .with_prefix(kind.to_string())
+        .with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
+        .with_prefix(policy.to_string())
 }
 
 fn play_policy(
     scenario: &FleetScenario,
     topology: &Topology,
-    plan: &Plan,
-    kind: PolicyKind,
+    schedule: &FaultSchedule,
+    policy: PolicyKind,
     seed: u64,
     bar: &ProgressBar,
 ) -> Result<PolicyReport, LabError> {
     let began = Instant::now();
-    let factory = policy::factory(kind);
-    let simulation = Simulation::new(scenario, topology, plan, &*factory, seed);
-    let mut simulation = simulation.map_err(|error| LabError::Failed(error.to_string()))?;
+    let factory = policy::factory(policy);
+    let mut simulation = Simulation::new(scenario, topology, schedule, &*factory, seed)
+        .map_err(|error| LabError::Failed(error.to_string()))?;
     simulation.run(bar);
     bar.finish();
-    let report = simulation.report(&kind.to_string());
-    tracing::info!(
-        "{kind}: {} events in {:.1} s",
-        report.events,
-        began.elapsed().as_secs_f64()
-    );
+    let report = simulation.report(&policy.to_string());
+    let elapsed_s = began.elapsed().as_secs_f64();
+    tracing::info!(%policy, events = report.events, elapsed_s, "policy played");
     Ok(report)
 }
--- a/lab/src/fleet/plot.rs
+++ b/lab/src/fleet/plot.rs
@@ -1,4 +1,4 @@
-//! The time series of a play as an SVG file.
+//! The time series of a run as an SVG file.
 
 use super::report::{FleetReport, PolicyReport, SecondReport};
 use crate::error::LabError;
@@ -29,7 +29,7 @@
 const CHARTS: [Chart; 3] = [
     Chart {
         title: "Answered in time, part of the calls made in that second",
-        value: in_time,
+        value: within_objective,
     },
     Chart {
         title: "Refused, failed or without an answer, part of the calls",
@@ -45,13 +45,13 @@
     count as f64 / second.calls.offered.max(1) as f64
 }
 
-fn in_time(second: &SecondReport) -> f64 {
-    fraction(second.calls.in_time, second)
+fn within_objective(second: &SecondReport) -> f64 {
+    fraction(second.calls.within_objective, second)
 }
 
 fn not_served(second: &SecondReport) -> f64 {
     fraction(
-        second.calls.refused + second.calls.failed + second.calls.timed_out,
+        second.calls.rejected + second.calls.failed + second.calls.timed_out,
         second,
     )
 }
--- /dev/null
+++ b/lab/src/fleet/policy/mod.rs
@@ -0,0 +1,93 @@
+//! What decides in a proxy: the decision module, or one of two baselines.
+
+mod baseline;
+
+use super::backend::EmulatedBackend;
+use baseline::Baseline;
+use serde::Serialize;
+use std::fmt;
+use tillerproxy::api::{Action, BackendId, Event, Micros, Settings, SettingsError};
+use tillerproxy::balancer::Balancer;
+
+/// Name of a policy on the command line and in results.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
+#[serde(rename_all = "kebab-case")]
+pub enum PolicyKind {
+    /// The decision module.
+    Module,
+    /// Random choice among the backends that are ready.
+    Random,
+    /// The shorter of two true queues, which no proxy can know.
+    TwoChoices,
+}
+
+impl fmt::Display for PolicyKind {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Module => "module",
+            Self::Random => "random",
+            Self::TwoChoices => "two-choices",
+        })
+    }
+}
+
+/// The true load of the backends, for baselines that know it.
+pub trait TrueLoad {
+    /// Returns the number of attempts that a backend holds, running or queued.
+    fn in_flight(&self, backend: BackendId) -> u32;
+}
+
+impl TrueLoad for Vec<EmulatedBackend> {
+    fn in_flight(&self, backend: BackendId) -> u32 {
+        self[backend as usize].in_flight()
+    }
+}
+
+/// The decisions of one proxy.
+pub trait Policy {
+    /// Handles one event and appends the actions that it asks for.
+    fn handle(
+        &mut self,
+        now: Micros,
+        event: Event<'_>,
+        true_load: &dyn TrueLoad,
+        actions: &mut Vec<Action>,
+    );
+}
+
+/// Creates the policy of a proxy from its settings, its seed and the time of its start.
+pub type PolicyFactory =
+    dyn Fn(Settings, u64, Micros) -> Result<Box<dyn Policy>, SettingsError> + Sync;
+
+/// Returns the factory of a policy.
+#[must_use]
+pub fn factory(kind: PolicyKind) -> Box<PolicyFactory> {
+    match kind {
+        PolicyKind::Module => Box::new(|settings, seed, now| {
+            let balancer = Balancer::new(settings, seed, now)?;
+            Ok(Box::new(DecisionModule(balancer)) as Box<dyn Policy>)
+        }),
+        PolicyKind::Random => Box::new(|settings, seed, _| baseline(settings, seed, 1)),
+        PolicyKind::TwoChoices => Box::new(|settings, seed, _| baseline(settings, seed, 2)),
+    }
+}
+
+fn baseline(settings: Settings, seed: u64, choices: u32) -> Result<Box<dyn Policy>, SettingsError> {
+    settings.validate()?;
+    Ok(Box::new(Baseline::new(settings, seed, choices)))
+}
+
+/// The decision module.
+struct DecisionModule(Balancer);
+
+impl Policy for DecisionModule {
+    fn handle(
+        &mut self,
+        now: Micros,
+        event: Event<'_>,
+        _: &dyn TrueLoad,
+        actions: &mut Vec<Action>,
+    ) {
+        self.0.handle(now, event, actions);
+    }
+}
--- a/lab/src/fleet/request.rs
+++ b/lab/src/fleet/request.rs
@@ -1,64 +1,81 @@
 //! Requests and attempts as the emulation tracks them, outside of the policies.
 
-use super::backend::{AttemptPlace, LoadReport};
-use super::discovery::ProxyNumber;
-use super::scenario::MOST_ATTEMPTS;
-use tillerproxy::api::{BackendId, Micros, Outcome, RequestId};
+use super::backend::LoadReport;
+use super::client::ClientCall;
+use super::ids::ProxyIndex;
+use super::scenario::MAX_TRACKED_ATTEMPTS;
+use super::slab::Key;
+use tillerproxy::api::{BackendId, ClassIndex, Micros, Outcome, RequestId};
 
-/// What is known of whether an attempt ran.
+/// Key of a client's call.
+pub type CallKey = Key<ClientCall>;
+
+/// Key of a request.
+pub type RequestKey = Key<TrackedRequest>;
+
+/// Key of an attempt.
+pub type AttemptKey = Key<Attempt>;
+
+/// Whether an attempt was executed, as far as its proxy knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AttemptState {
     /// It has no outcome yet.
     #[default]
-    Out,
-    /// Its outcome proves that it never ran.
-    NeverRan,
-    /// It may have run.
-    MayHaveRun,
+    InFlight,
+    /// Its outcome proves that it was not executed.
+    NotExecuted,
+    /// It may have been executed.
+    MaybeExecuted,
 }
 
-/// An attempt as the rules see it.
+/// An attempt as the safety rules see it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SentAttempt {
     /// Where it went.
     pub backend: BackendId,
-    /// When.
+    /// When it was sent.
     pub sent_at: Micros,
-    /// What is known of it.
+    /// Whether it was executed.
     pub state: AttemptState,
-    /// Its place in the table of attempts.
-    pub place: AttemptPlace,
+    /// Its key in the table of attempts.
+    pub key: AttemptKey,
 }
 
-/// One try of a client, as a proxy has it.
+/// One attempt of a client, as a request to a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct TrackedRequest {
-    /// Its id, new with each try.
+    /// Its id, new with each attempt of the client.
     pub id: RequestId,
-    /// The call that it is a try of.
-    pub call: u32,
-    /// Position of its class.
-    pub class: u8,
+    /// The call that it belongs to.
+    pub call: CallKey,
+    /// Its class.
+    pub class: ClassIndex,
     /// The proxy that it goes to.
-    pub proxy: ProxyNumber,
-    /// The life of that proxy in which it arrived.
+    pub proxy: ProxyIndex,
+    /// The incarnation of the proxy that accepted it.
     pub incarnation: u32,
     /// When the client gives it up.
     pub deadline: Micros,
-    /// A living proxy has taken it.
-    pub taken: bool,
-    /// It has its final answer.
+    /// Whether a running proxy has accepted it.
+    pub accepted: bool,
+    /// Whether it has its final answer.
     pub answered: bool,
-    /// The client waits for it no longer.
-    pub client_gone: bool,
-    attempts: [SentAttempt; MOST_ATTEMPTS as usize],
-    count: u8,
+    /// Whether the client has stopped waiting for it.
+    pub abandoned: bool,
+    attempts: [SentAttempt; MAX_TRACKED_ATTEMPTS as usize],
+    attempt_count: u8,
 }
 
 impl TrackedRequest {
-    /// A request on its way to a proxy.
+    /// Creates a request on its way to a proxy.
     #[must_use]
-    pub fn new(id: RequestId, call: u32, class: u8, proxy: ProxyNumber, deadline: Micros) -> Self {
+    pub fn new(
+        id: RequestId,
+        call: CallKey,
+        class: ClassIndex,
+        proxy: ProxyIndex,
+        deadline: Micros,
+    ) -> Self {
         Self {
             id,
             call,
@@ -66,58 +83,65 @@
             proxy,
             incarnation: 0,
             deadline,
-            taken: false,
+            accepted: false,
             answered: false,
-            client_gone: false,
-            attempts: [SentAttempt::default(); MOST_ATTEMPTS as usize],
-            count: 0,
+            abandoned: false,
+            attempts: [SentAttempt::default(); MAX_TRACKED_ATTEMPTS as usize],
+            attempt_count: 0,
         }
     }
 
-    /// The attempts so far.
+    /// Returns whether the client still waits for an answer.
+    #[must_use]
+    pub fn is_pending(&self) -> bool {
+        !self.answered && !self.abandoned
+    }
+
+    /// Returns the attempts so far.
     #[must_use]
     pub fn attempts(&self) -> &[SentAttempt] {
-        &self.attempts[..usize::from(self.count)]
+        &self.attempts[..usize::from(self.attempt_count)]
     }
 
-    /// The attempts so far, to be changed.
+    /// Returns the attempts so far, mutable.
     pub fn attempts_mut(&mut self) -> &mut [SentAttempt] {
-        &mut self.attempts[..usize::from(self.count)]
+        &mut self.attempts[..usize::from(self.attempt_count)]
     }
 
-    /// Keeps an attempt; returns its number, or nothing where there are as many as can be tracked.
+    /// Adds an attempt; returns its number, or `None` where there are as many as can be tracked.
     pub fn add_attempt(&mut self, attempt: SentAttempt) -> Option<u16> {
-        let place = self.attempts.get_mut(usize::from(self.count))?;
-        *place = attempt;
-        self.count += 1;
-        Some(u16::from(self.count) - 1)
+        let number = self.attempt_count;
+        let entry = self.attempts.get_mut(usize::from(number))?;
+        *entry = attempt;
+        self.attempt_count += 1;
+        Some(u16::from(number))
     }
 
-    /// Whether an attempt is out.
+    /// Returns whether an attempt is in flight.
     #[must_use]
-    pub fn has_attempt_out(&self) -> bool {
+    pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts()
             .iter()
-            .any(|attempt| attempt.state == AttemptState::Out)
+            .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// The first attempt that may have run or is out.
+    /// Returns the first attempt that may have been executed or is in flight.
     #[must_use]
-    pub fn first_that_may_have_run(&self) -> Option<&SentAttempt> {
+    pub fn first_maybe_executed(&self) -> Option<&SentAttempt> {
         self.attempts()
             .iter()
-            .find(|attempt| attempt.state != AttemptState::NeverRan)
+            .find(|attempt| attempt.state != AttemptState::NotExecuted)
     }
 }
 
 /// An attempt on its way, at a backend, or on its way back.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// The place of its request.
-    pub request: u32,
-    /// The proxy's number, life and zone.
-    pub proxy: ProxyNumber,
-    /// The life of the proxy that sent it.
+    /// Its request.
+    pub request: RequestKey,
+    /// The proxy that sent it.
+    pub proxy: ProxyIndex,
+    /// The incarnation of that proxy.
     pub incarnation: u32,
     /// Where it goes.
     pub backend: BackendId,
@@ -127,14 +151,14 @@
     pub sent_at: Micros,
     /// Work, microseconds on a core of speed 1.
     pub work: f64,
-    /// How long a core takes, once one has begun.
-    pub service: Micros,
-    /// The outcome on its way back; taken once it arrives.
+    /// How long a core takes, once one has started.
+    pub service_time: Micros,
+    /// The outcome on its way back.
     pub outcome: Outcome,
     /// The load report on its way back.
-    pub report: LoadReport,
-    /// The proxy has its outcome.
-    pub settled: bool,
-    /// Its backend died while it held it: its end of work is void.
+    pub load_report: LoadReport,
+    /// Whether the proxy has its outcome.
+    pub ended: bool,
+    /// Whether its backend stopped while it held it: the scheduled end of its work is void.
     pub lost: bool,
 }
--- /dev/null
+++ b/lab/src/fleet/scenario/validation/timeline.rs
@@ -0,0 +1,147 @@
+//! Checks of the events of a timeline.
+
+use super::super::FleetScenario;
+use super::super::timeline::{
+    BackendCrash, BackendHang, BackendSlow, ConfigBurst, ProxyRestart, RackLoss, RollingRestart,
+    TenantSurge, TimelineEvent, TrafficShift, ZoneLoss,
+};
+use super::check::Check;
+
+/// Checks the figures of an event; `path` is its key in the scenario file.
+pub(super) fn check_event(
+    event: &TimelineEvent,
+    scenario: &FleetScenario,
+    path: &str,
+    check: &mut Check,
+) {
+    let mut check = EventCheck {
+        check,
+        path,
+        scenario,
+    };
+    check.not_negative(event.at_s(), "at_s");
+    match event {
+        TimelineEvent::RollingRestart(event) => check.rolling_restart(event),
+        TimelineEvent::ZoneLoss(event) => check.zone_loss(event),
+        TimelineEvent::RackLoss(event) => check.rack_loss(event),
+        TimelineEvent::RegionPartition(event) => check.positive(event.for_s, "for_s"),
+        TimelineEvent::DiscoveryDown(event) => check.positive(event.for_s, "for_s"),
+        TimelineEvent::WatchStall(event) => check.fraction(event.fraction, "fraction"),
+        TimelineEvent::ConfigBurst(event) => check.config_burst(event),
+        TimelineEvent::TenantSurge(event) => check.tenant_surge(event),
+        TimelineEvent::BackendSlow(event) => check.backend_slow(event),
+        TimelineEvent::BackendHang(event) => check.backend_hang(event),
+        TimelineEvent::BackendCrash(event) => check.backend_crash(event),
+        TimelineEvent::ProxyRestart(event) => check.proxy_restart(event),
+        TimelineEvent::TrafficShift(event) => check.traffic_shift(event),
+    }
+}
+
+/// Checks the figures of one event.
+struct EventCheck<'a> {
+    check: &'a mut Check,
+    /// The event's key in the scenario file.
+    path: &'a str,
+    scenario: &'a FleetScenario,
+}
+
+impl EventCheck<'_> {
+    fn key(&self, name: &str) -> String {
+        format!("{}.{name}", self.path)
+    }
+
+    fn positive(&mut self, value: f64, name: &str) {
+        self.check.positive(value, self.key(name));
+    }
+
+    fn not_negative(&mut self, value: f64, name: &str) {
+        self.check.not_negative(value, self.key(name));
+    }
+
+    fn fraction(&mut self, value: f64, name: &str) {
+        self.check.fraction(value, self.key(name));
+    }
+
+    fn zone(&mut self, zone: u16, name: &str) {
+        let zones = self.scenario.fleet.zones;
+        let problem = format!("{zone} must be under {zones} (the zones)");
+        self.check.that(zone < zones, self.key(name), problem);
+    }
+
+    fn return_after(&mut self, return_after_s: Option<f64>) {
+        self.not_negative(return_after_s.unwrap_or_default(), "return_after_s");
+    }
+
+    fn rolling_restart(&mut self, event: &RollingRestart) {
+        self.not_negative(event.over_s, "over_s");
+        self.fraction(event.fraction, "fraction");
+        self.not_negative(event.drain_s, "drain_s");
+        self.not_negative(event.down_s, "down_s");
+    }
+
+    fn zone_loss(&mut self, event: &ZoneLoss) {
+        self.zone(event.zone, "zone");
+        self.return_after(event.return_after_s);
+    }
+
+    fn rack_loss(&mut self, event: &RackLoss) {
+        self.zone(event.zone, "zone");
+        let rack = event.rack;
+        let racks = self.scenario.fleet.racks_per_zone;
+        let problem = format!("{rack} must be under {racks} (the racks)");
+        self.check.that(rack < racks, self.key("rack"), problem);
+        self.return_after(event.return_after_s);
+    }
+
+    fn config_burst(&mut self, event: &ConfigBurst) {
+        let problem = "must be 1 or more";
+        self.check
+            .that(event.endpoints > 0, self.key("entries"), problem);
+        self.not_negative(event.over_s, "over_s");
+    }
+
+    fn tenant_surge(&mut self, event: &TenantSurge) {
+        let tenant = event.tenant;
+        let tenants = self
+            .scenario
+            .tenants
+            .as_ref()
+            .map_or(0, |tenants| tenants.count);
+        let problem = format!("{tenant} must be under {tenants} (`tenants.count`)");
+        self.check
+            .that(tenant < tenants, self.key("tenant"), problem);
+        self.positive(event.for_s, "for_s");
+        let multiplies = event.multiple > 1.0;
+        self.check
+            .that(multiplies, self.key("multiple"), "must be above 1");
+    }
+
+    fn backend_slow(&mut self, event: &BackendSlow) {
+        self.positive(event.for_s, "for_s");
+        self.fraction(event.fraction, "fraction");
+        self.positive(event.factor, "factor");
+    }
+
+    fn backend_hang(&mut self, event: &BackendHang) {
+        self.positive(event.for_s, "for_s");
+        self.fraction(event.fraction, "fraction");
+    }
+
+    fn backend_crash(&mut self, event: &BackendCrash) {
+        self.fraction(event.fraction, "fraction");
+        self.return_after(event.return_after_s);
+    }
+
+    fn proxy_restart(&mut self, event: &ProxyRestart) {
+        self.not_negative(event.over_s, "over_s");
+        self.fraction(event.fraction, "fraction");
+        self.not_negative(event.down_s, "down_s");
+    }
+
+    fn traffic_shift(&mut self, event: &TrafficShift) {
+        self.zone(event.from_zone, "from_zone");
+        self.zone(event.to_zone, "to_zone");
+        self.positive(event.for_s.unwrap_or(1.0), "for_s");
+        self.fraction(event.fraction, "fraction");
+    }
+}
--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -1,266 +1,291 @@
-//! The way of an attempt: from its proxy to a backend, through its queue and cores, and back.
+//! Attempts in the simulation: from a proxy to a backend, through its queue and cores, and back.
 
-use super::super::backend::{Admission, Life};
-use super::super::proxy::ProxyLife;
-use super::super::request::{Attempt, AttemptState, SentAttempt};
+use super::super::backend::Admission;
+use super::super::process::ProcessState;
+use super::super::request::{Attempt, AttemptKey, AttemptState, RequestKey, SentAttempt};
+use super::super::rules::PendingSend;
 use super::super::scenario::milliseconds;
-use super::{SimEvent, Simulation};
+use super::{Simulation, SimulationEvent};
 use tillerproxy::api::{AttemptEnd, BackendId, Event, Micros, Outcome, RequestId};
 
 impl Simulation<'_> {
-    /// A policy sends a request to a backend.
+    /// Sends a request to a backend.
     pub(super) fn send(
         &mut self,
         now: Micros,
         id: RequestId,
         backend: BackendId,
-        give_up_at: Micros,
+        deadline: Micros,
     ) {
-        let Some(place) = self.place_of(id) else {
-            return self.checker.on_action_after_the_end();
+        let Some(request) = self.request_key(id) else {
+            self.checker.on_action_after_end();
+            return;
+        };
+        self.check_send(now, request, backend);
+        let Some(attempt) = self.add_attempt(now, request, backend) else {
+            return;
+        };
+        let from = self.proxies[self.attempts[attempt].proxy.index()].zone;
+        let to = self.topology.machines[backend as usize].zone;
+        self.metrics.attempts.proxy_attempts += 1;
+        self.metrics.attempts.cross_zone += u64::from(from != to);
+        if self.is_partitioned(from, to) {
+            self.time_out_connect(attempt);
+        } else {
+            let latency = self.latencies.draw(from, to);
+            let event = SimulationEvent::AttemptReachesBackend { attempt };
+            self.queue.push_after(latency, event);
+        }
+        let timeout = SimulationEvent::AttemptTimeout { attempt };
+        self.queue.push(deadline, timeout);
+    }
+
+    fn check_send(&mut self, now: Micros, request: RequestKey, backend: BackendId) {
+        let request = &self.requests[request];
+        let machines = &self.topology.machines;
+        let send = PendingSend {
+            now,
+            request,
+            class: &self.settings.classes[request.class.index()],
+            target: &machines[backend as usize],
+            known_backend: &self.proxies[request.proxy.index()].known_backends[backend as usize],
         };
-        let request = self.requests[place];
-        let proxy = &self.proxies[usize::from(request.proxy)];
-        let class = &self.settings.classes[usize::from(request.class)];
-        let (machines, known) = (&self.topology.machines, proxy.known[backend as usize]);
-        let machine_of = |attempt: &SentAttempt| machines[attempt.backend as usize];
-        let to = machines[backend as usize];
         self.checker
-            .on_send(now, &request, class, &to, &known, machine_of);
-        let (zone, incarnation) = (proxy.zone, proxy.incarnation);
-        let work = self.clients.calls[request.call].work;
+            .on_send(send, |attempt| machines[attempt.backend as usize]);
+    }
+
+    /// Adds an attempt to a request; `None` where it has as many as can be tracked.
+    fn add_attempt(
+        &mut self,
+        now: Micros,
+        request: RequestKey,
+        backend: BackendId,
+    ) -> Option<AttemptKey> {
+        let tracked = &self.requests[request];
         let attempt = Attempt {
-            request: place,
-            proxy: request.proxy,
-            incarnation,
+            request,
+            proxy: tracked.proxy,
+            incarnation: self.proxies[tracked.proxy.index()].incarnation,
             backend,
             number: 0,
             sent_at: now,
-            work,
-            service: 0,
+            work: self.clients.calls[tracked.call].work,
+            service_time: 0,
             outcome: Outcome::NotSent,
-            report: [0.0; 3],
-            settled: false,
+            load_report: [0.0; 3],
+            ended: false,
             lost: false,
         };
-        let attempt = self.attempts.insert(attempt, 2);
+        // The events of its way and of its timeout refer to it.
+        let key = self.attempts.insert(attempt, 2);
+        self.requests.retain(request);
         let sent = SentAttempt {
             backend,
             sent_at: now,
-            state: AttemptState::Out,
-            place: attempt,
+            state: AttemptState::InFlight,
+            key,
         };
-        self.requests.retain(place);
-        let Some(number) = self.requests[place].add_attempt(sent) else {
-            self.attempts.release(attempt);
-            return self.release_attempt(attempt);
+        let Some(number) = self.requests[request].add_attempt(sent) else {
+            self.attempts.release(key);
+            self.release_attempt(key);
+            return None;
         };
-        self.attempts[attempt].number = number;
-        self.metrics.attempts.attempts += 1;
-        self.metrics.attempts.cross_zone += u64::from(zone != to.zone);
-        if self.is_parted(zone, to.zone) {
-            self.fail_connect_later(attempt);
-        } else {
-            let way = self.latencies.draw(zone, to.zone);
-            self.queue
-                .push_after(way, SimEvent::ReachBackend { attempt });
-        }
-        self.queue
-            .push(give_up_at, SimEvent::AttemptTimeout { attempt });
-    }
-
-    fn is_parted(&self, from: u16, to: u16) -> bool {
-        self.partitioned && self.topology.region(from) != self.topology.region(to)
+        self.attempts[key].number = number;
+        Some(key)
     }
 
-    /// Nothing answers: the connection is given up after the dial timeout. Takes over a reference.
-    fn fail_connect_later(&mut self, attempt: u32) {
+    /// Fails an attempt that gets no answer to its connect after the connect timeout. Takes over a reference.
+    fn time_out_connect(&mut self, attempt: AttemptKey) {
         self.attempts[attempt].outcome = Outcome::ConnectFailed;
-        let dial = milliseconds(self.scenario.network.dial_timeout_ms);
-        self.queue.push_after(dial, SimEvent::ReachBack { attempt });
+        let connect_timeout = milliseconds(self.scenario.network.connect_timeout_ms);
+        let event = SimulationEvent::OutcomeReachesProxy { attempt };
+        self.queue.push_after(connect_timeout, event);
     }
 
-    /// Sends an outcome back. Takes over a reference.
-    fn send_back(&mut self, place: u32, outcome: Outcome) {
-        let Attempt { proxy, backend, .. } = self.attempts[place];
-        let report = self.backends[backend as usize].report();
-        let attempt = &mut self.attempts[place];
-        (attempt.outcome, attempt.report) = (outcome, report);
-        let from = self.topology.machines[backend as usize].zone;
-        let to = self.proxies[usize::from(proxy)].zone;
-        let way = self.latencies.draw(from, to);
-        self.queue
-            .push_after(way, SimEvent::ReachBack { attempt: place });
+    /// Sends an outcome to the proxy. Takes over a reference.
+    fn send_outcome(&mut self, key: AttemptKey, outcome: Outcome) {
+        let attempt = &mut self.attempts[key];
+        let backend = attempt.backend as usize;
+        attempt.outcome = outcome;
+        attempt.load_report = self.backends[backend].load_report();
+        let from = self.topology.machines[backend].zone;
+        let to = self.proxies[attempt.proxy.index()].zone;
+        let latency = self.latencies.draw(from, to);
+        let event = SimulationEvent::OutcomeReachesProxy { attempt: key };
+        self.queue.push_after(latency, event);
     }
 
-    pub(super) fn on_reach_backend(&mut self, now: Micros, place: u32) {
+    pub(super) fn on_reaches_backend(&mut self, now: Micros, key: AttemptKey) {
+        if self.is_skipped(key) {
+            self.release_attempt(key);
+            return;
+        }
         let Attempt {
             backend,
             work,
             proxy,
             ..
-        } = self.attempts[place];
-        if self.is_abandoned(place) && self.scenario.backends.skips_abandoned {
-            return self.release_attempt(place);
-        }
-        let known = self.proxies[usize::from(proxy)].known[backend as usize];
+        } = self.attempts[key];
+        let known_backend = &self.proxies[proxy.index()].known_backends[backend as usize];
         let target = &mut self.backends[backend as usize];
-        let informed = target.started.is_some() && known.started == target.started;
-        let fall = target.weigh(now, work, informed, &self.cold);
-        let admission = target.arrive(now, place, work, &self.cold);
-        match admission {
-            Admission::Started(service) => self.schedule_end(place, service),
+        let informed = target.started_at.is_some() && known_backend.started_at == target.started_at;
+        let collapse = target.add_slow_start_load(now, work, informed, &self.slow_start);
+        match target.admit(now, key, work, &self.slow_start) {
+            Admission::Started(service_time) => self.schedule_end_of_work(key, service_time),
             Admission::Queued => {}
-            Admission::Full => self.send_back(place, Outcome::Rejected),
-            Admission::Refused => self.send_back(place, Outcome::ConnectFailed),
-            Admission::Unreachable => self.fail_connect_later(place),
+            Admission::QueueFull => self.send_outcome(key, Outcome::Rejected),
+            Admission::ConnectionRefused => self.send_outcome(key, Outcome::ConnectFailed),
+            Admission::Unreachable => self.time_out_connect(key),
         }
-        if let Some(fall) = fall {
-            self.checker.on_fall(&fall);
-            self.backends[backend as usize].fallen = true;
-            self.stop_backend(now, backend, Life::Dead);
+        if let Some(collapse) = collapse {
+            self.checker.on_collapse(&collapse);
+            self.backends[backend as usize].collapsed = true;
+            self.stop_backend(now, backend, ProcessState::Crashed);
         }
     }
 
-    /// A core has begun with an attempt that its backend holds.
-    fn schedule_end(&mut self, attempt: u32, service: Micros) {
-        self.attempts[attempt].service = service;
+    /// Schedules the end of work that a core has started.
+    fn schedule_end_of_work(&mut self, attempt: AttemptKey, service_time: Micros) {
+        self.attempts[attempt].service_time = service_time;
         self.attempts.retain(attempt);
-        self.queue
-            .push_after(service, SimEvent::WorkDone { attempt });
+        let event = SimulationEvent::WorkFinishes { attempt };
+        self.queue.push_after(service_time, event);
     }
 
-    pub(super) fn on_work_done(&mut self, now: Micros, place: u32) {
+    pub(super) fn on_work_finishes(&mut self, now: Micros, key: AttemptKey) {
         let Attempt {
             backend,
-            service,
+            service_time,
             lost,
             ..
-        } = self.attempts[place];
-        if !lost && self.backends[backend as usize].finish(place, service) {
-            self.send_back(place, Outcome::Ok);
-            self.begin_waiting(now, backend);
+        } = self.attempts[key];
+        if !lost && self.backends[backend as usize].finish_work(key, service_time) {
+            self.send_outcome(key, Outcome::Ok);
+            self.start_queued(now, backend);
         }
-        self.release_attempt(place);
+        self.release_attempt(key);
     }
 
-    /// Begins what waits at a backend while it has free cores.
-    pub(super) fn begin_waiting(&mut self, now: Micros, backend: BackendId) {
-        while let Some(place) = self.backends[backend as usize].next_waiting() {
-            if self.is_abandoned(place) && self.scenario.backends.skips_abandoned {
-                self.release_attempt(place);
+    /// Starts the work on queued attempts of a backend while it has free cores.
+    fn start_queued(&mut self, now: Micros, backend: BackendId) {
+        while let Some(key) = self.backends[backend as usize].next_queued() {
+            if self.is_skipped(key) {
+                self.release_attempt(key);
                 continue;
             }
-            let work = self.attempts[place].work;
-            let service = self.backends[backend as usize].begin(now, place, work, &self.cold);
-            self.schedule_end(place, service);
+            let work = self.attempts[key].work;
+            let target = &mut self.backends[backend as usize];
+            let service_time = target.start_work(now, key, work, &self.slow_start);
+            self.schedule_end_of_work(key, service_time);
         }
     }
 
-    /// Whether nobody waits for an attempt any more: its proxy gave it up or died.
-    fn is_abandoned(&self, place: u32) -> bool {
-        let attempt = &self.attempts[place];
-        attempt.settled
-            || self.proxies[usize::from(attempt.proxy)].incarnation != attempt.incarnation
+    /// Returns whether a backend does no work on an attempt because its proxy gave it up or stopped.
+    fn is_skipped(&self, key: AttemptKey) -> bool {
+        let attempt = &self.attempts[key];
+        let proxy = &self.proxies[attempt.proxy.index()];
+        let abandoned = attempt.ended || proxy.incarnation != attempt.incarnation;
+        abandoned && self.scenario.backends.skips_abandoned
     }
 
-    /// A backend answers again: what it had finished while it hung goes out.
+    /// Resumes a hung backend: the responses to what it had finished are sent.
     pub(super) fn resume_backend(&mut self, now: Micros, backend: BackendId) {
-        for place in self.backends[backend as usize].resume() {
-            self.send_back(place, Outcome::Ok);
+        for key in self.backends[backend as usize].resume() {
+            self.send_outcome(key, Outcome::Ok);
         }
-        self.begin_waiting(now, backend);
+        self.start_queued(now, backend);
     }
 
-    /// A backend's attempts end with its process: reset where the machine tells so, else without a word.
-    pub(super) fn lose_attempts(&mut self, lost: Vec<u32>, life: Life) {
-        for place in lost {
-            self.attempts[place].lost = true;
-            if life == Life::Dead {
-                self.send_back(place, Outcome::Reset);
+    /// Ends the attempts of a backend that stopped: a crashed process resets their connections.
+    pub(super) fn lose_attempts(&mut self, lost: Vec<AttemptKey>, state: ProcessState) {
+        for key in lost {
+            self.attempts[key].lost = true;
+            if state == ProcessState::Crashed {
+                self.send_outcome(key, Outcome::Reset);
             } else {
-                self.release_attempt(place);
+                self.release_attempt(key);
             }
         }
     }
 
-    pub(super) fn on_reach_back(&mut self, now: Micros, place: u32) {
+    pub(super) fn on_outcome_reaches_proxy(&mut self, now: Micros, key: AttemptKey) {
         let Attempt {
             proxy,
             backend,
             outcome,
             ..
-        } = self.attempts[place];
+        } = self.attempts[key];
         let from = self.topology.machines[backend as usize].zone;
-        let cut = self.is_parted(from, self.proxies[usize::from(proxy)].zone);
-        if !cut || outcome == Outcome::ConnectFailed {
-            self.settle(now, place, outcome);
+        let to = self.proxies[proxy.index()].zone;
+        // The proxy itself notices that it cannot connect.
+        if outcome == Outcome::ConnectFailed || !self.is_partitioned(from, to) {
+            self.end_attempt(now, key, outcome);
         }
-        self.release_attempt(place);
+        self.release_attempt(key);
     }
 
-    pub(super) fn on_attempt_timeout(&mut self, now: Micros, place: u32) {
-        self.settle(now, place, Outcome::Timeout);
-        self.release_attempt(place);
+    pub(super) fn on_attempt_timeout(&mut self, now: Micros, key: AttemptKey) {
+        self.end_attempt(now, key, Outcome::Timeout);
+        self.release_attempt(key);
     }
 
-    /// A policy withdraws an attempt; its outcome comes with the next events of this time.
+    /// Cancels an attempt; its outcome comes with the next events of this time.
     pub(super) fn cancel(&mut self, now: Micros, id: RequestId, number: u16) {
-        let Some(request) = self.place_of(id) else {
+        let Some(request) = self.request_key(id) else {
             return;
         };
-        let Some(sent) = self.requests[request].attempts().get(usize::from(number)) else {
+        let attempts = self.requests[request].attempts();
+        let Some(&sent) = attempts.get(usize::from(number)) else {
             return;
         };
-        let attempt = sent.place;
-        if sent.state == AttemptState::Out {
-            self.attempts.retain(attempt);
-            self.attempts[attempt].outcome = Outcome::Cancelled;
-            self.queue.push(now, SimEvent::ReachBack { attempt });
+        if sent.state == AttemptState::InFlight {
+            self.attempts.retain(sent.key);
+            self.attempts[sent.key].outcome = Outcome::Cancelled;
+            let event = SimulationEvent::OutcomeReachesProxy { attempt: sent.key };
+            self.queue.push(now, event);
         }
     }
 
-    /// An attempt's one outcome reaches its proxy, if that still lives.
-    fn settle(&mut self, now: Micros, place: u32, outcome: Outcome) {
-        let attempt = self.attempts[place];
-        if attempt.settled {
+    /// Gives an attempt its one outcome, if its proxy still runs.
+    fn end_attempt(&mut self, now: Micros, key: AttemptKey, outcome: Outcome) {
+        let attempt = self.attempts[key];
+        if attempt.ended {
             return;
         }
-        self.attempts[place].settled = true;
-        let proxy = &self.proxies[usize::from(attempt.proxy)];
-        if proxy.life != ProxyLife::Up || proxy.incarnation != attempt.incarnation {
+        self.attempts[key].ended = true;
+        let proxy = &self.proxies[attempt.proxy.index()];
+        if !proxy.is_running() || proxy.incarnation != attempt.incarnation {
             return;
         }
         self.count(outcome);
         let request = &mut self.requests[attempt.request];
-        let never_ran = outcome.is_not_executed();
-        request.attempts_mut()[usize::from(attempt.number)].state = if never_ran {
-            AttemptState::NeverRan
-        } else {
-            AttemptState::MayHaveRun
-        };
-        if outcome == Outcome::Ok && !request.answered && !request.client_gone {
+        request.attempts_mut()[usize::from(attempt.number)].state = state_after(outcome);
+        if outcome == Outcome::Ok && request.is_pending() {
             self.serve(now, attempt.request);
         }
         let request = &self.requests[attempt.request];
-        let with_report = self.scenario.backends.load_reports && outcome == Outcome::Ok;
-        let settled = AttemptEnd {
+        let carries_report = self.scenario.backends.load_reports && outcome == Outcome::Ok;
+        let end = AttemptEnd {
             request: request.id,
             backend: attempt.backend,
             attempt: attempt.number,
             outcome,
-            request_answered: request.answered || request.client_gone,
+            request_answered: !request.is_pending(),
             elapsed: now - attempt.sent_at,
-            load_report: if with_report { &attempt.report } else { &[] },
+            load_report: if carries_report {
+                &attempt.load_report
+            } else {
+                &[]
+            },
             body_consumed: false,
         };
-        self.tell_policy(now, attempt.proxy, Event::AttemptEnded(settled));
+        self.notify_policy(now, attempt.proxy, Event::AttemptEnded(end));
     }
 
     fn count(&mut self, outcome: Outcome) {
         let counts = &mut self.metrics.attempts;
         match outcome {
-            Outcome::Rejected => counts.full += 1,
+            Outcome::Rejected => counts.rejected += 1,
             Outcome::Timeout => counts.timeouts += 1,
             Outcome::ConnectFailed => counts.connect_failures += 1,
             Outcome::Reset => counts.resets += 1,
@@ -268,3 +293,11 @@
         }
     }
 }
+
+fn state_after(outcome: Outcome) -> AttemptState {
+    if outcome.is_not_executed() {
+        AttemptState::NotExecuted
+    } else {
+        AttemptState::MaybeExecuted
+    }
+}
--- /dev/null
+++ b/lab/src/fleet/simulation/changes.rs
@@ -0,0 +1,110 @@
+//! Changes of the fault schedule in the simulation: backends and proxies that stop and start.
+
+use super::super::faults::FleetChange;
+use super::super::ids::ProxyIndex;
+use super::super::process::ProcessState;
+use super::super::scenario::seconds;
+use super::{Simulation, SimulationEvent};
+use rand::Rng;
+use tillerproxy::api::{Backend, BackendId, Event, MembershipEvent, Micros, Readiness};
+
+impl Simulation<'_> {
+    pub(super) fn on_fleet_change(&mut self, now: Micros, index: u32) {
+        match self.schedule.changes[index as usize].change {
+            FleetChange::DrainBackend(backend) => self.drain_backend(backend),
+            FleetChange::StopBackend(backend, state) => {
+                if self.backends[backend as usize].is_running() {
+                    self.stop_backend(now, backend, state);
+                }
+            }
+            FleetChange::StartBackend(backend, state) => self.start_backend(now, backend, state),
+            FleetChange::SlowBackend(backend, factor) => {
+                self.backends[backend as usize].slowdown = factor;
+            }
+            FleetChange::HangBackend(backend) => self.backends[backend as usize].hung = true,
+            FleetChange::ResumeBackend(backend) => self.resume_backend(now, backend),
+            FleetChange::RepublishBackend(backend) => self.republish(backend),
+            FleetChange::StopProxy(proxy, state) => self.stop_proxy(now, proxy, state),
+            FleetChange::StartProxy(proxy) => self.start_proxy(now, proxy),
+            FleetChange::PartitionRegions => self.partitioned = true,
+            FleetChange::HealPartition => self.partitioned = false,
+            FleetChange::StopDiscovery => self.stop_discovery(now),
+            FleetChange::StartDiscovery => self.discovery.service.start(),
+            FleetChange::StallWatch(proxy) => self.discovery.service.stall_watch(proxy),
+            FleetChange::BeginSurge(surge) => self.begin_surge(now, surge),
+            FleetChange::BeginShift(shift) => self.clients.front.shifts.push(shift),
+            FleetChange::EndShift(shift) => {
+                self.clients.front.shifts.retain(|&other| other != shift);
+            }
+        }
+    }
+
+    fn drain_backend(&mut self, backend: BackendId) {
+        if self.backends[backend as usize].is_running() {
+            self.change_readiness(backend, Readiness::Draining);
+        }
+    }
+
+    pub(super) fn stop_backend(&mut self, now: Micros, backend: BackendId, state: ProcessState) {
+        tracing::trace!(backend, now, ?state, "backend stopped");
+        let lost = self.backends[backend as usize].stop(state);
+        self.lose_attempts(lost, state);
+        self.change_endpoint(backend, Readiness::Removed, None);
+    }
+
+    fn start_backend(&mut self, now: Micros, backend: BackendId, stopped_state: ProcessState) {
+        let target = &mut self.backends[backend as usize];
+        if target.state == stopped_state && target.start(now) {
+            self.checker.on_backend_start();
+            self.change_endpoint(backend, Readiness::Ready, Some(now));
+        }
+    }
+
+    fn stop_proxy(&mut self, now: Micros, proxy: ProxyIndex, state: ProcessState) {
+        let target = &mut self.proxies[proxy.index()];
+        if !target.is_running() {
+            return;
+        }
+        target.state = state;
+        target.incarnation += 1;
+        if state == ProcessState::Crashed {
+            self.reset_clients(now, proxy);
+        }
+        let detection_delay = seconds(self.scenario.clients.dead_proxy_detection_s);
+        let event = SimulationEvent::FrontLearnsState { proxy };
+        self.queue.push_after(detection_delay, event);
+    }
+
+    /// Starts a proxy's process with the endpoint list that it held.
+    fn start_proxy(&mut self, now: Micros, proxy: ProxyIndex) {
+        let seed = self.proxy_seeds.random();
+        let target = &self.proxies[proxy.index()];
+        if target.is_running() {
+            return;
+        }
+        let settings = self.proxy_settings(proxy, target.zone);
+        let Ok(policy) = (self.factory)(settings, seed, now) else {
+            return;
+        };
+        let target = &mut self.proxies[proxy.index()];
+        target.state = ProcessState::Running;
+        target.policy = policy;
+        target.watcher.restart();
+        let endpoints = target.cached_endpoints(self.discovery.service.endpoints());
+        self.start_policy(proxy, &endpoints);
+        let event = SimulationEvent::FrontLearnsState { proxy };
+        self.queue.push(now, event);
+    }
+
+    /// Gives the policy of a process that starts its cached endpoint list.
+    pub(super) fn start_policy(&mut self, proxy: ProxyIndex, cached: &[Backend]) {
+        let event = Event::Membership(MembershipEvent::Cached(cached));
+        self.notify_policy(self.queue.now(), proxy, event);
+    }
+
+    pub(super) fn on_front_learns_state(&mut self, proxy: ProxyIndex) {
+        let alive = self.proxies[proxy.index()].is_running();
+        let front = &mut self.clients.front;
+        front.set_alive(self.topology, proxy, alive);
+    }
+}
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -1,299 +1,322 @@
-//! Clients in the simulation: arrivals, tries, answers, and clients that leave or give up.
+//! Clients in the simulation: arrivals, attempts, answers, timeouts and disconnections.
 
 use super::super::client::{
-    Allowances, ArrivalStream, ClientCall, Demand, Front, RetryBehavior, TryEnd,
+    ArrivalProcess, AttemptFailure, ClientCall, FrontLoadBalancer, RetryPolicy, TenantQuotas,
+    TrafficMix,
 };
+use super::super::ids::ProxyIndex;
 use super::super::metrics::CallEnd;
-use super::super::proxy::ProxyLife;
-use super::super::request::TrackedRequest;
+use super::super::process::ProcessState;
+use super::super::request::{CallKey, RequestKey, TrackedRequest};
 use super::super::scenario::{FleetScenario, milliseconds, seconds};
 use super::super::slab::RefSlab;
 use super::super::topology::Topology;
-use super::{SimEvent, Simulation};
-use tillerproxy::api::{ClassIndex, Event, Micros, Request, RequestId, Settings, TenantIndex};
+use super::{Simulation, SimulationEvent};
+use tillerproxy::api::{Event, Micros, Request, RequestId, Settings};
 
-/// What the simulation keeps of the clients.
-pub(super) struct ClientSide {
-    pub(super) demand: Demand,
-    /// What tenants may ask for, which decides the worth of their calls.
-    allowances: Allowances,
-    streams: Vec<ArrivalStream>,
-    pub(super) front: Front,
-    retries: RetryBehavior,
+/// The clients of the simulation.
+pub(super) struct ClientState {
+    traffic: TrafficMix,
+    /// Quotas that decide the priority weight of calls.
+    quotas: TenantQuotas,
+    /// The usual traffic, then that of each surge.
+    arrivals: Vec<ArrivalProcess>,
+    pub(super) front: FrontLoadBalancer,
+    retries: RetryPolicy,
     pub(super) calls: RefSlab<ClientCall>,
 }
 
-impl ClientSide {
-    /// Clients before their first call.
+impl ClientState {
+    /// Creates the clients before their first call.
     pub(super) fn new(
         scenario: &FleetScenario,
         topology: &Topology,
-        demand: Demand,
+        traffic: TrafficMix,
         settings: &Settings,
         seed: u64,
     ) -> Self {
         let until = seconds(scenario.duration_s);
+        let usual_traffic = ArrivalProcess::new(traffic.calls_per_s, 0, until, None, seed, 0);
+        let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s);
         Self {
-            allowances: Allowances::new(settings.tenants.iter().map(|tenant| tenant.quota_per_s)),
-            streams: vec![ArrivalStream::new(demand.rate, 0, until, None, seed, 0)],
-            demand,
-            front: Front::new(topology),
-            retries: RetryBehavior::new(&scenario.clients, seed),
+            quotas: TenantQuotas::new(quotas),
+            arrivals: vec![usual_traffic],
+            traffic,
+            front: FrontLoadBalancer::new(topology),
+            retries: RetryPolicy::new(&scenario.clients, seed),
             calls: RefSlab::new(),
         }
     }
 }
 
 impl Simulation<'_> {
-    pub(super) fn schedule_arrival(&mut self, stream: u32) {
-        if let Some(at) = self.clients.streams[stream as usize].next_arrival() {
-            self.queue.push(at, SimEvent::Arrival { stream });
+    pub(super) fn schedule_arrival(&mut self, process: u32) {
+        if let Some(at) = self.clients.arrivals[process as usize].next_arrival() {
+            let event = SimulationEvent::CallArrives { process };
+            self.queue.push(at, event);
         }
     }
 
-    /// A tenant's surge begins: a further stream of arrivals.
-    pub(super) fn begin_surge(&mut self, now: Micros, number: u32) {
-        let surge = self.plan.surges[number as usize];
-        let rate = self.clients.demand.rate
-            * self.clients.demand.tenant_share(surge.tenant)
-            * (surge.multiple - 1.0);
-        let index = self.clients.streams.len();
-        let (until, tenant) = (surge.until, Some(surge.tenant));
-        self.clients.streams.push(ArrivalStream::new(
-            rate,
+    /// Begins a tenant's surge with an arrival process of its own.
+    pub(super) fn begin_surge(&mut self, now: Micros, index: u32) {
+        let surge = self.schedule.surges[index as usize];
+        let traffic = &self.clients.traffic;
+        let usual_rate = traffic.calls_per_s * traffic.tenant_fraction(surge.tenant);
+        let arrivals = ArrivalProcess::new(
+            usual_rate * (surge.multiple - 1.0),
             now,
-            until,
-            tenant,
+            surge.until,
+            Some(surge.tenant),
             self.seed,
-            u64::from(number) + 1,
-        ));
-        self.schedule_arrival(index as u32);
+            // Number 0 is the usual traffic.
+            u64::from(index) + 1,
+        );
+        let process = self.clients.arrivals.len() as u32;
+        self.clients.arrivals.push(arrivals);
+        self.schedule_arrival(process);
     }
 
-    pub(super) fn on_arrival(&mut self, now: Micros, stream: u32) {
-        let mut call = self.clients.streams[stream as usize].draw(now, &self.clients.demand);
-        call.worth = self.scenario.classes[usize::from(call.class)].worth;
-        if !self.clients.allowances.take(now, call.tenant) {
-            call.worth *= self.settings.over_quota_weight;
+    pub(super) fn on_call_arrives(&mut self, now: Micros, process: u32) {
+        let arrivals = &mut self.clients.arrivals[process as usize];
+        let mut call = arrivals.draw_call(now, &self.clients.traffic);
+        call.priority_weight = self.scenario.classes[call.class.index()].priority_weight;
+        if !self.clients.quotas.try_take(now, call.tenant) {
+            call.priority_weight *= self.settings.over_quota_weight;
         }
-        self.schedule_arrival(stream);
-        let place = self.clients.calls.insert(call, 1);
-        self.begin_try(now, place, call.way);
+        self.schedule_arrival(process);
+        let key = self.clients.calls.insert(call, 1);
+        self.start_client_attempt(now, key, call.proxy_draw);
     }
 
-    pub(super) fn on_retry(&mut self, now: Micros, call: u32) {
+    pub(super) fn on_client_retries(&mut self, now: Micros, call: CallKey) {
         if self.clients.calls[call].ended {
             self.clients.calls.release(call);
             return;
         }
-        let way = self.clients.retries.draw_way();
-        self.begin_try(now, call, way);
+        let proxy_draw = self.clients.retries.draw_proxy();
+        self.start_client_attempt(now, call, proxy_draw);
     }
 
-    /// Sends a client's next try on its way. Takes over a reference to the call.
-    fn begin_try(&mut self, now: Micros, place: u32, way: f64) {
-        self.metrics.attempts.tries += 1;
-        self.clients.calls[place].tries += 1;
-        let call = self.clients.calls[place];
-        let class = &self.scenario.classes[usize::from(call.class)];
-        let Some(proxy) = self.clients.front.choose(&call, way) else {
-            self.end_call(place, CallEnd::Failed);
-            self.clients.calls.release(place);
+    /// Starts the next attempt of a client. Takes over a reference to the call.
+    fn start_client_attempt(&mut self, now: Micros, key: CallKey, proxy_draw: f64) {
+        self.metrics.attempts.client_attempts += 1;
+        self.clients.calls[key].attempts += 1;
+        let call = self.clients.calls[key];
+        let Some(proxy) = self.clients.front.choose(&call, proxy_draw) else {
+            self.end_call(key, CallEnd::Failed);
+            self.clients.calls.release(key);
             return;
         };
-        let deadline = self.clients.retries.try_deadline(now, &call, class);
-        let leaves_at = self
-            .clients
-            .retries
-            .leaves_at(&call, class)
-            .filter(|_| call.tries == 1);
-        let id = self.places.len() as RequestId;
-        let request = TrackedRequest::new(id, place, call.class, proxy, deadline);
-        let request = self.requests.insert(request, 2);
-        self.places.push(request);
-        let way_there = self.client_latency();
-        self.queue
-            .push_after(way_there, SimEvent::ReachProxy { request });
-        let slack = milliseconds(self.scenario.safety.answer_slack_ms);
-        self.queue
-            .push(deadline + slack, SimEvent::ClientTimeout { request });
-        if let Some(at) = leaves_at {
+        let class = &self.scenario.classes[call.class.index()];
+        let deadline = self.clients.retries.attempt_deadline(now, &call, class);
+        let request = self.add_request(key, proxy, deadline);
+        self.schedule_request(request, deadline);
+        if call.attempts == 1
+            && let Some(at) = self.clients.retries.disconnects_at(&call, class)
+        {
             self.requests.retain(request);
-            self.queue.push(at, SimEvent::ClientLeaves { request });
+            let event = SimulationEvent::ClientDisconnects { request };
+            self.queue.push(at, event);
         }
     }
 
+    fn add_request(&mut self, call: CallKey, proxy: ProxyIndex, deadline: Micros) -> RequestKey {
+        let id = self.request_keys.len() as RequestId;
+        let class = self.clients.calls[call].class;
+        let request = TrackedRequest::new(id, call, class, proxy, deadline);
+        // The events of its way and of its timeout refer to it.
+        let key = self.requests.insert(request, 2);
+        self.request_keys.push(Some(key));
+        key
+    }
+
+    fn schedule_request(&mut self, request: RequestKey, deadline: Micros) {
+        let latency = self.client_latency();
+        let event = SimulationEvent::RequestReachesProxy { request };
+        self.queue.push_after(latency, event);
+        let grace = milliseconds(self.scenario.safety.answer_grace_ms);
+        let timeout = SimulationEvent::ClientTimeout { request };
+        self.queue.push(deadline + grace, timeout);
+    }
+
     fn client_latency(&mut self) -> Micros {
-        self.latencies
-            .with_jitter(milliseconds(self.scenario.clients.latency_ms) as f64)
+        let latency = milliseconds(self.scenario.clients.latency_ms) as f64;
+        self.latencies.with_jitter(latency)
     }
 
-    pub(super) fn on_reach_proxy(&mut self, now: Micros, place: u32) {
-        let request = self.requests[place];
-        let proxy = &self.proxies[usize::from(request.proxy)];
-        match proxy.life {
-            _ if request.client_gone => {}
-            ProxyLife::Up => {
-                let incarnation = proxy.incarnation;
-                let taken = &mut self.requests[place];
-                (taken.taken, taken.incarnation) = (true, incarnation);
-                self.checker.on_taken();
-                self.hand_over(now, place);
-            }
-            ProxyLife::Dead => {
-                let back = self.client_latency();
-                self.end_try(place, now + back, TryEnd::Unreachable);
-            }
-            ProxyLife::Vanished => {
-                let dial = milliseconds(self.scenario.network.dial_timeout_ms);
-                self.end_try(place, now + dial, TryEnd::Unreachable);
+    pub(super) fn on_request_reaches_proxy(&mut self, now: Micros, key: RequestKey) {
+        let request = self.requests[key];
+        if !request.abandoned {
+            match self.proxies[request.proxy.index()].state {
+                ProcessState::Running => self.accept_request(now, key),
+                ProcessState::Crashed => {
+                    let latency = self.client_latency();
+                    self.end_client_attempt(key, now + latency, AttemptFailure::Unreachable);
+                }
+                ProcessState::Unreachable => {
+                    let timeout = milliseconds(self.scenario.network.connect_timeout_ms);
+                    self.end_client_attempt(key, now + timeout, AttemptFailure::Unreachable);
+                }
             }
         }
-        self.release_request(place);
+        self.release_request(key);
     }
 
-    /// A request goes to the policy of the proxy that took it.
-    fn hand_over(&mut self, now: Micros, place: u32) {
-        let TrackedRequest {
-            id,
-            call,
-            class,
-            proxy,
-            deadline,
-            ..
-        } = self.requests[place];
-        let call = &self.clients.calls[call];
+    /// Gives a request to the policy of its proxy.
+    fn accept_request(&mut self, now: Micros, key: RequestKey) {
+        let tracked = &mut self.requests[key];
+        let proxy = tracked.proxy;
+        tracked.accepted = true;
+        tracked.incarnation = self.proxies[proxy.index()].incarnation;
+        let call = &self.clients.calls[tracked.call];
         let request = Request {
-            id,
-            class: ClassIndex(class),
-            tenant: TenantIndex(call.tenant),
+            id: tracked.id,
+            class: tracked.class,
+            tenant: call.tenant,
             key: Some(call.key),
-            timeout: deadline.saturating_sub(now),
+            timeout: tracked.deadline.saturating_sub(now),
             expected_work: None,
-            is_retry: call.tries > 1,
+            is_retry: call.attempts > 1,
         };
-        self.tell_policy(now, proxy, Event::Request(request));
+        self.checker.on_accepted();
+        self.notify_policy(now, proxy, Event::Request(request));
     }
 
-    /// A proxy's own final answer: a refusal with its retry-after, or a failure.
-    pub(super) fn answer(&mut self, now: Micros, id: RequestId, retry_after: Option<Micros>) {
-        let Some(place) = self.place_of(id) else {
-            return self.checker.on_action_after_the_end();
-        };
-        let request = &self.requests[place];
-        let class = &self.settings.classes[usize::from(request.class)];
-        self.checker
-            .on_answer(now, request, class, retry_after.is_some());
-        if request.answered || request.client_gone {
+    /// Answers a request with a rejection of the proxy.
+    pub(super) fn reject(&mut self, now: Micros, id: RequestId, retry_after: Micros) {
+        self.answer(now, id, AttemptFailure::Rejected { retry_after });
+    }
+
+    /// Answers a request with a failure of the proxy.
+    pub(super) fn fail(&mut self, now: Micros, id: RequestId) {
+        self.answer(now, id, AttemptFailure::Failed);
+    }
+
+    /// Gives a final answer that does not come from a backend.
+    fn answer(&mut self, now: Micros, id: RequestId, failure: AttemptFailure) {
+        let Some(key) = self.request_key(id) else {
+            self.checker.on_action_after_end();
             return;
+        };
+        let request = &self.requests[key];
+        let class = &self.settings.classes[request.class.index()];
+        let rejected = matches!(failure, AttemptFailure::Rejected { .. });
+        self.checker.on_answer(now, request, class, rejected);
+        if request.is_pending() {
+            self.requests[key].answered = true;
+            let latency = self.client_latency();
+            self.end_client_attempt(key, now + latency, failure);
         }
-        self.requests[place].answered = true;
-        let end = retry_after.map_or(TryEnd::Failed, |retry_after| TryEnd::Refused {
-            retry_after,
-        });
-        let back = self.client_latency();
-        self.end_try(place, now + back, end);
     }
 
-    /// A backend's answer goes to the client.
-    pub(super) fn serve(&mut self, now: Micros, place: u32) {
-        self.requests[place].answered = true;
+    /// Sends a backend's response to the client.
+    pub(super) fn serve(&mut self, now: Micros, key: RequestKey) {
+        self.requests[key].answered = true;
         let at = now + self.client_latency();
-        let TrackedRequest { call, deadline, .. } = self.requests[place];
-        if at > deadline {
-            return self.end_try(place, at, TryEnd::TimedOut);
+        let request = &mut self.requests[key];
+        if at > request.deadline {
+            self.end_client_attempt(key, at, AttemptFailure::TimedOut);
+            return;
         }
-        self.requests[place].client_gone = true;
-        let ClientCall { born, class, .. } = self.clients.calls[call];
-        let latency = at - born;
-        let in_time = latency <= milliseconds(self.scenario.classes[usize::from(class)].aim_ms);
-        self.end_call(call, CallEnd::Served { latency, in_time });
+        request.abandoned = true;
+        let call = request.call;
+        let ClientCall {
+            started_at, class, ..
+        } = self.clients.calls[call];
+        let objective_ms = self.scenario.classes[class.index()].latency_objective_ms;
+        let latency = at - started_at;
+        let end = CallEnd::Served {
+            latency,
+            within_objective: latency <= milliseconds(objective_ms),
+        };
+        self.end_call(call, end);
     }
 
-    /// A try ended without the answer that the client wants; it learns so at `at`.
-    pub(super) fn end_try(&mut self, place: u32, at: Micros, end: TryEnd) {
-        let request = &mut self.requests[place];
-        let end = if at > request.deadline {
-            TryEnd::TimedOut
+    /// Ends a client's attempt that was not served; the client learns it at `at`, and retries or gives up.
+    fn end_client_attempt(&mut self, key: RequestKey, at: Micros, failure: AttemptFailure) {
+        let request = &mut self.requests[key];
+        request.abandoned = true;
+        let failure = if at > request.deadline {
+            AttemptFailure::TimedOut
         } else {
-            end
+            failure
         };
-        request.client_gone = true;
-        let call_place = request.call;
-        let call = self.clients.calls[call_place];
+        let call_key = request.call;
+        let call = self.clients.calls[call_key];
         if call.ended {
             return;
         }
-        let class = &self.scenario.classes[usize::from(call.class)];
-        if let Some(wait) = self.clients.retries.wait(at, &call, class, end) {
-            self.clients.calls.retain(call_place);
-            self.queue
-                .push(at + wait, SimEvent::Retry { call: call_place });
+        let class = &self.scenario.classes[call.class.index()];
+        if let Some(backoff) = self.clients.retries.backoff(at, &call, class, failure) {
+            self.clients.calls.retain(call_key);
+            let event = SimulationEvent::ClientRetries { call: call_key };
+            self.queue.push(at + backoff, event);
             return;
         }
-        self.end_call(
-            call_place,
-            match end {
-                TryEnd::Refused { .. } => CallEnd::Refused,
-                TryEnd::Failed | TryEnd::Unreachable => CallEnd::Failed,
-                TryEnd::TimedOut => CallEnd::TimedOut,
-            },
-        );
+        let end = match failure {
+            AttemptFailure::Rejected { .. } => CallEnd::Rejected,
+            AttemptFailure::Failed | AttemptFailure::Unreachable => CallEnd::Failed,
+            AttemptFailure::TimedOut => CallEnd::TimedOut,
+        };
+        self.end_call(call_key, end);
     }
 
-    fn end_call(&mut self, place: u32, end: CallEnd) {
-        let call = &mut self.clients.calls[place];
+    fn end_call(&mut self, key: CallKey, end: CallEnd) {
+        let call = &mut self.clients.calls[key];
         if call.ended {
             return;
         }
         call.ended = true;
-        let class = &self.scenario.classes[usize::from(call.class)];
-        self.metrics.on_call_end(call, class.late_worth, end);
+        let class = &self.scenario.classes[call.class.index()];
+        self.metrics
+            .on_call_end(call, class.late_weight_factor, end);
     }
 
-    /// Whether the proxy that took a request still lives.
-    fn is_held(&self, request: &TrackedRequest) -> bool {
-        let proxy = &self.proxies[usize::from(request.proxy)];
-        request.taken && proxy.life == ProxyLife::Up && proxy.incarnation == request.incarnation
+    /// Returns whether the proxy that accepted a request still runs.
+    fn is_held_by_proxy(&self, request: &TrackedRequest) -> bool {
+        let proxy = &self.proxies[request.proxy.index()];
+        request.accepted && proxy.is_running() && proxy.incarnation == request.incarnation
     }
 
-    pub(super) fn on_client_timeout(&mut self, now: Micros, place: u32) {
-        let request = self.requests[place];
-        if !request.answered && !request.client_gone {
-            self.end_try(place, now, TryEnd::TimedOut);
-            if self.is_held(&request) {
-                self.checker.on_lost();
-                self.tell_policy(now, request.proxy, Event::ClientDisconnected(request.id));
+    pub(super) fn on_client_timeout(&mut self, now: Micros, key: RequestKey) {
+        let request = self.requests[key];
+        if request.is_pending() {
+            self.end_client_attempt(key, now, AttemptFailure::TimedOut);
+            if self.is_held_by_proxy(&request) {
+                self.checker.on_unanswered();
+                let event = Event::ClientDisconnected(request.id);
+                self.notify_policy(now, request.proxy, event);
             }
         }
-        self.release_request(place);
+        self.release_request(key);
     }
 
-    pub(super) fn on_client_leaves(&mut self, now: Micros, place: u32) {
-        let request = self.requests[place];
-        if !request.answered && !request.client_gone {
-            self.requests[place].client_gone = true;
-            self.end_call(request.call, CallEnd::Left);
-            if self.is_held(&request) {
-                self.tell_policy(now, request.proxy, Event::ClientDisconnected(request.id));
+    pub(super) fn on_client_disconnects(&mut self, now: Micros, key: RequestKey) {
+        let request = self.requests[key];
+        if request.is_pending() {
+            self.requests[key].abandoned = true;
+            self.end_call(request.call, CallEnd::Disconnected);
+            if self.is_held_by_proxy(&request) {
+                let event = Event::ClientDisconnected(request.id);
+                self.notify_policy(now, request.proxy, event);
             }
         }
-        self.release_request(place);
+        self.release_request(key);
     }
 
-    /// A proxy's process died: its clients' connections are reset.
-    pub(super) fn reset_clients_of(&mut self, now: Micros, proxy: u16) {
-        let lost: Vec<u32> = self
+    /// Resets the clients' connections to a proxy that crashed.
+    pub(super) fn reset_clients(&mut self, now: Micros, proxy: ProxyIndex) {
+        let reset: Vec<RequestKey> = self
             .requests
-            .places()
-            .filter(|&place| {
-                let request = &self.requests[place];
-                request.proxy == proxy && request.taken && !request.answered && !request.client_gone
+            .keys()
+            .filter(|&key| {
+                let request = &self.requests[key];
+                request.proxy == proxy && request.accepted && request.is_pending()
             })
             .collect();
-        for place in lost {
-            let back = self.client_latency();
-            self.end_try(place, now + back, TryEnd::Failed);
+        for key in reset {
+            let latency = self.client_latency();
+            self.end_client_attempt(key, now + latency, AttemptFailure::Failed);
         }
     }
 }
--- a/lab/src/fleet/slab.rs
+++ b/lab/src/fleet/slab.rs
@@ -1,53 +1,112 @@
-//! Storage for things that several pending events refer to; a place is used again once nothing refers to it.
+//! Storage for values that several pending events refer to; an entry is reused once nothing refers to it.
 
+use std::fmt;
+use std::marker::PhantomData;
 use std::ops::{Index, IndexMut};
 
-/// Values at places that stay the same, each with a count of references.
+/// The key of a value of type `T` in a [`RefSlab`].
+pub struct Key<T> {
+    index: u32,
+    value: PhantomData<fn() -> T>,
+}
+
+impl<T> Key<T> {
+    /// Makes the key of the entry at an index.
+    #[must_use]
+    pub const fn new(index: u32) -> Self {
+        Self {
+            index,
+            value: PhantomData,
+        }
+    }
+}
+
+// Derived implementations would demand the same traits of `T`.
+impl<T> Clone for Key<T> {
+    fn clone(&self) -> Self {
+        *self
+    }
+}
+
+impl<T> Copy for Key<T> {}
+
+impl<T> Default for Key<T> {
+    fn default() -> Self {
+        Self::new(0)
+    }
+}
+
+impl<T> PartialEq for Key<T> {
+    fn eq(&self, other: &Self) -> bool {
+        self.index == other.index
+    }
+}
+
+impl<T> Eq for Key<T> {}
+
+impl<T> fmt::Debug for Key<T> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "Key({})", self.index)
+    }
+}
+
+/// A value and the number of references to it; free entries have none.
+#[derive(Debug)]
+struct Entry<T> {
+    value: T,
+    references: u32,
+}
+
+/// Values with keys that stay the same, each with a count of references.
 #[derive(Debug)]
 pub struct RefSlab<T> {
-    places: Vec<(T, u32)>,
-    free: Vec<u32>,
+    entries: Vec<Entry<T>>,
+    free: Vec<Key<T>>,
 }
 
 impl<T> RefSlab<T> {
-    /// An empty slab.
+    /// Creates an empty slab.
     #[must_use]
     pub fn new() -> Self {
         Self {
-            places: Vec::new(),
+            entries: Vec::new(),
             free: Vec::new(),
         }
     }
 
-    /// Stores a value with `references` references and returns its place.
-    pub fn insert(&mut self, value: T, references: u32) -> u32 {
-        if let Some(place) = self.free.pop() {
-            self.places[place as usize] = (value, references);
-            return place;
+    /// Stores a value with `references` references and returns its key.
+    pub fn insert(&mut self, value: T, references: u32) -> Key<T> {
+        let entry = Entry { value, references };
+        if let Some(key) = self.free.pop() {
+            self.entries[key.index as usize] = entry;
+            return key;
         }
-        self.places.push((value, references));
-        (self.places.len() - 1) as u32
+        self.entries.push(entry);
+        Key::new((self.entries.len() - 1) as u32)
     }
 
     /// Adds a reference.
-    pub fn retain(&mut self, place: u32) {
-        self.places[place as usize].1 += 1;
+    pub fn retain(&mut self, key: Key<T>) {
+        self.entries[key.index as usize].references += 1;
     }
 
     /// Drops a reference. The value may be replaced after the last one; returns whether it was the last.
-    pub fn release(&mut self, place: u32) -> bool {
-        let references = &mut self.places[place as usize].1;
+    pub fn release(&mut self, key: Key<T>) -> bool {
+        let references = &mut self.entries[key.index as usize].references;
         *references -= 1;
         let last = *references == 0;
         if last {
-            self.free.push(place);
+            self.free.push(key);
         }
         last
     }
 
-    /// The places in use.
-    pub fn places(&self) -> impl Iterator<Item = u32> + '_ {
-        (0..self.places.len() as u32).filter(|&place| self.places[place as usize].1 > 0)
+    /// Iterates over the keys in use, in the order of their indices.
+    pub fn keys(&self) -> impl Iterator<Item = Key<T>> + '_ {
+        (0..)
+            .zip(&self.entries)
+            .filter(|(_, entry)| entry.references > 0)
+            .map(|(index, _)| Key::new(index))
     }
 }
 
@@ -57,15 +116,15 @@
     }
 }
 
-impl<T> Index<u32> for RefSlab<T> {
+impl<T> Index<Key<T>> for RefSlab<T> {
     type Output = T;
-    fn index(&self, place: u32) -> &T {
-        &self.places[place as usize].0
+    fn index(&self, key: Key<T>) -> &T {
+        &self.entries[key.index as usize].value
     }
 }
 
-impl<T> IndexMut<u32> for RefSlab<T> {
-    fn index_mut(&mut self, place: u32) -> &mut T {
-        &mut self.places[place as usize].0
+impl<T> IndexMut<Key<T>> for RefSlab<T> {
+    fn index_mut(&mut self, key: Key<T>) -> &mut T {
+        &mut self.entries[key.index as usize].value
     }
 }
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -1,4 +1,4 @@
-//! The result of a play as a table, one column for each policy.
+//! The result of a run as a table, one column for each policy.
 
 use super::report::{FleetReport, PolicyReport};
 use std::fmt;
@@ -26,10 +26,12 @@
             let offered = report.calls.offered.max(1);
             format!("{:.3}%", count as f64 * 100.0 / offered as f64)
         };
-        self.row(f, "worth in time", |r| format!("{:.4}", r.worth_in_time))?;
+        self.row(f, "worth in time", |r| {
+            format!("{:.4}", r.earned_weight_fraction)
+        })?;
         self.row(f, "calls counted", |r| r.calls.offered.to_string())?;
         self.row(f, "  late", |r| percentage(r.calls.late, r))?;
-        self.row(f, "  refused", |r| percentage(r.calls.refused, r))?;
+        self.row(f, "  refused", |r| percentage(r.calls.rejected, r))?;
         self.row(f, "  failed", |r| percentage(r.calls.failed, r))?;
         self.row(f, "  without an answer", |r| {
             percentage(r.calls.timed_out, r)
@@ -42,13 +44,15 @@
     }
 
     fn write_attempts(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.row(f, "tries of clients", |r| r.attempts.tries.to_string())?;
+        self.row(f, "tries of clients", |r| {
+            r.attempts.client_attempts.to_string()
+        })?;
         self.row(f, "attempts of proxies", |r| {
-            r.attempts.attempts.to_string()
+            r.attempts.proxy_attempts.to_string()
         })?;
         self.row(f, "  across zones", |r| r.attempts.cross_zone.to_string())?;
         self.row(f, "  turned away by a full queue", |r| {
-            r.attempts.full.to_string()
+            r.attempts.rejected.to_string()
         })?;
         self.row(f, "  given up / no connection / reset", |r| {
             let counts = &r.attempts;
@@ -62,7 +66,7 @@
             format!("{}/{}/{}", load.p1, load.p50, load.p99)
         })?;
         self.row(f, "  most, backends without any", |r| {
-            format!("{}, {}", r.backend_load.max, r.backend_load.without_any)
+            format!("{}, {}", r.backend_load.max, r.backend_load.idle_backends)
         })
     }
 
@@ -72,19 +76,24 @@
         self.row(f, "publications, not known to all", |r| {
             format!(
                 "{}, {}",
-                r.change_spread.publications, r.change_spread.not_known_to_all
+                r.change_propagation.publications, r.change_propagation.not_known_to_all
             )
         })?;
         self.row(f, "  slowest known to half / 99% / all, s", |r| {
-            let spread = &r.change_spread;
-            let times = [spread.worst_half_s, spread.worst_p99_s, spread.worst_all_s].map(time);
+            let propagation = &r.change_propagation;
+            let times = [
+                propagation.worst_half_s,
+                propagation.worst_p99_s,
+                propagation.worst_all_s,
+            ]
+            .map(time);
             format!(" {}", times.join("/"))
         })?;
         self.row(f, "discovery calls, failed", |r| {
             format!("{}, {}", r.discovery.calls, r.discovery.failures)
         })?;
         self.row(f, "  whole lists, entries", |r| {
-            format!("{}, {}", r.discovery.whole_lists, r.discovery.entries)
+            format!("{}, {}", r.discovery.full_lists, r.discovery.endpoints)
         })?;
         self.row(f, "  MB in all, MB in the peak second", |r| {
             let discovery = &r.discovery;
@@ -109,7 +118,7 @@
         ];
         for (rule, label) in labels.into_iter().enumerate() {
             self.row(f, &format!("rule {label}"), |r| {
-                match r.rules_broken[rule] {
+                match r.rule_violations[rule] {
                     0 => "kept".to_owned(),
                     count => format!("broken {count}x"),
                 }
@@ -118,7 +127,7 @@
         self.row(f, "cold starts, fallen", |r| {
             format!(
                 "{}, {}",
-                r.rules.cold_backends.starts, r.rules.cold_backends.fallen
+                r.rules.slow_starts.starts, r.rules.slow_starts.collapses
             )
         })
     }
--- a/lab/src/fleet/topology.rs
+++ b/lab/src/fleet/topology.rs
@@ -1,57 +1,58 @@
-//! Where machines stand, how fast they are, and what lies between them.
+//! Where machines stand, how fast they are, and the network latencies between them.
 
+use super::ids::{ProxyIndex, Rack, Region};
 use super::random::{Stream, stream};
-use super::scenario::{FleetScenario, Network, milliseconds};
+use super::scenario::{FleetScenario, NetworkSettings, milliseconds};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, Exp1, LogNormal};
-use tillerproxy::api::{BackendId, Micros};
+use tillerproxy::api::{BackendId, Cell, MachineType, Micros, Zone};
 
 /// A backend's machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
     /// Its zone.
-    pub zone: u16,
-    /// Its rack, numbered inside the zone.
-    pub rack: u16,
-    /// Its kind.
-    pub kind: u8,
-    /// Its cell, numbered through the fleet.
-    pub cell: u16,
+    pub zone: Zone,
+    /// Its rack.
+    pub rack: Rack,
+    /// Its type.
+    pub machine_type: MachineType,
+    /// Its cell.
+    pub cell: Cell,
     /// Requests that it works on at once.
     pub cores: u16,
-    /// Speed of a core.
+    /// Speed of a core; 1 does a millisecond of work in a millisecond.
     pub speed: f64,
 }
 
 impl Machine {
-    /// Milliseconds of standard work that it does in a millisecond when it is warm.
+    /// Returns the milliseconds of work that it does in a millisecond after its slow start.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         f64::from(self.cores) * self.speed
     }
 }
 
-/// A proxy's place.
+/// Where a proxy stands.
 #[derive(Clone, Copy, Debug)]
-pub struct ProxyPlace {
+pub struct ProxyLocation {
     /// Its zone.
-    pub zone: u16,
+    pub zone: Zone,
     /// Its part of its zone's traffic, unscaled.
-    pub weight: f64,
+    pub traffic_weight: f64,
 }
 
-/// Where everything stands.
+/// Where all machines stand.
 #[derive(Clone, Debug)]
 pub struct Topology {
     /// Number of zones.
-    pub zones: u16,
+    pub zone_count: u16,
     /// Number of regions.
-    pub regions: u16,
-    /// Backends by id.
+    pub region_count: u16,
+    /// Machines of the backends, by id.
     pub machines: Vec<Machine>,
-    /// Proxies by number.
-    pub proxies: Vec<ProxyPlace>,
+    /// Proxies, by index.
+    pub proxies: Vec<ProxyLocation>,
 }
 
 impl Topology {
@@ -61,98 +62,115 @@
         let mut random = stream(seed, Stream::Topology, 0);
         let fleet = &scenario.fleet;
         let machines = (0..fleet.backends)
-            .map(|id| machine(scenario, id, &mut random))
+            .map(|id| place_machine(scenario, id, &mut random))
             .collect();
         let skew = LogNormal::new(0.0, scenario.load.proxy_skew).ok();
-        let mut place = |number: u32| ProxyPlace {
-            zone: (number % u32::from(fleet.zones)) as u16,
-            weight: skew.map_or(1.0, |skew| skew.sample(&mut random)),
-        };
-        let proxies = (0..fleet.proxies).map(&mut place).collect();
+        let proxies = (0..fleet.proxies)
+            .map(|index| ProxyLocation {
+                zone: Zone((index % u32::from(fleet.zones)) as u16),
+                traffic_weight: skew.map_or(1.0, |skew| skew.sample(&mut random)),
+            })
+            .collect();
         Self {
-            zones: fleet.zones,
-            regions: fleet.regions,
+            zone_count: fleet.zones,
+            region_count: fleet.regions,
             machines,
             proxies,
         }
     }
 
-    /// The region of a zone.
+    /// Returns the region of a zone.
     #[must_use]
-    pub fn region(&self, zone: u16) -> u16 {
-        (u32::from(zone) * u32::from(self.regions) / u32::from(self.zones)) as u16
+    pub fn region(&self, zone: Zone) -> Region {
+        let regions = u32::from(self.region_count);
+        let zones = u32::from(self.zone_count);
+        Region((u32::from(zone.0) * regions / zones) as u16)
     }
 
-    /// Milliseconds of standard work that all backends do in a millisecond when they are warm.
+    /// Returns the milliseconds of work that all backends do in a millisecond after their slow start.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         self.machines.iter().map(Machine::capacity).sum()
     }
 
-    /// The ids of a zone's backends.
-    pub fn backends_of_zone(&self, zone: u16) -> impl Iterator<Item = BackendId> + '_ {
-        (0..self.machines.len() as BackendId)
-            .filter(move |&id| self.machines[id as usize].zone == zone)
+    /// Iterates over the backends of a zone.
+    pub fn backends_of_zone(&self, zone: Zone) -> impl Iterator<Item = BackendId> + '_ {
+        self.machines
+            .iter()
+            .zip(0..)
+            .filter(move |(machine, _)| machine.zone == zone)
+            .map(|(_, id)| id)
+    }
+
+    /// Iterates over the proxies of a zone.
+    pub fn proxies_of_zone(&self, zone: Zone) -> impl Iterator<Item = ProxyIndex> + '_ {
+        self.proxies
+            .iter()
+            .zip(0..)
+            .filter(move |(proxy, _)| proxy.zone == zone)
+            .map(|(_, index)| ProxyIndex(index))
     }
 }
 
-fn machine(scenario: &FleetScenario, id: BackendId, random: &mut SmallRng) -> Machine {
+fn place_machine(scenario: &FleetScenario, id: BackendId, random: &mut SmallRng) -> Machine {
     let fleet = &scenario.fleet;
     let zones = u32::from(fleet.zones);
-    let (zone, rank) = (id % zones, id / zones);
-    let kind = kind_by_share(scenario, random.random());
-    let spec = &scenario.kinds[kind];
-    let spread = spec.speed_spread * (2.0 * random.random::<f64>() - 1.0);
+    let zone = id % zones;
+    let rank_in_zone = id / zones;
+    let type_index = draw_machine_type(scenario, random.random());
+    let machine_type = &scenario.machine_types[type_index];
+    let speed_deviation = machine_type.speed_spread * (2.0 * random.random::<f64>() - 1.0);
     Machine {
-        zone: zone as u16,
-        rack: (rank % u32::from(fleet.racks_per_zone)) as u16,
-        kind: kind as u8,
-        cell: (rank / fleet.cell_size * zones + zone) as u16,
-        cores: spec.cores,
-        speed: spec.speed * (1.0 + spread),
+        zone: Zone(zone as u16),
+        rack: Rack((rank_in_zone % u32::from(fleet.racks_per_zone)) as u16),
+        machine_type: MachineType(type_index as u8),
+        cell: Cell((rank_in_zone / fleet.cell_size * zones + zone) as u16),
+        cores: machine_type.cores,
+        speed: machine_type.speed * (1.0 + speed_deviation),
     }
 }
 
-fn kind_by_share(scenario: &FleetScenario, drawn: f64) -> usize {
-    let total: f64 = scenario.kinds.iter().map(|kind| kind.share).sum();
+/// Returns the index of the machine type that a number in 0..1 chooses.
+fn draw_machine_type(scenario: &FleetScenario, drawn: f64) -> usize {
+    let machine_types = &scenario.machine_types;
+    let total: f64 = machine_types
+        .iter()
+        .map(|machine_type| machine_type.share)
+        .sum();
     let mut rest = drawn * total;
-    for (index, kind) in scenario.kinds.iter().enumerate() {
-        rest -= kind.share;
+    for (index, machine_type) in machine_types.iter().enumerate() {
+        rest -= machine_type.share;
         if rest < 0.0 {
             return index;
         }
     }
-    scenario.kinds.len() - 1
+    machine_types.len() - 1
 }
 
 /// One-way latencies between zones, with jitter.
 #[derive(Debug)]
 pub struct Latencies {
-    zones: usize,
+    zone_count: usize,
+    /// Microseconds without jitter, a row for each zone that sends.
     by_pair: Vec<f64>,
+    /// Mean of the jitter, as a part of the latency.
     jitter: f64,
     random: SmallRng,
 }
 
 impl Latencies {
-    /// The latencies of a topology.
+    /// Creates the latencies of a topology.
     #[must_use]
-    pub fn new(topology: &Topology, network: &Network, seed: u64) -> Self {
-        let zones = usize::from(topology.zones);
-        let between = |from: usize, to: usize| {
-            let (from, to) = (from as u16, to as u16);
-            let span = match (from == to, topology.region(from) == topology.region(to)) {
-                (true, _) => network.same_zone_ms,
-                (false, true) => network.same_region_ms,
-                (false, false) => network.cross_region_ms,
-            };
-            milliseconds(span) as f64
-        };
-        let by_pair = (0..zones * zones)
-            .map(|pair| between(pair / zones, pair % zones))
-            .collect();
+    pub fn new(topology: &Topology, network: &NetworkSettings, seed: u64) -> Self {
+        let mut by_pair = Vec::new();
+        for from in 0..topology.zone_count {
+            for to in 0..topology.zone_count {
+                let latency_ms = latency_ms(topology, network, Zone(from), Zone(to));
+                by_pair.push(milliseconds(latency_ms) as f64);
+            }
+        }
         Self {
-            zones,
+            zone_count: usize::from(topology.zone_count),
             by_pair,
             jitter: network.jitter,
             random: stream(seed, Stream::Network, 0),
@@ -160,14 +178,24 @@
     }
 
     /// Draws the time that a message takes from one zone to another.
-    pub fn draw(&mut self, from: u16, to: u16) -> Micros {
-        let base = self.by_pair[usize::from(from) * self.zones + usize::from(to)];
-        self.with_jitter(base)
+    pub fn draw(&mut self, from: Zone, to: Zone) -> Micros {
+        let latency = self.by_pair[from.index() * self.zone_count + to.index()];
+        self.with_jitter(latency)
+    }
+
+    /// Adds jitter to a latency in microseconds.
+    pub fn with_jitter(&mut self, latency: f64) -> Micros {
+        let drawn: f64 = self.random.sample(Exp1);
+        (latency * (1.0 + self.jitter * drawn)) as Micros
     }
+}
 
-    /// Adds jitter to a span in microseconds.
-    pub fn with_jitter(&mut self, base: f64) -> Micros {
-        let extra: f64 = self.random.sample(Exp1);
-        (base * (1.0 + self.jitter * extra)) as Micros
+fn latency_ms(topology: &Topology, network: &NetworkSettings, from: Zone, to: Zone) -> f64 {
+    if from == to {
+        network.same_zone_ms
+    } else if topology.region(from) == topology.region(to) {
+        network.same_region_ms
+    } else {
+        network.cross_region_ms
     }
 }
--- a/lab/tests/fleet/discovery.rs
+++ b/lab/tests/fleet/discovery.rs
@@ -1,9 +1,12 @@
-//! The discovery stand-in and the proxies' watchers.
+//! The emulated discovery and the proxies' watchers.
 
 use tillerproxy::api::{Backend, Cell, MachineType, Readiness, Zone};
-use tillerproxy_lab::fleet::discovery::{Answer, Call, Discovery, Received, Reply};
+use tillerproxy_lab::fleet::discovery::{
+    Call, CallId, CallStatus, Discovery, Response, ResponseBody,
+};
+use tillerproxy_lab::fleet::ids::ProxyIndex;
 use tillerproxy_lab::fleet::proxy::Watcher;
-use tillerproxy_lab::fleet::scenario;
+use tillerproxy_lab::fleet::scenario::DiscoverySettings;
 
 fn entry(id: u32, readiness: Readiness) -> Backend {
     Backend {
@@ -16,7 +19,7 @@
     }
 }
 
-fn discovery(settings: &scenario::Discovery) -> Discovery {
+fn discovery(settings: &DiscoverySettings) -> Discovery {
     Discovery::new(
         settings,
         (0..10).map(|id| entry(id, Readiness::Ready)).collect(),
@@ -24,73 +27,79 @@
     )
 }
 
-fn call(proxy: u16, after: Option<u64>, continues: bool) -> Call {
-    Call {
-        proxy,
+fn call_id(proxy: u16) -> CallId {
+    CallId {
+        proxy: ProxyIndex(proxy),
         serial: 1,
-        after,
+    }
+}
+
+fn call(proxy: u16, known_revision: Option<u64>, continues_watch: bool) -> Call {
+    Call {
+        id: call_id(proxy),
+        known_revision,
         wait: 1_000,
-        continues,
+        continues_watch,
     }
 }
 
 /// Revision, completeness and ids of a list.
-fn list(reply: &Reply) -> (u64, bool, Vec<u32>) {
-    match &reply.answer {
-        Answer::List {
-            revision,
-            complete,
-            entries,
-        } => (
-            *revision,
-            *complete,
-            entries.iter().map(|entry| entry.id).collect(),
+fn list(response: &Response) -> (u64, bool, Vec<u32>) {
+    match &response.body {
+        ResponseBody::List(update) => (
+            update.revision,
+            update.complete,
+            update
+                .endpoints
+                .iter()
+                .map(|endpoint| endpoint.id)
+                .collect(),
         ),
-        Answer::Failed => panic!("the call failed"),
+        ResponseBody::Failed => panic!("the call failed"),
     }
 }
 
-fn answered(received: Received) -> Reply {
-    match received {
-        Received::Answered(reply) => reply,
+fn answered(status: CallStatus) -> Response {
+    match status {
+        CallStatus::Answered(response) => response,
         other => panic!("not answered: {other:?}"),
     }
 }
 
 #[test]
-fn a_standing_watch_is_told_what_changed_and_others_wait_for_their_turn() {
-    let mut discovery = discovery(&scenario::Discovery::default());
+fn a_standing_watch_gets_what_changed_and_other_calls_are_queued() {
+    let mut discovery = discovery(&DiscoverySettings::default());
     assert!(matches!(
         discovery.receive(0, call(0, Some(1), true)),
-        Received::Standing
+        CallStatus::Standing { .. }
     ));
     assert!(matches!(
         discovery.receive(0, call(1, Some(1), false)),
-        Received::Waiting
+        CallStatus::Queued
     ));
-    assert!(discovery.notice(entry(4, Readiness::Draining)));
-    assert!(!discovery.notice(entry(2, Readiness::Removed)));
-    assert_eq!(discovery.revision(), 1, "noticed and not yet published");
-    let replies = discovery.publish();
+    assert!(discovery.detect(entry(4, Readiness::Draining)));
+    assert!(!discovery.detect(entry(2, Readiness::Removed)));
+    assert_eq!(discovery.revision(), 1, "detected and not yet published");
+    let responses = discovery.publish();
     assert_eq!(
-        replies.iter().map(list).collect::<Vec<_>>(),
+        responses.iter().map(list).collect::<Vec<_>>(),
         [(3, false, vec![2, 4])]
     );
-    let (received, _) = discovery.take_turn(10).expect("a call waits");
-    assert_eq!(list(&answered(received)), (3, false, vec![2, 4]));
+    let status = discovery.process_next(10).expect("a call is queued");
+    assert_eq!(list(&answered(status)), (3, false, vec![2, 4]));
     assert_eq!(discovery.traffic.calls, 2);
     assert_eq!(discovery.traffic.bytes, 4 * 200 + 4 * 132);
 }
 
 #[test]
-fn a_proxy_that_is_too_far_behind_gets_the_whole_list() {
-    let settings = scenario::Discovery {
-        history: 2,
+fn a_proxy_that_is_too_far_behind_gets_the_full_list() {
+    let settings = DiscoverySettings {
+        history_limit: 2,
         ..Default::default()
     };
     let mut discovery = discovery(&settings);
     for id in [1, 2, 3] {
-        discovery.notice(entry(
+        discovery.detect(entry(
             id,
             if id == 3 {
                 Readiness::Removed
@@ -106,102 +115,112 @@
     assert_eq!(
         list(&far),
         (4, true, vec![0, 1, 2, 4, 5, 6, 7, 8, 9]),
-        "what is gone is not listed"
+        "removed endpoints are not listed"
     );
-    assert_eq!(discovery.traffic.lists, 1);
+    assert_eq!(discovery.traffic.full_lists, 1);
 }
 
 #[test]
-fn calls_fail_that_waited_too_long_or_find_discovery_down() {
-    let settings = scenario::Discovery {
-        longest_turn_ms: 5.0,
+fn calls_fail_that_were_queued_for_too_long_or_find_discovery_down() {
+    let settings = DiscoverySettings {
+        queue_timeout_ms: 5.0,
         ..Default::default()
     };
     let mut discovery = discovery(&settings);
     discovery.receive(0, call(0, None, false));
-    let (received, _) = discovery.take_turn(6_000).expect("a call waits");
-    assert!(matches!(answered(received).answer, Answer::Failed));
+    let status = discovery.process_next(6_000).expect("a call is queued");
+    assert!(matches!(answered(status).body, ResponseBody::Failed));
     discovery.receive(0, call(0, Some(1), true));
     discovery.receive(0, call(1, None, false));
     assert_eq!(
-        discovery.go_down().len(),
+        discovery.stop().len(),
         2,
-        "the watch ends and the waiting call fails"
+        "the watch ends and the queued call fails"
     );
     assert!(matches!(
-        answered(discovery.receive(0, call(2, None, false))).answer,
-        Answer::Failed
+        answered(discovery.receive(0, call(2, None, false))).body,
+        ResponseBody::Failed
     ));
-    discovery.come_back();
+    discovery.start();
     assert!(matches!(
         discovery.receive(0, call(0, Some(1), true)),
-        Received::Standing
+        CallStatus::Standing { .. }
     ));
 }
 
 #[test]
-fn nothing_is_answered_on_a_silent_watch() {
-    let mut discovery = discovery(&scenario::Discovery::default());
+fn nothing_is_answered_on_a_stalled_watch() {
+    let mut discovery = discovery(&DiscoverySettings::default());
     discovery.receive(0, call(0, Some(1), true));
-    discovery.mute_watch(0);
-    discovery.notice(entry(1, Readiness::Removed));
+    discovery.stall_watch(ProxyIndex(0));
+    discovery.detect(entry(1, Readiness::Removed));
     assert!(discovery.publish().is_empty());
-    assert!(discovery.end_wait(0, 1).is_none());
+    assert!(discovery.expire_watch(call_id(0)).is_none());
 }
 
 #[test]
-fn answers_of_watches_take_turns_where_discovery_is_bounded() {
-    let settings = scenario::Discovery {
-        answers_per_s: Some(100.0),
+fn responses_to_watches_are_queued_where_discovery_is_bounded() {
+    let settings = DiscoverySettings {
+        watch_responses_per_s: Some(100.0),
         ..Default::default()
     };
     let mut discovery = discovery(&settings);
     discovery.receive(0, call(0, Some(1), true));
     discovery.receive(0, call(1, Some(1), true));
     for id in [1, 2] {
-        discovery.notice(entry(id, Readiness::Removed));
+        discovery.detect(entry(id, Readiness::Removed));
         assert!(discovery.publish().is_empty());
     }
-    assert_eq!(discovery.next_turn_takes(), Some(10_000));
+    assert_eq!(discovery.next_processing_time(), Some(10_000));
     for proxy in [0, 1] {
-        let (received, _) = discovery.take_turn(0).expect("a watch has its turn");
-        let reply = answered(received);
-        assert_eq!((reply.proxy, list(&reply)), (proxy, (3, false, vec![1, 2])));
+        let status = discovery
+            .process_next(0)
+            .expect("the response to a watch is queued");
+        let response = answered(status);
+        assert_eq!(response.call.proxy, ProxyIndex(proxy));
+        assert_eq!(list(&response), (3, false, vec![1, 2]));
     }
     assert_eq!(
-        discovery.next_turn_takes(),
+        discovery.next_processing_time(),
         None,
-        "one answer tells of both publications"
+        "one response carries both publications"
     );
 }
 
 #[test]
-fn a_watcher_has_one_call_out_and_continues_its_watch_after_an_answer() {
-    let mut watcher = Watcher::new(0, 3);
+fn a_watcher_has_one_pending_call_and_continues_its_watch_after_a_response() {
+    let mut watcher = Watcher::new(ProxyIndex(0), 3);
     watcher.revision = Some(7);
-    let first = watcher.subscribe().expect("no call is out");
+    let first = watcher.subscribe().expect("no call is pending");
     assert_eq!(
-        (first.call.after, first.call.wait, first.call.continues),
+        (
+            first.call.known_revision,
+            first.call.wait,
+            first.call.continues_watch
+        ),
         (Some(7), 250_000, false)
     );
     assert!(watcher.subscribe().is_none(), "one call at a time");
     assert!(
-        !watcher.take_answer(first.call.serial + 1),
-        "an answer to no call of its own"
+        !watcher.complete(first.call.id.serial + 1),
+        "a response to no call of its own"
+    );
+    assert!(watcher.complete(first.call.id.serial));
+    let second = watcher.on_response(9);
+    assert_eq!(
+        (second.call.known_revision, second.call.continues_watch),
+        (Some(9), true)
     );
-    assert!(watcher.take_answer(first.call.serial));
-    let second = watcher.answered(9);
-    assert_eq!((second.call.after, second.call.continues), (Some(9), true));
-    assert!(watcher.take_answer(second.call.serial));
-    watcher.failed();
-    let third = watcher.subscribe().expect("no call is out");
+    assert!(watcher.complete(second.call.id.serial));
+    watcher.on_failure();
+    let third = watcher.subscribe().expect("no call is pending");
     assert!(
-        !third.call.continues,
-        "a call after a failure begins a watch anew"
+        !third.call.continues_watch,
+        "a call after a failure begins a new watch"
     );
     watcher.restart();
     assert!(
-        !watcher.take_answer(third.call.serial),
-        "calls of a former life are void"
+        !watcher.complete(third.call.id.serial),
+        "calls of a former incarnation are void"
     );
 }
--- a/lab/tests/fleet/plays.rs
+++ b/lab/tests/fleet/plays.rs
@@ -25,20 +25,20 @@
     for policy in &report.policies {
         let name = &policy.policy;
         assert_eq!(
-            policy.rules_broken[..3],
+            policy.rule_violations[..3],
             [0; 3],
             "{name}: {:?}",
             policy.rules
         );
         assert!(policy.calls.offered > 1_000, "{name}: {:?}", policy.calls);
         assert!(
-            policy.calls.in_time * 2 > policy.calls.offered,
+            policy.calls.within_objective * 2 > policy.calls.offered,
             "{name}: {:?}",
             policy.calls
         );
     }
     assert_eq!(
-        report.policies[0].rules_broken, [0; 4],
+        report.policies[0].rule_violations, [0; 4],
         "the module keeps all rules"
     );
     report
@@ -49,12 +49,12 @@
     let report = play_event("");
     for policy in &report.policies {
         assert!(
-            policy.worth_in_time > 0.9,
+            policy.earned_weight_fraction > 0.9,
             "{}: {}",
             policy.policy,
-            policy.worth_in_time
+            policy.earned_weight_fraction
         );
-        assert_eq!(policy.change_spread.publications, 0);
+        assert_eq!(policy.change_propagation.publications, 0);
     }
     let arrivals: Vec<u64> = report
         .policies
@@ -78,13 +78,13 @@
 }
 
 #[test]
-fn a_rolling_restart_starts_backends_cold() {
+fn a_rolling_restart_begins_slow_starts() {
     let event = "[[event]]\nkind = \"rolling_restart\"\nat_s = 0.2\nover_s = 1.0\nfraction = 0.25\n\
                  drain_s = 0.4\ndown_s = 0.2\n";
     for policy in &play_event(event).policies {
-        assert_eq!(policy.rules.cold_backends.starts, 6);
-        assert_eq!(policy.change_spread.not_known_to_all, 0);
-        assert!(policy.change_spread.worst_all_s.expect("known to all") < 1.0);
+        assert_eq!(policy.rules.slow_starts.starts, 6);
+        assert_eq!(policy.change_propagation.not_known_to_all, 0);
+        assert!(policy.change_propagation.worst_all_s.expect("known to all") < 1.0);
     }
 }
 
@@ -93,9 +93,9 @@
     let event = "[[event]]\nkind = \"zone_loss\"\nat_s = 0.5\nzone = 1\nreturn_after_s = 1.0\n";
     let quiet = play_event("");
     for (policy, quiet) in play_event(event).policies.iter().zip(&quiet.policies) {
-        assert_eq!(policy.rules.cold_backends.starts, 12);
+        assert_eq!(policy.rules.slow_starts.starts, 12);
         assert!(
-            policy.worth_in_time < quiet.worth_in_time,
+            policy.earned_weight_fraction < quiet.earned_weight_fraction,
             "{}",
             policy.policy
         );
@@ -108,12 +108,12 @@
     let event =
         "[[event]]\nkind = \"rack_loss\"\nat_s = 0.5\nzone = 0\nrack = 1\nreturn_after_s = 0.5\n";
     for policy in &play_event(event).policies {
-        assert_eq!(policy.rules.cold_backends.starts, 4);
+        assert_eq!(policy.rules.slow_starts.starts, 4);
     }
 }
 
 #[test]
-fn parted_regions_fail_what_crosses() {
+fn partitioned_regions_fail_what_crosses() {
     let event = "[[event]]\nkind = \"region_partition\"\nat_s = 0.5\nfor_s = 0.5\n";
     let report = play_event(event);
     assert!(
@@ -132,22 +132,25 @@
             "every watch ended: {:?}",
             policy.discovery
         );
-        assert_eq!(policy.change_spread.publications, 1);
-        let half = policy.change_spread.worst_half_s.expect("known to half");
+        assert_eq!(policy.change_propagation.publications, 1);
+        let half = policy
+            .change_propagation
+            .worst_half_s
+            .expect("known to half");
         assert!(half > 0.2, "not while discovery was down: {half}");
     }
 }
 
 #[test]
-fn silent_watches_delay_changes() {
+fn stalled_watches_delay_changes() {
     let event = "[[event]]\nkind = \"discovery_silent\"\nat_s = 0.5\nfraction = 1.0\n\
                  [[event]]\nkind = \"config_burst\"\nat_s = 0.6\nentries = 3\n";
     for policy in &play_event(event).policies {
-        assert_eq!(policy.change_spread.publications, 1);
+        assert_eq!(policy.change_propagation.publications, 1);
         assert_eq!(
-            policy.change_spread.not_known_to_all, 1,
+            policy.change_propagation.not_known_to_all, 1,
             "{:?}",
-            policy.change_spread
+            policy.change_propagation
         );
     }
 }
@@ -156,8 +159,8 @@
 fn a_burst_of_changes_reaches_all_proxies() {
     let event = "[[event]]\nkind = \"config_burst\"\nat_s = 0.5\nentries = 40\nover_s = 1.0\n";
     for policy in &play_event(event).policies {
-        assert_eq!(policy.discovery.entries, 40 * 6);
-        assert_eq!(policy.change_spread.not_known_to_all, 0);
+        assert_eq!(policy.discovery.endpoints, 40 * 6);
+        assert_eq!(policy.change_propagation.not_known_to_all, 0);
     }
 }
 
@@ -169,14 +172,14 @@
     let surge = play_event(surge);
     let (quiet, surge) = (&quiet.policies[0], &surge.policies[0]);
     assert!(surge.calls.offered > quiet.calls.offered * 11 / 10);
-    let worth_of_a_read = |policy: &PolicyReport| {
+    let weight_of_a_read = |policy: &PolicyReport| {
         let reads = &policy.classes[0].metrics;
-        reads.offered_worth / reads.calls.offered as f64
+        reads.offered_weight / reads.calls.offered as f64
     };
-    assert_eq!(worth_of_a_read(quiet), 1.0);
+    assert_eq!(weight_of_a_read(quiet), 1.0);
     assert!(
-        worth_of_a_read(surge) < 0.95,
-        "beyond the allowance a call is worth less"
+        weight_of_a_read(surge) < 0.95,
+        "over its quota a call weighs less"
     );
 }
 
@@ -207,7 +210,7 @@
     for policy in &play_event(event).policies {
         assert!(
             policy.calls.failed > 0,
-            "unsafe calls that were in hand: {}",
+            "calls in flight that are not idempotent: {}",
             policy.policy
         );
         assert!(policy.discovery.calls > 3, "{:?}", policy.discovery);
@@ -229,11 +232,11 @@
 }
 
 #[test]
-fn clients_that_leave_are_counted_apart() {
+fn clients_that_disconnect_are_counted_apart() {
     let scenario = small_with("[clients]\nleaves = 0.5\n");
     for policy in &play_all(&scenario, 1).policies {
-        assert!(policy.calls.left > 50, "{:?}", policy.calls);
-        assert_eq!(policy.rules_broken, [0; 4]);
+        assert!(policy.calls.disconnected > 50, "{:?}", policy.calls);
+        assert_eq!(policy.rule_violations, [0; 4]);
     }
 }
 
@@ -242,7 +245,7 @@
     let with_reports =
         super::parse(&format!("{SMALL}\n[backends]\nload_reports = true\n")).expect("a scenario");
     let report = play(&with_reports, &[PolicyKind::Module], 1, true).expect("a play");
-    assert_eq!(report.policies[0].rules_broken, [0; 4]);
+    assert_eq!(report.policies[0].rule_violations, [0; 4]);
 }
 
 #[test]
@@ -267,7 +270,11 @@
         if name(path).ends_with("-small.toml") {
             scenario = scenario.scaled(0.25);
             let report = play(&scenario, &[PolicyKind::Random], 1, true).expect("a play");
-            assert!(report.policies[0].calls.in_time > 0, "{}", path.display());
+            assert!(
+                report.policies[0].calls.within_objective > 0,
+                "{}",
+                path.display()
+            );
         }
     }
 }
--- a/lab/tests/fleet/rules.rs
+++ b/lab/tests/fleet/rules.rs
@@ -3,15 +3,19 @@
 use super::small_with;
 use indicatif::ProgressBar;
 use tillerproxy::api::{
-    Action, BackendId, Class, Event, Idempotency, KeyScope, MembershipEvent, Micros, Settings,
+    Action, BackendId, Cell, Class, ClassIndex, Event, Idempotency, KeyScope, MachineType,
+    MembershipEvent, Micros, Settings, Zone,
 };
-use tillerproxy_lab::fleet::backend::Fall;
-use tillerproxy_lab::fleet::faults::Plan;
-use tillerproxy_lab::fleet::policy::{Policy, TrueState};
+use tillerproxy_lab::fleet::backend::Collapse;
+use tillerproxy_lab::fleet::faults::FaultSchedule;
+use tillerproxy_lab::fleet::ids::{ProxyIndex, Rack};
+use tillerproxy_lab::fleet::policy::{Policy, TrueLoad};
 use tillerproxy_lab::fleet::proxy::KnownBackend;
 use tillerproxy_lab::fleet::report::PolicyReport;
-use tillerproxy_lab::fleet::request::{AttemptState, SentAttempt, TrackedRequest};
-use tillerproxy_lab::fleet::rules::{Allowed, RuleChecker};
+use tillerproxy_lab::fleet::request::{
+    AttemptKey, AttemptState, CallKey, SentAttempt, TrackedRequest,
+};
+use tillerproxy_lab::fleet::rules::{PendingSend, RuleChecker, RuleLimits};
 use tillerproxy_lab::fleet::simulation::Simulation;
 use tillerproxy_lab::fleet::topology::{Machine, Topology};
 
@@ -38,7 +42,7 @@
             &mut self,
             now: Micros,
             event: Event<'_>,
-            _: &dyn TrueState,
+            _: &dyn TrueLoad,
             actions: &mut Vec<Action>,
         ) {
             (self.0)(now, event, actions);
@@ -46,11 +50,11 @@
     }
     let scenario = small_with(event);
     let topology = Topology::new(&scenario, 1);
-    let plan = Plan::new(&scenario, &topology, 1);
+    let schedule = FaultSchedule::new(&scenario, &topology, 1);
     let factory =
         move |_: Settings, _: u64, _: Micros| Ok(Box::new(Scripted(script())) as Box<dyn Policy>);
     let mut simulation =
-        Simulation::new(&scenario, &topology, &plan, &factory, 1).expect("good settings");
+        Simulation::new(&scenario, &topology, &schedule, &factory, 1).expect("good settings");
     simulation.run(&ProgressBar::hidden());
     simulation.report("scripted")
 }
@@ -77,19 +81,19 @@
             _ => {}
         }
     });
-    assert_eq!(report.rules_broken, [0; 4]);
-    assert!(report.calls.in_time > 500, "{:?}", report.calls);
+    assert_eq!(report.rule_violations, [0; 4]);
+    assert!(report.calls.within_objective > 500, "{:?}", report.calls);
 }
 
 #[test]
 fn requests_without_a_final_answer_are_seen() {
     let report = play(NOTHING, || |_, _, _: &mut Vec<Action>| {});
-    assert!(report.rules.final_answers.taken > 500);
+    assert!(report.rules.final_answers.accepted > 500);
     assert_eq!(
-        report.rules.final_answers.lost,
-        report.rules.final_answers.taken
+        report.rules.final_answers.unanswered,
+        report.rules.final_answers.accepted
     );
-    assert_eq!(report.calls.in_time + report.calls.late, 0);
+    assert_eq!(report.calls.within_objective + report.calls.late, 0);
 }
 
 #[test]
@@ -109,13 +113,13 @@
     });
     let answers = report.rules.final_answers;
     assert_eq!(
-        (answers.lost, answers.after_the_end),
-        (0, 2 * answers.taken)
+        (answers.unanswered, answers.after_final_answer),
+        (0, 2 * answers.accepted)
     );
 }
 
 #[test]
-fn two_attempts_at_once_and_repeats_of_what_must_not_run_twice_are_seen() {
+fn concurrent_attempts_and_repeats_of_what_must_not_run_twice_are_seen() {
     let report = play(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| match event {
             Event::Request(request) => {
@@ -128,13 +132,19 @@
             _ => {}
         }
     });
-    let effects = report.rules.effects;
-    assert_eq!(effects.two_out, report.rules.final_answers.taken);
-    assert!(effects.unsafe_repeats > 100 && effects.unsafe_repeats < effects.two_out);
+    let repeats = report.rules.repeats;
+    assert_eq!(
+        repeats.concurrent_attempts,
+        report.rules.final_answers.accepted
+    );
+    assert!(
+        repeats.non_idempotent_repeats > 100
+            && repeats.non_idempotent_repeats < repeats.concurrent_attempts
+    );
 }
 
 #[test]
-fn refusals_of_what_may_have_run_are_seen() {
+fn rejections_of_what_may_have_been_executed_are_seen() {
     let report = play(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| match event {
             // Given up before any answer can come.
@@ -148,10 +158,10 @@
             _ => {}
         }
     });
-    let effects = report.rules.effects;
-    assert!(effects.refused_after_effect > 100, "{effects:?}");
+    let repeats = report.rules.repeats;
+    assert!(repeats.rejected_after_execution > 100, "{repeats:?}");
     assert!(
-        effects.refused_after_effect < report.rules.final_answers.taken,
+        repeats.rejected_after_execution < report.rules.final_answers.accepted,
         "safe requests may be refused"
     );
 }
@@ -173,13 +183,13 @@
     let drains = report.rules.drains;
     assert!(drains.after_grace > 10, "{drains:?}");
     assert!(
-        drains.sends_to_barred > drains.after_grace,
+        drains.sends_to_unavailable > drains.after_grace,
         "sends within the grace are no break"
     );
 }
 
 #[test]
-fn cold_backends_that_informed_proxies_overload_are_seen() {
+fn slow_starts_that_informed_proxies_overload_are_seen() {
     let report = play(RESTART, || {
         let mut newest: Option<(Micros, BackendId)> = None;
         move |now, event: Event<'_>, actions: &mut Vec<Action>| match event {
@@ -199,44 +209,44 @@
             _ => {}
         }
     });
-    let cold = report.rules.cold_backends;
-    assert_eq!(cold.starts, 12);
+    let slow_starts = report.rules.slow_starts;
+    assert_eq!(slow_starts.starts, 12);
     assert!(
-        cold.fallen >= 1 && cold.fallen_by_informed == cold.fallen,
-        "{cold:?}"
+        slow_starts.collapses >= 1 && slow_starts.collapses_by_informed == slow_starts.collapses,
+        "{slow_starts:?}"
     );
-    assert!(cold.worst_load > 1.0);
+    assert!(slow_starts.worst_load > 1.0);
 }
 
 #[test]
-fn a_fall_is_a_break_only_where_informed_proxies_brought_two_thirds_of_the_load() {
-    let allowed = Allowed {
+fn a_collapse_is_a_violation_only_where_informed_proxies_sent_two_thirds_of_the_load() {
+    let limits = RuleLimits {
         max_attempts: 3,
-        second_copies: false,
+        hedging: false,
         drain_grace: 0,
     };
-    let mut checker = RuleChecker::new(allowed);
-    checker.on_fall(&Fall {
+    let mut checker = RuleChecker::new(limits);
+    checker.on_collapse(&Collapse {
         load: 50.0,
-        budget: 45.0,
-        informed: 0.6,
+        load_limit: 45.0,
+        informed_fraction: 0.6,
     });
     assert_eq!(
         (
-            checker.counts.cold_backends.fallen,
-            checker.counts.broken()[3]
+            checker.counts.slow_starts.collapses,
+            checker.counts.violations()[3]
         ),
         (1, 0)
     );
-    checker.on_fall(&Fall {
+    checker.on_collapse(&Collapse {
         load: 50.0,
-        budget: 45.0,
-        informed: 0.7,
+        load_limit: 45.0,
+        informed_fraction: 0.7,
     });
     assert_eq!(
         (
-            checker.counts.cold_backends.fallen,
-            checker.counts.broken()[3]
+            checker.counts.slow_starts.collapses,
+            checker.counts.violations()[3]
         ),
         (2, 1)
     );
@@ -264,61 +274,71 @@
         idempotency: effect,
     };
     let at = |zone, cell| Machine {
-        zone,
-        rack: 0,
-        kind: 0,
-        cell,
+        zone: Zone(zone),
+        rack: Rack(0),
+        machine_type: MachineType(0),
+        cell: Cell(cell),
         cores: 1,
         speed: 1.0,
     };
-    let mut request = TrackedRequest::new(1, 0, 0, 0, 10_000);
+    let mut request =
+        TrackedRequest::new(1, CallKey::default(), ClassIndex(0), ProxyIndex(0), 10_000);
     request.add_attempt(SentAttempt {
         backend: 0,
         sent_at: 0,
         state,
-        place: 0,
+        key: AttemptKey::default(),
     });
-    let allowed = Allowed {
+    let limits = RuleLimits {
         max_attempts: 3,
-        second_copies: false,
+        hedging: false,
         drain_grace: 0,
     };
-    let mut checker = RuleChecker::new(allowed);
-    checker.on_send(
+    let mut checker = RuleChecker::new(limits);
+    let send = PendingSend {
         now,
-        &request,
-        &class,
-        &at(zone, cell),
-        &KnownBackend::default(),
-        |_| at(0, 0),
-    );
+        request: &request,
+        class: &class,
+        target: &at(zone, cell),
+        known_backend: &KnownBackend::default(),
+    };
+    checker.on_send(send, |_| at(0, 0));
     (
-        checker.counts.effects.outside_window,
-        checker.counts.effects.outside_group,
+        checker.counts.repeats.after_key_expiry,
+        checker.counts.repeats.outside_key_scope,
     )
 }
 
 #[test]
-fn keyed_repeats_are_held_to_their_window_and_group() {
-    use AttemptState::{MayHaveRun, NeverRan};
+fn keyed_repeats_are_held_to_the_lifetime_and_scope_of_the_key() {
+    use AttemptState::{MaybeExecuted, NotExecuted};
     assert_eq!(
-        keyed_repeat(KeyScope::AllBackends, 1_000, 1, 1, MayHaveRun),
+        keyed_repeat(KeyScope::AllBackends, 1_000, 1, 1, MaybeExecuted),
         (0, 0)
     );
     assert_eq!(
-        keyed_repeat(KeyScope::AllBackends, 1_001, 1, 1, MayHaveRun),
+        keyed_repeat(KeyScope::AllBackends, 1_001, 1, 1, MaybeExecuted),
         (1, 0)
     );
-    assert_eq!(keyed_repeat(KeyScope::Zone, 500, 0, 1, MayHaveRun), (0, 0));
-    assert_eq!(keyed_repeat(KeyScope::Zone, 500, 1, 1, MayHaveRun), (0, 1));
-    assert_eq!(keyed_repeat(KeyScope::Cell, 500, 0, 0, MayHaveRun), (0, 0));
     assert_eq!(
-        keyed_repeat(KeyScope::Cell, 2_000, 0, 1, MayHaveRun),
+        keyed_repeat(KeyScope::Zone, 500, 0, 1, MaybeExecuted),
+        (0, 0)
+    );
+    assert_eq!(
+        keyed_repeat(KeyScope::Zone, 500, 1, 1, MaybeExecuted),
+        (0, 1)
+    );
+    assert_eq!(
+        keyed_repeat(KeyScope::Cell, 500, 0, 0, MaybeExecuted),
+        (0, 0)
+    );
+    assert_eq!(
+        keyed_repeat(KeyScope::Cell, 2_000, 0, 1, MaybeExecuted),
         (1, 1)
     );
     assert_eq!(
-        keyed_repeat(KeyScope::Cell, 2_000, 1, 1, NeverRan),
+        keyed_repeat(KeyScope::Cell, 2_000, 1, 1, NotExecuted),
         (0, 0),
-        "it never ran"
+        "it was not executed"
     );
 }
