--- a/lab/src/fleet/client/traffic.rs
+++ b/lab/src/fleet/client/traffic.rs
@@ -70,7 +70,7 @@
             .as_ref()
             .map_or((1, 0.0), |tenants| (tenants.count, tenants.skew));
         let tenant_weights = (1..=tenant_count).map(|rank| f64::from(rank).powf(-skew));
-        let class_weights = scenario.classes.iter().map(|class| class.share);
+        let class_weights = scenario.classes.iter().map(|class| class.traffic_weight);
         let offered_work = scenario.load.utilization * topology.capacity();
         Self {
             classes: WeightedChoice::new(class_weights),
--- a/lab/src/fleet/events.rs
+++ b/lab/src/fleet/events.rs
@@ -13,7 +13,7 @@
 /// Number of buckets: a horizon of 8.4 s.
 const BUCKETS: usize = 1 << 14;
 
-/// An event with its time and its place among those of the same time.
+/// An event with its time and its rank among those of the same time.
 #[derive(Clone, Copy, Debug)]
 struct Entry<T> {
     at: Micros,
--- a/lab/src/fleet/scenario/machines.rs
+++ b/lab/src/fleet/scenario/machines.rs
@@ -47,7 +47,8 @@
     /// Its name.
     pub name: String,
     /// Its part of the backends; parts are scaled to add up to 1.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub backend_weight: f64,
     /// Requests that it works on at once.
     pub cores: u16,
     /// Speed of a core; 1 does a millisecond of work in a millisecond.
--- a/lab/src/fleet/scenario/mod.rs
+++ b/lab/src/fleet/scenario/mod.rs
@@ -85,12 +85,12 @@
     /// Returns the mean work of a request, milliseconds on a core of speed 1.
     #[must_use]
     pub fn mean_work_ms(&self) -> f64 {
-        let shares: f64 = self.classes.iter().map(|class| class.share).sum();
+        let total_weight: f64 = self.classes.iter().map(|class| class.traffic_weight).sum();
         let weighted_work: f64 = self
             .classes
             .iter()
-            .map(|class| class.share * class.work_ms)
+            .map(|class| class.traffic_weight * class.work_ms)
             .sum();
-        weighted_work / shares
+        weighted_work / total_weight
     }
 }
--- a/lab/src/fleet/scenario/traffic.rs
+++ b/lab/src/fleet/scenario/traffic.rs
@@ -56,7 +56,8 @@
     /// Its name.
     pub name: String,
     /// Its part of the requests; parts are scaled to add up to 1.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub traffic_weight: f64,
     /// Mean work, milliseconds of a core of speed 1.
     pub work_ms: f64,
     /// How work varies.
--- a/lab/src/fleet/scenario/validation/mod.rs
+++ b/lab/src/fleet/scenario/validation/mod.rs
@@ -159,7 +159,7 @@
 
 fn check_machine_type(machine_type: &MachineTypeSettings, index: usize, check: &mut Check) {
     let key = |name: &str| format!("kind[{index}].{name}");
-    check.positive(machine_type.share, key("share"));
+    check.positive(machine_type.backend_weight, key("share"));
     check.positive(machine_type.speed, key("speed"));
     check.that(machine_type.cores > 0, key("cores"), "must be 1 or more");
     check.that(
@@ -171,7 +171,7 @@
 
 fn check_class(class: &ClassSettings, index: usize, check: &mut Check) {
     let key = |name: &str| format!("class[{index}].{name}");
-    check.positive(class.share, key("share"));
+    check.positive(class.traffic_weight, key("share"));
     check.positive(class.work_ms, key("work_ms"));
     check.positive(class.latency_objective_ms, key("aim_ms"));
     check.not_negative(class.priority_weight, key("worth"));
--- a/lab/src/fleet/topology.rs
+++ b/lab/src/fleet/topology.rs
@@ -135,11 +135,11 @@
     let machine_types = &scenario.machine_types;
     let total: f64 = machine_types
         .iter()
-        .map(|machine_type| machine_type.share)
+        .map(|machine_type| machine_type.backend_weight)
         .sum();
     let mut rest = drawn * total;
     for (index, machine_type) in machine_types.iter().enumerate() {
-        rest -= machine_type.share;
+        rest -= machine_type.backend_weight;
         if rest < 0.0 {
             return index;
         }
--- a/lab/tests/fleet/command_line.rs
+++ b/lab/tests/fleet/command_line.rs
@@ -76,9 +76,9 @@
         let text = stderr(&output);
         assert_eq!(output.status.code(), Some(2), "{wrong}: {text}");
         assert!(text.contains("small.toml"), "{wrong}: {text}");
-        named
-            .iter()
-            .for_each(|part| assert!(text.contains(part), "{wrong}: `{part}` is not in {text}"));
+        for part in named {
+            assert!(text.contains(part), "{wrong}: `{part}` is not in {text}");
+        }
     }
 }
 
@@ -118,9 +118,9 @@
         let output = Run::new(&format!("{SMALL}\n[[event]]\n{event}\n")).run(&[]);
         let text = stderr(&output);
         assert_eq!(output.status.code(), Some(2), "{event}: {text}");
-        named
-            .iter()
-            .for_each(|part| assert!(text.contains(part), "{event}: `{part}` is not in {text}"));
+        for part in named {
+            assert!(text.contains(part), "{event}: `{part}` is not in {text}");
+        }
     }
 }
 
--- a/lab/tests/fleet/events.rs
+++ b/lab/tests/fleet/events.rs
@@ -28,10 +28,13 @@
     let mut random = SmallRng::seed_from_u64(2);
     let mut queue = EventQueue::new();
     queue.push(0, 0_u32);
-    let (mut last, mut popped, mut pushed) = (0, 0, 1);
+    let mut last = 0;
+    let mut popped = 0;
+    let mut pushed = 1;
     while let Some((now, number)) = queue.pop() {
         assert!(now >= last, "time went back from {last} to {now}");
-        (last, popped) = (now, popped + 1);
+        last = now;
+        popped += 1;
         if pushed < 20_000 {
             queue.push_after(random.random_range(0..20_000_000), number + 1);
             queue.push(now.saturating_sub(5), number + 1);
@@ -42,7 +45,7 @@
 }
 
 #[test]
-fn a_place_is_used_again_only_after_its_last_reference() {
+fn a_key_is_used_again_only_after_its_last_reference() {
     let mut slab = RefSlab::new();
     let first = slab.insert("a", 2);
     assert!(!slab.release(first));
--- a/lab/tests/fleet/main.rs
+++ b/lab/tests/fleet/main.rs
@@ -6,12 +6,13 @@
 mod discovery;
 mod events;
 mod plays;
+mod report;
 mod rules;
+mod scenario;
 
 use std::path::Path;
 use tillerproxy_lab::error::LabError;
 use tillerproxy_lab::fleet::scenario::FleetScenario;
-use tillerproxy_lab::scenario;
 
 /// Two zones in two regions, 6 proxies, 24 backends, some hundred requests a second, for three seconds.
 const SMALL: &str = r#"
@@ -67,7 +68,7 @@
 "#;
 
 fn parse(text: &str) -> Result<FleetScenario, LabError> {
-    scenario::parse(text, Path::new("small.toml"))
+    tillerproxy_lab::scenario::parse(text, Path::new("small.toml"))
 }
 
 /// The small scenario with an event.
