--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,13 +1,14 @@
-//! Errors of the lab and the exit codes that they end with.
+//! Errors of the lab and their exit codes.
 
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use tillerproxy::api::SettingsError;
 
 /// Exit code for input that makes no sense; other failures end with 1.
 const BAD_INPUT: u8 = 2;
 
-/// Why an experiment could not run or its result could not be kept.
+/// Why an experiment could not run, or its result could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
     /// A file can't be read.
@@ -36,18 +37,35 @@
         /// Why not.
         source: io::Error,
     },
+    /// A balancer rejects its settings.
+    #[error("{subject}: {source}")]
+    Settings {
+        /// Whose settings, such as `policy module`.
+        subject: String,
+        /// Which setting, and what is wrong with it.
+        source: SettingsError,
+    },
+    /// A thread panicked.
+    #[error("the thread of {subject} panicked")]
+    Panicked {
+        /// What the thread did.
+        subject: String,
+    },
     /// The experiment failed on the way.
     #[error("{0}")]
     Failed(String),
 }
 
 impl LabError {
-    /// 2 for input that makes no sense, 1 for the rest.
+    /// Returns 2 for input that makes no sense, 1 for the rest.
     #[must_use]
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::Unreadable { .. } | Self::Scenario { .. } => ExitCode::from(BAD_INPUT),
-            Self::Unwritable { .. } | Self::Failed(_) => ExitCode::FAILURE,
+            Self::Unwritable { .. }
+            | Self::Settings { .. }
+            | Self::Panicked { .. }
+            | Self::Failed(_) => ExitCode::FAILURE,
         }
     }
 }
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -129,7 +129,7 @@
 /// Plays a scenario under each policy, each on a thread of its own.
 ///
 /// # Errors
-/// [`LabError::Failed`] where a policy rejects its settings or its thread panics.
+/// [`LabError::Settings`] where a policy rejects its settings, [`LabError::Panicked`] where its thread panics.
 pub fn play(
     scenario: &FleetScenario,
     policies: &[PolicyKind],
@@ -151,9 +151,10 @@
         threads.into_iter().map(|thread| thread.join()).collect()
     });
     let mut reports = Vec::with_capacity(results.len());
-    for result in results {
-        let report =
-            result.map_err(|_| LabError::Failed("a policy's thread panicked".to_owned()))?;
+    for (policy, result) in policies.iter().zip(results) {
+        let report = result.map_err(|_| LabError::Panicked {
+            subject: format!("policy {policy}"),
+        })?;
         reports.push(report?);
     }
     Ok(FleetReport::new(scenario, &topology, reports))
@@ -185,8 +186,13 @@
 ) -> Result<PolicyReport, LabError> {
     let began = Instant::now();
     let factory = policy::factory(policy);
-    let mut simulation = Simulation::new(scenario, topology, schedule, &*factory, seed)
-        .map_err(|error| LabError::Failed(error.to_string()))?;
+    let mut simulation =
+        Simulation::new(scenario, topology, schedule, &*factory, seed).map_err(|source| {
+            LabError::Settings {
+                subject: format!("policy {policy}"),
+                source,
+            }
+        })?;
     simulation.run(bar);
     bar.finish();
     let report = simulation.report(&policy.to_string());
--- a/lab/src/results.rs
+++ b/lab/src/results.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::process::Command;
 
-/// What a result says about how it came to be.
+/// The run that produced a result.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunInfo {
     /// Name of the experiment, such as `slopes`.
@@ -22,27 +22,31 @@
     /// Describes a run of `experiment`; asks git for the commit.
     #[must_use]
     pub fn new(experiment: &'static str, seed: u64) -> Self {
-        let describe = Command::new("git")
-            .args(["describe", "--always", "--dirty", "--abbrev=7"])
-            .output();
-        let commit = describe.ok().filter(|output| output.status.success());
-        let commit = commit.map_or_else(
-            || "unknown".to_owned(),
-            |output| String::from_utf8_lossy(&output.stdout).trim().to_owned(),
-        );
         Self {
             experiment,
             seed,
             version: env!("CARGO_PKG_VERSION"),
-            commit,
+            commit: current_commit().unwrap_or_else(|| "unknown".to_owned()),
         }
     }
 }
 
-/// One run: how it came to be, its scenario, and what it measured.
+/// Returns the commit of the checkout; `None` outside one, or without git.
+fn current_commit() -> Option<String> {
+    let output = Command::new("git")
+        .args(["describe", "--always", "--dirty", "--abbrev=7"])
+        .output()
+        .ok()?;
+    if !output.status.success() {
+        return None;
+    }
+    Some(String::from_utf8_lossy(&output.stdout).trim().to_owned())
+}
+
+/// The result of a run: the run, its scenario, and what it measured.
 #[derive(Debug, Serialize)]
 pub struct RunResult<'a, S, M> {
-    /// How it came to be.
+    /// The run.
     pub run: RunInfo,
     /// The scenario as it was read, defaults filled in.
     pub scenario: &'a S,
