--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -196,7 +196,7 @@
     simulation.run(bar);
     bar.finish();
     let report = simulation.report(&policy.to_string());
-    let elapsed_s = began.elapsed().as_secs_f64();
-    tracing::info!(%policy, events = report.events, elapsed_s, "policy played");
+    let elapsed = began.elapsed();
+    tracing::info!(%policy, events = report.events, ?elapsed, "policy played");
     Ok(report)
 }
--- a/lab/src/fleet/plot.rs
+++ b/lab/src/fleet/plot.rs
@@ -8,9 +8,15 @@
 use std::io;
 use std::path::Path;
 
+/// Width and height, pixels.
 const SIZE: (u32, u32) = (900, 900);
 const MARGIN: u32 = 8;
 const LABEL_SPACE: u32 = 60;
+const TITLE_FONT: (&str, u32) = ("sans-serif", 16);
+/// Length of a policy's line in the legend, pixels.
+const LEGEND_LENGTH: i32 = 16;
+/// The vertical axis ends above the greatest value.
+const HEADROOM_FACTOR: f64 = 1.05;
 /// One color for each policy, in their order.
 const COLORS: [RGBColor; 3] = [
     RGBColor(31, 119, 180),
@@ -28,11 +34,11 @@
 
 const CHARTS: [Chart; 3] = [
     Chart {
-        title: "Answered in time, part of the calls made in that second",
+        title: "Answered within the latency objective, part of the calls made in that second",
         value: within_objective,
     },
     Chart {
-        title: "Refused, failed or without an answer, part of the calls",
+        title: "Rejected, failed or timed out, part of the calls",
         value: not_served,
     },
     Chart {
@@ -78,6 +84,14 @@
     Ok(())
 }
 
+/// Returns the value of each second, in its middle.
+fn points(report: &PolicyReport, chart: &Chart) -> impl Iterator<Item = (f64, f64)> {
+    report
+        .seconds
+        .iter()
+        .map(|second| (second.second as f64 + 0.5, (chart.value)(second)))
+}
+
 fn draw_chart(
     area: &Area<'_>,
     chart: &Chart,
@@ -92,22 +106,20 @@
         .iter()
         .flat_map(|report| &report.seconds)
         .map(chart.value);
-    let most = values.fold(0.0_f64, f64::max).max(f64::EPSILON) * 1.05;
+    // An axis must not be empty.
+    let greatest = values.fold(0.0_f64, f64::max).max(f64::EPSILON);
     let mut context = ChartBuilder::on(area)
         .margin(MARGIN)
-        .caption(chart.title, ("sans-serif", 16))
+        .caption(chart.title, TITLE_FONT)
         .x_label_area_size(LABEL_SPACE / 2)
         .y_label_area_size(LABEL_SPACE)
-        .build_cartesian_2d(0.0..seconds as f64, 0.0..most)?;
+        .build_cartesian_2d(0.0..seconds as f64, 0.0..greatest * HEADROOM_FACTOR)?;
     context.configure_mesh().x_desc("s").draw()?;
     for (report, color) in reports.iter().zip(COLORS.iter().cycle()) {
-        let points = report
-            .seconds
-            .iter()
-            .map(|second| (second.second as f64 + 0.5, (chart.value)(second)));
-        let line = context.draw_series(LineSeries::new(points, color.stroke_width(2)))?;
-        let key = move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color.stroke_width(2));
-        line.label(report.policy.clone()).legend(key);
+        let style = color.stroke_width(2);
+        let line = context.draw_series(LineSeries::new(points(report, chart), style))?;
+        let legend = move |(x, y)| PathElement::new(vec![(x, y), (x + LEGEND_LENGTH, y)], style);
+        line.label(report.policy.clone()).legend(legend);
     }
     context
         .configure_series_labels()
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -1,6 +1,6 @@
 //! The simulation: one fleet under one policy in virtual time.
 //!
-//! Everything that takes time is an event ([`SimulationEvent`]). `clients` handles the events of clients,
+//! Everything that takes time is an event (`SimulationEvent`). `clients` handles the events of clients,
 //! `attempts` those of attempts, `discovery` those of discovery, and `changes` the fault schedule.
 
 mod attempts;
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -3,11 +3,16 @@
 use super::report::{FleetReport, PolicyReport};
 use std::fmt;
 
-/// Width of the table's first column and of the others.
+/// Width of the table's first column.
 const LABEL_WIDTH: usize = 44;
+/// Width of a policy's column.
 const COLUMN_WIDTH: usize = 20;
+const BYTES_PER_MB: f64 = 1e6;
+/// Names of the safety rules, in their order.
+const RULE_NAMES: [&str; 4] = ["one final answer", "repeats", "drains", "slow starts"];
 
 impl FleetReport {
+    /// Writes a label and a value for each policy.
     fn row(
         &self,
         f: &mut fmt::Formatter<'_>,
@@ -21,21 +26,18 @@
         writeln!(f)
     }
 
-    fn write_service(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let percentage = |count: u64, report: &PolicyReport| {
-            let offered = report.calls.offered.max(1);
-            format!("{:.3}%", count as f64 * 100.0 / offered as f64)
-        };
-        self.row(f, "worth in time", |r| {
+    fn write_calls(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.row(f, "earned priority weight", |r| {
             format!("{:.4}", r.earned_weight_fraction)
         })?;
         self.row(f, "calls counted", |r| r.calls.offered.to_string())?;
         self.row(f, "  late", |r| percentage(r.calls.late, r))?;
-        self.row(f, "  refused", |r| percentage(r.calls.rejected, r))?;
+        self.row(f, "  rejected", |r| percentage(r.calls.rejected, r))?;
         self.row(f, "  failed", |r| percentage(r.calls.failed, r))?;
-        self.row(f, "  without an answer", |r| {
-            percentage(r.calls.timed_out, r)
-        })?;
+        self.row(f, "  timed out", |r| percentage(r.calls.timed_out, r))
+    }
+
+    fn write_latency(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.row(f, "latency p50, ms", |r| format!("{:.1}", r.latency.p50_ms))?;
         self.row(f, "latency p99, ms", |r| format!("{:.1}", r.latency.p99_ms))?;
         self.row(f, "latency p99.9, ms", |r| {
@@ -44,64 +46,66 @@
     }
 
     fn write_attempts(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.row(f, "tries of clients", |r| {
+        self.row(f, "attempts of clients", |r| {
             r.attempts.client_attempts.to_string()
         })?;
         self.row(f, "attempts of proxies", |r| {
             r.attempts.proxy_attempts.to_string()
         })?;
         self.row(f, "  across zones", |r| r.attempts.cross_zone.to_string())?;
-        self.row(f, "  turned away by a full queue", |r| {
+        self.row(f, "  rejected by a full queue", |r| {
             r.attempts.rejected.to_string()
         })?;
-        self.row(f, "  given up / no connection / reset", |r| {
+        self.row(f, "  timed out / no connection / reset", |r| {
             let counts = &r.attempts;
             format!(
                 "{}/{}/{}",
                 counts.timeouts, counts.connect_failures, counts.resets
             )
-        })?;
+        })
+    }
+
+    fn write_backend_load(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.row(f, "attempts at a backend p1/p50/p99", |r| {
             let load = &r.backend_load;
             format!("{}/{}/{}", load.p1, load.p50, load.p99)
         })?;
-        self.row(f, "  most, backends without any", |r| {
-            format!("{}, {}", r.backend_load.max, r.backend_load.idle_backends)
+        self.row(f, "  maximum, idle backends", |r| {
+            let load = &r.backend_load;
+            format!("{}, {}", load.max, load.idle_backends)
         })
     }
 
-    fn write_control(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let time =
-            |span: Option<f64>| span.map_or_else(|| "-".to_owned(), |span| format!("{span:.2}"));
+    fn write_propagation(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.row(f, "publications, not known to all", |r| {
+            let propagation = &r.change_propagation;
             format!(
                 "{}, {}",
-                r.change_propagation.publications, r.change_propagation.not_known_to_all
+                propagation.publications, propagation.not_known_to_all
             )
         })?;
         self.row(f, "  slowest known to half / 99% / all, s", |r| {
             let propagation = &r.change_propagation;
-            let times = [
-                propagation.worst_half_s,
-                propagation.worst_p99_s,
-                propagation.worst_all_s,
-            ]
-            .map(time);
-            format!(" {}", times.join("/"))
-        })?;
+            format!(
+                " {}/{}/{}",
+                optional_seconds(propagation.worst_half_s),
+                optional_seconds(propagation.worst_p99_s),
+                optional_seconds(propagation.worst_all_s)
+            )
+        })
+    }
+
+    fn write_discovery(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.row(f, "discovery calls, failed", |r| {
             format!("{}, {}", r.discovery.calls, r.discovery.failures)
         })?;
-        self.row(f, "  whole lists, entries", |r| {
+        self.row(f, "  full lists, endpoints", |r| {
             format!("{}, {}", r.discovery.full_lists, r.discovery.endpoints)
         })?;
         self.row(f, "  MB in all, MB in the peak second", |r| {
-            let discovery = &r.discovery;
-            format!(
-                "{:.2}, {:.2}",
-                discovery.bytes as f64 / 1e6,
-                discovery.peak_second_bytes as f64 / 1e6
-            )
+            let total_mb = r.discovery.bytes as f64 / BYTES_PER_MB;
+            let peak_mb = r.discovery.peak_second_bytes as f64 / BYTES_PER_MB;
+            format!("{total_mb:.2}, {peak_mb:.2}")
         })?;
         self.row(f, "  bytes a second for one proxy: mean, peak", |r| {
             let peak = r.discovery.peak_second_bytes as f64 / self.proxies as f64;
@@ -110,41 +114,44 @@
     }
 
     fn write_rules(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let labels = [
-            "1 one final answer",
-            "2 effects",
-            "3 drains",
-            "4 cold backends",
-        ];
-        for (rule, label) in labels.into_iter().enumerate() {
-            self.row(f, &format!("rule {label}"), |r| {
-                match r.rule_violations[rule] {
-                    0 => "kept".to_owned(),
-                    count => format!("broken {count}x"),
-                }
+        for (rule, name) in RULE_NAMES.into_iter().enumerate() {
+            let label = format!("rule {} {name}", rule + 1);
+            self.row(f, &label, |r| match r.rule_violations[rule] {
+                0 => "kept".to_owned(),
+                count => format!("violated {count}x"),
             })?;
         }
-        self.row(f, "cold starts, fallen", |r| {
-            format!(
-                "{}, {}",
-                r.rules.slow_starts.starts, r.rules.slow_starts.collapses
-            )
+        self.row(f, "backend starts, collapses", |r| {
+            let slow_starts = &r.rules.slow_starts;
+            format!("{}, {}", slow_starts.starts, slow_starts.collapses)
         })
     }
 }
 
+/// Formats a number of calls as a part of those offered.
+fn percentage(count: u64, report: &PolicyReport) -> String {
+    let offered = report.calls.offered.max(1);
+    format!("{:.3}%", count as f64 * 100.0 / offered as f64)
+}
+
+fn optional_seconds(time_s: Option<f64>) -> String {
+    time_s.map_or_else(|| "-".to_owned(), |time_s| format!("{time_s:.2}"))
+}
+
 impl fmt::Display for FleetReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (proxies, backends) = (self.proxies, self.backends);
         writeln!(
             f,
-            "{proxies} proxies, {backends} backends, {:.0} calls a second",
-            self.calls_per_s
+            "{} proxies, {} backends, {:.0} calls a second",
+            self.proxies, self.backends, self.calls_per_s
         )?;
         self.row(f, "", |report| report.policy.clone())?;
-        self.write_service(f)?;
+        self.write_calls(f)?;
+        self.write_latency(f)?;
         self.write_attempts(f)?;
-        self.write_control(f)?;
+        self.write_backend_load(f)?;
+        self.write_propagation(f)?;
+        self.write_discovery(f)?;
         self.write_rules(f)
     }
 }
--- a/lab/tests/fleet/command_line.rs
+++ b/lab/tests/fleet/command_line.rs
@@ -172,8 +172,8 @@
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     let table = String::from_utf8_lossy(&output.stdout).into_owned();
     for label in [
-        "worth in time",
-        "refused",
+        "earned priority weight",
+        "rejected",
         "p99.9",
         "publications",
         "rule 4",
