--- a/lab/src/fleet/backend/mod.rs
+++ b/lab/src/fleet/backend/mod.rs
@@ -10,13 +10,13 @@
 use super::process::ProcessState;
 use super::request::AttemptKey;
 use super::topology::Machine;
+use super::units::as_milliseconds;
 use slow_start::SlowStartLoad;
 use std::collections::VecDeque;
 use tillerproxy::api::{LoadReportFields, Micros};
 
 /// Weight of the latest service time in the moving average that load reports carry.
 const SERVICE_TIME_WEIGHT: f64 = 1.0 / 16.0;
-const MICROS_PER_MILLISECOND: f64 = 1e3;
 
 /// A load report: requests running, requests queued, mean service time in milliseconds.
 pub type LoadReport = [f32; 3];
@@ -177,7 +177,7 @@
             return false;
         }
         self.remove_running(attempt);
-        let service_time_ms = service_time as f64 / MICROS_PER_MILLISECOND;
+        let service_time_ms = as_milliseconds(service_time);
         self.service_time_ms += (service_time_ms - self.service_time_ms) * SERVICE_TIME_WEIGHT;
         true
     }
--- a/lab/src/fleet/client/arrivals.rs
+++ b/lab/src/fleet/client/arrivals.rs
@@ -2,13 +2,12 @@
 
 use super::{ClientCall, TrafficMix};
 use crate::fleet::random::{Stream, stream};
+use crate::fleet::units::MICROS_PER_SECOND;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::Exp1;
 use tillerproxy::api::{Micros, TenantIndex};
 
-const MICROS_PER_SECOND: f64 = 1e6;
-
 /// Calls that arrive at random, whether or not earlier ones were answered.
 #[derive(Debug)]
 pub struct ArrivalProcess {
@@ -45,7 +44,7 @@
     /// Draws the time of the next arrival; `None` after the end.
     pub fn next_arrival(&mut self) -> Option<Micros> {
         let interval: f64 = self.random.sample(Exp1);
-        self.latest += interval * MICROS_PER_SECOND / self.calls_per_s;
+        self.latest += interval * MICROS_PER_SECOND as f64 / self.calls_per_s;
         (self.latest < self.until as f64).then_some(self.latest as Micros)
     }
 
--- a/lab/src/fleet/client/quotas.rs
+++ b/lab/src/fleet/client/quotas.rs
@@ -1,12 +1,12 @@
 //! Quotas of tenants over all proxies: a token bucket for each tenant.
 
+use crate::fleet::units::MICROS_PER_SECOND;
 use tillerproxy::api::{Micros, TenantIndex};
 
 /// Size of a bucket, seconds of its rate.
 const BURST_S: f64 = 0.5;
 /// Size of the smallest bucket, calls.
 const MIN_BURST_CALLS: f64 = 10.0;
-const MICROS_PER_SECOND: f64 = 1e6;
 
 /// The quotas of all tenants.
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
 
     fn refill(&mut self, now: Micros) {
         let elapsed = (now - self.refilled_at) as f64;
-        let refilled = self.tokens + self.rate * elapsed / MICROS_PER_SECOND;
+        let refilled = self.tokens + self.rate * elapsed / MICROS_PER_SECOND as f64;
         self.tokens = refilled.min(Self::size(self.rate));
         self.refilled_at = now;
     }
--- a/lab/src/fleet/client/traffic.rs
+++ b/lab/src/fleet/client/traffic.rs
@@ -2,8 +2,9 @@
 
 use super::ClientCall;
 use super::weighted::WeightedChoice;
-use crate::fleet::scenario::{ClassSettings, FleetScenario, WorkDistribution, milliseconds};
+use crate::fleet::scenario::{ClassSettings, FleetScenario, WorkDistribution};
 use crate::fleet::topology::Topology;
+use crate::fleet::units::{MILLISECONDS_PER_SECOND, milliseconds};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, Exp1, LogNormal};
@@ -77,7 +78,7 @@
             work: scenario.classes.iter().map(WorkSampler::new).collect(),
             tenants: WeightedChoice::new(tenant_weights),
             zone_count: topology.zone_count,
-            calls_per_s: offered_work / scenario.mean_work_ms() * 1e3,
+            calls_per_s: offered_work / scenario.mean_work_ms() * MILLISECONDS_PER_SECOND,
         }
     }
 
--- a/lab/src/fleet/discovery/mod.rs
+++ b/lab/src/fleet/discovery/mod.rs
@@ -11,13 +11,12 @@
 pub use messages::{Call, CallId, CallStatus, Response, ResponseBody, Traffic};
 
 use super::ids::ProxyIndex;
-use super::scenario::{DiscoverySettings, milliseconds};
+use super::scenario::DiscoverySettings;
+use super::units::{MICROS_PER_SECOND, milliseconds};
 use endpoint_list::EndpointList;
 use std::collections::VecDeque;
 use tillerproxy::api::{Backend, Micros};
 
-const MICROS_PER_SECOND: f64 = 1e6;
-
 /// A standing watch.
 #[derive(Clone, Copy, Debug)]
 struct Watch {
@@ -65,14 +64,14 @@
     pub fn new(settings: &DiscoverySettings, endpoints: Vec<Backend>, proxy_count: usize) -> Self {
         let watch_response_time = settings
             .watch_responses_per_s
-            .map_or(0.0, |rate| MICROS_PER_SECOND / rate);
+            .map_or(0.0, |rate| MICROS_PER_SECOND as f64 / rate);
         Self {
             list: EndpointList::new(endpoints, settings.history_limit),
             detected: Vec::new(),
             watches: vec![None; proxy_count],
             queue: VecDeque::new(),
             up: true,
-            call_time: MICROS_PER_SECOND / settings.calls_per_s,
+            call_time: MICROS_PER_SECOND as f64 / settings.calls_per_s,
             watch_response_time,
             queue_timeout: milliseconds(settings.queue_timeout_ms),
             endpoint_bytes: u64::from(settings.endpoint_bytes),
--- a/lab/src/fleet/metrics/mod.rs
+++ b/lab/src/fleet/metrics/mod.rs
@@ -12,6 +12,7 @@
     SecondReport,
 };
 use super::rules::RuleCounts;
+use super::units::{MICROS_PER_SECOND, as_milliseconds};
 use hdrhistogram::Histogram;
 use propagation::PropagationTracker;
 use tillerproxy::api::Micros;
@@ -22,9 +23,7 @@
 /// Significant digits of latencies in the time series, which has a histogram for each second.
 const SECOND_LATENCY_DIGITS: u8 = 2;
 /// Longer latencies are recorded as this.
-const MAX_LATENCY: Micros = 120_000_000;
-const MICROS_PER_SECOND: Micros = 1_000_000;
-const MICROS_PER_MILLISECOND: f64 = 1e3;
+const MAX_LATENCY: Micros = 120 * MICROS_PER_SECOND;
 
 /// How a client's call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,15 +88,14 @@
         SecondReport {
             second,
             calls: self.calls,
-            p99_ms: p99 as f64 / MICROS_PER_MILLISECOND,
+            p99_ms: as_milliseconds(p99),
         }
     }
 }
 
 impl Percentiles {
     fn of(latency: &Histogram<u64>) -> Self {
-        let at =
-            |quantile: f64| latency.value_at_quantile(quantile) as f64 / MICROS_PER_MILLISECOND;
+        let at = |quantile: f64| as_milliseconds(latency.value_at_quantile(quantile));
         Self {
             p50_ms: at(0.5),
             p99_ms: at(0.99),
--- a/lab/src/fleet/metrics/propagation.rs
+++ b/lab/src/fleet/metrics/propagation.rs
@@ -3,10 +3,9 @@
 use crate::fleet::discovery::Revision;
 use crate::fleet::ids::ProxyIndex;
 use crate::fleet::report::ChangePropagation;
+use crate::fleet::units::as_seconds;
 use tillerproxy::api::Micros;
 
-const MICROS_PER_SECOND: f64 = 1e6;
-
 /// A publication of changes on its way to the proxies.
 #[derive(Debug)]
 struct Publication {
@@ -24,7 +23,7 @@
     fn propagation_s(&self, fraction: f64) -> Option<f64> {
         let needed = ((self.running_proxies as f64 * fraction).ceil() as usize).max(1);
         let informed_at = self.informed_at.get(needed - 1)?;
-        Some((informed_at - self.changed_at) as f64 / MICROS_PER_SECOND)
+        Some(as_seconds(informed_at - self.changed_at))
     }
 }
 
--- a/lab/src/fleet/metrics/traffic.rs
+++ b/lab/src/fleet/metrics/traffic.rs
@@ -1,8 +1,8 @@
 //! Traffic of discovery, in all and by second.
 
-use super::MICROS_PER_SECOND;
 use crate::fleet::discovery::Traffic;
 use crate::fleet::report::DiscoveryReport;
+use crate::fleet::units::MICROS_PER_SECOND;
 use tillerproxy::api::Micros;
 
 /// Traffic of discovery in one second.
--- a/lab/src/fleet/policy/baseline.rs
+++ b/lab/src/fleet/policy/baseline.rs
@@ -1,6 +1,7 @@
 //! Baselines: the least loaded of a few backends that are drawn at random.
 
 use super::{Policy, TrueLoad};
+use crate::fleet::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
 use rustc_hash::FxHashMap;
 use tillerproxy::api::{
     Action, AttemptEnd, Backend, BackendId, ClassIndex, DiscoveryMode, Event, Idempotency,
@@ -8,9 +9,9 @@
 };
 
 /// The proxies together call discovery once in this time after a failure.
-const CALL_INTERVAL: Micros = 200_000;
+const CALL_INTERVAL: Micros = 200 * MICROS_PER_MILLISECOND;
 /// The longest wait before a call.
-const MAX_CALL_WAIT: Micros = 30_000_000;
+const MAX_CALL_WAIT: Micros = 30 * MICROS_PER_SECOND;
 
 /// A request without a final answer.
 #[derive(Clone, Copy, Debug)]
--- a/lab/src/fleet/proxy/watcher.rs
+++ b/lab/src/fleet/proxy/watcher.rs
@@ -2,22 +2,23 @@
 
 use crate::fleet::discovery::{Call, CallId, Revision};
 use crate::fleet::ids::ProxyIndex;
+use crate::fleet::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
 use tillerproxy::api::Micros;
 
 // The times are those of the proxy (`src/proxy/discovery`).
 
 /// Mean wait of a watch.
-const MEAN_WATCH_WAIT: Micros = 20_000_000;
+const MEAN_WATCH_WAIT: Micros = 20 * MICROS_PER_SECOND;
 /// The range of the waits grows by this much with each proxy ...
-const WATCH_WAIT_RANGE_PER_PROXY: Micros = 1_000_000;
+const WATCH_WAIT_RANGE_PER_PROXY: Micros = MICROS_PER_SECOND;
 /// ... up to this much.
-const MAX_WATCH_WAIT_RANGE: Micros = 30_000_000;
+const MAX_WATCH_WAIT_RANGE: Micros = 30 * MICROS_PER_SECOND;
 /// Wait of a call that begins a watch.
-const FIRST_WATCH_WAIT: Micros = 250_000;
+const FIRST_WATCH_WAIT: Micros = 250 * MICROS_PER_MILLISECOND;
 /// Timeout of a call that begins a watch or fetches the full list.
-const CALL_TIMEOUT: Micros = 3_500_000;
+const CALL_TIMEOUT: Micros = 3_500 * MICROS_PER_MILLISECOND;
 /// How late the response to a standing watch may be.
-const WATCH_GRACE: Micros = 250_000;
+const WATCH_GRACE: Micros = 250 * MICROS_PER_MILLISECOND;
 /// The fraction of the golden ratio: its multiples fill 0..1 evenly.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
--- a/lab/src/fleet/scenario/mod.rs
+++ b/lab/src/fleet/scenario/mod.rs
@@ -8,7 +8,6 @@
 mod machines;
 pub mod timeline;
 mod traffic;
-mod units;
 mod validation;
 
 pub use discovery::DiscoverySettings;
@@ -18,7 +17,6 @@
     ClassSettings, ClientSettings, Idempotency, KeyScope, LoadSettings, TenantSettings,
     WorkDistribution,
 };
-pub use units::{milliseconds, seconds};
 
 use serde::{Deserialize, Serialize};
 use timeline::TimelineEvent;
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -9,9 +9,10 @@
 use crate::fleet::metrics::CallEnd;
 use crate::fleet::process::ProcessState;
 use crate::fleet::request::{CallKey, RequestKey, TrackedRequest};
-use crate::fleet::scenario::{FleetScenario, milliseconds, seconds};
+use crate::fleet::scenario::FleetScenario;
 use crate::fleet::slab::RefSlab;
 use crate::fleet::topology::Topology;
+use crate::fleet::units::{milliseconds, seconds};
 use tillerproxy::api::{Event, Micros, Request, RequestId, Settings};
 
 /// The clients of the simulation.
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -23,9 +23,10 @@
 use super::report::{BackendLoad, PolicyReport};
 use super::request::{Attempt, AttemptKey, RequestKey, TrackedRequest};
 use super::rules::RuleChecker;
-use super::scenario::{FleetScenario, seconds};
+use super::scenario::FleetScenario;
 use super::slab::RefSlab;
 use super::topology::{Latencies, ProxyLocation, Topology};
+use super::units::{MICROS_PER_MILLISECOND, seconds};
 use clients::ClientState;
 use discovery::DiscoveryState;
 use event::SimulationEvent;
@@ -37,10 +38,9 @@
 };
 
 /// Interval of the progress bar's updates, in virtual time.
-const PROGRESS_INTERVAL: Micros = 100_000;
+const PROGRESS_INTERVAL: Micros = 100 * MICROS_PER_MILLISECOND;
 /// Time that the run goes on for after the deadline of the last calls.
-const RUN_OUT: Micros = 100_000;
-const MICROS_PER_MILLISECOND: Micros = 1_000;
+const RUN_OUT: Micros = 100 * MICROS_PER_MILLISECOND;
 
 /// One fleet under one policy.
 pub struct Simulation<'a> {
--- a/lab/src/fleet/simulation/setup.rs
+++ b/lab/src/fleet/simulation/setup.rs
@@ -4,8 +4,9 @@
 use crate::fleet::client::TrafficMix;
 use crate::fleet::metrics::Metrics;
 use crate::fleet::rules::RuleLimits;
-use crate::fleet::scenario::{ClassSettings, FleetScenario, milliseconds, seconds};
+use crate::fleet::scenario::{ClassSettings, FleetScenario};
 use crate::fleet::topology::Topology;
+use crate::fleet::units::{milliseconds, seconds};
 use tillerproxy::api::{
     DiscoveryMode, LoadReportFields, Permissions, SafetyLimits, Settings, Tenant, TenantIndex, Zone,
 };
--- a/lab/src/fleet/topology.rs
+++ b/lab/src/fleet/topology.rs
@@ -2,7 +2,8 @@
 
 use super::ids::{ProxyIndex, Rack, Region};
 use super::random::{Stream, stream};
-use super::scenario::{FleetScenario, NetworkSettings, milliseconds};
+use super::scenario::{FleetScenario, NetworkSettings};
+use super::units::milliseconds;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, Exp1, LogNormal};
