--- a/lab/src/fleet/discovery/mod.rs
+++ b/lab/src/fleet/discovery/mod.rs
@@ -17,15 +17,23 @@
 use std::collections::VecDeque;
 use tillerproxy::api::{Backend, Micros};
 
+/// What happens to a standing watch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WatchState {
+    /// It waits for changes.
+    Waiting,
+    /// Its response is queued.
+    ResponseQueued,
+    /// Nothing is ever answered on it.
+    Stalled,
+}
+
 /// A standing watch.
 #[derive(Clone, Copy, Debug)]
 struct Watch {
     call: CallId,
     known_revision: Revision,
-    /// Whether nothing is ever answered on it.
-    stalled: bool,
-    /// Whether its response is queued.
-    queued: bool,
+    state: WatchState,
 }
 
 /// What waits to be processed.
@@ -130,8 +138,7 @@
         self.watches[call.id.proxy.index()] = Some(Watch {
             call: call.id,
             known_revision,
-            stalled: false,
-            queued: false,
+            state: WatchState::Waiting,
         });
         CallStatus::Standing {
             call: call.id,
@@ -165,7 +172,8 @@
     /// Answers a standing watch with what changed since its revision.
     fn answer_watch(&mut self, call: CallId) -> Option<Response> {
         let watch = &mut self.watches[call.proxy.index()];
-        let answerable = watch.filter(|watch| watch.call == call && !watch.stalled)?;
+        let answerable =
+            watch.filter(|watch| watch.call == call && watch.state != WatchState::Stalled)?;
         *watch = None;
         Some(self.update(call, Some(answerable.known_revision)))
     }
@@ -218,8 +226,8 @@
     /// Queues the responses of all standing watches, once each.
     fn queue_watch_responses(&mut self) {
         for watch in self.watches.iter_mut().flatten() {
-            if !watch.queued && !watch.stalled {
-                watch.queued = true;
+            if watch.state == WatchState::Waiting {
+                watch.state = WatchState::ResponseQueued;
                 self.queue.push_back(QueueEntry::Watch(watch.call));
             }
         }
@@ -255,7 +263,7 @@
     /// Stalls a proxy's watch: nothing is answered on it any more.
     pub fn stall_watch(&mut self, proxy: ProxyIndex) {
         if let Some(watch) = &mut self.watches[proxy.index()] {
-            watch.stalled = true;
+            watch.state = WatchState::Stalled;
         }
     }
 }
--- a/lab/src/fleet/request.rs
+++ b/lab/src/fleet/request.rs
@@ -41,6 +41,17 @@
     pub key: AttemptKey,
 }
 
+/// Whether a client waits for the answer to a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestState {
+    /// The client waits.
+    Pending,
+    /// The request has its final answer.
+    Answered,
+    /// The client stopped waiting before an answer.
+    Abandoned,
+}
+
 /// One attempt of a client, as a request to a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct TrackedRequest {
@@ -52,16 +63,12 @@
     pub class: ClassIndex,
     /// The proxy that it goes to.
     pub proxy: ProxyIndex,
-    /// The incarnation of the proxy that accepted it.
-    pub incarnation: u32,
+    /// The incarnation of the proxy that accepted it, once one has.
+    pub accepted_by: Option<u32>,
     /// When the client gives it up.
     pub deadline: Micros,
-    /// Whether a running proxy has accepted it.
-    pub accepted: bool,
-    /// Whether it has its final answer.
-    pub answered: bool,
-    /// Whether the client has stopped waiting for it.
-    pub abandoned: bool,
+    /// Whether the client waits for its answer.
+    pub state: RequestState,
     attempts: [SentAttempt; MAX_TRACKED_ATTEMPTS as usize],
     attempt_count: u8,
 }
@@ -81,11 +88,9 @@
             call,
             class,
             proxy,
-            incarnation: 0,
+            accepted_by: None,
             deadline,
-            accepted: false,
-            answered: false,
-            abandoned: false,
+            state: RequestState::Pending,
             attempts: [SentAttempt::default(); MAX_TRACKED_ATTEMPTS as usize],
             attempt_count: 0,
         }
@@ -94,7 +99,20 @@
     /// Returns whether the client still waits for an answer.
     #[must_use]
     pub fn is_pending(&self) -> bool {
-        !self.answered && !self.abandoned
+        self.state == RequestState::Pending
+    }
+
+    /// Returns whether it has its final answer.
+    #[must_use]
+    pub fn is_answered(&self) -> bool {
+        self.state == RequestState::Answered
+    }
+
+    /// Notes that the client has stopped waiting, unless it has its answer.
+    pub fn abandon(&mut self) {
+        if self.is_pending() {
+            self.state = RequestState::Abandoned;
+        }
     }
 
     /// Returns the attempts so far.
--- a/lab/src/fleet/rules.rs
+++ b/lab/src/fleet/rules.rs
@@ -159,7 +159,7 @@
 
     /// Checks an attempt that is about to be sent. `machine_of` returns the machine of an earlier one.
     pub fn on_send(&mut self, send: PendingSend<'_>, machine_of: impl Fn(&SentAttempt) -> Machine) {
-        if send.request.answered {
+        if send.request.is_answered() {
             self.counts.final_answers.after_final_answer += 1;
         }
         self.check_attempt_limits(send.request);
@@ -217,7 +217,7 @@
         class: &Class,
         rejected: bool,
     ) {
-        if request.answered {
+        if request.is_answered() {
             self.counts.final_answers.after_final_answer += 1;
         }
         if rejected && !is_retry_harmless(now, request, class) {
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -8,7 +8,7 @@
 use crate::fleet::ids::ProxyIndex;
 use crate::fleet::metrics::CallEnd;
 use crate::fleet::process::ProcessState;
-use crate::fleet::request::{CallKey, RequestKey, TrackedRequest};
+use crate::fleet::request::{CallKey, RequestKey, RequestState, TrackedRequest};
 use crate::fleet::scenario::FleetScenario;
 use crate::fleet::slab::RefSlab;
 use crate::fleet::topology::Topology;
@@ -147,7 +147,7 @@
 
     pub(super) fn on_request_reaches_proxy(&mut self, now: Micros, key: RequestKey) {
         let request = self.requests[key];
-        if !request.abandoned {
+        if request.is_pending() {
             match self.proxies[request.proxy.index()].state {
                 ProcessState::Running => self.accept_request(now, key),
                 ProcessState::Crashed => {
@@ -167,8 +167,7 @@
     fn accept_request(&mut self, now: Micros, key: RequestKey) {
         let tracked = &mut self.requests[key];
         let proxy = tracked.proxy;
-        tracked.accepted = true;
-        tracked.incarnation = self.proxies[proxy.index()].incarnation;
+        tracked.accepted_by = Some(self.proxies[proxy.index()].incarnation);
         let call = &self.clients.calls[tracked.call];
         let request = Request {
             id: tracked.id,
@@ -204,7 +203,7 @@
         let rejected = matches!(failure, AttemptFailure::Rejected { .. });
         self.checker.on_answer(now, request, class, rejected);
         if request.is_pending() {
-            self.requests[key].answered = true;
+            self.requests[key].state = RequestState::Answered;
             let latency = self.client_latency();
             self.end_client_attempt(key, now + latency, failure);
         }
@@ -212,14 +211,13 @@
 
     /// Sends a backend's response to the client.
     pub(super) fn serve(&mut self, now: Micros, key: RequestKey) {
-        self.requests[key].answered = true;
+        self.requests[key].state = RequestState::Answered;
         let at = now + self.client_latency();
-        let request = &mut self.requests[key];
+        let request = &self.requests[key];
         if at > request.deadline {
             self.end_client_attempt(key, at, AttemptFailure::TimedOut);
             return;
         }
-        request.abandoned = true;
         let call = request.call;
         let ClientCall {
             started_at, class, ..
@@ -236,7 +234,7 @@
     /// Ends a client's attempt that was not served; the client learns it at `at`, and retries or gives up.
     fn end_client_attempt(&mut self, key: RequestKey, at: Micros, failure: AttemptFailure) {
         let request = &mut self.requests[key];
-        request.abandoned = true;
+        request.abandon();
         let failure = if at > request.deadline {
             AttemptFailure::TimedOut
         } else {
@@ -276,7 +274,7 @@
     /// Returns whether the proxy that accepted a request still runs.
     fn is_held_by_proxy(&self, request: &TrackedRequest) -> bool {
         let proxy = &self.proxies[request.proxy.index()];
-        request.accepted && proxy.is_running() && proxy.incarnation == request.incarnation
+        proxy.is_running() && request.accepted_by == Some(proxy.incarnation)
     }
 
     pub(super) fn on_client_timeout(&mut self, now: Micros, key: RequestKey) {
@@ -295,7 +293,7 @@
     pub(super) fn on_client_disconnects(&mut self, now: Micros, key: RequestKey) {
         let request = self.requests[key];
         if request.is_pending() {
-            self.requests[key].abandoned = true;
+            self.requests[key].abandon();
             self.end_call(request.call, CallEnd::Disconnected);
             if self.is_held_by_proxy(&request) {
                 let event = Event::ClientDisconnected(request.id);
@@ -312,7 +310,7 @@
             .keys()
             .filter(|&key| {
                 let request = &self.requests[key];
-                request.proxy == proxy && request.accepted && request.is_pending()
+                request.proxy == proxy && request.accepted_by.is_some() && request.is_pending()
             })
             .collect();
         for key in reset {
