--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Every proxy hosts the decision module with its own settings, state and seed. Backends, discovery, networks and
 //! clients are emulated by a discrete-event simulation that depends on its seed alone. Beside the module two
-//! baselines are played on the same arrivals and events.
+//! baselines are simulated on the same arrivals and events.
 //!
 //! Not emulated are: processor time of the proxies, single connections and their setup, streamed responses, health
 //! checks, services (every backend serves every request), and the rule that a proxy which has not polled for long
@@ -51,7 +51,7 @@
 pub struct FleetOptions {
     /// Scenario file (TOML).
     pub scenario: PathBuf,
-    /// The policies to play.
+    /// The policies to simulate.
     #[arg(
         long,
         value_delimiter = ',',
@@ -74,14 +74,14 @@
 /// Runs the experiment.
 ///
 /// # Errors
-/// [`LabError::Scenario`] for a scenario that can't be played, [`LabError::Unwritable`] for a result that
+/// [`LabError::Scenario`] for a scenario that makes no sense, [`LabError::Unwritable`] for a result that
 /// can't be written.
 pub fn run(options: &FleetOptions) -> Result<(), LabError> {
     let scenario = read_scenario(options)?;
     let seed = options.common.seed;
-    // Before the play: the checkout may have moved on when it ends.
+    // Before the simulation: the checkout may have moved on when it ends.
     let run = options.common.run_info("fleet");
-    let measured = play(&scenario, &options.policies, seed, options.common.quiet)?;
+    let measured = simulate(&scenario, &options.policies, seed, options.common.quiet)?;
     println!("{measured}");
     if let Some(path) = &options.common.json {
         let result = RunResult {
@@ -127,11 +127,11 @@
     })
 }
 
-/// Plays a scenario under each policy, each on a thread of its own.
+/// Simulates a scenario under each policy, each on a thread of its own.
 ///
 /// # Errors
 /// [`LabError::Settings`] where a policy rejects its settings, [`LabError::Panicked`] where its thread panics.
-pub fn play(
+pub fn simulate(
     scenario: &FleetScenario,
     policies: &[PolicyKind],
     seed: u64,
@@ -140,14 +140,14 @@
     let topology = Topology::new(scenario, seed);
     let schedule = FaultSchedule::new(scenario, &topology, seed);
     let bars = MultiProgress::with_draw_target(progress_target(quiet));
-    let play = |policy: PolicyKind| {
+    let simulate = |policy: PolicyKind| {
         let bar = bars.add(progress_bar(policy));
-        play_policy(scenario, &topology, &schedule, policy, seed, &bar)
+        simulate_policy(scenario, &topology, &schedule, policy, seed, &bar)
     };
     let results: Vec<_> = thread::scope(|scope| {
         let threads: Vec<_> = policies
             .iter()
-            .map(|&policy| scope.spawn(move || play(policy)))
+            .map(|&policy| scope.spawn(move || simulate(policy)))
             .collect();
         threads.into_iter().map(|thread| thread.join()).collect()
     });
@@ -177,7 +177,7 @@
         .with_prefix(policy.to_string())
 }
 
-fn play_policy(
+fn simulate_policy(
     scenario: &FleetScenario,
     topology: &Topology,
     schedule: &FaultSchedule,
@@ -198,6 +198,6 @@
     bar.finish();
     let report = simulation.report(&policy.to_string());
     let elapsed = began.elapsed();
-    tracing::info!(%policy, events = report.events, ?elapsed, "policy played");
+    tracing::info!(%policy, events = report.events, ?elapsed, "policy simulated");
     Ok(report)
 }
--- a/lab/src/fleet/scenario/mod.rs
+++ b/lab/src/fleet/scenario/mod.rs
@@ -25,12 +25,12 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetScenario {
-    /// What is played, in a line.
+    /// What the scenario is about, in a line.
     #[serde(default)]
     pub description: String,
     /// How long clients send requests, seconds.
     pub duration_s: f64,
-    /// Requests of the first seconds are played and not counted.
+    /// Calls of the first seconds are simulated and not counted.
     #[serde(default)]
     pub warmup_s: f64,
     /// How many machines there are and where.
--- a/lab/src/fleet/scenario/validation/mod.rs
+++ b/lab/src/fleet/scenario/validation/mod.rs
@@ -1,4 +1,4 @@
-//! Checks that the figures of a scenario can be played.
+//! Checks that the figures of a scenario make sense.
 
 mod check;
 mod timeline;
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -179,7 +179,7 @@
         self.queue.push(0, SimulationEvent::UpdateProgress);
     }
 
-    /// Plays the scenario to its end and until all requests have ended.
+    /// Simulates the scenario to its end and until all requests have ended.
     pub fn run(&mut self, progress: &ProgressBar) {
         let end = self.end();
         progress.set_length(end / MICROS_PER_MILLISECOND);
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -15,7 +15,7 @@
 
 /// A scenario that can check its own figures.
 pub trait Scenario: DeserializeOwned {
-    /// Checks that the figures can be played.
+    /// Checks that the figures make sense.
     ///
     /// # Errors
     /// The first figure that makes no sense.
--- a/lab/tests/fleet/main.rs
+++ b/lab/tests/fleet/main.rs
@@ -1,14 +1,14 @@
-//! The emulated fleet: its machines, its rules and whole plays of small scenarios.
+//! The emulated fleet: its machines, its rules and whole simulations of small scenarios.
 
 mod backend;
 mod client;
 mod command_line;
 mod discovery;
 mod events;
-mod plays;
 mod report;
 mod rules;
 mod scenario;
+mod simulation;
 
 use std::path::Path;
 use tillerproxy_lab::error::LabError;
@@ -73,5 +73,5 @@
 
 /// The small scenario with an event.
 fn small_with(event: &str) -> FleetScenario {
-    parse(&format!("{SMALL}\n{event}")).expect("a scenario that can be played")
+    parse(&format!("{SMALL}\n{event}")).expect("a valid scenario")
 }
--- a/lab/tests/fleet/report.rs
+++ b/lab/tests/fleet/report.rs
@@ -2,8 +2,8 @@
 
 use super::small_with;
 use serde_json::Value;
-use tillerproxy_lab::fleet::play;
 use tillerproxy_lab::fleet::policy::PolicyKind;
+use tillerproxy_lab::fleet::simulate;
 
 /// The keys of an object, in the order of the alphabet.
 fn keys(object: &Value) -> String {
@@ -15,7 +15,7 @@
 
 #[test]
 fn keys_of_results_stay_as_they_are() {
-    let report = play(&small_with(""), &[PolicyKind::Random], 1, true).expect("a play");
+    let report = simulate(&small_with(""), &[PolicyKind::Random], 1, true).expect("a report");
     let written = serde_json::to_value(&report).expect("JSON");
     let policy = &written["policies"][0];
     let rules = &policy["rules"];
--- a/lab/tests/fleet/rules.rs
+++ b/lab/tests/fleet/rules.rs
@@ -31,8 +31,8 @@
 
 const NOTHING: &str = "";
 
-/// Plays the small scenario under a policy that `script` decides.
-fn play<S>(event: &str, script: fn() -> S) -> PolicyReport
+/// Simulates the small scenario under a policy that `script` decides.
+fn simulate<S>(event: &str, script: fn() -> S) -> PolicyReport
 where
     S: FnMut(Micros, Event<'_>, &mut Vec<Action>) + 'static,
 {
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_policy_that_sends_once_and_fails_what_fails_keeps_all_rules() {
-    let report = play(NOTHING, || {
+    let report = simulate(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| match event {
             Event::Request(request) => {
                 actions.push(send(request.id, request.id % 24, now + request.timeout))
@@ -87,7 +87,7 @@
 
 #[test]
 fn requests_without_a_final_answer_are_seen() {
-    let report = play(NOTHING, || |_, _, _: &mut Vec<Action>| {});
+    let report = simulate(NOTHING, || |_, _, _: &mut Vec<Action>| {});
     assert!(report.rules.final_answers.accepted > 500);
     assert_eq!(
         report.rules.final_answers.unanswered,
@@ -98,7 +98,7 @@
 
 #[test]
 fn sends_and_answers_after_the_final_answer_are_seen() {
-    let report = play(NOTHING, || {
+    let report = simulate(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| {
             if let Event::Request(request) = event {
                 actions.push(Action::Fail {
@@ -120,7 +120,7 @@
 
 #[test]
 fn concurrent_attempts_and_repeats_of_what_must_not_run_twice_are_seen() {
-    let report = play(NOTHING, || {
+    let report = simulate(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| match event {
             Event::Request(request) => {
                 actions.push(send(request.id, 0, now + request.timeout));
@@ -145,7 +145,7 @@
 
 #[test]
 fn rejections_of_what_may_have_been_executed_are_seen() {
-    let report = play(NOTHING, || {
+    let report = simulate(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| match event {
             // Given up before any answer can come.
             Event::Request(request) => actions.push(send(request.id, request.id % 24, now + 10)),
@@ -169,7 +169,7 @@
 #[test]
 fn sends_to_drained_backends_after_the_grace_are_seen() {
     let event = RESTART.replace("down_s = 0.2", "down_s = 100.0") + "\n";
-    let report = play(&event, || {
+    let report = simulate(&event, || {
         |now, event, actions: &mut Vec<Action>| match event {
             Event::Request(request) => {
                 actions.push(send(request.id, request.id % 24, now + request.timeout))
@@ -190,7 +190,7 @@
 
 #[test]
 fn slow_starts_that_informed_proxies_overload_are_seen() {
-    let report = play(RESTART, || {
+    let report = simulate(RESTART, || {
         let mut newest: Option<(Micros, BackendId)> = None;
         move |now, event: Event<'_>, actions: &mut Vec<Action>| match event {
             Event::Membership(MembershipEvent::Delta(entries)) => {
--- a/lab/tests/fleet/scenario.rs
+++ b/lab/tests/fleet/scenario.rs
@@ -25,7 +25,7 @@
 "#;
 
 fn parse(text: &str) -> FleetScenario {
-    scenario::parse(text, Path::new("scenario.toml")).expect("a scenario that can be played")
+    scenario::parse(text, Path::new("scenario.toml")).expect("a valid scenario")
 }
 
 /// The sorted keys of a table.
