--- a/lab/src/live/hollow.rs
+++ b/lab/src/live/hollow.rs
@@ -18,21 +18,21 @@
 use std::time::Duration;
 use tillerproxy::api::{Action, Event, MembershipEvent, Settings, SettingsError};
 use tillerproxy::balancer::Balancer;
-use tillerproxy::proxy::discovery::Asked;
+use tillerproxy::proxy::discovery::polled_long_poll_timeout;
 use tokio::net::TcpStream;
-use tokio::sync::{mpsc, watch};
+use tokio::sync::watch;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// `PUSHED_WAIT` of the proxy: how long a watch waits where discovery is pushed.
+/// `PUSHED_LONG_POLL_TIMEOUT` of the proxy: how long a watch waits where discovery is pushed.
 const PUSHED_WAIT: Duration = Duration::from_secs(3);
-/// `FIRST_WAIT` of the proxy: the wait of a call that begins a watch.
+/// `OPENING_LONG_POLL_TIMEOUT` of the proxy: the wait of a call that begins a watch.
 const FIRST_WAIT: Duration = Duration::from_millis(250);
-/// `CALL_TIMEOUT` of the proxy: how long a call that waits for its turn takes in all.
+/// `QUEUED_CALL_TIMEOUT` of the proxy: how long a call that waits for its turn takes in all.
 const CALL_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// `SILENT_AFTER` of the proxy: how late the answer to a standing watch may be.
+/// `WATCH_STALL_DELAY` of the proxy: how late the answer to a standing watch may be.
 const ANSWER_GRACE: Duration = Duration::from_millis(250);
-/// `AGENT_BACKOFF` of the proxy: how soon a failed call is made again where discovery is pushed.
+/// `PUSHED_RETRY_DELAY` of the proxy: how soon a failed call is made again where discovery is pushed.
 const PUSHED_BACKOFF: Duration = Duration::from_millis(100);
 /// Bytes of an answer in which its revision is looked for.
 const REVISION_WITHIN: usize = 64;
@@ -71,8 +71,7 @@
     /// # Errors
     /// The first of the settings that makes no sense.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        let (_, calls) = mpsc::unbounded_channel();
-        let asked_wait = Asked::new(calls, settings.proxy_index, settings.proxy_count).wait;
+        let asked_wait = polled_long_poll_timeout(settings.proxy_index, settings.proxy_count);
         let mode = if settings.discovery_mode == tillerproxy::api::DiscoveryMode::Polled {
             DiscoveryMode::Ask
         } else {
--- a/lab/src/slopes/endpoints.rs
+++ b/lab/src/slopes/endpoints.rs
@@ -10,7 +10,7 @@
 use tillerproxy::api::Backend;
 use tillerproxy::proxy::clock::Clock;
 use tillerproxy::proxy::config::Names;
-use tillerproxy::proxy::discovery::{DiscoveryError, List, Translator};
+use tillerproxy::proxy::discovery::{DiscoveryError, EndpointList, Translator};
 
 /// Backends of one cell.
 const CELL_BACKENDS: u32 = 50;
@@ -169,8 +169,8 @@
     Ok(entries_in(translator.parse(text)?))
 }
 
-fn entries_in(list: List) -> Vec<Backend> {
-    list.entries
+fn entries_in(list: EndpointList) -> Vec<Backend> {
+    list.endpoints
         .into_iter()
         .map(|listed| listed.backend)
         .collect()
--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -7,13 +7,14 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
+use tillerproxy::api::DiscoveryMode;
 use tillerproxy::balancer::Balancer;
 use tillerproxy::proxy::backends::Backends;
 use tillerproxy::proxy::clients::Clients;
 use tillerproxy::proxy::clock::Clock;
 use tillerproxy::proxy::config::Config;
 use tillerproxy::proxy::counters::Counters;
-use tillerproxy::proxy::discovery::{Asked, Translator, Watcher};
+use tillerproxy::proxy::discovery::{Polling, Translator, Watcher};
 use tillerproxy::proxy::driver::{Driver, Limits};
 use tillerproxy::proxy::inherited;
 use tillerproxy::proxy::lifecycle::{Lifecycle, ShutdownTimes};
@@ -149,16 +150,21 @@
         tokio::task::spawn_local(operator.serve(calls));
     }
     let translator = Translator::new(clock, &config.names);
-    let asked = Asked::new(subscriptions, settings.proxy_index, settings.proxy_count);
-    let asked =
-        (settings.discovery_mode == tillerproxy::api::DiscoveryMode::Polled).then_some(asked);
+    let polling = match settings.discovery_mode {
+        DiscoveryMode::Pushed => None,
+        DiscoveryMode::Polled => Some(Polling::new(
+            subscriptions,
+            settings.proxy_index,
+            settings.proxy_count,
+        )),
+    };
     let (discovery, addresses) = watch::channel(config.discovery);
     let mut watcher = Watcher::new(
         addresses,
         translator,
         handle.clone(),
         Rc::clone(&lifecycle),
-        asked,
+        polling,
     );
     let (names, budget) = (&config.names, config.budget);
     let clients = Clients::new(
@@ -176,7 +182,7 @@
     let driver = tokio::task::spawn_local(driver.run());
     tokio::task::spawn_local(backends.sweep());
     let accepting = tokio::task::spawn_local(Rc::clone(&clients).accept(Rc::clone(&listener)));
-    watcher.start_from(config.known);
+    watcher.start_from_cache(&config.known);
     tokio::task::spawn_local(watcher.run());
     tokio::select! {
         ended = driver => Err(format!("the driver ended: {ended:?}").into()),
--- a/src/proxy/discovery/tests.rs
+++ b/src/proxy/discovery/tests.rs
@@ -1,8 +1,10 @@
 use super::*;
-use serde_json::json;
+use crate::proxy::clock::Clock;
+use crate::proxy::config::Names;
+use serde_json::{Value, json};
 
 #[test]
-fn names_that_are_gone_are_forgotten_and_the_others_keep_their_numbers() {
+fn names_of_removed_backends_are_forgotten_and_the_others_keep_their_ids() {
     let names = Names {
         zones: vec!["a".into()],
         ..Names::default()
@@ -10,19 +12,19 @@
     let mut translator = Translator::new(Clock::start(), &names);
     let entry = |id: String, phase: &str| json!({"id": id, "host_port": "127.0.0.1:9", "locality": "a", "phase": phase, "up_since_ms": 1});
     let mut list = |complete: bool, members: Vec<Value>| {
-        let list =
-            translator.list(&json!({"revision": 1, "complete": complete, "members": members}));
+        let list = translator
+            .parse_value(&json!({"revision": 1, "complete": complete, "members": members}));
         let ids = list
             .expect("a list")
-            .entries
+            .endpoints
             .iter()
             .map(|e| e.backend.id)
             .collect::<Vec<_>>();
         (
             ids,
-            translator.numbers.len(),
-            translator.taken.len(),
-            translator.starts.len(),
+            translator.backend_ids.name_count(),
+            translator.backend_ids.assigned_count(),
+            translator.start_times.len(),
         )
     };
     let (first, ..) = list(true, vec![entry("stays".into(), "active")]);
@@ -38,12 +40,12 @@
             .map(|n| entry(format!("t-{n}"), "active"))
             .collect(),
     );
-    let (_, numbers, taken, starts) = list(true, vec![entry("stays".into(), "active")]);
-    assert_eq!((numbers, taken, starts), (1, 1, 1));
+    let (_, names, ids, start_times) = list(true, vec![entry("stays".into(), "active")]);
+    assert_eq!((names, ids, start_times), (1, 1, 1));
 }
 
 #[test]
-fn escaped_names_and_members_that_make_no_sense_spoil_no_other_entry() {
+fn escaped_names_and_malformed_endpoints_leave_the_other_endpoints_usable() {
     let names = Names {
         zones: vec!["zone \"a\"".into()],
         ..Names::default()
@@ -61,18 +63,25 @@
     );
     let list = translator.parse(text.as_bytes()).expect("a list");
     assert_eq!(
-        (list.revision, list.complete, list.entries.len()),
+        (list.revision, list.is_complete, list.endpoints.len()),
         (3, true, 2)
     );
-    let mut ids = [translator.number("s-1"), translator.number("s-2")];
+    let mut ids = [
+        translator.backend_ids.get_or_assign("s-1"),
+        translator.backend_ids.get_or_assign("s-2"),
+    ];
     ids.sort_unstable();
-    let mut listed: Vec<_> = list.entries.iter().map(|entry| entry.backend.id).collect();
+    let mut listed: Vec<_> = list
+        .endpoints
+        .iter()
+        .map(|entry| entry.backend.id)
+        .collect();
     listed.sort_unstable();
     assert_eq!(listed, ids, "the names are as they were written");
 }
 
 #[test]
-fn a_backend_that_one_list_calls_gone_and_then_active_keeps_its_number() {
+fn a_backend_that_one_list_has_as_removed_and_then_as_ready_keeps_its_id() {
     let names = Names {
         zones: vec!["a".into()],
         ..Names::default()
@@ -80,7 +89,13 @@
     let mut translator = Translator::new(Clock::start(), &names);
     let entry = |phase: &str| json!({"id": "s-1", "host_port": "127.0.0.1:9", "locality": "a", "phase": phase});
     let both = json!({"revision": 1, "members": [entry("left"), entry("active")]});
-    let list = translator.list(&both).expect("a list");
-    assert_eq!(list.entries.len(), 2);
-    assert_eq!((translator.numbers.len(), translator.taken.len()), (1, 1));
+    let list = translator.parse_value(&both).expect("a list");
+    assert_eq!(list.endpoints.len(), 2);
+    assert_eq!(
+        (
+            translator.backend_ids.name_count(),
+            translator.backend_ids.assigned_count()
+        ),
+        (1, 1)
+    );
 }
--- /dev/null
+++ b/src/proxy/discovery/wire.rs
@@ -0,0 +1,59 @@
+//! The JSON form of endpoint lists, as the discovery protocol defines it.
+//!
+//! The protocol's names are mapped to the terms of the decisions here and nowhere else.
+
+use crate::api::Readiness;
+use serde::Deserialize;
+use serde_json::value::RawValue;
+use std::borrow::Cow;
+
+/// An endpoint list. Its endpoints are still text: a malformed one must not make the others unusable.
+#[derive(Deserialize)]
+pub(super) struct RawEndpointList<'a> {
+    pub(super) revision: u64,
+    #[serde(default, rename = "complete")]
+    pub(super) is_complete: bool,
+    #[serde(default, borrow, rename = "members")]
+    pub(super) endpoints: Vec<&'a RawValue>,
+}
+
+/// One endpoint of a list.
+#[derive(Deserialize)]
+pub(super) struct RawEndpoint<'a> {
+    #[serde(borrow, rename = "id")]
+    pub(super) name: Cow<'a, str>,
+    #[serde(borrow, rename = "host_port")]
+    pub(super) address: Cow<'a, str>,
+    #[serde(borrow, rename = "locality")]
+    pub(super) zone: Cow<'a, str>,
+    #[serde(default, borrow, rename = "flavor")]
+    pub(super) machine_type: Cow<'a, str>,
+    #[serde(default)]
+    pub(super) cell: u16,
+    #[serde(rename = "phase")]
+    pub(super) readiness: RawReadiness,
+    /// Start of the backend's process, Unix milliseconds; 0: long ago.
+    #[serde(default, rename = "up_since_ms")]
+    pub(super) started_at_unix_ms: u64,
+}
+
+/// The phases of an endpoint.
+#[derive(Clone, Copy, Deserialize)]
+pub(super) enum RawReadiness {
+    #[serde(rename = "active")]
+    Ready,
+    #[serde(rename = "leaving")]
+    Draining,
+    #[serde(rename = "left")]
+    Removed,
+}
+
+impl From<RawReadiness> for Readiness {
+    fn from(raw: RawReadiness) -> Self {
+        match raw {
+            RawReadiness::Ready => Self::Ready,
+            RawReadiness::Draining => Self::Draining,
+            RawReadiness::Removed => Self::Removed,
+        }
+    }
+}
--- a/src/proxy/driver.rs
+++ b/src/proxy/driver.rs
@@ -4,7 +4,7 @@
 use super::backends::{AttemptDeadlines, AttemptResult, Backends, Call, Served};
 use super::clock::Clock;
 use super::lifecycle::Lifecycle;
-use super::messages::{Answer, Handle, Inbound, Listed, Message, Scope};
+use super::messages::{Answer, Endpoint, Handle, Inbound, MembershipUpdate, Message};
 use super::request_log;
 use crate::api::{
     Action, AttemptEnd, Backend, BackendId, Event, MembershipEvent, Micros, Outcome, RequestId,
@@ -222,7 +222,7 @@
                 self.pending.push_back(Pending::Probed { backend, result });
                 self.handle_pending(now);
             }
-            Message::Listed(scope, entries) => self.on_list(now, scope, &entries),
+            Message::Membership(update) => self.on_membership(now, &update),
             Message::Avoided(asked) => {
                 let _ = asked.send(self.balancer.avoided_backends(now));
             }
@@ -253,25 +253,38 @@
         self.handle_event(now, Event::Request(request));
     }
 
-    fn on_list(&mut self, now: Micros, scope: Scope, entries: &[Listed]) {
-        // The sockets learn of it first, so that an attempt which this very list starts finds its backend.
-        if matches!(scope, Scope::Full | Scope::Cached) {
-            let listed: FxHashSet<_> = entries.iter().map(|e| e.backend.id).collect();
-            self.backends.retain(|id| listed.contains(&id));
+    /// Updates the sockets and tells the balancer, in this order: an attempt that the update starts has to find its
+    /// backend.
+    fn on_membership(&mut self, now: Micros, update: &MembershipUpdate) {
+        let endpoints = update.endpoints();
+        if update.is_complete_list() {
+            self.remove_unlisted(endpoints);
         }
-        for Listed { backend, address } in entries {
+        self.update_endpoints(endpoints);
+        let backends: Vec<Backend> = endpoints.iter().map(|endpoint| endpoint.backend).collect();
+        let event = match update {
+            MembershipUpdate::Delta(_) => MembershipEvent::Delta(&backends),
+            MembershipUpdate::Full(_) => MembershipEvent::Full(&backends),
+            MembershipUpdate::Cached(_) => MembershipEvent::Cached(&backends),
+            MembershipUpdate::WatchFailed => MembershipEvent::WatchFailed,
+            MembershipUpdate::WatchStalled => MembershipEvent::WatchStalled,
+        };
+        self.handle_event(now, Event::Membership(event));
+    }
+
+    fn remove_unlisted(&self, endpoints: &[Endpoint]) {
+        let listed: FxHashSet<BackendId> = endpoints
+            .iter()
+            .map(|endpoint| endpoint.backend.id)
+            .collect();
+        self.backends.retain(|id| listed.contains(&id));
+    }
+
+    fn update_endpoints(&self, endpoints: &[Endpoint]) {
+        for Endpoint { backend, address } in endpoints {
             self.backends
                 .update(backend.id, *address, backend.readiness, backend.started_at);
         }
-        let backends: Vec<Backend> = entries.iter().map(|e| e.backend).collect();
-        let news = match scope {
-            Scope::Delta => MembershipEvent::Delta(&backends),
-            Scope::Full => MembershipEvent::Full(&backends),
-            Scope::Cached => MembershipEvent::Cached(&backends),
-            Scope::Failed => MembershipEvent::WatchFailed,
-            Scope::Silent => MembershipEvent::WatchStalled,
-        };
-        self.handle_event(now, Event::Membership(news));
     }
 
     /// Gives the balancer an event, and then whatever its actions have caused at once.
@@ -449,7 +462,7 @@
         request: RequestId,
         backend: BackendId,
         give_up_at: Micros,
-        write_by: Option<Micros>,
+        write_deadline: Option<Micros>,
     ) {
         let Some(open) = self.open.get_mut(&request) else {
             return;
@@ -480,7 +493,7 @@
         );
         let deadlines = AttemptDeadlines {
             deadline: self.clock.instant(give_up_at),
-            write_deadline: write_by.map(|at| self.clock.instant(at)),
+            write_deadline: write_deadline.map(|at| self.clock.instant(at)),
         };
         tokio::task::spawn_local(async move {
             let begins = |served| handle.tell(Message::Begins(request, number, served));
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -7,15 +7,47 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// A backend as the list has it, in the module's numbers, and where it listens.
+/// A backend as discovery lists it.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
-    /// What the module is told.
+pub struct Endpoint {
+    /// The backend in the terms of the decisions.
     pub backend: Backend,
     /// Where it listens.
     pub address: SocketAddr,
 }
 
+/// A change of the endpoint list, or of the watch that reports it.
+#[derive(Debug)]
+pub enum MembershipUpdate {
+    /// Endpoints that changed.
+    Delta(Vec<Endpoint>),
+    /// The complete list.
+    Full(Vec<Endpoint>),
+    /// The complete list as the configuration holds it, perhaps out of date.
+    Cached(Vec<Endpoint>),
+    /// A call to discovery failed.
+    WatchFailed,
+    /// A call to discovery was not answered in time.
+    WatchStalled,
+}
+
+impl MembershipUpdate {
+    /// Returns the endpoints that the update has; none where it is about the watch.
+    #[must_use]
+    pub fn endpoints(&self) -> &[Endpoint] {
+        match self {
+            Self::Delta(endpoints) | Self::Full(endpoints) | Self::Cached(endpoints) => endpoints,
+            Self::WatchFailed | Self::WatchStalled => &[],
+        }
+    }
+
+    /// Whether backends that the update lacks are removed.
+    #[must_use]
+    pub fn is_complete_list(&self) -> bool {
+        matches!(self, Self::Full(_) | Self::Cached(_))
+    }
+}
+
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
@@ -41,21 +73,6 @@
     pub call: Call,
 }
 
-/// How a list of backends is to be read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
-    /// Changed entries.
-    Delta,
-    /// The complete list.
-    Full,
-    /// The complete list as last held.
-    Cached,
-    /// A call to discovery failed.
-    Failed,
-    /// A call to discovery has fallen silent.
-    Silent,
-}
-
 /// What the driver is told.
 #[derive(Debug)]
 pub enum Message {
@@ -69,8 +86,8 @@
     Ended(RequestId, u16, AttemptResult),
     /// A probe ended.
     Probed(BackendId, AttemptResult),
-    /// News of the backends.
-    Listed(Scope, Vec<Listed>),
+    /// The endpoint list changed, or the watch on it did.
+    Membership(MembershipUpdate),
     /// Somebody asks how many of the listed backends the balancer avoids.
     Avoided(oneshot::Sender<usize>),
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -5,12 +5,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use tillerproxy::api::DiscoveryMode;
 use tillerproxy::balancer::Balancer;
 use tillerproxy::proxy::backends::Backends;
 use tillerproxy::proxy::clock::Clock;
 use tillerproxy::proxy::config::Names;
 use tillerproxy::proxy::counters::Counters;
-use tillerproxy::proxy::discovery::{Asked, Translator, Watcher};
+use tillerproxy::proxy::discovery::{Polling, Translator, Watcher};
 use tillerproxy::proxy::driver::{Driver, Limits};
 use tillerproxy::proxy::lifecycle::Lifecycle;
 use tillerproxy::wire::parse_settings;
@@ -113,7 +114,7 @@
 
 /// One proxy without clients, as far as it follows discovery.
 struct Proxy {
-    fleet: Rc<Backends>,
+    backends: Rc<Backends>,
     moves: watch::Sender<SocketAddr>,
 }
 
@@ -136,12 +137,12 @@
             "permissions": {"maxAttempts": 1},
             "safety": {"askWithinUs": ask_within.as_micros() as u64, "coldFrom": 0.3, "coldUs": 1_000_000, "fallMultiple": 3.0, "fallUs": 2_000_000}});
         let settings = parse_settings(settings.to_string().as_bytes()).expect("good settings");
-        let asked = settings.discovery_mode == tillerproxy::api::DiscoveryMode::Polled;
+        let is_polled = settings.discovery_mode == DiscoveryMode::Polled;
         let clock = Clock::start();
-        let fleet = Backends::new(10, 250_000, 1_000_000, Vec::new(), Counters::new(&[]));
+        let backends = Backends::new(10, 250_000, 1_000_000, Vec::new(), Counters::new(&[]));
         let balancer =
             Balancer::new(settings, u64::from(me) + 1, clock.now()).expect("good settings");
-        let (subscribe, calls) = mpsc::unbounded_channel();
+        let (poll_sender, poll_requests) = mpsc::unbounded_channel();
         let limits = Limits {
             max_attempts: 1,
             report_by_probe: false,
@@ -150,9 +151,9 @@
         let (driver, handle) = Driver::new(
             balancer,
             clock,
-            Rc::clone(&fleet),
+            Rc::clone(&backends),
             limits,
-            subscribe,
+            poll_sender,
             Rc::clone(&lifecycle),
         );
         let names = Names {
@@ -161,18 +162,18 @@
             ..Names::default()
         };
         let (moves, addresses) = watch::channel(discovery);
-        let asked = asked.then(|| Asked::new(calls, me, proxies));
+        let polling = is_polled.then(|| Polling::new(poll_requests, me, proxies));
         let translator = Translator::new(clock, &names);
-        let mut watcher = Watcher::new(addresses, translator, handle, lifecycle, asked);
-        watcher.start_from(list(1, true, &[("s-1", "active"), ("s-2", "active")]));
+        let mut watcher = Watcher::new(addresses, translator, handle, lifecycle, polling);
+        watcher.start_from_cache(&list(1, true, &[("s-1", "active"), ("s-2", "active")]));
         spawn_local(driver.run());
         spawn_local(watcher.run());
-        Self { fleet, moves }
+        Self { backends, moves }
     }
 
     /// Waits until it holds so many backends; when that was.
     async fn holds(&self, backends: usize) -> Instant {
-        while self.fleet.len() != backends {
+        while self.backends.len() != backends {
             sleep(Duration::from_millis(1)).await;
         }
         Instant::now()
@@ -376,7 +377,7 @@
     }
 }
 
-/// How long after its last failed call a proxy of the largest fleet holds what discovery had by then.
+/// How long after its last failed call a proxy of the largest backends holds what discovery had by then.
 async fn known_after_failures(me: u32, failure: Failure) -> Duration {
     let (discovery, address) = Discovery::start().await;
     let proxy = Proxy::start_with(me, LARGEST_FLEET, "on_request", LONG_ASK_WITHIN, address);
