--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -15,7 +15,7 @@
 use tillerproxy::proxy::config::Config;
 use tillerproxy::proxy::counters::Counters;
 use tillerproxy::proxy::discovery::{Polling, Translator, Watcher};
-use tillerproxy::proxy::driver::{Driver, Limits};
+use tillerproxy::proxy::driver::{Driver, DriverSettings};
 use tillerproxy::proxy::inherited;
 use tillerproxy::proxy::lifecycle::{Lifecycle, ShutdownTimes};
 use tillerproxy::proxy::logging::{self, LogControl, LogOptions};
@@ -114,9 +114,9 @@
         .map(|c| c.timeout)
         .max()
         .unwrap_or_default();
-    let limits = Limits {
+    let driver_settings = DriverSettings {
         max_attempts: settings.permissions.max_attempts,
-        report_by_probe: settings.load_report_by_health_check,
+        load_report_by_health_check: settings.load_report_by_health_check,
     };
     let backends = Backends::new(
         config.budget.backends,
@@ -134,14 +134,14 @@
     let listener = Rc::new(listener);
     tracing::info!("{} listens on {}", config.name, listener.local_addr()?);
     let balancer = Balancer::new(settings.clone(), config.seed, clock.now())?;
-    let (subscribe, subscriptions) = mpsc::unbounded_channel();
+    let (poll_sender, poll_requests) = mpsc::unbounded_channel();
     let lifecycle = Lifecycle::start();
     let (driver, handle) = Driver::new(
         balancer,
         clock,
         Rc::clone(&backends),
-        limits,
-        subscribe,
+        driver_settings,
+        poll_sender,
         Rc::clone(&lifecycle),
     );
     if let Some(calls) = calls {
@@ -153,7 +153,7 @@
     let polling = match settings.discovery_mode {
         DiscoveryMode::Pushed => None,
         DiscoveryMode::Polled => Some(Polling::new(
-            subscriptions,
+            poll_requests,
             settings.proxy_index,
             settings.proxy_count,
         )),
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -108,7 +108,7 @@
             .await?;
         let (response, outcome) = match answer {
             Some(Answer::Served(served)) => return Ok(served_response(served, ticket)),
-            Some(Answer::Refused { retry_after }) => {
+            Some(Answer::Rejected { retry_after }) => {
                 (refusal(retry_after), RequestOutcome::Dropped)
             }
             Some(Answer::Failed) | None => (
@@ -138,8 +138,10 @@
             request: inbound.request.id,
             is_armed: true,
         };
-        self.handle
-            .tell(Message::Request(Box::new(inbound), sender));
+        self.handle.send(Message::Request {
+            inbound: Box::new(inbound),
+            client: sender,
+        });
         let disconnected = async {
             if is_upload {
                 connection.socket().closed_by_peer().await;
@@ -202,7 +204,7 @@
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if self.is_armed {
-            self.handle.tell(Message::ClientGone(self.request));
+            self.handle.send(Message::ClientDisconnected(self.request));
         }
     }
 }
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -200,7 +200,7 @@
     }
 
     fn send(&self, update: MembershipUpdate) {
-        self.handle.tell(Message::Membership(update));
+        self.handle.send(Message::Membership(update));
     }
 
     /// Calls discovery once, for the complete list or for what is newer than the list that the proxy holds.
--- /dev/null
+++ b/src/proxy/driver/arrivals.rs
@@ -0,0 +1,81 @@
+//! Requests, from their arrival to their final answer.
+
+use super::Driver;
+use super::margins::{balancer_timeout, final_answer_timeout, last_answer_before};
+use super::requests::OpenRequest;
+use super::timers::Timer;
+use crate::api::{Event, Micros, RequestId};
+use crate::proxy::messages::{Answer, Inbound};
+use crate::proxy::request_log;
+use tokio::sync::oneshot;
+
+impl Driver {
+    pub(super) fn on_request(
+        &mut self,
+        now: Micros,
+        inbound: Inbound,
+        client: oneshot::Sender<Answer>,
+    ) {
+        request_log::received(&inbound);
+        let Inbound {
+            mut request,
+            arrived,
+            call,
+        } = inbound;
+        let client_timeout_at = arrived.saturating_add(request.timeout);
+        let remaining = client_timeout_at.saturating_sub(now);
+        request.timeout = balancer_timeout(remaining);
+        let open = OpenRequest::new(call, client, remaining);
+        self.requests.insert(request.id, open);
+        let answer_due = now + final_answer_timeout(remaining);
+        self.timers.set(answer_due, Timer::FinalAnswer(request.id));
+        self.handle_event(now, Event::Request(request));
+    }
+
+    /// Fails a request that the balancer left open: each client gets an answer before its timeout.
+    pub(super) fn on_final_answer_due(&mut self, now: Micros, request: RequestId) {
+        let Some(open) = self.requests.get(request) else {
+            return;
+        };
+        if let Some(due) = self.streamed_answer_due(now, open)
+            && due > now
+        {
+            self.timers.set(due, Timer::FinalAnswer(request));
+            return;
+        }
+        open.call.cancel.trigger();
+        if self.answer(request, Answer::Failed) {
+            self.handle_event(now, Event::ClientDisconnected(request));
+            self.requests.remove_if_finished(request);
+        }
+    }
+
+    /// Returns when a request with a streamed body is answered at the latest: its client's timeout counts from the last
+    /// byte of the body. `None` where the body is not streamed.
+    fn streamed_answer_due(&self, now: Micros, open: &OpenRequest) -> Option<Micros> {
+        let progress = open.call.body.progress()?;
+        let complete_at = match progress.finished_at() {
+            Some(at) => self.clock.at(at),
+            None => now,
+        };
+        let due = complete_at + final_answer_timeout(open.remaining);
+        match self.lifecycle.ends_at() {
+            Some(process_end) => Some(due.min(last_answer_before(self.clock.at(process_end)))),
+            None => Some(due),
+        }
+    }
+
+    pub(super) fn on_client_disconnected(&mut self, now: Micros, request: RequestId) {
+        let Some(open) = self.requests.get_mut(request) else {
+            return;
+        };
+        if !open.disconnect() {
+            return;
+        }
+        request_log::client_disconnected(request);
+        // An attempt that still waits for its connection is not sent: nobody waits for its response.
+        open.call.cancel.trigger();
+        self.handle_event(now, Event::ClientDisconnected(request));
+        self.requests.remove_if_finished(request);
+    }
+}
--- /dev/null
+++ b/src/proxy/driver/attempts.rs
@@ -0,0 +1,200 @@
+//! Attempts and health checks, from their start to their outcome.
+
+use super::Driver;
+use crate::api::{AttemptEnd, BackendId, Event, Micros, Outcome, RequestId};
+use crate::proxy::backends::{AttemptDeadlines, AttemptResult, Served};
+use crate::proxy::messages::{Answer, Message};
+use crate::proxy::request_log;
+use std::rc::Rc;
+
+/// An attempt or a health check that ended.
+#[derive(Debug)]
+pub(super) enum Completion {
+    Attempt {
+        request: RequestId,
+        attempt: u16,
+        result: AttemptResult,
+    },
+    HealthCheck {
+        backend: BackendId,
+        result: AttemptResult,
+    },
+}
+
+/// What the balancer says of an attempt that it starts.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct AttemptStart {
+    pub(super) request: RequestId,
+    pub(super) backend: BackendId,
+    /// When the attempt times out.
+    pub(super) deadline: Micros,
+    /// When the request must be written completely, if it may not be sent later.
+    pub(super) write_deadline: Option<Micros>,
+}
+
+impl Driver {
+    /// Starts an attempt. One that may not be sent any more ends at once.
+    pub(super) fn start_attempt(&mut self, now: Micros, start: AttemptStart) {
+        let AttemptStart {
+            request,
+            backend,
+            deadline,
+            write_deadline,
+        } = start;
+        let Some(open) = self.requests.get_mut(request) else {
+            return;
+        };
+        let (attempt, cancelled) = open.start_attempt(backend, now);
+        request_log::attempt_started(request, attempt, backend, deadline.saturating_sub(now));
+        let may_be_sent =
+            open.is_unanswered() && attempt < self.settings.max_attempts && deadline > now;
+        let call = Rc::clone(&open.call);
+        let endpoint = self.backends.endpoint(backend).filter(|_| may_be_sent);
+        let Some(endpoint) = endpoint else {
+            self.completions.push_back(Completion::Attempt {
+                request,
+                attempt,
+                result: Outcome::NotSent.into(),
+            });
+            return;
+        };
+        let deadlines = AttemptDeadlines {
+            deadline: self.clock.instant(deadline),
+            write_deadline: write_deadline.map(|at| self.clock.instant(at)),
+        };
+        let backends = Rc::clone(&self.backends);
+        let handle = self.handle.clone();
+        tokio::task::spawn_local(async move {
+            let on_response = |response| {
+                handle.send(Message::ResponseStarted {
+                    request,
+                    attempt,
+                    response,
+                });
+            };
+            let result = backends
+                .attempt(endpoint, call, deadlines, cancelled, on_response)
+                .await;
+            handle.send(Message::AttemptEnded {
+                request,
+                attempt,
+                result,
+            });
+        });
+    }
+
+    /// Cancels an attempt. Its outcome is still to come.
+    pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: u16) {
+        if let Some(open) = self.requests.get_mut(request) {
+            open.cancel_attempt(attempt);
+        }
+    }
+
+    /// Sends a backend a health check, if it is listed.
+    pub(super) fn start_health_check(&self, backend: BackendId) {
+        let Some(endpoint) = self.backends.endpoint(backend) else {
+            return;
+        };
+        let backends = Rc::clone(&self.backends);
+        let handle = self.handle.clone();
+        let with_load_report = self.settings.load_report_by_health_check;
+        tokio::task::spawn_local(async move {
+            let result = backends.health_check(endpoint, with_load_report).await;
+            handle.send(Message::HealthChecked { backend, result });
+        });
+    }
+
+    /// Passes on a streamed response that began. Without a client the response is dropped, which ends the attempt.
+    pub(super) fn on_response_started(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        attempt: u16,
+        response: Served,
+    ) {
+        let Some(open) = self.requests.get_mut(request) else {
+            return;
+        };
+        if !open.answer(request, Answer::Served(response)) {
+            return;
+        }
+        let Some(elapsed) = open.attempt_elapsed(attempt, &self.clock, now) else {
+            return;
+        };
+        let event = Event::ResponseStarted {
+            request,
+            attempt,
+            elapsed,
+        };
+        self.handle_event(now, event);
+    }
+
+    pub(super) fn on_completion(&mut self, now: Micros, completion: Completion) {
+        self.completions.push_back(completion);
+        self.handle_completions(now);
+    }
+
+    /// Tells the balancer of all that completed, until its actions complete nothing more at once.
+    pub(super) fn handle_completions(&mut self, now: Micros) {
+        while let Some(completion) = self.completions.pop_front() {
+            match completion {
+                Completion::Attempt {
+                    request,
+                    attempt,
+                    result,
+                } => self.on_attempt_ended(now, request, attempt, result),
+                Completion::HealthCheck { backend, result } => {
+                    self.on_health_checked(now, backend, &result);
+                }
+            }
+        }
+    }
+
+    fn on_health_checked(&mut self, now: Micros, backend: BackendId, result: &AttemptResult) {
+        let event = Event::HealthChecked {
+            backend,
+            outcome: result.outcome,
+            load_report: &result.load_report,
+        };
+        self.balancer.handle(now, event, &mut self.actions);
+        self.execute_actions(now);
+    }
+
+    /// Reports the end of an attempt to the balancer, once for each attempt.
+    fn on_attempt_ended(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        attempt: u16,
+        result: AttemptResult,
+    ) {
+        let Some(open) = self.requests.get_mut(request) else {
+            return;
+        };
+        let Some(backend) = open.end_attempt(attempt) else {
+            return;
+        };
+        let elapsed = open
+            .attempt_elapsed(attempt, &self.clock, now)
+            .unwrap_or_default();
+        request_log::attempt_ended(request, attempt, backend, elapsed, &result);
+        // The first response of a backend is the answer, without an action of the balancer.
+        if let Some(response) = result.served {
+            open.answer(request, Answer::Served(response));
+        }
+        let end = AttemptEnd {
+            request,
+            backend,
+            attempt,
+            outcome: result.outcome,
+            request_answered: !open.is_unanswered(),
+            elapsed,
+            load_report: &result.load_report,
+            body_consumed: result.body_consumed,
+        };
+        self.balancer
+            .handle(now, Event::AttemptEnded(end), &mut self.actions);
+        self.execute_actions(now);
+        self.requests.remove_if_finished(request);
+    }
+}
--- /dev/null
+++ b/src/proxy/driver/membership.rs
@@ -0,0 +1,42 @@
+//! Changes of the endpoint list.
+
+use super::Driver;
+use crate::api::{Backend, BackendId, Event, MembershipEvent, Micros};
+use crate::proxy::messages::{Endpoint, MembershipUpdate};
+use rustc_hash::FxHashSet;
+
+impl Driver {
+    /// Updates the sockets and tells the balancer, in this order: an attempt that the update starts has to find its
+    /// backend.
+    pub(super) fn on_membership(&mut self, now: Micros, update: &MembershipUpdate) {
+        let endpoints = update.endpoints();
+        if update.is_complete_list() {
+            self.remove_unlisted(endpoints);
+        }
+        self.update_endpoints(endpoints);
+        let backends: Vec<Backend> = endpoints.iter().map(|endpoint| endpoint.backend).collect();
+        let event = match update {
+            MembershipUpdate::Delta(_) => MembershipEvent::Delta(&backends),
+            MembershipUpdate::Full(_) => MembershipEvent::Full(&backends),
+            MembershipUpdate::Cached(_) => MembershipEvent::Cached(&backends),
+            MembershipUpdate::WatchFailed => MembershipEvent::WatchFailed,
+            MembershipUpdate::WatchStalled => MembershipEvent::WatchStalled,
+        };
+        self.handle_event(now, Event::Membership(event));
+    }
+
+    fn remove_unlisted(&self, endpoints: &[Endpoint]) {
+        let listed: FxHashSet<BackendId> = endpoints
+            .iter()
+            .map(|endpoint| endpoint.backend.id)
+            .collect();
+        self.backends.retain(|id| listed.contains(&id));
+    }
+
+    fn update_endpoints(&self, endpoints: &[Endpoint]) {
+        for Endpoint { backend, address } in endpoints {
+            self.backends
+                .update(backend.id, *address, backend.readiness, backend.started_at);
+        }
+    }
+}
--- /dev/null
+++ b/src/proxy/driver/requests.rs
@@ -0,0 +1,169 @@
+//! The table of open requests and their attempts.
+
+use crate::api::{BackendId, Micros, RequestId};
+use crate::proxy::backends::Call;
+use crate::proxy::clock::Clock;
+use crate::proxy::messages::Answer;
+use crate::proxy::request_log;
+use rustc_hash::FxHashMap;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// How far an attempt is.
+#[derive(Debug)]
+enum AttemptState {
+    /// It runs; the sender cancels it.
+    Running(oneshot::Sender<()>),
+    /// It was cancelled, and its outcome is still to come.
+    Cancelled,
+    /// It ended.
+    Ended,
+}
+
+/// An attempt of a request.
+#[derive(Debug)]
+struct Attempt {
+    backend: BackendId,
+    sent_at: Micros,
+    state: AttemptState,
+}
+
+/// A request that may still get an answer, or has an attempt that did not end.
+#[derive(Debug)]
+pub(super) struct OpenRequest {
+    pub(super) call: Rc<Call>,
+    /// Receives the final answer; `None` once it was sent or the client disconnected.
+    client: Option<oneshot::Sender<Answer>>,
+    /// How long the client still waited when the request was received.
+    pub(super) remaining: Micros,
+    attempts: Vec<Attempt>,
+}
+
+impl OpenRequest {
+    pub(super) fn new(call: Call, client: oneshot::Sender<Answer>, remaining: Micros) -> Self {
+        Self {
+            call: Rc::new(call),
+            client: Some(client),
+            remaining,
+            attempts: Vec::new(),
+        }
+    }
+
+    /// Whether the client still waits for its answer.
+    pub(super) fn is_unanswered(&self) -> bool {
+        self.client.is_some()
+    }
+
+    /// Sends the final answer, if the client still waits for one. Returns whether it did.
+    pub(super) fn answer(&mut self, request: RequestId, answer: Answer) -> bool {
+        let Some(client) = self.client.take() else {
+            return false;
+        };
+        request_log::answered(request, &answer);
+        // A client that has just disconnected needs none.
+        let _ = client.send(answer);
+        true
+    }
+
+    /// Notes that the client disconnected. Returns whether it still waited for an answer.
+    pub(super) fn disconnect(&mut self) -> bool {
+        self.client.take().is_some()
+    }
+
+    /// Adds an attempt. Returns its number and what tells it that it is cancelled.
+    pub(super) fn start_attempt(
+        &mut self,
+        backend: BackendId,
+        now: Micros,
+    ) -> (u16, oneshot::Receiver<()>) {
+        let number = self.attempts.len() as u16;
+        let (cancel, cancelled) = oneshot::channel();
+        self.attempts.push(Attempt {
+            backend,
+            sent_at: now,
+            state: AttemptState::Running(cancel),
+        });
+        (number, cancelled)
+    }
+
+    /// Cancels an attempt that runs. Its outcome is still to come.
+    pub(super) fn cancel_attempt(&mut self, number: u16) {
+        let Some(attempt) = self.attempts.get_mut(usize::from(number)) else {
+            return;
+        };
+        match std::mem::replace(&mut attempt.state, AttemptState::Cancelled) {
+            AttemptState::Running(cancel) => {
+                let _ = cancel.send(());
+            }
+            AttemptState::Cancelled => {}
+            AttemptState::Ended => attempt.state = AttemptState::Ended,
+        }
+    }
+
+    /// Notes the end of an attempt and returns its backend; `None` if it had ended before.
+    pub(super) fn end_attempt(&mut self, number: u16) -> Option<BackendId> {
+        let attempt = self.attempts.get_mut(usize::from(number))?;
+        if matches!(attempt.state, AttemptState::Ended) {
+            return None;
+        }
+        attempt.state = AttemptState::Ended;
+        Some(attempt.backend)
+    }
+
+    /// Returns how long an attempt has taken so far. The time in which the client was still sending the request's body
+    /// is not its backend's.
+    pub(super) fn attempt_elapsed(
+        &self,
+        number: u16,
+        clock: &Clock,
+        now: Micros,
+    ) -> Option<Micros> {
+        let attempt = self.attempts.get(usize::from(number))?;
+        let began = match self.body_complete_at(clock) {
+            Some(complete_at) => complete_at.max(attempt.sent_at),
+            None => attempt.sent_at,
+        };
+        Some(now.saturating_sub(began))
+    }
+
+    /// Returns when the last byte of a streamed body came; `None` if it has not come, or the body is not streamed.
+    fn body_complete_at(&self, clock: &Clock) -> Option<Micros> {
+        let progress = self.call.body.progress()?;
+        let complete_at = progress.finished_at()?;
+        Some(clock.at(complete_at))
+    }
+
+    /// Whether the client needs no answer and all attempts have ended.
+    pub(super) fn is_finished(&self) -> bool {
+        let all_ended = self
+            .attempts
+            .iter()
+            .all(|attempt| matches!(attempt.state, AttemptState::Ended));
+        self.client.is_none() && all_ended
+    }
+}
+
+/// All open requests.
+#[derive(Debug, Default)]
+pub(super) struct OpenRequests(FxHashMap<RequestId, OpenRequest>);
+
+impl OpenRequests {
+    pub(super) fn insert(&mut self, id: RequestId, request: OpenRequest) {
+        self.0.insert(id, request);
+    }
+
+    pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
+        self.0.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
+        self.0.get_mut(&id)
+    }
+
+    /// Removes a request for which nothing more can come.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        if self.0.get(&id).is_some_and(OpenRequest::is_finished) {
+            self.0.remove(&id);
+        }
+    }
+}
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -1,4 +1,4 @@
-//! What the driver is told, and what it answers: the types that the tasks of the proxy share.
+//! Messages to the driver and its answers: the types that the tasks of the proxy share.
 
 use super::backends::{AttemptResult, Call, Served};
 use crate::api::{Backend, BackendId, Micros, Request, RequestId};
@@ -51,78 +51,100 @@
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// A backend's answer.
+    /// A backend's response.
     Served(Served),
-    /// Turned away; trying again is harmless.
-    Refused {
-        /// How long the client should stay away; 0: no word.
+    /// Rejected without an effect: the client may retry.
+    Rejected {
+        /// How long the client should wait before it retries; 0: not said.
         retry_after: Micros,
     },
-    /// Failed, with no promise of its effect.
+    /// Failed; the request may have run.
     Failed,
 }
 
 /// A request as a client sent it.
 #[derive(Debug)]
 pub struct Inbound {
-    /// What the balancer is told of it. Its patience still counts in full.
+    /// The request in the terms of the decisions. Its timeout counts from its arrival.
     pub request: Request,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Micros,
-    /// What goes to a backend.
+    /// What is sent to a backend.
     pub call: Call,
 }
 
-/// What the driver is told.
+/// A message to the driver.
 #[derive(Debug)]
 pub enum Message {
-    /// A request came in.
-    Request(Box<Inbound>, oneshot::Sender<Answer>),
-    /// Its client has left.
-    ClientGone(RequestId),
-    /// The answer to an attempt begins and flows through.
-    Begins(RequestId, u16, Served),
+    /// A request arrived.
+    Request {
+        /// The request.
+        inbound: Box<Inbound>,
+        /// Receives its final answer.
+        client: oneshot::Sender<Answer>,
+    },
+    /// A client disconnected before it had its answer.
+    ClientDisconnected(RequestId),
+    /// A streamed response began.
+    ResponseStarted {
+        /// The request.
+        request: RequestId,
+        /// The attempt.
+        attempt: u16,
+        /// The response.
+        response: Served,
+    },
     /// An attempt ended.
-    Ended(RequestId, u16, AttemptResult),
-    /// A probe ended.
-    Probed(BackendId, AttemptResult),
+    AttemptEnded {
+        /// The request.
+        request: RequestId,
+        /// The attempt.
+        attempt: u16,
+        /// How it ended.
+        result: AttemptResult,
+    },
+    /// A health check ended.
+    HealthChecked {
+        /// The backend.
+        backend: BackendId,
+        /// How it ended.
+        result: AttemptResult,
+    },
     /// The endpoint list changed, or the watch on it did.
     Membership(MembershipUpdate),
-    /// Somebody asks how many of the listed backends the balancer avoids.
-    Avoided(oneshot::Sender<usize>),
+    /// Asks how many listed backends the balancer avoids now.
+    CountAvoidedBackends(oneshot::Sender<usize>),
 }
 
-/// The way to the driver.
+/// Sends messages to the driver. Clones send to the same driver.
 #[derive(Clone, Debug)]
 pub struct Handle {
     messages: mpsc::UnboundedSender<Message>,
-    next_id: Rc<Cell<RequestId>>,
+    next_request_id: Rc<Cell<RequestId>>,
 }
 
 impl Handle {
-    /// A handle, and what the driver receives of it and its clones.
+    /// Creates a handle, and the receiver of what it and its clones send.
     #[must_use]
     pub fn channel() -> (Self, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
-        (
-            Self {
-                messages: sender,
-                next_id: Rc::new(Cell::new(1)),
-            },
-            receiver,
-        )
+        let handle = Self {
+            messages: sender,
+            next_request_id: Rc::new(Cell::new(1)),
+        };
+        (handle, receiver)
     }
 
-    /// Tells the driver something. A driver that has ended ends the process: nobody is left to tell.
-    pub fn tell(&self, message: Message) {
+    /// Sends a message. It is lost if the driver has ended, which ends the process.
+    pub fn send(&self, message: Message) {
         let _ = self.messages.send(message);
     }
 
-    /// A number for a new request.
+    /// Returns the id of a new request.
     #[must_use]
     pub fn next_request_id(&self) -> RequestId {
-        let id = self.next_id.get();
-        self.next_id.set(id.wrapping_add(1));
+        let id = self.next_request_id.get();
+        self.next_request_id.set(id.wrapping_add(1));
         id
     }
 }
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -170,7 +170,7 @@
 
     async fn counters(&self) -> Answer {
         let (sender, avoided) = oneshot::channel();
-        self.handle.tell(Message::Avoided(sender));
+        self.handle.send(Message::CountAvoidedBackends(sender));
         let text = self
             .counters
             .text(self.backends.len(), avoided.await.unwrap_or_default());
--- a/src/proxy/request_log.rs
+++ b/src/proxy/request_log.rs
@@ -1,6 +1,6 @@
-//! The events of single requests in the log: from the last byte that came to the final answer.
+//! Log events of single requests, from their arrival to their final answer.
 //!
-//! All have the number of the request in this process; the first one also has its correlation id.
+//! Each has the request's id in this process; the first one also has its correlation id.
 
 use super::backends::AttemptResult;
 use super::logging::REQUEST_TARGET;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// A request was taken.
+/// Logs that a request was received completely, or that its streamed body began.
 pub(super) fn received(inbound: &Inbound) {
     let request = &inbound.request;
     debug!(
@@ -18,23 +18,23 @@
         correlation_id = inbound.call.correlation_id(),
         class = request.class.0,
         tenant = request.tenant.0,
-        time_left = ?Duration::from_micros(request.timeout),
+        timeout = ?Duration::from_micros(request.timeout),
         "received",
     );
 }
 
-/// An attempt starts, which is given up after `time_left`.
+/// Logs the start of an attempt that times out after `timeout`.
 pub(super) fn attempt_started(
     request: RequestId,
     attempt: u16,
     backend: BackendId,
-    time_left: Micros,
+    timeout: Micros,
 ) {
-    let time_left = Duration::from_micros(time_left);
-    debug!(target: REQUEST_TARGET, request, attempt, backend, ?time_left, "attempt started");
+    let timeout = Duration::from_micros(timeout);
+    debug!(target: REQUEST_TARGET, request, attempt, backend, ?timeout, "attempt started");
 }
 
-/// An attempt ended, `elapsed` after its start.
+/// Logs the end of an attempt, `elapsed` after its start.
 pub(super) fn attempt_ended(
     request: RequestId,
     attempt: u16,
@@ -42,21 +42,22 @@
     elapsed: Micros,
     result: &AttemptResult,
 ) {
-    let (elapsed, outcome) = (Duration::from_micros(elapsed), result.outcome);
+    let elapsed = Duration::from_micros(elapsed);
+    let outcome = result.outcome;
     debug!(target: REQUEST_TARGET, request, attempt, backend, ?elapsed, ?outcome, "attempt ended");
 }
 
-/// The client gets its final answer.
+/// Logs the final answer to a request.
 pub(super) fn answered(request: RequestId, answer: &Answer) {
     let answer = match answer {
         Answer::Served(_) => "served",
-        Answer::Refused { .. } => "refused",
+        Answer::Rejected { .. } => "rejected",
         Answer::Failed => "failed",
     };
     debug!(target: REQUEST_TARGET, request, answer, "answered");
 }
 
-/// The client left without an answer.
-pub(super) fn client_left(request: RequestId) {
-    debug!(target: REQUEST_TARGET, request, "client left");
+/// Logs that a client disconnected without an answer.
+pub(super) fn client_disconnected(request: RequestId) {
+    debug!(target: REQUEST_TARGET, request, "client disconnected");
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -12,7 +12,7 @@
 use tillerproxy::proxy::config::Names;
 use tillerproxy::proxy::counters::Counters;
 use tillerproxy::proxy::discovery::{Polling, Translator, Watcher};
-use tillerproxy::proxy::driver::{Driver, Limits};
+use tillerproxy::proxy::driver::{Driver, DriverSettings};
 use tillerproxy::proxy::lifecycle::Lifecycle;
 use tillerproxy::wire::parse_settings;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -143,16 +143,16 @@
         let balancer =
             Balancer::new(settings, u64::from(me) + 1, clock.now()).expect("good settings");
         let (poll_sender, poll_requests) = mpsc::unbounded_channel();
-        let limits = Limits {
+        let driver_settings = DriverSettings {
             max_attempts: 1,
-            report_by_probe: false,
+            load_report_by_health_check: false,
         };
         let lifecycle = Lifecycle::start();
         let (driver, handle) = Driver::new(
             balancer,
             clock,
             Rc::clone(&backends),
-            limits,
+            driver_settings,
             poll_sender,
             Rc::clone(&lifecycle),
         );
