--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -207,9 +207,9 @@
 ) {
     let began = Instant::now();
     let end = began + longest + DRAIN_SLACK;
-    lifecycle.stop(ShutdownTimes {
-        answers_by: began + longest.min(MAX_DRAIN_DEADLINE) + DRAIN_SLACK,
-        ends_at: end,
+    lifecycle.shut_down(ShutdownTimes {
+        last_answer_at: began + longest.min(MAX_DRAIN_DEADLINE) + DRAIN_SLACK,
+        process_end: end,
     });
     while listener.is_some()
         && (began.elapsed() < DRAIN_MIN_TIME
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -50,7 +50,7 @@
         };
         // The time of a request counts from its last byte.
         let arrived = self.clock.now();
-        if let Some(remaining) = self.lifecycle.time_left() {
+        if let Some(remaining) = self.lifecycle.remaining_time() {
             let remaining = remaining.as_micros().try_into().unwrap_or(Micros::MAX);
             request.timeout = request.timeout.min(remaining);
         }
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -48,7 +48,7 @@
                 .await
                 .unwrap_or_else(error_response)
         };
-        if self.lifecycle.is_leaving() {
+        if self.lifecycle.is_draining() {
             close(&mut response);
         }
         response
@@ -80,7 +80,7 @@
 
     /// Returns the response to the front's health check.
     fn health(&self) -> Response<BufferedBody> {
-        if self.lifecycle.is_up() {
+        if self.lifecycle.is_in_service() {
             plain(StatusCode::OK, "up\n")
         } else {
             plain(StatusCode::SERVICE_UNAVAILABLE, "not serving\n")
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -114,7 +114,7 @@
                     .any(|endpoint| endpoint.backend.readiness == Readiness::Ready);
                 if can_serve {
                     self.revision = list.is_complete.then_some(list.revision);
-                    self.lifecycle.can_serve();
+                    self.lifecycle.mark_ready();
                 }
                 endpoints = list.endpoints;
             }
@@ -171,7 +171,7 @@
 
     fn publish(&mut self, list: EndpointList) {
         self.revision = Some(list.revision);
-        self.lifecycle.can_serve();
+        self.lifecycle.mark_ready();
         if list.is_complete {
             self.send(MembershipUpdate::Full(list.endpoints));
         } else if !list.endpoints.is_empty() {
--- a/src/proxy/driver/arrivals.rs
+++ b/src/proxy/driver/arrivals.rs
@@ -59,7 +59,7 @@
             None => now,
         };
         let due = complete_at + final_answer_timeout(open.remaining);
-        match self.lifecycle.ends_at() {
+        match self.lifecycle.process_end() {
             Some(process_end) => Some(due.min(last_answer_before(self.clock.at(process_end)))),
             None => Some(due),
         }
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -1,73 +1,76 @@
-//! The life of the process. Whoever wants to know whether it serves asks here: `/up`, the operators' calls,
-//! the clients' connections and the end of the program.
+//! The lifecycle of the process: starting, in service, out of service, shutting down.
+//!
+//! One state machine answers all who need to know: the health check `/up`, the operators' calls, the client connections and
+//! the shutdown itself.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long a connection that clients hold may still bring a request once the process is to be left alone.
-/// Closed sooner, it would often cross one that is on its way.
-const DRAIN_GRACE: Duration = Duration::from_millis(1_500);
-/// Connections on which nothing happens are closed this long before the last answers are due: a request that
-/// comes on one until then still gets its answer.
-const CLOSED_BEFORE: Duration = Duration::from_millis(100);
+/// How long an idle client connection stays open once clients are to leave. Closed sooner, it would often cross a
+/// request that is on its way.
+const IDLE_GRACE_PERIOD: Duration = Duration::from_millis(1_500);
+/// Idle client connections close this long before the last answers are due, so that a request that comes on one until
+/// then is still answered.
+const IDLE_CLOSE_MARGIN: Duration = Duration::from_millis(100);
 
-/// How far the process is.
+/// Stage of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It can't serve yet.
+    /// It cannot serve yet.
     Starting,
     /// It serves.
     InService,
-    /// An operator has taken it out of service: it serves what comes, and each answer closes its connection.
+    /// An operator took it out of service: it serves what comes, and each response closes its connection.
     OutOfService,
-    /// It was told to end: as out of service, and for good.
-    Stopping,
+    /// It shuts down: as out of service, and for good.
+    ShuttingDown,
 }
 
-/// The process is on its way out, so that it can't be taken in or out of service any more.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct IsStopping;
+/// The process shuts down, and can no longer be taken in or out of service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the process is shutting down")]
+pub struct ShuttingDown;
+
+/// The times of a shutdown.
+#[derive(Clone, Copy, Debug)]
+pub struct ShutdownTimes {
+    /// When requests that arrive from now on are answered at the latest: the process may be killed later.
+    pub last_answer_at: Instant,
+    /// When the process ends, whatever is still open.
+    pub process_end: Instant,
+}
 
-/// The one state machine.
+/// The state machine.
 pub struct Lifecycle {
     stage: watch::Sender<Stage>,
-    /// A list of backends is held and clients are accepted.
-    can_serve: Cell<bool>,
-    /// The times of its end, once it was told to end.
+    /// Whether there are backends to serve from.
+    is_ready: Cell<bool>,
+    /// `None` until the shutdown begins.
     shutdown: Cell<Option<ShutdownTimes>>,
 }
 
-/// How a process ends.
-#[derive(Clone, Copy, Debug)]
-pub struct ShutdownTimes {
-    /// What comes from now on is answered by then: later, the process may be killed.
-    pub answers_by: Instant,
-    /// It ends then, whatever is open.
-    pub ends_at: Instant,
-}
-
 impl Lifecycle {
-    /// A process that starts.
+    /// Creates the lifecycle of a process that starts.
     #[must_use]
     pub fn start() -> Rc<Self> {
-        let stage = watch::Sender::new(Stage::Starting);
         Rc::new(Self {
-            stage,
-            can_serve: Cell::new(false),
+            stage: watch::Sender::new(Stage::Starting),
+            is_ready: Cell::new(false),
             shutdown: Cell::new(None),
         })
     }
 
-    /// How far it is.
+    /// Returns the stage.
     #[must_use]
     pub fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// Tells of each change.
+    /// Returns a receiver of all changes of the stage.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Stage> {
         self.stage.subscribe()
@@ -75,108 +78,96 @@
 
     /// Whether new requests are welcome.
     #[must_use]
-    pub fn is_up(&self) -> bool {
+    pub fn is_in_service(&self) -> bool {
         self.stage() == Stage::InService
     }
 
     /// Whether clients are to leave.
     #[must_use]
-    pub fn is_leaving(&self) -> bool {
-        matches!(self.stage(), Stage::OutOfService | Stage::Stopping)
+    pub fn is_draining(&self) -> bool {
+        matches!(self.stage(), Stage::OutOfService | Stage::ShuttingDown)
     }
 
-    /// It can serve from now on.
-    pub fn can_serve(&self) {
-        self.can_serve.set(true);
-        self.transition(|stage| {
-            if stage == Stage::Starting {
-                Stage::InService
-            } else {
-                stage
-            }
-        });
+    /// Notes that there are backends to serve from. This ends the start, but no drain.
+    pub fn mark_ready(&self) {
+        self.is_ready.set(true);
+        if self.stage() == Stage::Starting {
+            self.enter(Stage::InService);
+        }
     }
 
-    /// An operator empties the proxy. Said again it changes nothing.
+    /// Takes the process out of service. Repeated, it changes nothing.
     ///
     /// # Errors
-    /// Where the process ends anyway.
-    pub fn take_out(&self) -> Result<(), IsStopping> {
-        self.transition(|stage| {
-            if stage == Stage::Stopping {
-                stage
-            } else {
-                Stage::OutOfService
-            }
-        });
-        self.is_not_stopping()
+    /// [`ShuttingDown`], and the stage stays.
+    pub fn take_out_of_service(&self) -> Result<(), ShuttingDown> {
+        if self.stage() == Stage::ShuttingDown {
+            return Err(ShuttingDown);
+        }
+        self.enter(Stage::OutOfService);
+        Ok(())
     }
 
-    /// The end of the drain. Said again it changes nothing.
+    /// Takes the process back into service. Repeated, it changes nothing.
     ///
     /// # Errors
-    /// Where the process ends.
-    pub fn take_in(&self) -> Result<(), IsStopping> {
-        let back = if self.can_serve.get() {
-            Stage::InService
-        } else {
-            Stage::Starting
-        };
-        self.transition(|stage| {
-            if stage == Stage::OutOfService {
-                back
-            } else {
-                stage
+    /// [`ShuttingDown`], and the stage stays.
+    pub fn return_to_service(&self) -> Result<(), ShuttingDown> {
+        match self.stage() {
+            Stage::ShuttingDown => Err(ShuttingDown),
+            Stage::OutOfService if self.is_ready.get() => {
+                self.enter(Stage::InService);
+                Ok(())
             }
-        });
-        self.is_not_stopping()
+            Stage::OutOfService => {
+                self.enter(Stage::Starting);
+                Ok(())
+            }
+            Stage::Starting | Stage::InService => Ok(()),
+        }
     }
 
-    /// The process was told to end.
-    pub fn stop(&self, times: ShutdownTimes) {
+    /// Begins the shutdown.
+    pub fn shut_down(&self, times: ShutdownTimes) {
         self.shutdown.set(Some(times));
-        self.transition(|_| Stage::Stopping);
+        self.enter(Stage::ShuttingDown);
     }
 
-    /// How long a request that comes now may take at the most: none outlives the process.
+    /// Returns the time until the last answer is due, which no request may outlast; `None` before the shutdown.
     #[must_use]
-    pub fn time_left(&self) -> Option<Duration> {
-        self.shutdown
-            .get()
-            .map(|times| times.answers_by.saturating_duration_since(Instant::now()))
+    pub fn remaining_time(&self) -> Option<Duration> {
+        let shutdown = self.shutdown.get()?;
+        let remaining = shutdown
+            .last_answer_at
+            .saturating_duration_since(Instant::now());
+        Some(remaining)
     }
 
-    /// When the process ends, if it was told to.
+    /// Returns when the process ends; `None` before the shutdown.
     #[must_use]
-    pub fn ends_at(&self) -> Option<Instant> {
-        self.shutdown.get().map(|times| times.ends_at)
+    pub fn process_end(&self) -> Option<Instant> {
+        self.shutdown.get().map(|times| times.process_end)
     }
 
-    /// When a connection is closed on which nothing happens from now on, if clients are to leave.
+    /// Returns when a client connection that is idle from now on is closed; `None` unless clients are to leave.
     #[must_use]
-    pub fn closes_at(&self) -> Option<Instant> {
-        let (now, last) = (
-            Instant::now(),
-            self.shutdown
-                .get()
-                .map(|times| times.answers_by - CLOSED_BEFORE),
-        );
-        self.is_leaving()
-            .then(|| last.map_or(now + DRAIN_GRACE, |last| last.min(now + DRAIN_GRACE)))
-    }
-
-    fn is_not_stopping(&self) -> Result<(), IsStopping> {
-        if self.stage() == Stage::Stopping {
-            Err(IsStopping)
-        } else {
-            Ok(())
+    pub fn idle_close_at(&self) -> Option<Instant> {
+        if !self.is_draining() {
+            return None;
+        }
+        let grace_end = Instant::now() + IDLE_GRACE_PERIOD;
+        match self.shutdown.get() {
+            None => Some(grace_end),
+            Some(times) => Some(grace_end.min(times.last_answer_at - IDLE_CLOSE_MARGIN)),
         }
     }
 
-    fn transition(&self, next: impl Fn(Stage) -> Stage) {
+    /// Changes the stage and notifies the subscribers, unless it stays the same.
+    fn enter(&self, next: Stage) {
         self.stage.send_if_modified(|stage| {
-            let before = std::mem::replace(stage, next(*stage));
-            before != *stage
+            let is_change = *stage != next;
+            *stage = next;
+            is_change
         });
     }
 }
--- a/src/proxy/lifecycle/tests.rs
+++ b/src/proxy/lifecycle/tests.rs
@@ -1,69 +1,83 @@
 use super::*;
 
 #[test]
-fn an_operator_takes_it_out_and_in_again_however_often_it_is_said() {
-    let life = Lifecycle::start();
-    assert_eq!(life.take_in(), Ok(()));
-    assert_eq!(life.stage(), Stage::Starting, "nothing can be served yet");
-    life.can_serve();
+fn repeated_calls_to_leave_and_to_return_to_service_change_nothing_more() {
+    let lifecycle = Lifecycle::start();
+    assert_eq!(lifecycle.return_to_service(), Ok(()));
+    assert_eq!(lifecycle.stage(), Stage::Starting, "it is not ready");
+    lifecycle.mark_ready();
     for _ in 0..2 {
         assert_eq!(
-            (life.take_out(), life.stage(), life.is_up()),
+            (
+                lifecycle.take_out_of_service(),
+                lifecycle.stage(),
+                lifecycle.is_in_service()
+            ),
             (Ok(()), Stage::OutOfService, false)
         );
     }
-    life.can_serve();
+    lifecycle.mark_ready();
     assert_eq!(
-        life.stage(),
+        lifecycle.stage(),
         Stage::OutOfService,
-        "a new list does not end a drain"
+        "a new endpoint list does not end a drain"
     );
     for _ in 0..2 {
         assert_eq!(
-            (life.take_in(), life.stage(), life.is_up()),
+            (
+                lifecycle.return_to_service(),
+                lifecycle.stage(),
+                lifecycle.is_in_service()
+            ),
             (Ok(()), Stage::InService, true)
         );
     }
 }
 
 #[test]
-fn a_drain_before_the_first_list_lasts_until_its_end_is_told() {
-    let life = Lifecycle::start();
-    assert_eq!(life.take_out(), Ok(()));
-    assert_eq!(life.take_in(), Ok(()));
-    assert_eq!(life.stage(), Stage::Starting);
-    assert_eq!(life.take_out(), Ok(()));
-    life.can_serve();
-    assert_eq!((life.take_in(), life.stage()), (Ok(()), Stage::InService));
+fn a_drain_before_the_first_endpoint_list_lasts_until_an_operator_ends_it() {
+    let lifecycle = Lifecycle::start();
+    assert_eq!(lifecycle.take_out_of_service(), Ok(()));
+    assert_eq!(lifecycle.return_to_service(), Ok(()));
+    assert_eq!(lifecycle.stage(), Stage::Starting);
+    assert_eq!(lifecycle.take_out_of_service(), Ok(()));
+    lifecycle.mark_ready();
+    assert_eq!(
+        (lifecycle.return_to_service(), lifecycle.stage()),
+        (Ok(()), Stage::InService)
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_stops_goes_on_stopping_and_takes_nothing_that_would_outlive_it() {
-    let life = Lifecycle::start();
-    life.can_serve();
-    assert_eq!(life.time_left(), None);
+async fn a_shutdown_cannot_be_revoked_and_bounds_the_time_of_requests_and_idle_connections() {
+    let lifecycle = Lifecycle::start();
+    lifecycle.mark_ready();
+    assert_eq!(lifecycle.remaining_time(), None);
     let end = |ms| Instant::now() + Duration::from_millis(ms);
-    life.stop(ShutdownTimes {
-        answers_by: end(3_000),
-        ends_at: end(5_000),
+    lifecycle.shut_down(ShutdownTimes {
+        last_answer_at: end(3_000),
+        process_end: end(5_000),
     });
     assert_eq!(
-        (life.closes_at(), life.ends_at()),
+        (lifecycle.idle_close_at(), lifecycle.process_end()),
         (Some(end(1_500)), Some(end(5_000)))
     );
     assert_eq!(
-        (life.take_in(), life.take_out()),
-        (Err(IsStopping), Err(IsStopping))
+        (
+            lifecycle.return_to_service(),
+            lifecycle.take_out_of_service()
+        ),
+        (Err(ShuttingDown), Err(ShuttingDown))
     );
-    assert!(life.is_leaving());
+    assert!(lifecycle.is_draining());
     tokio::time::advance(Duration::from_secs(1)).await;
-    assert_eq!(life.time_left(), Some(Duration::from_secs(2)));
+    assert_eq!(lifecycle.remaining_time(), Some(Duration::from_secs(2)));
     tokio::time::advance(Duration::from_secs(1)).await;
     assert_eq!(
-        life.closes_at(),
+        lifecycle.idle_close_at(),
         Some(end(900)),
         "sooner than the last answers"
     );
     tokio::time::advance(Duration::from_secs(5)).await;
-    assert_eq!(life.time_left(), Some(Duration::ZERO));
+    assert_eq!(lifecycle.remaining_time(), Some(Duration::ZERO));
 }
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -3,7 +3,7 @@
 use super::backends::Backends;
 use super::bodies::BufferedBody;
 use super::counters::Counters;
-use super::lifecycle::{IsStopping, Lifecycle};
+use super::lifecycle::{Lifecycle, ShuttingDown};
 use super::limits::{ACCEPT_BACKOFF, MAX_OPERATOR_CALLS};
 use super::messages::{Handle, Message};
 use super::responses::{Rejection, plain};
@@ -149,9 +149,11 @@
         }
         match head.uri.path() {
             "/control/counters" => Ok(self.counters().await),
-            "/control/out-of-service" => self.done("out of service", self.lifecycle.take_out()),
-            "/control/in-service" => self.done("in service", self.lifecycle.take_in()),
-            _ if self.lifecycle.is_up() => Ok(plain(StatusCode::OK, "ready\n")),
+            "/control/out-of-service" => {
+                self.done("out of service", self.lifecycle.take_out_of_service())
+            }
+            "/control/in-service" => self.done("in service", self.lifecycle.return_to_service()),
+            _ if self.lifecycle.is_in_service() => Ok(plain(StatusCode::OK, "ready\n")),
             _ => Err(Rejection::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "not ready\n",
@@ -159,12 +161,12 @@
         }
     }
 
-    fn done(&self, what: &str, done: Result<(), IsStopping>) -> Result<Answer, Rejection> {
+    fn done(&self, what: &str, done: Result<(), ShuttingDown>) -> Result<Answer, Rejection> {
         tracing::info!(
             "an operator wants the proxy {what}: {:?}",
             self.lifecycle.stage()
         );
-        done.map_err(|IsStopping| Rejection::new(StatusCode::CONFLICT, "the process ends\n"))?;
+        done.map_err(|ShuttingDown| Rejection::new(StatusCode::CONFLICT, "the process ends\n"))?;
         Ok(plain(StatusCode::OK, "done\n"))
     }
 
