--- a/lab/src/slopes/endpoints.rs
+++ b/lab/src/slopes/endpoints.rs
@@ -152,7 +152,7 @@
 pub fn translator(fleet: &FleetShape) -> Translator {
     let names = Names {
         zones: zone_names(fleet),
-        kinds: kind_names(fleet),
+        machine_types: kind_names(fleet),
         ..Names::default()
     };
     Translator::new(Clock::start(), &names)
--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -72,10 +72,10 @@
     mut reload: Signal,
     discovery: watch::Sender<SocketAddr>,
     log: LogControl,
-    shared: bool,
+    process_count: usize,
 ) {
     while reload.recv().await.is_some() {
-        match Config::from_env(shared) {
+        match Config::from_env(process_count) {
             Ok(config) => {
                 log.set_filter(config.log_filter);
                 tracing::info!(
@@ -120,9 +120,9 @@
     };
     let backends = Backends::new(
         config.budget.backends,
-        config.dial_timeout,
+        config.connect_timeout,
         settings.permissions.idle_timeout,
-        config.names.report.clone(),
+        config.names.load_report_fields.clone(),
         Rc::clone(&counters),
     );
     let listener = match inherited {
@@ -178,11 +178,16 @@
     );
 
     let Signals { mut stop, reload } = signals;
-    tokio::task::spawn_local(follow_configuration(reload, discovery, log, shared));
+    tokio::task::spawn_local(follow_configuration(
+        reload,
+        discovery,
+        log,
+        process_count(shared),
+    ));
     let driver = tokio::task::spawn_local(driver.run());
     tokio::task::spawn_local(backends.sweep());
     let accepting = tokio::task::spawn_local(Rc::clone(&clients).accept(Rc::clone(&listener)));
-    watcher.start_from_cache(&config.known);
+    watcher.start_from_cache(&config.cached_endpoints);
     tokio::task::spawn_local(watcher.run());
     tokio::select! {
         ended = driver => Err(format!("the driver ended: {ended:?}").into()),
@@ -198,6 +203,12 @@
     }
 }
 
+/// Returns the number of processes that share the limits of the configuration: where the client listener is inherited,
+/// an upgrade runs the old process and the new one side by side.
+fn process_count(has_inherited_listener: bool) -> usize {
+    if has_inherited_listener { 2 } else { 1 }
+}
+
 /// Finishes what was taken, and what still comes by the listener, if it is this process's alone.
 async fn drain(
     clients: &Rc<Clients>,
@@ -240,7 +251,7 @@
         .build()?;
     LocalSet::new().block_on(&runtime, async {
         let signals = Signals::install()?;
-        let config = Config::from_env(inherited.is_some())?;
+        let config = Config::from_env(process_count(inherited.is_some()))?;
         log.set_filter(config.log_filter.clone());
         run(config, log, inherited, signals).await
     })
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -1,56 +1,71 @@
-//! What the proxy is told at its start: the file that `EDGE_CONFIG` names, and the environment.
+//! Configuration of the proxy: the file that `EDGE_CONFIG` names, completed by the environment.
 
 use super::budget::Budget;
 use super::limits::MAX_OPERATOR_CALLS;
-use super::logging::parse_filter;
+use super::logging::{InvalidLogOption, parse_filter};
 use crate::api::{Micros, Settings, SettingsError};
 use crate::wire::parse_settings;
 use serde::Deserialize;
 use serde_json::Value;
-use std::net::SocketAddr;
+use std::net::{AddrParseError, SocketAddr};
 use std::path::PathBuf;
-use std::{env, fmt, fs, io};
+use std::{env, fs, io};
+use thiserror::Error;
 use tracing_subscriber::filter::Targets;
 
+const FILE_VARIABLE: &str = "EDGE_CONFIG";
+const NAME_VARIABLE: &str = "EDGE_NAME";
+const LISTEN_VARIABLE: &str = "EDGE_LISTEN";
+const OPERATOR_VARIABLE: &str = "EDGE_OPERATOR";
+const DISCOVERY_VARIABLE: &str = "EDGE_DISCOVERY";
+
 /// Descriptors that are neither clients nor backends: standard streams, the runtime, the listener, discovery.
-const RESERVED_SOCKETS: usize = 24;
-const DEFAULT_SOCKETS: usize = 1_024;
+const RESERVED_DESCRIPTORS: usize = 24;
+const DEFAULT_DESCRIPTORS: usize = 1_024;
 const DEFAULT_MEMORY_MB: usize = 192;
-const DEFAULT_DIAL: Micros = 250_000;
+const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
-/// Why the proxy can't start.
-#[derive(Debug)]
+/// Why the configuration cannot be used.
+#[derive(Debug, Error)]
 pub enum ConfigError {
     /// A variable of the environment is missing.
-    Missing(&'static str),
-    /// The file can't be read.
-    Unreadable(PathBuf, io::Error),
-    /// The file is not the JSON that is wanted.
-    Malformed(serde_path_to_error::Error<serde_json::Error>),
-    /// An address is missing or is none.
-    Address(&'static str, String),
-    /// The filter of the log makes no sense: the filter, and what is wrong with it.
-    LogFilter(String, String),
+    #[error("{0} is not set")]
+    MissingVariable(&'static str),
+    /// The file cannot be read.
+    #[error("cannot read {}: {source}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// Why it cannot be read.
+        source: io::Error,
+    },
+    /// The file is no JSON, or a field is missing or malformed.
+    #[error("malformed configuration: {0}")]
+    Malformed(#[source] serde_path_to_error::Error<serde_json::Error>),
+    /// An address is missing or malformed.
+    #[error("`{field}` is no address: `{given}`")]
+    Address {
+        /// The field of the configuration.
+        field: &'static str,
+        /// Its value.
+        given: String,
+        /// What is wrong with it.
+        source: AddrParseError,
+    },
+    /// The filter of the log is malformed.
+    #[error("`log.filter`: `{given}` {source}")]
+    LogFilter {
+        /// The filter.
+        given: String,
+        /// What is wrong with it.
+        source: InvalidLogOption,
+    },
     /// A setting makes no sense.
-    Settings(SettingsError),
-}
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Missing(name) => write!(f, "{name} is not set"),
-            Self::Unreadable(path, error) => write!(f, "cannot read {}: {error}", path.display()),
-            Self::Malformed(error) => write!(f, "malformed configuration: {error}"),
-            Self::Address(field, given) => write!(f, "`{field}` is no address: `{given}`"),
-            Self::LogFilter(given, problem) => write!(f, "`log.filter`: `{given}` {problem}"),
-            Self::Settings(error) => write!(f, "{error}"),
-        }
-    }
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
 }
 
-impl std::error::Error for ConfigError {}
-
-/// The names that the protocol uses and the balancer knows by their position.
+/// Names that the protocols use, and that the decisions know by their position.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     /// Request classes.
@@ -59,34 +74,34 @@
     pub tenants: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
-    /// Kinds of machines.
-    pub kinds: Vec<String>,
+    /// Machine types.
+    pub machine_types: Vec<String>,
     /// Fields of a load report.
-    pub report: Vec<String>,
+    pub load_report_fields: Vec<String>,
 }
 
-/// The configuration, checked.
+/// A configuration that was checked.
 #[derive(Debug)]
 pub struct Config {
     /// The proxy's name.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where operators call, if they do.
+    /// Where operators connect, if they can.
     pub operator: Option<SocketAddr>,
     /// Where discovery listens.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The list of backends as last known, in discovery's form.
-    pub known: Value,
-    /// The balancer's settings.
+    /// The endpoint list as last known, in the JSON form of discovery.
+    pub cached_endpoints: Value,
+    /// Settings of the decisions.
     pub settings: Settings,
-    /// What the settings name.
+    /// Names that the settings define.
     pub names: Names,
-    /// A connection that is not up after this time has failed.
-    pub dial_timeout: Micros,
-    /// What the process may take of its limits.
+    /// When an attempt to connect has failed.
+    pub connect_timeout: Micros,
+    /// Memory and descriptors that the process may take.
     pub budget: Budget,
     /// What is logged; `None`: what the environment says.
     pub log_filter: Option<Targets>,
@@ -108,15 +123,15 @@
     limits: RawLimits,
     #[serde(default)]
     log: RawLog,
-    #[serde(default)]
-    known: Value,
+    #[serde(default, rename = "known")]
+    cached_endpoints: Value,
     settings: Value,
 }
 
 #[derive(Deserialize, Default)]
 struct RawLimits {
-    #[serde(default)]
-    sockets: Option<usize>,
+    #[serde(default, rename = "sockets")]
+    descriptors: Option<usize>,
     #[serde(default)]
     memory_mb: Option<usize>,
 }
@@ -127,145 +142,189 @@
     filter: Option<String>,
 }
 
-#[derive(Deserialize)]
-struct Named {
-    #[serde(default)]
-    name: String,
-}
-
 /// The part of the settings that only the sockets need.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct RawNames {
-    #[serde(default)]
-    classes: Vec<Named>,
+struct RawSettings {
     #[serde(default)]
-    tenants: Vec<Named>,
+    classes: Vec<RawNamed>,
     #[serde(default)]
-    failure_domains: Vec<String>,
-    #[serde(default)]
-    kinds: Vec<String>,
-    #[serde(default)]
-    load_report: RawReport,
+    tenants: Vec<RawNamed>,
+    #[serde(default, rename = "failureDomains")]
+    zones: Vec<String>,
+    #[serde(default, rename = "kinds")]
+    machine_types: Vec<String>,
+    #[serde(default, rename = "loadReport")]
+    load_report: RawLoadReport,
     #[serde(default)]
     permissions: RawPermissions,
 }
 
+#[derive(Deserialize)]
+struct RawNamed {
+    #[serde(default)]
+    name: String,
+}
+
 #[derive(Deserialize, Default)]
-struct RawReport {
+struct RawLoadReport {
     #[serde(default)]
     fields: Vec<String>,
 }
 
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase")]
 struct RawPermissions {
-    #[serde(default)]
-    dial_timeout_us: Option<Micros>,
+    #[serde(default, rename = "dialTimeoutUs")]
+    connect_timeout: Option<Micros>,
 }
 
 impl Config {
-    /// Reads the file that the environment names. `shared` tells whether the limits may hold for two
-    /// processes at a time, as at an upgrade.
+    /// Reads the file that the environment names. `process_count` is the number of processes that its limits hold for: two
+    /// during an upgrade.
     ///
     /// # Errors
-    /// Says in one line what is missing or wrong.
-    pub fn from_env(shared: bool) -> Result<Self, ConfigError> {
-        let path =
-            PathBuf::from(env::var_os("EDGE_CONFIG").ok_or(ConfigError::Missing("EDGE_CONFIG"))?);
-        let text = fs::read(&path).map_err(|e| ConfigError::Unreadable(path, e))?;
-        Self::parse(&text, |name| env::var(name).ok(), shared)
+    /// The first field or variable that is missing or malformed.
+    pub fn from_env(process_count: usize) -> Result<Self, ConfigError> {
+        let path = env::var_os(FILE_VARIABLE).ok_or(ConfigError::MissingVariable(FILE_VARIABLE))?;
+        let path = PathBuf::from(path);
+        let json = fs::read(&path).map_err(|source| ConfigError::Unreadable { path, source })?;
+        Self::parse(&json, |name| env::var(name).ok(), process_count)
     }
 
-    /// Reads the configuration from JSON text; `variable` fills in what the text leaves out.
+    /// Parses the JSON text of a configuration; `variable` returns variables of the environment, which complete it.
     ///
     /// # Errors
-    /// Says what is missing or wrong.
+    /// The first field that is missing or malformed.
     pub fn parse(
-        text: &[u8],
+        json: &[u8],
         variable: impl Fn(&str) -> Option<String>,
-        shared: bool,
+        process_count: usize,
     ) -> Result<Self, ConfigError> {
-        let raw: RawConfig = read(&mut serde_json::Deserializer::from_slice(text))?;
-        let address = |field: &'static str, given: Option<String>, name: &str| {
-            let given = given.or_else(|| variable(name)).unwrap_or_default();
-            given
-                .parse()
-                .map_err(|_| ConfigError::Address(field, given))
-        };
-        let settings = raw.settings.to_string();
-        let more: RawNames = read(&mut serde_json::Deserializer::from_str(&settings))?;
-        let classes = named("classes", more.classes)?;
-        let tenants = named("tenants", more.tenants)?;
+        let raw: RawConfig = deserialize(&mut serde_json::Deserializer::from_slice(json))?;
+        let settings_json = raw.settings.to_string();
+        let raw_settings: RawSettings =
+            deserialize(&mut serde_json::Deserializer::from_str(&settings_json))?;
+        let connect_timeout = raw_settings.permissions.connect_timeout();
+        let names = raw_settings.into_names()?;
+        let raw = raw.completed_by(variable);
+        let listen = parse_address("listen", raw.listen.unwrap_or_default())?;
         let operator = raw
             .operator
-            .or_else(|| variable("EDGE_OPERATOR"))
-            .filter(|given| !given.is_empty());
-        let reserved = RESERVED_SOCKETS + operator.as_ref().map_or(0, |_| 1 + MAX_OPERATOR_CALLS);
-        let sockets = raw.limits.sockets.unwrap_or(DEFAULT_SOCKETS);
-        let memory_mb = raw.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
+            .filter(|given| !given.is_empty())
+            .map(|given| parse_address("operator", given))
+            .transpose()?;
+        let discovery = parse_address("discovery", raw.discovery.unwrap_or_default())?;
+        let settings = parse_settings(settings_json.as_bytes())?;
+        let log_filter = raw.log.filter.map(parse_log_filter).transpose()?;
         Ok(Self {
-            name: raw
-                .name
-                .or_else(|| variable("EDGE_NAME"))
-                .unwrap_or_default(),
-            listen: address("listen", raw.listen, "EDGE_LISTEN")?,
-            operator: operator
-                .map(|given| address("operator", Some(given), ""))
-                .transpose()?,
-            discovery: address("discovery", raw.discovery, "EDGE_DISCOVERY")?,
+            name: raw.name.unwrap_or_default(),
+            listen,
+            operator,
+            discovery,
             seed: seed(&raw.seed),
-            known: raw.known,
-            settings: parse_settings(settings.as_bytes()).map_err(ConfigError::Settings)?,
-            names: Names {
-                classes,
-                tenants,
-                zones: more.failure_domains,
-                kinds: more.kinds,
-                report: more.load_report.fields,
-            },
-            dial_timeout: more
-                .permissions
-                .dial_timeout_us
-                .filter(|&t| t > 0)
-                .unwrap_or(DEFAULT_DIAL),
-            log_filter: raw.log.filter.map(log_filter).transpose()?,
-            budget: Budget::of(sockets, memory_mb, reserved, if shared { 2 } else { 1 }),
+            cached_endpoints: raw.cached_endpoints,
+            settings,
+            names,
+            connect_timeout,
+            budget: raw.limits.budget(operator.is_some(), process_count),
+            log_filter,
         })
     }
 }
 
-fn read<'a, T: Deserialize<'a>, R: serde_json::de::Read<'a>>(
-    json: &mut serde_json::Deserializer<R>,
-) -> Result<T, ConfigError> {
-    serde_path_to_error::deserialize(json).map_err(ConfigError::Malformed)
+impl RawConfig {
+    /// Takes fields that the file lacks from the environment.
+    fn completed_by(self, variable: impl Fn(&str) -> Option<String>) -> Self {
+        Self {
+            name: self.name.or_else(|| variable(NAME_VARIABLE)),
+            listen: self.listen.or_else(|| variable(LISTEN_VARIABLE)),
+            operator: self.operator.or_else(|| variable(OPERATOR_VARIABLE)),
+            discovery: self.discovery.or_else(|| variable(DISCOVERY_VARIABLE)),
+            ..self
+        }
+    }
+}
+
+impl RawLimits {
+    fn budget(&self, has_operator: bool, process_count: usize) -> Budget {
+        let operator_descriptors = if has_operator {
+            1 + MAX_OPERATOR_CALLS
+        } else {
+            0
+        };
+        Budget::of(
+            self.descriptors.unwrap_or(DEFAULT_DESCRIPTORS),
+            self.memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
+            RESERVED_DESCRIPTORS + operator_descriptors,
+            process_count,
+        )
+    }
+}
+
+impl RawPermissions {
+    fn connect_timeout(&self) -> Micros {
+        self.connect_timeout
+            .filter(|&timeout| timeout > 0)
+            .unwrap_or(DEFAULT_CONNECT_TIMEOUT)
+    }
 }
 
-fn log_filter(given: String) -> Result<Targets, ConfigError> {
-    parse_filter(&given).map_err(|problem| ConfigError::LogFilter(given, problem))
+impl RawSettings {
+    fn into_names(self) -> Result<Names, SettingsError> {
+        Ok(Names {
+            classes: distinct_names("classes", self.classes)?,
+            tenants: distinct_names("tenants", self.tenants)?,
+            zones: self.zones,
+            machine_types: self.machine_types,
+            load_report_fields: self.load_report.fields,
+        })
+    }
 }
 
-/// The names of a list of the settings: requests are told apart by them.
-fn named(list: &str, entries: Vec<Named>) -> Result<Vec<String>, ConfigError> {
-    let names: Vec<String> = entries.into_iter().map(|entry| entry.name).collect();
-    for (i, name) in names.iter().enumerate() {
-        let problem = match name.as_str() {
-            "" => "must not be empty",
-            _ if names[..i].contains(name) => "stands there twice",
-            _ => continue,
+/// Returns the names of a list of the settings. Requests are told apart by them, so each has one of its own.
+fn distinct_names(list: &str, entries: Vec<RawNamed>) -> Result<Vec<String>, SettingsError> {
+    let mut names = Vec::with_capacity(entries.len());
+    for (index, RawNamed { name }) in entries.into_iter().enumerate() {
+        let problem = if name.is_empty() {
+            Some("must not be empty")
+        } else if names.contains(&name) {
+            Some("stands there twice")
+        } else {
+            None
         };
-        let field = format!("{list}[{i}].name");
-        return Err(ConfigError::Settings(SettingsError {
-            field,
-            problem: problem.into(),
-        }));
+        if let Some(problem) = problem {
+            return Err(SettingsError {
+                field: format!("{list}[{index}].name"),
+                problem: problem.into(),
+            });
+        }
+        names.push(name);
     }
     Ok(names)
 }
 
-/// The seed comes as hexadecimal text; a number is taken as well.
+fn deserialize<'a, T: Deserialize<'a>, R: serde_json::de::Read<'a>>(
+    json: &mut serde_json::Deserializer<R>,
+) -> Result<T, ConfigError> {
+    serde_path_to_error::deserialize(json).map_err(ConfigError::Malformed)
+}
+
+fn parse_address(field: &'static str, given: String) -> Result<SocketAddr, ConfigError> {
+    given.parse().map_err(|source| ConfigError::Address {
+        field,
+        given,
+        source,
+    })
+}
+
+fn parse_log_filter(given: String) -> Result<Targets, ConfigError> {
+    parse_filter(&given).map_err(|source| ConfigError::LogFilter { given, source })
+}
+
+/// Reads the seed: hexadecimal text, or a number. Without one it is random.
 fn seed(value: &Value) -> u64 {
-    let text = value.as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
-    text.or_else(|| value.as_u64())
+    value
+        .as_str()
+        .and_then(|text| u64::from_str_radix(text, 16).ok())
+        .or_else(|| value.as_u64())
         .unwrap_or_else(|| fastrand::Rng::new().u64(..))
 }
--- a/src/proxy/discovery/translator.rs
+++ b/src/proxy/discovery/translator.rs
@@ -42,7 +42,12 @@
         let machine_types = (0..=u8::MAX).map(MachineType);
         Self {
             zones: names.zones.iter().cloned().zip(zones).collect(),
-            machine_types: names.kinds.iter().cloned().zip(machine_types).collect(),
+            machine_types: names
+                .machine_types
+                .iter()
+                .cloned()
+                .zip(machine_types)
+                .collect(),
             backend_ids: BackendIds::default(),
             start_times: StartTimes::new(clock),
         }
--- a/src/proxy/inherited.rs
+++ b/src/proxy/inherited.rs
@@ -1,75 +1,84 @@
-//! The listening socket that the platform holds for the clients, where it does.
+//! The client listener that the platform passes to the process, where it does.
 
 use socket2::{Socket, Type};
 use std::net::TcpListener;
 use std::os::fd::{BorrowedFd, RawFd};
-use std::{env, fmt, io};
+use std::{env, io};
+use thiserror::Error;
 
-/// The variable that names its descriptor.
-const VARIABLE: &str = "EDGE_FD";
+/// Names the listener's descriptor.
+const DESCRIPTOR_VARIABLE: &str = "EDGE_FD";
 
-/// Why the descriptor can't be used.
-#[derive(Debug)]
+/// Why the descriptor cannot be used.
+#[derive(Debug, Error)]
 pub enum InheritedError {
-    /// The variable holds no descriptor's number.
-    Number(String),
-    /// It can't be asked, most likely since it is not open.
-    Unusable(RawFd, io::Error),
-    /// It is open and something else.
+    /// The variable has no descriptor's number.
+    #[error("{DESCRIPTOR_VARIABLE} is no descriptor: `{0}`")]
+    NotANumber(String),
+    /// The descriptor cannot be used, most likely because it is not open.
+    #[error("{DESCRIPTOR_VARIABLE} names descriptor {descriptor}, which fails: {source}")]
+    Unusable {
+        /// Its number.
+        descriptor: RawFd,
+        /// What the kernel says.
+        source: io::Error,
+    },
+    /// The descriptor is open and no listening TCP socket.
+    #[error("{DESCRIPTOR_VARIABLE} names descriptor {0}, which does not listen")]
     NotListening(RawFd),
 }
 
-impl fmt::Display for InheritedError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Number(given) => write!(f, "{VARIABLE} is no descriptor: `{given}`"),
-            Self::Unusable(fd, error) => {
-                write!(f, "{VARIABLE} names descriptor {fd}, which fails: {error}")
-            }
-            Self::NotListening(fd) => {
-                write!(f, "{VARIABLE} names descriptor {fd}, which does not listen")
-            }
-        }
-    }
-}
-
-impl std::error::Error for InheritedError {}
-
-/// The clients' listener that the environment names, if it names one. This has to come before the process
-/// opens anything, so that a number that was not inherited is not taken for one that was.
+/// Returns the client listener that the environment names, if it names one. To be called before the process opens
+/// anything: a descriptor that it opened itself would be taken for one that it inherited.
 ///
 /// # Errors
-/// Where it names anything but a listening socket.
+/// The environment names anything but a listening socket.
 pub fn from_env() -> Result<Option<TcpListener>, InheritedError> {
-    let Some(given) = env::var_os(VARIABLE).filter(|given| !given.is_empty()) else {
+    let Some(descriptor) = descriptor_from_env()? else {
         return Ok(None);
     };
-    let fd = given
-        .to_str()
-        .and_then(|s| s.parse::<RawFd>().ok())
-        .filter(|fd| *fd >= 0);
-    let fd = fd.ok_or_else(|| InheritedError::Number(given.to_string_lossy().into_owned()))?;
-    let socket = duplicate(fd).map_err(|error| InheritedError::Unusable(fd, error))?;
-    let listens = socket.is_listener().unwrap_or(false)
-        && socket.r#type().is_ok_and(|t| t == Type::STREAM)
-        && socket.local_addr().is_ok_and(|a| a.as_socket().is_some());
-    if !listens {
-        return Err(InheritedError::NotListening(fd));
+    let unusable = |source| InheritedError::Unusable { descriptor, source };
+    let socket = duplicate(descriptor).map_err(unusable)?;
+    if !is_tcp_listener(&socket) {
+        return Err(InheritedError::NotListening(descriptor));
     }
-    socket
-        .set_nonblocking(true)
-        .map_err(|error| InheritedError::Unusable(fd, error))?;
+    socket.set_nonblocking(true).map_err(unusable)?;
     Ok(Some(socket.into()))
 }
 
-/// A descriptor of our own for an inherited one. Closing it, unlike shutting it down, leaves the socket to
-/// the others that hold it.
+fn descriptor_from_env() -> Result<Option<RawFd>, InheritedError> {
+    let given = env::var_os(DESCRIPTOR_VARIABLE).filter(|given| !given.is_empty());
+    let Some(given) = given else {
+        return Ok(None);
+    };
+    let descriptor = given
+        .to_str()
+        .and_then(|text| text.parse::<RawFd>().ok())
+        .filter(|descriptor| *descriptor >= 0);
+    match descriptor {
+        Some(descriptor) => Ok(Some(descriptor)),
+        None => Err(InheritedError::NotANumber(
+            given.to_string_lossy().into_owned(),
+        )),
+    }
+}
+
+fn is_tcp_listener(socket: &Socket) -> bool {
+    let is_stream = socket.r#type().is_ok_and(|kind| kind == Type::STREAM);
+    let has_ip_address = socket
+        .local_addr()
+        .is_ok_and(|address| address.as_socket().is_some());
+    is_stream && has_ip_address && socket.is_listener().unwrap_or(false)
+}
+
+/// Duplicates an inherited descriptor. Closing the duplicate, unlike shutting it down, leaves the socket to the other
+/// processes that hold it.
 #[allow(unsafe_code)]
-fn duplicate(fd: RawFd) -> io::Result<Socket> {
+fn duplicate(descriptor: RawFd) -> io::Result<Socket> {
     // SAFETY: the number is not -1 (the caller takes none below 0), and it is borrowed for this one statement
     // only, in which nothing closes it: no other thread runs yet, and no code of this process owns the
     // number. One that is not open is merely reported as such by the kernel, for duplicating reads nothing
     // through it.
-    let borrowed = unsafe { BorrowedFd::borrow_raw(fd) };
+    let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     borrowed.try_clone_to_owned().map(Socket::from)
 }
--- a/src/proxy/logging/mod.rs
+++ b/src/proxy/logging/mod.rs
@@ -1,12 +1,12 @@
 //! The log: structured lines on standard error, at most so many a second.
 //!
-//! Events are written with the macros of `tracing`. Those of single requests have the target
-//! [`REQUEST_TARGET`] and the level `debug`, so that they cost nothing unless the filter asks for them.
+//! Events are written with the macros of `tracing`. Those of single requests have the target [`REQUEST_TARGET`] and the
+//! level `debug`, so that they cost next to nothing unless the filter asks for them.
 
 mod options;
 mod rate_limit;
 
-pub use options::{LogFormat, LogOptions, LogOptionsError, parse_filter};
+pub use options::{InvalidLogOption, LogFormat, LogOptions, LogOptionsError, parse_filter};
 
 use rate_limit::RateLimitedWriter;
 use std::fmt;
@@ -22,17 +22,16 @@
 /// Changes the log of a running process.
 pub struct LogControl {
     filter: reload::Handle<Targets, Registry>,
-    /// What holds while the configuration names no filter.
+    /// Applies while the configuration names no filter.
     default_filter: Targets,
 }
 
 impl LogControl {
-    /// Writes only what passes `filter` from now on; `None` brings back the filter of the start.
+    /// Logs only what passes `filter` from now on; `None` restores the filter of the start.
     pub fn set_filter(&self, filter: Option<Targets>) {
-        // It fails only where the subscriber is gone, and that one lives as long as the process.
-        let _ = self
-            .filter
-            .reload(filter.unwrap_or_else(|| self.default_filter.clone()));
+        let filter = filter.unwrap_or_else(|| self.default_filter.clone());
+        // This fails only without a subscriber, and that lives as long as the process.
+        let _ = self.filter.reload(filter);
     }
 }
 
@@ -44,10 +43,10 @@
     }
 }
 
-/// Sends all events of the process to standard error, as the options say.
+/// Starts the log: all events of the process go to standard error, as the options say.
 ///
 /// # Errors
-/// Where the process has a subscriber already.
+/// The process has a subscriber already.
 pub fn init(options: LogOptions) -> Result<LogControl, TryInitError> {
     let writer = RateLimitedWriter::new(options.lines_per_second);
     let layer = match options.format {
--- a/src/proxy/logging/options.rs
+++ b/src/proxy/logging/options.rs
@@ -1,9 +1,10 @@
-//! What the log holds and how it is written, by the environment.
+//! Options of the log, taken from the environment.
 
-use std::fmt;
+use std::num::ParseIntError;
 use std::str::FromStr;
+use thiserror::Error;
 use tracing::level_filters::LevelFilter;
-use tracing_subscriber::filter::Targets;
+use tracing_subscriber::filter::{ParseError, Targets};
 
 /// Names what is logged: a level, or `TARGET=LEVEL` pairs between commas.
 const FILTER_VARIABLE: &str = "EDGE_LOG";
@@ -14,7 +15,7 @@
 
 const DEFAULT_LINES_PER_SECOND: u32 = 100;
 
-/// How a line of the log is written.
+/// Format of a line of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
     /// Time, level, target, message and fields, for people.
@@ -25,13 +26,13 @@
 }
 
 impl FromStr for LogFormat {
-    type Err = &'static str;
+    type Err = InvalidLogOption;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match text {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            _ => Err("must be `text` or `json`"),
+            _ => Err(InvalidLogOption::Format),
         }
     }
 }
@@ -39,11 +40,11 @@
 /// What is logged, and how.
 #[derive(Clone, Debug)]
 pub struct LogOptions {
-    /// What passes.
+    /// What is logged.
     pub filter: Targets,
-    /// How a line looks.
+    /// Format of a line.
     pub format: LogFormat,
-    /// Lines in a second, at the most: no peer can make the log grow faster.
+    /// The most lines in a second: no peer can make the log grow faster.
     pub lines_per_second: u32,
 }
 
@@ -57,77 +58,82 @@
     }
 }
 
-/// An option of the log that makes no sense.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// What is wrong with the value of an option.
+#[derive(Debug, Error)]
+pub enum InvalidLogOption {
+    /// The filter is malformed.
+    #[error("is no filter: {0}")]
+    Filter(#[from] ParseError),
+    /// There is no such format.
+    #[error("must be `text` or `json`")]
+    Format,
+    /// The number is malformed or out of range.
+    #[error("must be a whole number")]
+    Number(#[from] ParseIntError),
+    /// The number is 0.
+    #[error("must be above 0")]
+    Zero,
+}
+
+/// A variable of the environment that has an invalid value.
+#[derive(Debug, Error)]
+#[error("{variable}: `{given}` {source}")]
 pub struct LogOptionsError {
     variable: &'static str,
     given: String,
-    problem: String,
-}
-
-impl fmt::Display for LogOptionsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: `{}` {}", self.variable, self.given, self.problem)
-    }
+    source: InvalidLogOption,
 }
 
-impl std::error::Error for LogOptionsError {}
-
 impl LogOptions {
-    /// The options that the environment names; what is not set or empty keeps its default.
+    /// Reads the options from variables of the environment. An option keeps its default where its variable is not set or
+    /// empty.
     ///
     /// # Errors
-    /// The first variable that makes no sense.
+    /// The first variable with an invalid value.
     pub fn from_env(variable: impl Fn(&str) -> Option<String>) -> Result<Self, LogOptionsError> {
         let defaults = Self::default();
-        let set = |name| variable(name).filter(|value| !value.is_empty());
+        let filter = option(FILTER_VARIABLE, &variable, parse_filter)?;
+        let format = option(FORMAT_VARIABLE, &variable, str::parse)?;
+        let lines_per_second = option(LINES_VARIABLE, &variable, parse_lines_per_second)?;
         Ok(Self {
-            filter: option(FILTER_VARIABLE, set, parse_filter)?.unwrap_or(defaults.filter),
-            format: option(FORMAT_VARIABLE, set, |text| {
-                text.parse::<LogFormat>().map_err(str::to_owned)
-            })?
-            .unwrap_or(defaults.format),
-            lines_per_second: option(LINES_VARIABLE, set, parse_lines_per_second)?
-                .unwrap_or(defaults.lines_per_second),
+            filter: filter.unwrap_or(defaults.filter),
+            format: format.unwrap_or(defaults.format),
+            lines_per_second: lines_per_second.unwrap_or(defaults.lines_per_second),
         })
     }
 }
 
-/// Reads a filter such as `info` or `warn,tillerproxy::request=debug`.
+/// Parses a filter such as `info` or `warn,tillerproxy::request=debug`.
 ///
 /// # Errors
-/// Says what is wrong with it.
-pub fn parse_filter(text: &str) -> Result<Targets, String> {
-    text.parse()
-        .map_err(|error| format!("is no filter: {error}"))
+/// [`InvalidLogOption::Filter`].
+pub fn parse_filter(text: &str) -> Result<Targets, InvalidLogOption> {
+    let filter = text.parse()?;
+    Ok(filter)
 }
 
-fn parse_lines_per_second(text: &str) -> Result<u32, String> {
-    let lines: u32 = text
-        .parse()
-        .map_err(|_| "must be a whole number".to_owned())?;
-    if lines == 0 {
-        Err("must be above 0".to_owned())
-    } else {
-        Ok(lines)
+fn parse_lines_per_second(text: &str) -> Result<u32, InvalidLogOption> {
+    match text.parse()? {
+        0 => Err(InvalidLogOption::Zero),
+        lines => Ok(lines),
     }
 }
 
-/// Reads one variable, if it is set.
+/// Parses one variable, if it is set.
 fn option<T>(
     name: &'static str,
-    set: impl Fn(&'static str) -> Option<String>,
-    read: impl Fn(&str) -> Result<T, String>,
+    variable: impl Fn(&str) -> Option<String>,
+    parse: impl Fn(&str) -> Result<T, InvalidLogOption>,
 ) -> Result<Option<T>, LogOptionsError> {
-    let Some(given) = set(name) else {
+    let Some(given) = variable(name).filter(|value| !value.is_empty()) else {
         return Ok(None);
     };
-    match read(&given) {
+    match parse(&given) {
         Ok(value) => Ok(Some(value)),
-        Err(problem) => Err(LogOptionsError {
+        Err(source) => Err(LogOptionsError {
             variable: name,
             given,
-            problem,
+            source,
         }),
     }
 }
--- a/src/proxy/logging/options/tests.rs
+++ b/src/proxy/logging/options/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_is_not_set_or_empty_keeps_its_default() {
+fn options_that_are_not_set_or_empty_keep_their_defaults() {
     let options = options(&[("EDGE_LOG", ""), ("EDGE_LOG_FORMAT", "json")]).expect("options");
     assert_eq!(
         (options.format, options.lines_per_second),
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_filter_names_levels_by_target() {
+fn a_filter_sets_levels_by_target() {
     let options = options(&[("EDGE_LOG", "warn,tillerproxy::request=debug")]).expect("options");
     assert!(
         options
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_variable_that_makes_no_sense_is_named_with_its_value() {
+fn an_invalid_variable_is_named_with_its_value() {
     for (name, value, problem) in [
         ("EDGE_LOG", "tillerproxy=loud", "is no filter"),
         ("EDGE_LOG_FORMAT", "xml", "must be `text` or `json`"),
--- a/src/proxy/logging/rate_limit.rs
+++ b/src/proxy/logging/rate_limit.rs
@@ -1,4 +1,4 @@
-//! A writer to standard error that passes on so many lines a second and counts the others.
+//! A writer to standard error that writes so many lines a second and counts the others.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,59 +7,63 @@
 
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// The lines of the present second.
+/// Counts the lines of the present period.
 #[derive(Debug)]
-struct LineCount {
-    most: u32,
-    period_began: Option<Instant>,
+struct LineLimit {
+    lines_per_period: u32,
+    period_start: Option<Instant>,
     lines: u32,
 }
 
-/// Whether a line may be written.
+/// Whether a line is written.
 #[derive(Debug, PartialEq, Eq)]
 enum Admission {
-    /// It may; so many lines before it were not written.
-    Admitted {
-        left_out: u32,
-    },
-    Refused,
+    /// It is written; `suppressed` lines before it were not.
+    Admitted { suppressed: u32 },
+    /// It is not.
+    Suppressed,
 }
 
-impl LineCount {
-    fn new(most: u32) -> Self {
+impl LineLimit {
+    fn new(lines_per_period: u32) -> Self {
         Self {
-            most,
-            period_began: None,
+            lines_per_period,
+            period_start: None,
             lines: 0,
         }
     }
 
     /// Counts one more line at `now`.
     fn admit(&mut self, now: Instant) -> Admission {
-        if self
-            .period_began
-            .is_none_or(|began| now.saturating_duration_since(began) >= PERIOD)
-        {
-            let left_out = self.lines.saturating_sub(self.most);
-            (self.period_began, self.lines) = (Some(now), 1);
-            return Admission::Admitted { left_out };
+        if self.is_period_over(now) {
+            let suppressed = self.lines.saturating_sub(self.lines_per_period);
+            self.period_start = Some(now);
+            self.lines = 1;
+            return Admission::Admitted { suppressed };
         }
         self.lines = self.lines.saturating_add(1);
-        if self.lines <= self.most {
-            Admission::Admitted { left_out: 0 }
+        if self.lines <= self.lines_per_period {
+            Admission::Admitted { suppressed: 0 }
         } else {
-            Admission::Refused
+            Admission::Suppressed
+        }
+    }
+
+    fn is_period_over(&self, now: Instant) -> bool {
+        match self.period_start {
+            None => true,
+            Some(start) => now.saturating_duration_since(start) >= PERIOD,
         }
     }
 }
 
 /// Makes a writer for each line.
 #[derive(Clone, Debug)]
-pub(super) struct RateLimitedWriter(Arc<Mutex<LineCount>>);
+pub(super) struct RateLimitedWriter(Arc<Mutex<LineLimit>>);
 
 impl RateLimitedWriter {
     pub(super) fn new(lines_per_second: u32) -> Self {
-        Self(Arc::new(Mutex::new(LineCount::new(lines_per_second))))
+        Self(Arc::new(Mutex::new(LineLimit::new(lines_per_second))))
     }
 }
 
@@ -67,23 +71,23 @@
     type Writer = LineWriter;
 
     fn make_writer(&'a self) -> LineWriter {
-        let mut count = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        LineWriter(count.admit(Instant::now()))
+        let mut limit = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        LineWriter(limit.admit(Instant::now()))
     }
 }
 
-/// Takes one line. A standard error that nobody reads is no error: the proxy serves on without its log.
+/// Writes one line. A standard error that cannot be written to is ignored: the proxy serves on without its log.
 pub(super) struct LineWriter(Admission);
 
 impl Write for LineWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut output = io::stderr().lock();
         match self.0 {
-            Admission::Refused => return Ok(bytes.len()),
-            Admission::Admitted { left_out: 0 } => {}
-            Admission::Admitted { left_out } => {
-                let _ = writeln!(output, "({left_out} lines left out)");
-                self.0 = Admission::Admitted { left_out: 0 };
+            Admission::Suppressed => return Ok(bytes.len()),
+            Admission::Admitted { suppressed: 0 } => {}
+            Admission::Admitted { suppressed } => {
+                let _ = writeln!(output, "({suppressed} lines left out)");
+                self.0 = Admission::Admitted { suppressed: 0 };
             }
         }
         let _ = output.write_all(bytes);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -10,7 +10,7 @@
 }
 
 fn parse(config: &Value) -> Result<Config, String> {
-    Config::parse(config.to_string().as_bytes(), |_| None, false).map_err(|e| e.to_string())
+    Config::parse(config.to_string().as_bytes(), |_| None, 1).map_err(|e| e.to_string())
 }
 
 fn class(name: &str, effect: &str, group: &str, times_ms: [u64; 3]) -> Value {
@@ -85,7 +85,7 @@
     assert_eq!(
         (
             ferries.settings.permissions.max_attempts,
-            ferries.dial_timeout
+            ferries.connect_timeout
         ),
         (2, 100_000)
     );
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -158,7 +158,7 @@
         );
         let names = Names {
             zones: vec!["a".into()],
-            kinds: vec!["m".into()],
+            machine_types: vec!["m".into()],
             ..Names::default()
         };
         let (moves, addresses) = watch::channel(discovery);
