--- a/src/proxy/bodies/streamed.rs
+++ b/src/proxy/bodies/streamed.rs
@@ -114,16 +114,16 @@
             Some(Piece::Data(data)) => {
                 self.length.forward(data.len());
                 if self.length.is_complete() {
-                    self.set_outcome(RequestOutcome::Passed);
+                    self.set_outcome(RequestOutcome::Served);
                 }
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
             Some(Piece::End) if self.length.remaining().is_none_or(|bytes| bytes == 0) => {
-                self.set_outcome(RequestOutcome::Passed);
+                self.set_outcome(RequestOutcome::Served);
                 Poll::Ready(None)
             }
             Some(Piece::End) | None => {
-                self.set_outcome(RequestOutcome::BadGateway);
+                self.set_outcome(RequestOutcome::Failed);
                 Poll::Ready(Some(Err(BodyError::Incomplete(None))))
             }
         }
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -102,18 +102,18 @@
             return Err(RequestError::DuplicateRequest);
         };
         let upload = inbound.call.body.pending_upload();
-        let ticket = self.counters.begin_request(inbound.request.class.0);
+        let ticket = self.counters.begin_request(inbound.request.class);
         let answer = self
             .wait_for_answer(inbound, connection, upload.is_some())
             .await?;
         let (response, outcome) = match answer {
             Some(Answer::Served(served)) => return Ok(served_response(served, ticket)),
             Some(Answer::Rejected { retry_after }) => {
-                (refusal(retry_after), RequestOutcome::Dropped)
+                (refusal(retry_after), RequestOutcome::Rejected)
             }
             Some(Answer::Failed) | None => (
                 plain(StatusCode::BAD_GATEWAY, "failed\n"),
-                RequestOutcome::BadGateway,
+                RequestOutcome::Failed,
             ),
         };
         ticket.set_outcome(outcome);
@@ -173,7 +173,7 @@
 fn served_response(served: Served, ticket: RequestTicket) -> Response<ResponseBody> {
     let mut body = served.body;
     match &mut body {
-        ServedBody::Buffered(_) => ticket.set_outcome(RequestOutcome::Passed),
+        ServedBody::Buffered(_) => ticket.set_outcome(RequestOutcome::Served),
         ServedBody::Streamed(streamed) => streamed.set_ticket(ticket),
     }
     let mut response = Response::new(ResponseBody::from(body));
--- a/src/proxy/counters.rs
+++ b/src/proxy/counters.rs
@@ -1,41 +1,48 @@
-//! What the proxy tells of itself: counters since the start of the process, and their text form (Prometheus).
+//! Counters since the start of the process, and their text form (Prometheus).
 
+use crate::api::ClassIndex;
 use std::cell::Cell;
-use std::fmt::Write;
+use std::fmt::{self, Write};
 use std::rc::Rc;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// Served.
-    Passed,
-    /// Refused.
-    Dropped,
+    Served,
+    /// Rejected.
+    Rejected,
     /// Failed.
-    BadGateway,
+    Failed,
 }
 
-/// The names of the ends, in the order of their counters.
+/// Labels of the outcomes, in the order of [`RequestOutcome`].
 const OUTCOME_LABELS: [&str; 3] = ["passed", "dropped", "bad_gateway"];
 
+/// Requests of one class that have ended.
+struct ClassCounters {
+    class: String,
+    /// By outcome.
+    ended: [Cell<u64>; OUTCOME_LABELS.len()],
+}
+
 /// The counters of one process.
 pub struct Counters {
-    classes: Vec<(String, [Cell<u64>; OUTCOME_LABELS.len()])>,
+    classes: Vec<ClassCounters>,
     attempts: Cell<u64>,
     in_progress: Cell<u64>,
 }
 
-fn add_one(counter: &Cell<u64>) {
-    counter.set(counter.get() + 1);
-}
-
 impl Counters {
-    /// Nothing has happened yet to requests of these classes.
+    /// Creates counters at 0 for requests of these classes.
     #[must_use]
     pub fn new(classes: &[String]) -> Rc<Self> {
         let classes = classes
             .iter()
-            .map(|name| (name.clone(), Default::default()))
+            .map(|class| ClassCounters {
+                class: class.clone(),
+                ended: Default::default(),
+            })
             .collect();
         Rc::new(Self {
             classes,
@@ -44,97 +51,131 @@
         })
     }
 
-    /// A request of the class at this position was taken. It is in progress until the ticket is dropped.
+    /// Counts a request of a class as in progress until the ticket is dropped.
     #[must_use]
-    pub fn begin_request(self: &Rc<Self>, class: u8) -> RequestTicket {
-        add_one(&self.in_progress);
+    pub fn begin_request(self: &Rc<Self>, class: ClassIndex) -> RequestTicket {
+        increment(&self.in_progress);
         RequestTicket {
             counters: Rc::clone(self),
-            class: usize::from(class),
+            class,
             outcome: Cell::new(None),
         }
     }
 
-    /// An attempt was written whole to a backend.
+    /// Counts an attempt that was written completely to a backend.
     pub fn record_attempt(&self) {
-        add_one(&self.attempts);
+        increment(&self.attempts);
     }
 
-    /// All figures. `known` backends are in the list, and `skipped` of them are avoided.
+    /// Returns the text form of all metrics. `listed_backends` and `avoided_backends` are gauges that others keep.
     #[must_use]
-    pub fn text(&self, known: usize, skipped: usize) -> String {
+    pub fn render(&self, listed_backends: usize, avoided_backends: usize) -> String {
         let mut text = String::new();
-        let mut begin = |name: &str, kind: &str, help: &str| {
-            let _ = write!(text, "# HELP app_{name} {help}\n# TYPE app_{name} {kind}\n");
-            std::mem::take(&mut text)
-        };
-        let mut all = begin(
-            "handled",
-            "counter",
-            "Requests that have ended, by class and outcome.",
-        );
-        for (class, counts) in &self.classes {
-            let class = escaped(class);
-            for (outcome, count) in OUTCOME_LABELS.iter().zip(counts) {
-                let count = count.get();
-                let _ = writeln!(
-                    all,
-                    "app_handled{{category=\"{class}\",outcome=\"{outcome}\"}} {count}"
-                );
+        // Writing to a string cannot fail.
+        let _ = self.write(&mut text, listed_backends, avoided_backends);
+        text
+    }
+
+    fn write(
+        &self,
+        text: &mut String,
+        listed_backends: usize,
+        avoided_backends: usize,
+    ) -> fmt::Result {
+        self.write_ended(text)?;
+        let attempts = self.attempts.get();
+        let in_progress = self.in_progress.get();
+        ATTEMPTS.write(text, attempts)?;
+        IN_PROGRESS.write(text, in_progress)?;
+        LISTED_BACKENDS.write(text, listed_backends as u64)?;
+        AVOIDED_BACKENDS.write(text, avoided_backends as u64)
+    }
+
+    fn write_ended(&self, text: &mut String) -> fmt::Result {
+        ENDED.write_header(text)?;
+        for ClassCounters { class, ended } in &self.classes {
+            let class = escape_label(class);
+            for (outcome, count) in OUTCOME_LABELS.iter().zip(ended) {
+                writeln!(
+                    text,
+                    "app_{}{{category=\"{class}\",outcome=\"{outcome}\"}} {}",
+                    ENDED.name,
+                    count.get()
+                )?;
             }
         }
-        let gauge = |n: usize| n as u64;
-        let single = [
-            (
-                "upstream_tries",
-                "counter",
-                "Attempts written whole to backends.",
-                self.attempts.get(),
-            ),
-            (
-                "in_progress",
-                "gauge",
-                "Requests taken and not ended.",
-                self.in_progress.get(),
-            ),
-            (
-                "known_backends",
-                "gauge",
-                "Backends in the list.",
-                gauge(known),
-            ),
-            (
-                "skipped_backends",
-                "gauge",
-                "Listed backends that are avoided now.",
-                gauge(skipped),
-            ),
-        ];
-        for (name, kind, help, value) in single {
-            all += &begin(name, kind, help);
-            let _ = writeln!(all, "app_{name} {value}");
-        }
-        all
+        Ok(())
     }
 }
 
-/// A label's value as the text form has it.
-fn escaped(value: &str) -> String {
+/// Name and description of a metric.
+struct Metric {
+    name: &'static str,
+    kind: &'static str,
+    help: &'static str,
+}
+
+const ENDED: Metric = Metric {
+    name: "handled",
+    kind: "counter",
+    help: "Requests that have ended, by class and outcome.",
+};
+const ATTEMPTS: Metric = Metric {
+    name: "upstream_tries",
+    kind: "counter",
+    help: "Attempts written whole to backends.",
+};
+const IN_PROGRESS: Metric = Metric {
+    name: "in_progress",
+    kind: "gauge",
+    help: "Requests taken and not ended.",
+};
+const LISTED_BACKENDS: Metric = Metric {
+    name: "known_backends",
+    kind: "gauge",
+    help: "Backends in the list.",
+};
+const AVOIDED_BACKENDS: Metric = Metric {
+    name: "skipped_backends",
+    kind: "gauge",
+    help: "Listed backends that are avoided now.",
+};
+
+impl Metric {
+    fn write_header(&self, text: &mut String) -> fmt::Result {
+        let Self { name, kind, help } = self;
+        write!(text, "# HELP app_{name} {help}\n# TYPE app_{name} {kind}\n")
+    }
+
+    /// Writes a metric that has a single value.
+    fn write(&self, text: &mut String, value: u64) -> fmt::Result {
+        self.write_header(text)?;
+        writeln!(text, "app_{} {value}", self.name)
+    }
+}
+
+/// Escapes a label's value for the text form.
+fn escape_label(value: &str) -> String {
     value
         .replace('\\', "\\\\")
         .replace('"', "\\\"")
         .replace('\n', "\\n")
 }
 
-/// A request that was taken. Dropped, it has ended: as was noted, or for a client that had left.
+fn increment(counter: &Cell<u64>) {
+    counter.set(counter.get() + 1);
+}
+
+/// A request in progress. Dropped, the request has ended: with the outcome that was set, or, if none was, because its
+/// client disconnected.
 pub struct RequestTicket {
     counters: Rc<Counters>,
-    class: usize,
+    class: ClassIndex,
     outcome: Cell<Option<RequestOutcome>>,
 }
 
 impl RequestTicket {
-    /// Notes how the request ends; the last word counts.
+    /// Sets how the request ends. The last outcome that was set counts.
     pub fn set_outcome(&self, outcome: RequestOutcome) {
         self.outcome.set(Some(outcome));
     }
@@ -144,10 +185,11 @@
     fn drop(&mut self) {
         let in_progress = &self.counters.in_progress;
         in_progress.set(in_progress.get().saturating_sub(1));
-        if let (Some(outcome), Some((_, counts))) =
-            (self.outcome.get(), self.counters.classes.get(self.class))
-        {
-            add_one(&counts[outcome as usize]);
+        let Some(outcome) = self.outcome.get() else {
+            return;
+        };
+        if let Some(class) = self.counters.classes.get(self.class.index()) {
+            increment(&class.ended[outcome as usize]);
         }
     }
 }
--- a/src/proxy/counters/tests.rs
+++ b/src/proxy/counters/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn lines(counters: &Counters) -> Vec<String> {
-    let text = counters.text(4, 1);
+    let text = counters.render(4, 1);
     text.lines()
         .filter(|line| !line.starts_with('#'))
         .map(str::to_owned)
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn every_figure_is_there_from_the_start() {
+fn every_metric_is_present_from_the_start() {
     let counters = Counters::new(&["read".into(), "odd\"\\name".into()]);
     assert_eq!(
         lines(&counters),
@@ -26,7 +26,7 @@
             "app_skipped_backends 1",
         ]
     );
-    let text = counters.text(0, 0);
+    let text = counters.render(0, 0);
     for name in [
         "handled",
         "upstream_tries",
@@ -51,13 +51,19 @@
         let of = |i: usize| all[i].rsplit_once(' ').expect("a value").1.to_owned();
         [of(0), of(1), of(2), of(4)].map(|n| n.parse::<u64>().expect("a number"))
     };
-    let tickets: Vec<_> = (0..4).map(|_| counters.begin_request(0)).collect();
+    let tickets: Vec<_> = (0..4)
+        .map(|_| counters.begin_request(ClassIndex(0)))
+        .collect();
     assert_eq!(figures(), [0, 0, 0, 4]);
-    tickets[0].set_outcome(RequestOutcome::Passed);
-    tickets[0].set_outcome(RequestOutcome::BadGateway);
-    tickets[1].set_outcome(RequestOutcome::Dropped);
-    tickets[2].set_outcome(RequestOutcome::Passed);
+    tickets[0].set_outcome(RequestOutcome::Served);
+    tickets[0].set_outcome(RequestOutcome::Failed);
+    tickets[1].set_outcome(RequestOutcome::Rejected);
+    tickets[2].set_outcome(RequestOutcome::Served);
     assert_eq!(figures(), [0, 0, 0, 4]);
     drop(tickets);
-    assert_eq!(figures(), [1, 1, 1, 0], "the client of the fourth had left");
+    assert_eq!(
+        figures(),
+        [1, 1, 1, 0],
+        "the client of the fourth disconnected"
+    );
 }
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -1,4 +1,6 @@
-//! The operators' address: one call to a connection, answered from memory.
+//! The operators' address: health, counters, and taking the proxy out of service.
+//!
+//! Each connection carries one call, which is answered from memory.
 
 use super::backends::Backends;
 use super::bodies::BufferedBody;
@@ -9,14 +11,13 @@
 use super::responses::{Rejection, plain};
 use super::socket::Socket;
 use bytes::Bytes;
-use http_body_util::{BodyExt, Limited};
+use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::future::Future;
@@ -28,18 +29,48 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// How long a caller may take for its call.
-const CALL_TIME: Duration = Duration::from_millis(2_000);
-/// The largest head of a call; hyper takes no smaller one.
-const HEAD_CAP: usize = 8 * 1024;
-/// The largest body. No call needs one.
-const BODY_CAP: usize = 4 * 1024;
-/// The text form of the figures.
-const FORM: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
+/// Time in which a call has to arrive.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The largest head of a call, in bytes; hyper takes no smaller limit.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The largest body of a call, in bytes; no call needs one.
+const MAX_BODY_BYTES: usize = 4 * 1024;
+/// Content type of the Prometheus text form.
+const METRICS_CONTENT_TYPE: HeaderValue =
+    HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
 
-type Answer = Response<BufferedBody>;
+type OperatorResponse = Response<BufferedBody>;
 
-/// Answers operators.
+/// The calls that operators can make.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum OperatorCall {
+    Ready,
+    Counters,
+    OutOfService,
+    InService,
+}
+
+impl OperatorCall {
+    fn of_path(path: &str) -> Option<Self> {
+        match path {
+            "/control/ready" => Some(Self::Ready),
+            "/control/counters" => Some(Self::Counters),
+            "/control/out-of-service" => Some(Self::OutOfService),
+            "/control/in-service" => Some(Self::InService),
+            _ => None,
+        }
+    }
+
+    /// Returns the methods of the call, and their names as the `Allow` header has them.
+    fn methods(self) -> (&'static [Method], &'static str) {
+        match self {
+            Self::Ready | Self::Counters => (&[Method::GET, Method::HEAD], "GET, HEAD"),
+            Self::OutOfService | Self::InService => (&[Method::POST], "POST"),
+        }
+    }
+}
+
+/// Serves the operators' address.
 pub struct Operator {
     lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
@@ -48,7 +79,7 @@
 }
 
 impl Operator {
-    /// What it answers from.
+    /// Creates the server of what these parts hold.
     #[must_use]
     pub fn new(
         lifecycle: Rc<Lifecycle>,
@@ -64,120 +95,133 @@
         })
     }
 
-    /// Takes calls for as long as the proxy runs.
+    /// Serves calls for as long as the proxy runs. Where too many are open, the oldest one is ended: it has had the most
+    /// time to arrive.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let open: Rc<RefCell<VecDeque<AbortHandle>>> = Rc::default();
+        let mut open_calls: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    tracing::warn!("accept of a call: {error}");
+                    tracing::warn!(%error, "accepting an operator's connection failed");
                     sleep(ACCEPT_BACKOFF).await;
                     continue;
                 }
             };
-            let mut open = open.borrow_mut();
-            open.retain(|call| !call.is_finished());
-            if open.len() >= MAX_OPERATOR_CALLS
-                && let Some(first) = open.pop_front()
+            open_calls.retain(|call| !call.is_finished());
+            if open_calls.len() >= MAX_OPERATOR_CALLS
+                && let Some(oldest) = open_calls.pop_front()
             {
-                first.abort();
+                oldest.abort();
             }
-            open.push_back(tokio::task::spawn_local(Rc::clone(&self).call(stream)).abort_handle());
+            let call = tokio::task::spawn_local(Rc::clone(&self).serve_connection(stream));
+            open_calls.push_back(call.abort_handle());
         }
     }
 
-    async fn call(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let late = Instant::now() + CALL_TIME;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         let service = service_fn(move |request| -> Pin<Box<dyn Future<Output = _>>> {
             let operator = Rc::clone(&self);
             Box::pin(async move {
-                let answer = operator.answer(request, late).await;
-                Ok::<_, Infallible>(answer.unwrap_or_else(Rejection::into_response))
+                let response = operator.respond(request, deadline).await;
+                Ok::<_, Infallible>(response.unwrap_or_else(Rejection::into_response))
             })
         });
-        let mut conn = http1::Builder::new()
+        let mut connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(CALL_TIME)
+            .header_read_timeout(CALL_TIMEOUT)
             .keep_alive(false)
-            .max_buf_size(HEAD_CAP)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(stream), service);
-        let _ = std::future::poll_fn(|cx| conn.poll_without_shutdown(cx)).await;
-        Socket::new(conn.into_parts().io.into_inner())
-            .linger()
-            .await;
+        let _ = std::future::poll_fn(|cx| connection.poll_without_shutdown(cx)).await;
+        let stream = connection.into_parts().io.into_inner();
+        Socket::new(stream).linger().await;
     }
 
-    async fn answer(&self, request: Request<Incoming>, late: Instant) -> Result<Answer, Rejection> {
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        deadline: Instant,
+    ) -> Result<OperatorResponse, Rejection> {
         let (head, body) = request.into_parts();
-        let post = match head.uri.path() {
-            "/control/ready" | "/control/counters" => false,
-            "/control/out-of-service" | "/control/in-service" => true,
-            _ => return Err(Rejection::new(StatusCode::NOT_FOUND, "no such call\n")),
-        };
-        let (allowed, names): (&[Method], _) = if post {
-            (&[Method::POST], "POST")
-        } else {
-            (&[Method::GET, Method::HEAD], "GET, HEAD")
+        let Some(call) = OperatorCall::of_path(head.uri.path()) else {
+            return Err(Rejection::new(StatusCode::NOT_FOUND, "no such call\n"));
         };
-        if !allowed.contains(&head.method) {
-            return Err(Rejection::method(names));
-        }
-        // Half a call is none.
-        let too_large = Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the call is too large\n");
-        if body.size_hint().lower() > BODY_CAP as u64 {
-            return Err(too_large);
+        let (methods, method_names) = call.methods();
+        if !methods.contains(&head.method) {
+            return Err(Rejection::method(method_names));
         }
-        match timeout_at(late, Limited::new(body, BODY_CAP).collect()).await {
-            Err(_) => {
-                return Err(Rejection::new(
-                    StatusCode::REQUEST_TIMEOUT,
-                    "the call is late\n",
-                ));
-            }
-            Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-                return Err(too_large);
-            }
-            Ok(Err(_)) => {
-                return Err(Rejection::new(
-                    StatusCode::BAD_REQUEST,
-                    "the call is broken\n",
-                ));
+        receive_body(body, deadline).await?;
+        self.execute(call).await
+    }
+
+    async fn execute(&self, call: OperatorCall) -> Result<OperatorResponse, Rejection> {
+        match call {
+            OperatorCall::Ready => self.readiness(),
+            OperatorCall::Counters => Ok(self.counters().await),
+            OperatorCall::OutOfService => {
+                self.stage_changed(call, self.lifecycle.take_out_of_service())
             }
-            Ok(Ok(_)) => {}
+            OperatorCall::InService => self.stage_changed(call, self.lifecycle.return_to_service()),
         }
-        match head.uri.path() {
-            "/control/counters" => Ok(self.counters().await),
-            "/control/out-of-service" => {
-                self.done("out of service", self.lifecycle.take_out_of_service())
-            }
-            "/control/in-service" => self.done("in service", self.lifecycle.return_to_service()),
-            _ if self.lifecycle.is_in_service() => Ok(plain(StatusCode::OK, "ready\n")),
-            _ => Err(Rejection::new(
+    }
+
+    fn readiness(&self) -> Result<OperatorResponse, Rejection> {
+        if self.lifecycle.is_in_service() {
+            Ok(plain(StatusCode::OK, "ready\n"))
+        } else {
+            Err(Rejection::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "not ready\n",
-            )),
+            ))
         }
     }
 
-    fn done(&self, what: &str, done: Result<(), ShuttingDown>) -> Result<Answer, Rejection> {
-        tracing::info!(
-            "an operator wants the proxy {what}: {:?}",
-            self.lifecycle.stage()
-        );
-        done.map_err(|ShuttingDown| Rejection::new(StatusCode::CONFLICT, "the process ends\n"))?;
-        Ok(plain(StatusCode::OK, "done\n"))
+    fn stage_changed(
+        &self,
+        call: OperatorCall,
+        result: Result<(), ShuttingDown>,
+    ) -> Result<OperatorResponse, Rejection> {
+        let stage = self.lifecycle.stage();
+        tracing::info!(?call, ?stage, "operator call");
+        match result {
+            Ok(()) => Ok(plain(StatusCode::OK, "done\n")),
+            Err(ShuttingDown) => Err(Rejection::new(StatusCode::CONFLICT, "the process ends\n")),
+        }
     }
 
-    async fn counters(&self) -> Answer {
-        let (sender, avoided) = oneshot::channel();
+    async fn counters(&self) -> OperatorResponse {
+        let (sender, avoided_backends) = oneshot::channel();
         self.handle.send(Message::CountAvoidedBackends(sender));
-        let text = self
-            .counters
-            .text(self.backends.len(), avoided.await.unwrap_or_default());
+        let avoided_backends = avoided_backends.await.unwrap_or_default();
+        let text = self.counters.render(self.backends.len(), avoided_backends);
         let mut response = Response::new(BufferedBody::from(Bytes::from(text)));
-        response.headers_mut().insert(header::CONTENT_TYPE, FORM);
         response
+            .headers_mut()
+            .insert(header::CONTENT_TYPE, METRICS_CONTENT_TYPE);
+        response
+    }
+}
+
+/// Receives a call's body, which means nothing: a call is executed only once it has arrived completely.
+async fn receive_body(body: Incoming, deadline: Instant) -> Result<(), Rejection> {
+    let too_large = || Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the call is too large\n");
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Err(too_large());
+    }
+    let body = Limited::new(body, MAX_BODY_BYTES).collect();
+    match timeout_at(deadline, body).await {
+        Ok(Ok(_)) => Ok(()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
+        Ok(Err(_)) => Err(Rejection::new(
+            StatusCode::BAD_REQUEST,
+            "the call is broken\n",
+        )),
+        Err(_) => Err(Rejection::new(
+            StatusCode::REQUEST_TIMEOUT,
+            "the call is late\n",
+        )),
     }
 }
