--- a/src/proxy/bodies/outgoing.rs
+++ b/src/proxy/bodies/outgoing.rs
@@ -2,7 +2,7 @@
 
 use super::stream::{BodyError, FramePoll};
 use super::{BufferedBody, Progress, StreamedResponse, Upload};
-use crate::proxy::budget::Reserved;
+use crate::proxy::budget::Reservation;
 use bytes::Bytes;
 use hyper::body::{Body, SizeHint};
 use std::cell::RefCell;
@@ -17,7 +17,7 @@
 /// A request's body, for its attempts.
 pub enum CallBody {
     /// It can be sent any number of times. The memory is reserved until this is dropped.
-    Buffered(BufferedBody, Vec<Reserved>),
+    Buffered(BufferedBody, Vec<Reservation>),
     /// The first attempt that has a connection takes it.
     Streamed(PendingUpload, Rc<Progress>),
 }
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -2,7 +2,7 @@
 
 use super::stream::{BodyError, FramePoll, StreamLength};
 use super::{BodyDeadline, BufferedBody};
-use crate::proxy::budget::Reserved;
+use crate::proxy::budget::Reservation;
 use crate::proxy::counters::Counters;
 use crate::proxy::limits::FORWARDED_BODY_CAP;
 use bytes::Bytes;
@@ -81,7 +81,7 @@
 pub struct Upload {
     first: BufferedBody,
     /// Memory for `first`, a reservation a piece.
-    reserved: Vec<Reserved>,
+    reserved: Vec<Reservation>,
     rest: Incoming,
     deadline: BodyDeadline,
     sleep: Pin<Box<Sleep>>,
@@ -95,7 +95,7 @@
     #[must_use]
     pub fn new(
         first: BufferedBody,
-        reserved: Vec<Reserved>,
+        reserved: Vec<Reservation>,
         rest: Incoming,
         deadline: BodyDeadline,
         counters: Rc<Counters>,
--- a/src/proxy/budget.rs
+++ b/src/proxy/budget.rs
@@ -1,73 +1,84 @@
-//! What the process may take of its limits on memory and descriptors, and for what.
+//! Division of the limits on memory and descriptors between clients, backends and bodies.
 
 use super::limits::{BACKEND_HEAD_CAP, BODY_CAP, CLIENT_HEAD_CAP};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The parts of one process.
+const BYTES_PER_MB: usize = 1 << 20;
+
+/// What one process may take.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    /// Client connections that may be open at a time.
+    /// The most client connections that are open at a time.
     pub clients: usize,
-    /// Backend connections that may be open at a time, idle ones too.
+    /// The most backend connections that are open at a time, idle ones included.
     pub backends: usize,
-    /// Bytes that requests' bodies beyond the usual size may hold at a time.
-    pub bodies: Bytes,
+    /// Memory for bodies that are larger than what each connection may hold.
+    pub bodies: MemoryBudget,
 }
 
 impl Budget {
-    /// Divides the limits among so many processes, `reserved` descriptors of each aside. What all connections
-    /// may hold has to fit into the memory: two fifths of it for heads, bodies and pieces of bodies that come
-    /// from clients, a fifth for those from backends, a fifth for bodies beyond the usual size.
+    /// Divides limits that hold for `processes` processes together. Each process sets `reserved` descriptors aside.
+    ///
+    /// The memory has to suffice for all connections at once: two fifths of it are for heads and bodies from clients, a
+    /// fifth for those from backends, a fifth for larger bodies, and a fifth for everything else.
     #[must_use]
-    pub fn of(sockets: usize, memory_mb: usize, reserved: usize, processes: usize) -> Self {
-        let free = (sockets / processes).max(2 * reserved) - reserved;
-        let fifth = memory_mb.saturating_mul(1 << 20) / processes / 5;
-        // A client's connection may carry a request that waits for a backend's, so it gets the larger part.
-        let clients = (free * 3 / 5).min(2 * fifth / (CLIENT_HEAD_CAP + BODY_CAP));
-        let backends = (free - free * 3 / 5).min(fifth / (BACKEND_HEAD_CAP + BODY_CAP));
+    pub fn of(descriptors: usize, memory_mb: usize, reserved: usize, processes: usize) -> Self {
+        let own_descriptors = (descriptors / processes).max(2 * reserved);
+        let sockets = own_descriptors - reserved;
+        let fifth_bytes = memory_mb.saturating_mul(BYTES_PER_MB) / processes / 5;
+        // Clients get the larger part: a request that waits for a backend connection holds a client connection.
+        let client_sockets = sockets * 3 / 5;
+        let backend_sockets = sockets - client_sockets;
+        let clients = client_sockets.min(2 * fifth_bytes / (CLIENT_HEAD_CAP + BODY_CAP));
+        let backends = backend_sockets.min(fifth_bytes / (BACKEND_HEAD_CAP + BODY_CAP));
         Self {
             clients: clients.max(1),
             backends: backends.max(1),
-            bodies: Bytes::new(fifth),
+            bodies: MemoryBudget::new(fifth_bytes),
         }
     }
 }
 
-/// Bytes of memory that whoever needs them reserves for a while.
+/// A number of bytes of which parts can be reserved. Clones share it.
 #[derive(Clone, Debug)]
-pub struct Bytes(Arc<AtomicUsize>);
+pub struct MemoryBudget {
+    available: Arc<AtomicUsize>,
+}
 
-impl Bytes {
+impl MemoryBudget {
     fn new(bytes: usize) -> Self {
-        Self(Arc::new(AtomicUsize::new(bytes)))
+        Self {
+            available: Arc::new(AtomicUsize::new(bytes)),
+        }
     }
 
-    /// Takes that many until what is returned is dropped; `None` where so many are not left.
+    /// Reserves bytes until the reservation is dropped; `None` where fewer are available.
     #[must_use]
-    pub fn reserve(&self, bytes: usize) -> Option<Reserved> {
-        let taken = self
-            .0
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
-                left.checked_sub(bytes)
-            });
-        taken.is_ok().then(|| Reserved {
+    pub fn reserve(&self, bytes: usize) -> Option<Reservation> {
+        let subtract = |available: usize| available.checked_sub(bytes);
+        self.available
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, subtract)
+            .ok()?;
+        Some(Reservation {
             bytes,
-            of: self.clone(),
+            budget: self.clone(),
         })
     }
 }
 
-/// Bytes that are taken.
+/// Reserved bytes. Dropped, they are available again.
 #[derive(Debug)]
-pub struct Reserved {
+pub struct Reservation {
     bytes: usize,
-    of: Bytes,
+    budget: MemoryBudget,
 }
 
-impl Drop for Reserved {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.of.0.fetch_add(self.bytes, Ordering::Relaxed);
+        self.budget
+            .available
+            .fetch_add(self.bytes, Ordering::Relaxed);
     }
 }
 
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -9,7 +9,7 @@
 use crate::api::{ClassIndex, Micros, TenantIndex};
 use crate::proxy::backends::{CORRELATION_ID, Call, CancelSignal};
 use crate::proxy::bodies::{BodyBuffer, BodyDeadline, CallBody, Upload, next_data};
-use crate::proxy::budget::Reserved;
+use crate::proxy::budget::Reservation;
 use crate::proxy::limits::{BODY_CAP, FORWARDED_BODY_CAP};
 use crate::proxy::messages::Inbound;
 use hyper::Request;
@@ -92,7 +92,7 @@
 
     /// Reserves memory for what is buffered of a body. Returns false where none is left. It is reserved as the
     /// bytes come: a slow client takes no more than it has sent.
-    fn reserve_memory(&self, buffered: usize, reserved: &mut Vec<Reserved>) -> bool {
+    fn reserve_memory(&self, buffered: usize, reserved: &mut Vec<Reservation>) -> bool {
         while buffered > (reserved.len() + 1) * BODY_CAP {
             let Some(memory) = self.budget.bodies.reserve(BODY_CAP) else {
                 return false;
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -10,7 +10,7 @@
 use crate::proxy::counters::{RequestOutcome, RequestTicket};
 use crate::proxy::limits::REQUEST_TIME;
 use crate::proxy::messages::{Answer, Handle, Inbound, Message};
-use crate::proxy::responses::{close, plain, refusal};
+use crate::proxy::responses::{close, plain, rejected};
 use crate::proxy::socket_io::ObservedSocket;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -109,7 +109,7 @@
         let (response, outcome) = match answer {
             Some(Answer::Served(served)) => return Ok(served_response(served, ticket)),
             Some(Answer::Rejected { retry_after }) => {
-                (refusal(retry_after), RequestOutcome::Rejected)
+                (rejected(retry_after), RequestOutcome::Rejected)
             }
             Some(Answer::Failed) | None => (
                 plain(StatusCode::BAD_GATEWAY, "failed\n"),
--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -1,57 +1,61 @@
-//! One clock for all events: monotonic, in microseconds, counting from the Unix epoch.
+//! The clock of all events: monotonic, in microseconds since the Unix epoch.
 
 use crate::api::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Starts at the Unix time of its making and then follows the monotonic clock. The balancer's times count
-/// from the epoch, so that starts of backends from before this process can be told, and a step of the
-/// system's clock moves nothing.
+/// Begins at the system's time and then follows the monotonic clock, so that no step of the system's clock moves it.
+///
+/// It counts from the Unix epoch because backends may have started before this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
-    unix: Micros,
+    origin_unix: Micros,
 }
 
 impl Clock {
-    /// A clock that shows the system's time now.
+    /// Creates a clock that shows the system's time.
     #[must_use]
     pub fn start() -> Self {
-        let unix = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Self {
             origin: Instant::now(),
-            unix: micros(unix),
+            origin_unix: micros(unix_time),
         }
     }
 
-    /// The time now.
+    /// Returns the time now.
     #[must_use]
     pub fn now(&self) -> Micros {
-        self.unix + micros(self.origin.elapsed())
+        self.origin_unix + micros(self.origin.elapsed())
     }
 
-    /// A point of the runtime's timers on this clock.
+    /// Converts a point in time of the runtime to this clock.
     #[must_use]
     pub fn at(&self, instant: Instant) -> Micros {
-        self.unix + micros(instant.saturating_duration_since(self.origin))
+        self.origin_unix + micros(instant.saturating_duration_since(self.origin))
     }
 
-    /// A point of this clock as the runtime's timers want it.
+    /// Converts a point in time of this clock to the runtime's.
     #[must_use]
     pub fn instant(&self, at: Micros) -> Instant {
-        self.origin + Duration::from_micros(at.saturating_sub(self.unix))
+        self.origin + Duration::from_micros(at.saturating_sub(self.origin_unix))
     }
 
-    /// When a backend started, from Unix milliseconds; 0 is long ago. A start in the future (another
-    /// machine's clock is ahead) is taken as now.
+    /// Converts the start of a backend's process from Unix milliseconds; `None` for 0, which means long ago. A start
+    /// ahead of this clock is taken as now: another machine's clock may be ahead.
     #[must_use]
-    pub fn started(&self, unix_ms: u64) -> Option<Micros> {
-        (unix_ms != 0).then(|| unix_ms.saturating_mul(1_000).min(self.now()))
+    pub fn start_time(&self, unix_ms: u64) -> Option<Micros> {
+        if unix_ms == 0 {
+            return None;
+        }
+        let unix = unix_ms.saturating_mul(1_000);
+        Some(unix.min(self.now()))
     }
 }
 
-fn micros(span: Duration) -> Micros {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> Micros {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -1,7 +1,7 @@
 //! The clients' connections as they look from outside: the state of each one, since when, and what it would
 //! cost to close it.
 
-use super::budget;
+use super::budget::MemoryBudget;
 use super::framing::Framing;
 use super::limits::{REQUEST_TIME, RESPONSE_STALL_TIMEOUT};
 use super::read_ahead::{READ_PIECE, ReadAhead};
@@ -107,7 +107,7 @@
     /// Waits until its client has closed it. What the client sends meanwhile is read ahead, as far as there is
     /// `memory` for it: behind more than the kernel takes, the end would not be seen. Whatever of the request
     /// itself is still to come would be read as well, so it has to be complete.
-    pub async fn closed_by_client(&self, memory: &budget::Bytes) {
+    pub async fn closed_by_client(&self, memory: &MemoryBudget) {
         tokio::select! {
             () = self.socket.closed_by_peer() => {}
             () = self.read_ahead(memory) => {}
@@ -115,7 +115,7 @@
     }
 
     /// Reads ahead until its client has closed it.
-    async fn read_ahead(&self, memory: &budget::Bytes) {
+    async fn read_ahead(&self, memory: &MemoryBudget) {
         while self.socket.has_bytes().await {
             if !self.ahead.borrow_mut().make_room(memory) {
                 return std::future::pending().await;
--- a/src/proxy/discovery/start_times.rs
+++ b/src/proxy/discovery/start_times.rs
@@ -36,7 +36,7 @@
         {
             return known.started_at;
         }
-        let started_at = self.clock.started(unix_ms);
+        let started_at = self.clock.start_time(unix_ms);
         let start_time = StartTime {
             unix_ms,
             started_at,
--- a/src/proxy/read_ahead.rs
+++ b/src/proxy/read_ahead.rs
@@ -4,7 +4,7 @@
 //! reads nothing behind an open request. What a client sends there is held here, so that its disconnect is
 //! noticed.
 
-use super::budget::{self, Reserved};
+use super::budget::{MemoryBudget, Reservation};
 use super::limits::BODY_CAP;
 use bytes::{Buf, BytesMut};
 use std::task::Waker;
@@ -20,7 +20,7 @@
 pub struct ReadAhead {
     bytes: BytesMut,
     /// Memory for the bytes, in units of [`BODY_CAP`].
-    reserved: Vec<Reserved>,
+    reserved: Vec<Reservation>,
     /// The HTTP library, where it waits for bytes.
     reader: Option<Waker>,
 }
@@ -33,7 +33,7 @@
     }
 
     /// Makes room for [`READ_PIECE`] more bytes. Returns false where the cap is reached or no memory is left.
-    pub fn make_room(&mut self, memory: &budget::Bytes) -> bool {
+    pub fn make_room(&mut self, memory: &MemoryBudget) -> bool {
         let wanted = self.bytes.len() + READ_PIECE;
         if wanted > READ_AHEAD_CAP {
             return false;
--- a/src/proxy/read_ahead/tests.rs
+++ b/src/proxy/read_ahead/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::proxy::budget::Budget;
+use crate::proxy::budget::{Budget, MemoryBudget};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::task::Wake;
@@ -14,11 +14,11 @@
 }
 
 /// The memory of a process that has 5 MB, a fifth of which may hold bodies.
-fn memory() -> budget::Bytes {
+fn memory() -> MemoryBudget {
     Budget::of(100, 5, 10, 1).bodies
 }
 
-fn fill(ahead: &mut ReadAhead, memory: &budget::Bytes) -> usize {
+fn fill(ahead: &mut ReadAhead, memory: &MemoryBudget) -> usize {
     let mut pieces = 0;
     while ahead.make_room(memory) {
         ahead.add(&[pieces as u8; READ_PIECE]);
--- a/src/proxy/responses.rs
+++ b/src/proxy/responses.rs
@@ -1,4 +1,4 @@
-//! Answers that the proxy gives by itself.
+//! Responses that the proxy itself makes.
 
 use super::bodies::BufferedBody;
 use crate::api::Micros;
@@ -6,32 +6,36 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// A request that is answered here because the balancer can't be asked about it.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// A response to a request that is not given to the balancer.
 pub(super) struct Rejection {
     status: StatusCode,
-    why: &'static str,
+    reason: &'static str,
+    /// Methods for the `Allow` header.
     allow: Option<&'static str>,
 }
 
 impl Rejection {
-    pub(super) const fn new(status: StatusCode, why: &'static str) -> Self {
+    pub(super) const fn new(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
-            why,
+            reason,
             allow: None,
         }
     }
 
-    /// The path is known, but only with these methods.
+    /// Rejects a method that the path does not have; `allowed` are those that it has.
     pub(super) const fn method(allowed: &'static str) -> Self {
         Self {
+            status: StatusCode::METHOD_NOT_ALLOWED,
+            reason: "not the method for this\n",
             allow: Some(allowed),
-            ..Self::new(StatusCode::METHOD_NOT_ALLOWED, "not the method for this\n")
         }
     }
 
     pub(super) fn into_response(self) -> Response<BufferedBody> {
-        let mut response = plain(self.status, self.why);
+        let mut response = plain(self.status, self.reason);
         if let Some(allowed) = self.allow {
             response
                 .headers_mut()
@@ -41,7 +45,7 @@
     }
 }
 
-/// An answer of plain text.
+/// Makes a response of plain text.
 pub(super) fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<BufferedBody> {
     let mut response = Response::new(BufferedBody::from(text.into()));
     *response.status_mut() = status;
@@ -51,18 +55,20 @@
     response
 }
 
-/// No backend has room. `retry_after` is how long the client should stay away, 0: no word.
-pub(super) fn refusal(retry_after: Micros) -> Response<BufferedBody> {
+/// Makes the response to a request that the balancer rejected. `retry_after` is how long the client should wait before it
+/// retries; 0: not said.
+pub(super) fn rejected(retry_after: Micros) -> Response<BufferedBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
+    let seconds = retry_after as f64 / MICROS_PER_SECOND;
     if retry_after > 0
-        && let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", retry_after as f64 / 1e6))
+        && let Ok(seconds) = HeaderValue::try_from(format!("{seconds:.3}"))
     {
         response.headers_mut().insert(header::RETRY_AFTER, seconds);
     }
     response
 }
 
-/// The connection ends with that answer.
+/// Makes a response the last one on its connection.
 pub(super) fn close<B>(response: &mut Response<B>) {
     response
         .headers_mut()
