--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -20,12 +20,14 @@
 pub mod inherited;
 pub mod lifecycle;
 pub mod limits;
+pub mod listener;
 pub mod logging;
 pub mod messages;
 pub mod operator;
 pub mod read_ahead;
 mod request_log;
 mod responses;
+pub mod shutdown;
 pub mod socket;
 mod socket_io;
 
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -73,7 +73,7 @@
     ] {
         if let Some(configuration) = configuration {
             proxy.reload(&configuration.to_string());
-            proxy.wait_for_log("read the configuration again");
+            proxy.wait_for_log("configuration reloaded");
         }
         assert_eq!(
             proxy.client().ask(&request("submit", id, "x")).status(),
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -891,7 +891,7 @@
     before.next();
     // A file that can't be used leaves all as it was.
     proxy.reload("{");
-    proxy.wait_for_log("kept the old configuration");
+    proxy.wait_for_log("configuration not reloaded");
     assert_eq!(
         proxy.client().ask(&request("read", "2", "")).body,
         b"before"
