--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,5 +1,5 @@
-//! Discovery's watches over loopback sockets in paused time: the module, the driver and the watcher as the program
-//! puts them together, and a stand-in for discovery on the same runtime. Time moves on when nothing else can.
+//! The watch on discovery, over loopback sockets in paused time: balancer, driver and watcher wired as in the program, and a
+//! stand-in for discovery on the same runtime. Time advances when nothing else can.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -21,24 +21,25 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// A call as discovery sees it.
+/// A call as discovery receives it.
 struct Call {
-    at: Instant,
+    received_at: Instant,
+    /// The revision that the proxy holds.
     after: Option<u64>,
-    wait: Duration,
+    long_poll_timeout: Duration,
     stream: TcpStream,
 }
 
-/// What the rules say of silence: what is missed counts as told this long after a watch fell silent, or this long
-/// after its wait, whichever is later.
-const TOLD_AFTER_SILENCE: Duration = Duration::from_secs(6);
-const TOLD_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// What a new discovery has to tell counts as told this long after the signal that names it.
-const TOLD_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// A change that a stalled watch misses counts as known to the proxy this long after the watch stalled, or this long after
+/// its long-poll timeout, whichever is later.
+const KNOWN_AFTER_STALL: Duration = Duration::from_secs(6);
+const KNOWN_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
+/// The list of a new discovery counts as known this long after the signal that names its address.
+const KNOWN_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
-/// The shortest grace for drains of the sites that we know, and how long new calls were seen to wait for their turn there.
-const SHORTEST_GRACE: Duration = Duration::from_millis(250);
-const LONGEST_TURN: Duration = Duration::from_millis(1_950);
+/// The shortest drain grace period of the known sites, and the longest time that a new call was seen to queue there.
+const SHORTEST_GRACE_PERIOD: Duration = Duration::from_millis(250);
+const LONGEST_QUEUE_TIME: Duration = Duration::from_millis(1_950);
 
 async fn read_call(mut stream: TcpStream) -> Option<Call> {
     let mut head = Vec::new();
@@ -53,11 +54,11 @@
             .parse()
             .ok()
     };
-    let wait = Duration::from_millis(number("wait_ms=").unwrap_or_default());
+    let long_poll_timeout = Duration::from_millis(number("wait_ms=").unwrap_or_default());
     Some(Call {
-        at: Instant::now(),
+        received_at: Instant::now(),
         after: number("after="),
-        wait,
+        long_poll_timeout,
         stream,
     })
 }
@@ -74,9 +75,10 @@
         read_call(self.stream).await
     }
 
-    /// When what it misses counts as told if it falls silent at once.
-    fn told_at(&self) -> Instant {
-        self.at + TOLD_AFTER_SILENCE.max(self.wait + TOLD_AFTER_WAIT)
+    /// When a change that it misses counts as known if it stalls at once.
+    fn counts_as_known_at(&self) -> Instant {
+        let after_long_poll = self.long_poll_timeout + KNOWN_AFTER_LONG_POLL;
+        self.received_at + KNOWN_AFTER_STALL.max(after_long_poll)
     }
 }
 
@@ -104,44 +106,45 @@
     }
 }
 
-fn list(revision: u64, complete: bool, states: &[(&str, &str)]) -> Value {
-    let member = |&(id, phase): &(&str, &str)| {
+/// An endpoint list of these ids and phases.
+fn list(revision: u64, complete: bool, endpoints: &[(&str, &str)]) -> Value {
+    let endpoint = |&(id, phase): &(&str, &str)| {
         json!({"id": id, "host_port": "127.0.0.1:9", "locality": "a", "flavor": "m", "cell": 0,
                "phase": phase, "up_since_ms": 0})
     };
-    json!({"revision": revision, "complete": complete, "members": states.iter().map(member).collect::<Vec<_>>()})
+    json!({"revision": revision, "complete": complete, "members": endpoints.iter().map(endpoint).collect::<Vec<_>>()})
 }
 
-/// One proxy without clients, as far as it follows discovery.
+/// The parts of one proxy that follow discovery.
 struct Proxy {
     backends: Rc<Backends>,
-    moves: watch::Sender<SocketAddr>,
+    discovery_address: watch::Sender<SocketAddr>,
 }
 
 impl Proxy {
-    fn start(me: u32, proxies: u32, mode: &str, discovery: SocketAddr) -> Self {
-        Self::start_with(me, proxies, mode, Duration::ZERO, discovery)
+    fn start(proxy_index: u32, proxy_count: u32, mode: &str, discovery: SocketAddr) -> Self {
+        Self::start_with(proxy_index, proxy_count, mode, Duration::ZERO, discovery)
     }
 
-    /// One that has that long for asking.
+    /// Starts a proxy with this poll interval.
     fn start_with(
-        me: u32,
-        proxies: u32,
+        proxy_index: u32,
+        proxy_count: u32,
         mode: &str,
-        ask_within: Duration,
+        poll_interval: Duration,
         discovery: SocketAddr,
     ) -> Self {
-        let settings = json!({"me": me, "balancers": proxies, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
+        let settings = json!({"me": proxy_index, "balancers": proxy_count, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
             "membershipMode": mode,
             "classes": [{"name": "c", "aimUs": 1_000_000, "deadlineUs": 2_000_000, "worth": 1.0, "effect": "fragile"}],
             "permissions": {"maxAttempts": 1},
-            "safety": {"askWithinUs": ask_within.as_micros() as u64, "coldFrom": 0.3, "coldUs": 1_000_000, "fallMultiple": 3.0, "fallUs": 2_000_000}});
+            "safety": {"askWithinUs": poll_interval.as_micros() as u64, "coldFrom": 0.3, "coldUs": 1_000_000, "fallMultiple": 3.0, "fallUs": 2_000_000}});
         let settings = parse_settings(settings.to_string().as_bytes()).expect("good settings");
         let is_polled = settings.discovery_mode == DiscoveryMode::Polled;
         let clock = Clock::start();
         let backends = Backends::new(10, 250_000, 1_000_000, Vec::new(), Counters::new(&[]));
-        let balancer =
-            Balancer::new(settings, u64::from(me) + 1, clock.now()).expect("good settings");
+        let balancer = Balancer::new(settings, u64::from(proxy_index) + 1, clock.now())
+            .expect("good settings");
         let (poll_sender, poll_requests) = mpsc::unbounded_channel();
         let driver_settings = DriverSettings {
             max_attempts: 1,
@@ -161,18 +164,21 @@
             machine_types: vec!["m".into()],
             ..Names::default()
         };
-        let (moves, addresses) = watch::channel(discovery);
-        let polling = is_polled.then(|| Polling::new(poll_requests, me, proxies));
+        let (discovery_address, addresses) = watch::channel(discovery);
+        let polling = is_polled.then(|| Polling::new(poll_requests, proxy_index, proxy_count));
         let translator = Translator::new(clock, &names);
         let mut watcher = Watcher::new(addresses, translator, handle, lifecycle, polling);
         watcher.start_from_cache(&list(1, true, &[("s-1", "active"), ("s-2", "active")]));
         spawn_local(driver.run());
         spawn_local(watcher.run());
-        Self { backends, moves }
+        Self {
+            backends,
+            discovery_address,
+        }
     }
 
-    /// Waits until it holds so many backends; when that was.
-    async fn holds(&self, backends: usize) -> Instant {
+    /// Waits until this many backends are listed, and returns when that was.
+    async fn lists(&self, backends: usize) -> Instant {
         while self.backends.len() != backends {
             sleep(Duration::from_millis(1)).await;
         }
@@ -184,96 +190,103 @@
     LocalSet::new().run_until(test).await
 }
 
-const ONE_LEFT: [(&str, &str); 1] = [("s-2", "left")];
+const ONE_REMOVED: [(&str, &str); 1] = [("s-2", "left")];
 
-/// Silence right behind a call, which leaves the least time, at a watch that begins and at one that is continued. Where
-/// discovery is asked, the call that opens it anew has to wait for its turn; nothing new may go to a backend that drains
-/// once the grace is over.
+/// The watch stalls right after a call, which leaves the least time, both when it opens and when it continues. Where discovery
+/// is polled, the call that opens it again has to queue; a draining backend may get no request after the grace period.
 #[tokio::test(start_paused = true)]
-async fn what_a_silent_watch_misses_is_known_before_it_counts_as_told() {
-    for (mode, turn, grace) in [
+async fn a_change_that_a_stalled_watch_misses_is_known_in_time() {
+    for (mode, queue_time, grace_period) in [
         ("pushed", Duration::ZERO, Duration::ZERO),
-        ("on_request", LONGEST_TURN, SHORTEST_GRACE),
+        ("on_request", LONGEST_QUEUE_TIME, SHORTEST_GRACE_PERIOD),
     ] {
         for answers in 0..3 {
             local(async {
                 let (discovery, address) = Discovery::start().await;
                 let proxy = Proxy::start(0, 1, mode, address);
-                let mut silent = discovery.next().await;
+                let mut stalled = discovery.next().await;
                 for revision in 0..answers {
-                    silent = silent
+                    stalled = stalled
                         .answer(&list(2 + revision, false, &[]))
                         .await
                         .expect("a further call");
                 }
-                let (told_at, revision) = (silent.told_at(), silent.after);
+                let counts_as_known_at = stalled.counts_as_known_at();
+                let revision = stalled.after;
                 let again = discovery.next().await;
                 assert_eq!(again.after, revision, "{mode}: it asks for what it lacks");
-                sleep(turn).await;
-                let _open = again.answer(&list(100, false, &ONE_LEFT)).await;
-                let known = proxy.holds(1).await;
-                let late = known.saturating_duration_since(told_at + grace);
-                assert_eq!(late, Duration::ZERO, "{mode}, behind {answers} answers");
-                drop(silent);
+                sleep(queue_time).await;
+                let _open = again.answer(&list(100, false, &ONE_REMOVED)).await;
+                let known = proxy.lists(1).await;
+                let late = known.saturating_duration_since(counts_as_known_at + grace_period);
+                assert_eq!(late, Duration::ZERO, "{mode}, after {answers} answers");
+                drop(stalled);
             })
             .await;
         }
     }
 }
 
-/// After a move the whole list is asked for, and that call may fall silent as well.
+/// After a change of discovery's address the complete list is fetched, and that call may stall as well.
 #[tokio::test(start_paused = true)]
-async fn a_call_that_falls_silent_behind_a_move_is_made_again_in_time() {
+async fn a_call_that_stalls_after_an_address_change_is_made_again_in_time() {
     for mode in ["pushed", "on_request"] {
         local(async {
             let (old, address) = Discovery::start().await;
             let proxy = Proxy::start(0, 1, mode, address);
             let _watch = old.next().await;
             let (new, address) = Discovery::start().await;
-            let told_at = Instant::now() + TOLD_AFTER_MOVE;
-            proxy.moves.send_replace(address);
-            let silent = new.next().await;
+            let counts_as_known_at = Instant::now() + KNOWN_AFTER_ADDRESS_CHANGE;
+            proxy.discovery_address.send_replace(address);
+            let stalled = new.next().await;
             assert_eq!(
-                silent.after, None,
-                "the version of another service means nothing to this one"
+                stalled.after, None,
+                "revisions of two services are not comparable"
             );
             assert!(
-                told_at <= silent.told_at(),
-                "a move is told sooner than silence"
+                counts_as_known_at <= stalled.counts_as_known_at(),
+                "an address change counts as known sooner than a stall"
             );
             let again = new.next().await;
             let _open = again.answer(&list(7, true, &[("s-1", "active")])).await;
-            let known = proxy.holds(1).await;
-            assert!(known <= told_at, "{mode}: {:?} late", known - told_at);
+            let known = proxy.lists(1).await;
+            assert!(
+                known <= counts_as_known_at,
+                "{mode}: {:?} late",
+                known - counts_as_known_at
+            );
         })
         .await;
     }
 }
 
-/// Watches that begin together at a change, and fall silent together, come back one after another.
+/// Watches that open together at a change, and stall together, open again one after another.
 #[tokio::test(start_paused = true)]
-async fn proxies_whose_watches_fall_silent_together_do_not_come_back_together() {
-    const PROXIES: u32 = 60;
+async fn proxies_whose_watches_stall_together_do_not_call_again_together() {
+    const PROXY_COUNT: u32 = 60;
     local(async {
         let (discovery, address) = Discovery::start().await;
-        let proxies: Vec<_> = (0..PROXIES)
-            .map(|me| Proxy::start(me, PROXIES, "on_request", address))
+        let proxies: Vec<_> = (0..PROXY_COUNT)
+            .map(|index| Proxy::start(index, PROXY_COUNT, "on_request", address))
             .collect();
-        let mut began = Vec::new();
-        for _ in 0..PROXIES {
-            began.push(discovery.next().await);
+        let mut opened = Vec::new();
+        for _ in 0..PROXY_COUNT {
+            opened.push(discovery.next().await);
         }
         let mut watches = Vec::new();
-        for call in began {
+        for call in opened {
             watches.push(
                 call.answer(&list(2, false, &[]))
                     .await
-                    .expect("the watch goes on"),
+                    .expect("the watch continues"),
             );
         }
-        let back: Vec<_> = watches.iter().map(|call| call.at + call.wait).collect();
-        let busiest = back.iter().map(|&at| {
-            back.iter()
+        let due: Vec<_> = watches
+            .iter()
+            .map(|call| call.received_at + call.long_poll_timeout)
+            .collect();
+        let busiest = due.iter().map(|&at| {
+            due.iter()
                 .filter(|&&other| other >= at && other < at + Duration::from_secs(1))
                 .count()
         });
@@ -284,90 +297,89 @@
     .await;
 }
 
-/// An agent that is down for long is asked anew within the shortest grace for drains that is known.
+/// An agent that was down for long is called again within the shortest drain grace period.
 #[tokio::test(start_paused = true)]
-async fn what_an_agent_hears_at_its_return_is_asked_for_at_once() {
+async fn a_change_is_known_at_once_after_an_agents_return() {
     local(async {
         // An address of its own: nobody else can be given the port in between.
         let (discovery, address) = Discovery::start_at("127.78.0.1:0").await;
         let proxy = Proxy::start(0, 1, "pushed", address);
         drop((discovery.next().await, discovery));
         sleep(Duration::from_millis(7_310)).await;
-        let back = Instant::now();
+        let returned_at = Instant::now();
         let discovery = Discovery(TcpListener::bind(address).await.expect("the same port"));
         let _open = discovery
             .next()
             .await
-            .answer(&list(2, false, &ONE_LEFT))
+            .answer(&list(2, false, &ONE_REMOVED))
             .await;
-        let known = proxy.holds(1).await - back;
-        assert!(known <= SHORTEST_GRACE, "{known:?} after its return");
+        let known = proxy.lists(1).await - returned_at;
+        assert!(known <= SHORTEST_GRACE_PERIOD, "{known:?} after its return");
     })
     .await;
 }
 
-/// One call of a proxy that discovery has not come to yet is not dropped and made again.
+/// A call that queues at discovery is not dropped and made again: that would make the queue longer.
 #[tokio::test(start_paused = true)]
-async fn a_call_that_begins_a_watch_has_time_to_wait_for_its_turn() {
+async fn a_call_that_opens_a_watch_has_time_to_queue() {
     local(async {
         let (discovery, address) = Discovery::start().await;
         let _proxy = Proxy::start(0, 1, "on_request", address);
         let call = discovery.next().await;
-        sleep(Duration::from_secs(3) + call.wait).await;
+        sleep(Duration::from_secs(3) + call.long_poll_timeout).await;
         let next = call
             .answer(&list(2, false, &[]))
             .await
-            .expect("it goes on on the same connection");
+            .expect("the next call comes on the same connection");
         assert_eq!(next.after, Some(2));
         assert!(
-            next.wait > Duration::from_secs(10),
-            "one that is continued waits for no turn"
+            next.long_poll_timeout > Duration::from_secs(10),
+            "a call that continues a watch does not queue"
         );
     })
     .await;
 }
 
-/// Whatever failed, was refused or was given up before, a change counts as told this long after discovery had it and
-/// could be reached.
-const TOLD_AFTER_REACHABLE: Duration = Duration::from_secs(6);
-/// The largest fleet that is aimed at, and a time for asking that bounds nothing.
-const LARGEST_FLEET: u32 = 710;
-const LONG_ASK_WITHIN: Duration = Duration::from_secs(600);
-/// So many failed calls make the module's back-off as long as it gets.
+/// Whatever calls failed before, a change counts as known this long after discovery had it and could be reached.
+const KNOWN_AFTER_REACHABLE: Duration = Duration::from_secs(6);
+/// The largest number of proxies that is aimed at, and a poll interval that bounds nothing.
+const MAX_PROXY_COUNT: u32 = 710;
+const LONG_POLL_INTERVAL: Duration = Duration::from_secs(600);
+/// Failed calls after which the balancer's backoff is at its longest.
 const FAILED_CALLS: usize = 6;
 
 /// How discovery fails a call.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
     /// It answers 503.
-    Refusal,
+    Unavailable,
     /// It breaks the connection.
     Reset,
-    /// It answers what is no list.
+    /// Its answer is no endpoint list.
     Malformed,
     /// It breaks the connection within its answer.
     Truncated,
-    /// It says nothing until the call is given up.
-    Silence,
+    /// It does not answer until the call times out.
+    Stall,
 }
 
 const FAILURES: [Failure; 5] = [
-    Failure::Refusal,
+    Failure::Unavailable,
     Failure::Reset,
     Failure::Malformed,
     Failure::Truncated,
-    Failure::Silence,
+    Failure::Stall,
 ];
 
 impl Call {
-    /// Fails it in that way; a call that it leaves open is returned.
+    /// Fails the call, and returns it if it stays open.
     async fn fail(mut self, failure: Failure) -> Option<Call> {
         let text = match failure {
-            Failure::Refusal => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+            Failure::Unavailable => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
             Failure::Malformed => "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"revisi",
             Failure::Truncated => "HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{\"revisi",
             Failure::Reset => "",
-            Failure::Silence => return Some(self),
+            Failure::Stall => return Some(self),
         };
         self.stream
             .write_all(text.as_bytes())
@@ -377,31 +389,37 @@
     }
 }
 
-/// How long after its last failed call a proxy of the largest backends holds what discovery had by then.
-async fn known_after_failures(me: u32, failure: Failure) -> Duration {
+/// Returns how long after its last failed call a proxy knows a change that discovery had by then.
+async fn known_after_failures(proxy_index: u32, failure: Failure) -> Duration {
     let (discovery, address) = Discovery::start().await;
-    let proxy = Proxy::start_with(me, LARGEST_FLEET, "on_request", LONG_ASK_WITHIN, address);
-    let mut reachable = Instant::now();
+    let proxy = Proxy::start_with(
+        proxy_index,
+        MAX_PROXY_COUNT,
+        "on_request",
+        LONG_POLL_INTERVAL,
+        address,
+    );
+    let mut reachable_at = Instant::now();
     let mut open = Vec::new();
     for _ in 0..FAILED_CALLS {
         let call = discovery.next().await;
-        reachable = Instant::now();
+        reachable_at = Instant::now();
         open.push(call.fail(failure).await);
     }
     let call = discovery.next().await;
-    sleep(LONGEST_TURN).await;
-    let _watch = call.answer(&list(100, false, &ONE_LEFT)).await;
-    proxy.holds(1).await - reachable
+    sleep(LONGEST_QUEUE_TIME).await;
+    let _watch = call.answer(&list(100, false, &ONE_REMOVED)).await;
+    proxy.lists(1).await - reachable_at
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_is_known_in_time_after_calls_that_failed_however_large_the_fleet_is() {
+async fn a_change_is_known_in_time_after_failed_calls_whatever_the_number_of_proxies() {
     for failure in FAILURES {
         let mut latest = Duration::ZERO;
-        for me in (0..LARGEST_FLEET).step_by(71) {
-            latest = latest.max(local(known_after_failures(me, failure)).await);
+        for proxy_index in (0..MAX_PROXY_COUNT).step_by(71) {
+            latest = latest.max(local(known_after_failures(proxy_index, failure)).await);
         }
-        let most = TOLD_AFTER_REACHABLE + SHORTEST_GRACE;
+        let most = KNOWN_AFTER_REACHABLE + SHORTEST_GRACE_PERIOD;
         assert!(
             latest <= most,
             "{failure:?}: known {latest:?} after discovery had it, {most:?} at the most"
@@ -409,31 +427,36 @@
     }
 }
 
-/// Discovery is down for some seconds, so that connections to it are refused, and has a change at its return.
+/// Discovery is down for some seconds, so that connections to it fail, and has a change at its return.
 #[tokio::test(start_paused = true)]
-async fn a_change_is_known_in_time_after_discoverys_return_however_large_the_fleet_is() {
+async fn a_change_is_known_in_time_after_discoverys_return_whatever_the_number_of_proxies() {
     let mut latest = Duration::ZERO;
-    for me in (0..LARGEST_FLEET).step_by(71) {
+    for proxy_index in (0..MAX_PROXY_COUNT).step_by(71) {
         let known = local(async {
             // An address of its own: nobody else can be given the port in between.
             let (discovery, address) = Discovery::start_at("127.78.0.2:0").await;
-            let proxy =
-                Proxy::start_with(me, LARGEST_FLEET, "on_request", LONG_ASK_WITHIN, address);
+            let proxy = Proxy::start_with(
+                proxy_index,
+                MAX_PROXY_COUNT,
+                "on_request",
+                LONG_POLL_INTERVAL,
+                address,
+            );
             drop((
                 discovery.next().await.answer(&list(2, false, &[])).await,
                 discovery,
             ));
             sleep(Duration::from_secs(8)).await;
-            let back = Instant::now();
+            let returned_at = Instant::now();
             let discovery = Discovery(TcpListener::bind(address).await.expect("the same port"));
             let call = discovery.next().await;
-            sleep(LONGEST_TURN).await;
-            let _watch = call.answer(&list(100, false, &ONE_LEFT)).await;
-            proxy.holds(1).await - back
+            sleep(LONGEST_QUEUE_TIME).await;
+            let _watch = call.answer(&list(100, false, &ONE_REMOVED)).await;
+            proxy.lists(1).await - returned_at
         });
         latest = latest.max(known.await);
     }
-    let most = TOLD_AFTER_REACHABLE + SHORTEST_GRACE;
+    let most = KNOWN_AFTER_REACHABLE + SHORTEST_GRACE_PERIOD;
     assert!(
         latest <= most,
         "known {latest:?} after discovery's return, {most:?} at the most"
