--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -1,4 +1,4 @@
-//! The log as operators see it: what passes its filter, its format, and the course of one request.
+//! The log as operators see it: its filter, its format, and the events of one request.
 
 use crate::UP;
 use crate::rig::*;
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn the_course_of_a_request_can_be_followed_by_its_correlation_id() {
+fn the_events_of_a_request_can_be_found_by_its_correlation_id() {
     let discovery = Discovery::start();
     let failing = Backend::start(|_| Reply::Write(answer("500 No", "", b"")));
     let variables = [
         ("EDGE_LOG", "info,tillerproxy::request=debug"),
         ("EDGE_LOG_FORMAT", "json"),
     ];
-    let mut proxy = start_logging("log-course", &discovery, &variables);
+    let mut proxy = start_logging("log-events", &discovery, &variables);
     discovery.post(true, &[entry("s-1", failing.address, "active", 0)]);
     while proxy.client().ask(UP).status() != 200 {}
     assert_eq!(
@@ -39,14 +39,14 @@
     let received = lines
         .iter()
         .find(|line| line["correlation_id"] == "9b1f03aa")
-        .expect("it was received");
-    let course: Vec<&str> = lines
+        .expect("the request was received");
+    let events: Vec<&str> = lines
         .iter()
         .filter(|line| line["request"] == received["request"])
         .map(|line| line["message"].as_str().expect("a message"))
         .collect();
     assert_eq!(
-        course,
+        events,
         ["received", "attempt started", "attempt ended", "answered"]
     );
     let answered = lines
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_new_configuration_changes_what_is_logged_and_one_without_a_filter_brings_the_old_one_back() {
+fn a_reload_changes_the_filter_and_one_without_a_filter_restores_it() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let mut proxy = start_logging("log-reload", &discovery, &[("EDGE_LOG", "info")]);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn options_of_the_log_that_make_no_sense_end_the_start_with_one_line() {
+fn an_invalid_log_option_ends_the_start_with_one_line() {
     let discovery = Discovery::start();
     let start = |configuration: &Value, variable: Option<(&str, &str)>| {
         let mut command = command("log-odd", &configuration.to_string());
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -1,4 +1,4 @@
-//! The operators' calls, the figures, the drain and the upgrade.
+//! The operators' calls, the metrics, the drain and the upgrade.
 
 use crate::rig::*;
 use crate::{UP, fill, full_backend};
@@ -8,11 +8,11 @@
 
 const READY: &str = "/control/ready";
 const COUNTERS: &str = "/control/counters";
-const OUT: &str = "/control/out-of-service";
-const IN: &str = "/control/in-service";
+const OUT_OF_SERVICE: &str = "/control/out-of-service";
+const IN_SERVICE: &str = "/control/in-service";
 
 #[test]
-fn calls_are_answered_before_it_can_serve_and_say_so() {
+fn calls_are_answered_before_the_proxy_is_ready() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let proxy = Proxy::start_with("calls", operated("calls", &discovery));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn calls_that_make_no_sense_are_turned_away_and_change_nothing() {
+fn malformed_calls_are_rejected_and_change_nothing() {
     let discovery = Discovery::start();
     let proxy = Proxy::start_with("odd-calls", operated("odd-calls", &discovery));
     discovery.post(true, &[]);
@@ -93,13 +93,13 @@
     assert_eq!(proxy.call("GET", READY).status(), 200);
 }
 
-/// More of them than calls may be open at a time.
+/// More callers than calls that may be open at a time.
 #[test]
-fn callers_that_say_nothing_or_half_a_call_hold_up_no_other() {
+fn callers_that_send_nothing_or_an_incomplete_call_delay_no_other() {
     let discovery = Discovery::start();
     let proxy = Proxy::start_with("silent-calls", operated("silent-calls", &discovery));
     discovery.post(true, &[]);
-    let half = |n: usize| {
+    let incomplete = |n: usize| {
         [
             "",
             "GET /contr",
@@ -109,15 +109,15 @@
     let mut waiting: Vec<Client> = Vec::new();
     for n in 0..60 {
         let mut caller = proxy.caller();
-        caller.send(half(n));
+        caller.send(incomplete(n));
         waiting.push(caller);
         assert_eq!(
             proxy.call("GET", READY).status(),
             200,
-            "half a drain is none"
+            "an incomplete call changes nothing"
         );
     }
-    // Each of them comes to its end, too.
+    // Each of them is closed in the end.
     for caller in &mut waiting {
         caller
             .reader
@@ -128,7 +128,7 @@
     }
 }
 
-/// Clients hold all the connections that they may, and more of them wait in the kernel's queue.
+/// Clients hold all connections that they may, and more of them wait in the kernel's queue.
 #[test]
 fn calls_are_answered_while_clients_hold_every_connection() {
     let discovery = Discovery::start();
@@ -150,12 +150,12 @@
     assert_eq!(
         proxy.client().ask(UP).status(),
         200,
-        "a client that asks is let in at the cost of those"
+        "a client that sends a request is admitted, and an idle one closed"
     );
 }
 
 #[test]
-fn figures_follow_the_requests() {
+fn metrics_follow_the_requests() {
     let discovery = Discovery::start();
     let (release, word) = channel();
     let mut word = Some(word);
@@ -185,20 +185,22 @@
     assert_eq!(
         proxy.client().ask(&request("charge", "", "x")).status(),
         400,
-        "never taken"
+        "a malformed request is not counted"
     );
     let mut waits = proxy.client();
     waits.send(&request("charge", "wait", "x"));
-    (0..5).for_each(|_| drop(backend.next()));
+    for _ in 0..5 {
+        backend.next();
+    }
     assert_eq!(proxy.figure("app_in_progress"), 1);
     assert_eq!(
         proxy.figure("app_upstream_tries"),
         5,
-        "the one that has no answer yet, too"
+        "an attempt without a response counts too"
     );
-    let handled = |class: &str, end: &str| {
+    let handled = |class: &str, outcome: &str| {
         proxy.figure(&format!(
-            "app_handled{{category=\"{class}\",outcome=\"{end}\"}}"
+            "app_handled{{category=\"{class}\",outcome=\"{outcome}\"}}"
         ))
     };
     assert_eq!(
@@ -215,7 +217,7 @@
 }
 
 #[test]
-fn a_refused_request_is_counted_and_a_client_that_leaves_is_in_progress_no_more() {
+fn a_rejected_request_is_counted_and_one_whose_client_disconnected_is_no_longer_in_progress() {
     let discovery = Discovery::start();
     let (backend, releases) = full_backend();
     let mut config = operated("refused-figure", &discovery);
@@ -236,7 +238,7 @@
 }
 
 #[test]
-fn out_of_service_it_serves_what_comes_and_lets_every_connection_go() {
+fn out_of_service_the_proxy_serves_and_closes_every_connection() {
     let discovery = Discovery::start();
     let (release, word) = channel();
     let mut word = Some(word);
@@ -251,9 +253,11 @@
         assert_eq!(client.ask(&request("submit", id, "x")).status(), 200);
     }
     busy.send(&request("charge", "held", "x"));
-    (0..3).for_each(|_| drop(backend.next()));
+    for _ in 0..3 {
+        backend.next();
+    }
     for _ in 0..2 {
-        assert_eq!(proxy.call("POST", OUT).status(), 200);
+        assert_eq!(proxy.call("POST", OUT_OF_SERVICE).status(), 200);
         assert_eq!(
             (
                 proxy.client().ask(UP).status(),
@@ -271,12 +275,12 @@
         );
         assert!(client.ends_cleanly());
     }
-    assert!(idle.ends_cleanly(), "a connection that nobody uses");
+    assert!(idle.ends_cleanly(), "an idle connection");
     release.send(()).expect("the backend waits");
     assert_eq!(busy.receive().body, b"held");
     assert!(busy.ends_cleanly());
     for _ in 0..2 {
-        assert_eq!(proxy.call("POST", IN).status(), 200);
+        assert_eq!(proxy.call("POST", IN_SERVICE).status(), 200);
         assert_eq!(
             (
                 proxy.client().ask(UP).status(),
@@ -292,19 +296,19 @@
 }
 
 #[test]
-fn a_process_that_ends_can_not_be_taken_in_again() {
+fn a_process_that_shuts_down_cannot_return_to_service() {
     let discovery = Discovery::start();
     let (backend, releases) = full_backend();
     let mut proxy = Proxy::start_with("stopping", operated("stopping", &discovery));
     discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
     let clients = fill(&proxy, &backend);
-    assert_eq!(proxy.call("POST", OUT).status(), 200);
+    assert_eq!(proxy.call("POST", OUT_OF_SERVICE).status(), 200);
     proxy.terminate();
-    while proxy.call("POST", IN).status() != 409 {}
+    while proxy.call("POST", IN_SERVICE).status() != 409 {}
     assert_eq!(proxy.client().ask(UP).status(), 503);
-    releases
-        .iter()
-        .for_each(|release| release.send(()).expect("the backend waits"));
+    for release in &releases {
+        release.send(()).expect("the backend waits");
+    }
     for mut client in clients {
         assert_eq!(client.receive().body, b"first");
     }
@@ -312,7 +316,7 @@
 }
 
 #[test]
-fn a_new_process_takes_over_the_listener_that_the_platform_holds() {
+fn a_new_process_takes_over_the_listener_of_the_platform() {
     let discovery = Discovery::start();
     let (release, word) = channel();
     let mut word = Some(word);
@@ -334,7 +338,7 @@
     while new.call("GET", READY).status() != 200 {}
     old.terminate();
     while old.call("GET", READY).status() != 503 {}
-    // Whatever connects from now on is the new one's.
+    // Connections from now on belong to the new process.
     for id in ["a", "b", "c", "d"] {
         assert_eq!(new.client().ask(&request("submit", id, "x")).status(), 200);
     }
@@ -349,7 +353,7 @@
 }
 
 #[test]
-fn addresses_and_descriptors_that_cannot_be_used_end_the_start_with_one_line() {
+fn an_unusable_address_or_descriptor_ends_the_start_with_one_line() {
     let discovery = Discovery::start();
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let start = |name: &str, operator: String, fd: Option<&str>| {
