--- a/src/proxy/discovery/backend_ids.rs
+++ b/src/proxy/discovery/backend_ids.rs
@@ -67,3 +67,6 @@
     }
     hash
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -68,3 +68,6 @@
     let offset = spread.mul_f64(golden_ratio_position(proxy_index));
     POLLED_LONG_POLL_TIMEOUT - spread / 2 + offset
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/proxy/driver/margins.rs
+++ b/src/proxy/driver/margins.rs
@@ -23,3 +23,6 @@
 pub(super) fn last_answer_before(process_end: Micros) -> Micros {
     process_end.saturating_sub(SHUTDOWN_MARGIN)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/proxy/driver/margins/tests.rs
@@ -0,0 +1,21 @@
+use super::*;
+
+#[test]
+fn margins_take_no_more_than_a_part_of_a_short_remaining_time() {
+    assert_eq!(balancer_timeout(15_000_000), 15_000_000 - BALANCER_MARGIN);
+    assert_eq!(
+        final_answer_timeout(15_000_000),
+        15_000_000 - FINAL_ANSWER_MARGIN
+    );
+    assert_eq!(balancer_timeout(8_000), 4_000);
+    assert_eq!(final_answer_timeout(8_000), 6_000);
+    assert_eq!((balancer_timeout(0), final_answer_timeout(0)), (0, 0));
+}
+
+#[test]
+fn the_balancer_decides_before_a_request_fails() {
+    for remaining in [1, 1_000, 10_000, 30_000, 60_000, 15_000_000] {
+        assert!(balancer_timeout(remaining) <= final_answer_timeout(remaining));
+        assert!(final_answer_timeout(remaining) <= remaining);
+    }
+}
--- a/src/proxy/driver/timers.rs
+++ b/src/proxy/driver/timers.rs
@@ -36,3 +36,6 @@
         self.0.pop().map(|Reverse((_, timer))| timer)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/proxy/driver/timers/tests.rs
@@ -0,0 +1,16 @@
+use super::*;
+
+#[test]
+fn timers_come_in_the_order_in_which_they_are_due_and_not_before() {
+    let mut timers = Timers::default();
+    assert_eq!((timers.next_due(), timers.pop_due(1_000)), (None, None));
+    timers.set(30, Timer::FinalAnswer(1));
+    timers.set(10, Timer::Balancer(7));
+    timers.set(20, Timer::Balancer(8));
+    assert_eq!(timers.next_due(), Some(10));
+    assert_eq!(timers.pop_due(9), None);
+    assert_eq!(timers.pop_due(20), Some(Timer::Balancer(7)));
+    assert_eq!(timers.pop_due(20), Some(Timer::Balancer(8)));
+    assert_eq!(timers.pop_due(20), None);
+    assert_eq!(timers.pop_due(30), Some(Timer::FinalAnswer(1)));
+}
