--- a/lab/src/live/hollow.rs
+++ b/lab/src/live/hollow.rs
@@ -18,22 +18,12 @@
 use std::time::Duration;
 use tillerproxy::api::{Action, Event, MembershipEvent, Settings, SettingsError};
 use tillerproxy::balancer::Balancer;
-use tillerproxy::proxy::discovery::polled_long_poll_timeout;
+use tillerproxy::proxy::discovery::{CallTiming, PUSHED_RETRY_DELAY, polled_long_poll_timeout};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// `PUSHED_LONG_POLL_TIMEOUT` of the proxy: how long a watch waits where discovery is pushed.
-const PUSHED_WAIT: Duration = Duration::from_secs(3);
-/// `OPENING_LONG_POLL_TIMEOUT` of the proxy: the wait of a call that begins a watch.
-const FIRST_WAIT: Duration = Duration::from_millis(250);
-/// `QUEUED_CALL_TIMEOUT` of the proxy: how long a call that waits for its turn takes in all.
-const CALL_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// `WATCH_STALL_DELAY` of the proxy: how late the answer to a standing watch may be.
-const ANSWER_GRACE: Duration = Duration::from_millis(250);
-/// `PUSHED_RETRY_DELAY` of the proxy: how soon a failed call is made again where discovery is pushed.
-const PUSHED_BACKOFF: Duration = Duration::from_millis(100);
 /// Bytes of an answer in which its revision is looked for.
 const REVISION_WITHIN: usize = 64;
 
@@ -61,8 +51,8 @@
 pub struct CallSchedule {
     balancer: Balancer,
     mode: DiscoveryMode,
-    /// The wait of a continued watch in mode `ask`.
-    asked_wait: Duration,
+    /// The long-poll timeout of a continued watch in mode `ask`.
+    long_poll_timeout: Duration,
 }
 
 impl CallSchedule {
@@ -71,7 +61,8 @@
     /// # Errors
     /// The first of the settings that makes no sense.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        let asked_wait = polled_long_poll_timeout(settings.proxy_index, settings.proxy_count);
+        let long_poll_timeout =
+            polled_long_poll_timeout(settings.proxy_index, settings.proxy_count);
         let mode = if settings.discovery_mode == tillerproxy::api::DiscoveryMode::Polled {
             DiscoveryMode::Ask
         } else {
@@ -80,7 +71,7 @@
         Ok(Self {
             balancer: Balancer::new(settings, seed, 0)?,
             mode,
-            asked_wait,
+            long_poll_timeout,
         })
     }
 
@@ -95,7 +86,7 @@
     /// Time from a call that failed to the next one.
     pub fn after_failure(&mut self) -> Duration {
         match self.mode {
-            DiscoveryMode::Push => PUSHED_BACKOFF,
+            DiscoveryMode::Push => PUSHED_RETRY_DELAY,
             DiscoveryMode::Ask => self.tell(MembershipEvent::WatchFailed),
         }
     }
@@ -117,13 +108,13 @@
         pauses.max().unwrap_or_default()
     }
 
-    /// How long a watch is asked to wait, and how long its answer may take.
+    /// Returns the times of a call that watches for changes.
     #[must_use]
-    pub fn watch(&self, is_continued: bool) -> (Duration, Duration) {
+    pub fn watch(&self, is_continued: bool) -> CallTiming {
         match self.mode {
-            DiscoveryMode::Push => (PUSHED_WAIT, PUSHED_WAIT + ANSWER_GRACE),
-            DiscoveryMode::Ask if is_continued => (self.asked_wait, self.asked_wait + ANSWER_GRACE),
-            DiscoveryMode::Ask => (FIRST_WAIT, CALL_TIMEOUT),
+            DiscoveryMode::Push => CallTiming::PUSHED,
+            DiscoveryMode::Ask if is_continued => CallTiming::continued(self.long_poll_timeout),
+            DiscoveryMode::Ask => CallTiming::OPENING,
         }
     }
 }
@@ -231,21 +222,17 @@
     }
 
     async fn call(&mut self) -> Result<u64, CallError> {
-        let (target, limit) = match self.revision {
-            None => ("/discovery/hosts".to_owned(), CALL_TIMEOUT),
+        let (target, timing) = match self.revision {
+            None => ("/discovery/hosts".to_owned(), CallTiming::COMPLETE_LIST),
             Some(after) => {
-                let (wait, limit) = self.schedule.watch(self.is_watching);
-                (
-                    format!(
-                        "/discovery/hosts?after={after}&wait_ms={}",
-                        wait.as_millis()
-                    ),
-                    limit,
-                )
+                let timing = self.schedule.watch(self.is_watching);
+                let wait_ms = timing.long_poll_timeout.as_millis();
+                let target = format!("/discovery/hosts?after={after}&wait_ms={wait_ms}");
+                (target, timing)
             }
         };
         self.traffic.calls.fetch_add(1, Ordering::Relaxed);
-        match timeout(limit, self.fetch(&target)).await {
+        match timeout(timing.call_timeout, self.fetch(&target)).await {
             Ok(revision) => revision.ok_or(CallError::Failed),
             Err(_) => Err(CallError::Unresponsive),
         }
--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -224,10 +224,11 @@
             "{failures} failures: {pause:?}"
         );
     }
-    let (wait, limit) = asked.watch(true);
-    assert!(wait > Duration::from_secs(4) && limit > wait);
+    let continued = asked.watch(true);
+    assert!(continued.long_poll_timeout > Duration::from_secs(4));
+    assert!(continued.call_timeout > continued.long_poll_timeout);
     assert!(
-        asked.watch(false).0 < wait,
+        asked.watch(false).long_poll_timeout < continued.long_poll_timeout,
         "a call that begins a watch waits less"
     );
 }
--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -24,35 +24,36 @@
 /// within a millisecond.
 const WATCH_STALL_DELAY: Duration = Duration::from_millis(250);
 /// Time between a failed call to an agent and the next one: short compared with the shortest drain grace period, 250 ms.
-pub(super) const PUSHED_RETRY_DELAY: Duration = Duration::from_millis(100);
+pub const PUSHED_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The times of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct CallTiming {
+pub struct CallTiming {
     /// How long discovery may wait for a change before it answers.
-    pub(super) long_poll_timeout: Duration,
-    /// When the call has failed.
-    pub(super) call_timeout: Duration,
+    pub long_poll_timeout: Duration,
+    /// How long the call may take before it has failed.
+    pub call_timeout: Duration,
 }
 
 impl CallTiming {
     /// The times of a call for the complete list, which is answered at once but may queue.
-    pub(super) const COMPLETE_LIST: Self = Self {
+    pub const COMPLETE_LIST: Self = Self {
         long_poll_timeout: Duration::ZERO,
         call_timeout: QUEUED_CALL_TIMEOUT,
     };
 
     /// The times of a watch on an agent.
-    pub(super) const PUSHED: Self = Self::continued(PUSHED_LONG_POLL_TIMEOUT);
+    pub const PUSHED: Self = Self::continued(PUSHED_LONG_POLL_TIMEOUT);
 
     /// The times of a call that opens a watch on a shared discovery.
-    pub(super) const OPENING: Self = Self {
+    pub const OPENING: Self = Self {
         long_poll_timeout: OPENING_LONG_POLL_TIMEOUT,
         call_timeout: QUEUED_CALL_TIMEOUT,
     };
 
     /// The times of a call that continues a watch: it does not queue.
-    pub(super) const fn continued(long_poll_timeout: Duration) -> Self {
+    #[must_use]
+    pub const fn continued(long_poll_timeout: Duration) -> Self {
         Self {
             long_poll_timeout,
             call_timeout: long_poll_timeout.saturating_add(WATCH_STALL_DELAY),
--- a/src/proxy/discovery/mod.rs
+++ b/src/proxy/discovery/mod.rs
@@ -24,7 +24,7 @@
 mod wire;
 
 pub use error::DiscoveryError;
-pub use intervals::polled_long_poll_timeout;
+pub use intervals::{CallTiming, PUSHED_RETRY_DELAY, polled_long_poll_timeout};
 pub use translator::{EndpointList, Translator};
 pub use watcher::{Polling, Watcher};
 
