--- a/src/proxy/driver/requests.rs
+++ b/src/proxy/driver/requests.rs
@@ -167,3 +167,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
