--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -64,8 +64,8 @@
     })
 }
 
-/// Returns the number of processes that share the limits of the configuration: where the client listener is inherited,
-/// an upgrade runs the old process and the new one side by side.
+/// Returns the number of processes that share the limits of the configuration: where the client
+/// listener is inherited, an upgrade runs the old process and the new one side by side.
 fn process_count(has_inherited_listener: bool) -> usize {
     if has_inherited_listener { 2 } else { 1 }
 }
@@ -258,8 +258,8 @@
     Duration::from_micros(timeouts.max().unwrap_or_default())
 }
 
-/// Reads the configuration again at each SIGHUP: the address of discovery and the filter of the log may change while the
-/// proxy serves. A file that cannot be used changes nothing.
+/// Reads the configuration again at each SIGHUP: the address of discovery and the filter of the log
+/// may change while the proxy serves. A file that cannot be used changes nothing.
 async fn follow_configuration(
     mut reload: Signal,
     discovery_address: watch::Sender<SocketAddr>,
--- a/src/proxy/budget.rs
+++ b/src/proxy/budget.rs
@@ -18,16 +18,19 @@
 }
 
 impl Budget {
-    /// Divides limits that hold for `processes` processes together. Each process sets `reserved` descriptors aside.
+    /// Divides limits that hold for `processes` processes together. Each process sets `reserved`
+    /// descriptors aside.
     ///
-    /// The memory has to suffice for all connections at once: two fifths of it are for heads and bodies from clients, a
-    /// fifth for those from backends, a fifth for larger bodies, and a fifth for everything else.
+    /// The memory has to suffice for all connections at once: two fifths of it are for heads and
+    /// bodies from clients, a fifth for those from backends, a fifth for larger bodies, and a fifth
+    /// for everything else.
     #[must_use]
     pub fn of(descriptors: usize, memory_mb: usize, reserved: usize, processes: usize) -> Self {
         let own_descriptors = (descriptors / processes).max(2 * reserved);
         let sockets = own_descriptors - reserved;
         let fifth_bytes = memory_mb.saturating_mul(BYTES_PER_MB) / processes / 5;
-        // Clients get the larger part: a request that waits for a backend connection holds a client connection.
+        // Clients get the larger part: a request that waits for a backend connection holds a client
+        // connection.
         let client_sockets = sockets * 3 / 5;
         let backend_sockets = sockets - client_sockets;
         let clients = client_sockets.min(2 * fifth_bytes / (CLIENT_HEAD_CAP + BODY_CAP));
--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Begins at the system's time and then follows the monotonic clock, so that no step of the system's clock moves it.
+/// Begins at the system's time and then follows the monotonic clock, so that no step of the
+/// system's clock moves it.
 ///
 /// It counts from the Unix epoch because backends may have started before this process.
 #[derive(Clone, Copy, Debug)]
@@ -44,8 +45,8 @@
         self.origin + Duration::from_micros(at.saturating_sub(self.origin_unix))
     }
 
-    /// Converts the start of a backend's process from Unix milliseconds; `None` for 0, which means long ago. A start
-    /// ahead of this clock is taken as now: another machine's clock may be ahead.
+    /// Converts the start of a backend's process from Unix milliseconds; `None` for 0, which means
+    /// long ago. A start ahead of this clock is taken as now: another machine's clock may be ahead.
     #[must_use]
     pub fn start_time(&self, unix_ms: u64) -> Option<Micros> {
         if unix_ms == 0 {
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -19,7 +19,8 @@
 const OPERATOR_VARIABLE: &str = "EDGE_OPERATOR";
 const DISCOVERY_VARIABLE: &str = "EDGE_DISCOVERY";
 
-/// Descriptors that are neither clients nor backends: standard streams, the runtime, the listener, discovery.
+/// Descriptors that are neither clients nor backends: standard streams, the runtime, the listener,
+/// discovery.
 const RESERVED_DESCRIPTORS: usize = 24;
 const DEFAULT_DESCRIPTORS: usize = 1_024;
 const DEFAULT_MEMORY_MB: usize = 192;
@@ -178,8 +179,8 @@
 }
 
 impl Config {
-    /// Reads the file that the environment names. `process_count` is the number of processes that its limits hold for: two
-    /// during an upgrade.
+    /// Reads the file that the environment names. `process_count` is the number of processes that
+    /// its limits hold for: two during an upgrade.
     ///
     /// # Errors
     /// The first field or variable that is missing or malformed.
@@ -190,7 +191,8 @@
         Self::parse(&json, |name| env::var(name).ok(), process_count)
     }
 
-    /// Parses the JSON text of a configuration; `variable` returns variables of the environment, which complete it.
+    /// Parses the JSON text of a configuration; `variable` returns variables of the environment,
+    /// which complete it.
     ///
     /// # Errors
     /// The first field that is missing or malformed.
@@ -280,7 +282,8 @@
     }
 }
 
-/// Returns the names of a list of the settings. Requests are told apart by them, so each has one of its own.
+/// Returns the names of a list of the settings. Requests are told apart by them, so each has one of
+/// its own.
 fn distinct_names(list: &str, entries: Vec<RawNamed>) -> Result<Vec<String>, SettingsError> {
     let mut names = Vec::with_capacity(entries.len());
     for (index, RawNamed { name }) in entries.into_iter().enumerate() {
--- a/src/proxy/counters.rs
+++ b/src/proxy/counters.rs
@@ -67,7 +67,8 @@
         increment(&self.attempts);
     }
 
-    /// Returns the text form of all metrics. `listed_backends` and `avoided_backends` are gauges that others keep.
+    /// Returns the text form of all metrics. `listed_backends` and `avoided_backends` are gauges
+    /// that others keep.
     #[must_use]
     pub fn render(&self, listed_backends: usize, avoided_backends: usize) -> String {
         let mut text = String::new();
@@ -166,8 +167,8 @@
     counter.set(counter.get() + 1);
 }
 
-/// A request in progress. Dropped, the request has ended: with the outcome that was set, or, if none was, because its
-/// client disconnected.
+/// A request in progress. Dropped, the request has ended: with the outcome that was set, or, if
+/// none was, because its client disconnected.
 pub struct RequestTicket {
     counters: Rc<Counters>,
     class: ClassIndex,
--- a/src/proxy/discovery/backend_ids.rs
+++ b/src/proxy/discovery/backend_ids.rs
@@ -6,10 +6,11 @@
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// Assigns each backend name an id: the hash of the name, so that all proxies number a backend alike.
+/// Assigns each backend name an id: the hash of the name, so that all proxies number a backend
+/// alike.
 ///
-/// Two names with the same hash get different ids, in the order in which they come; only for those two the proxies may
-/// disagree.
+/// Two names with the same hash get different ids, in the order in which they come; only for those
+/// two the proxies may disagree.
 #[derive(Debug, Default)]
 pub(super) struct BackendIds {
     by_name: FxHashMap<String, BackendId>,
--- a/src/proxy/discovery/client.rs
+++ b/src/proxy/discovery/client.rs
@@ -22,7 +22,8 @@
 }
 
 impl DiscoveryClient {
-    /// Fetches a resource and returns its body. A call that fails or is dropped closes the connection.
+    /// Fetches a resource and returns its body. A call that fails or is dropped closes the
+    /// connection.
     pub(super) async fn fetch(
         &mut self,
         address: SocketAddr,
--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -1,29 +1,33 @@
 //! Timing of the calls to discovery.
 //!
-//! A change that discovery cannot deliver to a stalled watch counts as known to the proxy 6 s after the watch stalled, or
-//! 2 s after its long-poll timeout if that is later; after a change of discovery's address, 4 s later. By then the call
-//! has to be made again, and may have queued at discovery for 2 s.
+//! A change that discovery cannot deliver to a stalled watch counts as known to the proxy 6 s after
+//! the watch stalled, or 2 s after its long-poll timeout if that is later; after a change of
+//! discovery's address, 4 s later. By then the call has to be made again, and may have queued at
+//! discovery for 2 s.
 
 use crate::spread::golden_ratio_position;
 use std::time::Duration;
 
-/// Long-poll timeout where discovery is an agent on the same machine: bounds how long a broken call goes unnoticed.
+/// Long-poll timeout where discovery is an agent on the same machine: bounds how long a broken call
+/// goes unnoticed.
 const PUSHED_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Mean long-poll timeout where all proxies share discovery: a long one spares it calls.
 const POLLED_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(20);
-/// The proxies' long-poll timeouts are spread over this span for each of them, so that watches that stall together are
-/// not opened again together.
+/// The proxies' long-poll timeouts are spread over this span for each of them, so that watches that
+/// stall together are not opened again together.
 const LONG_POLL_SPREAD_PER_PROXY: Duration = Duration::from_secs(1);
 const MAX_LONG_POLL_SPREAD: Duration = Duration::from_secs(30);
-/// Long-poll timeout of a call that opens a watch on a shared discovery, where it may queue as well.
+/// Long-poll timeout of a call that opens a watch on a shared discovery, where it may queue as
+/// well.
 const OPENING_LONG_POLL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Timeout of a call that may queue at discovery, which keeps the place of a call that was dropped: a shorter one would
-/// make the queue longer.
+/// Timeout of a call that may queue at discovery, which keeps the place of a call that was dropped:
+/// a shorter one would make the queue longer.
 const QUEUED_CALL_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// Time after its long-poll timeout at which a watch that does not queue counts as stalled. Responses were seen to come
-/// within a millisecond.
+/// Time after its long-poll timeout at which a watch that does not queue counts as stalled.
+/// Responses were seen to come within a millisecond.
 const WATCH_STALL_DELAY: Duration = Duration::from_millis(250);
-/// Time between a failed call to an agent and the next one: short compared with the shortest drain grace period, 250 ms.
+/// Time between a failed call to an agent and the next one: short compared with the shortest drain
+/// grace period, 250 ms.
 pub const PUSHED_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The times of one call.
--- a/src/proxy/discovery/mod.rs
+++ b/src/proxy/discovery/mod.rs
@@ -1,9 +1,9 @@
 //! Discovery of the backends: keeps the proxy's endpoint list current.
 //!
-//! The [`Watcher`] fetches the complete list once and then follows its changes by long polling: each call names the
-//! revision that the proxy holds, and discovery answers once it has a newer one or the call's time is over. Discovery
-//! is either an agent on the same machine, called without pause, or a service that all proxies share, called when
-//! the balancer asks for it ([`Polling`]).
+//! The [`Watcher`] fetches the complete list once and then follows its changes by long polling:
+//! each call names the revision that the proxy holds, and discovery answers once it has a newer one
+//! or the call's time is over. Discovery is either an agent on the same machine, called without
+//! pause, or a service that all proxies share, called when the balancer asks for it ([`Polling`]).
 //!
 //! | module | job |
 //! | --- | --- |
--- a/src/proxy/discovery/start_times.rs
+++ b/src/proxy/discovery/start_times.rs
@@ -6,7 +6,8 @@
 
 /// Converts start times, and remembers each result.
 ///
-/// A start ahead of the proxy's clock is taken as now. Converted anew from each list, it would look like a restart.
+/// A start ahead of the proxy's clock is taken as now. Converted anew from each list, it would look
+/// like a restart.
 #[derive(Debug)]
 pub(super) struct StartTimes {
     clock: Clock,
--- a/src/proxy/discovery/translator.rs
+++ b/src/proxy/discovery/translator.rs
@@ -34,8 +34,8 @@
 }
 
 impl Translator {
-    /// Creates a translator that knows no backends yet. `names` has the zones and machine types in the order of their
-    /// numbers.
+    /// Creates a translator that knows no backends yet. `names` has the zones and machine types in
+    /// the order of their numbers.
     #[must_use]
     pub fn new(clock: Clock, names: &Names) -> Self {
         let zones = (0..).map(Zone);
@@ -56,7 +56,8 @@
     /// Parses the JSON text of an endpoint list. Malformed endpoints are logged and skipped.
     ///
     /// # Errors
-    /// [`DiscoveryError::MalformedList`] where the text is no JSON or the list as a whole is malformed.
+    /// [`DiscoveryError::MalformedList`] where the text is no JSON or the list as a whole is
+    /// malformed.
     pub fn parse(&mut self, json: &[u8]) -> Result<EndpointList, DiscoveryError> {
         let raw: RawEndpointList =
             serde_json::from_slice(json).map_err(DiscoveryError::MalformedList)?;
@@ -127,8 +128,8 @@
         Ok((Endpoint { backend, address }, raw.name))
     }
 
-    /// Forgets backends that are listed no more: names are not used again, and would take memory for good. The work for
-    /// a list of changes is proportional to the list.
+    /// Forgets backends that are listed no more: names are not used again, and would take memory
+    /// for good. The work for a list of changes is proportional to the list.
     fn forget_removed(&mut self, list: &EndpointList, removed_names: &[Cow<'_, str>]) {
         if !list.is_complete && removed_names.is_empty() {
             return;
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -17,7 +17,8 @@
 /// The resource that has the endpoint list.
 const ENDPOINT_LIST_PATH: &str = "/discovery/hosts";
 
-/// How discovery is called where all proxies share it: a watch is opened when the balancer asks for it.
+/// How discovery is called where all proxies share it: a watch is opened when the balancer asks for
+/// it.
 #[derive(Debug)]
 pub struct Polling {
     /// The balancer's requests to open a watch.
@@ -81,7 +82,8 @@
 }
 
 impl Watcher {
-    /// Creates a watcher that has made no call. With `polling` it opens a watch only when the balancer asks for one.
+    /// Creates a watcher that has made no call. With `polling` it opens a watch only when the
+    /// balancer asks for one.
     #[must_use]
     pub fn new(
         addresses: watch::Receiver<SocketAddr>,
@@ -102,8 +104,9 @@
         }
     }
 
-    /// Starts from the endpoint list that the configuration holds. It may be out of date, but the proxy can serve from
-    /// it, and the first call asks for changes only: cheap for discovery where all proxies start at once.
+    /// Starts from the endpoint list that the configuration holds. It may be out of date, but the
+    /// proxy can serve from it, and the first call asks for changes only: cheap for discovery where
+    /// all proxies start at once.
     pub fn start_from_cache(&mut self, cached: &Value) {
         let mut endpoints = Vec::new();
         match self.translator.parse_value(cached) {
@@ -136,8 +139,9 @@
         }
     }
 
-    /// Leaves the old address at once. Revisions are not comparable between two services, so the new one is asked for
-    /// the complete list; until that comes, the proxy serves from the old list.
+    /// Leaves the old address at once. Revisions are not comparable between two services, so the
+    /// new one is asked for the complete list; until that comes, the proxy serves from the old
+    /// list.
     fn on_address_changed(&mut self) {
         self.client.disconnect();
         self.revision = None;
@@ -179,8 +183,8 @@
         }
     }
 
-    /// Logs the first of consecutive failures. The balancer decides when a shared discovery is called again; an agent is
-    /// called again after a short delay.
+    /// Logs the first of consecutive failures. The balancer decides when a shared discovery is
+    /// called again; an agent is called again after a short delay.
     async fn on_failure(&mut self, error: &DiscoveryError) {
         if self.state != WatchState::Failed {
             tracing::warn!(%error, "call to discovery failed");
@@ -203,7 +207,8 @@
         self.handle.send(Message::Membership(update));
     }
 
-    /// Calls discovery once, for the complete list or for what is newer than the list that the proxy holds.
+    /// Calls discovery once, for the complete list or for what is newer than the list that the
+    /// proxy holds.
     async fn call(&mut self) -> Result<EndpointList, DiscoveryError> {
         let timing = self.next_timing();
         let target = self.next_target(timing);
@@ -215,7 +220,8 @@
         if let Some(held) = self.revision
             && list.revision < held
         {
-            // Another service answers at the same address. The next call asks it for the complete list.
+            // Another service answers at the same address. The next call asks it for the complete
+            // list.
             self.revision = None;
             return Err(DiscoveryError::OutdatedRevision {
                 received: list.revision,
--- a/src/proxy/discovery/wire.rs
+++ b/src/proxy/discovery/wire.rs
@@ -7,7 +7,8 @@
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// An endpoint list. Its endpoints are still text: a malformed one must not make the others unusable.
+/// An endpoint list. Its endpoints are still text: a malformed one must not make the others
+/// unusable.
 #[derive(Deserialize)]
 pub(super) struct RawEndpointList<'a> {
     pub(super) revision: u64,
--- a/src/proxy/driver/arrivals.rs
+++ b/src/proxy/driver/arrivals.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Returns when a request with a streamed body is answered at the latest: its client's timeout counts from the last
-    /// byte of the body. `None` where the body is not streamed.
+    /// Returns when a request with a streamed body is answered at the latest: its client's timeout
+    /// counts from the last byte of the body. `None` where the body is not streamed.
     fn streamed_answer_due(&self, now: Micros, open: &OpenRequest) -> Option<Micros> {
         let progress = open.call.body.progress()?;
         let complete_at = match progress.finished_at() {
@@ -73,7 +73,8 @@
             return;
         }
         request_log::client_disconnected(request);
-        // An attempt that still waits for its connection is not sent: nobody waits for its response.
+        // An attempt that still waits for its connection is not sent: nobody waits for its
+        // response.
         open.call.cancel.trigger();
         self.handle_event(now, Event::ClientDisconnected(request));
         self.requests.remove_if_finished(request);
--- a/src/proxy/driver/attempts.rs
+++ b/src/proxy/driver/attempts.rs
@@ -104,7 +104,8 @@
         });
     }
 
-    /// Passes on a streamed response that began. Without a client the response is dropped, which ends the attempt.
+    /// Passes on a streamed response that began. Without a client the response is dropped, which
+    /// ends the attempt.
     pub(super) fn on_response_started(
         &mut self,
         now: Micros,
--- a/src/proxy/driver/membership.rs
+++ b/src/proxy/driver/membership.rs
@@ -6,8 +6,8 @@
 use rustc_hash::FxHashSet;
 
 impl Driver {
-    /// Updates the sockets and tells the balancer, in this order: an attempt that the update starts has to find its
-    /// backend.
+    /// Updates the sockets and tells the balancer, in this order: an attempt that the update starts
+    /// has to find its backend.
     pub(super) fn on_membership(&mut self, now: Micros, update: &MembershipUpdate) {
         let endpoints = update.endpoints();
         if update.is_complete_list() {
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -62,8 +62,8 @@
 }
 
 impl Driver {
-    /// Creates a driver with no requests, and the handle that other tasks send messages with. `poll_requests` receives
-    /// a value whenever the balancer wants a watch on discovery.
+    /// Creates a driver with no requests, and the handle that other tasks send messages with.
+    /// `poll_requests` receives a value whenever the balancer wants a watch on discovery.
     #[must_use]
     pub fn new(
         balancer: Balancer,
--- a/src/proxy/driver/requests.rs
+++ b/src/proxy/driver/requests.rs
@@ -110,8 +110,8 @@
         Some(attempt.backend)
     }
 
-    /// Returns how long an attempt has taken so far. The time in which the client was still sending the request's body
-    /// is not its backend's.
+    /// Returns how long an attempt has taken so far. The time in which the client was still sending
+    /// the request's body is not its backend's.
     pub(super) fn attempt_elapsed(
         &self,
         number: u16,
@@ -126,7 +126,8 @@
         Some(now.saturating_sub(began))
     }
 
-    /// Returns when the last byte of a streamed body came; `None` if it has not come, or the body is not streamed.
+    /// Returns when the last byte of a streamed body came; `None` if it has not come, or the body
+    /// is not streamed.
     fn body_complete_at(&self, clock: &Clock) -> Option<Micros> {
         let progress = self.call.body.progress()?;
         let complete_at = progress.finished_at()?;
--- a/src/proxy/inherited.rs
+++ b/src/proxy/inherited.rs
@@ -28,8 +28,9 @@
     NotListening(RawFd),
 }
 
-/// Returns the client listener that the environment names, if it names one. To be called before the process opens
-/// anything: a descriptor that it opened itself would be taken for one that it inherited.
+/// Returns the client listener that the environment names, if it names one. To be called before the
+/// process opens anything: a descriptor that it opened itself would be taken for one that it
+/// inherited.
 ///
 /// # Errors
 /// The environment names anything but a listening socket.
@@ -71,14 +72,14 @@
     is_stream && has_ip_address && socket.is_listener().unwrap_or(false)
 }
 
-/// Duplicates an inherited descriptor. Closing the duplicate, unlike shutting it down, leaves the socket to the other
-/// processes that hold it.
+/// Duplicates an inherited descriptor. Closing the duplicate, unlike shutting it down, leaves the
+/// socket to the other processes that hold it.
 #[allow(unsafe_code)]
 fn duplicate(descriptor: RawFd) -> io::Result<Socket> {
-    // SAFETY: the number is not -1 (the caller takes none below 0), and it is borrowed for this one statement
-    // only, in which nothing closes it: no other thread runs yet, and no code of this process owns the
-    // number. One that is not open is merely reported as such by the kernel, for duplicating reads nothing
-    // through it.
+    // SAFETY: the number is not -1 (the caller takes none below 0), and it is borrowed for this one
+    // statement only, in which nothing closes it: no other thread runs yet, and no code of this
+    // process owns the number. One that is not open is merely reported as such by the kernel, for
+    // duplicating reads nothing through it.
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     borrowed.try_clone_to_owned().map(Socket::from)
 }
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The lifecycle of the process: starting, in service, out of service, shutting down.
 //!
-//! One state machine answers all who need to know: the health check `/up`, the operators' calls, the client connections and
-//! the shutdown itself.
+//! One state machine answers all who need to know: the health check `/up`, the operators' calls,
+//! the client connections and the shutdown itself.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,11 +10,11 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long an idle client connection stays open once clients are to leave. Closed sooner, it would often cross a
-/// request that is on its way.
+/// How long an idle client connection stays open once clients are to leave. Closed sooner, it would
+/// often cross a request that is on its way.
 const IDLE_GRACE_PERIOD: Duration = Duration::from_millis(1_500);
-/// Idle client connections close this long before the last answers are due, so that a request that comes on one until
-/// then is still answered.
+/// Idle client connections close this long before the last answers are due, so that a request that
+/// comes on one until then is still answered.
 const IDLE_CLOSE_MARGIN: Duration = Duration::from_millis(100);
 
 /// Stage of the process.
@@ -24,7 +24,8 @@
     Starting,
     /// It serves.
     InService,
-    /// An operator took it out of service: it serves what comes, and each response closes its connection.
+    /// An operator took it out of service: it serves what comes, and each response closes its
+    /// connection.
     OutOfService,
     /// It shuts down: as out of service, and for good.
     ShuttingDown,
@@ -38,7 +39,8 @@
 /// The times of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownTimes {
-    /// When requests that arrive from now on are answered at the latest: the process may be killed later.
+    /// When requests that arrive from now on are answered at the latest: the process may be killed
+    /// later.
     pub last_answer_at: Instant,
     /// When the process ends, whatever is still open.
     pub process_end: Instant,
@@ -133,7 +135,8 @@
         self.enter(Stage::ShuttingDown);
     }
 
-    /// Returns the time until the last answer is due, which no request may outlast; `None` before the shutdown.
+    /// Returns the time until the last answer is due, which no request may outlast; `None` before
+    /// the shutdown.
     #[must_use]
     pub fn remaining_time(&self) -> Option<Duration> {
         let shutdown = self.shutdown.get()?;
@@ -149,7 +152,8 @@
         self.shutdown.get().map(|times| times.process_end)
     }
 
-    /// Returns when a client connection that is idle from now on is closed; `None` unless clients are to leave.
+    /// Returns when a client connection that is idle from now on is closed; `None` unless clients
+    /// are to leave.
     #[must_use]
     pub fn idle_close_at(&self) -> Option<Instant> {
         if !self.is_draining() {
--- a/src/proxy/limits.rs
+++ b/src/proxy/limits.rs
@@ -8,13 +8,14 @@
 pub const FORWARDED_BODY_CAP: u64 = 40 << 20;
 /// The largest head of a request, in bytes.
 pub const CLIENT_HEAD_CAP: usize = 16 * 1024;
-/// The largest head of a response, in bytes, and what a connection to a backend reads ahead: an endless head must not
-/// take memory until the request times out.
+/// The largest head of a response, in bytes, and what a connection to a backend reads ahead: an
+/// endless head must not take memory until the request times out.
 pub const BACKEND_HEAD_CAP: usize = 16 * 1024;
-/// How long a streamed response may make no progress, because the backend sends nothing or the client reads nothing.
+/// How long a streamed response may make no progress, because the backend sends nothing or the
+/// client reads nothing.
 pub const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time in which a client has to send a request with its body, and for which it may stay idle. For the first request of
-/// a connection it counts from connecting.
+/// Time in which a client has to send a request with its body, and for which it may stay idle. For
+/// the first request of a connection it counts from connecting.
 pub const REQUEST_TIME: Duration = Duration::from_millis(2_500);
 /// Pause after an accept that failed.
 pub const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
--- a/src/proxy/logging/mod.rs
+++ b/src/proxy/logging/mod.rs
@@ -1,7 +1,8 @@
 //! The log: structured lines on standard error, at most so many a second.
 //!
-//! Events are written with the macros of `tracing`. Those of single requests have the target [`REQUEST_TARGET`] and the
-//! level `debug`, so that they cost next to nothing unless the filter asks for them.
+//! Events are written with the macros of `tracing`. Those of single requests have the target
+//! [`REQUEST_TARGET`] and the level `debug`, so that they cost next to nothing unless the filter
+//! asks for them.
 
 mod options;
 mod rate_limit;
--- a/src/proxy/logging/options.rs
+++ b/src/proxy/logging/options.rs
@@ -85,8 +85,8 @@
 }
 
 impl LogOptions {
-    /// Reads the options from variables of the environment. An option keeps its default where its variable is not set or
-    /// empty.
+    /// Reads the options from variables of the environment. An option keeps its default where its
+    /// variable is not set or empty.
     ///
     /// # Errors
     /// The first variable with an invalid value.
--- a/src/proxy/logging/rate_limit.rs
+++ b/src/proxy/logging/rate_limit.rs
@@ -76,7 +76,8 @@
     }
 }
 
-/// Writes one line. A standard error that cannot be written to is ignored: the proxy serves on without its log.
+/// Writes one line. A standard error that cannot be written to is ignored: the proxy serves on
+/// without its log.
 pub(super) struct LineWriter(Admission);
 
 impl Write for LineWriter {
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -95,8 +95,8 @@
         })
     }
 
-    /// Serves calls for as long as the proxy runs. Where too many are open, the oldest one is ended: it has had the most
-    /// time to arrive.
+    /// Serves calls for as long as the proxy runs. Where too many are open, the oldest one is
+    /// ended: it has had the most time to arrive.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut open_calls: VecDeque<AbortHandle> = VecDeque::new();
         loop {
@@ -205,7 +205,8 @@
     }
 }
 
-/// Receives a call's body, which means nothing: a call is executed only once it has arrived completely.
+/// Receives a call's body, which means nothing: a call is executed only once it has arrived
+/// completely.
 async fn receive_body(body: Incoming, deadline: Instant) -> Result<(), Rejection> {
     let too_large = || Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the call is too large\n");
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
--- a/src/proxy/responses.rs
+++ b/src/proxy/responses.rs
@@ -55,8 +55,8 @@
     response
 }
 
-/// Makes the response to a request that the balancer rejected. `retry_after` is how long the client should wait before it
-/// retries; 0: not said.
+/// Makes the response to a request that the balancer rejected. `retry_after` is how long the client
+/// should wait before it retries; 0: not said.
 pub(super) fn rejected(retry_after: Micros) -> Response<BufferedBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
     let seconds = retry_after as f64 / MICROS_PER_SECOND;
--- a/src/proxy/shutdown.rs
+++ b/src/proxy/shutdown.rs
@@ -15,14 +15,15 @@
 const ACCEPT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time beyond the longest client timeout until the process ends with clients still connected.
 const PROCESS_END_MARGIN: Duration = Duration::from_millis(500);
-/// The part of the longest client timeout that is counted: the platform may kill the process 0.7 s after it.
+/// The part of the longest client timeout that is counted: the platform may kill the process 0.7 s
+/// after it.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(3);
 
-/// Drains the proxy. Returns when it has no client connection left, or at the latest shortly after `longest_timeout`, the
-/// longest time that a client waits.
+/// Drains the proxy. Returns when it has no client connection left, or at the latest shortly after
+/// `longest_timeout`, the longest time that a client waits.
 ///
-/// `listener` is the client listener, if it belongs to this process alone; what is queued at a shared one is for the
-/// other processes.
+/// `listener` is the client listener, if it belongs to this process alone; what is queued at a
+/// shared one is for the other processes.
 pub async fn drain(
     clients: &Rc<Clients>,
     lifecycle: &Lifecycle,
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,5 +1,6 @@
-//! The watch on discovery, over loopback sockets in paused time: balancer, driver and watcher wired as in the program, and a
-//! stand-in for discovery on the same runtime. Time advances when nothing else can.
+//! The watch on discovery, over loopback sockets in paused time: balancer, driver and watcher wired
+//! as in the program, and a stand-in for discovery on the same runtime. Time advances when nothing
+//! else can.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -30,14 +31,15 @@
     stream: TcpStream,
 }
 
-/// A change that a stalled watch misses counts as known to the proxy this long after the watch stalled, or this long after
-/// its long-poll timeout, whichever is later.
+/// A change that a stalled watch misses counts as known to the proxy this long after the watch
+/// stalled, or this long after its long-poll timeout, whichever is later.
 const KNOWN_AFTER_STALL: Duration = Duration::from_secs(6);
 const KNOWN_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
 /// The list of a new discovery counts as known this long after the signal that names its address.
 const KNOWN_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
-/// The shortest drain grace period of the known sites, and the longest time that a new call was seen to queue there.
+/// The shortest drain grace period of the known sites, and the longest time that a new call was
+/// seen to queue there.
 const SHORTEST_GRACE_PERIOD: Duration = Duration::from_millis(250);
 const LONGEST_QUEUE_TIME: Duration = Duration::from_millis(1_950);
 
@@ -192,8 +194,9 @@
 
 const ONE_REMOVED: [(&str, &str); 1] = [("s-2", "left")];
 
-/// The watch stalls right after a call, which leaves the least time, both when it opens and when it continues. Where discovery
-/// is polled, the call that opens it again has to queue; a draining backend may get no request after the grace period.
+/// The watch stalls right after a call, which leaves the least time, both when it opens and when it
+/// continues. Where discovery is polled, the call that opens it again has to queue; a draining
+/// backend may get no request after the grace period.
 #[tokio::test(start_paused = true)]
 async fn a_change_that_a_stalled_watch_misses_is_known_in_time() {
     for (mode, queue_time, grace_period) in [
@@ -227,7 +230,8 @@
     }
 }
 
-/// After a change of discovery's address the complete list is fetched, and that call may stall as well.
+/// After a change of discovery's address the complete list is fetched, and that call may stall as
+/// well.
 #[tokio::test(start_paused = true)]
 async fn a_call_that_stalls_after_an_address_change_is_made_again_in_time() {
     for mode in ["pushed", "on_request"] {
@@ -340,7 +344,8 @@
     .await;
 }
 
-/// Whatever calls failed before, a change counts as known this long after discovery had it and could be reached.
+/// Whatever calls failed before, a change counts as known this long after discovery had it and
+/// could be reached.
 const KNOWN_AFTER_REACHABLE: Duration = Duration::from_secs(6);
 /// The largest number of proxies that is aimed at, and a poll interval that bounds nothing.
 const MAX_PROXY_COUNT: u32 = 710;
@@ -427,7 +432,8 @@
     }
 }
 
-/// Discovery is down for some seconds, so that connections to it fail, and has a change at its return.
+/// Discovery is down for some seconds, so that connections to it fail, and has a change at its
+/// return.
 #[tokio::test(start_paused = true)]
 async fn a_change_is_known_in_time_after_discoverys_return_whatever_the_number_of_proxies() {
     let mut latest = Duration::ZERO;
