--- a/lab/src/live/fleet.rs
+++ b/lab/src/live/fleet.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 use tillerproxy::api::SettingsError;
-use tillerproxy::wire::parse_settings;
+use tillerproxy::simulator::parse_settings;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -8,7 +8,7 @@
 use crate::error::LabError;
 use std::path::Path;
 use std::time::{Duration, Instant};
-use tillerproxy::wire::parse_settings;
+use tillerproxy::simulator::parse_settings;
 
 const SMALL: &str = include_str!("../../scenarios/live-small.toml");
 const TARGET: &str = include_str!("../../scenarios/live-target.toml");
--- a/lab/src/slopes/setup.rs
+++ b/lab/src/slopes/setup.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 use tillerproxy::api::{Settings, SettingsError};
-use tillerproxy::wire::parse_settings;
+use tillerproxy::simulator::parse_settings;
 
 /// Sum of the tenants' allowances over the requests that the whole fleet gets.
 const ALLOWANCE_HEADROOM: f64 = 1.2;
--- a/src/bin/tillerproxy-simhost.rs
+++ b/src/bin/tillerproxy-simhost.rs
@@ -1,277 +1,259 @@
-//! Hosts balancers on the simulator's wire: batches on standard input, replies on standard output.
+//! Hosts the decisions of many proxies for the simulator: batches on standard input, replies on standard output.
 #![forbid(unsafe_code)]
 
+use std::any::Any;
+use std::collections::BTreeSet;
 use std::io::{self, Read, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 use std::rc::Rc;
-use tillerproxy::api::{Action, AttemptEnd, Backend, Event, MembershipEvent, Micros};
+use thiserror::Error;
+use tillerproxy::api::{Action, Backend, Event, MembershipEvent, Micros};
 use tillerproxy::balancer::Balancer;
-use tillerproxy::wire::{self, BATCH_HEADER, BatchReader, Record, ReplyWriter, Scope, WireError};
+use tillerproxy::simulator::frames::{
+    BATCH_HEADER_LENGTH, BatchReader, ListId, ProxyId, Record, ReplyWriter, UPDATE_LIST_OFFSET,
+    UpdateKind, batch_length,
+};
+use tillerproxy::simulator::{FrameError, FrameErrorKind, parse_settings};
 
-/// What ends the host early.
-enum Stop {
-    Wire(WireError),
-    Io(io::Error),
-    /// The reply with the `fatal` record has been written into the writer.
-    Fatal,
-}
+/// Bytes read ahead from standard input.
+const INPUT_BUFFER_LENGTH: usize = 64 * 1024;
 
-impl From<WireError> for Stop {
-    fn from(e: WireError) -> Self {
-        Stop::Wire(e)
-    }
-}
-
-impl From<io::Error> for Stop {
-    fn from(e: io::Error) -> Self {
-        Stop::Io(e)
-    }
+/// What ends the program early.
+#[derive(Debug, Error)]
+enum HostError {
+    /// The input does not follow the protocol.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    /// A pipe failed.
+    #[error("the wire broke: {0}")]
+    Io(#[from] io::Error),
+    /// A proxy could not start, or its decisions panicked. The reply says so to the simulator.
+    #[error("a balancer failed; the last reply says how")]
+    ProxyFailed,
 }
 
+/// The proxies of a simulation.
 #[derive(Default)]
 struct Host {
-    instances: Vec<Option<Balancer>>,
-    pages: Vec<Option<Rc<[Backend]>>>,
+    /// By their ids; `None` where a proxy does not run.
+    proxies: Vec<Option<Balancer>>,
+    /// By their ids; `None` where no list has come.
+    endpoint_lists: Vec<Option<Rc<[Backend]>>>,
+    /// What the last event brought about; kept so that its memory is used again.
     actions: Vec<Action>,
     reply: ReplyWriter,
-    unknown_reported: [u64; 4],
+    /// Unknown record codes that were reported; each is reported once.
+    reported_codes: BTreeSet<u8>,
 }
 
-/// The place numbered `index`, made where it is not there yet.
-fn place<T>(places: &mut Vec<Option<T>>, index: u16) -> &mut Option<T> {
-    let index = usize::from(index);
-    if places.len() <= index {
-        places.resize_with(index + 1, || None);
-    }
-    &mut places[index]
+/// A record for the selected proxy.
+#[derive(Clone, Copy)]
+struct Target {
+    proxy: ProxyId,
+    /// Offset of the record in the batch.
+    offset: usize,
+    now: Micros,
 }
 
 impl Host {
-    /// Runs one step of an instance and writes its actions; a panic becomes `fatal`.
-    fn step(
-        &mut self,
-        who: u16,
-        at: usize,
-        run: impl FnOnce(&mut Balancer, &mut Vec<Action>),
-    ) -> Result<(), Stop> {
-        let Some(instance) = place(&mut self.instances, who).as_mut() else {
-            let expected = format!("an event for a running instance; {who} does not run");
-            return Err(WireError {
-                offset: at,
-                expected,
-            }
-            .into());
-        };
-        self.actions.clear();
-        let actions = &mut self.actions;
-        if let Err(panic) = catch_unwind(AssertUnwindSafe(|| run(instance, actions))) {
-            let text = panic.downcast_ref::<String>().map(String::as_str);
-            let text = text
-                .or_else(|| panic.downcast_ref::<&str>().copied())
-                .unwrap_or("no text");
-            self.reply
-                .fatal(who, &format!("the decision module panicked: {text}"));
-            return Err(Stop::Fatal);
-        }
-        self.actions
-            .iter()
-            .for_each(|action| self.reply.action(who, action));
-        Ok(())
-    }
-
-    fn power_on(&mut self, who: u16, seed: u64, settings: &[u8], now: Micros) -> Result<(), Stop> {
-        match wire::parse_settings(settings).and_then(|s| Balancer::new(s, seed, now)) {
-            Ok(balancer) => *place(&mut self.instances, who) = Some(balancer),
-            Err(error) => {
-                self.reply.fatal(who, &error.to_string());
-                return Err(Stop::Fatal);
-            }
-        }
-        Ok(())
-    }
-
-    fn batch(&mut self, bytes: &[u8]) -> Result<(), Stop> {
-        let (mut records, now) = BatchReader::new(bytes)?;
-        let mut current = None;
+    /// Handles the records of one batch in order.
+    fn handle_batch(&mut self, bytes: &[u8]) -> Result<(), HostError> {
+        let mut records = BatchReader::new(bytes)?;
+        let now = records.clock();
+        let mut selected = None;
         loop {
-            let at = records.offset();
+            let offset = records.offset();
             let Some(record) = records.next_record()? else {
                 return Ok(());
             };
-            let who = || {
-                let expected = "a `switch_to` before the first event of an instance".into();
-                current.ok_or(Stop::Wire(WireError {
-                    offset: at,
-                    expected,
-                }))
-            };
             match record {
-                Record::SwitchTo(instance) => current = Some(instance),
-                Record::PowerOn { seed, settings } => self.power_on(who()?, seed, settings, now)?,
-                Record::CrashNow => *place(&mut self.instances, who()?) = None,
-                Record::Page { list, entries } => {
-                    let entries = wire::parse_entries(entries).map_err(|e| WireError {
-                        offset: at + 11 + e.offset,
-                        expected: e.expected,
-                    })?;
-                    *place(&mut self.pages, list) = Some(entries.into());
-                }
-                Record::Membership { scope, list } => {
-                    let page = place(&mut self.pages, list).clone();
-                    let entries = match (scope, page) {
-                        (Scope::Failed, _) => Rc::from([]),
-                        (_, Some(entries)) => entries,
-                        (_, None) => {
-                            let expected =
-                                format!("a list that a `page` has brought; {list} was not");
-                            return Err(WireError {
-                                offset: at + 10,
-                                expected,
-                            }
-                            .into());
-                        }
-                    };
-                    let news = match scope {
-                        Scope::Delta => MembershipEvent::Delta(&entries),
-                        Scope::Full => MembershipEvent::Full(&entries),
-                        Scope::Cached => MembershipEvent::Cached(&entries),
-                        Scope::Failed => MembershipEvent::WatchFailed,
-                    };
-                    self.step(who()?, at, |b, out| {
-                        b.handle(now, Event::Membership(news), out)
-                    })?;
-                }
-                Record::Inbound { .. } => {
-                    if let Some(request) = record.request() {
-                        self.step(who()?, at, |b, out| {
-                            b.handle(now, Event::Request(request), out)
-                        })?;
-                    }
-                }
-                Record::FirstByte {
-                    request,
-                    attempt,
-                    elapsed,
-                } => {
-                    let event = Event::ResponseStarted {
-                        request,
-                        attempt,
-                        elapsed,
-                    };
-                    self.step(who()?, at, |b, out| b.handle(now, event, out))?;
-                }
-                Record::Settled {
-                    request,
-                    backend,
-                    attempt,
-                    outcome,
-                    closed,
-                    elapsed,
-                    ref report,
-                } => {
-                    let elapsed = Micros::from(elapsed);
-                    let spent = false;
-                    let settled = AttemptEnd {
-                        request,
-                        backend,
-                        attempt,
-                        outcome,
-                        request_answered: closed,
-                        elapsed,
-                        load_report: report,
-                        body_consumed: spent,
-                    };
-                    self.step(who()?, at, |b, out| {
-                        b.handle(now, Event::AttemptEnded(settled), out)
-                    })?;
-                }
-                Record::Probed {
-                    backend,
-                    outcome,
-                    ref report,
-                } => {
-                    let event = Event::HealthChecked {
-                        backend,
-                        outcome,
-                        load_report: report,
-                    };
-                    self.step(who()?, at, |b, out| b.handle(now, event, out))?;
+                Record::SelectProxy(proxy) => selected = Some(proxy),
+                Record::EndpointList { list, endpoints } => {
+                    let backends = endpoints.parse()?;
+                    *entry(&mut self.endpoint_lists, list.index()) = Some(backends.into());
                 }
-                Record::Vanished(request) => {
-                    self.step(who()?, at, |b, out| {
-                        b.handle(now, Event::ClientDisconnected(request), out)
-                    })?;
+                Record::Gossip => {}
+                Record::Unknown(code) => self.report_unknown(code),
+                Record::MembershipUpdate { kind, list } => {
+                    let endpoints = self.endpoints_of_update(kind, list, offset)?;
+                    let target = select_target(selected, offset, now)?;
+                    self.update_membership(target, kind, &endpoints)?;
                 }
-                Record::Wakeup(token) => {
-                    self.step(who()?, at, |b, out| b.handle(now, Event::Timer(token), out))?;
+                record => {
+                    let target = select_target(selected, offset, now)?;
+                    self.handle_record(target, &record)?;
                 }
-                Record::Peer => {}
-                Record::Unknown(code) => self.report_unknown(code),
             }
         }
     }
 
+    /// Handles a record that is for one proxy.
+    fn handle_record(&mut self, target: Target, record: &Record<'_>) -> Result<(), HostError> {
+        match *record {
+            Record::StartProxy { seed, settings } => self.start_proxy(target, seed, settings),
+            Record::CrashProxy => {
+                *entry(&mut self.proxies, target.proxy.index()) = None;
+                Ok(())
+            }
+            _ => match record.event() {
+                Some(event) => self.handle_event(target, event),
+                None => Ok(()),
+            },
+        }
+    }
+
+    fn start_proxy(&mut self, target: Target, seed: u64, settings: &[u8]) -> Result<(), HostError> {
+        let started =
+            parse_settings(settings).and_then(|settings| Balancer::new(settings, seed, target.now));
+        match started {
+            Ok(balancer) => {
+                *entry(&mut self.proxies, target.proxy.index()) = Some(balancer);
+                Ok(())
+            }
+            Err(error) => {
+                self.reply.fatal(target.proxy, &error.to_string());
+                Err(HostError::ProxyFailed)
+            }
+        }
+    }
+
+    /// Returns the endpoints that a membership update refers to; none where it reports a failure.
+    fn endpoints_of_update(
+        &mut self,
+        kind: UpdateKind,
+        list: ListId,
+        offset: usize,
+    ) -> Result<Rc<[Backend]>, FrameError> {
+        if kind == UpdateKind::WatchFailed {
+            return Ok(Rc::from([]));
+        }
+        let endpoints = entry(&mut self.endpoint_lists, list.index());
+        endpoints.clone().ok_or(FrameError {
+            offset: offset + UPDATE_LIST_OFFSET,
+            kind: FrameErrorKind::UnknownList(list),
+        })
+    }
+
+    fn update_membership(
+        &mut self,
+        target: Target,
+        kind: UpdateKind,
+        endpoints: &[Backend],
+    ) -> Result<(), HostError> {
+        let event = match kind {
+            UpdateKind::Delta => MembershipEvent::Delta(endpoints),
+            UpdateKind::Full => MembershipEvent::Full(endpoints),
+            UpdateKind::Cached => MembershipEvent::Cached(endpoints),
+            UpdateKind::WatchFailed => MembershipEvent::WatchFailed,
+        };
+        self.handle_event(target, Event::Membership(event))
+    }
+
+    /// Passes an event on to a proxy's decisions and writes their actions. A panic of theirs becomes a record of the
+    /// reply.
+    fn handle_event(&mut self, target: Target, event: Event<'_>) -> Result<(), HostError> {
+        let Target { proxy, offset, now } = target;
+        let Some(balancer) = entry(&mut self.proxies, proxy.index()) else {
+            let kind = FrameErrorKind::ProxyNotRunning(proxy);
+            return Err(FrameError { offset, kind }.into());
+        };
+        let actions = &mut self.actions;
+        actions.clear();
+        // After a panic the program ends, so that nobody sees what the decisions left half done.
+        let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
+        if let Err(panic) = handled {
+            let text = format!("the decision module panicked: {}", panic_text(&*panic));
+            self.reply.fatal(proxy, &text);
+            return Err(HostError::ProxyFailed);
+        }
+        for action in &self.actions {
+            self.reply.action(proxy, action);
+        }
+        Ok(())
+    }
+
     fn report_unknown(&mut self, code: u8) {
-        let (word, bit) = (usize::from(code / 64), 1 << (code % 64));
-        if self.unknown_reported[word] & bit == 0 {
-            self.unknown_reported[word] |= bit;
+        if self.reported_codes.insert(code) {
             eprintln!("passing over records of the unknown code {code}");
         }
     }
 }
 
-/// Reads one whole batch into `bytes`; false at the end of input.
-fn read_batch(input: &mut impl Read, bytes: &mut Vec<u8>) -> Result<bool, Stop> {
+/// Returns entry `index` of a table, which grows to have it.
+fn entry<T>(table: &mut Vec<Option<T>>, index: usize) -> &mut Option<T> {
+    if table.len() <= index {
+        table.resize_with(index + 1, || None);
+    }
+    &mut table[index]
+}
+
+fn select_target(
+    selected: Option<ProxyId>,
+    offset: usize,
+    now: Micros,
+) -> Result<Target, FrameError> {
+    let proxy = selected.ok_or(FrameError {
+        offset,
+        kind: FrameErrorKind::NoProxySelected,
+    })?;
+    Ok(Target { proxy, offset, now })
+}
+
+fn panic_text(panic: &(dyn Any + Send)) -> &str {
+    if let Some(text) = panic.downcast_ref::<String>() {
+        return text;
+    }
+    panic.downcast_ref::<&str>().copied().unwrap_or("no text")
+}
+
+/// Reads one batch into `bytes`. Returns false at the end of the input.
+fn read_batch(input: &mut impl Read, bytes: &mut Vec<u8>) -> Result<bool, HostError> {
     bytes.clear();
-    input.take(BATCH_HEADER as u64).read_to_end(bytes)?;
+    input.take(BATCH_HEADER_LENGTH as u64).read_to_end(bytes)?;
     if bytes.is_empty() {
         return Ok(false);
     }
-    let cut_short = |bytes: &[u8], expected: String| {
-        Stop::Wire(WireError {
-            offset: bytes.len(),
-            expected,
-        })
+    let Ok(header) = <[u8; BATCH_HEADER_LENGTH]>::try_from(bytes.as_slice()) else {
+        return Err(truncated(bytes, FrameErrorKind::TruncatedBatchHeader));
     };
-    let Ok(header) = <[u8; BATCH_HEADER]>::try_from(bytes.as_slice()) else {
-        return Err(cut_short(
-            bytes,
-            format!("a batch header of {BATCH_HEADER} bytes"),
-        ));
-    };
-    let length = wire::batch_length(header);
+    let length = batch_length(header);
     input.take(length as u64).read_to_end(bytes)?;
-    if bytes.len() < BATCH_HEADER + length {
-        return Err(cut_short(
-            bytes,
-            format!("{length} bytes behind the batch header"),
-        ));
+    if bytes.len() < BATCH_HEADER_LENGTH + length {
+        return Err(truncated(bytes, FrameErrorKind::TruncatedBatch { length }));
     }
     Ok(true)
 }
 
-fn run(host: &mut Host, input: &mut impl Read, output: &mut impl Write) -> Result<(), Stop> {
+/// Returns the error of an input that ends after `bytes`.
+fn truncated(bytes: &[u8], kind: FrameErrorKind) -> HostError {
+    let offset = bytes.len();
+    FrameError { offset, kind }.into()
+}
+
+/// Answers each batch of the input until it ends.
+fn run(host: &mut Host, input: &mut impl Read, output: &mut impl Write) -> Result<(), HostError> {
     let mut bytes = Vec::new();
     while read_batch(input, &mut bytes)? {
-        let done = host.batch(&bytes);
-        if matches!(done, Ok(()) | Err(Stop::Fatal)) {
+        let handled = host.handle_batch(&bytes);
+        if matches!(handled, Ok(()) | Err(HostError::ProxyFailed)) {
             output.write_all(&host.reply.finish())?;
             output.flush()?;
         }
-        done?;
+        handled?;
     }
     Ok(())
 }
 
 fn main() -> ExitCode {
     let mut host = Host::default();
-    let input = &mut io::BufReader::with_capacity(1 << 16, io::stdin().lock());
-    match run(&mut host, input, &mut io::stdout().lock()) {
-        Ok(()) => return ExitCode::SUCCESS,
-        Err(Stop::Wire(error)) => eprintln!("{error}"),
-        Err(Stop::Io(error)) => eprintln!("the wire broke: {error}"),
-        Err(Stop::Fatal) => eprintln!("a balancer failed; the last reply says how"),
+    let mut input = io::BufReader::with_capacity(INPUT_BUFFER_LENGTH, io::stdin().lock());
+    let mut output = io::stdout().lock();
+    match run(&mut host, &mut input, &mut output) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("{error}");
+            ExitCode::FAILURE
+        }
     }
-    ExitCode::FAILURE
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,5 +4,5 @@
 pub mod api;
 pub mod balancer;
 pub mod proxy;
+pub mod simulator;
 mod spread;
-pub mod wire;
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -4,7 +4,7 @@
 use super::limits::MAX_OPERATOR_CALLS;
 use super::logging::parse_filter;
 use crate::api::{Micros, Settings, SettingsError};
-use crate::wire::parse_settings;
+use crate::simulator::parse_settings;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
--- /dev/null
+++ b/src/simulator/mod.rs
@@ -0,0 +1,16 @@
+//! The simulator's protocol: how a simulated bench drives the decisions of many proxies in one process.
+//!
+//! The simulator writes batches of binary records and expects one reply to each. [`frames`] reads the records and
+//! writes the replies; [`settings`] reads the JSON text that configures a proxy, which the real proxy has in its
+//! configuration too. Nothing here decides anything or does I/O: the program `tillerproxy-simhost` does the I/O and
+//! passes events on to a [`Balancer`](crate::balancer::Balancer).
+//!
+//! The protocol's own names end here. What it calls `me` or `aimUs` is `proxy_index` and `latency_objective`
+//! everywhere else; `docs/GLOSSARY.md` has the pairs.
+
+mod error;
+pub mod frames;
+pub mod settings;
+
+pub use error::{FrameError, FrameErrorKind};
+pub use settings::parse_settings;
--- /dev/null
+++ b/src/simulator/settings/mod.rs
@@ -0,0 +1,137 @@
+//! Reads the settings of a proxy from JSON text.
+//!
+//! The simulator sends them when it starts a proxy; the real proxy has them in its configuration. `raw` has the keys as
+//! they are written; this module gives them the terms and types of [`crate::api`].
+
+mod raw;
+
+use crate::api::{
+    Class, DiscoveryMode, Idempotency, KeyScope, LoadReportFields, Permissions, SafetyLimits,
+    Settings, SettingsError, Tenant, Zone,
+};
+use raw::{RawClass, RawLoadReport, RawPermissions, RawSafety, RawSettings};
+
+/// Reads the settings from JSON text. Unknown keys are ignored.
+///
+/// # Errors
+/// Names the key that is missing or makes no sense.
+pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsError> {
+    let mut deserializer = serde_json::Deserializer::from_slice(json);
+    let raw: RawSettings =
+        serde_path_to_error::deserialize(&mut deserializer).map_err(|error| SettingsError {
+            field: error.path().to_string(),
+            problem: error.into_inner().to_string(),
+        })?;
+    let settings = convert(raw)?;
+    settings.validate()?;
+    Ok(settings)
+}
+
+fn convert(raw: RawSettings) -> Result<Settings, SettingsError> {
+    let mut classes = Vec::with_capacity(raw.classes.len());
+    for (index, class) in raw.classes.iter().enumerate() {
+        classes.push(convert_class(index, class)?);
+    }
+    let mut tenants = Vec::with_capacity(raw.tenants.len());
+    for tenant in &raw.tenants {
+        tenants.push(Tenant {
+            quota_per_s: tenant.quota_per_s,
+        });
+    }
+    Ok(Settings {
+        proxy_index: raw.proxy_index,
+        proxy_count: raw.proxy_count,
+        zone: Zone(raw.zone),
+        zone_count: raw.zones.len().max(1) as u16,
+        machine_type_count: raw.machine_types.len().clamp(1, usize::from(u8::MAX)) as u8,
+        discovery_mode: convert_discovery_mode(&raw.discovery_mode)?,
+        key_affinity: raw.backend_cache.key_affinity,
+        classes,
+        tenants,
+        over_quota_weight: raw.over_quota_weight,
+        cross_zone_cost: raw.costs.cross_zone,
+        health_check_cost: raw.costs.health_check,
+        load_report: convert_load_report(&raw.load_report),
+        load_report_by_health_check: raw.load_report.sent_with == "probe",
+        permissions: convert_permissions(&raw.permissions),
+        safety: convert_safety(&raw.safety),
+    })
+}
+
+fn convert_class(index: usize, raw: &RawClass) -> Result<Class, SettingsError> {
+    Ok(Class {
+        latency_objective: raw.latency_objective,
+        objective_work_factor: raw.objective_work_factor,
+        timeout: raw.timeout,
+        priority_weight: raw.priority_weight,
+        late_weight_factor: raw.late_weight_factor,
+        idempotency: convert_idempotency(index, raw)?,
+    })
+}
+
+fn convert_idempotency(index: usize, raw: &RawClass) -> Result<Idempotency, SettingsError> {
+    match raw.idempotency.as_str() {
+        "retryable" => Ok(Idempotency::Idempotent),
+        "fragile" => Ok(Idempotency::NonIdempotent),
+        "dedup" => Ok(Idempotency::Keyed {
+            scope: convert_key_scope(index, &raw.key_scope)?,
+            ttl: raw.key_ttl,
+        }),
+        other => Err(unknown_value(format!("classes[{index}].effect"), other)),
+    }
+}
+
+fn convert_key_scope(index: usize, raw: &str) -> Result<KeyScope, SettingsError> {
+    match raw {
+        "all" => Ok(KeyScope::AllBackends),
+        "zone" => Ok(KeyScope::Zone),
+        "cell" => Ok(KeyScope::Cell),
+        other => Err(unknown_value(format!("classes[{index}].group"), other)),
+    }
+}
+
+fn convert_discovery_mode(raw: &str) -> Result<DiscoveryMode, SettingsError> {
+    match raw {
+        "pushed" => Ok(DiscoveryMode::Pushed),
+        "on_request" => Ok(DiscoveryMode::Polled),
+        other => Err(unknown_value("membershipMode".into(), other)),
+    }
+}
+
+fn convert_load_report(raw: &RawLoadReport) -> LoadReportFields {
+    let position = |name: &str| raw.fields.iter().position(|field| field == name);
+    LoadReportFields {
+        in_flight: position("active"),
+        queued: position("waiting"),
+        service_time_ms: position("avg_ms"),
+    }
+}
+
+fn convert_permissions(raw: &RawPermissions) -> Permissions {
+    Permissions {
+        max_attempts: raw.max_attempts,
+        hedging: raw.hedging,
+        cancellation: raw.cancellation,
+        health_checks: raw.health_checks,
+        idle_timeout: raw.idle_timeout,
+        requests_per_connection: raw.requests_per_connection,
+        max_retry_after: raw.retry_after.then_some(raw.max_retry_after),
+    }
+}
+
+fn convert_safety(raw: &RawSafety) -> SafetyLimits {
+    SafetyLimits {
+        poll_interval: raw.poll_interval,
+        slow_start_initial_capacity: raw.slow_start_initial_capacity,
+        slow_start_duration: raw.slow_start_duration,
+        collapse_load_factor: raw.collapse_load_factor,
+        collapse_time: raw.collapse_time,
+    }
+}
+
+fn unknown_value(field: String, value: &str) -> SettingsError {
+    SettingsError {
+        field,
+        problem: format!("unknown value `{value}`"),
+    }
+}
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -13,7 +13,7 @@
 use tillerproxy::proxy::discovery::{Asked, Translator, Watcher};
 use tillerproxy::proxy::driver::{Driver, Limits};
 use tillerproxy::proxy::lifecycle::Lifecycle;
-use tillerproxy::wire::parse_settings;
+use tillerproxy::simulator::parse_settings;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,7 +1,10 @@
 //! The wire by bytes: what the codec reads and writes, and what it says of bad input.
 
 use tillerproxy::api::*;
-use tillerproxy::wire::{self, BatchReader, Record, ReplyWriter, Scope};
+use tillerproxy::simulator::frames::{
+    BatchReader, ListId, ProxyId, Record, ReplyWriter, UpdateKind,
+};
+use tillerproxy::simulator::{FrameError, parse_settings};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -10,9 +13,9 @@
     digits.chunks(2).map(pair).collect()
 }
 
-fn records(text: &str) -> Result<Vec<Record<'static>>, wire::WireError> {
+fn records(text: &str) -> Result<Vec<Record<'static>>, FrameError> {
     let bytes: &'static [u8] = hex(text).leak();
-    let (mut reader, _) = BatchReader::new(bytes)?;
+    let mut reader = BatchReader::new(bytes)?;
     let mut all = Vec::new();
     while let Some(record) = reader.next_record()? {
         all.push(record);
@@ -23,8 +26,8 @@
 #[test]
 fn an_empty_batch_has_a_clock_and_an_empty_reply() {
     let bytes = hex("00000000 00000008 0000000000805c5a");
-    let (mut reader, clock) = BatchReader::new(&bytes).expect("a whole batch");
-    assert_eq!(clock, 0x0080_5c5a);
+    let mut reader = BatchReader::new(&bytes).expect("a whole batch");
+    assert_eq!(reader.clock(), 0x0080_5c5a);
     assert_eq!(reader.next_record(), Ok(None));
     assert_eq!(ReplyWriter::default().finish(), hex("00000000"));
 }
@@ -40,8 +43,10 @@
          08 00000004 0e6f2b19",
     )
     .expect("a good batch");
-    assert_eq!(read[0], Record::SwitchTo(3));
-    let request = read[1].request().expect("a request");
+    assert_eq!(read[0], Record::SelectProxy(ProxyId(3)));
+    let Some(Event::Request(request)) = read[1].event() else {
+        panic!("{:?}", read[1])
+    };
     assert_eq!(
         (request.id, request.class, request.tenant),
         (0x5d3a_91c4, ClassIndex(0), TenantIndex(0))
@@ -57,9 +62,9 @@
     assert_eq!(
         read[2..],
         [
-            Record::Wakeup(77),
-            Record::SwitchTo(5),
-            Record::Vanished(0x0e6f_2b19)
+            Record::TimerFired { token: 77 },
+            Record::SelectProxy(ProxyId(5)),
+            Record::ClientDisconnected(0x0e6f_2b19)
         ]
     );
 }
@@ -75,10 +80,14 @@
          04 00000016 5d3a91c4 03124a07 01 012e 0002 00004844 01 40200000",
     )
     .expect("a good batch");
-    let Record::Page { list: 0, entries } = read[0] else {
+    let Record::EndpointList {
+        list: ListId(0),
+        endpoints,
+    } = read[0]
+    else {
         panic!("{:?}", read[0])
     };
-    let entries = wire::parse_entries(entries).expect("good entries");
+    let entries = endpoints.parse().expect("good entries");
     assert_eq!(
         (entries[0].id, entries[0].zone, entries[0].started_at),
         (0x0312_4a07, Zone(0), None)
@@ -87,19 +96,19 @@
     assert_eq!(entries[1].readiness, Readiness::Draining);
     assert_eq!(
         read[1],
-        Record::Membership {
-            scope: Scope::Cached,
-            list: 0
+        Record::MembershipUpdate {
+            kind: UpdateKind::Cached,
+            list: ListId(0)
         }
     );
-    let expected = Record::Settled {
+    let expected = Record::AttemptEnded {
         request: 0x5d3a_91c4,
         backend: 0x0312_4a07,
         attempt: 2,
         outcome: Outcome::Rejected,
-        closed: true,
+        request_answered: true,
         elapsed: 0x4844,
-        report: vec![2.5],
+        load_report: vec![2.5],
     };
     assert_eq!(read[2], expected);
 }
@@ -115,8 +124,8 @@
     let count = records("00000000 0000000f 0000000000805c5a 08 00000002 0000")
         .expect_err("more than counted");
     assert_eq!(
-        (count.offset, count.expected.as_str()),
-        (16, "the end of the batch")
+        (count.offset, count.kind.to_string().as_str()),
+        (16, "expected the end of the batch")
     );
     let length = records("00000000 00000009 0000000000805c5a").expect_err("a byte is missing");
     assert_eq!(length.offset, 4);
@@ -132,7 +141,10 @@
 fn unknown_records_are_stepped_over() {
     let read =
         records("00000002 0000001c 0000000000805c5a c8 00000006 010203040506 06 00000004 00000001");
-    assert_eq!(read, Ok(vec![Record::Unknown(200), Record::Wakeup(1)]));
+    assert_eq!(
+        read,
+        Ok(vec![Record::Unknown(200), Record::TimerFired { token: 1 }])
+    );
 }
 
 #[test]
@@ -144,15 +156,18 @@
         deadline: 0x8194da,
         write_deadline: None,
     };
-    reply.action(3, &send);
+    reply.action(ProxyId(3), &send);
     reply.action(
-        3,
+        ProxyId(3),
         &Action::SetTimer {
             after: 500_000,
             token: 77,
         },
     );
-    reply.action(5, &Action::Log(LogEvent::Readmitted { backend: 9 }));
+    reply.action(
+        ProxyId(5),
+        &Action::Log(LogEvent::Readmitted { backend: 9 }),
+    );
     let expected = "00000061
         4c 00000002 0003
         40 00000010 5d3a91c4 00000000008194da 03124a07
@@ -161,24 +176,24 @@
         48 0000002c 002a 726561646d6974746564206261636b656e642039206166746572206120747269616c2072657175657374";
     assert_eq!(reply.finish(), hex(expected));
     reply.action(
-        1,
+        ProxyId(1),
         &Action::Reject {
             request: 1,
             retry_after: 2,
         },
     );
-    reply.action(1, &Action::Fail { request: 1 });
+    reply.action(ProxyId(1), &Action::Fail { request: 1 });
     reply.action(
-        1,
+        ProxyId(1),
         &Action::Cancel {
             request: 1,
             attempt: 3,
         },
     );
-    reply.action(1, &Action::HealthCheck(9));
-    reply.action(1, &Action::Subscribe);
-    reply.action(1, &Action::CloseIdleConnections(9));
-    reply.fatal(1, "x");
+    reply.action(ProxyId(1), &Action::HealthCheck(9));
+    reply.action(ProxyId(1), &Action::Subscribe);
+    reply.action(ProxyId(1), &Action::CloseIdleConnections(9));
+    reply.fatal(ProxyId(1), "x");
     let expected = "00000048 4c 00000002 0001
         41 00000008 00000001 00000002
         42 00000004 00000001
@@ -202,7 +217,7 @@
 
 #[test]
 fn settings_are_read_and_unknown_keys_passed_over() {
-    let settings = wire::parse_settings(SETTINGS.as_bytes()).expect("good settings");
+    let settings = parse_settings(SETTINGS.as_bytes()).expect("good settings");
     assert!(settings.discovery_mode == DiscoveryMode::Polled && settings.key_affinity);
     assert_eq!(
         (
@@ -256,13 +271,13 @@
         let json = SETTINGS.replace(good, bad);
         assert_ne!(json, SETTINGS);
         assert_eq!(
-            wire::parse_settings(json.as_bytes())
+            parse_settings(json.as_bytes())
                 .expect_err("it makes no sense")
                 .field,
             field
         );
     }
-    let missing = wire::parse_settings(SETTINGS.replace("\"safety\"", "\"sagety\"").as_bytes());
+    let missing = parse_settings(SETTINGS.replace("\"safety\"", "\"sagety\"").as_bytes());
     assert!(
         missing
             .expect_err("a key is missing")
