--- a/tests/host.rs
+++ b/tests/host.rs
@@ -1,4 +1,4 @@
-//! The built host end to end: whole conversations over its pipes, by bytes.
+//! The program `tillerproxy-simhost` end to end: complete conversations over its pipes, by bytes.
 
 use std::io::{Read, Write};
 use std::process::{Command, Output, Stdio};
@@ -24,11 +24,11 @@
     [header, clock.to_be_bytes().to_vec(), body].concat()
 }
 
-fn switch_to(instance: u16) -> Vec<u8> {
-    record(2, &[&instance.to_be_bytes()])
+fn select_proxy(proxy: u16) -> Vec<u8> {
+    record(2, &[&proxy.to_be_bytes()])
 }
 
-fn power_on(settings: &str) -> Vec<u8> {
+fn start_proxy(settings: &str) -> Vec<u8> {
     record(
         9,
         &[
@@ -39,7 +39,7 @@
     )
 }
 
-fn page(list: u16, backends: &[u32]) -> Vec<u8> {
+fn endpoint_list(list: u16, backends: &[u32]) -> Vec<u8> {
     let entry = |id: &u32| {
         [
             &id.to_be_bytes()[..],
@@ -63,11 +63,11 @@
     record(7, &[&[scope], &1_u32.to_be_bytes(), &list.to_be_bytes()])
 }
 
-fn inbound(request: u32) -> Vec<u8> {
+fn request(id: u32) -> Vec<u8> {
     record(
         11,
         &[
-            &request.to_be_bytes(),
+            &id.to_be_bytes(),
             &[0; 11],
             &400_000_u32.to_be_bytes(),
             &[0; 5],
@@ -90,7 +90,7 @@
     output
 }
 
-/// The records of each reply: (instance, code, fields).
+/// Returns the records of each reply: (proxy, code, fields).
 fn replies(mut bytes: &[u8]) -> Vec<Vec<(u16, u8, Vec<u8>)>> {
     let mut all = Vec::new();
     while !bytes.is_empty() {
@@ -114,33 +114,33 @@
 }
 
 fn backend_of_send(record: &(u16, u8, Vec<u8>)) -> u32 {
-    assert_eq!(record.1, 64, "a submit_to");
+    assert_eq!(record.1, 64, "a send (`submit_to`)");
     u32::from_be_bytes(record.2[12..16].try_into().expect("four bytes"))
 }
 
 #[test]
-fn empty_batches_get_empty_replies_and_the_end_of_input_ends_it() {
+fn empty_batches_get_empty_replies_and_the_end_of_input_ends_the_host() {
     let output = run(&[batch(1, &[]), batch(2, &[])].concat());
     assert!(output.status.success() && output.stderr.is_empty());
     assert_eq!(output.stdout, [0; 8]);
 }
 
 #[test]
-fn a_page_number_reused_within_a_batch_means_what_came_last_before_it() {
+fn an_endpoint_list_number_reused_within_a_batch_means_the_last_list_before_it() {
     let start = [
-        switch_to(3),
-        power_on(SETTINGS),
-        page(0, &[10]),
+        select_proxy(3),
+        start_proxy(SETTINGS),
+        endpoint_list(0, &[10]),
         membership(2, 0),
     ];
     let other = [
-        switch_to(4),
-        power_on(SETTINGS),
-        page(0, &[20]),
+        select_proxy(4),
+        start_proxy(SETTINGS),
+        endpoint_list(0, &[20]),
         membership(2, 0),
     ];
-    let asks = [switch_to(3), inbound(1), switch_to(4), inbound(1)];
-    let output = run(&batch(5, &[&start[..], &other, &asks].concat()));
+    let requests = [select_proxy(3), request(1), select_proxy(4), request(1)];
+    let output = run(&batch(5, &[&start[..], &other, &requests].concat()));
     let sends: Vec<_> = replies(&output.stdout)[0]
         .iter()
         .filter(|r| r.1 == 64)
@@ -151,20 +151,20 @@
 }
 
 #[test]
-fn a_killed_instance_starts_anew_in_the_same_batch_and_knows_nothing_of_before() {
+fn a_crashed_proxy_restarts_in_the_same_batch_without_its_state() {
     let start = [
-        switch_to(0),
-        power_on(SETTINGS),
-        page(1, &[10]),
+        select_proxy(0),
+        start_proxy(SETTINGS),
+        endpoint_list(1, &[10]),
         membership(2, 1),
-        inbound(1),
+        request(1),
     ];
     let again = [
         record(5, &[]),
-        power_on(SETTINGS),
-        page(2, &[11]),
+        start_proxy(SETTINGS),
+        endpoint_list(2, &[11]),
         membership(2, 2),
-        inbound(1),
+        request(1),
     ];
     let output = run(&batch(5, &[&start[..], &again].concat()));
     let sends: Vec<_> = replies(&output.stdout)[0]
@@ -176,39 +176,39 @@
 }
 
 #[test]
-fn batches_of_megabytes_are_answered() {
+fn batches_of_several_megabytes_are_answered() {
     let mut records = vec![
-        switch_to(0),
-        power_on(SETTINGS),
-        page(0, &[1, 2, 3]),
+        select_proxy(0),
+        start_proxy(SETTINGS),
+        endpoint_list(0, &[1, 2, 3]),
         membership(2, 0),
     ];
-    records.extend((0..60_000).map(inbound));
+    records.extend((0..60_000).map(request));
     let output = run(&batch(5, &records));
     assert!(output.status.success());
     assert!(
         replies(&output.stdout)[0].len() >= 60_000,
-        "each request is sent, held or refused"
+        "each request is sent, queued or rejected"
     );
 }
 
 #[test]
-fn instances_act_alike_together_and_apart() {
-    let events = |instance: u16, clock: u64| {
-        let mut records = vec![switch_to(instance)];
+fn proxies_act_alike_together_and_apart() {
+    let events = |proxy: u16, clock: u64| {
+        let mut records = vec![select_proxy(proxy)];
         if clock == 0 {
             records.extend([
-                power_on(SETTINGS),
-                page(0, &[1, 2, 3, 4, 5]),
+                start_proxy(SETTINGS),
+                endpoint_list(0, &[1, 2, 3, 4, 5]),
                 membership(2, 0),
             ]);
         }
-        records.extend((0..20).map(|n| inbound(clock as u32 * 100 + n)));
+        records.extend((0..20).map(|n| request(clock as u32 * 100 + n)));
         records
     };
-    let conversation = |instances: &[u16]| {
+    let conversation = |proxies: &[u16]| {
         let all = |clock| {
-            instances
+            proxies
                 .iter()
                 .flat_map(|&i| events(i, clock))
                 .collect::<Vec<_>>()
@@ -223,27 +223,33 @@
         replies(&run(&conversation(&[0, 1, 2])).stdout),
         "the same events, the same actions"
     );
-    for instance in 0..3 {
-        let alone = replies(&run(&conversation(&[instance])).stdout);
+    for proxy in 0..3 {
+        let alone = replies(&run(&conversation(&[proxy])).stdout);
         for (all, own) in together.iter().zip(&alone) {
-            assert!(all.iter().filter(|r| r.0 == instance).eq(own));
+            assert!(all.iter().filter(|r| r.0 == proxy).eq(own));
         }
     }
 }
 
 #[test]
-fn bad_input_gives_one_plain_line_and_a_failure() {
-    let cut = batch(5, &[switch_to(0)]);
+fn malformed_input_ends_the_host_with_one_line_and_a_failure() {
+    let cut = batch(5, &[select_proxy(0)]);
     for (input, says) in [
         (
             &cut[..cut.len() - 1],
             "expected 15 bytes behind the batch header",
         ),
         (&cut[..5], "expected a batch header"),
-        (&batch(5, &[switch_to(9), inbound(1)])[..], "9 does not run"),
-        (&batch(5, &[inbound(1)])[..], "expected a `switch_to`"),
         (
-            &batch(5, &[switch_to(0), power_on(SETTINGS), membership(1, 7)])[..],
+            &batch(5, &[select_proxy(9), request(1)])[..],
+            "9 does not run",
+        ),
+        (&batch(5, &[request(1)])[..], "expected a `switch_to`"),
+        (
+            &batch(
+                5,
+                &[select_proxy(0), start_proxy(SETTINGS), membership(1, 7)],
+            )[..],
             "7 was not",
         ),
     ] {
@@ -257,12 +263,12 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_become_fatal() {
+fn invalid_settings_are_reported_as_fatal() {
     let output = run(&batch(
         5,
         &[
-            switch_to(6),
-            power_on(&SETTINGS.replace("retryable", "maybe")),
+            select_proxy(6),
+            start_proxy(&SETTINGS.replace("retryable", "maybe")),
         ],
     ));
     let last = replies(&output.stdout).concat().pop().expect("a record");
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,7 @@
-//! Settings of other customers: all that tells one deployment from another is taken from the configuration.
+//! Settings of other deployments: everything that distinguishes them comes from the configuration.
 
 use serde_json::{Value, json};
-use tillerproxy::api::{Idempotency, KeyScope};
+use tillerproxy::api::{DiscoveryMode, Idempotency, KeyScope};
 use tillerproxy::proxy::config::Config;
 
 fn config(settings: &Value) -> Value {
@@ -13,13 +13,14 @@
     Config::parse(config.to_string().as_bytes(), |_| None, false).map_err(|e| e.to_string())
 }
 
-fn class(name: &str, effect: &str, group: &str, times_ms: [u64; 3]) -> Value {
-    let [aim, deadline, ttl] = times_ms.map(|ms| ms * 1_000);
-    json!({"name": name, "aimUs": aim, "deadlineUs": deadline, "worth": 2.0, "lateWorth": 0.2, "streamed": false,
+fn class(name: &str, effect: &str, group: &str, durations_ms: [u64; 3]) -> Value {
+    let [objective, timeout, ttl] = durations_ms.map(|ms| ms * 1_000);
+    json!({"name": name, "aimUs": objective, "deadlineUs": timeout, "worth": 2.0, "lateWorth": 0.2, "streamed": false,
            "effect": effect, "group": group, "keyTtlUs": ttl})
 }
 
-/// Lists are pushed, nobody has a share, repeats are dropped in parts of the fleet only, nothing may be cancelled.
+/// Endpoint lists are pushed, no tenant has a quota, idempotency keys hold in parts of the backends only, nothing may be
+/// cancelled.
 fn ferries() -> Value {
     json!({"me": 3, "balancers": 6, "zone": 1, "failureDomains": ["bryggen", "laksevag"],
         "kinds": ["fast", "standard", "small"], "membershipMode": "pushed", "tenants": [],
@@ -32,7 +33,7 @@
                    "fallMultiple": 2.5, "fallUs": 3_000_000}})
 }
 
-/// Discovery is asked, nothing may run twice, deadlines are short.
+/// Discovery is polled, no request is idempotent, timeouts are short.
 fn ticketing() -> Value {
     let mut settings = ferries();
     settings["membershipMode"] = "on_request".into();
@@ -52,16 +53,16 @@
 }
 
 #[test]
-fn settings_of_unlike_customers_are_taken_as_they_are() {
+fn settings_of_different_deployments_are_read() {
     let ferries = parse(&config(&ferries())).expect("good settings");
-    let effects: Vec<_> = ferries
+    let idempotency: Vec<_> = ferries
         .settings
         .classes
         .iter()
         .map(|c| c.idempotency)
         .collect();
     assert_eq!(
-        effects,
+        idempotency,
         [
             Idempotency::Idempotent,
             Idempotency::Keyed {
@@ -80,7 +81,7 @@
     );
     assert!(
         ferries.names.tenants.is_empty()
-            && ferries.settings.discovery_mode == tillerproxy::api::DiscoveryMode::Pushed
+            && ferries.settings.discovery_mode == DiscoveryMode::Pushed
     );
     assert_eq!(
         (
@@ -112,7 +113,7 @@
     );
     assert_eq!(ticketing.names.tenants, ["umeda-hall", "street-kiosks"]);
     assert!(
-        ticketing.settings.discovery_mode == tillerproxy::api::DiscoveryMode::Polled
+        ticketing.settings.discovery_mode == DiscoveryMode::Polled
             && ticketing.settings.load_report_by_health_check
     );
     assert_eq!(
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_told_by_the_name_of_their_field() {
+fn invalid_settings_are_reported_by_the_name_of_their_field() {
     let wrong: [(&str, Value, &str); 14] = [
         (
             "/settings/classes/1/deadlineUs",
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire by bytes: what the codec reads and writes, and what it says of bad input.
+//! The simulator's protocol by bytes: what is read and written, and the errors for malformed input.
 
 use tillerproxy::api::*;
 use tillerproxy::simulator::frames::{
@@ -26,14 +26,14 @@
 #[test]
 fn an_empty_batch_has_a_clock_and_an_empty_reply() {
     let bytes = hex("00000000 00000008 0000000000805c5a");
-    let mut reader = BatchReader::new(&bytes).expect("a whole batch");
+    let mut reader = BatchReader::new(&bytes).expect("a complete batch");
     assert_eq!(reader.clock(), 0x0080_5c5a);
     assert_eq!(reader.next_record(), Ok(None));
     assert_eq!(ReplyWriter::default().finish(), hex("00000000"));
 }
 
 #[test]
-fn events_of_two_instances_are_read_in_order() {
+fn events_of_two_proxies_are_read_in_order() {
     let read = records(
         "00000005 00000045 0000000000805c5a
          02 00000002 0003
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn lists_and_outcomes_are_read() {
+fn endpoint_lists_and_outcomes_are_read() {
     let read = records(
         "00000003 00000066 0000000000805c5a
          00 00000032 0000 00000002
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn bad_input_is_named_with_its_offset() {
+fn malformed_input_is_reported_with_its_offset() {
     let cut =
         records("00000001 0000000d 0000000000805c5a 06 00000004").expect_err("fields are missing");
     assert_eq!(cut.offset, 16);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn unknown_records_are_stepped_over() {
+fn unknown_records_are_skipped() {
     let read =
         records("00000002 0000001c 0000000000805c5a c8 00000006 010203040506 06 00000004 00000001");
     assert_eq!(
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn actions_are_written_as_the_wire_says() {
+fn actions_are_written_as_the_protocol_says() {
     let mut reply = ReplyWriter::default();
     let send = Action::Send {
         request: 0x5d3a_91c4,
@@ -216,7 +216,7 @@
   "safety": {"askWithinUs": 10000000, "coldFrom": 0.33, "coldUs": 8199999, "fallMultiple": 3.0, "fallUs": 2000000}}"#;
 
 #[test]
-fn settings_are_read_and_unknown_keys_passed_over() {
+fn settings_are_read_and_unknown_keys_ignored() {
     let settings = parse_settings(SETTINGS.as_bytes()).expect("good settings");
     assert!(settings.discovery_mode == DiscoveryMode::Polled && settings.key_affinity);
     assert_eq!(
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused_by_name() {
+fn invalid_settings_are_rejected_by_name() {
     let swaps = [
         (r#""balancers": 5"#, r#""balancers": 0"#, "balancers"),
         (r#""aimUs": 500000"#, r#""aimUs": 0"#, "classes[0].aim"),
