--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -137,6 +137,85 @@
     assert_eq!(outcome.offset, 21);
 }
 
+#[test]
+fn an_unknown_readiness_is_reported_with_its_offset_in_the_batch() {
+    let read = records(
+        "00000001 0000003f 0000000000805c5a
+         00 00000032 0000 00000002
+            03124a07 0000 00 0000 01 3f800000 0000000000000000
+            2c9011f2 0001 00 0000 03 3fc00000 00000000005d1420",
+    );
+    let read = read.expect("the frames are complete");
+    let Record::EndpointList { endpoints, .. } = read[0] else {
+        panic!("{:?}", read[0])
+    };
+    let error = endpoints.parse().expect_err("3 is no readiness");
+    assert_eq!(
+        error.to_string(),
+        "bad input at byte 58 of the batch: expected a readiness of 0 to 2, not 3"
+    );
+}
+
+#[test]
+fn an_unknown_kind_of_membership_update_is_reported() {
+    let error = records("00000001 00000014 0000000000805c5a 07 00000007 04 00000029 0000")
+        .expect_err("4 is no kind of update");
+    assert_eq!(
+        error.to_string(),
+        "bad input at byte 21 of the batch: expected a scope of 0 to 3, not 4"
+    );
+}
+
+#[test]
+fn records_give_their_events() {
+    let read = records(
+        "00000006 00000079 0000000000805c5a
+         03 0000000e 00000011 00000000 0002 00000013
+         04 0000001a 00000021 00000022 00 0131 0003 00000024 02 3f800000 40000000
+         01 0000000b 0064 00000000 00000031 00
+         08 00000004 00000041
+         06 00000004 00000051
+         0b 00000018 00000061 02 0003 0000000000000000 00000064 00000065 02",
+    )
+    .expect("a good batch");
+    let expected = [
+        Event::ResponseStarted {
+            request: 0x11,
+            attempt: 2,
+            elapsed: 0x13,
+        },
+        Event::AttemptEnded(AttemptEnd {
+            request: 0x21,
+            backend: 0x22,
+            attempt: 3,
+            outcome: Outcome::Reset,
+            request_answered: false,
+            elapsed: 0x24,
+            load_report: &[1.0, 2.0],
+            body_consumed: false,
+        }),
+        Event::HealthChecked {
+            backend: 0x31,
+            outcome: Outcome::Ok,
+            load_report: &[],
+        },
+        Event::ClientDisconnected(0x41),
+        Event::Timer(0x51),
+        Event::Request(Request {
+            id: 0x61,
+            class: ClassIndex(2),
+            tenant: TenantIndex(3),
+            key: None,
+            timeout: 0x64,
+            expected_work: None,
+            is_retry: true,
+        }),
+    ];
+    let events: Vec<Event<'_>> = read.iter().filter_map(Record::event).collect();
+    assert_eq!(format!("{events:?}"), format!("{expected:?}"));
+    assert!(Record::CrashProxy.event().is_none() && Record::Gossip.event().is_none());
+}
+
 #[test]
 fn unknown_records_are_skipped() {
     let read =
@@ -245,6 +324,73 @@
     assert_eq!(settings.tenants[0].quota_per_s, 12.5);
 }
 
+#[test]
+fn each_key_of_the_settings_sets_its_own_field() {
+    let json = r#"{"me": 2, "balancers": 5, "zone": 1, "failureDomains": ["a", "b", "c"], "kinds": ["x", "y"],
+        "membershipMode": "pushed", "familyInfo": {"warmKeys": true}, "overShareWorth": 0.11,
+        "classes": [{"aimUs": 21, "aimStretch": 0.22, "deadlineUs": 23, "worth": 24.0, "lateWorth": 0.25,
+                     "effect": "dedup", "group": "zone", "keyTtlUs": 26}],
+        "tenants": [{"allowancePerS": 31.0}, {}], "penalties": {"crossZone": 0.41, "probe": 0.42},
+        "loadReport": {"fields": ["waiting", "other", "active", "avg_ms"], "via": "probe"},
+        "permissions": {"maxAttempts": 51, "secondCopies": false, "cancel": true, "probes": false, "connIdleUs": 52,
+                        "multiplex": 53, "retryAfter": true, "maxRetryAfterUs": 54},
+        "safety": {"askWithinUs": 61, "coldFrom": 0.62, "coldUs": 63, "fallMultiple": 64.0, "fallUs": 65}}"#;
+    let expected = Settings {
+        proxy_index: 2,
+        proxy_count: 5,
+        zone: Zone(1),
+        zone_count: 3,
+        machine_type_count: 2,
+        discovery_mode: DiscoveryMode::Pushed,
+        key_affinity: true,
+        classes: vec![Class {
+            latency_objective: 21,
+            objective_work_factor: 0.22,
+            timeout: 23,
+            priority_weight: 24.0,
+            late_weight_factor: 0.25,
+            idempotency: Idempotency::Keyed {
+                scope: KeyScope::Zone,
+                ttl: 26,
+            },
+        }],
+        tenants: vec![Tenant { quota_per_s: 31.0 }, Tenant { quota_per_s: 0.0 }],
+        over_quota_weight: 0.11,
+        cross_zone_cost: 0.41,
+        health_check_cost: 0.42,
+        load_report: LoadReportFields {
+            in_flight: Some(2),
+            queued: Some(0),
+            service_time_ms: Some(3),
+        },
+        load_report_by_health_check: true,
+        permissions: Permissions {
+            max_attempts: 51,
+            hedging: false,
+            cancellation: true,
+            health_checks: false,
+            idle_timeout: 52,
+            requests_per_connection: 53,
+            max_retry_after: Some(54),
+        },
+        safety: SafetyLimits {
+            poll_interval: 61,
+            slow_start_initial_capacity: 0.62,
+            slow_start_duration: 63,
+            collapse_load_factor: 64.0,
+            collapse_time: 65,
+        },
+    };
+    let settings = parse_settings(json.as_bytes()).expect("good settings");
+    assert_eq!(format!("{settings:?}"), format!("{expected:?}"));
+    for (key, field) in [("secondCopies", "hedging"), ("probes", "health_checks")] {
+        let permitted = json.replace(&format!("\"{key}\": false"), &format!("\"{key}\": true"));
+        let settings = parse_settings(permitted.as_bytes()).expect("good settings");
+        let text = format!("{:?}", settings.permissions);
+        assert!(text.contains(&format!("{field}: true")), "{text}");
+    }
+}
+
 #[test]
 fn invalid_settings_are_rejected_by_name() {
     let swaps = [
