--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -15,7 +15,7 @@
 use tillerproxy::proxy::discovery::{Polling, Translator, Watcher};
 use tillerproxy::proxy::driver::{Driver, DriverSettings};
 use tillerproxy::proxy::lifecycle::Lifecycle;
-use tillerproxy::wire::parse_settings;
+use tillerproxy::simulator::parse_settings;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,7 +1,10 @@
-//! The wire by bytes: what the codec reads and writes, and what it says of bad input.
+//! The simulator's protocol by bytes: what is read and written, and the errors for malformed input.
 
 use tillerproxy::api::*;
-use tillerproxy::wire::{self, BatchReader, Record, ReplyWriter, Scope};
+use tillerproxy::simulator::frames::{
+    BatchReader, ListId, ProxyId, Record, ReplyWriter, UpdateKind,
+};
+use tillerproxy::simulator::{FrameError, parse_settings};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -10,9 +13,9 @@
     digits.chunks(2).map(pair).collect()
 }
 
-fn records(text: &str) -> Result<Vec<Record<'static>>, wire::WireError> {
+fn records(text: &str) -> Result<Vec<Record<'static>>, FrameError> {
     let bytes: &'static [u8] = hex(text).leak();
-    let (mut reader, _) = BatchReader::new(bytes)?;
+    let mut reader = BatchReader::new(bytes)?;
     let mut all = Vec::new();
     while let Some(record) = reader.next_record()? {
         all.push(record);
@@ -23,14 +26,14 @@
 #[test]
 fn an_empty_batch_has_a_clock_and_an_empty_reply() {
     let bytes = hex("00000000 00000008 0000000000805c5a");
-    let (mut reader, clock) = BatchReader::new(&bytes).expect("a whole batch");
-    assert_eq!(clock, 0x0080_5c5a);
+    let mut reader = BatchReader::new(&bytes).expect("a complete batch");
+    assert_eq!(reader.clock(), 0x0080_5c5a);
     assert_eq!(reader.next_record(), Ok(None));
     assert_eq!(ReplyWriter::default().finish(), hex("00000000"));
 }
 
 #[test]
-fn events_of_two_instances_are_read_in_order() {
+fn events_of_two_proxies_are_read_in_order() {
     let read = records(
         "00000005 00000045 0000000000805c5a
          02 00000002 0003
@@ -40,8 +43,10 @@
          08 00000004 0e6f2b19",
     )
     .expect("a good batch");
-    assert_eq!(read[0], Record::SwitchTo(3));
-    let request = read[1].request().expect("a request");
+    assert_eq!(read[0], Record::SelectProxy(ProxyId(3)));
+    let Some(Event::Request(request)) = read[1].event() else {
+        panic!("{:?}", read[1])
+    };
     assert_eq!(
         (request.id, request.class, request.tenant),
         (0x5d3a_91c4, ClassIndex(0), TenantIndex(0))
@@ -57,15 +62,15 @@
     assert_eq!(
         read[2..],
         [
-            Record::Wakeup(77),
-            Record::SwitchTo(5),
-            Record::Vanished(0x0e6f_2b19)
+            Record::TimerFired { token: 77 },
+            Record::SelectProxy(ProxyId(5)),
+            Record::ClientDisconnected(0x0e6f_2b19)
         ]
     );
 }
 
 #[test]
-fn lists_and_outcomes_are_read() {
+fn endpoint_lists_and_outcomes_are_read() {
     let read = records(
         "00000003 00000066 0000000000805c5a
          00 00000032 0000 00000002
@@ -75,10 +80,14 @@
          04 00000016 5d3a91c4 03124a07 01 012e 0002 00004844 01 40200000",
     )
     .expect("a good batch");
-    let Record::Page { list: 0, entries } = read[0] else {
+    let Record::EndpointList {
+        list: ListId(0),
+        endpoints,
+    } = read[0]
+    else {
         panic!("{:?}", read[0])
     };
-    let entries = wire::parse_entries(entries).expect("good entries");
+    let entries = endpoints.parse().expect("good entries");
     assert_eq!(
         (entries[0].id, entries[0].zone, entries[0].started_at),
         (0x0312_4a07, Zone(0), None)
@@ -87,25 +96,25 @@
     assert_eq!(entries[1].readiness, Readiness::Draining);
     assert_eq!(
         read[1],
-        Record::Membership {
-            scope: Scope::Cached,
-            list: 0
+        Record::MembershipUpdate {
+            kind: UpdateKind::Cached,
+            list: ListId(0)
         }
     );
-    let expected = Record::Settled {
+    let expected = Record::AttemptEnded {
         request: 0x5d3a_91c4,
         backend: 0x0312_4a07,
         attempt: 2,
         outcome: Outcome::Rejected,
-        closed: true,
+        request_answered: true,
         elapsed: 0x4844,
-        report: vec![2.5],
+        load_report: vec![2.5],
     };
     assert_eq!(read[2], expected);
 }
 
 #[test]
-fn bad_input_is_named_with_its_offset() {
+fn malformed_input_is_reported_with_its_offset() {
     let cut =
         records("00000001 0000000d 0000000000805c5a 06 00000004").expect_err("fields are missing");
     assert_eq!(cut.offset, 16);
@@ -115,8 +124,8 @@
     let count = records("00000000 0000000f 0000000000805c5a 08 00000002 0000")
         .expect_err("more than counted");
     assert_eq!(
-        (count.offset, count.expected.as_str()),
-        (16, "the end of the batch")
+        (count.offset, count.kind.to_string().as_str()),
+        (16, "expected the end of the batch")
     );
     let length = records("00000000 00000009 0000000000805c5a").expect_err("a byte is missing");
     assert_eq!(length.offset, 4);
@@ -129,14 +138,96 @@
 }
 
 #[test]
-fn unknown_records_are_stepped_over() {
+fn an_unknown_readiness_is_reported_with_its_offset_in_the_batch() {
+    let read = records(
+        "00000001 0000003f 0000000000805c5a
+         00 00000032 0000 00000002
+            03124a07 0000 00 0000 01 3f800000 0000000000000000
+            2c9011f2 0001 00 0000 03 3fc00000 00000000005d1420",
+    );
+    let read = read.expect("the frames are complete");
+    let Record::EndpointList { endpoints, .. } = read[0] else {
+        panic!("{:?}", read[0])
+    };
+    let error = endpoints.parse().expect_err("3 is no readiness");
+    assert_eq!(
+        error.to_string(),
+        "bad input at byte 58 of the batch: expected a readiness of 0 to 2, not 3"
+    );
+}
+
+#[test]
+fn an_unknown_kind_of_membership_update_is_reported() {
+    let error = records("00000001 00000014 0000000000805c5a 07 00000007 04 00000029 0000")
+        .expect_err("4 is no kind of update");
+    assert_eq!(
+        error.to_string(),
+        "bad input at byte 21 of the batch: expected a scope of 0 to 3, not 4"
+    );
+}
+
+#[test]
+fn records_give_their_events() {
+    let read = records(
+        "00000006 00000079 0000000000805c5a
+         03 0000000e 00000011 00000000 0002 00000013
+         04 0000001a 00000021 00000022 00 0131 0003 00000024 02 3f800000 40000000
+         01 0000000b 0064 00000000 00000031 00
+         08 00000004 00000041
+         06 00000004 00000051
+         0b 00000018 00000061 02 0003 0000000000000000 00000064 00000065 02",
+    )
+    .expect("a good batch");
+    let expected = [
+        Event::ResponseStarted {
+            request: 0x11,
+            attempt: 2,
+            elapsed: 0x13,
+        },
+        Event::AttemptEnded(AttemptEnd {
+            request: 0x21,
+            backend: 0x22,
+            attempt: 3,
+            outcome: Outcome::Reset,
+            request_answered: false,
+            elapsed: 0x24,
+            load_report: &[1.0, 2.0],
+            body_consumed: false,
+        }),
+        Event::HealthChecked {
+            backend: 0x31,
+            outcome: Outcome::Ok,
+            load_report: &[],
+        },
+        Event::ClientDisconnected(0x41),
+        Event::Timer(0x51),
+        Event::Request(Request {
+            id: 0x61,
+            class: ClassIndex(2),
+            tenant: TenantIndex(3),
+            key: None,
+            timeout: 0x64,
+            expected_work: None,
+            is_retry: true,
+        }),
+    ];
+    let events: Vec<Event<'_>> = read.iter().filter_map(Record::event).collect();
+    assert_eq!(format!("{events:?}"), format!("{expected:?}"));
+    assert!(Record::CrashProxy.event().is_none() && Record::Gossip.event().is_none());
+}
+
+#[test]
+fn unknown_records_are_skipped() {
     let read =
         records("00000002 0000001c 0000000000805c5a c8 00000006 010203040506 06 00000004 00000001");
-    assert_eq!(read, Ok(vec![Record::Unknown(200), Record::Wakeup(1)]));
+    assert_eq!(
+        read,
+        Ok(vec![Record::Unknown(200), Record::TimerFired { token: 1 }])
+    );
 }
 
 #[test]
-fn actions_are_written_as_the_wire_says() {
+fn actions_are_written_as_the_protocol_says() {
     let mut reply = ReplyWriter::default();
     let send = Action::Send {
         request: 0x5d3a_91c4,
@@ -144,15 +235,18 @@
         deadline: 0x8194da,
         write_deadline: None,
     };
-    reply.action(3, &send);
+    reply.action(ProxyId(3), &send);
     reply.action(
-        3,
+        ProxyId(3),
         &Action::SetTimer {
             after: 500_000,
             token: 77,
         },
     );
-    reply.action(5, &Action::Log(LogEvent::Readmitted { backend: 9 }));
+    reply.action(
+        ProxyId(5),
+        &Action::Log(LogEvent::Readmitted { backend: 9 }),
+    );
     let expected = "00000061
         4c 00000002 0003
         40 00000010 5d3a91c4 00000000008194da 03124a07
@@ -161,24 +255,24 @@
         48 0000002c 002a 726561646d6974746564206261636b656e642039206166746572206120747269616c2072657175657374";
     assert_eq!(reply.finish(), hex(expected));
     reply.action(
-        1,
+        ProxyId(1),
         &Action::Reject {
             request: 1,
             retry_after: 2,
         },
     );
-    reply.action(1, &Action::Fail { request: 1 });
+    reply.action(ProxyId(1), &Action::Fail { request: 1 });
     reply.action(
-        1,
+        ProxyId(1),
         &Action::Cancel {
             request: 1,
             attempt: 3,
         },
     );
-    reply.action(1, &Action::HealthCheck(9));
-    reply.action(1, &Action::Subscribe);
-    reply.action(1, &Action::CloseIdleConnections(9));
-    reply.fatal(1, "x");
+    reply.action(ProxyId(1), &Action::HealthCheck(9));
+    reply.action(ProxyId(1), &Action::Subscribe);
+    reply.action(ProxyId(1), &Action::CloseIdleConnections(9));
+    reply.fatal(ProxyId(1), "x");
     let expected = "00000048 4c 00000002 0001
         41 00000008 00000001 00000002
         42 00000004 00000001
@@ -201,8 +295,8 @@
   "safety": {"askWithinUs": 10000000, "coldFrom": 0.33, "coldUs": 8199999, "fallMultiple": 3.0, "fallUs": 2000000}}"#;
 
 #[test]
-fn settings_are_read_and_unknown_keys_passed_over() {
-    let settings = wire::parse_settings(SETTINGS.as_bytes()).expect("good settings");
+fn settings_are_read_and_unknown_keys_ignored() {
+    let settings = parse_settings(SETTINGS.as_bytes()).expect("good settings");
     assert!(settings.discovery_mode == DiscoveryMode::Polled && settings.key_affinity);
     assert_eq!(
         (
@@ -231,7 +325,74 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused_by_name() {
+fn each_key_of_the_settings_sets_its_own_field() {
+    let json = r#"{"me": 2, "balancers": 5, "zone": 1, "failureDomains": ["a", "b", "c"], "kinds": ["x", "y"],
+        "membershipMode": "pushed", "familyInfo": {"warmKeys": true}, "overShareWorth": 0.11,
+        "classes": [{"aimUs": 21, "aimStretch": 0.22, "deadlineUs": 23, "worth": 24.0, "lateWorth": 0.25,
+                     "effect": "dedup", "group": "zone", "keyTtlUs": 26}],
+        "tenants": [{"allowancePerS": 31.0}, {}], "penalties": {"crossZone": 0.41, "probe": 0.42},
+        "loadReport": {"fields": ["waiting", "other", "active", "avg_ms"], "via": "probe"},
+        "permissions": {"maxAttempts": 51, "secondCopies": false, "cancel": true, "probes": false, "connIdleUs": 52,
+                        "multiplex": 53, "retryAfter": true, "maxRetryAfterUs": 54},
+        "safety": {"askWithinUs": 61, "coldFrom": 0.62, "coldUs": 63, "fallMultiple": 64.0, "fallUs": 65}}"#;
+    let expected = Settings {
+        proxy_index: 2,
+        proxy_count: 5,
+        zone: Zone(1),
+        zone_count: 3,
+        machine_type_count: 2,
+        discovery_mode: DiscoveryMode::Pushed,
+        key_affinity: true,
+        classes: vec![Class {
+            latency_objective: 21,
+            objective_work_factor: 0.22,
+            timeout: 23,
+            priority_weight: 24.0,
+            late_weight_factor: 0.25,
+            idempotency: Idempotency::Keyed {
+                scope: KeyScope::Zone,
+                ttl: 26,
+            },
+        }],
+        tenants: vec![Tenant { quota_per_s: 31.0 }, Tenant { quota_per_s: 0.0 }],
+        over_quota_weight: 0.11,
+        cross_zone_cost: 0.41,
+        health_check_cost: 0.42,
+        load_report: LoadReportFields {
+            in_flight: Some(2),
+            queued: Some(0),
+            service_time_ms: Some(3),
+        },
+        load_report_by_health_check: true,
+        permissions: Permissions {
+            max_attempts: 51,
+            hedging: false,
+            cancellation: true,
+            health_checks: false,
+            idle_timeout: 52,
+            requests_per_connection: 53,
+            max_retry_after: Some(54),
+        },
+        safety: SafetyLimits {
+            poll_interval: 61,
+            slow_start_initial_capacity: 0.62,
+            slow_start_duration: 63,
+            collapse_load_factor: 64.0,
+            collapse_time: 65,
+        },
+    };
+    let settings = parse_settings(json.as_bytes()).expect("good settings");
+    assert_eq!(format!("{settings:?}"), format!("{expected:?}"));
+    for (key, field) in [("secondCopies", "hedging"), ("probes", "health_checks")] {
+        let permitted = json.replace(&format!("\"{key}\": false"), &format!("\"{key}\": true"));
+        let settings = parse_settings(permitted.as_bytes()).expect("good settings");
+        let text = format!("{:?}", settings.permissions);
+        assert!(text.contains(&format!("{field}: true")), "{text}");
+    }
+}
+
+#[test]
+fn invalid_settings_are_rejected_by_name() {
     let swaps = [
         (r#""balancers": 5"#, r#""balancers": 0"#, "balancers"),
         (r#""aimUs": 500000"#, r#""aimUs": 0"#, "classes[0].aim"),
@@ -256,13 +417,13 @@
         let json = SETTINGS.replace(good, bad);
         assert_ne!(json, SETTINGS);
         assert_eq!(
-            wire::parse_settings(json.as_bytes())
+            parse_settings(json.as_bytes())
                 .expect_err("it makes no sense")
                 .field,
             field
         );
     }
-    let missing = wire::parse_settings(SETTINGS.replace("\"safety\"", "\"sagety\"").as_bytes());
+    let missing = parse_settings(SETTINGS.replace("\"safety\"", "\"sagety\"").as_bytes());
     assert!(
         missing
             .expect_err("a key is missing")
