--- a/lab/src/live/backends.rs
+++ b/lab/src/live/backends.rs
@@ -1,7 +1,7 @@
 //! Emulated backends: small HTTP/1.1 servers on loopback, each request taking the same time.
 //!
-//! The body of an answer is the time that the backend took, in microseconds, so that a client can tell it
-//! from the time that was added on the way.
+//! The body of a response is the time that the backend took, in microseconds, so that a client can subtract it
+//! from the latency.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -16,9 +16,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
+/// Pause after an accept that failed.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Starts so many backends; their addresses.
+/// Starts `count` backends and returns their addresses.
 ///
 /// # Errors
 /// Where no port is left.
@@ -39,7 +40,7 @@
                 tokio::spawn(serve(stream, service_time));
             }
             Err(error) => {
-                tracing::warn!("a backend's accept: {error}");
+                tracing::warn!(%error, "accept at an emulated backend failed");
                 sleep(ACCEPT_BACKOFF).await;
             }
         }
@@ -48,22 +49,22 @@
 
 async fn serve(stream: TcpStream, service_time: Duration) {
     let _ = stream.set_nodelay(true);
-    let service = service_fn(move |request| answer(request, service_time));
-    // How a connection ends matters only to who opened it.
+    let service = service_fn(move |request| respond(request, service_time));
+    // How a connection ends is the client's concern.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-async fn answer(
+async fn respond(
     request: Request<Incoming>,
     service_time: Duration,
 ) -> Result<Response<Full<Bytes>>, hyper::Error> {
     request.into_body().collect().await?;
-    let began = Instant::now();
+    let started_at = Instant::now();
     if !service_time.is_zero() {
         sleep(service_time).await;
     }
-    let took = began.elapsed().as_micros().to_string();
-    Ok(Response::new(Full::new(Bytes::from(took))))
+    let elapsed_us = started_at.elapsed().as_micros().to_string();
+    Ok(Response::new(Full::new(Bytes::from(elapsed_us))))
 }
--- /dev/null
+++ b/lab/src/live/clients/mod.rs
@@ -0,0 +1,11 @@
+//! Clients: an open-loop load generator, through a proxy or directly to the backends.
+//!
+//! - [`load_generator`]: sends requests at random times and counts how they end.
+//! - [`outcomes`]: the counts and latencies of one load generator.
+
+mod connection_pool;
+pub mod load_generator;
+pub mod outcomes;
+
+pub use load_generator::LoadGenerator;
+pub use outcomes::{RequestCounts, RequestOutcomes};
--- a/lab/src/live/discovery/mod.rs
+++ b/lab/src/live/discovery/mod.rs
@@ -1,70 +1,77 @@
-//! The discovery stand-in: the real protocol over loopback, for real processes and hollow proxies alike.
+//! The discovery stand-in: the real protocol over loopback, for real processes and simulated proxies alike.
 //!
-//! - [`board`]: entries, revisions, and answers serialized once for all callers.
-//! - [`turns`]: calls that begin a watch have their turn one after another.
-//! - [`service`]: one service, its listeners and its calls.
-
-pub mod board;
+//! - [`endpoint_list`]: endpoints, revisions, and responses serialized once for all callers.
+//! - [`call_queue`]: limits the rate of the calls that begin a watch.
+//! - [`list_query`]: the query of a call.
+//! - [`service`]: one service, which answers calls.
+//! - [`listener`]: the listeners and connections of a service.
+
+pub mod call_queue;
+pub mod endpoint_list;
+pub mod list_query;
+pub mod listener;
 pub mod service;
-pub mod turns;
 
 #[cfg(test)]
 mod tests;
 
-use super::counted::Traffic;
-use super::scenario::{Discovery, DiscoveryMode, DownCalls, RELOAD_CLOSES_AFTER};
-use super::spread::SpreadTracker;
-use board::{Board, Entry};
+use super::propagation::PropagationTracker;
+use super::scenario::{Discovery, DiscoveryMode, OutageBehavior, RELOAD_GRACE_PERIOD};
+use super::traffic::{TrafficCounters, TrafficTotals};
+use call_queue::CallQueue;
+use endpoint_list::{Endpoint, EndpointList};
 use service::{Availability, Caller, Service};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
-use turns::Turns;
 
-/// Discovery as the fleet sees it: the service that answers now, and what each real process exchanged with
-/// it.
+/// Revision of the first list.
+const FIRST_REVISION: u64 = 1;
+
+/// Discovery as the proxies see it: the present service, and the traffic of each real process with it.
 #[derive(Debug)]
-pub struct StandIn {
+pub struct DiscoveryStandIn {
     settings: Discovery,
-    tracker: Arc<SpreadTracker>,
+    tracker: Arc<PropagationTracker>,
     service: Arc<Service>,
-    traffic: Vec<Arc<Traffic>>,
-    addresses: Addresses,
+    /// Traffic of each real process.
+    traffic: Vec<Arc<TrafficCounters>>,
+    addresses: DiscoveryAddresses,
 }
 
 /// Where a service listens.
 #[derive(Clone, Debug)]
-pub struct Addresses {
-    /// One address for each real process, so that its bytes can be told from those of others.
+pub struct DiscoveryAddresses {
+    /// One address for each real process, which tells its traffic from that of others.
     pub real: Vec<SocketAddr>,
-    /// One address for all hollow proxies.
-    pub hollow: SocketAddr,
+    /// One address for all simulated proxies.
+    pub simulated: SocketAddr,
 }
 
-/// A service that is to take the place of the present one.
+/// A service that is about to replace the present one.
 #[derive(Debug)]
-pub struct Move {
+pub struct SuccessorService {
     service: Arc<Service>,
     /// Where it listens.
-    pub addresses: Addresses,
+    pub addresses: DiscoveryAddresses,
 }
 
-impl StandIn {
-    /// Starts a service that lists these entries, with its first revision 1.
+impl DiscoveryStandIn {
+    /// Starts a service that lists these endpoints in its first revision.
     ///
     /// # Errors
-    /// Where no port is left.
+    /// Where a listener can't be opened.
     pub async fn start(
         settings: Discovery,
-        entries: Vec<Entry>,
-        real: usize,
-        tracker: Arc<SpreadTracker>,
+        endpoints: Vec<Endpoint>,
+        real_count: usize,
+        tracker: Arc<PropagationTracker>,
     ) -> io::Result<Self> {
-        let traffic: Vec<Arc<Traffic>> = (0..real).map(|_| Arc::default()).collect();
-        let board = Board::new(entries, 1);
-        let (service, addresses) = open(&settings, board, &traffic, &tracker).await?;
+        let traffic: Vec<Arc<TrafficCounters>> = (0..real_count).map(|_| Arc::default()).collect();
+        let list = EndpointList::new(endpoints, FIRST_REVISION);
+        let (service, addresses) = open_service(&settings, list, &traffic, &tracker).await?;
         Ok(Self {
             settings,
             tracker,
@@ -74,95 +81,100 @@
         })
     }
 
-    /// Where the present service listens.
+    /// Returns where the present service listens.
     #[must_use]
-    pub fn addresses(&self) -> &Addresses {
+    pub fn addresses(&self) -> &DiscoveryAddresses {
         &self.addresses
     }
 
-    /// The service that answers now.
+    /// Returns the present service.
     #[must_use]
     pub fn service(&self) -> &Arc<Service> {
         &self.service
     }
 
-    /// What a real process exchanged with all services so far.
+    /// Returns the traffic of each real process with all services so far.
     #[must_use]
-    pub fn traffic(&self, process: usize) -> &Traffic {
-        &self.traffic[process]
+    pub fn traffic(&self) -> Vec<TrafficTotals> {
+        self.traffic
+            .iter()
+            .map(|counters| counters.totals())
+            .collect()
     }
 
-    /// Changes entries in one revision. It is told once discovery has noticed it; this does not wait for
+    /// Changes the endpoints at `indices` in one revision, after the notification delay; does not wait for
     /// that.
-    pub fn change(&self, which: Vec<usize>, how: impl FnMut(&mut Entry) + Send + 'static) {
-        let (service, notice) = (
-            Arc::clone(&self.service),
-            Duration::from_millis(self.settings.notice_ms),
-        );
-        let made = Instant::now();
+    pub fn change(&self, indices: Vec<usize>, change: impl FnMut(&mut Endpoint) + Send + 'static) {
+        let service = Arc::clone(&self.service);
+        let delay = Duration::from_millis(self.settings.notification_delay_ms);
+        let made_at = Instant::now();
         tokio::spawn(async move {
-            sleep(notice).await;
-            service.change(&which, how, made);
+            sleep(delay).await;
+            service.change(&indices, change, made_at);
         });
     }
 
-    /// Opens a service at new addresses, with the same entries in a revision that the present one has not
-    /// had. Nobody knows of it until [`Self::complete_move`].
+    /// Opens a service at new addresses, with the same endpoints in a revision that the present one has not
+    /// had. No proxy learns of it before [`Self::complete_move`].
     ///
     /// # Errors
-    /// Where no port is left.
-    pub async fn prepare_move(&self) -> io::Result<Move> {
-        let board = self.service.board().moved();
+    /// Where a listener can't be opened.
+    pub async fn prepare_move(&self) -> io::Result<SuccessorService> {
+        let list = self.service.endpoint_list().for_successor();
         let (service, addresses) =
-            open(&self.settings, board, &self.traffic, &self.tracker).await?;
-        Ok(Move { service, addresses })
+            open_service(&self.settings, list, &self.traffic, &self.tracker).await?;
+        Ok(SuccessorService { service, addresses })
     }
 
-    /// Discovery is at the new addresses from now on. The old ones take no new connection, and close those
-    /// that are open after 1.5 s. The move counts as a change: it is known to whoever holds the new service's
-    /// first list.
-    pub fn complete_move(&mut self, to: Move) {
-        self.tracker
-            .changed(to.service.board().revision(), Instant::now());
-        self.addresses = to.addresses;
-        let old = std::mem::replace(&mut self.service, to.service);
-        old.become_available(Availability::Leaving);
+    /// Replaces the present service. The old one accepts no new connection and closes the open ones after
+    /// the grace period. The move counts as a change, which reaches a proxy with the first list of the
+    /// successor.
+    pub fn complete_move(&mut self, successor: SuccessorService) {
+        let revision = successor.service.endpoint_list().revision();
+        self.tracker.record_change(revision, Instant::now());
+        self.addresses = successor.addresses;
+        let old = std::mem::replace(&mut self.service, successor.service);
+        old.set_availability(Availability::Draining);
         tokio::spawn(async move {
-            sleep(RELOAD_CLOSES_AFTER).await;
-            old.become_available(Availability::Closed);
+            sleep(RELOAD_GRACE_PERIOD).await;
+            old.set_availability(Availability::Closed);
         });
     }
 
-    /// Discovery goes down; watches end.
-    pub fn go_down(&self, calls: DownCalls) {
-        self.service.become_available(Availability::Down(calls));
+    /// Begins an outage; watches end.
+    pub fn begin_outage(&self, behavior: OutageBehavior) {
+        self.service.set_availability(Availability::Down(behavior));
     }
 
-    /// Discovery returns, with one entry changed: it is known to whoever has heard of the return.
-    pub fn come_back(&self) {
+    /// Ends the outage with one endpoint changed, so that a proxy that has the change has reconnected.
+    pub fn end_outage(&self) {
         self.service.change(&[0], |_| {}, Instant::now());
-        self.service.become_available(Availability::Up);
+        self.service.set_availability(Availability::Up);
     }
 }
 
-async fn open(
+async fn open_service(
     settings: &Discovery,
-    board: Board,
-    traffic: &[Arc<Traffic>],
-    tracker: &Arc<SpreadTracker>,
-) -> io::Result<(Arc<Service>, Addresses)> {
-    let longest_wait = Duration::from_millis(settings.turn_timeout_ms);
-    let turns = (settings.mode == DiscoveryMode::Ask)
-        .then(|| Turns::new(settings.calls_per_s, longest_wait));
-    let service = Service::new(board, turns, Arc::clone(tracker));
-    let hollow = Arc::clone(&service).listen(Caller::Hollow).await?;
+    list: EndpointList,
+    traffic: &[Arc<TrafficCounters>],
+    tracker: &Arc<PropagationTracker>,
+) -> io::Result<(Arc<Service>, DiscoveryAddresses)> {
+    let call_queue = match settings.mode {
+        DiscoveryMode::Pushed => None,
+        DiscoveryMode::Polled => {
+            let queue_timeout = Duration::from_millis(settings.queue_timeout_ms);
+            Some(CallQueue::new(settings.calls_per_s, queue_timeout))
+        }
+    };
+    let service = Service::new(list, call_queue, Arc::clone(tracker));
+    let simulated = listener::open(Arc::clone(&service), Caller::Simulated)?;
     let mut real = Vec::with_capacity(traffic.len());
     for (process, traffic) in traffic.iter().enumerate() {
         let caller = Caller::Real {
             process,
             traffic: Arc::clone(traffic),
         };
-        real.push(Arc::clone(&service).listen(caller).await?);
+        real.push(listener::open(Arc::clone(&service), caller)?);
     }
-    Ok((service, Addresses { real, hollow }))
+    Ok((service, DiscoveryAddresses { real, simulated }))
 }
--- /dev/null
+++ b/lab/src/live/experiment/mod.rs
@@ -0,0 +1,211 @@
+//! A run: starts everything, plays the phases one after another, and measures each.
+//!
+//! - [`setup`]: checks before the start, and the endpoint list.
+//! - [`actions`]: what each kind of phase does.
+//! - [`client_load`]: the clients of a phase.
+//! - [`measurement`]: the figures of a phase.
+
+mod actions;
+mod client_load;
+mod measurement;
+mod setup;
+
+use super::discovery::DiscoveryStandIn;
+use super::discovery::endpoint_list::EndpointState;
+use super::error::LiveError;
+use super::figures::{LiveFigures, PhaseFigures};
+use super::propagation::PropagationTracker;
+use super::proxies::Proxies;
+use super::quantiles::Quantiles;
+use super::scenario::{LiveScenario, Phase};
+use super::timer_lag::TimerLagMonitor;
+use super::usage;
+use actions::EndpointRestarts;
+use indicatif::ProgressBar;
+use rand::SeedableRng;
+use rand::rngs::SmallRng;
+use setup::ListedBackends;
+use std::path::Path;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::time::{sleep, sleep_until};
+
+/// How long the first list may take to reach every proxy.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(180);
+/// How long the last changes of a phase are waited for before the next one begins.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time between two looks at whether a change has propagated, and between two steps of the progress bar.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// A run in progress.
+pub struct Experiment {
+    scenario: LiveScenario,
+    backends: ListedBackends,
+    discovery: DiscoveryStandIn,
+    tracker: Arc<PropagationTracker>,
+    proxies: Proxies,
+    timer_lag: TimerLagMonitor,
+    rng: SmallRng,
+    endpoint_restarts: EndpointRestarts,
+    progress: ProgressBar,
+}
+
+impl Experiment {
+    /// Starts everything and waits until every proxy has the endpoint list; returns with it the figures so
+    /// far.
+    ///
+    /// # Errors
+    /// Where something can't be started, or a real process does not serve in time.
+    pub async fn start(
+        scenario: LiveScenario,
+        program: &Path,
+        seed: u64,
+        progress: ProgressBar,
+    ) -> Result<(Self, LiveFigures), LiveError> {
+        setup::check_descriptor_limit(&scenario)?;
+        let load_average_before = usage::load_average();
+        progress.set_message("starting");
+        let backends = ListedBackends::start(&scenario.backends).await?;
+        let tracker = Arc::new(PropagationTracker::new(scenario.proxy_count() as usize));
+        let discovery = start_discovery(&scenario, &backends, &tracker).await?;
+        let (proxies, start_times) =
+            Proxies::start(&scenario, program, &discovery, &tracker, seed).await?;
+        let experiment = Self {
+            scenario,
+            backends,
+            discovery,
+            tracker,
+            proxies,
+            timer_lag: TimerLagMonitor::start(),
+            rng: SmallRng::seed_from_u64(seed),
+            endpoint_restarts: EndpointRestarts::default(),
+            progress,
+        };
+        experiment.wait_for_propagation(FIRST_LIST_TIMEOUT).await;
+        let figures = LiveFigures {
+            load_average_before,
+            start_times: Quantiles::of(start_times),
+            start_propagation: experiment.tracker.take(),
+            phases: Vec::new(),
+        };
+        Ok((experiment, figures))
+    }
+
+    /// Plays all phases and adds their figures.
+    ///
+    /// # Errors
+    /// Where a real process ends by itself, or a measurement fails.
+    pub async fn play(&mut self, figures: &mut LiveFigures) -> Result<(), LiveError> {
+        let phases = self.scenario.phases.clone();
+        for (number, phase) in phases.iter().enumerate() {
+            self.progress
+                .set_message(format!("phase {number}, {}", phase.kind()));
+            let phase_figures = self.play_phase(phase).await;
+            // A process that has ended by itself explains whatever else has failed.
+            self.proxies.check()?;
+            figures.phases.push(phase_figures?);
+        }
+        self.progress.finish_and_clear();
+        Ok(())
+    }
+
+    /// Kills all real processes and waits for their end.
+    pub async fn stop(&mut self) {
+        self.proxies.kill().await;
+    }
+
+    async fn play_phase(&mut self, phase: &Phase) -> Result<PhaseFigures, LiveError> {
+        let snapshot = self.snapshot()?;
+        let clients = if phase.has_clients() {
+            Some(self.start_clients())
+        } else {
+            None
+        };
+        let results = self.perform(phase, snapshot.taken_at).await?;
+        if let Some(length) = phase.length() {
+            self.wait_until(snapshot.taken_at + length).await;
+        }
+        let mut figures = self.phase_figures(phase, &snapshot, results)?;
+        if let Some(clients) = clients {
+            clients.stop(&mut figures).await;
+        }
+        self.wait_for_propagation(PROPAGATION_TIMEOUT).await;
+        figures.propagation = self.tracker.take();
+        figures.listed_endpoints = self.listed_endpoints();
+        for (process, figures) in self.proxies.real().iter().zip(&mut figures.processes) {
+            figures.known_backends = process.known_backends().await;
+        }
+        Ok(figures)
+    }
+
+    /// Returns the number of active and draining endpoints.
+    fn listed_endpoints(&self) -> usize {
+        let list = self.discovery.service().endpoint_list();
+        let endpoints = list.endpoints().iter();
+        endpoints
+            .filter(|endpoint| endpoint.state != EndpointState::Removed)
+            .count()
+    }
+
+    /// Waits until every proxy has the present revision, for at most `limit`.
+    async fn wait_for_propagation(&self, limit: Duration) {
+        let started_at = Instant::now();
+        let proxy_count = self.scenario.proxy_count() as usize;
+        // A change gets its revision only after the notification delay.
+        let delay_ms = self.scenario.discovery.notification_delay_ms;
+        sleep(Duration::from_millis(delay_ms)).await;
+        loop {
+            let revision = self.discovery.service().endpoint_list().revision();
+            let reached = self.tracker.proxies_at(revision);
+            if reached >= proxy_count {
+                return;
+            }
+            if started_at.elapsed() > limit {
+                tracing::warn!(
+                    revision,
+                    reached,
+                    proxy_count,
+                    ?limit,
+                    "endpoint list did not reach all proxies in time"
+                );
+                return;
+            }
+            sleep(POLL_INTERVAL).await;
+        }
+    }
+
+    /// Waits and advances the progress bar.
+    async fn wait_until(&self, end: Instant) {
+        loop {
+            let now = Instant::now();
+            if now >= end {
+                return;
+            }
+            let next = end.min(now + POLL_INTERVAL);
+            sleep_until(next.into()).await;
+            let elapsed = next.duration_since(now);
+            self.progress.inc(elapsed.as_millis() as u64);
+        }
+    }
+}
+
+async fn start_discovery(
+    scenario: &LiveScenario,
+    backends: &ListedBackends,
+    tracker: &Arc<PropagationTracker>,
+) -> Result<DiscoveryStandIn, LiveError> {
+    let discovery = DiscoveryStandIn::start(
+        scenario.discovery.clone(),
+        backends.endpoints(&scenario.backends),
+        scenario.processes.real as usize,
+        Arc::clone(tracker),
+    )
+    .await
+    .map_err(|source| LiveError::Io {
+        operation: "start discovery",
+        source,
+    })?;
+    let revision = discovery.service().endpoint_list().revision();
+    tracker.record_change(revision, Instant::now());
+    Ok(discovery)
+}
--- /dev/null
+++ b/lab/src/live/experiment/setup.rs
@@ -0,0 +1,104 @@
+//! What a run needs before its proxies start: file descriptors, backends and the endpoint list.
+
+use super::actions::IDLE_MEASUREMENTS_AT_ONCE;
+use crate::live::backends;
+use crate::live::discovery::endpoint_list::{Endpoint, EndpointState};
+use crate::live::error::LiveError;
+use crate::live::proxy_config::MACHINE_TYPE;
+use crate::live::scenario::{Backends, LiveScenario, OtherBackends, Phase};
+use rustix::process::{Resource, getrlimit};
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::time::Duration;
+use tokio::net::TcpSocket;
+
+/// Endpoints of a deduplication cell.
+const CELL_SIZE: usize = 8;
+/// Descriptors of the lab beside those that are counted one by one.
+const OTHER_DESCRIPTORS: u64 = 256;
+/// Descriptors of the lab for one connection over loopback and its listener.
+const DESCRIPTORS_PER_PROXY: u64 = 2;
+
+/// The backends that stand behind the endpoint list.
+#[derive(Debug)]
+pub(super) struct ListedBackends {
+    /// Addresses of the emulated backends.
+    pub(super) answering: Vec<SocketAddr>,
+    /// Bound and not listening: connections to it are refused.
+    _refusing: TcpSocket,
+    refusing_address: SocketAddr,
+}
+
+impl ListedBackends {
+    /// Starts the emulated backends.
+    pub(super) async fn start(backends: &Backends) -> Result<Self, LiveError> {
+        let started = Self::try_start(backends).await;
+        started.map_err(|source| LiveError::Io {
+            operation: "start the emulated backends",
+            source,
+        })
+    }
+
+    async fn try_start(backends: &Backends) -> io::Result<Self> {
+        let service_time = Duration::from_millis(backends.service_ms);
+        let answering = backends::start(backends.answering, service_time).await?;
+        let refusing = TcpSocket::new_v4()?;
+        refusing.bind((Ipv4Addr::LOCALHOST, 0).into())?;
+        let refusing_address = refusing.local_addr()?;
+        Ok(Self {
+            answering,
+            _refusing: refusing,
+            refusing_address,
+        })
+    }
+
+    /// Returns the endpoint list: backends that answer first, zones in turn.
+    pub(super) fn endpoints(&self, backends: &Backends) -> Vec<Endpoint> {
+        let mut endpoints = Vec::new();
+        for number in 0..backends.listed as usize {
+            endpoints.push(Endpoint {
+                id: format!("b-{number:08x}"),
+                address: self.address(number, backends.others),
+                zone: backends.zones[number % backends.zones.len()].clone(),
+                machine_type: MACHINE_TYPE,
+                cell: (number / CELL_SIZE) as u16,
+                state: EndpointState::Active,
+                size: 1.0,
+                started_at_ms: 0,
+            });
+        }
+        endpoints
+    }
+
+    fn address(&self, number: usize, others: OtherBackends) -> SocketAddr {
+        match (self.answering.get(number), others) {
+            (Some(&address), _) => address,
+            (None, OtherBackends::Shared) => self.answering[number % self.answering.len()],
+            (None, OtherBackends::Refused) => self.refusing_address,
+        }
+    }
+}
+
+/// Checks that the lab may open as many file descriptors as the scenario needs.
+pub(super) fn check_descriptor_limit(scenario: &LiveScenario) -> Result<(), LiveError> {
+    let proxies = u64::from(scenario.proxy_count()) + u64::from(scenario.processes.real);
+    let needed = DESCRIPTORS_PER_PROXY * proxies
+        + u64::from(scenario.backends.answering)
+        + idle_connections_at_once(scenario)
+        + OTHER_DESCRIPTORS;
+    match getrlimit(Resource::Nofile).current {
+        Some(limit) if limit < needed => Err(LiveError::DescriptorLimit { needed, limit }),
+        _ => Ok(()),
+    }
+}
+
+/// Returns the most idle connections that a phase holds at the same time.
+fn idle_connections_at_once(scenario: &LiveScenario) -> u64 {
+    let mut most = 0;
+    for phase in &scenario.phases {
+        if let Phase::IdleConnections { connections } = phase {
+            most = most.max(u64::from(*connections) * IDLE_MEASUREMENTS_AT_ONCE as u64);
+        }
+    }
+    most
+}
--- a/lab/src/live/http.rs
+++ b/lab/src/live/http.rs
@@ -1,4 +1,4 @@
-//! Single HTTP calls.
+//! Single HTTP calls of the lab.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -6,18 +6,29 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use std::error::Error;
+use std::io;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Why a call failed; the lab only counts them.
-pub type CallError = Box<dyn Error + Send + Sync>;
+/// Why a call failed.
+#[derive(Debug, thiserror::Error)]
+pub enum HttpError {
+    /// The connection can't be opened.
+    #[error("connect failed: {0}")]
+    Connect(#[from] io::Error),
+    /// The exchange on the connection failed.
+    #[error("HTTP exchange failed: {0}")]
+    Exchange(#[from] hyper::Error),
+    /// The request can't be built.
+    #[error("the request is malformed: {0}")]
+    Request(#[from] hyper::http::Error),
+}
 
 /// Opens a connection, which lasts as long as its sender.
 ///
 /// # Errors
-/// Where none comes up.
-pub async fn connect(address: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, CallError> {
+/// Where the connection can't be opened.
+pub async fn connect(address: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, HttpError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
@@ -27,16 +38,16 @@
     Ok(sender)
 }
 
-/// One GET on a connection of its own: status and body.
+/// Sends a GET on a connection of its own and returns status and body.
 ///
 /// # Errors
 /// Where the call fails on the way.
-pub async fn get(address: SocketAddr, path: &str) -> Result<(StatusCode, Bytes), CallError> {
+pub async fn get(address: SocketAddr, path: &str) -> Result<(StatusCode, Bytes), HttpError> {
     let mut sender = connect(address).await?;
     get_on(&mut sender, address, path).await
 }
 
-/// One GET on an open connection: status and body.
+/// Sends a GET on an open connection and returns status and body.
 ///
 /// # Errors
 /// Where the call fails on the way.
@@ -44,11 +55,12 @@
     sender: &mut SendRequest<Empty<Bytes>>,
     address: SocketAddr,
     path: &str,
-) -> Result<(StatusCode, Bytes), CallError> {
+) -> Result<(StatusCode, Bytes), HttpError> {
     let request = Request::get(path)
         .header(HOST, address.to_string())
         .body(Empty::new())?;
     let response = sender.send_request(request).await?;
     let status = response.status();
-    Ok((status, response.into_body().collect().await?.to_bytes()))
+    let body = response.into_body().collect().await?.to_bytes();
+    Ok((status, body))
 }
--- a/lab/src/live/latency.rs
+++ b/lab/src/live/latency.rs
@@ -4,20 +4,22 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The longest time that is told from longer ones, in microseconds.
+/// The longest time that is recorded as it is, in microseconds: a minute.
 const HIGHEST_US: u64 = 60_000_000;
+/// Decimal digits to which times are distinguished.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Times between a microsecond and a minute, to three digits; what lies beyond counts as that.
+/// A histogram of times between a microsecond and a minute, to three digits; times outside that range count as
+/// its bounds.
 #[derive(Clone, Debug)]
 pub struct LatencyHistogram(Histogram<u64>);
 
 /// Quantiles in microseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Latency {
+pub struct LatencyQuantiles {
     /// Median.
     pub p50_us: u64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99_us: u64,
     /// Maximum.
     pub max_us: u64,
@@ -31,16 +33,19 @@
 }
 
 impl LatencyHistogram {
-    /// Adds a time.
+    /// Adds one time.
     pub fn record(&mut self, time: Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(HIGHEST_US);
         self.0.saturating_record(micros.clamp(1, HIGHEST_US));
     }
 
-    /// Quantiles of all; `None` if there are none.
+    /// Returns the quantiles of all times; `None` where there are none.
     #[must_use]
-    pub fn quantiles(&self) -> Option<Latency> {
-        (!self.0.is_empty()).then(|| Latency {
+    pub fn quantiles(&self) -> Option<LatencyQuantiles> {
+        if self.0.is_empty() {
+            return None;
+        }
+        Some(LatencyQuantiles {
             p50_us: self.0.value_at_quantile(0.5),
             p99_us: self.0.value_at_quantile(0.99),
             max_us: self.0.max(),
--- a/lab/src/live/mod.rs
+++ b/lab/src/live/mod.rs
@@ -1,26 +1,30 @@
-//! The `live` experiment: real processes beside hollow ones before one discovery stand-in, over loopback.
+//! The `live` experiment: real and simulated proxies in front of one discovery stand-in, over loopback.
 //!
-//! Real processes are the released program; hollow ones are tasks of the lab that follow discovery as the
-//! program does and serve nobody ([`hollow`]). Discovery ([`discovery`]) lists thousands of backends, of
-//! which some are emulated ([`backends`]). Phases ([`scenario`]) are played one after another, and in each
-//! what every real process takes is read from `/proc` and from the connections ([`report`]).
+//! Real proxies are processes of the released program ([`process`]); simulated ones are tasks of the lab that
+//! watch discovery as the program does and serve no clients ([`simulated_proxy`]). Discovery ([`discovery`])
+//! lists thousands of endpoints, of which some are emulated ([`backends`]). Phases ([`scenario`]) are played
+//! one after another ([`experiment`]); in each, the resource usage of every real process is read from `/proc`
+//! ([`usage`]) and its traffic is counted ([`traffic`]).
 
 pub mod backends;
 pub mod clients;
-pub mod counted;
 pub mod discovery;
+pub mod error;
 pub mod experiment;
-pub mod fleet;
-pub mod hollow;
+pub mod figures;
 pub mod http;
-pub mod idle;
+pub mod idle_connections;
 pub mod latency;
-pub mod lateness;
 pub mod process;
+pub mod propagation;
+pub mod proxies;
 pub mod proxy_config;
+pub mod quantiles;
 pub mod report;
 pub mod scenario;
-pub mod spread;
+pub mod simulated_proxy;
+pub mod timer_lag;
+pub mod traffic;
 pub mod usage;
 
 #[cfg(test)]
@@ -30,18 +34,22 @@
 use crate::options::CommonOptions;
 use crate::results::RunResult;
 use clap::Args;
+use error::LiveError;
 use experiment::Experiment;
+use figures::LiveFigures;
 use indicatif::{ProgressBar, ProgressStyle};
-use report::LiveFigures;
 use scenario::LiveScenario;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::pin::pin;
 use std::time::Duration;
+use tokio::runtime::Runtime;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Threads of the lab: hollow proxies, discovery, backends and clients share them.
+/// Threads of the lab, shared by simulated proxies, discovery, backends and clients.
 const LAB_THREADS: usize = 3;
+/// Layout of the progress bar.
+const PROGRESS_TEMPLATE: &str = "{bar:40} {percent:>3}% {elapsed} {msg}";
 
 /// Options of `live`.
 #[derive(Args, Clone, Debug)]
@@ -59,76 +67,98 @@
 /// Runs the experiment.
 ///
 /// # Errors
-/// What kept it from running, or ended it on its way. Every process that it started has ended then.
+/// What kept it from running, or ended it early. Every process that it started has ended then.
 pub fn run(options: &LiveOptions) -> Result<(), LabError> {
     let scenario: LiveScenario = crate::scenario::read(&options.scenario)?;
-    let program = match &options.proxy {
-        Some(program) => program.clone(),
-        None => released_program().map_err(|error| LabError::Failed(error.to_string()))?,
-    };
-    process::check_program(&program)?;
+    let program = proxy_program(options.proxy.as_deref())?;
     let info = options.common.run_info("live");
-    let mut runtime = tokio::runtime::Builder::new_multi_thread();
-    let runtime = runtime.worker_threads(LAB_THREADS).enable_all().build();
-    let runtime = runtime.map_err(|error| LabError::Failed(error.to_string()))?;
     let progress = progress_bar(&scenario, options.common.quiet);
-    let measured = runtime.block_on(measure(&scenario, &program, options.common.seed, progress))?;
-    print!("{}", measured.table());
+    let measuring = measure(&scenario, &program, options.common.seed, progress);
+    let figures = runtime()?.block_on(measuring)?;
+    print!("{}", report::table(&figures));
     if let Some(path) = &options.common.json {
-        RunResult {
+        let result = RunResult {
             run: info,
             scenario: &scenario,
-            measured: &measured,
-        }
-        .write(path)?;
+            measured: &figures,
+        };
+        result.write(path)?;
     }
     Ok(())
 }
 
+/// Plays the scenario until it ends or a signal comes.
 async fn measure(
     scenario: &LiveScenario,
     program: &Path,
     seed: u64,
     progress: ProgressBar,
-) -> Result<LiveFigures, LabError> {
-    let mut interrupted = pin!(interrupted());
+) -> Result<LiveFigures, LiveError> {
+    let mut interruption = pin!(interruption());
     let (mut experiment, mut figures) = tokio::select! {
         started = Experiment::start(scenario.clone(), program, seed, progress) => started?,
-        error = &mut interrupted => return Err(error),
+        error = &mut interruption => return Err(error),
     };
     let played = tokio::select! {
         played = experiment.play(&mut figures) => played,
-        error = &mut interrupted => Err(error),
+        error = &mut interruption => Err(error),
     };
-    experiment.end().await;
-    played.map(|()| figures)
+    experiment.stop().await;
+    played?;
+    Ok(figures)
+}
+
+/// Waits for SIGINT or SIGTERM and returns the error that it ends the run with.
+async fn interruption() -> LiveError {
+    match wait_for_signal().await {
+        Ok(signal) => LiveError::Interrupted { signal },
+        Err(source) => LiveError::Io {
+            operation: "wait for signals",
+            source,
+        },
+    }
+}
+
+async fn wait_for_signal() -> io::Result<&'static str> {
+    let mut interrupt = signal(SignalKind::interrupt())?;
+    let mut terminate = signal(SignalKind::terminate())?;
+    tokio::select! {
+        _ = interrupt.recv() => Ok("SIGINT"),
+        _ = terminate.recv() => Ok("SIGTERM"),
+    }
+}
+
+fn runtime() -> Result<Runtime, LiveError> {
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(LAB_THREADS)
+        .enable_all()
+        .build()
+        .map_err(|source| LiveError::Io {
+            operation: "start the runtime",
+            source,
+        })
 }
 
-/// Waits for SIGINT or SIGTERM.
-async fn interrupted() -> LabError {
-    let wait = async {
-        let (mut interrupt, mut terminate) = (
-            signal(SignalKind::interrupt())?,
-            signal(SignalKind::terminate())?,
-        );
-        tokio::select! {
-            _ = interrupt.recv() => Ok::<_, io::Error>("SIGINT"),
-            _ = terminate.recv() => Ok("SIGTERM"),
-        }
+/// Returns the proxy's program: the given one, or the released one in the target directory that holds the lab.
+fn proxy_program(given: Option<&Path>) -> Result<PathBuf, LiveError> {
+    let program = match given {
+        Some(program) => program.to_owned(),
+        None => released_program().map_err(|source| LiveError::Io {
+            operation: "find the lab's own program",
+            source,
+        })?,
     };
-    match wait.await {
-        Ok(signal) => LabError::Failed(format!("interrupted by {signal}")),
-        Err(error) => LabError::Failed(format!("signals can't be followed: {error}")),
+    if program.is_file() {
+        Ok(program)
+    } else {
+        Err(LiveError::ProgramMissing { program })
     }
 }
 
-/// The released program in the target directory that holds the lab's own.
 fn released_program() -> io::Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let target = own
-        .parent()
-        .and_then(Path::parent)
-        .unwrap_or(Path::new("target"));
+    let lab = std::env::current_exe()?;
+    let target = lab.parent().and_then(Path::parent);
+    let target = target.unwrap_or(Path::new("target"));
     Ok(target.join("release").join("tillerproxy"))
 }
 
@@ -141,8 +171,8 @@
         .iter()
         .filter_map(scenario::Phase::length)
         .sum();
+    let style = ProgressStyle::with_template(PROGRESS_TEMPLATE);
     let bar = ProgressBar::new(length.as_millis() as u64);
-    let style = ProgressStyle::with_template("{bar:40} {percent:>3}% {elapsed} {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar
 }
--- /dev/null
+++ b/lab/src/live/proxies/mod.rs
@@ -0,0 +1,242 @@
+//! The proxies of a run: real processes and simulated proxies, started, reloaded and stopped together.
+
+mod restart;
+mod simulated;
+
+use super::discovery::{DiscoveryAddresses, DiscoveryStandIn};
+use super::error::LiveError;
+use super::figures::RestartFigures;
+use super::process::{Launch, ProcessError, ProxyProcess};
+use super::propagation::PropagationTracker;
+use super::proxy_config;
+use super::scenario::LiveScenario;
+use super::traffic::TrafficTotals;
+use restart::RestartedProcess;
+use rustix::process::Signal;
+use serde_json::Value;
+use simulated::SimulatedProxies;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::time::Duration;
+use tempfile::TempDir;
+use tokio::task::JoinSet;
+
+/// A process that starts has to serve within this time.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// All proxies of a run.
+#[derive(Debug)]
+pub struct Proxies {
+    program: PathBuf,
+    /// Holds the configuration files.
+    directory: TempDir,
+    real: Vec<ProxyProcess>,
+    simulated: SimulatedProxies,
+}
+
+/// A process that was started, with the time until it served.
+struct StartedProcess {
+    proxy_index: u32,
+    process: ProxyProcess,
+    /// `None` where it did not serve in time.
+    serving_after: Option<Duration>,
+}
+
+impl Proxies {
+    /// Starts all proxies and waits until the real ones serve; returns with them the seconds that each took
+    /// for it.
+    ///
+    /// # Errors
+    /// Where a process can't be started or does not serve in time.
+    pub async fn start(
+        scenario: &LiveScenario,
+        program: &Path,
+        discovery: &DiscoveryStandIn,
+        tracker: &Arc<PropagationTracker>,
+        seed: u64,
+    ) -> Result<(Self, Vec<f64>), LiveError> {
+        let directory = TempDir::with_prefix("tillerproxy-live-").map_err(|source| {
+            LiveError::Configuration {
+                path: std::env::temp_dir(),
+                source,
+            }
+        })?;
+        let simulated = SimulatedProxies::start(scenario, discovery, tracker, seed)?;
+        let mut proxies = Self {
+            program: program.to_owned(),
+            directory,
+            real: Vec::new(),
+            simulated,
+        };
+        proxies.write_configurations(scenario, discovery, discovery.addresses())?;
+        let start_times = proxies.start_real(scenario.processes.real).await?;
+        Ok((proxies, start_times))
+    }
+
+    /// Starts `count` real processes at once; returns the seconds until each served.
+    async fn start_real(&mut self, count: u32) -> Result<Vec<f64>, LiveError> {
+        let mut starting = JoinSet::new();
+        for proxy_index in 0..count {
+            let launch = self.launch(proxy_index);
+            starting.spawn(async move { start_process(proxy_index, &launch).await });
+        }
+        let mut started = Vec::new();
+        while let Some(joined) = starting.join_next().await {
+            let started_process: StartedProcess = joined??;
+            let proxy_index = started_process.proxy_index;
+            if started_process.serving_after.is_none() {
+                return Err(LiveError::NotServing {
+                    proxy_index,
+                    limit: START_TIMEOUT,
+                });
+            }
+            let pid = started_process.process.pid();
+            tracing::info!(proxy_index, pid, "proxy started");
+            started.push(started_process);
+        }
+        started.sort_unstable_by_key(|process| process.proxy_index);
+        let mut start_times = Vec::new();
+        for process in started {
+            start_times.extend(process.serving_after.map(|time| time.as_secs_f64()));
+            self.real.push(process.process);
+        }
+        Ok(start_times)
+    }
+
+    /// Returns the real processes, in the order of their indices.
+    #[must_use]
+    pub fn real(&self) -> &[ProxyProcess] {
+        &self.real
+    }
+
+    /// Returns the traffic of each simulated proxy with discovery so far.
+    #[must_use]
+    pub fn simulated_traffic(&self) -> Vec<TrafficTotals> {
+        self.simulated.traffic()
+    }
+
+    /// Checks that all real processes run.
+    ///
+    /// # Errors
+    /// Where one has ended by itself.
+    pub fn check(&mut self) -> Result<(), ProcessError> {
+        for process in &mut self.real {
+            process.check()?;
+        }
+        Ok(())
+    }
+
+    /// Moves discovery and notifies every proxy: the real ones by a new configuration file and SIGHUP.
+    ///
+    /// # Errors
+    /// Where a listener can't be opened, a file can't be written, or a process has ended.
+    pub async fn reload(
+        &mut self,
+        scenario: &LiveScenario,
+        discovery: &mut DiscoveryStandIn,
+    ) -> Result<(), LiveError> {
+        let successor = discovery
+            .prepare_move()
+            .await
+            .map_err(|source| LiveError::Io {
+                operation: "move discovery",
+                source,
+            })?;
+        self.write_configurations(scenario, discovery, &successor.addresses)?;
+        discovery.complete_move(successor);
+        for process in &self.real {
+            process.signal(Signal::HUP)?;
+        }
+        self.simulated
+            .move_discovery(discovery.addresses().simulated);
+        Ok(())
+    }
+
+    /// Ends all real processes by SIGTERM and starts each again as soon as it has ended.
+    ///
+    /// # Errors
+    /// Where a process does not end, or can't be started again.
+    pub async fn restart(
+        &mut self,
+        scenario: &LiveScenario,
+        discovery: &DiscoveryStandIn,
+    ) -> Result<RestartFigures, LiveError> {
+        self.write_configurations(scenario, discovery, discovery.addresses())?;
+        let mut restarting = JoinSet::new();
+        for (proxy_index, process) in (0..).zip(std::mem::take(&mut self.real)) {
+            let launch = self.launch(proxy_index);
+            restarting.spawn(async move {
+                restart::restart_process(proxy_index, process, &launch).await
+            });
+        }
+        let mut restarted: Vec<RestartedProcess> = Vec::new();
+        while let Some(joined) = restarting.join_next().await {
+            restarted.push(joined??);
+        }
+        restarted.sort_unstable_by_key(|restarted| restarted.started.proxy_index);
+        let figures = restart::figures(&restarted);
+        for process in restarted {
+            self.real.push(process.started.process);
+        }
+        Ok(figures)
+    }
+
+    /// Kills all real processes and waits for their end.
+    pub async fn kill(&mut self) {
+        for process in &mut self.real {
+            process.kill().await;
+        }
+    }
+
+    fn launch(&self, proxy_index: u32) -> Launch {
+        Launch {
+            name: format!("proxy-{proxy_index}"),
+            program: self.program.clone(),
+            config: self.config_path(proxy_index),
+        }
+    }
+
+    fn config_path(&self, proxy_index: u32) -> PathBuf {
+        self.directory
+            .path()
+            .join(format!("proxy-{proxy_index}.json"))
+    }
+
+    fn write_configurations(
+        &self,
+        scenario: &LiveScenario,
+        discovery: &DiscoveryStandIn,
+        addresses: &DiscoveryAddresses,
+    ) -> Result<(), LiveError> {
+        let cached_list = if scenario.processes.start_with_list {
+            present_list(discovery)?
+        } else {
+            proxy_config::empty_list()
+        };
+        for (proxy_index, &address) in (0..).zip(&addresses.real) {
+            let config = proxy_config::configuration(scenario, proxy_index, address, &cached_list);
+            let path = self.config_path(proxy_index);
+            std::fs::write(&path, config.to_string())
+                .map_err(|source| LiveError::Configuration { path, source })?;
+        }
+        Ok(())
+    }
+}
+
+/// Starts a process and waits until it serves.
+async fn start_process(proxy_index: u32, launch: &Launch) -> Result<StartedProcess, ProcessError> {
+    let process = ProxyProcess::start(launch).await?;
+    let serving_after = process.wait_until_serving(START_TIMEOUT).await;
+    Ok(StartedProcess {
+        proxy_index,
+        process,
+        serving_after,
+    })
+}
+
+/// Returns the complete endpoint list as discovery serializes it.
+fn present_list(discovery: &DiscoveryStandIn) -> Result<Value, LiveError> {
+    let body = discovery.service().endpoint_list().response_body(None)?;
+    let list = serde_json::from_slice(&body)?;
+    Ok(list)
+}
--- /dev/null
+++ b/lab/src/live/proxies/simulated.rs
@@ -0,0 +1,75 @@
+//! All simulated proxies of a run.
+
+use crate::live::discovery::DiscoveryStandIn;
+use crate::live::error::LiveError;
+use crate::live::propagation::PropagationTracker;
+use crate::live::proxy_config;
+use crate::live::scenario::LiveScenario;
+use crate::live::simulated_proxy::{SimulatedProxy, SimulatedProxySettings};
+use crate::live::traffic::{TrafficCounters, TrafficTotals};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tillerproxy::simulator::parse_settings;
+use tokio::sync::watch;
+use tokio::task::JoinSet;
+
+/// The simulated proxies. They end when this is dropped.
+#[derive(Debug)]
+pub(super) struct SimulatedProxies {
+    _tasks: JoinSet<()>,
+    traffic: Vec<Arc<TrafficCounters>>,
+    discovery_address: watch::Sender<SocketAddr>,
+}
+
+impl SimulatedProxies {
+    pub(super) fn start(
+        scenario: &LiveScenario,
+        discovery: &DiscoveryStandIn,
+        tracker: &Arc<PropagationTracker>,
+        seed: u64,
+    ) -> Result<Self, LiveError> {
+        let (discovery_address, address) = watch::channel(discovery.addresses().simulated);
+        let revision = if scenario.processes.start_with_list {
+            Some(discovery.service().endpoint_list().revision())
+        } else {
+            None
+        };
+        let mut tasks = JoinSet::new();
+        let mut traffic = Vec::new();
+        for proxy_index in scenario.processes.real..scenario.proxy_count() {
+            let rejected = |source| LiveError::Settings {
+                proxy_index,
+                source,
+            };
+            let json = proxy_config::settings(scenario, proxy_index).to_string();
+            let start = SimulatedProxySettings {
+                settings: parse_settings(json.as_bytes()).map_err(rejected)?,
+                revision,
+                seed: seed ^ u64::from(proxy_index) << 32,
+            };
+            let counters = Arc::<TrafficCounters>::default();
+            traffic.push(Arc::clone(&counters));
+            let proxy = SimulatedProxy::new(start, address.clone(), counters, Arc::clone(tracker))
+                .map_err(rejected)?;
+            tasks.spawn(proxy.run());
+        }
+        Ok(Self {
+            _tasks: tasks,
+            traffic,
+            discovery_address,
+        })
+    }
+
+    /// Returns the traffic of each proxy with discovery so far.
+    pub(super) fn traffic(&self) -> Vec<TrafficTotals> {
+        self.traffic
+            .iter()
+            .map(|counters| counters.totals())
+            .collect()
+    }
+
+    /// Notifies all proxies of a new address of discovery.
+    pub(super) fn move_discovery(&self, address: SocketAddr) {
+        self.discovery_address.send_replace(address);
+    }
+}
--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -1,10 +1,17 @@
 //! Tests of the parts of `live` that need no process.
 
-use super::hollow::{CallSchedule, revision_in};
-use super::idle::slope;
+use super::clients::RequestOutcomes;
+use super::figures::{
+    LiveFigures, PhaseFigures, ProcessFigures, RequestFigures, RestartFigures, SimulatedFigures,
+};
+use super::idle_connections::{IdleConnectionMemory, IdleConnectionStep, slope};
+use super::latency::LatencyQuantiles;
+use super::propagation::{PropagationFigures, PropagationTracker};
 use super::proxy_config::settings;
+use super::quantiles::Quantiles;
 use super::scenario::LiveScenario;
-use super::spread::{Quantiles, SpreadTracker};
+use super::simulated_proxy::schedule::CallSchedule;
+use super::simulated_proxy::{WatchPhase, parse_revision};
 use crate::error::LabError;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -28,9 +35,9 @@
 
 #[test]
 fn scenarios_that_come_with_the_lab_can_be_played() {
-    assert_eq!(parse(SMALL).expect("a scenario").proxies(), 7);
+    assert_eq!(parse(SMALL).expect("a scenario").proxy_count(), 7);
     let target = parse(TARGET).expect("a scenario");
-    assert_eq!((target.proxies(), target.backends.listed), (710, 6_000));
+    assert_eq!((target.proxy_count(), target.backends.listed), (710, 6_000));
 }
 
 #[test]
@@ -144,21 +151,21 @@
 }
 
 #[test]
-fn a_change_is_known_to_half_once_so_many_hold_it_or_a_newer_one() {
-    let tracker = SpreadTracker::new(4);
+fn a_change_has_reached_half_once_half_have_it_or_a_newer_one() {
+    let tracker = PropagationTracker::new(4);
     assert!(tracker.take().is_none(), "nothing has changed");
     let made = Instant::now()
         .checked_sub(Duration::from_secs(1))
         .expect("a time");
-    tracker.changed(2, made);
-    tracker.changed(3, made);
-    tracker.holds(0, 1);
-    tracker.holds(0, 2);
-    tracker.holds(1, 3);
-    tracker.holds(1, 2);
-    assert_eq!((tracker.holders(2), tracker.holders(3)), (2, 1));
+    tracker.record_change(2, made);
+    tracker.record_change(3, made);
+    tracker.record_revision(0, 1);
+    tracker.record_revision(0, 2);
+    tracker.record_revision(1, 3);
+    tracker.record_revision(1, 2);
+    assert_eq!((tracker.proxies_at(2), tracker.proxies_at(3)), (2, 1));
     let figures = tracker.take().expect("two changes");
-    assert_eq!((figures.changes, figures.known_to_all), (2, 0));
+    assert_eq!((figures.changes, figures.reached_all), (2, 0));
     let half = figures.half.expect("one change");
     assert!(half.median >= 1.0 && half.median == half.max, "{half:?}");
     assert!(figures.p99.is_none() && figures.all.is_none());
@@ -166,12 +173,14 @@
 }
 
 #[test]
-fn a_change_that_all_hold_counts_for_every_figure() {
-    let tracker = SpreadTracker::new(3);
-    tracker.changed(1, Instant::now());
-    (0..3).for_each(|proxy| tracker.holds(proxy, 1));
+fn a_change_that_all_proxies_have_counts_for_every_figure() {
+    let tracker = PropagationTracker::new(3);
+    tracker.record_change(1, Instant::now());
+    for proxy in 0..3 {
+        tracker.record_revision(proxy, 1);
+    }
     let figures = tracker.take().expect("a change");
-    assert_eq!(figures.known_to_all, 1);
+    assert_eq!(figures.reached_all, 1);
     let max = |quantiles: Option<Quantiles>| quantiles.expect("a figure").max;
     assert!(max(figures.half) <= max(figures.p99) && max(figures.p99) <= max(figures.all));
 }
@@ -192,10 +201,16 @@
 
 #[test]
 fn the_revision_is_read_from_the_start_of_a_list() {
-    assert_eq!(revision_in(br#"{"revision":41,"complete":true"#), Some(41));
-    assert_eq!(revision_in(br#"{"complete":false,"revision": 7}"#), Some(7));
-    assert_eq!(revision_in(b"{}"), None);
-    assert_eq!(revision_in(br#"{"revision":"41"}"#), None);
+    assert_eq!(
+        parse_revision(br#"{"revision":41,"complete":true"#),
+        Some(41)
+    );
+    assert_eq!(
+        parse_revision(br#"{"complete":false,"revision": 7}"#),
+        Some(7)
+    );
+    assert_eq!(parse_revision(b"{}"), None);
+    assert_eq!(parse_revision(br#"{"revision":"41"}"#), None);
 }
 
 fn schedule(mode: &str) -> CallSchedule {
@@ -209,34 +224,168 @@
 }
 
 #[test]
-fn calls_of_a_fleet_are_spread_where_discovery_is_asked() {
-    // The decision module leaves a call that waits for its turn the time to be answered.
+fn calls_of_many_proxies_are_spread_where_discovery_is_polled() {
+    // The decision module leaves a queued call the time to be answered.
     const LONGEST: Duration = Duration::from_millis(2_500);
-    let mut asked = schedule("ask");
-    let first: Vec<Duration> = (0..50).map(|_| asked.first()).collect();
+    let mut polled = schedule("ask");
+    let first: Vec<Duration> = (0..50).map(|_| polled.first_pause()).collect();
     assert!(first.iter().all(|&pause| pause <= LONGEST), "{first:?}");
     assert!(first.iter().max() > first.iter().min());
     for failures in 0..10_u32 {
-        let pause = asked.after_failure();
+        let pause = polled.pause_after_failure();
         let least = Duration::from_millis(125) * (1 << failures.min(3));
         assert!(
             pause >= least && pause <= LONGEST,
             "{failures} failures: {pause:?}"
         );
     }
-    let continued = asked.watch(true);
+    let continued = polled.watch_timing(WatchPhase::Continued);
     assert!(continued.long_poll_timeout > Duration::from_secs(4));
     assert!(continued.call_timeout > continued.long_poll_timeout);
+    let opening = polled.watch_timing(WatchPhase::Opening);
     assert!(
-        asked.watch(false).long_poll_timeout < continued.long_poll_timeout,
-        "a call that begins a watch waits less"
+        opening.long_poll_timeout < continued.long_poll_timeout,
+        "a call that opens a watch waits less"
     );
 }
 
 #[test]
 fn calls_come_at_once_where_discovery_is_pushed() {
     let mut pushed = schedule("push");
-    assert_eq!(pushed.first(), Duration::ZERO);
-    assert_eq!(pushed.after_failure(), pushed.after_failure());
-    assert_eq!(pushed.watch(true), pushed.watch(false));
+    assert_eq!(pushed.first_pause(), Duration::ZERO);
+    assert_eq!(pushed.pause_after_failure(), pushed.pause_after_failure());
+    assert_eq!(
+        pushed.watch_timing(WatchPhase::Continued),
+        pushed.watch_timing(WatchPhase::Opening)
+    );
+}
+
+#[test]
+fn keys_of_a_scenario_stay_as_they_are() {
+    let scenario = parse(SMALL).expect("a scenario");
+    let text = serde_json::to_string(&scenario).expect("JSON");
+    let head = concat!(
+        r#"{"processes":{"real":2,"hollow":5,"start_with_list":false},"#,
+        r#""backends":{"listed":50,"answering":4,"others":"shared","#,
+        r#""zones":["a","b","c","d","e"],"service_ms":2},"#,
+        r#""discovery":{"mode":"ask","calls_per_s":50.0,"turn_timeout_ms":2000,"#,
+        r#""notice_ms":20,"ask_within_ms":10000},"#,
+        r#""limits":{"memory_mb":64,"sockets":256},"#,
+        r#""load":{"requests_per_s":50.0,"direct_per_s":50.0},"phases":["#,
+    );
+    assert!(text.starts_with(head), "{text}");
+    let phases = [
+        r#"{"kind":"changes","seconds":1.0,"per_s":10.0,"clients":true}"#,
+        r#"{"kind":"zone_loss","seconds":1.0,"zone":"b","absent_s":0.5,"clients":true}"#,
+        r#"{"kind":"outage","seconds":1.5,"down_s":0.4,"calls":"reset","clients":false}"#,
+        r#"{"kind":"restart","seconds":2.0}"#,
+        r#"{"kind":"idle_connections","connections":40}"#,
+    ];
+    for phase in phases {
+        assert!(text.contains(phase), "{phase} in {text}");
+    }
+}
+
+/// Figures of one phase in which everything was measured.
+fn complete_figures() -> LiveFigures {
+    let quantiles = Quantiles::of(vec![1.0]);
+    let latency = Some(LatencyQuantiles {
+        p50_us: 1,
+        p99_us: 1,
+        max_us: 1,
+    });
+    let propagation = || PropagationFigures {
+        changes: 1,
+        reached_all: 1,
+        half: quantiles,
+        p99: None,
+        all: None,
+    };
+    let mut outcomes = RequestOutcomes::default();
+    outcomes.latency.record(Duration::from_micros(1));
+    outcomes.outside_backend.record(Duration::from_micros(1));
+    let process = ProcessFigures {
+        pid: 7,
+        cores: 0.5,
+        resident_kib: 1,
+        peak_resident_kib: 1,
+        descriptors: 1,
+        discovery_bytes_per_s: 1.0,
+        discovery_calls: 1,
+        known_backends: Some(1),
+        requests: Some(RequestFigures::new(&outcomes, Some(&outcomes))),
+        idle_connections: Some(IdleConnectionMemory {
+            steps: vec![IdleConnectionStep {
+                connections: 0,
+                closed: 0,
+                resident_kib: 1,
+            }],
+            slope_bytes: 1.0,
+            steepest_bytes: 1.0,
+        }),
+    };
+    let phase = PhaseFigures {
+        kind: "restart",
+        clients: false,
+        seconds: 1.0,
+        processes: vec![process],
+        simulated: SimulatedFigures {
+            proxies: 1,
+            mean_bytes_per_s: 1.0,
+            max_bytes_per_s: 1.0,
+            calls: 1,
+        },
+        direct: None,
+        propagation: Some(propagation()),
+        restart: Some(RestartFigures {
+            processes: 1,
+            ended_cleanly: 1,
+            serving_in_time: 1,
+            ended_after: None,
+            serving_after: None,
+        }),
+        listed_endpoints: 1,
+        lab_cores: 0.5,
+        lab_timer_lag: latency,
+        load_average: None,
+    };
+    LiveFigures {
+        load_average_before: None,
+        start_times: quantiles,
+        start_propagation: Some(propagation()),
+        phases: vec![phase],
+    }
+}
+
+#[test]
+fn keys_of_a_result_stay_as_they_are() {
+    let latency = r#"{"p50_us":1,"p99_us":1,"max_us":1}"#;
+    let spread = concat!(
+        r#"{"changes":1,"known_to_all":1,"half":{"median":1.0,"max":1.0},"#,
+        r#""p99":null,"all":null}"#,
+    );
+    let expected = [
+        r#"{"load_average_before":null,"start_up":{"median":1.0,"max":1.0},"start_spread":"#,
+        spread,
+        r#","phases":[{"kind":"restart","clients":false,"seconds":1.0,"processes":["#,
+        r#"{"pid":7,"cores":0.5,"resident_kib":1,"peak_resident_kib":1,"descriptors":1,"#,
+        r#""discovery_bytes_per_s":1.0,"discovery_calls":1,"known_backends":1,"requests":"#,
+        r#"{"counts":{"sent":0,"served":0,"refused":0,"failed":0,"broken":0,"late":0},"#,
+        r#""latency":"#,
+        latency,
+        r#","outside":"#,
+        latency,
+        r#","added":{"p50_us":0,"p99_us":0}},"#,
+        r#""idle":{"steps":[{"connections":0,"closed":0,"resident_kib":1}],"#,
+        r#""slope_bytes":1.0,"steepest_bytes":1.0}}],"#,
+        r#""hollow":{"proxies":1,"mean_bytes_per_s":1.0,"most_bytes_per_s":1.0,"calls":1},"#,
+        r#""direct":null,"spread":"#,
+        spread,
+        r#","restart":{"processes":1,"ended_cleanly":1,"up_in_time":1,"ended_after":null,"#,
+        r#""up_after":null},"listed":1,"lab_cores":0.5,"lab_timers_late":"#,
+        latency,
+        r#","load_average":null}]}"#,
+    ];
+    let text = serde_json::to_string(&complete_figures()).expect("JSON");
+    assert_eq!(text, expected.concat());
 }
--- /dev/null
+++ b/lab/src/live/timer_lag.rs
@@ -0,0 +1,52 @@
+//! How late the lab's own timers fire: the times that it measures are not exact beyond that.
+
+use super::latency::LatencyHistogram;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, Instant};
+use tokio::task::JoinHandle;
+use tokio::time::sleep;
+
+/// Length of the timer that is observed.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Samples the lag of a timer until it is dropped.
+#[derive(Debug)]
+pub struct TimerLagMonitor {
+    samples: Arc<Mutex<LatencyHistogram>>,
+    task: JoinHandle<()>,
+}
+
+impl TimerLagMonitor {
+    /// Starts sampling on the present runtime.
+    #[must_use]
+    pub fn start() -> Self {
+        let samples = Arc::<Mutex<LatencyHistogram>>::default();
+        let task = tokio::spawn(sample_lag(Arc::clone(&samples)));
+        Self { samples, task }
+    }
+
+    /// Returns the samples since the last call.
+    #[must_use]
+    pub fn take(&self) -> LatencyHistogram {
+        let mut samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
+        std::mem::take(&mut *samples)
+    }
+}
+
+impl Drop for TimerLagMonitor {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+async fn sample_lag(samples: Arc<Mutex<LatencyHistogram>>) {
+    loop {
+        let started = Instant::now();
+        sleep(SAMPLE_INTERVAL).await;
+        let lag = started.elapsed().saturating_sub(SAMPLE_INTERVAL);
+        samples
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .record(lag);
+    }
+}
--- /dev/null
+++ b/lab/src/live/traffic.rs
@@ -0,0 +1,156 @@
+//! Byte and call counters of the connections between a proxy and discovery.
+
+use std::io;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::task::{Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
+/// Counters of one proxy's traffic with discovery, over all of its connections.
+#[derive(Debug, Default)]
+pub struct TrafficCounters {
+    bytes_from_proxy: AtomicU64,
+    bytes_to_proxy: AtomicU64,
+    calls: AtomicU64,
+}
+
+/// The values of [`TrafficCounters`] at one moment.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub struct TrafficTotals {
+    /// Bytes in both directions.
+    pub bytes: u64,
+    /// Calls to discovery.
+    pub calls: u64,
+}
+
+impl TrafficCounters {
+    /// Counts one call to discovery.
+    pub fn record_call(&self) {
+        self.calls.fetch_add(1, Ordering::Relaxed);
+    }
+
+    /// Returns the bytes that the proxy has sent so far.
+    #[must_use]
+    pub fn bytes_from_proxy(&self) -> u64 {
+        self.bytes_from_proxy.load(Ordering::Relaxed)
+    }
+
+    /// Returns the bytes that the proxy has received so far.
+    #[must_use]
+    pub fn bytes_to_proxy(&self) -> u64 {
+        self.bytes_to_proxy.load(Ordering::Relaxed)
+    }
+
+    /// Returns the present values.
+    #[must_use]
+    pub fn totals(&self) -> TrafficTotals {
+        TrafficTotals {
+            bytes: self.bytes_from_proxy() + self.bytes_to_proxy(),
+            calls: self.calls.load(Ordering::Relaxed),
+        }
+    }
+}
+
+/// The end of a connection that a [`CountingStream`] is at.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum Side {
+    /// Discovery's end: bytes read come from the proxy.
+    Discovery,
+    /// The proxy's end: bytes read go to the proxy.
+    Proxy,
+}
+
+/// A TCP stream that adds its bytes to a proxy's [`TrafficCounters`].
+#[derive(Debug)]
+pub struct CountingStream {
+    stream: TcpStream,
+    counters: Arc<TrafficCounters>,
+    side: Side,
+}
+
+impl CountingStream {
+    /// Counts the bytes of `stream` from now on.
+    #[must_use]
+    pub fn new(stream: TcpStream, counters: Arc<TrafficCounters>, side: Side) -> Self {
+        Self {
+            stream,
+            counters,
+            side,
+        }
+    }
+
+    /// Returns the underlying stream.
+    #[must_use]
+    pub fn into_inner(self) -> TcpStream {
+        self.stream
+    }
+
+    fn add_read(&self, bytes: usize) {
+        let counter = match self.side {
+            Side::Discovery => &self.counters.bytes_from_proxy,
+            Side::Proxy => &self.counters.bytes_to_proxy,
+        };
+        counter.fetch_add(bytes as u64, Ordering::Relaxed);
+    }
+
+    fn add_written(&self, bytes: usize) {
+        let counter = match self.side {
+            Side::Discovery => &self.counters.bytes_to_proxy,
+            Side::Proxy => &self.counters.bytes_from_proxy,
+        };
+        counter.fetch_add(bytes as u64, Ordering::Relaxed);
+    }
+}
+
+impl AsyncRead for CountingStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let filled_before = buffer.filled().len();
+        let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
+        self.add_read(buffer.filled().len() - filled_before);
+        polled
+    }
+}
+
+impl AsyncWrite for CountingStream {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        let polled = Pin::new(&mut self.stream).poll_write(context, bytes);
+        if let Poll::Ready(Ok(written)) = polled {
+            self.add_written(written);
+        }
+        polled
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        slices: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        let polled = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
+        if let Poll::Ready(Ok(written)) = polled {
+            self.add_written(written);
+        }
+        polled
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.stream.is_write_vectored()
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(context)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(context)
+    }
+}
--- a/lab/src/live/usage.rs
+++ b/lab/src/live/usage.rs
@@ -1,14 +1,17 @@
-//! What a process uses, from `/proc`.
+//! Resource usage of processes and load of the machine, read from `/proc`.
 
 use procfs::ProcResult;
 use procfs::process::Process;
 use serde::Serialize;
 use std::time::Duration;
 
+/// Bytes of the unit in which `/proc` gives memory.
+pub const BYTES_PER_KIB: f64 = 1024.0;
+
 /// Resources of a process at one moment.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Usage {
-    /// The process.
+    /// Its process id.
     pub pid: u32,
     /// Processor time since its start, user and system.
     pub processor_time: Duration,
@@ -21,7 +24,7 @@
 }
 
 impl Usage {
-    /// Reads what a process uses now.
+    /// Reads the present usage of a process.
     ///
     /// # Errors
     /// Where there is no such process, or `/proc` can't be read.
@@ -38,7 +41,7 @@
     }
 }
 
-/// Processor time of the lab itself so far.
+/// Reads the processor time of the lab itself so far.
 ///
 /// # Errors
 /// Where `/proc` can't be read.
@@ -46,14 +49,14 @@
     processor_time(&Process::myself()?)
 }
 
-/// Load average of the machine over one minute; `None` where it can't be read.
+/// Reads the load average of the machine over one minute; `None` where it can't be read.
 #[must_use]
 pub fn load_average() -> Option<f32> {
     use procfs::Current;
     procfs::LoadAverage::current().ok().map(|load| load.one)
 }
 
-/// Exact for a single thread, else in ticks of the clock (10 ms).
+/// Reads the processor time so far: exact for a single thread, else in ticks of the clock (10 ms).
 fn processor_time(process: &Process) -> ProcResult<Duration> {
     let stat = process.stat()?;
     if stat.num_threads == 1
--- a/lab/tests/live.rs
+++ b/lab/tests/live.rs
@@ -42,7 +42,11 @@
 
 fn lab() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tillerproxy-lab"));
-    command.args(["live", "--quiet"]).env_remove("RUST_LOG");
+    command
+        .args(["live", "--quiet"])
+        .env_remove("RUST_LOG")
+        // Log lines without escape codes, so that their fields can be read.
+        .env("NO_COLOR", "1");
     command
 }
 
@@ -155,11 +159,9 @@
     let log = BufReader::new(lab.stderr.take().expect("a log")).lines();
     let mut log = log.map(|line| line.expect("text"));
     let pid = |line: String| {
-        line.rsplit_once("is process ")?
-            .1
-            .trim()
-            .parse::<u64>()
-            .ok()
+        let (_, fields) = line.split_once("proxy started ")?;
+        let (_, pid) = fields.rsplit_once("pid=")?;
+        pid.trim().parse::<u64>().ok()
     };
     let pids: Vec<u64> = log.by_ref().filter_map(pid).take(2).collect();
     assert_eq!(pids.len(), 2, "both processes have started");
