--- a/lab/src/slopes/costs.rs
+++ b/lab/src/slopes/costs.rs
@@ -1,4 +1,5 @@
-//! What events cost: processor time by batch, and by histogram processor time and wall time of each event.
+//! Costs of the balancer's events: processor time of batches, and histograms of the processor time and of the
+//! wall time of single events.
 
 use super::quantity::Quantity;
 use super::stopwatch::Stopwatch;
@@ -9,6 +10,10 @@
 
 /// Significant decimal digits of the histograms.
 const HISTOGRAM_DIGITS: u8 = 3;
+/// The median.
+const P50: f64 = 0.5;
+/// The 99th percentile.
+const P99: f64 = 0.99;
 
 /// How a batch is measured.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -23,20 +28,22 @@
     Wall,
 }
 
-/// Kinds of event whose costs are told apart.
+/// Kinds of event whose costs are kept apart.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EventKind {
-    /// A request comes in.
+    /// A request arrives.
     Arrival,
     /// An attempt ends.
     End,
-    /// A timer falls due.
+    /// A timer fires.
     Timer,
 }
 
 /// Costs of one kind of event.
 pub struct EventCosts {
+    /// Processor time of all batches measured as a whole.
     batches: Duration,
+    /// Events of these batches.
     events: u64,
     processor: Histogram<u64>,
     wall: Histogram<u64>,
@@ -68,9 +75,8 @@
         events: &[Event<'_>],
         handle: impl FnMut(&Event<'_>),
     ) {
-        self.costs
-            .of(kind)
-            .measure(events, self.timing, &self.stopwatch, handle);
+        let costs = self.costs.of(kind);
+        costs.measure(events, self.timing, &self.stopwatch, handle);
     }
 }
 
@@ -100,26 +106,39 @@
         mut handle: impl FnMut(&Event<'_>),
     ) {
         match timing {
-            Timing::None => events.iter().for_each(handle),
+            Timing::None => {
+                for event in events {
+                    handle(event);
+                }
+            }
             Timing::Batch if events.is_empty() => {}
             Timing::Batch => {
-                self.batches += stopwatch.time(|| events.iter().for_each(&mut handle));
+                self.batches += stopwatch.time(|| {
+                    for event in events {
+                        handle(event);
+                    }
+                });
                 self.events += events.len() as u64;
             }
-            Timing::Processor => events.iter().for_each(|event| {
-                record(&mut self.processor, stopwatch.time(|| handle(event)));
-            }),
-            Timing::Wall => events.iter().for_each(|event| {
-                let start = Instant::now();
-                handle(event);
-                record(&mut self.wall, start.elapsed());
-            }),
+            Timing::Processor => {
+                for event in events {
+                    let time = stopwatch.time(|| handle(event));
+                    record(&mut self.processor, time);
+                }
+            }
+            Timing::Wall => {
+                for event in events {
+                    let start = Instant::now();
+                    handle(event);
+                    record(&mut self.wall, start.elapsed());
+                }
+            }
         }
     }
 
-    /// Nanoseconds of processor time of one event, in the mean.
+    /// Returns the nanoseconds of processor time of one event on average.
     fn mean(&self) -> Option<f64> {
-        (self.events > 0).then(|| self.batches.as_nanos() as f64 / self.events as f64)
+        nanoseconds_per(self.batches, self.events)
     }
 }
 
@@ -132,45 +151,44 @@
         }
     }
 
-    /// The figures in nanoseconds, those without an event left out.
+    /// Returns the figures in nanoseconds, without those that have no event.
     #[must_use]
     pub fn figures(&self) -> BTreeMap<Quantity, f64> {
+        let Self { arrivals, ends, .. } = self;
         let figures = [
-            (Quantity::Request, self.arrivals.mean()),
-            (Quantity::RequestEnd, self.ends.mean()),
+            (Quantity::Request, arrivals.mean()),
+            (Quantity::RequestEnd, ends.mean()),
             (Quantity::WholeRequest, self.whole_request()),
-            (
-                Quantity::RequestP50,
-                quantile(&self.arrivals.processor, 0.5),
-            ),
-            (
-                Quantity::RequestP99,
-                quantile(&self.arrivals.processor, 0.99),
-            ),
-            (
-                Quantity::RequestEndP99,
-                quantile(&self.ends.processor, 0.99),
-            ),
-            (Quantity::RequestWallP50, quantile(&self.arrivals.wall, 0.5)),
-            (
-                Quantity::RequestWallP99,
-                quantile(&self.arrivals.wall, 0.99),
-            ),
-            (Quantity::RequestEndWallP99, quantile(&self.ends.wall, 0.99)),
+            (Quantity::RequestP50, quantile(&arrivals.processor, P50)),
+            (Quantity::RequestP99, quantile(&arrivals.processor, P99)),
+            (Quantity::RequestEndP99, quantile(&ends.processor, P99)),
+            (Quantity::RequestWallP50, quantile(&arrivals.wall, P50)),
+            (Quantity::RequestWallP99, quantile(&arrivals.wall, P99)),
+            (Quantity::RequestEndWallP99, quantile(&ends.wall, P99)),
         ];
-        figures
-            .into_iter()
-            .filter_map(|(quantity, figure)| Some((quantity, figure?)))
-            .collect()
+        let mut measured = BTreeMap::new();
+        for (quantity, figure) in figures {
+            if let Some(figure) = figure {
+                measured.insert(quantity, figure);
+            }
+        }
+        measured
     }
 
+    /// Returns the nanoseconds of all events of a request together.
     fn whole_request(&self) -> Option<f64> {
         let processor = self.arrivals.batches + self.ends.batches + self.timers.batches;
-        (self.arrivals.events > 0)
-            .then(|| processor.as_nanos() as f64 / self.arrivals.events as f64)
+        nanoseconds_per(processor, self.arrivals.events)
     }
 }
 
+fn nanoseconds_per(time: Duration, events: u64) -> Option<f64> {
+    if events == 0 {
+        return None;
+    }
+    Some(time.as_nanos() as f64 / events as f64)
+}
+
 fn record(histogram: &mut Histogram<u64>, span: Duration) {
     let nanoseconds = u64::try_from(span.as_nanos()).unwrap_or(u64::MAX);
     histogram
@@ -179,5 +197,8 @@
 }
 
 fn quantile(histogram: &Histogram<u64>, quantile: f64) -> Option<f64> {
-    (!histogram.is_empty()).then(|| histogram.value_at_quantile(quantile) as f64)
+    if histogram.is_empty() {
+        return None;
+    }
+    Some(histogram.value_at_quantile(quantile) as f64)
 }
--- a/lab/src/slopes/csv_file.rs
+++ b/lab/src/slopes/csv_file.rs
@@ -1,8 +1,7 @@
 //! The CSV file: one row for each quantity at each size.
 
 use super::measure::{Measurements, Point};
-use super::quantity::{Quantity, Unit};
-use super::stopwatch::Summary;
+use super::quantity::Unit;
 use crate::error::LabError;
 use serde::Serialize;
 use std::path::Path;
@@ -19,21 +18,23 @@
     quantity: String,
     unit: Unit,
     median: f64,
-    least: f64,
-    greatest: f64,
+    #[serde(rename = "least")]
+    min: f64,
+    #[serde(rename = "greatest")]
+    max: f64,
 }
 
 /// Writes all points of all sweeps and of the target.
 ///
 /// # Errors
 /// [`LabError::Unwritable`] where the file can't be written.
-pub fn write(path: &Path, measured: &Measurements) -> Result<(), LabError> {
+pub fn write(path: &Path, measurements: &Measurements) -> Result<(), LabError> {
     let unwritable = |source| LabError::Unwritable {
         path: path.to_owned(),
         source,
     };
     let mut writer = csv::Writer::from_path(path).map_err(|error| unwritable(error.into()))?;
-    for row in rows(measured) {
+    for row in rows(measurements) {
         writer
             .serialize(row)
             .map_err(|error| unwritable(error.into()))?;
@@ -41,33 +42,36 @@
     writer.flush().map_err(unwritable)
 }
 
-fn rows(measured: &Measurements) -> Vec<Row> {
+fn rows(measurements: &Measurements) -> Vec<Row> {
     let mut rows = Vec::new();
-    for (sweep, points) in &measured.sweeps {
+    for (sweep, points) in &measurements.sweeps {
         let name = format!("{sweep:?}").to_lowercase();
-        points
-            .iter()
-            .for_each(|point| rows.extend(point_rows(&name, point)));
+        for point in points {
+            rows.extend(point_rows(&name, point));
+        }
     }
-    rows.extend(point_rows("target", &measured.target.mean));
-    rows.extend(point_rows("target_hot", &measured.target.hot));
+    rows.extend(point_rows("target", &measurements.target.mean));
+    rows.extend(point_rows("target_hot", &measurements.target.hot));
     rows
 }
 
 fn point_rows(sweep: &str, point: &Point) -> Vec<Row> {
     let setup = point.setup;
-    let row = |(quantity, summary): (&Quantity, &Summary)| Row {
-        sweep: sweep.to_owned(),
-        backends: setup.backends,
-        proxies: setup.proxies,
-        tenants: setup.tenants,
-        classes: setup.classes,
-        requests_per_second: setup.requests_per_second,
-        quantity: quantity.key(),
-        unit: quantity.unit(),
-        median: summary.median,
-        least: summary.least,
-        greatest: summary.greatest,
-    };
-    point.figures.iter().map(row).collect()
+    let mut rows = Vec::new();
+    for (quantity, summary) in &point.figures {
+        rows.push(Row {
+            sweep: sweep.to_owned(),
+            backends: setup.backends,
+            proxies: setup.proxies,
+            tenants: setup.tenants,
+            classes: setup.classes,
+            requests_per_second: setup.requests_per_second,
+            quantity: quantity.key(),
+            unit: quantity.unit(),
+            median: summary.median,
+            min: summary.min,
+            max: summary.max,
+        });
+    }
+    rows
 }
--- a/lab/src/slopes/endpoints.rs
+++ b/lab/src/slopes/endpoints.rs
@@ -1,8 +1,8 @@
-//! The backends of a fleet as discovery tells them: the JSON text of its answers, and the module's entries
-//! that the program's own translator makes of it.
+//! The backends of a fleet as discovery lists them: the JSON text of its responses, and the backends that the
+//! program's own translator parses from it.
 
 use super::scenario::FleetShape;
-use super::setup::{kind_name, kind_names, zone_name, zone_names};
+use super::setup::{machine_type_name, machine_type_names, zone_name, zone_names};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
@@ -10,43 +10,50 @@
 use tillerproxy::api::Backend;
 use tillerproxy::proxy::clock::Clock;
 use tillerproxy::proxy::config::Names;
-use tillerproxy::proxy::discovery::{DiscoveryError, EndpointList, Translator};
+use tillerproxy::proxy::discovery::{DiscoveryError, Translator};
 
-/// Backends of one cell.
+/// Backends of one deduplication cell.
 const CELL_BACKENDS: u32 = 50;
 /// Port of every backend.
 const PORT: u16 = 3_000;
-/// Hosts of one `10.x.y.0/24` network.
-const HOSTS: u32 = 254;
+/// Backends of one `10.x.y.0/24` network.
+const HOSTS_PER_NETWORK: u32 = 254;
 
-/// State of a backend in discovery's words.
+/// State of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Phase {
-    /// Takes requests.
+pub enum EndpointState {
+    /// It takes requests.
+    #[serde(rename = "active")]
     Active,
-    /// Drains.
-    Leaving,
-    /// Removed.
-    Left,
+    /// It finishes the requests in flight and takes no new ones.
+    #[serde(rename = "leaving")]
+    Draining,
+    /// It is removed.
+    #[serde(rename = "left")]
+    Removed,
 }
 
-/// One entry of discovery's list.
+/// One endpoint, serialized as the discovery protocol has it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Endpoint {
     id: String,
-    host_port: String,
-    locality: String,
-    flavor: String,
+    #[serde(rename = "host_port")]
+    address: String,
+    #[serde(rename = "locality")]
+    zone: String,
+    #[serde(rename = "flavor")]
+    machine_type: String,
     cell: u32,
-    phase: Phase,
+    #[serde(rename = "phase")]
+    state: EndpointState,
     size: f64,
-    up_since_ms: u64,
+    #[serde(rename = "up_since_ms")]
+    started_at_ms: u64,
 }
 
-/// The body of an answer of discovery.
+/// The body of a response of discovery.
 #[derive(Serialize)]
-struct Answer<'a> {
+struct ListBody<'a> {
     revision: u64,
     complete: bool,
     members: &'a [Endpoint],
@@ -55,123 +62,122 @@
 /// The backends of a fleet.
 #[derive(Clone, Debug)]
 pub struct Endpoints {
-    entries: Vec<Endpoint>,
+    endpoints: Vec<Endpoint>,
     zones: u32,
 }
 
 impl Endpoint {
-    /// The same backend in another phase.
+    /// Returns the same endpoint in another state.
     #[must_use]
-    pub fn in_phase(&self, phase: Phase) -> Self {
+    pub fn in_state(&self, state: EndpointState) -> Self {
         Self {
-            phase,
+            state,
             ..self.clone()
         }
     }
 
-    /// The same backend with a process that started at that Unix time, milliseconds.
+    /// Returns the same endpoint with a process that started at that Unix time, in milliseconds.
     #[must_use]
     pub fn restarted_at(&self, unix_ms: u64) -> Self {
         Self {
-            up_since_ms: unix_ms,
+            started_at_ms: unix_ms,
             ..self.clone()
         }
     }
 }
 
 impl Endpoints {
-    /// So many backends that started long ago, with random names; the same seed gives the same.
+    /// Generates `count` endpoints that started long ago, with random names; the same seed gives the same.
     #[must_use]
     pub fn generate(count: u32, fleet: &FleetShape, seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut taken = HashSet::new();
-        let mut unused_id = || {
-            loop {
-                let id: u32 = random.random();
-                if taken.insert(id) {
-                    return id;
-                }
-            }
-        };
-        let entries = (0..count)
-            .map(|number| endpoint(number, unused_id(), fleet))
-            .collect();
+        let mut used_ids = HashSet::new();
+        let mut endpoints = Vec::new();
+        for number in 0..count {
+            let id = unused_id(&mut random, &mut used_ids);
+            endpoints.push(endpoint(number, id, fleet));
+        }
         Self {
-            entries,
+            endpoints,
             zones: fleet.zones,
         }
     }
 
-    /// All entries.
+    /// Returns all endpoints.
     #[must_use]
     pub fn all(&self) -> &[Endpoint] {
-        &self.entries
+        &self.endpoints
     }
 
-    /// The entries of one zone, each in that phase.
+    /// Returns the endpoints of one zone, each in that state.
     #[must_use]
-    pub fn of_zone(&self, zone: u32, phase: Phase) -> Vec<Endpoint> {
-        let step = self.zones as usize;
-        let members = self
-            .entries
-            .iter()
-            .skip((zone % self.zones) as usize)
-            .step_by(step);
-        members.map(|entry| entry.in_phase(phase)).collect()
+    pub fn of_zone(&self, zone: u32, state: EndpointState) -> Vec<Endpoint> {
+        // Endpoints are assigned to the zones in turn.
+        let first = (zone % self.zones) as usize;
+        let members = self.endpoints.iter().skip(first);
+        members
+            .step_by(self.zones as usize)
+            .map(|endpoint| endpoint.in_state(state))
+            .collect()
+    }
+}
+
+/// Draws an id that is not in use.
+fn unused_id(random: &mut SmallRng, used_ids: &mut HashSet<u32>) -> u32 {
+    loop {
+        let id: u32 = random.random();
+        if used_ids.insert(id) {
+            return id;
+        }
     }
 }
 
 fn endpoint(number: u32, id: u32, fleet: &FleetShape) -> Endpoint {
-    let network = number / HOSTS;
-    let host = number % HOSTS + 1;
+    let network = number / HOSTS_PER_NETWORK;
+    let host = number % HOSTS_PER_NETWORK + 1;
     Endpoint {
         id: format!("s-{id:08x}"),
-        host_port: format!("10.{}.{}.{host}:{PORT}", network / 256, network % 256),
-        locality: zone_name(number % fleet.zones),
-        flavor: kind_name(number / fleet.zones % fleet.kinds),
+        address: format!("10.{}.{}.{host}:{PORT}", network / 256, network % 256),
+        zone: zone_name(number % fleet.zones),
+        machine_type: machine_type_name(number / fleet.zones % fleet.machine_types),
         cell: number / CELL_BACKENDS,
-        phase: Phase::Active,
+        state: EndpointState::Active,
         size: 1.0,
-        up_since_ms: 0,
+        started_at_ms: 0,
     }
 }
 
-/// JSON text of an answer with these entries; `complete` for a whole list.
+/// Serializes a response with these endpoints; `complete` for a complete list.
 #[must_use]
-pub fn answer_text(revision: u64, complete: bool, members: &[Endpoint]) -> Vec<u8> {
-    serde_json::to_vec(&Answer {
+pub fn list_text(revision: u64, complete: bool, members: &[Endpoint]) -> Vec<u8> {
+    let body = ListBody {
         revision,
         complete,
         members,
-    })
-    .expect("plain data becomes JSON")
+    };
+    serde_json::to_vec(&body).expect("strings and numbers can be serialized")
 }
 
-/// The program's translator for a fleet of this shape.
+/// Makes the program's translator for a fleet of this shape.
 #[must_use]
 pub fn translator(fleet: &FleetShape) -> Translator {
     let names = Names {
         zones: zone_names(fleet),
-        machine_types: kind_names(fleet),
+        machine_types: machine_type_names(fleet),
         ..Names::default()
     };
     Translator::new(Clock::start(), &names)
 }
 
-/// The module's entries of an answer.
+/// Parses the backends of a response.
 ///
 /// # Errors
-/// Where the translator refuses the text.
-pub fn entries_of(
+/// Where the translator rejects the text.
+pub fn parse_backends(
     translator: &mut Translator,
     text: &[u8],
 ) -> Result<Vec<Backend>, DiscoveryError> {
-    Ok(entries_in(translator.parse(text)?))
-}
-
-fn entries_in(list: EndpointList) -> Vec<Backend> {
-    list.endpoints
-        .into_iter()
-        .map(|listed| listed.backend)
-        .collect()
+    let list = translator.parse(text)?;
+    let endpoints = list.endpoints.into_iter();
+    Ok(endpoints.map(|endpoint| endpoint.backend).collect())
 }
--- /dev/null
+++ b/lab/src/slopes/error.rs
@@ -0,0 +1,22 @@
+//! Errors of the `slopes` experiment.
+
+use crate::error::LabError;
+use tillerproxy::api::SettingsError;
+use tillerproxy::proxy::discovery::DiscoveryError;
+
+/// Why a measurement of `slopes` failed.
+#[derive(Debug, thiserror::Error)]
+pub enum SlopesError {
+    /// The program rejects the settings that the lab made.
+    #[error("the proxy rejects the settings: {0}")]
+    Settings(#[from] SettingsError),
+    /// The program rejects an endpoint list that the lab made.
+    #[error("the proxy rejects an endpoint list: {0}")]
+    EndpointList(#[from] DiscoveryError),
+}
+
+impl From<SlopesError> for LabError {
+    fn from(error: SlopesError) -> Self {
+        Self::Failed(error.to_string())
+    }
+}
--- a/lab/src/slopes/fit.rs
+++ b/lab/src/slopes/fit.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 /// Points that a fit needs; any two lie on a line.
-const LEAST_POINTS: usize = 3;
+const MIN_POINTS: usize = 3;
 
 /// A straight line `intercept + slope * x`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -59,7 +59,7 @@
 }
 
 impl Line {
-    /// The cost at size `x`.
+    /// Returns the cost at size `x`.
     #[must_use]
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
@@ -67,7 +67,7 @@
 }
 
 impl PowerLaw {
-    /// The cost at size `x`.
+    /// Returns the cost at size `x`.
     #[must_use]
     pub fn at(&self, x: f64) -> f64 {
         self.factor * x.powf(self.exponent)
@@ -84,13 +84,12 @@
             .copied()
             .filter(|&(x, y)| x > 0.0 && y > 0.0)
             .collect();
-        if usable.len() < LEAST_POINTS {
+        if usable.len() < MIN_POINTS {
             return None;
         }
         let line = fit_line(&usable)?;
         let power_law = fit_power_law(&usable)?;
-        let line_is_better = line.relative_error <= power_law.relative_error;
-        let better = if line_is_better {
+        let better = if line.relative_error <= power_law.relative_error {
             Model::Line
         } else {
             Model::PowerLaw
@@ -102,7 +101,7 @@
         })
     }
 
-    /// The cost at size `x` by the better model.
+    /// Returns the cost at size `x` by the better model.
     #[must_use]
     pub fn at(&self, x: f64) -> f64 {
         match self.better {
--- /dev/null
+++ b/lab/src/slopes/measure/bench.rs
@@ -0,0 +1,293 @@
+//! Makes the measurements of a scenario, in repetitions over all sizes.
+
+use super::sweep::Extent;
+use super::{LoadAverage, Measurements, OpenRequestMemory, Point, Sweep, TargetPoints};
+use crate::slopes::costs::DecisionCosts;
+use crate::slopes::endpoints::{Endpoints, list_text, parse_backends, translator};
+use crate::slopes::error::SlopesError;
+use crate::slopes::membership::{Input, MembershipBench, wire_sizes};
+use crate::slopes::memory::heap_of;
+use crate::slopes::quantity::Quantity;
+use crate::slopes::scenario::SlopesScenario;
+use crate::slopes::setup::Setup;
+use crate::slopes::stopwatch::{Stopwatch, Summary};
+use crate::slopes::virtual_proxy::{Counts, VirtualProxy};
+use indicatif::ProgressBar;
+use rand::SeedableRng;
+use rand::rngs::SmallRng;
+use std::collections::BTreeMap;
+use tillerproxy::proxy::discovery::Translator;
+
+/// Backends of the proxy that memory by open requests is measured with. It is alone, so that each of them has
+/// at least one slot.
+const OPEN_REQUEST_BACKENDS: u32 = 2_000;
+/// Distance between the seeds of two repetitions.
+const REPETITION_SEED_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Distinguishes the seed of the replacement backends from that of the fleet.
+const REPLACEMENT_SEED_SALT: u64 = 0x517c_c1b7_2722_0a95;
+/// Revision of the first list.
+const FIRST_REVISION: u64 = 1;
+/// The target is measured at the mean rate and at that of a hot proxy.
+const TARGET_JOBS: u64 = 2;
+
+/// Makes all measurements of a scenario.
+pub struct Bench<'a> {
+    scenario: &'a SlopesScenario,
+    seed: u64,
+    stopwatch: Stopwatch,
+    progress: &'a ProgressBar,
+}
+
+/// A size that is measured, with the results of its repetitions so far.
+struct Job {
+    setup: Setup,
+    extent: Extent,
+    counts: Counts,
+    values: BTreeMap<Quantity, Vec<f64>>,
+}
+
+/// A proxy that has read the list of a fleet, with the translator that read it.
+struct Subject {
+    proxy: VirtualProxy,
+    translator: Translator,
+    endpoints: Endpoints,
+}
+
+impl Job {
+    fn new(setup: Setup, extent: Extent) -> Self {
+        Self {
+            setup,
+            extent,
+            counts: Counts::default(),
+            values: BTreeMap::new(),
+        }
+    }
+
+    fn finish(self) -> Point {
+        let mut figures = BTreeMap::new();
+        for (quantity, values) in self.values {
+            if let Some(summary) = Summary::of(values) {
+                figures.insert(quantity, summary);
+            }
+        }
+        Point {
+            setup: self.setup,
+            counts: self.counts,
+            figures,
+        }
+    }
+}
+
+impl<'a> Bench<'a> {
+    /// Makes a bench with this seed; `progress` advances by one with each repetition of a size.
+    #[must_use]
+    pub fn new(scenario: &'a SlopesScenario, seed: u64, progress: &'a ProgressBar) -> Self {
+        Self {
+            scenario,
+            seed,
+            stopwatch: Stopwatch::calibrated(),
+            progress,
+        }
+    }
+
+    /// Returns the number of repetitions of all sizes, for a progress bar.
+    #[must_use]
+    pub fn steps(scenario: &SlopesScenario) -> u64 {
+        let mut jobs = TARGET_JOBS;
+        for sweep in Sweep::ALL {
+            jobs += sweep.setups(scenario).len() as u64;
+        }
+        jobs * u64::from(scenario.repetitions)
+    }
+
+    /// Makes all measurements. Each repetition goes through all sizes, so that a machine that is busy for a
+    /// while does not affect all repetitions of a few sizes.
+    ///
+    /// # Errors
+    /// Where the program rejects the settings or a list that the lab made.
+    pub fn run(&self) -> Result<Measurements, SlopesError> {
+        let load_before = load_average();
+        let mut sweeps = self.sweep_jobs();
+        let [mut mean, mut hot] = self.target_jobs();
+        for repetition in 0..self.scenario.repetitions {
+            let swept = sweeps.values_mut().flatten();
+            for job in swept.chain([&mut mean, &mut hot]) {
+                self.repeat(job, repetition)?;
+            }
+        }
+        let open_request_memory = self.open_request_memory()?;
+        Ok(Measurements {
+            clock_overhead_ns: self.stopwatch.overhead().as_nanos() as f64,
+            sweeps: finish_sweeps(sweeps),
+            open_request_memory,
+            target: TargetPoints {
+                mean: mean.finish(),
+                hot: hot.finish(),
+            },
+            load_average: LoadAverage {
+                before: load_before,
+                after: load_average(),
+            },
+        })
+    }
+
+    fn sweep_jobs(&self) -> BTreeMap<Sweep, Vec<Job>> {
+        let mut sweeps = BTreeMap::new();
+        for sweep in Sweep::ALL {
+            let setups = sweep.setups(self.scenario).into_iter();
+            let jobs = setups.map(|setup| Job::new(setup, sweep.extent()));
+            sweeps.insert(sweep, jobs.collect());
+        }
+        sweeps
+    }
+
+    /// Returns the target at the mean rate and at that of a hot proxy.
+    fn target_jobs(&self) -> [Job; 2] {
+        let target = &self.scenario.target;
+        let mean = Setup {
+            backends: target.backends,
+            proxies: target.proxies,
+            tenants: target.tenants,
+            classes: target.classes,
+            requests_per_second: target.requests_per_second,
+        };
+        let hot = Setup {
+            requests_per_second: target.requests_per_second * target.hot_factor,
+            ..mean
+        };
+        [
+            Job::new(mean, Extent::Everything),
+            Job::new(hot, Extent::Decisions),
+        ]
+    }
+
+    fn repeat(&self, job: &mut Job, repetition: u32) -> Result<(), SlopesError> {
+        let Setup {
+            backends, proxies, ..
+        } = job.setup;
+        self.progress
+            .set_message(format!("{backends} backends, {proxies} proxies"));
+        for (quantity, value) in self.measure(job, repetition)? {
+            job.values.entry(quantity).or_default().push(value);
+        }
+        self.progress.inc(1);
+        Ok(())
+    }
+
+    /// Measures one repetition and adds its counts to the job. Memory is measured in the first one alone.
+    fn measure(
+        &self,
+        job: &mut Job,
+        repetition: u32,
+    ) -> Result<BTreeMap<Quantity, f64>, SlopesError> {
+        let offset = u64::from(repetition).wrapping_mul(REPETITION_SEED_STRIDE);
+        let seed = self.seed.wrapping_add(offset);
+        let load = &self.scenario.load;
+        let mut subject = self.subject(&job.setup, seed)?;
+        subject.proxy.warm_up(load.warm_up_requests);
+        subject.proxy.take_counts();
+        let mut costs = DecisionCosts::default();
+        subject
+            .proxy
+            .serve(load.measured_requests, &self.stopwatch, &mut costs);
+        job.counts.add(&subject.proxy.take_counts());
+        let mut figures = costs.figures();
+        if job.extent == Extent::Everything {
+            figures.extend(self.membership(&job.setup, seed, &mut subject)?);
+        }
+        if repetition == 0 {
+            figures.extend(self.memory(&job.setup, seed)?);
+        }
+        Ok(figures)
+    }
+
+    fn membership(
+        &self,
+        setup: &Setup,
+        seed: u64,
+        subject: &mut Subject,
+    ) -> Result<BTreeMap<Quantity, f64>, SlopesError> {
+        let replacement_seed = seed ^ REPLACEMENT_SEED_SALT;
+        let replacements =
+            Endpoints::generate(setup.backends, &self.scenario.fleet, replacement_seed);
+        let mut random = SmallRng::seed_from_u64(seed);
+        let Subject {
+            proxy,
+            translator,
+            endpoints,
+        } = subject;
+        let mut figures = wire_sizes(endpoints);
+        let mut bench = MembershipBench::new(proxy, translator, &self.stopwatch, &mut random);
+        for input in [Input::Backends, Input::Text] {
+            let measured =
+                bench.measure(input, endpoints, &replacements, &self.scenario.changes)?;
+            figures.extend(measured);
+        }
+        Ok(figures)
+    }
+
+    /// Measures the heap of a proxy that has served for a while, before any change of membership.
+    fn memory(&self, setup: &Setup, seed: u64) -> Result<BTreeMap<Quantity, f64>, SlopesError> {
+        let mut subject = self.subject(setup, seed)?;
+        subject.proxy.warm_up(self.scenario.load.warm_up_requests);
+        let balancer = heap_of(subject.proxy.into_balancer());
+        let translator = heap_of(subject.translator);
+        let mut figures = BTreeMap::new();
+        if let (Some(balancer), Some(translator)) = (balancer, translator) {
+            figures.insert(Quantity::BalancerMemory, balancer);
+            figures.insert(Quantity::TranslatorMemory, translator);
+        }
+        Ok(figures)
+    }
+
+    fn open_request_memory(&self) -> Result<Vec<OpenRequestMemory>, SlopesError> {
+        let setup = Setup {
+            backends: OPEN_REQUEST_BACKENDS,
+            proxies: 1,
+            tenants: self.scenario.fleet.tenants,
+            classes: self.scenario.fleet.classes,
+            requests_per_second: self.scenario.load.requests_per_second,
+        };
+        let mut memory = Vec::new();
+        for &open_requests in &self.scenario.sweeps.open_requests {
+            let mut subject = self.subject(&setup, self.seed)?;
+            subject.proxy.open_requests(open_requests);
+            if let Some(balancer_memory) = heap_of(subject.proxy.into_balancer()) {
+                memory.push(OpenRequestMemory {
+                    open_requests,
+                    balancer_memory,
+                });
+            }
+        }
+        Ok(memory)
+    }
+
+    fn subject(&self, setup: &Setup, seed: u64) -> Result<Subject, SlopesError> {
+        let fleet = &self.scenario.fleet;
+        let endpoints = Endpoints::generate(setup.backends, fleet, seed);
+        let mut translator = translator(fleet);
+        let text = list_text(FIRST_REVISION, true, endpoints.all());
+        let backends = parse_backends(&mut translator, &text)?;
+        let proxy = VirtualProxy::new(setup, fleet, &self.scenario.load, seed, &backends)?;
+        Ok(Subject {
+            proxy,
+            translator,
+            endpoints,
+        })
+    }
+}
+
+fn finish_sweeps(sweeps: BTreeMap<Sweep, Vec<Job>>) -> BTreeMap<Sweep, Vec<Point>> {
+    let mut finished = BTreeMap::new();
+    for (sweep, jobs) in sweeps {
+        let points = jobs.into_iter().map(Job::finish).collect();
+        finished.insert(sweep, points);
+    }
+    finished
+}
+
+/// Reads the machine's load over the last minute from `/proc/loadavg`.
+fn load_average() -> Option<f64> {
+    let text = std::fs::read_to_string("/proc/loadavg").ok()?;
+    text.split_whitespace().next()?.parse().ok()
+}
--- a/lab/src/slopes/memory.rs
+++ b/lab/src/slopes/memory.rs
@@ -1,14 +1,14 @@
-//! Heap that the decisions and the translator hold, by a counting global allocator.
+//! Heap of the decisions and of the translator, by a counting global allocator.
 //!
 //! The program installs the allocator (`main.rs`); where it is missing, as in tests, nothing is measured.
 
 use stats_alloc::INSTRUMENTED_SYSTEM;
 use std::hint::black_box;
 
-/// Bytes of the allocation by which the allocator is recognised.
+/// Bytes of the allocation by which the counting allocator is recognised.
 const TRIAL_BYTES: usize = 4_096;
 
-/// Bytes that are allocated now, as far as the counting allocator knows.
+/// Returns the bytes that are allocated now, as counted by the allocator.
 fn live_bytes() -> usize {
     let stats = INSTRUMENTED_SYSTEM.stats();
     stats
@@ -16,7 +16,7 @@
         .saturating_sub(stats.bytes_deallocated)
 }
 
-/// Whether the counting allocator is this program's.
+/// Returns whether the counting allocator is installed.
 #[must_use]
 pub fn is_counted() -> bool {
     let before = INSTRUMENTED_SYSTEM.stats().bytes_allocated;
@@ -26,7 +26,8 @@
     after >= before + TRIAL_BYTES
 }
 
-/// Bytes of heap that `value` alone holds: what its drop frees. `None` without the counting allocator.
+/// Returns the bytes of heap that `value` alone holds, which are those that its drop frees; `None` without the
+/// counting allocator.
 #[must_use]
 pub fn heap_of<T>(value: T) -> Option<f64> {
     if !is_counted() {
--- a/lab/src/slopes/mod.rs
+++ b/lab/src/slopes/mod.rs
@@ -2,13 +2,14 @@
 //! tenants and classes grow, and what that comes to at the target.
 //!
 //! Costs are processor time of the real decision module under load in virtual time ([`virtual_proxy`]) and of
-//! the real translator of discovery's answers ([`membership`]); memory is what the allocator counts
+//! the real translator of discovery's responses ([`membership`]); memory is counted by the allocator
 //! ([`memory`]). Sockets are not part of it.
 
 pub mod analysis;
 pub mod costs;
 pub mod csv_file;
 pub mod endpoints;
+pub mod error;
 pub mod fit;
 pub mod measure;
 pub mod membership;
@@ -19,6 +20,7 @@
 pub mod scenario;
 pub mod setup;
 pub mod stopwatch;
+mod units;
 pub mod virtual_proxy;
 
 use crate::error::LabError;
@@ -27,9 +29,10 @@
 use crate::scenario::{Scenario, read};
 use analysis::Analysis;
 use clap::Args;
+use error::SlopesError;
 use indicatif::{ProgressBar, ProgressStyle};
 use measure::{Bench, Measurements};
-use scenario::{MOST_BACKENDS, MOST_REPETITIONS, SlopesScenario};
+use scenario::{MAX_BACKENDS, MAX_REPETITIONS, SlopesScenario};
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 
@@ -46,11 +49,11 @@
     scenario: Option<PathBuf>,
     /// Numbers of backends to measure at, ascending, in place of the scenario's.
     #[arg(long, value_delimiter = ',', value_name = "N,N,...",
-        value_parser = clap::value_parser!(u32).range(1..=i64::from(MOST_BACKENDS)))]
+        value_parser = clap::value_parser!(u32).range(1..=i64::from(MAX_BACKENDS)))]
     sizes: Option<Vec<u32>>,
     /// Repetitions of each measurement, in place of the scenario's.
     #[arg(long, value_name = "N",
-        value_parser = clap::value_parser!(u32).range(1..=i64::from(MOST_REPETITIONS)))]
+        value_parser = clap::value_parser!(u32).range(1..=i64::from(MAX_REPETITIONS)))]
     repetitions: Option<u32>,
     /// File that the figures are written to as comma-separated values.
     #[arg(long, value_name = "FILE")]
@@ -72,19 +75,19 @@
 /// Runs the experiment.
 ///
 /// # Errors
-/// A scenario that makes no sense, a file that can't be written, or settings that the program refuses.
+/// A scenario that makes no sense, a file that can't be written, or settings that the program rejects.
 pub fn run(options: &SlopesOptions) -> Result<(), LabError> {
     let scenario = options.scenario()?;
-    let result = measure(&scenario, options.common.seed, &options.progress(&scenario))?;
+    let progress = options.progress(&scenario);
+    let result = measure(&scenario, options.common.seed, &progress)?;
     println!("{}", report::text(&result.measurements, &result.analysis));
     if let Some(path) = &options.common.json {
-        let run = options.common.run_info("slopes");
-        RunResult {
-            run,
+        let run_result = RunResult {
+            run: options.common.run_info("slopes"),
             scenario: &scenario,
             measured: &result,
-        }
-        .write(path)?;
+        };
+        run_result.write(path)?;
     }
     if let Some(path) = &options.csv {
         csv_file::write(path, &result.measurements)?;
@@ -98,12 +101,12 @@
 /// Measures a scenario and analyses the figures.
 ///
 /// # Errors
-/// [`LabError::Failed`] where the program refuses the settings or a list that the lab made.
+/// Where the program rejects the settings or a list that the lab made.
 pub fn measure(
     scenario: &SlopesScenario,
     seed: u64,
     progress: &ProgressBar,
-) -> Result<SlopesResult, LabError> {
+) -> Result<SlopesResult, SlopesError> {
     let measurements = Bench::new(scenario, seed, progress).run()?;
     progress.finish_and_clear();
     let analysis = Analysis::of(scenario, &measurements);
@@ -114,7 +117,7 @@
 }
 
 impl SlopesOptions {
-    /// The scenario with what the command line puts in place of it.
+    /// Returns the scenario with the values that the command line replaces.
     fn scenario(&self) -> Result<SlopesScenario, LabError> {
         let mut scenario = match &self.scenario {
             Some(path) => read(path)?,
@@ -139,7 +142,7 @@
             return ProgressBar::hidden();
         }
         let style = ProgressStyle::with_template(PROGRESS_TEMPLATE);
-        let style = style.unwrap_or_else(|_| ProgressStyle::default_bar());
-        ProgressBar::new(Bench::steps(scenario)).with_style(style)
+        let bar = ProgressBar::new(Bench::steps(scenario));
+        bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
     }
 }
--- a/lab/src/slopes/plot.rs
+++ b/lab/src/slopes/plot.rs
@@ -1,6 +1,6 @@
 //! The log-log plot of costs over the number of backends, as SVG.
 
-use super::analysis::series;
+use super::analysis::curve::series;
 use super::measure::{Measurements, Sweep};
 use super::quantity::Quantity;
 use crate::error::LabError;
@@ -12,12 +12,18 @@
 const PICTURE_SIZE: (u32, u32) = (960, 640);
 /// Radius of a point, pixels.
 const POINT_RADIUS: u32 = 3;
-/// Room for the labels of the axes, pixels.
-const LABEL_ROOM: u32 = 60;
-/// Factors by which the axes reach beyond the curves.
+/// Width of a line, pixels.
+const LINE_WIDTH: u32 = 2;
+/// Margin around the chart, pixels.
+const PICTURE_MARGIN: u32 = 15;
+/// Family and size of the caption's font.
+const CAPTION_FONT: (&str, u32) = ("sans-serif", 20);
+/// Space for the labels of the axes, pixels.
+const LABEL_SPACE: u32 = 60;
+/// Factor by which the axes reach beyond the curves.
 const AXIS_MARGIN: f64 = 1.5;
 
-/// The curves of the plot.
+/// The quantities of the plot.
 const PLOTTED: [Quantity; 7] = [
     Quantity::Request,
     Quantity::RequestEnd,
@@ -34,44 +40,45 @@
     points: Vec<(f64, f64)>,
 }
 
-/// Draws the sweep over backends.
+/// Plots the sweep over backends.
 ///
 /// # Errors
 /// [`LabError::Unwritable`] where the file can't be written.
-pub fn write(path: &Path, measured: &Measurements) -> Result<(), LabError> {
-    let points = measured
-        .sweeps
-        .get(&Sweep::Backends)
-        .map_or(&[][..], Vec::as_slice);
-    let curves: Vec<Curve> = PLOTTED
-        .iter()
-        .map(|&quantity| Curve {
-            label: quantity.label(),
-            points: series(Sweep::Backends, points, quantity)
-                .into_iter()
-                .filter(|&(_, cost)| cost > 0.0)
-                .collect(),
-        })
-        .collect();
-    draw(path, &curves).map_err(|error| LabError::Unwritable {
+pub fn write(path: &Path, measurements: &Measurements) -> Result<(), LabError> {
+    draw(path, &curves(measurements)).map_err(|error| LabError::Unwritable {
         path: path.to_owned(),
         source: io::Error::other(error.to_string()),
     })
 }
 
+fn curves(measurements: &Measurements) -> Vec<Curve> {
+    let Some(points) = measurements.sweeps.get(&Sweep::Backends) else {
+        return Vec::new();
+    };
+    let mut curves = Vec::new();
+    for quantity in PLOTTED {
+        let mut points = series(Sweep::Backends, points, quantity);
+        // The axes are logarithmic.
+        points.retain(|&(_, cost)| cost > 0.0);
+        curves.push(Curve {
+            label: quantity.label(),
+            points,
+        });
+    }
+    curves
+}
+
 fn draw(path: &Path, curves: &[Curve]) -> Result<(), Box<dyn std::error::Error>> {
-    let backend = SVGBackend::new(path, PICTURE_SIZE);
-    let area = backend.into_drawing_area();
+    let area = SVGBackend::new(path, PICTURE_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
+    let backends_axis = axis_range(curves, |point| point.0);
+    let cost_axis = axis_range(curves, |point| point.1);
     let mut chart = ChartBuilder::on(&area)
-        .caption("Processor time by number of backends", ("sans-serif", 20))
-        .margin(15)
-        .x_label_area_size(LABEL_ROOM)
-        .y_label_area_size(LABEL_ROOM)
-        .build_cartesian_2d(
-            span(curves, |point| point.0).log_scale(),
-            span(curves, |point| point.1).log_scale(),
-        )?;
+        .caption("Processor time by number of backends", CAPTION_FONT)
+        .margin(PICTURE_MARGIN)
+        .x_label_area_size(LABEL_SPACE)
+        .y_label_area_size(LABEL_SPACE)
+        .build_cartesian_2d(backends_axis.log_scale(), cost_axis.log_scale())?;
     chart
         .configure_mesh()
         .x_desc("backends")
@@ -79,17 +86,11 @@
         .draw()?;
     for (number, curve) in curves.iter().enumerate() {
         let color = Palette99::pick(number).to_rgba();
-        chart.draw_series(LineSeries::new(
-            curve.points.iter().copied(),
-            color.stroke_width(2),
-        ))?;
+        let line = LineSeries::new(curve.points.iter().copied(), color.stroke_width(LINE_WIDTH));
+        chart.draw_series(line)?;
+        let circle = move |at| Circle::new(at, POINT_RADIUS, color.filled());
         chart
-            .draw_series(
-                curve
-                    .points
-                    .iter()
-                    .map(|&at| Circle::new(at, POINT_RADIUS, color.filled())),
-            )?
+            .draw_series(curve.points.iter().copied().map(circle))?
             .label(curve.label)
             .legend(move |at| Circle::new(at, POINT_RADIUS, color.filled()));
     }
@@ -102,18 +103,18 @@
     Ok(())
 }
 
-/// The range of an axis that holds all points.
-fn span(curves: &[Curve], coordinate: impl Fn(&(f64, f64)) -> f64) -> std::ops::Range<f64> {
+/// Returns the range of an axis that holds all points.
+fn axis_range(curves: &[Curve], coordinate: impl Fn(&(f64, f64)) -> f64) -> std::ops::Range<f64> {
     let values: Vec<f64> = curves
         .iter()
         .flat_map(|curve| &curve.points)
         .map(coordinate)
         .collect();
-    let least = values.iter().copied().fold(f64::INFINITY, f64::min);
-    let greatest = values.iter().copied().fold(0.0, f64::max);
+    let min = values.iter().copied().fold(f64::INFINITY, f64::min);
+    let max = values.iter().copied().fold(0.0, f64::max);
     if values.is_empty() {
         1.0..10.0
     } else {
-        least / AXIS_MARGIN..greatest * AXIS_MARGIN
+        min / AXIS_MARGIN..max * AXIS_MARGIN
     }
 }
--- a/lab/src/slopes/quantity.rs
+++ b/lab/src/slopes/quantity.rs
@@ -2,13 +2,13 @@
 
 use serde::Serialize;
 
-/// What one figure means. Costs are processor time of one event unless the name says otherwise.
+/// What a figure is. Costs are the processor time of one event unless the name says otherwise.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Quantity {
     /// `Event::Request`: the arrival of a request.
     Request,
-    /// `Event::Settled`: the end of an attempt.
+    /// `Event::AttemptEnded`: the end of an attempt.
     RequestEnd,
     /// All events of a request together: its arrival, its ends and its timers.
     WholeRequest,
@@ -18,13 +18,13 @@
     RequestP99,
     /// Processor time of an end, 99th percentile.
     RequestEndP99,
-    /// Wall time of an arrival, median. Wall time counts what other processes of the machine take.
+    /// Wall time of an arrival, median. Wall time includes what other processes of the machine take.
     RequestWallP50,
     /// Wall time of an arrival, 99th percentile.
     RequestWallP99,
     /// Wall time of an end, 99th percentile.
     RequestEndWallP99,
-    /// A delta of one entry, mean over the kinds of change below.
+    /// A delta of one endpoint, mean over the kinds of change below.
     Entry,
     /// A delta of one: a backend begins to drain.
     EntryDrain,
@@ -32,17 +32,18 @@
     EntryReady,
     /// A delta of one: a backend has a new process.
     EntryRestart,
-    /// A delta of one: a backend is gone.
-    EntryGone,
+    /// A delta of one: a backend is removed.
+    #[serde(rename = "entry_gone")]
+    EntryRemove,
     /// A delta of one: a backend joins.
     EntryJoin,
-    /// A delta of all entries of a zone, draining or ready again.
+    /// A delta of all endpoints of a zone, draining or ready again.
     ZoneDelta,
-    /// A whole list that says nothing new.
+    /// A complete list without a change.
     ListUnchanged,
-    /// A whole list without any of the backends that were known.
+    /// A complete list without any of the backends of the one before.
     ListReplaced,
-    /// As [`Quantity::Entry`], from the JSON text of discovery's answer.
+    /// As [`Quantity::Entry`], from the JSON text of discovery's response.
     EntryFromText,
     /// As [`Quantity::ZoneDelta`], from text.
     ZoneDeltaFromText,
@@ -50,17 +51,17 @@
     ListUnchangedFromText,
     /// As [`Quantity::ListReplaced`], from text.
     ListReplacedFromText,
-    /// Bytes of one entry in a list.
+    /// Bytes of one endpoint in a list.
     EntryBytes,
     /// Bytes of the body of a delta of one.
     DeltaOfOneBytes,
     /// Bytes of the body of a zone's delta.
     ZoneDeltaBytes,
-    /// Bytes of the body of a whole list.
+    /// Bytes of the body of a complete list.
     ListBytes,
     /// Heap of the decisions under load.
     BalancerMemory,
-    /// Heap of the translation of discovery's names.
+    /// Heap of the translator of discovery's responses.
     TranslatorMemory,
 }
 
@@ -90,7 +91,7 @@
         Self::EntryDrain,
         Self::EntryReady,
         Self::EntryRestart,
-        Self::EntryGone,
+        Self::EntryRemove,
         Self::EntryJoin,
         Self::ZoneDelta,
         Self::ListUnchanged,
@@ -107,7 +108,7 @@
         Self::TranslatorMemory,
     ];
 
-    /// Its unit.
+    /// Returns its unit.
     #[must_use]
     pub fn unit(self) -> Unit {
         match self {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Its name in tables.
+    /// Returns its name in tables.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -138,7 +139,7 @@
             Self::EntryDrain => "  drains",
             Self::EntryReady => "  ready again",
             Self::EntryRestart => "  new process",
-            Self::EntryGone => "  gone",
+            Self::EntryRemove => "  gone",
             Self::EntryJoin => "  joins",
             Self::ZoneDelta => "zone changed",
             Self::ListUnchanged => "list, unchanged",
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Its name in files, as in the JSON result.
+    /// Returns its name in files, as in the JSON result.
     #[must_use]
     pub fn key(self) -> String {
         serde_json::to_value(self)
--- a/lab/src/slopes/report.rs
+++ b/lab/src/slopes/report.rs
@@ -1,14 +1,22 @@
 //! The tables on standard output.
 
-use super::analysis::{Analysis, Assessment, Curve, Verdict};
+use super::analysis::Analysis;
+use super::analysis::assessment::{Assessment, Verdict};
+use super::analysis::curve::Curve;
 use super::fit::Model;
 use super::measure::{Measurements, Point, Sweep};
 use super::quantity::{Quantity, Unit};
 use super::setup::Setup;
 use super::stopwatch::Summary;
+use super::units::{
+    BYTES_PER_KB, BYTES_PER_MB, NANOS_PER_MICRO, NANOS_PER_MILLI, NANOS_PER_SECOND, PERCENT,
+};
 use comfy_table::{CellAlignment, Table, presets};
 use std::fmt::Write;
 
+/// Bytes from which sizes are shown in kilobytes.
+const KB_SHOWN_FROM: f64 = 1e4;
+
 /// Quantities of the tables of tenants, classes and proxies.
 const DECISION_QUANTITIES: [Quantity; 8] = [
     Quantity::Request,
@@ -38,11 +46,11 @@
     Quantity::TranslatorMemory,
 ];
 
-/// The whole report.
+/// Returns the whole report.
 #[must_use]
-pub fn text(measured: &Measurements, analysis: &Analysis) -> String {
-    let mut report = load_text(measured);
-    for (&sweep, points) in &measured.sweeps {
+pub fn text(measurements: &Measurements, analysis: &Analysis) -> String {
+    let mut report = load_text(measurements);
+    for (&sweep, points) in &measurements.sweeps {
         let quantities: &[Quantity] = if sweep == Sweep::Backends {
             &Quantity::ALL
         } else {
@@ -57,7 +65,7 @@
     section(
         &mut report,
         "Target, measured as it is",
-        &target_table(measured),
+        &target_table(measurements),
     );
     section(
         &mut report,
@@ -75,8 +83,8 @@
     report
 }
 
-fn load_text(measured: &Measurements) -> String {
-    let load = measured.load_average;
+fn load_text(measurements: &Measurements) -> String {
+    let load = measurements.load_average;
     let Some((before, after)) = load.before.zip(load.after) else {
         return String::new();
     };
@@ -95,7 +103,7 @@
     format!("By {swept}{at}: median of the repetitions, half their range in percent")
 }
 
-/// The sizes that a sweep leaves as they are.
+/// Describes the sizes that a sweep does not change.
 fn fixed_sizes(sweep: Sweep, point: &Point) -> String {
     let Setup {
         backends,
@@ -132,67 +140,64 @@
     table
         .load_preset(presets::ASCII_MARKDOWN)
         .set_header(header);
-    table
-        .column_iter_mut()
-        .skip(1)
-        .for_each(|column| column.set_cell_alignment(CellAlignment::Right));
+    for column in table.column_iter_mut().skip(1) {
+        column.set_cell_alignment(CellAlignment::Right);
+    }
     table
 }
 
 fn sweep_table(sweep: Sweep, points: &[Point], quantities: &[Quantity]) -> Table {
-    let sizes = points.iter().map(|point| match sweep {
-        Sweep::Backends => format!("{} ({})", point.setup.backends, point.setup.proxies),
-        _ => sweep.size(&point.setup).to_string(),
-    });
-    let first = if sweep == Sweep::Backends {
-        "backends (proxies)"
-    } else {
-        sweep_label(sweep)
-    };
-    let mut table = new_table(std::iter::once(first.to_owned()).chain(sizes).collect());
+    let mut header = vec![match sweep {
+        Sweep::Backends => "backends (proxies)".to_owned(),
+        _ => sweep_label(sweep).to_owned(),
+    }];
+    for point in points {
+        header.push(match sweep {
+            Sweep::Backends => format!("{} ({})", point.setup.backends, point.setup.proxies),
+            _ => sweep.size(&point.setup).to_string(),
+        });
+    }
+    let mut table = new_table(header);
     add_rows(&mut table, points, quantities);
-    add_refusals(&mut table, points);
+    add_unserved_row(&mut table, points);
     table
 }
 
-fn target_table(measured: &Measurements) -> Table {
-    let points = [measured.target.mean.clone(), measured.target.hot.clone()];
+fn target_table(measurements: &Measurements) -> Table {
+    let points = [
+        measurements.target.mean.clone(),
+        measurements.target.hot.clone(),
+    ];
     let mut table = new_table(["", "mean rate", "hot proxy"].map(str::to_owned).to_vec());
     add_rows(&mut table, &points, &Quantity::ALL);
-    add_refusals(&mut table, &points);
+    add_unserved_row(&mut table, &points);
     table
 }
 
-/// Requests that were turned away or failed, so that it shows whether a point's load is one that it can take.
-fn add_refusals(table: &mut Table, points: &[Point]) {
-    let percent = |point: &Point| {
+/// Adds the part of the requests that were rejected or failed, which shows whether the load of a point exceeds
+/// its capacity.
+fn add_unserved_row(table: &mut Table, points: &[Point]) {
+    let mut row = vec!["rejected or failed".to_owned()];
+    for point in points {
         let counts = &point.counts;
-        let unserved = (counts.refused + counts.failed) as f64 / counts.requests.max(1) as f64;
-        format!("{:.1}%", unserved * 100.0)
-    };
-    let cells = points.iter().map(percent);
-    table.add_row(
-        std::iter::once("refused or failed".to_owned())
-            .chain(cells)
-            .collect::<Vec<_>>(),
-    );
+        let unserved = (counts.rejected + counts.failed) as f64 / counts.requests.max(1) as f64;
+        row.push(format!("{:.1}%", unserved * PERCENT));
+    }
+    table.add_row(row);
 }
 
+/// Adds one row for each quantity that was measured at any of the points.
 fn add_rows(table: &mut Table, points: &[Point], quantities: &[Quantity]) {
     for &quantity in quantities {
-        let figures: Vec<Option<&Summary>> =
-            points.iter().map(|p| p.figures.get(&quantity)).collect();
-        if figures.iter().all(Option::is_none) {
+        let is_measured = |point: &Point| point.figures.contains_key(&quantity);
+        if !points.iter().any(is_measured) {
             continue;
         }
-        let cells = figures
-            .into_iter()
-            .map(|figure| summary_text(quantity, figure));
-        table.add_row(
-            std::iter::once(quantity.label().to_owned())
-                .chain(cells)
-                .collect::<Vec<_>>(),
-        );
+        let mut row = vec![quantity.label().to_owned()];
+        for point in points {
+            row.push(summary_text(quantity, point.figures.get(&quantity)));
+        }
+        table.add_row(row);
     }
 }
 
@@ -204,7 +209,7 @@
     if quantity.unit() == Unit::Bytes || summary.values.len() < 2 {
         return median;
     }
-    format!("{median} ±{:.0}%", summary.spread() * 100.0)
+    format!("{median} ±{:.0}%", summary.spread() * PERCENT)
 }
 
 fn fit_table(curves: &[Curve]) -> Table {
@@ -217,58 +222,63 @@
         "at the target",
     ];
     let mut table = new_table(header.map(str::to_owned).to_vec());
-    for curve in curves.iter().filter(|curve| is_shown(curve)) {
-        let (line, power_law) = (curve.fit.line, curve.fit.power_law);
-        let show = |value| value_text(curve.quantity, value);
-        table.add_row(vec![
-            curve.quantity.label().to_owned(),
-            sweep_label(curve.sweep).to_owned(),
-            format!(
-                "{} + {} n (error {:.0}%)",
-                show(line.intercept),
-                show(line.slope),
-                line.relative_error * 100.0
-            ),
-            format!(
-                "n^{:.2} (error {:.0}%)",
-                power_law.exponent,
-                power_law.relative_error * 100.0
-            ),
-            if curve.fit.better == Model::Line {
-                "line"
-            } else {
-                "power law"
-            }
-            .to_owned(),
-            format!("{} at {}", show(curve.at_target), curve.target_size),
-        ]);
+    for curve in curves {
+        if is_shown(curve) {
+            table.add_row(fit_row(curve));
+        }
     }
     table
 }
 
-/// The translator knows neither tenants nor classes, and proxies are none of its business either.
+fn fit_row(curve: &Curve) -> Vec<String> {
+    let line = curve.fit.line;
+    let power_law = curve.fit.power_law;
+    let show = |value| value_text(curve.quantity, value);
+    let better = match curve.fit.better {
+        Model::Line => "line",
+        Model::PowerLaw => "power law",
+    };
+    vec![
+        curve.quantity.label().to_owned(),
+        sweep_label(curve.sweep).to_owned(),
+        format!(
+            "{} + {} n (error {:.0}%)",
+            show(line.intercept),
+            show(line.slope),
+            line.relative_error * PERCENT
+        ),
+        format!(
+            "n^{:.2} (error {:.0}%)",
+            power_law.exponent,
+            power_law.relative_error * PERCENT
+        ),
+        better.to_owned(),
+        format!("{} at {}", show(curve.at_target), curve.target_size),
+    ]
+}
+
+/// Returns whether the fit is in the table. The translator depends on the number of backends alone.
 fn is_shown(curve: &Curve) -> bool {
-    let sweeps_translator =
+    let depends_on_sweep =
         curve.sweep == Sweep::Backends || curve.quantity != Quantity::TranslatorMemory;
-    sweeps_translator && FITTED_QUANTITIES.contains(&curve.quantity)
+    depends_on_sweep && FITTED_QUANTITIES.contains(&curve.quantity)
 }
 
 fn budget_table(assessments: &[Assessment]) -> Table {
-    let mut table = new_table(
-        [
-            "at the target",
-            "measured",
-            "by the fits",
-            "budget",
-            "verdict",
-        ]
-        .map(str::to_owned)
-        .to_vec(),
-    );
+    let header = [
+        "at the target",
+        "measured",
+        "by the fits",
+        "budget",
+        "verdict",
+    ];
+    let mut table = new_table(header.map(str::to_owned).to_vec());
     for assessment in assessments {
         let unit = assessment.unit.label();
-        let show =
-            |value: Option<f64>| value.map_or("-".to_owned(), |v| format!("{} {unit}", digits(v)));
+        let show = |value: Option<f64>| match value {
+            Some(value) => format!("{} {unit}", digits(value)),
+            None => "-".to_owned(),
+        };
         table.add_row(vec![
             assessment.name.to_owned(),
             show(assessment.measured),
@@ -297,28 +307,39 @@
 }
 
 fn time_text(nanoseconds: f64) -> String {
-    match nanoseconds.abs() {
-        size if size < 1e3 => format!("{} ns", digits(nanoseconds)),
-        size if size < 1e6 => format!("{} us", digits(nanoseconds / 1e3)),
-        size if size < 1e9 => format!("{} ms", digits(nanoseconds / 1e6)),
-        _ => format!("{} s", digits(nanoseconds / 1e9)),
+    let size = nanoseconds.abs();
+    if size < NANOS_PER_MICRO {
+        format!("{} ns", digits(nanoseconds))
+    } else if size < NANOS_PER_MILLI {
+        format!("{} us", digits(nanoseconds / NANOS_PER_MICRO))
+    } else if size < NANOS_PER_SECOND {
+        format!("{} ms", digits(nanoseconds / NANOS_PER_MILLI))
+    } else {
+        format!("{} s", digits(nanoseconds / NANOS_PER_SECOND))
     }
 }
 
 fn bytes_text(bytes: f64) -> String {
-    match bytes.abs() {
-        size if size < 1e4 => format!("{} B", digits(bytes)),
-        size if size < 1e6 => format!("{} kB", digits(bytes / 1e3)),
-        _ => format!("{} MB", digits(bytes / 1e6)),
+    let size = bytes.abs();
+    if size < KB_SHOWN_FROM {
+        format!("{} B", digits(bytes))
+    } else if size < BYTES_PER_MB {
+        format!("{} kB", digits(bytes / BYTES_PER_KB))
+    } else {
+        format!("{} MB", digits(bytes / BYTES_PER_MB))
     }
 }
 
-/// About three significant digits.
+/// Formats about three significant digits.
 fn digits(value: f64) -> String {
-    match value.abs() {
-        size if size < 0.095 && size > 0.0 => format!("{value:.2e}"),
-        size if size < 9.95 => format!("{value:.2}"),
-        size if size < 99.5 => format!("{value:.1}"),
-        _ => format!("{value:.0}"),
+    let size = value.abs();
+    if size > 0.0 && size < 0.095 {
+        format!("{value:.2e}")
+    } else if size < 9.95 {
+        format!("{value:.2}")
+    } else if size < 99.5 {
+        format!("{value:.1}")
+    } else {
+        format!("{value:.0}")
     }
 }
--- a/lab/src/slopes/setup.rs
+++ b/lab/src/slopes/setup.rs
@@ -6,8 +6,8 @@
 use tillerproxy::api::{Settings, SettingsError};
 use tillerproxy::simulator::parse_settings;
 
-/// Sum of the tenants' allowances over the requests that the whole fleet gets.
-const ALLOWANCE_HEADROOM: f64 = 1.2;
+/// Sum of the tenants' quotas, as a multiple of the requests that all proxies get.
+const QUOTA_HEADROOM: f64 = 1.2;
 
 /// Letters that name zones; the scenario allows no more zones.
 const LETTERS: u32 = 26;
@@ -28,24 +28,25 @@
 }
 
 impl Setup {
-    /// Settings of the measured proxy, read by the program's own parser.
+    /// Returns the settings of the measured proxy, parsed by the program's own parser.
     ///
     /// # Errors
-    /// The setting that the parser refuses.
+    /// The setting that the parser rejects.
     pub fn settings(&self, fleet: &FleetShape, load: &Load) -> Result<Settings, SettingsError> {
-        parse_settings(self.settings_text(fleet, load).to_string().as_bytes())
+        let json = self.settings_json(fleet, load).to_string();
+        parse_settings(json.as_bytes())
     }
 
-    fn settings_text(&self, fleet: &FleetShape, load: &Load) -> Value {
+    fn settings_json(&self, fleet: &FleetShape, load: &Load) -> Value {
         json!({
             "me": self.proxies / 2,
             "balancers": self.proxies,
             "zone": 0,
             "failureDomains": zone_names(fleet),
-            "kinds": kind_names(fleet),
+            "kinds": machine_type_names(fleet),
             "membershipMode": "on_request",
-            "classes": (0..self.classes).map(class_text).collect::<Vec<_>>(),
-            "tenants": self.tenants_text(load),
+            "classes": (0..self.classes).map(class_json).collect::<Vec<_>>(),
+            "tenants": self.tenants_json(load),
             "overShareWorth": 0.1,
             "penalties": {"crossZone": 0.05, "probe": 0.01},
             "loadReport": {"fields": ["active", "waiting", "avg_ms"], "via": "response"},
@@ -65,27 +66,27 @@
         })
     }
 
-    /// Tenants whose allowances are in proportion to the requests that they send.
-    fn tenants_text(&self, load: &Load) -> Vec<Value> {
+    /// Returns tenants whose quotas are in proportion to the requests that they send.
+    fn tenants_json(&self, load: &Load) -> Vec<Value> {
         let weights: Vec<f64> = (1..=self.tenants)
             .map(|rank| f64::from(rank).powf(-load.tenant_skew))
             .collect();
-        let fleet_rate = self.requests_per_second * f64::from(self.proxies) * ALLOWANCE_HEADROOM;
-        let total: f64 = weights.iter().sum();
+        let total_rate = self.requests_per_second * f64::from(self.proxies) * QUOTA_HEADROOM;
+        let total_weight: f64 = weights.iter().sum();
         weights
             .iter()
-            .map(|weight| json!({"allowancePerS": fleet_rate * weight / total}))
+            .map(|weight| json!({"allowancePerS": total_rate * weight / total_weight}))
             .collect()
     }
 }
 
-/// Names of the zones, `a` onwards.
+/// Returns the names of the zones, from `a`.
 #[must_use]
 pub fn zone_names(fleet: &FleetShape) -> Vec<String> {
     (0..fleet.zones).map(zone_name).collect()
 }
 
-/// Name of one zone.
+/// Returns the name of one zone.
 #[must_use]
 pub fn zone_name(zone: u32) -> String {
     char::from_digit(10 + zone % LETTERS, 10 + LETTERS)
@@ -93,20 +94,20 @@
         .to_string()
 }
 
-/// Names of the kinds of machine, `m1` onwards.
+/// Returns the names of the machine types, from `m1`.
 #[must_use]
-pub fn kind_names(fleet: &FleetShape) -> Vec<String> {
-    (0..fleet.kinds).map(kind_name).collect()
+pub fn machine_type_names(fleet: &FleetShape) -> Vec<String> {
+    (0..fleet.machine_types).map(machine_type_name).collect()
 }
 
-/// Name of one kind of machine.
+/// Returns the name of one machine type.
 #[must_use]
-pub fn kind_name(kind: u32) -> String {
-    format!("m{}", kind + 1)
+pub fn machine_type_name(machine_type: u32) -> String {
+    format!("m{}", machine_type + 1)
 }
 
-/// Classes are safe, keyed and unsafe to repeat in turn.
-fn class_text(number: u32) -> Value {
+/// Returns a class: idempotent, with idempotency keys, and not idempotent, in turn.
+fn class_json(number: u32) -> Value {
     let (effect, group) = match number % 3 {
         0 => ("retryable", ""),
         1 => ("dedup", "all"),
--- a/lab/src/slopes/stopwatch.rs
+++ b/lab/src/slopes/stopwatch.rs
@@ -4,11 +4,11 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Readings from which the cost of a reading is taken.
+/// Readings of which the median is the cost of a reading.
 const CALIBRATION_READINGS: usize = 1_001;
 
-/// Measures processor time (`CLOCK_THREAD_CPUTIME_ID`), less what a reading of that clock itself costs. The
-/// default takes nothing off.
+/// Measures processor time (`CLOCK_THREAD_CPUTIME_ID`), less the cost of a reading of that clock. The default
+/// subtracts nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stopwatch {
     overhead: Duration,
@@ -27,13 +27,13 @@
         }
     }
 
-    /// What a reading costs; it is taken off every measured time.
+    /// Returns the cost of a reading, which is subtracted from every measured time.
     #[must_use]
     pub fn overhead(&self) -> Duration {
         self.overhead
     }
 
-    /// The processor time that `work` takes.
+    /// Returns the processor time that `work` takes.
     pub fn time(&self, work: impl FnOnce()) -> Duration {
         let start = ThreadTime::now();
         work();
@@ -46,10 +46,12 @@
 pub struct Summary {
     /// The median.
     pub median: f64,
-    /// The least.
-    pub least: f64,
-    /// The greatest.
-    pub greatest: f64,
+    /// The minimum.
+    #[serde(rename = "least")]
+    pub min: f64,
+    /// The maximum.
+    #[serde(rename = "greatest")]
+    pub max: f64,
     /// Each repetition, in their order.
     pub values: Vec<f64>,
 }
@@ -60,29 +62,33 @@
     pub fn of(values: Vec<f64>) -> Option<Self> {
         let mut sorted = values.clone();
         sorted.sort_unstable_by(f64::total_cmp);
-        let (&least, &greatest) = (sorted.first()?, sorted.last()?);
-        let middle = sorted.len() / 2;
-        let even = sorted.len() % 2 == 0;
-        let median = if even {
-            (sorted[middle - 1] + sorted[middle]) / 2.0
-        } else {
-            sorted[middle]
-        };
+        let min = *sorted.first()?;
+        let max = *sorted.last()?;
         Some(Self {
-            median,
-            least,
-            greatest,
+            median: median_of(&sorted),
+            min,
+            max,
             values,
         })
     }
 
-    /// Half the range over the median.
+    /// Returns half the range over the median; 0 where the median is not above 0.
     #[must_use]
     pub fn spread(&self) -> f64 {
         if self.median > 0.0 {
-            (self.greatest - self.least) / 2.0 / self.median
+            (self.max - self.min) / 2.0 / self.median
         } else {
             0.0
         }
     }
 }
+
+/// Returns the median of sorted values, of which there is at least one.
+fn median_of(sorted: &[f64]) -> f64 {
+    let middle = sorted.len() / 2;
+    if sorted.len() % 2 == 0 {
+        (sorted[middle - 1] + sorted[middle]) / 2.0
+    } else {
+        sorted[middle]
+    }
+}
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -8,7 +8,7 @@
 use tempfile::TempDir;
 use tillerproxy_lab::error::LabError;
 use tillerproxy_lab::scenario::{parse, read};
-use tillerproxy_lab::slopes::endpoints::{Endpoints, answer_text, entries_of, translator};
+use tillerproxy_lab::slopes::endpoints::{Endpoints, list_text, parse_backends, translator};
 use tillerproxy_lab::slopes::fit::{Fit, Model};
 use tillerproxy_lab::slopes::measure::{Point, Sweep};
 use tillerproxy_lab::slopes::quantity::Quantity;
@@ -265,7 +265,7 @@
 #[test]
 fn a_summary_has_median_and_range() {
     let odd = Summary::of(vec![5.0, 1.0, 3.0]).expect("values");
-    assert_eq!((odd.median, odd.least, odd.greatest), (3.0, 1.0, 5.0));
+    assert_eq!((odd.median, odd.min, odd.max), (3.0, 1.0, 5.0));
     let even = Summary::of(vec![4.0, 1.0, 2.0, 3.0]).expect("values");
     assert_eq!(even.median, 2.5);
     assert!((even.spread() - 0.6).abs() < 1e-9);
@@ -298,8 +298,8 @@
 fn the_translator_takes_every_entry_of_a_generated_list() {
     let fleet = SlopesScenario::default().fleet;
     let endpoints = Endpoints::generate(300, &fleet, 1);
-    let text = answer_text(1, true, endpoints.all());
-    let entries = entries_of(&mut translator(&fleet), &text).expect("a list");
+    let text = list_text(1, true, endpoints.all());
+    let entries = parse_backends(&mut translator(&fleet), &text).expect("a list");
     assert_eq!(entries.len(), 300);
     let zones: BTreeSet<u16> = entries.iter().map(|entry| entry.zone.0).collect();
     assert_eq!(zones.len(), 5);
