--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,5 +1,6 @@
 //! Errors of the lab and their exit codes.
 
+use std::error::Error;
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -52,8 +53,8 @@
         subject: String,
     },
     /// The experiment failed on the way.
-    #[error("{0}")]
-    Failed(String),
+    #[error(transparent)]
+    Failed(Box<dyn Error + Send + Sync>),
 }
 
 impl LabError {
--- a/lab/src/live/error.rs
+++ b/lab/src/live/error.rs
@@ -88,6 +88,6 @@
 
 impl From<LiveError> for LabError {
     fn from(error: LiveError) -> Self {
-        Self::Failed(error.to_string())
+        Self::Failed(Box::new(error))
     }
 }
--- a/lab/src/slopes/error.rs
+++ b/lab/src/slopes/error.rs
@@ -17,6 +17,6 @@
 
 impl From<SlopesError> for LabError {
     fn from(error: SlopesError) -> Self {
-        Self::Failed(error.to_string())
+        Self::Failed(Box::new(error))
     }
 }
