--- a/lab/src/fleet/backend/mod.rs
+++ b/lab/src/fleet/backend/mod.rs
@@ -10,7 +10,7 @@
 use super::process::ProcessState;
 use super::request::AttemptKey;
 use super::topology::Machine;
-use super::units::as_milliseconds;
+use crate::units::as_milliseconds;
 use slow_start::SlowStartLoad;
 use std::collections::VecDeque;
 use tillerproxy::api::{LoadReportFields, Micros};
--- a/lab/src/fleet/client/arrivals.rs
+++ b/lab/src/fleet/client/arrivals.rs
@@ -2,7 +2,7 @@
 
 use super::{ClientCall, TrafficMix};
 use crate::fleet::random::{Stream, stream};
-use crate::fleet::units::MICROS_PER_SECOND;
+use crate::units::MICROS_PER_SECOND;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::Exp1;
--- a/lab/src/fleet/client/quotas.rs
+++ b/lab/src/fleet/client/quotas.rs
@@ -1,6 +1,6 @@
 //! Quotas of tenants over all proxies: a token bucket for each tenant.
 
-use crate::fleet::units::MICROS_PER_SECOND;
+use crate::units::MICROS_PER_SECOND;
 use tillerproxy::api::{Micros, TenantIndex};
 
 /// Size of a bucket, seconds of its rate.
--- a/lab/src/fleet/client/retry.rs
+++ b/lab/src/fleet/client/retry.rs
@@ -3,7 +3,7 @@
 use super::ClientCall;
 use crate::fleet::random::{Stream, stream};
 use crate::fleet::scenario::{ClassSettings, ClientSettings, Idempotency, KeyScope};
-use crate::fleet::units::milliseconds;
+use crate::units::milliseconds;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::Exp1;
--- a/lab/src/fleet/client/traffic.rs
+++ b/lab/src/fleet/client/traffic.rs
@@ -4,7 +4,7 @@
 use super::weighted::WeightedChoice;
 use crate::fleet::scenario::{ClassSettings, FleetScenario, WorkDistribution};
 use crate::fleet::topology::Topology;
-use crate::fleet::units::{MILLISECONDS_PER_SECOND, milliseconds};
+use crate::units::{MILLISECONDS_PER_SECOND, milliseconds};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, Exp1, LogNormal};
--- a/lab/src/fleet/discovery/mod.rs
+++ b/lab/src/fleet/discovery/mod.rs
@@ -12,7 +12,7 @@
 
 use super::ids::ProxyIndex;
 use super::scenario::DiscoverySettings;
-use super::units::{MICROS_PER_SECOND, milliseconds};
+use crate::units::{MICROS_PER_SECOND, milliseconds};
 use endpoint_list::EndpointList;
 use std::collections::VecDeque;
 use tillerproxy::api::{Backend, Micros};
--- a/lab/src/fleet/faults.rs
+++ b/lab/src/fleet/faults.rs
@@ -7,7 +7,7 @@
 use super::scenario::FleetScenario;
 use super::scenario::timeline::{self, TimelineEvent};
 use super::topology::Topology;
-use super::units::seconds;
+use crate::units::seconds;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use tillerproxy::api::{BackendId, Micros, TenantIndex, Zone};
--- a/lab/src/fleet/metrics/mod.rs
+++ b/lab/src/fleet/metrics/mod.rs
@@ -12,7 +12,7 @@
     SecondReport,
 };
 use super::rules::RuleCounts;
-use super::units::{MICROS_PER_SECOND, as_milliseconds};
+use crate::units::{MICROS_PER_SECOND, as_milliseconds};
 use hdrhistogram::Histogram;
 use propagation::PropagationTracker;
 use tillerproxy::api::Micros;
--- a/lab/src/fleet/metrics/propagation.rs
+++ b/lab/src/fleet/metrics/propagation.rs
@@ -3,7 +3,7 @@
 use crate::fleet::discovery::Revision;
 use crate::fleet::ids::ProxyIndex;
 use crate::fleet::report::ChangePropagation;
-use crate::fleet::units::as_seconds;
+use crate::units::as_seconds;
 use tillerproxy::api::Micros;
 
 /// A publication of changes on its way to the proxies.
--- a/lab/src/fleet/metrics/traffic.rs
+++ b/lab/src/fleet/metrics/traffic.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::discovery::Traffic;
 use crate::fleet::report::DiscoveryReport;
-use crate::fleet::units::MICROS_PER_SECOND;
+use crate::units::MICROS_PER_SECOND;
 use tillerproxy::api::Micros;
 
 /// Traffic of discovery in one second.
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -28,7 +28,6 @@
 pub mod slab;
 pub mod table;
 pub mod topology;
-pub mod units;
 
 use crate::error::LabError;
 use crate::options::CommonOptions;
--- a/lab/src/fleet/policy/baseline.rs
+++ b/lab/src/fleet/policy/baseline.rs
@@ -1,7 +1,7 @@
 //! Baselines: the least loaded of a few backends that are drawn at random.
 
 use super::{Policy, TrueLoad};
-use crate::fleet::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
+use crate::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
 use rustc_hash::FxHashMap;
 use tillerproxy::api::{
     Action, AttemptEnd, Backend, BackendId, ClassIndex, DiscoveryMode, Event, Idempotency,
--- a/lab/src/fleet/proxy/watcher.rs
+++ b/lab/src/fleet/proxy/watcher.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::discovery::{Call, CallId, Revision};
 use crate::fleet::ids::ProxyIndex;
-use crate::fleet::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
+use crate::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
 use tillerproxy::api::Micros;
 
 // The times are those of the proxy (`src/proxy/discovery`).
--- a/lab/src/fleet/scenario/timeline.rs
+++ b/lab/src/fleet/scenario/timeline.rs
@@ -1,6 +1,6 @@
 //! What happens to a fleet, and when: the `[[event]]` tables of a scenario.
 
-use crate::fleet::units::seconds;
+use crate::units::seconds;
 use serde::{Deserialize, Serialize};
 use tillerproxy::api::Micros;
 
--- a/lab/src/fleet/scenario/traffic.rs
+++ b/lab/src/fleet/scenario/traffic.rs
@@ -1,6 +1,6 @@
 //! The traffic of a scenario: classes of requests, tenants, load, and how clients behave.
 
-use crate::fleet::units::milliseconds;
+use crate::units::milliseconds;
 use serde::{Deserialize, Serialize};
 use tillerproxy::api;
 
--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -5,7 +5,7 @@
 use crate::fleet::process::ProcessState;
 use crate::fleet::request::{Attempt, AttemptKey, AttemptState, RequestKey, SentAttempt};
 use crate::fleet::rules::PendingSend;
-use crate::fleet::units::milliseconds;
+use crate::units::milliseconds;
 use tillerproxy::api::{AttemptEnd, BackendId, Event, Micros, Outcome, RequestId};
 
 impl Simulation<'_> {
--- a/lab/src/fleet/simulation/changes.rs
+++ b/lab/src/fleet/simulation/changes.rs
@@ -4,7 +4,7 @@
 use crate::fleet::faults::FleetChange;
 use crate::fleet::ids::ProxyIndex;
 use crate::fleet::process::ProcessState;
-use crate::fleet::units::seconds;
+use crate::units::seconds;
 use rand::Rng;
 use tillerproxy::api::{Backend, BackendId, Event, MembershipEvent, Micros, Readiness};
 
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -12,7 +12,7 @@
 use crate::fleet::scenario::FleetScenario;
 use crate::fleet::slab::RefSlab;
 use crate::fleet::topology::Topology;
-use crate::fleet::units::{milliseconds, seconds};
+use crate::units::{milliseconds, seconds};
 use tillerproxy::api::{Event, Micros, Request, RequestId, Settings};
 
 /// The clients of the simulation.
--- a/lab/src/fleet/simulation/discovery.rs
+++ b/lab/src/fleet/simulation/discovery.rs
@@ -10,7 +10,7 @@
 use crate::fleet::scenario::FleetScenario;
 use crate::fleet::slab::RefSlab;
 use crate::fleet::topology::{Machine, Topology};
-use crate::fleet::units::milliseconds;
+use crate::units::milliseconds;
 use rand::Rng;
 use std::collections::VecDeque;
 use tillerproxy::api::{Backend, BackendId, Event, MembershipEvent, Micros, Readiness};
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -26,7 +26,7 @@
 use super::scenario::FleetScenario;
 use super::slab::RefSlab;
 use super::topology::{Latencies, ProxyLocation, Topology};
-use super::units::{MICROS_PER_MILLISECOND, seconds};
+use crate::units::{MICROS_PER_MILLISECOND, seconds};
 use clients::ClientState;
 use discovery::DiscoveryState;
 use event::SimulationEvent;
--- a/lab/src/fleet/simulation/setup.rs
+++ b/lab/src/fleet/simulation/setup.rs
@@ -6,7 +6,7 @@
 use crate::fleet::rules::RuleLimits;
 use crate::fleet::scenario::{ClassSettings, FleetScenario};
 use crate::fleet::topology::Topology;
-use crate::fleet::units::{milliseconds, seconds};
+use crate::units::{milliseconds, seconds};
 use tillerproxy::api::{
     DiscoveryMode, LoadReportFields, Permissions, SafetyLimits, Settings, Tenant, TenantIndex, Zone,
 };
--- a/lab/src/fleet/topology.rs
+++ b/lab/src/fleet/topology.rs
@@ -3,7 +3,7 @@
 use super::ids::{ProxyIndex, Rack, Region};
 use super::random::{Stream, stream};
 use super::scenario::{FleetScenario, NetworkSettings};
-use super::units::milliseconds;
+use crate::units::milliseconds;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, Exp1, LogNormal};
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -17,3 +17,4 @@
 pub mod results;
 pub mod scenario;
 pub mod slopes;
+pub mod units;
--- a/lab/src/live/idle_connections.rs
+++ b/lab/src/live/idle_connections.rs
@@ -2,7 +2,8 @@
 
 use super::http::{self, HttpError};
 use super::scenario::IDLE_CONNECTION_STEPS;
-use super::usage::{BYTES_PER_KIB, Usage};
+use super::usage::Usage;
+use crate::units::BYTES_PER_KIB;
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/lab/src/live/proxy_config.rs
+++ b/lab/src/live/proxy_config.rs
@@ -1,12 +1,10 @@
 //! The configuration files of real processes, and the settings of all proxies.
 
 use super::scenario::{DiscoveryMode, LiveScenario};
+use crate::units::MICROS_PER_MILLISECOND;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Microseconds, the unit of the settings, in a millisecond.
-const MICROS_PER_MILLI: u64 = 1_000;
-
 /// Class of the requests that the lab's clients send; it is idempotent.
 pub const REQUEST_CLASS: &str = "read";
 /// Timeout of the clients' requests, in milliseconds.
@@ -59,7 +57,7 @@
         "classes": [{
             "name": REQUEST_CLASS,
             "aimUs": 500_000,
-            "deadlineUs": CLIENT_TIMEOUT_MS * MICROS_PER_MILLI,
+            "deadlineUs": CLIENT_TIMEOUT_MS * MICROS_PER_MILLISECOND,
             "worth": 1.0,
             "lateWorth": 0.5,
             "effect": "retryable",
@@ -76,7 +74,7 @@
             "dialTimeoutUs": 250_000,
         },
         "safety": {
-            "askWithinUs": scenario.discovery.poll_interval_ms * MICROS_PER_MILLI,
+            "askWithinUs": scenario.discovery.poll_interval_ms * MICROS_PER_MILLISECOND,
             "coldFrom": 0.3,
             "coldUs": 8_000_000,
             "fallMultiple": 3.0,
--- a/lab/src/live/report.rs
+++ b/lab/src/live/report.rs
@@ -5,12 +5,9 @@
 use super::latency::LatencyQuantiles;
 use super::propagation::PropagationFigures;
 use super::quantiles::Quantiles;
-use super::usage::BYTES_PER_KIB;
+use crate::units::{BYTES_PER_KIB, BYTES_PER_MEGABYTE, PERCENT};
 use std::fmt::{self, Write};
 
-/// Bytes of a megabyte.
-const BYTES_PER_MB: f64 = 1e6;
-
 /// Returns a table of the phases, each figure as median and maximum over the real processes.
 #[must_use]
 pub fn table(figures: &LiveFigures) -> String {
@@ -121,7 +118,7 @@
 }
 
 fn core_percent(process: &ProcessFigures) -> Option<f64> {
-    Some(process.cores * 100.0)
+    Some(process.cores * PERCENT)
 }
 
 fn resident_mb(process: &ProcessFigures) -> Option<f64> {
@@ -159,7 +156,7 @@
 }
 
 fn kib_to_mb(kib: u64) -> f64 {
-    kib as f64 * BYTES_PER_KIB / BYTES_PER_MB
+    kib as f64 * BYTES_PER_KIB / BYTES_PER_MEGABYTE
 }
 
 fn propagation_rows(propagation: &PropagationFigures) -> [Row; 3] {
--- a/lab/src/live/usage.rs
+++ b/lab/src/live/usage.rs
@@ -5,9 +5,6 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Bytes of the unit in which `/proc` gives memory.
-pub const BYTES_PER_KIB: f64 = 1024.0;
-
 /// Resources of a process at one moment.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Usage {
--- a/lab/src/slopes/analysis/assessor.rs
+++ b/lab/src/slopes/analysis/assessor.rs
@@ -5,8 +5,8 @@
 use crate::slopes::measure::{Measurements, Sweep};
 use crate::slopes::quantity::Quantity;
 use crate::slopes::scenario::SlopesScenario;
-use crate::slopes::units::{
-    BYTES_PER_MB, NANOS_PER_MILLI, NANOS_PER_SECOND, PERCENT, SECONDS_PER_DAY,
+use crate::units::{
+    BYTES_PER_MEGABYTE, NANOS_PER_MILLISECOND, NANOS_PER_SECOND, PERCENT, SECONDS_PER_DAY,
 };
 
 /// Descriptors of the proxy that are neither clients nor backends.
@@ -80,7 +80,7 @@
         let budget = Some(self.scenario.budgets.added_ms);
         let assess = |name, figure| Assessment::new(name, figure, budget, FigureUnit::Milliseconds);
         let sum = |arrival: Quantity, end: Quantity| {
-            move |value: Lookup<'_>| Some((value(arrival)? + value(end)?) / NANOS_PER_MILLI)
+            move |value: Lookup<'_>| Some((value(arrival)? + value(end)?) / NANOS_PER_MILLISECOND)
         };
         let processor = sum(Quantity::RequestP99, Quantity::RequestEndP99);
         let wall = sum(Quantity::RequestWallP99, Quantity::RequestEndWallP99);
@@ -154,7 +154,7 @@
     fn memory(&self) -> Assessment {
         let heap = self.at_mean_rate(|value| {
             let bytes = value(Quantity::BalancerMemory)? + value(Quantity::TranslatorMemory)?;
-            Some(bytes / BYTES_PER_MB)
+            Some(bytes / BYTES_PER_MEGABYTE)
         });
         let budget = Some(self.scenario.budgets.memory_mb);
         Assessment::new(
--- a/lab/src/slopes/mod.rs
+++ b/lab/src/slopes/mod.rs
@@ -20,7 +20,6 @@
 pub mod scenario;
 pub mod setup;
 pub mod stopwatch;
-mod units;
 pub mod virtual_proxy;
 
 use crate::error::LabError;
--- a/lab/src/slopes/report.rs
+++ b/lab/src/slopes/report.rs
@@ -8,8 +8,9 @@
 use super::quantity::{Quantity, Unit};
 use super::setup::Setup;
 use super::stopwatch::Summary;
-use super::units::{
-    BYTES_PER_KB, BYTES_PER_MB, NANOS_PER_MICRO, NANOS_PER_MILLI, NANOS_PER_SECOND, PERCENT,
+use crate::units::{
+    BYTES_PER_KILOBYTE, BYTES_PER_MEGABYTE, NANOS_PER_MICROSECOND, NANOS_PER_MILLISECOND,
+    NANOS_PER_SECOND, PERCENT,
 };
 use comfy_table::{CellAlignment, Table, presets};
 use std::fmt::Write;
@@ -308,12 +309,12 @@
 
 fn time_text(nanoseconds: f64) -> String {
     let size = nanoseconds.abs();
-    if size < NANOS_PER_MICRO {
+    if size < NANOS_PER_MICROSECOND {
         format!("{} ns", digits(nanoseconds))
-    } else if size < NANOS_PER_MILLI {
-        format!("{} us", digits(nanoseconds / NANOS_PER_MICRO))
+    } else if size < NANOS_PER_MILLISECOND {
+        format!("{} us", digits(nanoseconds / NANOS_PER_MICROSECOND))
     } else if size < NANOS_PER_SECOND {
-        format!("{} ms", digits(nanoseconds / NANOS_PER_MILLI))
+        format!("{} ms", digits(nanoseconds / NANOS_PER_MILLISECOND))
     } else {
         format!("{} s", digits(nanoseconds / NANOS_PER_SECOND))
     }
@@ -323,10 +324,10 @@
     let size = bytes.abs();
     if size < KB_SHOWN_FROM {
         format!("{} B", digits(bytes))
-    } else if size < BYTES_PER_MB {
-        format!("{} kB", digits(bytes / BYTES_PER_KB))
+    } else if size < BYTES_PER_MEGABYTE {
+        format!("{} kB", digits(bytes / BYTES_PER_KILOBYTE))
     } else {
-        format!("{} MB", digits(bytes / BYTES_PER_MB))
+        format!("{} MB", digits(bytes / BYTES_PER_MEGABYTE))
     }
 }
 
--- a/lab/src/slopes/scenario/validation.rs
+++ b/lab/src/slopes/scenario/validation.rs
@@ -2,6 +2,7 @@
 
 use super::{Budgets, Changes, FleetShape, Load, SlopesScenario, Sweeps, Target};
 use crate::scenario::{InvalidValue, Scenario};
+use crate::units::SECONDS_PER_DAY;
 use std::fmt::Display;
 
 /// Most backends that can be measured; ids and lists stay far below their own bounds.
@@ -31,7 +32,7 @@
 /// The largest exponent of the distribution over tenants.
 const MAX_SKEW: f64 = 10.0;
 /// The oldest proxy, seconds: a day.
-const MAX_AGE_SECONDS: f64 = 86_400.0;
+const MAX_AGE_SECONDS: f64 = SECONDS_PER_DAY;
 /// Most membership changes of one repetition.
 const MAX_CHANGES: u32 = 100_000;
 
--- a/lab/src/slopes/virtual_proxy/attempt.rs
+++ b/lab/src/slopes/virtual_proxy/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts and timers of a virtual proxy, ordered by their time.
 
-use crate::slopes::units::MICROS_PER_MILLI;
+use crate::units::MICROS_PER_MILLISECOND;
 use tillerproxy::api::{AttemptEnd, BackendId, Micros, Outcome, RequestId};
 
 /// An attempt in flight, ordered by its end.
@@ -37,7 +37,7 @@
 
     /// Returns the time from the attempt to its end, milliseconds.
     pub(super) fn elapsed_ms(&self) -> f32 {
-        self.elapsed() as f32 / MICROS_PER_MILLI as f32
+        self.elapsed() as f32 / MICROS_PER_MILLISECOND as f32
     }
 
     /// Returns the event of its end, with the load report of its backend.
--- a/lab/src/slopes/virtual_proxy/mod.rs
+++ b/lab/src/slopes/virtual_proxy/mod.rs
@@ -13,7 +13,7 @@
 use super::scenario::{FleetShape, Load};
 use super::setup::Setup;
 use super::stopwatch::Stopwatch;
-use super::units::{MICROS_PER_MILLI, MICROS_PER_SECOND};
+use crate::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
 use attempt::{Attempt, End, Timer};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -26,7 +26,7 @@
 /// Start of virtual time: 1 January 2025, so that starts of processes lie before the translator's clock.
 const EPOCH: Micros = 1_735_689_600 * MICROS_PER_SECOND;
 /// Longest time between two batches: short beside the time that requests are queued for.
-const MAX_STEP: Micros = 50 * MICROS_PER_MILLI;
+const MAX_STEP: Micros = 50 * MICROS_PER_MILLISECOND;
 /// Weight of the latest request in the mean service time of a load report.
 const LOAD_REPORT_WEIGHT: f32 = 0.125;
 
@@ -129,7 +129,7 @@
 
     /// Notifies the balancer of a change of membership; time advances by a millisecond.
     pub fn update(&mut self, membership: MembershipEvent<'_>) {
-        self.now += MICROS_PER_MILLI;
+        self.now += MICROS_PER_MILLISECOND;
         self.balancer
             .handle(self.now, Event::Membership(membership), &mut self.actions);
         self.perform_actions();
@@ -138,7 +138,7 @@
     /// Returns the present Unix time in milliseconds.
     #[must_use]
     pub fn unix_ms(&self) -> u64 {
-        self.now / MICROS_PER_MILLI
+        self.now / MICROS_PER_MILLISECOND
     }
 
     /// Returns what happened since the last call.
--- a/lab/src/slopes/virtual_proxy/traffic.rs
+++ b/lab/src/slopes/virtual_proxy/traffic.rs
@@ -2,7 +2,7 @@
 
 use crate::slopes::scenario::Load;
 use crate::slopes::setup::Setup;
-use crate::slopes::units::{MICROS_PER_MILLI, MICROS_PER_SECOND};
+use crate::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1, Poisson, Zipf};
@@ -34,7 +34,7 @@
             batch: Poisson::new(batch).ok()?,
             tenant: Zipf::new(f64::from(setup.tenants), load.tenant_skew).ok()?,
             classes: u8::try_from(setup.classes).ok()?,
-            mean_service_time: load.latency_ms * MICROS_PER_MILLI as f64,
+            mean_service_time: load.latency_ms * MICROS_PER_MILLISECOND as f64,
         })
     }
 
@@ -67,6 +67,6 @@
 
     /// Returns the mean service time, milliseconds.
     pub(super) fn mean_service_ms(&self) -> f32 {
-        (self.mean_service_time / MICROS_PER_MILLI as f64) as f32
+        (self.mean_service_time / MICROS_PER_MILLISECOND as f64) as f32
     }
 }
--- a/lab/src/fleet/units.rs
+++ b/lab/src/units.rs
@@ -1,4 +1,5 @@
-//! Conversion between microseconds and the seconds and milliseconds of scenarios and reports.
+//! Factors between units, and conversions between the microseconds of virtual time and the seconds and
+//! milliseconds of scenarios and reports.
 
 use tillerproxy::api::Micros;
 
@@ -11,6 +12,30 @@
 /// Milliseconds in a second.
 pub const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
+/// Nanoseconds in a microsecond.
+pub const NANOS_PER_MICROSECOND: f64 = 1e3;
+
+/// Nanoseconds in a millisecond.
+pub const NANOS_PER_MILLISECOND: f64 = 1e6;
+
+/// Nanoseconds in a second.
+pub const NANOS_PER_SECOND: f64 = 1e9;
+
+/// Seconds in a day.
+pub const SECONDS_PER_DAY: f64 = 86_400.0;
+
+/// Bytes in a KiB, the unit in which `/proc` gives memory.
+pub const BYTES_PER_KIB: f64 = 1024.0;
+
+/// Bytes in a kilobyte.
+pub const BYTES_PER_KILOBYTE: f64 = 1e3;
+
+/// Bytes in a megabyte.
+pub const BYTES_PER_MEGABYTE: f64 = 1e6;
+
+/// Percent in the whole.
+pub const PERCENT: f64 = 100.0;
+
 /// Converts seconds to microseconds.
 #[must_use]
 pub fn seconds(value: f64) -> Micros {
