--- a/lab/src/live/proxy_config.rs
+++ b/lab/src/live/proxy_config.rs
@@ -54,31 +54,43 @@
         "failureDomains": zones,
         "kinds": [MACHINE_TYPE],
         "membershipMode": mode,
-        "classes": [{
-            "name": REQUEST_CLASS,
-            "aimUs": 500_000,
-            "deadlineUs": CLIENT_TIMEOUT_MS * MICROS_PER_MILLISECOND,
-            "worth": 1.0,
-            "lateWorth": 0.5,
-            "effect": "retryable",
-        }],
-        "permissions": {
-            "maxAttempts": 4,
-            "secondCopies": false,
-            "cancel": true,
-            "probes": false,
-            "connIdleUs": 15_000_000,
-            "multiplex": 1,
-            "retryAfter": true,
-            "maxRetryAfterUs": 2_000_000,
-            "dialTimeoutUs": 250_000,
-        },
-        "safety": {
-            "askWithinUs": scenario.discovery.poll_interval_ms * MICROS_PER_MILLISECOND,
-            "coldFrom": 0.3,
-            "coldUs": 8_000_000,
-            "fallMultiple": 3.0,
-            "fallUs": 2_000_000,
-        },
+        "classes": [request_class()],
+        "permissions": permissions(),
+        "safety": safety_limits(scenario),
+    })
+}
+
+fn request_class() -> Value {
+    json!({
+        "name": REQUEST_CLASS,
+        "aimUs": 500_000,
+        "deadlineUs": CLIENT_TIMEOUT_MS * MICROS_PER_MILLISECOND,
+        "worth": 1.0,
+        "lateWorth": 0.5,
+        "effect": "retryable",
+    })
+}
+
+fn permissions() -> Value {
+    json!({
+        "maxAttempts": 4,
+        "secondCopies": false,
+        "cancel": true,
+        "probes": false,
+        "connIdleUs": 15_000_000,
+        "multiplex": 1,
+        "retryAfter": true,
+        "maxRetryAfterUs": 2_000_000,
+        "dialTimeoutUs": 250_000,
+    })
+}
+
+fn safety_limits(scenario: &LiveScenario) -> Value {
+    json!({
+        "askWithinUs": scenario.discovery.poll_interval_ms * MICROS_PER_MILLISECOND,
+        "coldFrom": 0.3,
+        "coldUs": 8_000_000,
+        "fallMultiple": 3.0,
+        "fallUs": 2_000_000,
     })
 }
--- a/lab/tests/live.rs
+++ b/lab/tests/live.rs
@@ -98,50 +98,49 @@
     let processes = phase["processes"].as_array().expect("processes");
     assert_eq!(processes.len(), 2, "{kind}");
     for process in processes {
-        assert!(
-            process["resident_kib"].as_u64() > Some(0),
-            "{kind}: {process}"
-        );
-        assert!(
-            process["peak_resident_kib"].as_u64() >= process["resident_kib"].as_u64(),
-            "{kind}: {process}"
-        );
-        assert!(
-            process["descriptors"].as_u64() > Some(0),
-            "{kind}: {process}"
-        );
+        check_process(process, kind);
         assert_eq!(process["known_backends"], phase["listed"], "{kind}");
         if phase["clients"] == true {
-            assert!(
-                process["requests"]["counts"]["served"].as_u64() > Some(0),
-                "{kind}: {process}"
-            );
-            assert!(
-                process["requests"]["added"].is_object(),
-                "{kind}: {process}"
-            );
+            check_requests(&process["requests"], kind);
         }
         assert_eq!(process["idle"].is_object(), kind == "idle_connections");
     }
     if let "changes" | "zone_loss" | "reload" = kind {
-        let spread = &phase["spread"];
-        assert!(spread["changes"].as_u64() > Some(0), "{kind}");
-        assert_eq!(spread["known_to_all"], spread["changes"], "{kind}");
-        let bytes = processes
-            .iter()
-            .map(|process| process["discovery_bytes_per_s"].as_f64());
-        assert!(bytes.into_iter().all(|bytes| bytes > Some(0.0)), "{kind}");
+        check_propagation(phase, kind);
     }
     if kind == "restart" {
         let restart = &phase["restart"];
-        assert_eq!(
-            [
-                &restart["processes"],
-                &restart["ended_cleanly"],
-                &restart["up_in_time"]
-            ],
-            [2, 2, 2]
-        );
+        assert_eq!(restart["processes"], 2);
+        assert_eq!(restart["ended_cleanly"], 2);
+        assert_eq!(restart["up_in_time"], 2);
+    }
+}
+
+fn check_process(process: &Value, kind: &str) {
+    let resident = process["resident_kib"].as_u64();
+    assert!(resident > Some(0), "{kind}: {process}");
+    let peak = process["peak_resident_kib"].as_u64();
+    assert!(peak >= resident, "{kind}: {process}");
+    let descriptors = process["descriptors"].as_u64();
+    assert!(descriptors > Some(0), "{kind}: {process}");
+}
+
+fn check_requests(requests: &Value, kind: &str) {
+    let served = requests["counts"]["served"].as_u64();
+    assert!(served > Some(0), "{kind}: {requests}");
+    assert!(requests["added"].is_object(), "{kind}: {requests}");
+}
+
+fn check_propagation(phase: &Value, kind: &str) {
+    let propagation = &phase["spread"];
+    assert!(propagation["changes"].as_u64() > Some(0), "{kind}");
+    assert_eq!(
+        propagation["known_to_all"], propagation["changes"],
+        "{kind}"
+    );
+    for process in phase["processes"].as_array().expect("processes") {
+        let bytes = process["discovery_bytes_per_s"].as_f64();
+        assert!(bytes > Some(0.0), "{kind}");
     }
 }
 
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -81,38 +81,36 @@
     message
 }
 
+/// A path in the directory, as an option's value.
+fn path_in(directory: &TempDir, name: &str) -> String {
+    let path = directory.path().join(name);
+    path.to_str().expect("a plain path").to_owned()
+}
+
 #[test]
 fn a_small_run_reports_tables_json_csv_and_plot() {
     let directory = TempDir::new().expect("a directory");
-    let scenario = scenario_file(&directory, SMALL);
-    let file = |name: &str| {
-        directory
-            .path()
-            .join(name)
-            .to_str()
-            .expect("a plain path")
-            .to_owned()
-    };
-    let (json, csv, plot) = (file("out.json"), file("out.csv"), file("out.svg"));
-    let scenario = scenario.to_str().expect("a plain path");
-    let arguments = [
-        "--scenario",
-        scenario,
-        "--json",
-        &json,
-        "--csv",
-        &csv,
-        "--plot",
-        &plot,
-        "--quiet",
-    ];
+    scenario_file(&directory, SMALL);
+    let scenario = path_in(&directory, "given.toml");
+    let json = path_in(&directory, "out.json");
+    let csv = path_in(&directory, "out.csv");
+    let plot = path_in(&directory, "out.svg");
+    let mut arguments = vec!["--quiet", "--scenario", &scenario];
+    arguments.extend(["--json", &json, "--csv", &csv, "--plot", &plot]);
     let output = run_lab(&arguments);
-    let report = String::from_utf8_lossy(&output.stdout);
     assert!(
         output.status.success(),
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
+    check_report(&String::from_utf8_lossy(&output.stdout));
+    check_json(&std::fs::read_to_string(&json).expect("the JSON result"));
+    check_csv(&std::fs::read_to_string(&csv).expect("the CSV file"));
+    let picture = std::fs::read_to_string(&plot).expect("the plot");
+    assert!(picture.contains("<svg"));
+}
+
+fn check_report(report: &str) {
     for title in [
         "By backends",
         "By tenants",
@@ -124,21 +122,22 @@
     ] {
         assert!(report.contains(title), "no `{title}` in\n{report}");
     }
-    check_json(&std::fs::read_to_string(&json).expect("the JSON result"));
-    let rows = std::fs::read_to_string(&csv).expect("the CSV file");
-    assert!(
-        rows.starts_with("sweep,backends,proxies,tenants,classes,"),
-        "{rows}"
-    );
+}
+
+fn check_csv(rows: &str) {
+    let header = "sweep,backends,proxies,tenants,classes,requests_per_second,\
+                  quantity,unit,median,least,greatest\n";
+    assert!(rows.starts_with(header), "{rows}");
     assert!(
         rows.contains("target_hot,20,4,5,2,1410.0,request,nanoseconds,"),
         "{rows}"
     );
-    assert!(
-        std::fs::read_to_string(&plot)
-            .expect("the plot")
-            .contains("<svg")
-    );
+}
+
+/// The keys of a JSON object, which stay as they are for those who read results.
+fn keys(object: &Value) -> BTreeSet<&str> {
+    let object = object.as_object().expect("an object");
+    object.keys().map(String::as_str).collect()
 }
 
 fn check_json(text: &str) {
@@ -154,6 +153,23 @@
         let median = points[2]["figures"][quantity.key()]["median"].as_f64();
         assert!(median.is_some(), "{} is missing", quantity.key());
     }
+    let counts = [
+        "requests",
+        "sends",
+        "served",
+        "refused",
+        "failed",
+        "timers",
+        "most_open",
+        "backends_used",
+    ];
+    assert_eq!(keys(&points[0]["counts"]), BTreeSet::from(counts));
+    let summary = ["median", "least", "greatest", "values"];
+    assert_eq!(
+        keys(&points[0]["figures"]["request"]),
+        BTreeSet::from(summary)
+    );
+    assert!(points[0]["figures"]["entry_gone"].is_object());
     let heap = |point: &Value| point["figures"]["balancer_memory"]["median"].as_f64();
     assert!(
         heap(&points[2]) > heap(&points[0]),
