--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -286,25 +286,27 @@
     }
 }
 
-/// Figures of one phase in which everything was measured.
-fn complete_figures() -> LiveFigures {
-    let quantiles = Quantiles::of(vec![1.0]);
-    let latency = Some(LatencyQuantiles {
-        p50_us: 1,
-        p99_us: 1,
-        max_us: 1,
-    });
-    let propagation = || PropagationFigures {
+fn propagation_figures() -> PropagationFigures {
+    PropagationFigures {
         changes: 1,
         reached_all: 1,
-        half: quantiles,
+        half: Quantiles::of(vec![1.0]),
         p99: None,
         all: None,
-    };
+    }
+}
+
+/// Figures of a process of which everything was measured.
+fn process_figures() -> ProcessFigures {
     let mut outcomes = RequestOutcomes::default();
     outcomes.latency.record(Duration::from_micros(1));
     outcomes.outside_backend.record(Duration::from_micros(1));
-    let process = ProcessFigures {
+    let step = IdleConnectionStep {
+        connections: 0,
+        closed: 0,
+        resident_kib: 1,
+    };
+    ProcessFigures {
         pid: 7,
         cores: 0.5,
         resident_kib: 1,
@@ -315,20 +317,19 @@
         known_backends: Some(1),
         requests: Some(RequestFigures::new(&outcomes, Some(&outcomes))),
         idle_connections: Some(IdleConnectionMemory {
-            steps: vec![IdleConnectionStep {
-                connections: 0,
-                closed: 0,
-                resident_kib: 1,
-            }],
+            steps: vec![step],
             slope_bytes: 1.0,
             steepest_bytes: 1.0,
         }),
-    };
-    let phase = PhaseFigures {
+    }
+}
+
+fn phase_figures() -> PhaseFigures {
+    PhaseFigures {
         kind: "restart",
         clients: false,
         seconds: 1.0,
-        processes: vec![process],
+        processes: vec![process_figures()],
         simulated: SimulatedFigures {
             proxies: 1,
             mean_bytes_per_s: 1.0,
@@ -336,7 +337,7 @@
             calls: 1,
         },
         direct: None,
-        propagation: Some(propagation()),
+        propagation: Some(propagation_figures()),
         restart: Some(RestartFigures {
             processes: 1,
             ended_cleanly: 1,
@@ -346,14 +347,12 @@
         }),
         listed_endpoints: 1,
         lab_cores: 0.5,
-        lab_timer_lag: latency,
+        lab_timer_lag: Some(LatencyQuantiles {
+            p50_us: 1,
+            p99_us: 1,
+            max_us: 1,
+        }),
         load_average: None,
-    };
-    LiveFigures {
-        load_average_before: None,
-        start_times: quantiles,
-        start_propagation: Some(propagation()),
-        phases: vec![phase],
     }
 }
 
@@ -386,6 +385,12 @@
         latency,
         r#","load_average":null}]}"#,
     ];
-    let text = serde_json::to_string(&complete_figures()).expect("JSON");
+    let figures = LiveFigures {
+        load_average_before: None,
+        start_times: Quantiles::of(vec![1.0]),
+        start_propagation: Some(propagation_figures()),
+        phases: vec![phase_figures()],
+    };
+    let text = serde_json::to_string(&figures).expect("JSON");
     assert_eq!(text, expected.concat());
 }
--- a/lab/src/slopes/mod.rs
+++ b/lab/src/slopes/mod.rs
@@ -11,6 +11,7 @@
 pub mod endpoints;
 pub mod error;
 pub mod fit;
+mod format;
 pub mod measure;
 pub mod membership;
 pub mod memory;
--- a/lab/src/slopes/report.rs
+++ b/lab/src/slopes/report.rs
@@ -4,20 +4,15 @@
 use super::analysis::assessment::{Assessment, Verdict};
 use super::analysis::curve::Curve;
 use super::fit::Model;
+use super::format::{bytes_text, digits, value_text};
 use super::measure::{Measurements, Point, Sweep};
 use super::quantity::{Quantity, Unit};
 use super::setup::Setup;
 use super::stopwatch::Summary;
-use crate::units::{
-    BYTES_PER_KILOBYTE, BYTES_PER_MEGABYTE, NANOS_PER_MICROSECOND, NANOS_PER_MILLISECOND,
-    NANOS_PER_SECOND, PERCENT,
-};
+use crate::units::PERCENT;
 use comfy_table::{CellAlignment, Table, presets};
 use std::fmt::Write;
 
-/// Bytes from which sizes are shown in kilobytes.
-const KB_SHOWN_FROM: f64 = 1e4;
-
 /// Quantities of the tables of tenants, classes and proxies.
 const DECISION_QUANTITIES: [Quantity; 8] = [
     Quantity::Request,
@@ -299,48 +294,3 @@
         Verdict::NotMeasured => "not measured".to_owned(),
     }
 }
-
-fn value_text(quantity: Quantity, value: f64) -> String {
-    match quantity.unit() {
-        Unit::Nanoseconds => time_text(value),
-        Unit::Bytes => bytes_text(value),
-    }
-}
-
-fn time_text(nanoseconds: f64) -> String {
-    let size = nanoseconds.abs();
-    if size < NANOS_PER_MICROSECOND {
-        format!("{} ns", digits(nanoseconds))
-    } else if size < NANOS_PER_MILLISECOND {
-        format!("{} us", digits(nanoseconds / NANOS_PER_MICROSECOND))
-    } else if size < NANOS_PER_SECOND {
-        format!("{} ms", digits(nanoseconds / NANOS_PER_MILLISECOND))
-    } else {
-        format!("{} s", digits(nanoseconds / NANOS_PER_SECOND))
-    }
-}
-
-fn bytes_text(bytes: f64) -> String {
-    let size = bytes.abs();
-    if size < KB_SHOWN_FROM {
-        format!("{} B", digits(bytes))
-    } else if size < BYTES_PER_MEGABYTE {
-        format!("{} kB", digits(bytes / BYTES_PER_KILOBYTE))
-    } else {
-        format!("{} MB", digits(bytes / BYTES_PER_MEGABYTE))
-    }
-}
-
-/// Formats about three significant digits.
-fn digits(value: f64) -> String {
-    let size = value.abs();
-    if size > 0.0 && size < 0.095 {
-        format!("{value:.2e}")
-    } else if size < 9.95 {
-        format!("{value:.2}")
-    } else if size < 99.5 {
-        format!("{value:.1}")
-    } else {
-        format!("{value:.0}")
-    }
-}
