--- a/src/proxy/driver/arrivals.rs
+++ b/src/proxy/driver/arrivals.rs
@@ -32,7 +32,8 @@
         self.handle_event(now, Event::Request(request));
     }
 
-    /// Fails a request that the balancer left open: each client gets an answer before its timeout.
+    /// Fails a request that the balancer left open. Rule 1: each client gets an answer before its
+    /// timeout.
     pub(super) fn on_final_answer_due(&mut self, now: Micros, request: RequestId) {
         let Some(open) = self.requests.get(request) else {
             return;
@@ -73,8 +74,8 @@
             return;
         }
         request_log::client_disconnected(request);
-        // An attempt that still waits for its connection is not sent: nobody waits for its
-        // response.
+        // Rule 1: an attempt that still waits for its connection is not sent, because nobody waits
+        // for its response.
         open.call.cancel.trigger();
         self.handle_event(now, Event::ClientDisconnected(request));
         self.requests.remove_if_finished(request);
