--- a/src/proxy/discovery/tests.rs
+++ b/src/proxy/discovery/tests.rs
@@ -99,3 +99,22 @@
         (1, 1)
     );
 }
+
+#[test]
+fn an_endpoint_whose_phase_is_unknown_or_no_text_is_skipped() {
+    let names = Names {
+        zones: vec!["a".into()],
+        ..Names::default()
+    };
+    let mut translator = Translator::new(Clock::start(), &names);
+    let phases = [
+        json!("active"),
+        json!("resting"),
+        json!({"active": null}),
+        json!(1),
+    ];
+    let member = |phase: &Value| json!({"id": "s-1", "host_port": "127.0.0.1:9", "locality": "a", "phase": phase});
+    let members: Vec<Value> = phases.iter().map(member).collect();
+    let list = translator.parse_value(&json!({"revision": 1, "members": members}));
+    assert_eq!(list.expect("a list").endpoints.len(), 1);
+}
--- a/src/proxy/discovery/wire.rs
+++ b/src/proxy/discovery/wire.rs
@@ -4,6 +4,7 @@
 
 use crate::api::Readiness;
 use serde::Deserialize;
+use serde::de::{Deserializer, Error};
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
@@ -39,16 +40,28 @@
 }
 
 /// The phases of an endpoint.
-#[derive(Clone, Copy, Deserialize)]
+#[derive(Clone, Copy)]
 pub(super) enum RawReadiness {
-    #[serde(rename = "active")]
     Ready,
-    #[serde(rename = "leaving")]
     Draining,
-    #[serde(rename = "left")]
     Removed,
 }
 
+const PHASES: &[&str] = &["active", "leaving", "left"];
+
+/// Accepts a phase as text only; a derived implementation would also accept `{"active": null}`.
+impl<'de> Deserialize<'de> for RawReadiness {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let phase = Cow::<str>::deserialize(deserializer)?;
+        match phase.as_ref() {
+            "active" => Ok(Self::Ready),
+            "leaving" => Ok(Self::Draining),
+            "left" => Ok(Self::Removed),
+            unknown => Err(Error::unknown_variant(unknown, PHASES)),
+        }
+    }
+}
+
 impl From<RawReadiness> for Readiness {
     fn from(raw: RawReadiness) -> Self {
         match raw {
