--- a/lab/src/live/error.rs
+++ b/lab/src/live/error.rs
@@ -78,7 +78,7 @@
     /// A task of the lab panicked.
     #[error("a task of the lab failed: {0}")]
     Task(#[from] JoinError),
-    /// The lab was told to stop.
+    /// The lab was interrupted.
     #[error("interrupted by {signal}")]
     Interrupted {
         /// Name of the signal, such as `SIGTERM`.
--- a/lab/src/live/process/error.rs
+++ b/lab/src/live/process/error.rs
@@ -45,7 +45,7 @@
     /// It did not log the addresses of its listeners in time.
     #[error("did not say where it listens")]
     NoAddresses,
-    /// It ended without having been told to.
+    /// It ended without a signal from the lab.
     #[error("ended by itself, {status}")]
     EndedByItself {
         /// How it ended.
--- a/lab/src/live/proxies/restart.rs
+++ b/lab/src/live/proxies/restart.rs
@@ -8,7 +8,7 @@
 use std::process::ExitStatus;
 use std::time::{Duration, Instant};
 
-/// A process that is told to end has to within this time.
+/// A process has to end within this time after SIGTERM.
 const END_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A process that was restarted.
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -55,7 +55,7 @@
     poll_requests: mpsc::UnboundedSender<()>,
     requests: OpenRequests,
     timers: Timers,
-    /// Attempts and health checks that ended, and of which the balancer was not told yet.
+    /// Attempts and health checks that ended, and that the balancer was not notified of yet.
     completions: VecDeque<Completion>,
     /// Actions of the balancer that are not executed yet; empty between events.
     actions: Vec<Action>,
