--- /dev/null
+++ b/tests/common/fixtures.rs
@@ -0,0 +1,90 @@
+//! Settings, backends and requests that the tests of the decisions begin with.
+
+use tillerproxy::api::*;
+
+pub const MS: Micros = 1_000;
+pub const SECOND: Micros = 1_000_000;
+
+pub fn class(idempotency: Idempotency) -> Class {
+    Class {
+        latency_objective: 500 * MS,
+        objective_work_factor: 0.0,
+        timeout: 2 * SECOND,
+        priority_weight: 1.0,
+        late_weight_factor: 0.0,
+        idempotency,
+    }
+}
+
+/// Two zones, one proxy, one class of each idempotency: idempotent, non-idempotent, keyed for all backends, for a zone,
+/// for a cell.
+pub fn settings() -> Settings {
+    let keyed = |scope| {
+        class(Idempotency::Keyed {
+            scope,
+            ttl: 600 * MS,
+        })
+    };
+    Settings {
+        proxy_index: 0,
+        proxy_count: 1,
+        zone: Zone(0),
+        zone_count: 2,
+        machine_type_count: 1,
+        discovery_mode: DiscoveryMode::Pushed,
+        key_affinity: false,
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+            keyed(KeyScope::AllBackends),
+            keyed(KeyScope::Zone),
+            keyed(KeyScope::Cell),
+        ],
+        tenants: Vec::new(),
+        over_quota_weight: 0.1,
+        cross_zone_cost: 0.05,
+        health_check_cost: 0.01,
+        load_report: LoadReportFields::default(),
+        load_report_by_health_check: false,
+        permissions: Permissions {
+            max_attempts: 4,
+            hedging: false,
+            cancellation: true,
+            health_checks: false,
+            idle_timeout: 5 * SECOND,
+            requests_per_connection: 1,
+            max_retry_after: Some(SECOND),
+        },
+        safety: SafetyLimits {
+            poll_interval: 10 * SECOND,
+            slow_start_initial_capacity: 0.2,
+            slow_start_duration: 10 * SECOND,
+            collapse_load_factor: 2.5,
+            collapse_time: 2 * SECOND,
+        },
+    }
+}
+
+/// A warm backend; even ids in zone 0, odd ones in zone 1, cells of three.
+pub fn backend(id: BackendId) -> Backend {
+    Backend {
+        id,
+        zone: Zone((id % 2) as u16),
+        machine_type: MachineType(0),
+        cell: Cell((id / 6 * 2 + id % 2) as u16),
+        readiness: Readiness::Ready,
+        started_at: None,
+    }
+}
+
+pub fn request(id: RequestId, class: u8) -> Request {
+    Request {
+        id,
+        class: ClassIndex(class),
+        tenant: TenantIndex(0),
+        key: None,
+        timeout: 2 * SECOND,
+        expected_work: None,
+        is_retry: false,
+    }
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,170 +1,117 @@
-//! A stand-in for the embedding proxy: it keeps timers and attempts, and checks the four rules from outside.
+//! A simulated proxy around the balancer: it keeps timers and attempts, and checks the four rules from outside.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
+mod fixtures;
+
+pub use fixtures::*;
+
 use std::collections::BTreeMap;
+use std::ops::Range;
 use tillerproxy::api::*;
 use tillerproxy::balancer::Balancer;
 
-pub const MS: Micros = 1_000;
-pub const SECOND: Micros = 1_000_000;
 /// How far past its deadline a request may be answered.
 const SLACK: Micros = 20 * MS;
-
-pub fn class(effect: Idempotency) -> Class {
-    Class {
-        latency_objective: 500 * MS,
-        objective_work_factor: 0.0,
-        timeout: 2 * SECOND,
-        priority_weight: 1.0,
-        late_weight_factor: 0.0,
-        idempotency: effect,
-    }
-}
-
-/// Two zones, one proxy, one class of each effect: safe, unsafe, keyed for all, for a zone, for a cell.
-pub fn settings() -> Settings {
-    let keyed = |group| {
-        class(Idempotency::Keyed {
-            scope: group,
-            ttl: 600 * MS,
-        })
-    };
-    Settings {
-        proxy_index: 0,
-        proxy_count: 1,
-        zone: Zone(0),
-        zone_count: 2,
-        machine_type_count: 1,
-        discovery_mode: DiscoveryMode::Pushed,
-        key_affinity: false,
-        classes: vec![
-            class(Idempotency::Idempotent),
-            class(Idempotency::NonIdempotent),
-            keyed(KeyScope::AllBackends),
-            keyed(KeyScope::Zone),
-            keyed(KeyScope::Cell),
-        ],
-        tenants: Vec::new(),
-        over_quota_weight: 0.1,
-        cross_zone_cost: 0.05,
-        health_check_cost: 0.01,
-        load_report: LoadReportFields::default(),
-        load_report_by_health_check: false,
-        permissions: Permissions {
-            max_attempts: 4,
-            hedging: false,
-            cancellation: true,
-            health_checks: false,
-            idle_timeout: 5 * SECOND,
-            requests_per_connection: 1,
-            max_retry_after: Some(SECOND),
-        },
-        safety: SafetyLimits {
-            poll_interval: 10 * SECOND,
-            slow_start_initial_capacity: 0.2,
-            slow_start_duration: 10 * SECOND,
-            collapse_load_factor: 2.5,
-            collapse_time: 2 * SECOND,
-        },
-    }
-}
-
-/// A warm server; even ids in zone 0, odd ones in zone 1, cells of three.
-pub fn backend(id: BackendId) -> Backend {
-    Backend {
-        id,
-        zone: Zone((id % 2) as u16),
-        machine_type: MachineType(0),
-        cell: Cell((id / 6 * 2 + id % 2) as u16),
-        readiness: Readiness::Ready,
-        started_at: None,
-    }
-}
-
-pub fn request(id: RequestId, class: u8) -> Request {
-    Request {
-        id,
-        class: ClassIndex(class),
-        tenant: TenantIndex(0),
-        key: None,
-        timeout: 2 * SECOND,
-        expected_work: None,
-        is_retry: false,
-    }
-}
+/// Simulated time passes in steps of this length.
+const TICK: Micros = 5 * MS;
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum State {
-    Out,
-    NeverRan,
-    MayHaveRun,
+pub enum AttemptState {
+    InFlight,
+    NotExecuted,
+    MayHaveExecuted,
 }
 
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub backend: BackendId,
     pub sent_at: Micros,
-    pub give_up_at: Micros,
-    pub state: State,
+    pub deadline: Micros,
+    pub state: AttemptState,
 }
 
 #[derive(Clone, Debug)]
-pub struct Tracked {
+pub struct TrackedRequest {
     pub class: u8,
     pub deadline: Micros,
     pub ended: bool,
     pub attempts: Vec<Attempt>,
 }
 
-/// One balancer with the proxy around it.
-pub struct Proxy {
+/// An attempt that has not ended.
+#[derive(Clone, Copy, Debug)]
+pub struct InFlightAttempt {
+    pub request: RequestId,
+    /// Number of the attempt, counting from 0.
+    pub number: u16,
+    pub backend: BackendId,
+}
+
+/// An action of the balancer, with its time.
+#[derive(Clone, PartialEq, Debug)]
+pub struct LoggedAction {
+    pub at: Micros,
+    pub action: Action,
+}
+
+#[derive(Clone, Copy)]
+struct PendingTimer {
+    due_at: Micros,
+    token: u32,
+}
+
+/// One balancer with a simulated proxy around it.
+pub struct SimulatedProxy {
     pub now: Micros,
     pub settings: Settings,
     pub balancer: Balancer,
-    pub servers: BTreeMap<BackendId, Backend>,
-    /// Servers that the balancer was told are draining or gone.
-    pub barred: BTreeMap<BackendId, Micros>,
-    pub requests: BTreeMap<RequestId, Tracked>,
-    timers: Vec<(Micros, u32)>,
-    pub log: Vec<(Micros, Action)>,
+    pub backends: BTreeMap<BackendId, Backend>,
+    /// Backends that are draining or removed as the balancer was notified, and since when.
+    pub unavailable: BTreeMap<BackendId, Micros>,
+    pub requests: BTreeMap<RequestId, TrackedRequest>,
+    timers: Vec<PendingTimer>,
+    pub log: Vec<LoggedAction>,
 }
 
-impl Proxy {
-    pub fn new(settings: Settings, servers: impl IntoIterator<Item = Backend>) -> Self {
+impl SimulatedProxy {
+    pub fn new(settings: Settings, backends: impl IntoIterator<Item = Backend>) -> Self {
         let seed = 7 + u64::from(settings.proxy_index);
-        Self::seeded(settings, seed, servers)
+        Self::seeded(settings, seed, backends)
     }
 
-    /// One that draws its random numbers from this seed.
+    /// One whose random numbers come from this seed.
     pub fn seeded(
         settings: Settings,
         seed: u64,
-        servers: impl IntoIterator<Item = Backend>,
+        backends: impl IntoIterator<Item = Backend>,
     ) -> Self {
         let balancer =
             Balancer::new(settings.clone(), seed, SECOND).expect("the settings make sense");
-        let mut proxy = Proxy {
+        let mut proxy = SimulatedProxy {
             now: SECOND,
             settings,
             balancer,
-            servers: BTreeMap::new(),
-            barred: BTreeMap::new(),
+            backends: BTreeMap::new(),
+            unavailable: BTreeMap::new(),
             requests: BTreeMap::new(),
             timers: Vec::new(),
             log: Vec::new(),
         };
-        let list: Vec<Backend> = servers.into_iter().collect();
-        proxy.list(MembershipEvent::Cached(&list));
+        let list: Vec<Backend> = backends.into_iter().collect();
+        proxy.change_membership(MembershipEvent::Cached(&list));
         proxy
     }
 
     /// Gives an event to the balancer, carries its actions out and checks them.
-    pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             self.carry_out(action);
-            self.log.push((self.now, action.clone()));
+            self.log.push(LoggedAction {
+                at: self.now,
+                action: action.clone(),
+            });
         }
         actions
     }
@@ -174,9 +121,9 @@
             Action::Send {
                 request,
                 backend,
-                deadline: give_up_at,
+                deadline,
                 ..
-            } => self.check_send(request, backend, give_up_at),
+            } => self.check_send(request, backend, deadline),
             Action::Reject { request, .. } => self.check_end(request, true),
             Action::Fail { request } => self.check_end(request, false),
             Action::Cancel { request, attempt } => {
@@ -187,26 +134,29 @@
                 );
                 assert!(self.settings.permissions.cancellation);
             }
-            Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
+            Action::SetTimer { after, token } => self.timers.push(PendingTimer {
+                due_at: self.now + after,
+                token,
+            }),
             Action::HealthCheck(backend) => {
                 assert!(
-                    self.settings.permissions.health_checks && self.servers.contains_key(&backend)
+                    self.settings.permissions.health_checks && self.backends.contains_key(&backend)
                 );
             }
-            Action::CloseIdleConnections(backend) => assert!(self.servers.contains_key(&backend)),
+            Action::CloseIdleConnections(backend) => assert!(self.backends.contains_key(&backend)),
             Action::Subscribe | Action::Log(_) => {}
         }
     }
 
-    fn check_send(&mut self, request: RequestId, backend: BackendId, give_up_at: Micros) {
-        let server = self
-            .servers
-            .get(&backend)
+    fn check_send(&mut self, request: RequestId, backend_id: BackendId, deadline: Micros) {
+        let backend = self
+            .backends
+            .get(&backend_id)
             .copied()
-            .expect("sent to a server that no list named");
+            .expect("sent to a backend that no list named");
         assert!(
-            !self.barred.contains_key(&backend),
-            "rule 3: sent to a draining or gone server"
+            !self.unavailable.contains_key(&backend_id),
+            "rule 3: sent to a draining or removed backend"
         );
         let settings = &self.settings;
         let tracked = self
@@ -215,49 +165,55 @@
             .expect("sent a request never given");
         assert!(!tracked.ended, "rule 1: sent after the end");
         assert!(
-            give_up_at <= tracked.deadline,
+            deadline <= tracked.deadline,
             "rule 1: an attempt outlasts the deadline"
         );
         assert!(tracked.attempts.len() < usize::from(settings.permissions.max_attempts));
-        let out = tracked.attempts.iter().any(|a| a.state == State::Out);
+        let is_in_flight = tracked
+            .attempts
+            .iter()
+            .any(|attempt| attempt.state == AttemptState::InFlight);
         assert!(
-            !out || settings.permissions.hedging,
-            "rule 2: two attempts out"
+            !is_in_flight || settings.permissions.hedging,
+            "rule 2: two attempts in flight"
         );
-        let ran: Vec<&Attempt> = tracked
+        let executed: Vec<&Attempt> = tracked
             .attempts
             .iter()
-            .filter(|a| a.state != State::NeverRan)
+            .filter(|attempt| attempt.state != AttemptState::NotExecuted)
             .collect();
         match settings.classes[usize::from(tracked.class)].idempotency {
             Idempotency::Idempotent => {}
             Idempotency::NonIdempotent => {
-                assert!(ran.is_empty(), "rule 2: an unsafe request was repeated")
+                assert!(
+                    executed.is_empty(),
+                    "rule 2: a non-idempotent request was repeated"
+                )
             }
             Idempotency::Keyed { scope, ttl } => {
-                for earlier in ran {
-                    let other = self.servers[&earlier.backend];
+                for earlier in executed {
+                    let earlier_backend = self.backends[&earlier.backend];
                     assert!(
                         self.now <= earlier.sent_at + ttl,
                         "rule 2: a repeat after the key's time"
                     );
                     assert!(match scope {
                         KeyScope::AllBackends => true,
-                        KeyScope::Zone => other.zone == server.zone,
-                        KeyScope::Cell => other.cell == server.cell,
+                        KeyScope::Zone => earlier_backend.zone == backend.zone,
+                        KeyScope::Cell => earlier_backend.cell == backend.cell,
                     });
                 }
             }
         }
         tracked.attempts.push(Attempt {
-            backend,
+            backend: backend_id,
             sent_at: self.now,
-            give_up_at,
-            state: State::Out,
+            deadline,
+            state: AttemptState::InFlight,
         });
     }
 
-    fn check_end(&mut self, request: RequestId, refused: bool) {
+    fn check_end(&mut self, request: RequestId, is_rejected: bool) {
         let tracked = self
             .requests
             .get_mut(&request)
@@ -267,124 +223,155 @@
             self.now <= tracked.deadline + SLACK,
             "rule 1: a late final answer"
         );
-        let first = tracked.attempts.iter().find(|a| a.state != State::NeverRan);
-        let harmless = match self.settings.classes[usize::from(tracked.class)].idempotency {
+        let first_executed = tracked
+            .attempts
+            .iter()
+            .find(|attempt| attempt.state != AttemptState::NotExecuted);
+        let is_harmless = match self.settings.classes[usize::from(tracked.class)].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed {
                 scope: KeyScope::AllBackends,
                 ttl,
-            } => first.is_none_or(|a| self.now < a.sent_at.saturating_add(ttl)),
-            _ => first.is_none(),
+            } => {
+                first_executed.is_none_or(|attempt| self.now < attempt.sent_at.saturating_add(ttl))
+            }
+            _ => first_executed.is_none(),
         };
-        assert!(!refused || harmless, "rule 2: refused what may have run");
+        assert!(
+            !is_rejected || is_harmless,
+            "rule 2: rejected what may have run"
+        );
         tracked.ended = true;
     }
 
-    pub fn list(&mut self, news: MembershipEvent<'_>) -> Vec<Action> {
-        let (MembershipEvent::Delta(entries)
-        | MembershipEvent::Full(entries)
-        | MembershipEvent::Cached(entries)) = news
+    /// Changes the listed backends and notifies the balancer.
+    pub fn change_membership(&mut self, event: MembershipEvent<'_>) -> Vec<Action> {
+        let (MembershipEvent::Delta(endpoints)
+        | MembershipEvent::Full(endpoints)
+        | MembershipEvent::Cached(endpoints)) = event
         else {
-            return self.event(Event::Membership(news));
+            return self.handle(Event::Membership(event));
         };
-        if !matches!(news, MembershipEvent::Delta(_)) {
-            self.servers
-                .keys()
-                .for_each(|&id| _ = self.barred.entry(id).or_insert(self.now));
+        if !matches!(event, MembershipEvent::Delta(_)) {
+            for &id in self.backends.keys() {
+                self.unavailable.entry(id).or_insert(self.now);
+            }
         }
-        for entry in entries {
-            self.servers.insert(entry.id, *entry);
-            if entry.readiness == Readiness::Ready {
-                self.barred.remove(&entry.id);
+        for endpoint in endpoints {
+            self.backends.insert(endpoint.id, *endpoint);
+            if endpoint.readiness == Readiness::Ready {
+                self.unavailable.remove(&endpoint.id);
             } else {
-                self.barred.insert(entry.id, self.now);
+                self.unavailable.insert(endpoint.id, self.now);
             }
         }
-        self.event(Event::Membership(news))
+        self.handle(Event::Membership(event))
     }
 
-    pub fn request(&mut self, request: Request) -> Vec<Action> {
-        let class = request.class.0.min(self.settings.classes.len() as u8 - 1);
-        let tracked = Tracked {
-            class,
+    /// Gives a new request to the balancer.
+    pub fn submit(&mut self, request: Request) -> Vec<Action> {
+        let last_class = self.settings.classes.len() as u8 - 1;
+        let tracked = TrackedRequest {
+            class: request.class.0.min(last_class),
             deadline: self.now + request.timeout,
             ended: false,
             attempts: Vec::new(),
         };
         assert!(self.requests.insert(request.id, tracked).is_none());
-        self.event(Event::Request(request))
+        self.handle(Event::Request(request))
     }
 
-    /// Ends an attempt that is out.
-    pub fn settle(&mut self, request: RequestId, attempt: u16, outcome: Outcome) -> Vec<Action> {
-        self.settle_with(request, attempt, outcome, &[])
+    /// Gives new requests of one class to the balancer, one for each id.
+    pub fn submit_all(&mut self, ids: Range<RequestId>, class: u8) {
+        for id in ids {
+            self.submit(request(id, class));
+        }
     }
 
-    pub fn settle_with(
+    /// Ends an attempt that is in flight.
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
-        attempt: u16,
+        number: u16,
         outcome: Outcome,
-        report: &[f32],
+    ) -> Vec<Action> {
+        self.end_attempt_with_report(request, number, outcome, &[])
+    }
+
+    /// Ends an attempt that is in flight; a load report came with the response.
+    pub fn end_attempt_with_report(
+        &mut self,
+        request: RequestId,
+        number: u16,
+        outcome: Outcome,
+        load_report: &[f32],
     ) -> Vec<Action> {
         let tracked = self
             .requests
             .get_mut(&request)
             .expect("a request that is known");
-        let which = &mut tracked.attempts[usize::from(attempt)];
-        assert_eq!(which.state, State::Out);
-        which.state = if outcome.is_not_executed() {
-            State::NeverRan
+        let attempt = &mut tracked.attempts[usize::from(number)];
+        assert_eq!(attempt.state, AttemptState::InFlight);
+        attempt.state = if outcome.is_not_executed() {
+            AttemptState::NotExecuted
         } else {
-            State::MayHaveRun
+            AttemptState::MayHaveExecuted
         };
-        let (backend, elapsed) = (which.backend, self.now - which.sent_at);
+        let backend = attempt.backend;
+        let elapsed = self.now - attempt.sent_at;
         tracked.ended |= outcome == Outcome::Ok;
-        let closed = tracked.ended;
-        self.event(Event::AttemptEnded(AttemptEnd {
+        let request_answered = tracked.ended;
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request,
             backend,
-            attempt,
+            attempt: number,
             outcome,
-            request_answered: closed,
+            request_answered,
             elapsed,
-            load_report: report,
+            load_report,
             body_consumed: false,
         }))
     }
 
-    /// The attempts that are out: request, number, backend.
-    pub fn out(&self) -> Vec<(RequestId, u16, BackendId)> {
-        let of = |(&id, t): (&RequestId, &Tracked)| {
-            let out = t
-                .attempts
-                .iter()
-                .enumerate()
-                .filter(|(_, a)| a.state == State::Out);
-            out.map(|(n, a)| (id, n as u16, a.backend))
-                .collect::<Vec<_>>()
-        };
-        self.requests.iter().flat_map(of).collect()
+    /// Ends each attempt that is in flight now. Attempts that follow from it stay in flight.
+    pub fn end_all(&mut self, outcome: Outcome) {
+        for attempt in self.in_flight() {
+            self.end_attempt(attempt.request, attempt.number, outcome);
+        }
+    }
+
+    /// Returns the attempts that are in flight, in the order of their requests.
+    pub fn in_flight(&self) -> Vec<InFlightAttempt> {
+        let mut in_flight = Vec::new();
+        for (&request, tracked) in &self.requests {
+            for (number, attempt) in tracked.attempts.iter().enumerate() {
+                if attempt.state == AttemptState::InFlight {
+                    in_flight.push(InFlightAttempt {
+                        request,
+                        number: number as u16,
+                        backend: attempt.backend,
+                    });
+                }
+            }
+        }
+        in_flight
     }
 
-    pub fn in_flight(&self, backend: BackendId) -> usize {
-        self.out().iter().filter(|o| o.2 == backend).count()
+    /// Returns the number of attempts in flight at one backend.
+    pub fn in_flight_at(&self, backend: BackendId) -> usize {
+        self.in_flight()
+            .iter()
+            .filter(|attempt| attempt.backend == backend)
+            .count()
     }
 
-    /// Lets time pass in ticks of 5 ms; timers fire and attempts time out on the way.
-    pub fn advance(&mut self, by: Micros) {
-        let end = self.now + by;
+    /// Lets time pass in ticks; timers fire and attempts time out on the way.
+    pub fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
-            self.now = (self.now + 5 * MS).min(end);
-            let (due, later) = self.timers.iter().partition(|t| t.0 <= self.now);
-            self.timers = later;
-            let due: Vec<(Micros, u32)> = due;
-            due.iter().for_each(|t| _ = self.event(Event::Timer(t.1)));
-            for (id, number, _) in self.out() {
-                if self.requests[&id].attempts[usize::from(number)].give_up_at <= self.now {
-                    self.settle(id, number, Outcome::Timeout);
-                }
-            }
+            self.now = (self.now + TICK).min(end);
+            self.fire_timers();
+            self.time_attempts_out();
             for (id, tracked) in &self.requests {
                 assert!(
                     tracked.ended || self.now <= tracked.deadline + SLACK,
@@ -394,29 +381,61 @@
         }
     }
 
-    /// Answers what is out for longer than `latency`.
+    fn fire_timers(&mut self) {
+        let now = self.now;
+        let (due, later): (Vec<PendingTimer>, Vec<PendingTimer>) =
+            self.timers.iter().partition(|timer| timer.due_at <= now);
+        self.timers = later;
+        for timer in due {
+            self.handle(Event::Timer(timer.token));
+        }
+    }
+
+    fn time_attempts_out(&mut self) {
+        for attempt in self.in_flight() {
+            let tracked = &self.requests[&attempt.request];
+            if tracked.attempts[usize::from(attempt.number)].deadline <= self.now {
+                self.end_attempt(attempt.request, attempt.number, Outcome::Timeout);
+            }
+        }
+    }
+
+    /// Answers the attempts that are in flight for at least `latency`.
     pub fn serve(&mut self, latency: impl Fn(BackendId) -> Micros) {
-        for (id, number, backend) in self.out() {
-            let sent_at = self.requests[&id].attempts[usize::from(number)].sent_at;
-            if sent_at + latency(backend) <= self.now {
-                self.settle(id, number, Outcome::Ok);
+        for attempt in self.in_flight() {
+            let tracked = &self.requests[&attempt.request];
+            let sent_at = tracked.attempts[usize::from(attempt.number)].sent_at;
+            if sent_at + latency(attempt.backend) <= self.now {
+                self.end_attempt(attempt.request, attempt.number, Outcome::Ok);
             }
         }
     }
+
+    /// Returns how often a backend was ejected.
+    pub fn ejections(&self) -> usize {
+        self.log
+            .iter()
+            .filter(|logged| matches!(logged.action, Action::Log(LogEvent::Ejected { .. })))
+            .count()
+    }
 }
 
-/// The request's send in these actions.
+/// Returns the backend of the first attempt among these actions.
 pub fn sent_to(actions: &[Action]) -> Option<BackendId> {
-    actions.iter().find_map(|a| match a {
+    actions.iter().find_map(|action| match action {
         Action::Send { backend, .. } => Some(*backend),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+pub fn is_rejected(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+pub fn is_failed(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Fail { .. }))
 }
--- /dev/null
+++ b/tests/decisions/load_reports.rs
@@ -0,0 +1,52 @@
+//! Load reports, where a proxy meets each backend too seldom for windows of its own.
+
+use crate::common::*;
+use crate::support::*;
+use tillerproxy::api::*;
+
+/// Returns how often 20 of 100 proxies send to the backends of even id, whose load reports may tell that they are slow.
+fn sends_to_even_backends(are_slow: bool) -> u32 {
+    let mut settings = Settings {
+        proxy_count: 100,
+        ..single_zone()
+    };
+    settings.load_report.service_time_ms = Some(0);
+    let mut sends = 0;
+    for proxy_index in 0..20 {
+        let settings = Settings {
+            proxy_index,
+            ..settings.clone()
+        };
+        let mut proxy = SimulatedProxy::new(settings, single_zone_backends(60));
+        for id in 0..100 {
+            proxy.submit(request(id, 0));
+            proxy.advance(5 * MS);
+            if id % 3 != 0 {
+                continue;
+            }
+            for attempt in proxy.in_flight() {
+                let is_even = attempt.backend % 2 == 0;
+                sends += u32::from(is_even);
+                let service_time_ms = if are_slow && is_even { 900.0 } else { 100.0 };
+                proxy.end_attempt_with_report(
+                    attempt.request,
+                    attempt.number,
+                    Outcome::Ok,
+                    &[service_time_ms],
+                );
+            }
+        }
+    }
+    sends
+}
+
+/// Guards against slow backends that keep their limit because no window of a single proxy is ever complete.
+#[test]
+fn a_load_report_of_a_slow_backend_lowers_its_limit_at_once_where_a_proxy_has_few_slots() {
+    let slow = sends_to_even_backends(true);
+    let usual = sends_to_even_backends(false);
+    assert!(
+        slow * 4 < usual * 3,
+        "{slow} sends to slow backends, {usual} when they are not slow"
+    );
+}
--- /dev/null
+++ b/tests/decisions/streaming.rs
@@ -0,0 +1,75 @@
+//! Streamed responses, once they have started.
+
+use crate::common::*;
+use crate::support::*;
+use tillerproxy::api::*;
+use tillerproxy::balancer::Balancer;
+
+#[test]
+fn a_streamed_response_that_has_started_is_neither_cancelled_nor_failed() {
+    let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(3));
+    proxy.submit(request(1, 0));
+    proxy.handle(Event::ResponseStarted {
+        request: 1,
+        attempt: 0,
+        elapsed: 5,
+    });
+    proxy.now += SECOND;
+    proxy.advance(SECOND / 2);
+    assert!(
+        !proxy
+            .log
+            .iter()
+            .any(|logged| matches!(logged.action, Action::Cancel { .. } | Action::Fail { .. }))
+    );
+}
+
+/// Sends a request whose streamed response starts at once.
+fn start_stream(balancer: &mut Balancer, now: Micros, id: RequestId) {
+    let mut actions = Vec::new();
+    balancer.handle(now, Event::Request(request(id, 0)), &mut actions);
+    assert_eq!(sent_to(&actions), Some(0), "request {id}");
+    let started = Event::ResponseStarted {
+        request: id,
+        attempt: 0,
+        elapsed: 5 * MS,
+    };
+    balancer.handle(now, started, &mut actions);
+    assert!(
+        !actions
+            .iter()
+            .any(|action| matches!(action, Action::Cancel { .. } | Action::Fail { .. })),
+        "{actions:?}"
+    );
+}
+
+/// Guards against the time that a client takes to read a large response counting as work or latency of its backend.
+#[test]
+fn a_streamed_response_holds_no_slot_once_it_has_started() {
+    let mut balancer = bare_balancer(&single_zone_backends(1));
+    for id in 1..=50 {
+        start_stream(&mut balancer, u64::from(id) * 10 * MS, id);
+    }
+    // Their ends, however late and whatever they are, say nothing more of the backend.
+    let now = 10 * SECOND;
+    for id in 1..=50 {
+        let outcome = if id % 2 == 0 {
+            Outcome::Cancelled
+        } else {
+            Outcome::Ok
+        };
+        let attempt_end = AttemptEnd {
+            request: id,
+            backend: 0,
+            attempt: 0,
+            outcome,
+            request_answered: true,
+            elapsed: now,
+            load_report: &[],
+            body_consumed: false,
+        };
+        balancer.handle(now, Event::AttemptEnded(attempt_end), &mut Vec::new());
+    }
+    start_stream(&mut balancer, now, 51);
+    assert_eq!(balancer.avoided_backends(now), 0);
+}
