--- a/src/balancer/backends/tests.rs
+++ b/src/balancer/backends/tests.rs
@@ -1,3 +1,5 @@
+//! The table of backends: when a key is used again.
+
 use super::*;
 
 fn listed(id: BackendId) -> BackendState {
@@ -14,12 +16,14 @@
 }
 
 #[test]
-fn new_backends_take_the_keys_of_removed_ones() {
+fn new_backends_reuse_the_keys_of_removed_ones() {
     let mut backends = BackendTable::default();
     for id in 0..1_000_u32 {
         let last = backends.find(id.wrapping_sub(1));
         backends.insert(listed(id));
-        last.into_iter().for_each(|key| unlist(&mut backends, key));
+        if let Some(key) = last {
+            unlist(&mut backends, key);
+        }
     }
     assert!(
         backends.keys().count() <= 2,
@@ -30,7 +34,7 @@
 }
 
 #[test]
-fn a_key_that_a_request_refers_to_is_not_used_again() {
+fn a_key_is_not_reused_while_a_request_refers_to_it() {
     let mut backends = BackendTable::default();
     let first = backends.insert(listed(1));
     backends[first].references = 2;
--- a/src/balancer/index/tests.rs
+++ b/src/balancer/index/tests.rs
@@ -1,51 +1,68 @@
+//! The selection index: its ranked sets compared with an ordered map, its groups, and the order of rechecks.
+
 use super::ranked_set::RankedSet;
 use super::*;
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// A ranked set beside a plain ordered map that has to hold the same.
+/// What a ranked set holds of one backend.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Member {
+    value: usize,
+    is_flagged: bool,
+}
+
+/// A ranked set beside an ordered map that has to hold the same.
 #[derive(Default)]
-struct Pair {
+struct ModelledSet {
     set: RankedSet<usize>,
-    plain: BTreeMap<BackendId, (usize, bool)>,
+    model: BTreeMap<BackendId, Member>,
 }
 
-impl Pair {
+impl ModelledSet {
     fn apply(&mut self, batch: Vec<(BackendId, Option<usize>)>) {
         for &(id, value) in &batch {
             match value {
-                Some(value) => self.plain.entry(id).or_insert((value, false)).0 = value,
-                None => drop(self.plain.remove(&id)),
+                Some(value) => self.insert_into_model(id, value),
+                None => drop(self.model.remove(&id)),
             }
         }
         self.set.apply(batch);
     }
 
-    fn flag(&mut self, id: BackendId, flag: bool) {
+    fn insert_into_model(&mut self, id: BackendId, value: usize) {
+        let added = Member {
+            value,
+            is_flagged: false,
+        };
+        self.model.entry(id).or_insert(added).value = value;
+    }
+
+    fn set_flag(&mut self, id: BackendId, flag: bool) {
         if let Some(rank) = self.set.rank(id) {
             self.set.set_flag(rank, flag);
         }
-        if let Some((_, held)) = self.plain.get_mut(&id) {
-            *held = flag;
+        if let Some(member) = self.model.get_mut(&id) {
+            member.is_flagged = flag;
         }
     }
 
+    /// Compares the members, and the flagged ones among these ranks.
     fn check(&self, ranks: Range<usize>) {
-        let members: Vec<_> = self
-            .plain
-            .iter()
-            .map(|(&id, &(value, flag))| (id, value, flag))
-            .collect();
-        assert_eq!(self.set.len(), members.len());
-        for (rank, &(id, value, flag)) in members.iter().enumerate() {
+        assert_eq!(self.set.len(), self.model.len());
+        for (rank, (&id, &expected)) in self.model.iter().enumerate() {
             assert_eq!(self.set.rank(id), Some(rank));
-            assert_eq!(
-                (self.set.value(rank), self.set.flag(rank)),
-                (value, flag),
-                "rank {rank}"
-            );
+            let member = Member {
+                value: self.set.value(rank),
+                is_flagged: self.set.flag(rank),
+            };
+            assert_eq!(member, expected, "rank {rank}");
         }
-        let flagged: Vec<usize> = ranks.clone().filter(|&rank| members[rank].2).collect();
+        let members: Vec<Member> = self.model.values().copied().collect();
+        let flagged: Vec<usize> = ranks
+            .clone()
+            .filter(|&rank| members[rank].is_flagged)
+            .collect();
         assert_eq!(
             self.set.count(ranks.clone()),
             flagged.len(),
@@ -63,10 +80,10 @@
 }
 
 #[test]
-fn a_ranked_set_holds_what_a_plain_ordered_map_holds() {
+fn a_ranked_set_holds_what_an_ordered_map_holds() {
     for seed in 0..40 {
         let mut rng = Rng::with_seed(seed);
-        let mut pair = Pair::default();
+        let mut modelled = ModelledSet::default();
         for _ in 0..60 {
             let size = if rng.u8(0..4) == 0 {
                 rng.usize(0..120)
@@ -78,13 +95,13 @@
             ids.dedup();
             rng.shuffle(&mut ids);
             let change = |id| (id, (rng.u8(0..5) < 3).then(|| rng.usize(0..1_000)));
-            pair.apply(ids.into_iter().map(change).collect());
+            modelled.apply(ids.into_iter().map(change).collect());
             for _ in 0..20 {
-                pair.flag(rng.u32(0..300), rng.bool());
+                modelled.set_flag(rng.u32(0..300), rng.bool());
             }
-            let start = rng.usize(0..=pair.plain.len());
-            let end = rng.usize(start..=pair.plain.len());
-            pair.check(start..end);
+            let start = rng.usize(0..=modelled.model.len());
+            let end = rng.usize(start..=modelled.model.len());
+            modelled.check(start..end);
         }
     }
 }
@@ -104,37 +121,30 @@
 }
 
 #[test]
-fn groups_hold_each_member_once_and_count_all_that_are_ready() {
+fn groups_hold_each_member_once_and_the_index_counts_the_ready_ones() {
     let mut index = SelectionIndex::default();
     let mut backends = BackendTable::default();
-    let (own, other) = (
-        index.group_of(Zone(0), MachineType(0)),
-        index.group_of(Zone(1), MachineType(0)),
-    );
+    let own = index.group_of(Zone(0), MachineType(0));
+    let other = index.group_of(Zone(1), MachineType(0));
     assert_eq!(index.group_of(Zone(0), MachineType(0)), own);
     let keys =
         [(5, own), (3, own), (4, other)].map(|(id, group)| backends.insert(ready(id, group)));
-    let added = |n: usize, group, id| change(keys[n], group, id);
+    let offset = |rank: usize, members: usize| rank as f64 / members as f64;
+    let first_added = change(keys[0], own, 5);
     let all = vec![
-        added(0, own, 5),
-        added(1, own, 3),
-        added(2, other, 4),
-        added(0, own, 5),
+        first_added,
+        change(keys[1], own, 3),
+        change(keys[2], other, 4),
+        first_added,
     ];
-    index.apply(all, &backends, |rank, members| rank as f64 / members as f64);
-    assert_eq!((index.ready, index.groups[own.0].members().len()), (3, 2));
+    index.apply(all, &backends, offset);
+    assert_eq!(index.ready, 3);
+    assert_eq!(index.groups[own.0].members().len(), 2);
     backends[keys[0]].ready = false;
-    index.apply(vec![added(0, own, 5)], &backends, |rank, members| {
-        rank as f64 / members as f64
-    });
-    assert_eq!(
-        (
-            index.ready,
-            index.groups[own.0].version(),
-            index.groups[other.0].version()
-        ),
-        (2, 2, 1)
-    );
+    index.apply(vec![first_added], &backends, offset);
+    assert_eq!(index.ready, 2);
+    assert_eq!(index.groups[own.0].version(), 2);
+    assert_eq!(index.groups[other.0].version(), 1);
 }
 
 #[test]
@@ -168,7 +178,7 @@
 }
 
 #[test]
-fn rechecks_come_in_the_order_of_their_times_and_not_before() {
+fn rechecks_are_due_in_the_order_of_their_times_and_not_before() {
     let mut index = SelectionIndex::default();
     let mut backends = BackendTable::default();
     let group = index.group_of(Zone(0), MachineType(0));
--- a/src/balancer/quotas/tests.rs
+++ b/src/balancer/quotas/tests.rs
@@ -1,66 +1,79 @@
+//! Tenants' quotas, compared with a model that sums over all tenants.
+
 use super::*;
 use fastrand::Rng;
 
-/// A tenant in a model that sums over all of them.
+/// A tenant in the model.
 #[derive(Clone, Copy)]
-struct Plain {
+struct ModelTenant {
     rate: f64,
     tokens: f64,
     last_request_at: Micros,
     recent_requests: f64,
 }
 
-impl Plain {
+impl ModelTenant {
+    fn new(rate: f64, now: Micros) -> Self {
+        Self {
+            rate,
+            tokens: rate,
+            last_request_at: now,
+            recent_requests: 0.0,
+        }
+    }
+
     fn recent(&self, now: Micros) -> f64 {
-        self.recent_requests
-            * (1.0 - (now - self.last_request_at) as f64 / RECENT_TTL as f64).max(0.0)
+        let age = (now - self.last_request_at) as f64 / RECENT_TTL as f64;
+        self.recent_requests * (1.0 - age).max(0.0)
     }
 
     fn withdraw(&mut self, now: Micros) -> bool {
         self.recent_requests = self.recent(now) + 1.0;
-        self.tokens = (self.tokens + self.rate * (now - self.last_request_at) as f64 / 1e6)
-            .min(self.rate.max(1.0));
+        let earned = self.rate * (now - self.last_request_at) as f64 / 1e6;
+        self.tokens = (self.tokens + earned).min(self.rate.max(1.0));
         self.last_request_at = now;
-        let within = self.tokens >= 1.0;
-        self.tokens -= f64::from(u8::from(within));
-        within
+        let is_within_quota = self.tokens >= 1.0;
+        if is_within_quota {
+            self.tokens -= 1.0;
+        }
+        is_within_quota
     }
 }
 
 #[test]
 fn tenants_are_compared_as_by_a_sum_over_all_of_them() {
-    let (mut compared, mut above) = (0, 0);
+    let mut compared = 0;
+    let mut above = 0;
     for seed in 0..30 {
         let mut rng = Rng::with_seed(seed);
         let mut now = rng.u64(0..1 << 50);
         let rates: Vec<f64> = (0..rng.usize(1..40))
             .map(|_| f64::from(rng.u32(0..40)) / 10.0)
             .collect();
+        let total_rate: f64 = rates.iter().sum();
         let mut quotas = TenantQuotas::new(rates.iter().copied(), now);
-        let plain = |&rate: &f64| Plain {
-            rate,
-            tokens: rate,
-            last_request_at: now,
-            recent_requests: 0.0,
-        };
-        let mut tenants: Vec<Plain> = rates.iter().map(plain).collect();
+        let mut model: Vec<ModelTenant> = rates
+            .iter()
+            .map(|&rate| ModelTenant::new(rate, now))
+            .collect();
         for _ in 0..2_000 {
             now += if rng.u8(0..200) == 0 {
                 rng.u64(0..2 * RECENT_TTL)
             } else {
                 rng.u64(0..100_000)
             };
-            let some = rng.usize(1..=tenants.len());
-            let tenant = rng.usize(0..some);
+            // Tenants of low index send more often.
+            let upper_bound = rng.usize(1..=model.len());
+            let tenant = rng.usize(0..upper_bound);
             let index = TenantIndex(tenant as u16);
             assert_eq!(
                 quotas.withdraw(now, index),
-                tenants[tenant].withdraw(now),
+                model[tenant].withdraw(now),
                 "seed {seed}"
             );
-            let all: f64 = tenants.iter().map(|tenant| tenant.recent(now)).sum();
-            let own = tenants[tenant].recent(now) * rates.iter().sum::<f64>();
-            let average = all * rates[tenant];
+            let recent_of_all: f64 = model.iter().map(|tenant| tenant.recent(now)).sum();
+            let own = model[tenant].recent(now) * total_rate;
+            let average = recent_of_all * rates[tenant];
             // A unit is a millionth of a request; what lies closer together may compare either way.
             if (own - average).abs() > 1e-3 {
                 assert_eq!(
@@ -80,21 +93,19 @@
 }
 
 #[test]
-fn a_tenant_that_the_settings_do_not_name_is_within_its_quota() {
+fn an_unknown_tenant_is_within_its_quota() {
     let mut quotas = TenantQuotas::new([1.0].into_iter(), 0);
     assert!(quotas.withdraw(0, TenantIndex(7)));
     assert!(!quotas.is_above_average(0, TenantIndex(7)));
 }
 
 #[test]
-fn tenants_that_send_no_more_leave_nothing_behind() {
+fn tenants_that_stop_sending_leave_no_state_behind() {
     let mut quotas = TenantQuotas::new([1.0; 100].into_iter(), 0);
     for tenant in 0..100 {
         quotas.withdraw(Micros::from(tenant), TenantIndex(tenant));
     }
     quotas.withdraw(3 * RECENT_TTL, TenantIndex(0));
-    assert_eq!(
-        (quotas.recent_sum, quotas.by_request_time.len()),
-        (UNITS_PER_REQUEST, 1)
-    );
+    assert_eq!(quotas.recent_sum, UNITS_PER_REQUEST);
+    assert_eq!(quotas.by_request_time.len(), 1);
 }
