--- a/src/balancer/connections.rs
+++ b/src/balancer/connections.rs
@@ -7,6 +7,9 @@
 use super::time::SECOND;
 use crate::api::Micros;
 
+#[cfg(test)]
+mod tests;
+
 /// A connection that was idle for less is not to blame for a lost request: nothing drops idle connections so soon.
 const MIN_SUSPECT_IDLE: Micros = SECOND / 2;
 /// The trusted idle time after a lost request, as a part of the time that its connection had been idle.
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -4,6 +4,9 @@
 use super::time::SECOND;
 use crate::api::{Class, ClassIndex, MachineType, Micros, Settings};
 
+#[cfg(test)]
+mod tests;
+
 /// The threshold as a multiple of the base latency: above it requests queue at the backend.
 const THRESHOLD_OVER_BASE: f64 = 1.8;
 /// The threshold as a part of the latency objective, at most: limits have to fall before objectives are missed.
--- a/src/balancer/limits/mod.rs
+++ b/src/balancer/limits/mod.rs
@@ -16,6 +16,9 @@
 use super::time::SECOND;
 use crate::api::Micros;
 
+#[cfg(test)]
+mod tests;
+
 /// The shortest window: limits follow a load that changes within seconds.
 pub(crate) const MIN_WINDOW: Micros = SECOND / 4;
 /// The most that a sample counts, as a multiple of the latency threshold.
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -55,6 +55,9 @@
 use throughput::PeakRate;
 use timers::Timer;
 
+#[cfg(test)]
+mod tests;
+
 /// The decisions of one proxy.
 ///
 /// # Example
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -6,6 +6,9 @@
 use super::requests::Attempt;
 use crate::api::Outcome;
 
+#[cfg(test)]
+mod tests;
+
 /// A failure, or a slow response, counts as at least this multiple of the latency threshold.
 const MIN_FAILURE_SAMPLE: f64 = 2.0;
 /// Weight of a refused connection in a backend's failure rate: a backend that takes no connection is down.
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -3,6 +3,9 @@
 use super::time::SECOND;
 use crate::api::Micros;
 
+#[cfg(test)]
+mod tests;
+
 /// Weight of one more outcome in a backend's failure rate.
 const FAILURE_WEIGHT: f64 = 0.25;
 /// Failure rate at which a backend is ejected.
--- /dev/null
+++ b/src/balancer/outliers/tests.rs
@@ -0,0 +1,207 @@
+//! Outlier detection by itself: ejection, its time, trial requests and readmission.
+
+use super::*;
+
+const FAILURE: HealthSample = HealthSample {
+    failed: true,
+    weight: 1.0,
+    is_trial: false,
+};
+const SUCCESS: HealthSample = HealthSample {
+    failed: false,
+    ..FAILURE
+};
+const FAILED_TRIAL: HealthSample = HealthSample {
+    is_trial: true,
+    ..FAILURE
+};
+const SUCCESSFUL_TRIAL: HealthSample = HealthSample {
+    is_trial: true,
+    ..SUCCESS
+};
+const NO_JITTER: f64 = 1.0;
+
+/// Records a sample of a backend that may be ejected.
+fn record(health: &mut Health, now: Micros, sample: HealthSample) -> Option<HealthChange> {
+    health.record(now, sample, true, NO_JITTER)
+}
+
+fn ejected_for(seconds: u64) -> Option<HealthChange> {
+    let duration = seconds * SECOND;
+    Some(HealthChange::Ejected { duration })
+}
+
+/// Records failures at one time until the backend is ejected; returns how many it took.
+fn fail_until_ejected(health: &mut Health, now: Micros, weight: f64) -> u32 {
+    let failure = HealthSample { weight, ..FAILURE };
+    let mut failures = 0;
+    while !health.is_ejected() {
+        failures += 1;
+        assert!(failures < 100, "it must be ejected");
+        record(health, now, failure);
+    }
+    failures
+}
+
+#[test]
+fn a_backend_is_ejected_when_its_failure_rate_reaches_the_threshold() {
+    // After n failures in a row the rate is 1 - 0.75^n: 0.44 after two, 0.58 after three.
+    let mut health = Health::default();
+    assert_eq!(record(&mut health, 0, FAILURE), None);
+    assert_eq!(record(&mut health, 0, FAILURE), None);
+    assert_eq!(health.state(0), HealthState::Healthy);
+    assert_eq!(record(&mut health, 0, FAILURE), ejected_for(1));
+    assert_eq!(health.state(0), HealthState::Ejected(SECOND));
+}
+
+#[test]
+fn the_weight_of_a_failure_scales_its_part_in_the_failure_rate() {
+    // With a weight w the rate is 1 - (1 - w/4)^n: 0.5 after one of weight 2, 0.49 after five of weight 1/2.
+    assert_eq!(fail_until_ejected(&mut Health::default(), 0, 2.0), 1);
+    assert_eq!(fail_until_ejected(&mut Health::default(), 0, 0.5), 6);
+}
+
+#[test]
+fn a_success_does_not_eject_however_high_the_failure_rate_is() {
+    let mut health = Health::default();
+    for _ in 0..10 {
+        health.record(0, FAILURE, false, NO_JITTER);
+    }
+    assert_eq!(record(&mut health, 0, SUCCESS), None);
+    assert_eq!(health.state(0), HealthState::Healthy);
+}
+
+#[test]
+fn a_backend_is_not_ejected_when_too_many_are() {
+    let mut health = Health::default();
+    for _ in 0..100 {
+        assert_eq!(health.record(0, FAILURE, false, NO_JITTER), None);
+    }
+    assert_eq!(health.state(0), HealthState::Healthy);
+}
+
+#[test]
+fn up_to_three_fifths_of_the_ready_backends_may_be_ejected() {
+    for (ready, most) in [(0, 0), (1, 0), (2, 1), (3, 1), (4, 2), (5, 3), (10, 6)] {
+        for ejected in 0..=ready {
+            assert_eq!(
+                may_eject_another(ejected, ready),
+                ejected < most,
+                "{ejected} of {ready} are ejected"
+            );
+        }
+    }
+}
+
+#[test]
+fn jitter_scales_the_time_of_an_ejection() {
+    for (jitter, duration) in [(0.75, 3 * SECOND / 4), (1.25, 5 * SECOND / 4)] {
+        let refused_connection = HealthSample {
+            weight: 2.0,
+            ..FAILURE
+        };
+        let change = Health::default().record(0, refused_connection, true, jitter);
+        assert_eq!(change, Some(HealthChange::Ejected { duration }));
+    }
+}
+
+#[test]
+fn each_consecutive_ejection_takes_twice_as_long_up_to_a_cap() {
+    let mut health = Health::default();
+    fail_until_ejected(&mut health, 0, 1.0);
+    let mut now = SECOND;
+    for seconds in [2, 4, 8, 16, 16, 16] {
+        assert_eq!(health.state(now), HealthState::HalfOpen);
+        let change = record(&mut health, now, FAILED_TRIAL);
+        assert_eq!(change, Some(HealthChange::EjectionProlonged));
+        let until = now + seconds * SECOND;
+        assert_eq!(health.state(now), HealthState::Ejected(until));
+        now = until;
+    }
+}
+
+#[test]
+fn an_ejected_backend_is_half_open_once_its_time_is_over() {
+    let mut health = Health::default();
+    fail_until_ejected(&mut health, 0, 1.0);
+    assert_eq!(health.state(SECOND - 1), HealthState::Ejected(SECOND));
+    assert_eq!(health.state(SECOND), HealthState::HalfOpen);
+    assert!(health.is_ejected(), "until it is readmitted");
+}
+
+#[test]
+fn a_trial_request_is_in_flight_until_it_ends() {
+    let mut health = Health::default();
+    health.start_attempt(false);
+    assert!(!health.is_trial_in_flight());
+    health.start_attempt(true);
+    health.start_attempt(false);
+    health.end_attempt(false);
+    assert!(health.is_trial_in_flight());
+    health.end_attempt(true);
+    assert!(!health.is_trial_in_flight());
+}
+
+#[test]
+fn a_failure_that_is_no_trial_does_not_prolong_an_ejection() {
+    let mut health = Health::default();
+    fail_until_ejected(&mut health, 0, 1.0);
+    assert_eq!(record(&mut health, SECOND / 2, FAILURE), None);
+    assert_eq!(health.state(SECOND / 2), HealthState::Ejected(SECOND));
+}
+
+#[test]
+fn a_success_readmits_an_ejected_backend() {
+    for success in [SUCCESSFUL_TRIAL, SUCCESS] {
+        let mut health = Health::default();
+        fail_until_ejected(&mut health, 0, 1.0);
+        let change = record(&mut health, SECOND, success);
+        assert_eq!(change, Some(HealthChange::Readmitted));
+        assert_eq!(health.state(SECOND), HealthState::Healthy);
+        assert!(!health.is_ejected());
+    }
+}
+
+#[test]
+fn a_readmitted_backend_is_not_ejected_for_its_next_failure() {
+    let mut health = Health::default();
+    for _ in 0..20 {
+        record(&mut health, 0, FAILURE);
+    }
+    record(&mut health, SECOND, SUCCESSFUL_TRIAL);
+    // The rate is 0.3 then, 0.48 after one failure and 0.61 after two.
+    assert_eq!(record(&mut health, SECOND, FAILURE), None);
+    assert_eq!(record(&mut health, SECOND, FAILURE), ejected_for(2));
+}
+
+#[test]
+fn earlier_ejections_are_forgotten_once_the_failure_rate_is_low() {
+    // From 0.3 on, the rate is 0.13 after three successes and 0.09 after four.
+    for (successes, seconds) in [(3, 2), (4, 1)] {
+        let mut health = Health::default();
+        for _ in 0..20 {
+            record(&mut health, 0, FAILURE);
+        }
+        record(&mut health, SECOND, SUCCESSFUL_TRIAL);
+        for _ in 0..successes {
+            assert_eq!(record(&mut health, SECOND, SUCCESS), None);
+        }
+        fail_until_ejected(&mut health, SECOND, 1.0);
+        let until = SECOND + seconds * SECOND;
+        assert_eq!(
+            health.state(SECOND),
+            HealthState::Ejected(until),
+            "after {successes} successes"
+        );
+    }
+}
+
+#[test]
+fn a_reset_forgets_ejections_and_failures() {
+    let mut health = Health::default();
+    fail_until_ejected(&mut health, 0, 1.0);
+    health.reset();
+    assert_eq!(health.state(0), HealthState::Healthy);
+    assert_eq!(fail_until_ejected(&mut health, 0, 1.0), 3);
+    assert_eq!(health.state(0), HealthState::Ejected(SECOND));
+}
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -3,6 +3,9 @@
 use super::requests::RequestKey;
 use crate::api::Micros;
 
+#[cfg(test)]
+mod tests;
+
 /// A request waits for this part of its remaining time.
 const WAIT_DIVISOR: Micros = 10;
 
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -5,6 +5,9 @@
 use super::requests::OpenRequest;
 use crate::api::{Cell, Idempotency, KeyScope, Micros, Permissions, Zone};
 
+#[cfg(test)]
+mod tests;
+
 /// Tokens that each request adds: the part of the requests that may be retried after an attempt that may have run.
 const TOKENS_PER_REQUEST: f64 = 0.1;
 /// The most tokens, and thus retries in a burst.
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -8,6 +8,9 @@
 use super::time::{MICROS_PER_SECOND, SECOND};
 use crate::api::{Micros, SafetyLimits};
 
+#[cfg(test)]
+mod tests;
+
 /// Part of the load at which a backend collapses that all proxies together may send it.
 const SAFETY_MARGIN: f64 = 0.3;
 /// The bucket holds what comes in this part of a second, and one token at the least.
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -7,6 +7,9 @@
 use crate::api::{Micros, Settings};
 use fastrand::Rng;
 
+#[cfg(test)]
+mod tests;
+
 /// All proxies together make a first call this often.
 const FIRST_CALL_INTERVAL: Micros = SECOND / 50;
 /// All proxies together repeat failed calls this often.
--- a/src/balancer/timers.rs
+++ b/src/balancer/timers.rs
@@ -2,6 +2,9 @@
 
 use super::requests::RequestKey;
 
+#[cfg(test)]
+mod tests;
+
 /// Bits of a token that tell the purpose; the others hold the request's key.
 const PURPOSE_BITS: u32 = 2;
 const PURPOSE_MASK: u32 = (1 << PURPOSE_BITS) - 1;
