--- a/src/balancer/limits/tests/backend.rs
+++ b/src/balancer/limits/tests/backend.rs
@@ -150,6 +150,16 @@
     assert_eq!(limit.value(10.0), 10.0);
 }
 
+#[test]
+fn quick_windows_do_not_raise_the_limit_of_a_load_report() {
+    let mut limit = new_backend_limit(NOW);
+    limit.record_service_time(NOW, 80.0, 100.0, 0.5);
+    come_near(&mut limit);
+    complete_window_of_part(&mut limit, NOW, QUICK, 0.5, 0.25);
+    assert_eq!(limit.source(), LimitSource::LoadReport);
+    assert_close(limit.value(0.5), 0.625);
+}
+
 #[test]
 fn a_limit_of_its_own_stays_within_bounds() {
     let mut low = new_backend_limit(NOW);
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -99,10 +99,18 @@
     assert!(budget.had_token());
 }
 
-/// Returns how many tokens a budget holds that is refilled for the first time at `now` and again an hour later.
-fn tokens_after_an_hour(now: Micros) -> u32 {
-    let mut budget = empty_budget(now, &SAFETY);
-    budget.refill(now + HOUR, &SAFETY, &CAPACITY);
+/// Returns how many tokens a budget holds an hour after its refill, when this proxy's part of the warm backend is so many
+/// requests a second.
+fn tokens_after_an_hour(requests_per_s: f64) -> u32 {
+    let warm = STARTED_AT + DURATION;
+    let capacity = WarmCapacity {
+        requests_per_s,
+        proxy_fraction: 1.0,
+        slots_per_limit: 1.0,
+    };
+    let mut budget = SlowStartBudget::new(warm, STARTED_AT, 0.0);
+    budget.refill(warm, &SAFETY, &capacity);
+    budget.refill(warm + HOUR, &SAFETY, &capacity);
     let mut tokens = 0;
     while budget.had_token() {
         budget.withdraw();
@@ -113,8 +121,13 @@
 
 #[test]
 fn a_budget_holds_the_tokens_of_a_quarter_of_a_second_and_one_at_least() {
-    assert_eq!(tokens_after_an_hour(STARTED_AT), 1, "2 a second");
-    assert_eq!(tokens_after_an_hour(STARTED_AT + DURATION), 2, "8 a second");
+    for (requests_per_s, tokens) in [(1.0, 1), (2.0, 1), (7.9, 1), (8.0, 2), (40.0, 10)] {
+        assert_eq!(
+            tokens_after_an_hour(requests_per_s),
+            tokens,
+            "{requests_per_s} requests a second"
+        );
+    }
 }
 
 #[test]
