--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -18,7 +18,7 @@
         /// only.)
         write_deadline: Option<Micros>,
     },
-    /// Final answer: rejected, and a retry by the client is harmless.
+    /// Final answer: rejected, and a retry by the client is harmless, whatever the cause of the rejection.
     Reject {
         /// The request.
         request: RequestId,
@@ -64,7 +64,7 @@
         /// How long it gets no request.
         duration: Micros,
     },
-    /// An ejected backend answered its trial request and takes requests again.
+    /// An attempt on an ejected backend ended without a failure: it takes requests again.
     Readmitted {
         /// The backend.
         backend: BackendId,
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -54,13 +54,13 @@
     pub class: ClassIndex,
     /// Its tenant.
     pub tenant: TenantIndex,
-    /// The key of the data that it is about.
+    /// The key of the data that it is about. (Not used by the decisions.)
     pub key: Option<u64>,
     /// Time until the client gives it up.
     pub timeout: Micros,
-    /// Expected work on a standard core.
+    /// Expected work on a standard core. (Not used by the decisions.)
     pub expected_work: Option<Micros>,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked it as a retry. (Not used by the decisions.)
     pub is_retry: bool,
 }
 
@@ -110,7 +110,7 @@
     pub attempt: u16,
     /// How it ended.
     pub outcome: Outcome,
-    /// Whether the client has its final answer.
+    /// Whether the request is over for its client: it has its final answer, or has disconnected.
     pub request_answered: bool,
     /// Time since the send.
     pub elapsed: Micros,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -35,7 +35,7 @@
 pub struct Class {
     /// The latency objective: a response within this span earns the full priority weight.
     pub latency_objective: Micros,
-    /// The part of a request's own expected work that is added to the latency objective.
+    /// The part of a request's own expected work that is added to the latency objective. (Not used by the decisions.)
     pub objective_work_factor: f64,
     /// How long a client waits in all.
     pub timeout: Micros,
@@ -57,9 +57,9 @@
 /// The values of a load report that the decisions read, by their position in the report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReportFields {
-    /// Requests in flight at the backend.
+    /// Requests in flight at the backend. (Not used by the decisions.)
     pub in_flight: Option<usize>,
-    /// Requests in its queue.
+    /// Requests in its queue. (Not used by the decisions.)
     pub queued: Option<usize>,
     /// Recent service time, milliseconds.
     pub service_time_ms: Option<usize>,
@@ -70,24 +70,24 @@
 pub struct Permissions {
     /// Attempts for one request, the first included.
     pub max_attempts: u16,
-    /// Whether requests may be hedged: two attempts in flight at once.
+    /// Whether requests may be hedged: two attempts in flight at once. (The decisions make no use of it.)
     pub hedging: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts may be cancelled. (Not used by the decisions: they cancel none.)
     pub cancellation: bool,
-    /// Whether backends may be sent health checks.
+    /// Whether backends may be sent health checks. (Not used by the decisions: they send none.)
     pub health_checks: bool,
     /// An idle connection closes after this time.
     pub idle_timeout: Micros,
     /// Requests that one connection carries at the same time.
     pub requests_per_connection: u32,
-    /// The longest `Retry-After` that clients heed, where that is known.
+    /// The longest `Retry-After` that clients follow, where that is known.
     pub max_retry_after: Option<Micros>,
 }
 
 /// Figures of the safety rules.
 #[derive(Clone, Copy, Debug)]
 pub struct SafetyLimits {
-    /// A proxy without a watch is held to the endpoint list as of this long ago.
+    /// The rules take a proxy without a watch to know the endpoint list as of this long ago: it has to poll that often.
     pub poll_interval: Micros,
     /// The part of its capacity that a backend has when its slow start begins.
     pub slow_start_initial_capacity: f64,
@@ -95,16 +95,18 @@
     pub slow_start_duration: Micros,
     /// Sent more than this multiple of its present capacity ...
     pub collapse_load_factor: f64,
-    /// ... for this long, a backend that warms up collapses.
+    /// ... for this long, a backend that warms up collapses. (Not used by the decisions.)
     pub collapse_time: Micros,
 }
 
-/// How the endpoint list reaches the proxy.
+/// How the endpoint list reaches the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Discovery sends the list and each change by itself.
+    /// The list and each change come by themselves. (On real sockets: discovery is an agent on the same machine, which the
+    /// proxy calls all the time.)
     Pushed,
-    /// The list comes only after [`Action::Subscribe`](super::Action::Subscribe).
+    /// The list comes only after [`Action::Subscribe`](super::Action::Subscribe). (On real sockets: discovery is a service
+    /// that all proxies share.)
     Polled,
 }
 
@@ -123,7 +125,7 @@
     pub machine_type_count: u8,
     /// How the endpoint list comes.
     pub discovery_mode: DiscoveryMode,
-    /// Whether a backend does less work for a key that it served recently.
+    /// Whether a backend does less work for a key that it served recently. (Not used by the decisions.)
     pub key_affinity: bool,
     /// Request classes.
     pub classes: Vec<Class>,
@@ -133,7 +135,7 @@
     pub over_quota_weight: f64,
     /// Cost of an attempt in another zone, as a part of a mean request's priority weight.
     pub cross_zone_cost: f64,
-    /// Cost of a health check, in the same unit.
+    /// Cost of a health check, in the same unit. (Not used by the decisions.)
     pub health_check_cost: f64,
     /// Where the values of a load report stand.
     pub load_report: LoadReportFields,
@@ -243,7 +245,7 @@
     }
 }
 
-/// Errors name settings as the configuration does, for that is where they have to be corrected.
+/// Errors name a setting by its key in the configuration, in snake case and without the unit.
 fn check(holds: bool, field: &str, problem: &str) -> Result<(), SettingsError> {
     if holds {
         return Ok(());
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -34,9 +34,8 @@
         self.dispatch(now, key, out);
     }
 
-    /// Sends a request where there is available capacity, or queues it, or ends it.
-    ///
-    /// Departure: where crossing zones has a cost, other zones are used when the own one has no available capacity.
+    /// Sends a request where there is available capacity, or queues it, or ends it. A request over its tenant's quota is
+    /// never queued.
     fn dispatch(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         if let Some(backend) = self.select_backend(now, key) {
             self.send(now, key, backend, out);
@@ -121,10 +120,11 @@
         }
     }
 
-    /// Gives a final answer; nothing else does (rule 1).
+    /// Gives a final answer; nothing else does (rule 1). It is a rejection wherever a retry by the client is harmless: an
+    /// idempotent request is always rejected, however its attempts failed.
     fn answer(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         let open = &self.requests[key];
-        if open.answered {
+        if open.closed {
             return;
         }
         let request = open.id;
@@ -147,8 +147,8 @@
     /// Departure: a proxy with few slots rejects mostly because requests came together there, and the client's retry,
     /// likely at another proxy, can still meet its objective. With many slots to a proxy all proxies are full.
     fn retry_after(&self, class: ClassIndex) -> Micros {
-        let slots = self.capacity.slots();
-        let part = (slots / FULL_RETRY_AFTER_SLOTS).clamp(MIN_RETRY_AFTER, 1.0);
+        let limit_sum = self.capacity.limit_sum();
+        let part = (limit_sum / FULL_RETRY_AFTER_SLOTS).clamp(MIN_RETRY_AFTER, 1.0);
         let objective = self.settings.class(class).latency_objective;
         let wait = (objective as f64 * part) as Micros;
         match self.settings.permissions.max_retry_after {
@@ -161,7 +161,7 @@
     pub(super) fn close(&mut self, key: RequestKey) {
         self.dequeue(key);
         let request = &mut self.requests[key];
-        request.answered = true;
+        request.closed = true;
         if request.is_in_flight() {
             return;
         }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -211,7 +211,7 @@
             self.follow_load_report(now, attempt.backend, end.load_report);
         }
         self.reindex(now, attempt.backend);
-        if end.request_answered || self.requests[key].answered {
+        if end.request_answered || self.requests[key].closed {
             self.close(key);
         } else {
             self.retry(now, key, is_not_executed, out);
--- a/src/balancer/backends.rs
+++ b/src/balancer/backends.rs
@@ -58,7 +58,9 @@
 }
 
 impl BackendState {
-    /// Forgets what was known of the backend's previous process.
+    /// Forgets the limit, connections, failures and ejection of the backend's previous process. Attempts that are still in
+    /// flight stay counted until they end, and so do a trial request among them, the time of its last rejection and its
+    /// recent latency.
     pub(crate) fn restart(&mut self, now: Micros, slow_start: Option<SlowStartBudget>) {
         self.limit.reset(now);
         self.connections.clear();
--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -19,8 +19,8 @@
 /// more backends, and the sum of its limits, with the square root of it for the chance that requests come together,
 /// bounds what it has in flight in all.
 pub(crate) struct ProxyCapacity {
-    /// Sum of the limits of all ready backends.
-    slots: f64,
+    /// Sum of the limits of all ready backends, before they are rounded to slots.
+    limit_sum: f64,
     /// Factor on every limit when it is rounded to slots.
     limit_factor: f64,
     max_in_flight: u32,
@@ -31,7 +31,7 @@
     /// Returns a capacity without a bound, to be evaluated once backends are known.
     pub(crate) fn unbounded() -> Self {
         Self {
-            slots: 0.0,
+            limit_sum: 0.0,
             limit_factor: 1.0,
             max_in_flight: u32::MAX,
             evaluated_at: None,
@@ -44,25 +44,25 @@
     }
 
     /// Takes the sum of the limits of all ready backends.
-    pub(crate) fn evaluate(&mut self, now: Micros, slots: f64, proxy_index: u32) {
+    pub(crate) fn evaluate(&mut self, now: Micros, limit_sum: f64, proxy_index: u32) {
         self.evaluated_at = Some(now);
-        self.slots = slots;
-        self.limit_factor = if slots > 0.0 {
-            (MIN_BACKENDS / slots).max(1.0)
+        self.limit_sum = limit_sum;
+        self.limit_factor = if limit_sum > 0.0 {
+            (MIN_BACKENDS / limit_sum).max(1.0)
         } else {
             1.0
         };
         let max_in_flight = if self.has_few_slots() {
-            (slots + slots.sqrt() + golden_ratio_position(proxy_index)) as u32
+            (limit_sum + limit_sum.sqrt() + golden_ratio_position(proxy_index)) as u32
         } else {
             u32::MAX
         };
         self.max_in_flight = max_in_flight.max(1);
     }
 
-    /// Returns the sum of the limits of all ready backends.
-    pub(crate) fn slots(&self) -> f64 {
-        self.slots
+    /// Returns the sum of the limits of all ready backends, before they are rounded to slots.
+    pub(crate) fn limit_sum(&self) -> f64 {
+        self.limit_sum
     }
 
     /// Returns the factor on every limit when it is rounded to slots.
@@ -113,9 +113,9 @@
             .iter()
             .map(beyond_group)
             .sum::<f64>();
-        let slots = groups + individual;
+        let limit_sum = groups + individual;
         self.capacity
-            .evaluate(now, slots, self.settings.proxy_index);
+            .evaluate(now, limit_sum, self.settings.proxy_index);
     }
 
     /// Returns the limit that the backends of a machine type in a zone have at this proxy.
@@ -147,7 +147,8 @@
     }
 
     /// Returns what the budget of a backend that warms up follows from. Its full capacity is taken to be that of a warm
-    /// backend: what this proxy got served in its best seconds, for all proxies, over all backends.
+    /// backend: what this proxy got served in its best seconds, for all proxies, over all backends. Before anything is
+    /// measured, the first class stands for all.
     fn warm_capacity(&self, key: BackendKey) -> WarmCapacity {
         let proxies = f64::from(self.settings.proxy_count);
         let ready = self.index.ready_count().max(1) as f64;
@@ -156,12 +157,15 @@
         WarmCapacity {
             requests_per_s: measured.max(one_at_a_time),
             proxy_fraction: self.proxy_fraction(key),
-            slots_per_limit: self.slots_per_limit(key),
+            rounding_gain: self.rounding_gain(key),
         }
     }
 
-    /// Departure: of a limit under a slot some proxies hold one; the others can't spend their part.
-    fn slots_per_limit(&self, key: BackendKey) -> f64 {
+    /// Returns what rounding a backend's limit to whole slots multiplies this proxy's part by.
+    ///
+    /// Departure: where the limit is below one slot, only some proxies hold a slot on the backend; the others can't spend
+    /// their part of its budget, so those that do get it.
+    fn rounding_gain(&self, key: BackendKey) -> f64 {
         let limit_factor = self.capacity.limit_factor();
         let limit = self.limit(key) * limit_factor;
         if limit < 1.0 {
--- a/src/balancer/in_flight.rs
+++ b/src/balancer/in_flight.rs
@@ -10,7 +10,7 @@
     overdue_at: Vec<Micros>,
     /// Send time of the latest attempt that was answered.
     last_answered_send: Micros,
-    /// Since when the backend owes a response without having given any.
+    /// Since when the backend has had attempts in flight without a response to any.
     unanswered_since: Micros,
 }
 
@@ -52,7 +52,7 @@
         self.last_answered_send = self.last_answered_send.max(sent_at);
     }
 
-    /// Whether the backend has owed responses for longer than `timeout` without giving any.
+    /// Whether the backend has had attempts in flight for longer than `timeout` without a response to any.
     pub(crate) fn is_unresponsive(&self, now: Micros, timeout: Micros) -> bool {
         self.count > 0 && now > self.unanswered_since + timeout
     }
--- a/src/balancer/index/group.rs
+++ b/src/balancer/index/group.rs
@@ -10,7 +10,9 @@
 
 /// The ready backends of one zone and machine type, in the order of their ids.
 ///
-/// Each has a slot offset that grows with its rank and wraps around 1 once, so there are two runs in which it grows.
+/// Each has a slot offset that grows with its rank and wraps around 1 once, so there are two runs in which it grows: with
+/// the offsets 0.618, 0.868, 0.118 and 0.368 the ranks 0 to 1 and 2 to 3. At a limit of 1.2 the backends with an offset of
+/// 0.8 and more, the end of a run, have two slots and the others one.
 pub(crate) struct Group {
     zone: Zone,
     machine_type: MachineType,
--- a/src/balancer/indexing.rs
+++ b/src/balancer/indexing.rs
@@ -63,7 +63,8 @@
     }
 }
 
-/// Returns how selection finds a backend, and until when that holds.
+/// Returns how selection finds a backend, and until when that holds. What depends on the request is left to
+/// `selection`.
 fn position(now: Micros, backend: &BackendState) -> (Position, Option<Micros>) {
     if !backend.ready {
         return (Position::Excluded, None);
@@ -95,7 +96,10 @@
 }
 
 /// Returns a slot offset with the whole turns before it. It spaces a proxy's offsets evenly over the backends of a group,
-/// and the proxies' over each backend; sampled at random, they left some proxies without a slot.
+/// and the proxies' over each backend; random offsets would leave some proxies without a slot.
+///
+/// With proxy index 0, four backends have the offsets 0, 0.25, 0.5 and 0.75; with index 1 each is 0.618 higher: 0.618,
+/// 0.868, 1.118 and 1.368, which wrap to 0.618, 0.868, 0.118 and 0.368.
 fn unwrapped_slot_offset(proxy_index: u32, rank: usize, members: usize) -> f64 {
     rank as f64 / members as f64 + f64::from(proxy_index) * GOLDEN_RATIO_FRACTION
 }
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -1,5 +1,13 @@
-//! Latencies of the request classes, and what follows from them: the threshold above which limits back off, and when an
-//! attempt is overdue.
+//! Latencies of the request classes, and what follows from them: the threshold above which limits back off, and what an
+//! attempt without a response is taken for.
+//!
+//! | term | meaning |
+//! | --- | --- |
+//! | quick class | its work takes a small part of its latency objective, so a lost attempt can be told from a slow one |
+//! | overdue attempt | no response for several mean latencies |
+//! | overtaken attempt | the backend answered another one that was sent when this one was overdue (`in_flight`) |
+//! | lost attempt | no response for so long that none is expected; it times out then, if it may be repeated |
+//! | unresponsive backend | it has attempts in flight, and gave no response for the time after which one is overdue |
 
 use super::time::SECOND;
 use crate::api::{Class, ClassIndex, MachineType, Micros, Settings};
@@ -27,7 +35,7 @@
 /// Growth of the base latency a second, so that it follows backends that all got slower.
 const BASE_GROWTH_PER_SECOND: f64 = 0.01;
 /// How long a backend that was slow is less preferred than others with the same available capacity.
-const RECENT_TTL: Micros = 5 * SECOND;
+const RECENT_LATENCY_TTL: Micros = 5 * SECOND;
 
 /// Latencies of a class on one machine type, microseconds.
 #[derive(Clone, Copy)]
@@ -155,7 +163,7 @@
         self.updated_at = now;
     }
 
-    /// Returns the mean; 0 where there was no sample of late.
+    /// Returns the mean; 0 where there was no sample recently.
     pub(crate) fn value(&self, now: Micros) -> f64 {
         if now < self.expires_at() {
             self.mean
@@ -166,6 +174,6 @@
 
     /// Returns when the mean counts no more.
     pub(crate) fn expires_at(&self) -> Micros {
-        self.updated_at + RECENT_TTL
+        self.updated_at + RECENT_LATENCY_TTL
     }
 }
--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -17,7 +17,7 @@
 /// Where a backend's limit comes from.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum LimitSource {
-    /// The limit of its machine type; its own windows have not been evaluated of late.
+    /// The limit of its machine type; its own windows have not been evaluated recently.
     #[default]
     MachineType,
     /// The limit of its machine type, scaled by its load report.
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -5,9 +5,9 @@
 //! follows windowed latency (AIMD, `limits`). A request goes where the available capacity (limit less requests in flight)
 //! is greatest (`selection`). Without any, it is queued for a tenth of its remaining time (`queue`) and then rejected
 //! (`admission`). Where the decisions leave this path it is marked `Departure:` with the condition under which that
-//! happens; `docs/design.md` lists them.
+//! happens; `docs/design.md` lists all of them.
 //!
-//! Four rules always hold: one final answer to a request and nothing started after it (rule 1, `admission`); attempts and
+//! Four rules always hold (`docs/GLOSSARY.md` has them in full): one final answer to a request and nothing started after it (rule 1, `admission`); attempts and
 //! rejections only as idempotency allows (rule 2, `retries`); nothing new to a draining or removed backend (rule 3,
 //! `index`); a backend that warms up gets no more from all proxies than it can take (rule 4, `slow_start`).
 //!
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Counts the listed backends that get no request now: draining, ejected, unresponsive, or rejecting of late.
+    /// Counts the listed backends that are draining, ejected and not readmitted yet, unresponsive, or have just rejected a
+    /// request. Backends at their limit, and those that warm up, are not counted.
     #[must_use]
     pub fn avoided_backends(&self, now: Micros) -> usize {
         let classes = self.settings.classes.iter().enumerate();
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: a backend whose requests fail is ejected, and readmitted when a single trial request succeeds.
+//! Outlier detection: a backend whose requests fail is ejected, and readmitted when an attempt on it ends without a
+//! failure. Once the time of its ejection is over, it gets a single trial request for that (half open).
 
 use super::time::SECOND;
 use crate::api::Micros;
@@ -19,11 +20,11 @@
 /// Most times that the time of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
 /// Part of the ready backends that may be ejected at once.
-const MAX_EJECTED: f64 = 0.6;
+const MAX_EJECTED_FRACTION: f64 = 0.6;
 
 /// Whether one more backend may be ejected.
 pub(crate) fn may_eject_another(ejected: usize, ready: usize) -> bool {
-    ejected < (ready as f64 * MAX_EJECTED) as usize
+    ejected < (ready as f64 * MAX_EJECTED_FRACTION) as usize
 }
 
 /// The end of an attempt, as outlier detection sees it.
@@ -47,7 +48,8 @@
     },
     /// A trial request failed: the ejection goes on.
     EjectionProlonged,
-    /// A request succeeded while the backend was ejected: it takes requests again.
+    /// An attempt ended without a failure while the backend was ejected: it takes requests again. A trial request is one
+    /// such attempt; others were in flight when the backend was ejected.
     Readmitted,
 }
 
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Whether the backend is ejected and not readmitted yet.
+    /// Whether the backend is ejected and not readmitted yet; so it is while it is half open, too.
     pub(crate) fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
@@ -99,7 +101,7 @@
         self.trial_in_flight
     }
 
-    /// Notes that an attempt starts; returns nothing of its outcome.
+    /// Notes that an attempt starts.
     pub(crate) fn start_attempt(&mut self, is_trial: bool) {
         self.trial_in_flight |= is_trial;
     }
--- a/src/balancer/quotas.rs
+++ b/src/balancer/quotas.rs
@@ -10,7 +10,7 @@
 mod tests;
 
 /// A request counts as recent, with a weight that falls to 0, for this long.
-const RECENT_TTL: Micros = 4 * SECOND;
+const RECENT_REQUEST_TTL: Micros = 4 * SECOND;
 /// Units that a recent request is counted in; whole numbers add up without a rounding error.
 const UNITS_PER_REQUEST: i128 = 1 << 20;
 
@@ -37,8 +37,10 @@
 
     /// Returns its recent requests as of now, in units.
     fn recent(&self, now: Micros) -> i128 {
-        let age = now.saturating_sub(self.last_request_at).min(RECENT_TTL);
-        self.recent * i128::from(RECENT_TTL - age) / i128::from(RECENT_TTL)
+        let age = now
+            .saturating_sub(self.last_request_at)
+            .min(RECENT_REQUEST_TTL);
+        self.recent * i128::from(RECENT_REQUEST_TTL - age) / i128::from(RECENT_REQUEST_TTL)
     }
 
     /// Refills the bucket up to now; it holds a second's tokens, and one at the least.
@@ -61,7 +63,7 @@
 /// The quotas of all tenants.
 pub(crate) struct TenantQuotas {
     tenants: Vec<Tenant>,
-    /// Sum of the recent requests of the tenants that sent one within [`RECENT_TTL`], in units.
+    /// Sum of the recent requests of the tenants that sent one within [`RECENT_REQUEST_TTL`], in units.
     recent_sum: i128,
     /// The same sum with each tenant's requests times the time of its last one.
     recent_moment: i128,
@@ -128,14 +130,14 @@
             return false;
         };
         let expired = self.recent_sum * i128::from(now) - self.recent_moment;
-        let all_recent = self.recent_sum as f64 - expired as f64 / RECENT_TTL as f64;
+        let all_recent = self.recent_sum as f64 - expired as f64 / RECENT_REQUEST_TTL as f64;
         tenant.recent(now) as f64 * self.total_rate_per_s > all_recent * tenant.rate_per_s
     }
 
     /// Leaves out the tenants whose requests are no longer recent.
     fn expire(&mut self, now: Micros) {
         while let Some(&(requested_at, index)) = self.by_request_time.front() {
-            if now.saturating_sub(requested_at) < RECENT_TTL {
+            if now.saturating_sub(requested_at) < RECENT_REQUEST_TTL {
                 return;
             }
             self.by_request_time.pop_front();
--- a/src/balancer/quotas/tests.rs
+++ b/src/balancer/quotas/tests.rs
@@ -23,7 +23,7 @@
     }
 
     fn recent(&self, now: Micros) -> f64 {
-        let age = (now - self.last_request_at) as f64 / RECENT_TTL as f64;
+        let age = (now - self.last_request_at) as f64 / RECENT_REQUEST_TTL as f64;
         self.recent_requests * (1.0 - age).max(0.0)
     }
 
@@ -58,7 +58,7 @@
             .collect();
         for _ in 0..2_000 {
             now += if rng.u8(0..200) == 0 {
-                rng.u64(0..2 * RECENT_TTL)
+                rng.u64(0..2 * RECENT_REQUEST_TTL)
             } else {
                 rng.u64(0..100_000)
             };
@@ -105,7 +105,7 @@
     for tenant in 0..100 {
         quotas.withdraw(Micros::from(tenant), TenantIndex(tenant));
     }
-    quotas.withdraw(3 * RECENT_TTL, TenantIndex(0));
+    quotas.withdraw(3 * RECENT_REQUEST_TTL, TenantIndex(0));
     assert_eq!(quotas.recent_sum, UNITS_PER_REQUEST);
     assert_eq!(quotas.by_request_time.len(), 1);
 }
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -73,8 +73,8 @@
     pub(crate) deadline: Micros,
     /// Its tenant is over its quota.
     pub(crate) over_quota: bool,
-    /// The client has its final answer, or disconnected.
-    pub(crate) answered: bool,
+    /// It is over for the client, which has its final answer or has disconnected.
+    pub(crate) closed: bool,
     /// A response is being streamed to the client.
     pub(crate) streaming: bool,
     /// Its body is not buffered any more: it can't be sent again.
@@ -99,7 +99,7 @@
             arrived_at,
             deadline,
             over_quota,
-            answered: false,
+            closed: false,
             streaming: false,
             body_consumed: false,
             queued_until: None,
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -61,7 +61,7 @@
     permissions: &Permissions,
     backends: &BackendTable,
 ) -> RetryScope {
-    let is_over = request.answered || request.streaming || request.body_consumed;
+    let is_over = request.closed || request.streaming || request.body_consumed;
     if is_over || request.attempts.len() >= usize::from(permissions.max_attempts) {
         return RetryScope::Nowhere;
     }
--- a/src/balancer/retries/tests.rs
+++ b/src/balancer/retries/tests.rs
@@ -238,7 +238,7 @@
 fn a_request_that_is_over_or_cannot_be_sent_again_goes_nowhere() {
     let backends = Backends::new();
     let answered = OpenRequest {
-        answered: true,
+        closed: true,
         ..open_request(vec![])
     };
     let streaming = OpenRequest {
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,4 +1,6 @@
 //! Selection of a backend: the greatest available capacity, near zones first, ties at random.
+//!
+//! Zones are near if attempts there cost nothing extra: the proxy's own zone, or all zones where crossing them is cheap.
 
 use super::Balancer;
 use super::backends::{BackendKey, BackendState};
@@ -111,6 +113,8 @@
     }
 
     /// Returns the backends of the greatest preference, near ones first.
+    ///
+    /// Departure: where crossing zones has a cost, other zones are used when the own one has no available capacity.
     fn most_available(
         &self,
         now: Micros,
@@ -171,7 +175,7 @@
     }
 
     /// Returns a backend's preference if it may have the request. Of the same available capacity, a backend that was slow
-    /// of late comes last: a request there holds its slot for long, and its window may take many seconds to complete.
+    /// recently comes last: a request there holds its slot for long, and its window may take many seconds to complete.
     fn preference(&self, now: Micros, query: &Query, key: BackendKey) -> Option<i64> {
         let backend = &self.backends[key];
         if !self.is_eligible(now, backend, query) {
@@ -238,7 +242,8 @@
             .max_by(|&a, &b| limit(a).total_cmp(&limit(b)))
     }
 
-    /// Whether a backend may be selected at all, apart from its available capacity.
+    /// Whether a backend may be selected for a request at all, apart from its available capacity. Backends that no request
+    /// could go to are left out of the index before (`indexing`); this is about the rest.
     fn is_eligible(&self, now: Micros, backend: &BackendState, query: &Query) -> bool {
         let is_trial_in_flight = backend.health.is_trial_in_flight();
         match backend.health.state(now) {
@@ -247,7 +252,7 @@
             // Departure: a backend whose ejection is over gets one trial, of a request that can be repeated.
             HealthState::HalfOpen => return !is_trial_in_flight && query.is_repeatable,
         }
-        // Departure: a backend that has owed responses for long may hang and gets nothing more. Where the requests may
+        // Departure: a backend with attempts in flight that gave no response for long may hang and gets nothing more. Where the requests may
         // have been lost on the way, it gets one trial, of a request that times out soon.
         if backend.in_flight.is_unresponsive(now, query.overdue_after)
             && (is_trial_in_flight || !query.detects_loss_early)
@@ -273,7 +278,7 @@
     i64::from(backend.in_flight.count()) - backend.in_flight.overtaken() as i64
 }
 
-/// Returns how a backend compares with others: by its available capacity, then by whether it was quick of late.
+/// Returns how a backend compares with others: by its available capacity, then by whether it was quick recently.
 fn preference_of(available: i64, is_quick: bool) -> i64 {
     2 * available + i64::from(is_quick)
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -11,8 +11,9 @@
 #[cfg(test)]
 mod tests;
 
-/// Part of the load at which a backend collapses that all proxies together may send it.
-const SAFETY_MARGIN: f64 = 0.3;
+/// Part of the load at which a backend collapses that all proxies together may send it; the rest is for estimates that
+/// are too high and for requests that come together.
+const MAX_PART_OF_COLLAPSE_LOAD: f64 = 0.3;
 /// The bucket holds what comes in this part of a second, and one token at the least.
 const BURST_DIVISOR: f64 = 4.0;
 
@@ -22,8 +23,8 @@
     pub(crate) requests_per_s: f64,
     /// This proxy's part of the backend.
     pub(crate) proxy_fraction: f64,
-    /// Slots that this proxy holds for each slot of its limit.
-    pub(crate) slots_per_limit: f64,
+    /// What rounding the limit to whole slots multiplies this proxy's part by.
+    pub(crate) rounding_gain: f64,
 }
 
 /// What this proxy may send a backend that warms up: one token an attempt.
@@ -103,11 +104,11 @@
         let age = now.saturating_sub(self.started_at) as f64 / duration;
         let initial = safety.slow_start_initial_capacity;
         let capacity_part = initial + (1.0 - initial) * age.min(1.0);
-        let safe_load = (safety.collapse_load_factor * SAFETY_MARGIN).min(1.0);
+        let safe_load = (safety.collapse_load_factor * MAX_PART_OF_COLLAPSE_LOAD).min(1.0);
         safe_load
             * capacity_part
             * capacity.requests_per_s
             * capacity.proxy_fraction
-            * capacity.slots_per_limit
+            * capacity.rounding_gain
     }
 }
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -20,7 +20,7 @@
 const CAPACITY: WarmCapacity = WarmCapacity {
     requests_per_s: 64.0,
     proxy_fraction: 0.125,
-    slots_per_limit: 1.0,
+    rounding_gain: 1.0,
 };
 
 /// Returns an empty budget that was last refilled at `now`.
@@ -64,7 +64,7 @@
 #[test]
 fn a_proxy_with_more_slots_than_its_part_of_the_limit_may_send_more() {
     let capacity = WarmCapacity {
-        slots_per_limit: 2.0,
+        rounding_gain: 2.0,
         ..CAPACITY
     };
     let mut budget = SlowStartBudget::new(STARTED_AT, STARTED_AT, 0.0);
@@ -106,7 +106,7 @@
     let capacity = WarmCapacity {
         requests_per_s,
         proxy_fraction: 1.0,
-        slots_per_limit: 1.0,
+        rounding_gain: 1.0,
     };
     let mut budget = SlowStartBudget::new(warm, STARTED_AT, 0.0);
     budget.refill(warm, &SAFETY, &capacity);
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -18,11 +18,11 @@
 const BASE_BACKOFF: Micros = SECOND / 8;
 /// Most times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// The longest delay ahead of a call and the longest time of one, with a second to spare.
+/// Longest delay ahead of a call and longest time of the call together, with a second to spare.
 const CALL_DURATION: Micros = 8 * SECOND;
-/// A proxy without a watch may call this many poll intervals after a call that failed.
+/// The rules allow a proxy without a watch this many poll intervals after a call that failed.
 const POLL_INTERVALS_AFTER_FAILURE: u64 = 4;
-/// The longest delay: a change has to be known 6 s after discovery had it, and a call takes up to 3.5 s.
+/// Longest delay: the rules take a change as known 6 s after discovery had it, and a call takes up to 3.5 s.
 const MAX_DELAY: Micros = 5 * SECOND / 2;
 
 /// The calls to discovery that have failed since the last list came.
