--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts over loopback sockets in paused time: what backends send at the wrong moment. Time moves on when
-//! nothing else can.
+//! Attempts over loopback sockets in paused time: what backends send at the wrong moment. Time passes only when
+//! nothing else can go on.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -18,50 +18,54 @@
 
 const BACKEND: u32 = 7;
 
-/// How long behind the first a second answer comes.
-const LATE: Duration = Duration::from_millis(5);
+/// How long after the first a second response comes.
+const SECOND_RESPONSE_DELAY: Duration = Duration::from_millis(5);
 
-/// A backend that answers each request with its path, and once more a little later.
-async fn answers_twice(mut stream: TcpStream) {
-    loop {
-        let mut head = Vec::new();
-        while !head.ends_with(b"\r\n\r\n") {
-            let Ok(byte) = stream.read_u8().await else {
-                return;
-            };
-            head.push(byte);
-        }
-        let head = String::from_utf8(head).expect("text");
+/// Reads the head of a request; `None` at the end of the connection.
+async fn read_head(stream: &mut TcpStream) -> Option<String> {
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        head.push(stream.read_u8().await.ok()?);
+    }
+    Some(String::from_utf8(head).expect("text"))
+}
+
+/// A backend that responds to each request with its path, and once more a little later.
+async fn respond_twice(mut stream: TcpStream) {
+    while let Some(head) = read_head(&mut stream).await {
         let path = head.split(' ').nth(1).expect("a path");
-        let answer = format!(
+        let response = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{path}",
             path.len()
         );
         for _ in 0..2 {
-            if stream.write_all(answer.as_bytes()).await.is_err() {
+            if stream.write_all(response.as_bytes()).await.is_err() {
                 return;
             }
-            sleep(LATE).await;
+            sleep(SECOND_RESPONSE_DELAY).await;
         }
     }
 }
 
 fn call(path: &'static str) -> Rc<Call> {
-    let (headers, body) = (
-        HeaderMap::new(),
-        CallBody::from(BufferedBody::from(Bytes::new())),
-    );
-    let (method, target) = (Method::GET, Uri::from_static(path));
     Rc::new(Call {
-        method,
-        target,
-        headers,
-        body,
+        method: Method::GET,
+        target: Uri::from_static(path),
+        headers: HeaderMap::new(),
+        body: CallBody::from(BufferedBody::from(Bytes::new())),
         cancel: CancelSignal::default(),
     })
 }
 
-/// One backend, whose connections are served so.
+/// Returns the deadlines of an attempt that has a second.
+fn one_second() -> AttemptDeadlines {
+    AttemptDeadlines {
+        deadline: Instant::now() + Duration::from_secs(1),
+        write_deadline: None,
+    }
+}
+
+/// Returns one backend, each of whose connections `serve` handles.
 async fn backends<F: Future<Output = ()> + 'static>(
     serve: impl Fn(TcpStream) -> F + 'static,
 ) -> Rc<Backends> {
@@ -77,113 +81,154 @@
     backends
 }
 
-async fn ask(backends: &Rc<Backends>, path: &'static str) -> String {
-    let call = call(path);
-    let deadlines = AttemptDeadlines {
-        deadline: Instant::now() + Duration::from_secs(1),
-        write_deadline: None,
-    };
-    let (_keep, cancel) = oneshot::channel();
+/// Sends a request and returns the body of its response.
+async fn get(backends: &Rc<Backends>, path: &'static str) -> String {
+    let (_cancel_sender, cancel) = oneshot::channel();
     let endpoint = backends.endpoint(BACKEND).expect("it is listed");
     let ended = Rc::clone(backends)
-        .attempt(endpoint, call, deadlines, cancel, |_| {})
+        .attempt(endpoint, call(path), one_second(), cancel, |_| {})
         .await;
     assert_eq!(ended.outcome, Outcome::Ok);
-    let ServedBody::Buffered(body) = ended.served.expect("an answer").body else {
+    let ServedBody::Buffered(body) = ended.served.expect("a response").body else {
         panic!("it fits")
     };
     String::from_utf8(body.joined()).expect("text")
 }
 
 #[tokio::test(start_paused = true)]
-async fn once_second_answers_were_seen_none_is_taken_for_the_next_requests_own() {
+async fn once_a_second_response_was_seen_none_is_taken_for_that_of_the_next_request() {
     let test = async {
-        let backends = backends(answers_twice).await;
-        assert_eq!(ask(&backends, "/first").await, "/first");
-        // Nobody asks meanwhile, so the second answer is seen for what it is.
-        sleep(2 * LATE).await;
+        let backends = backends(respond_twice).await;
+        assert_eq!(get(&backends, "/first").await, "/first");
+        // No request is in flight meanwhile, so the second response is seen for what it is.
+        sleep(2 * SECOND_RESPONSE_DELAY).await;
         for path in ["/second", "/third", "/fourth"] {
-            assert_eq!(ask(&backends, path).await, path);
+            assert_eq!(get(&backends, path).await, path);
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Its request's time is over when a part of it has come. How long it takes was never said.
+/// A chunked response, and how its client reads it.
+#[derive(Clone, Copy)]
+struct ChunkedResponse {
+    chunk_size: usize,
+    /// Pause after each chunk.
+    pause: Duration,
+    chunks: usize,
+    /// How long the client takes to read a byte.
+    client_time_per_byte: Duration,
+}
+
+impl ChunkedResponse {
+    /// Sends the response to one request, then keeps the connection open.
+    async fn serve(self, mut stream: TcpStream) {
+        read_head(&mut stream).await.expect("a head");
+        let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        stream.write_all(head).await.expect("the proxy reads");
+        let data = "x".repeat(self.chunk_size);
+        let chunk = format!("{:x}\r\n{data}\r\n", self.chunk_size);
+        for _ in 0..self.chunks {
+            if stream.write_all(chunk.as_bytes()).await.is_err() {
+                return;
+            }
+            sleep(self.pause).await;
+        }
+        let _ = stream.write_all(b"0\r\n\r\n").await;
+        sleep(Duration::from_secs(60)).await;
+    }
+
+    /// Reads the response as slowly as the client does; returns the number of bytes.
+    async fn read(self, body: oneshot::Receiver<ResponseBody>) -> usize {
+        let mut body = body.await.expect("the response starts");
+        let mut received = 0;
+        while let Some(Ok(frame)) = body.frame().await {
+            let size = frame.into_data().expect("data").len();
+            received += size;
+            sleep(self.client_time_per_byte * size as u32).await;
+        }
+        received
+    }
+}
+
+/// How the attempt of a chunked response ended.
+struct ChunkedAttempt {
+    outcome: Outcome,
+    duration: Duration,
+    /// Bytes that the client received.
+    received: usize,
+}
+
+/// Requests the response; the request is over after `request_timeout`.
+async fn attempt_chunked(response: ChunkedResponse, request_timeout: Duration) -> ChunkedAttempt {
+    let backends = backends(move |stream| response.serve(stream)).await;
+    let call = call("/long");
+    let deadlines = one_second();
+    let (_cancel_sender, cancel) = oneshot::channel();
+    let (body_sender, body) = oneshot::channel::<ResponseBody>();
+    let endpoint = backends.endpoint(BACKEND).expect("it is listed");
+    let timed_out = Rc::clone(&call);
+    spawn_local(async move {
+        sleep(request_timeout).await;
+        timed_out.cancel.trigger();
+    });
+    let client = spawn_local(response.read(body));
+    let on_response_start = |served: Served| assert!(body_sender.send(served.body.into()).is_ok());
+    let started_at = Instant::now();
+    let ended = backends
+        .attempt(endpoint, call, deadlines, cancel, on_response_start)
+        .await;
+    ChunkedAttempt {
+        outcome: ended.outcome,
+        duration: started_at.elapsed(),
+        received: client.await.expect("a client"),
+    }
+}
+
+/// Guards against cutting off responses whose request is over after they have started, as long as they come
+/// quickly. How long one takes is not known ahead: it has no length.
 #[tokio::test(start_paused = true)]
-async fn an_answer_without_a_length_is_cut_off_only_where_it_comes_too_slowly() {
-    const OVER: Duration = Duration::from_millis(400);
-    const AT_MOST: Duration = Duration::from_millis(500);
-    // What comes at a time, and how often; how many microseconds the client takes for a byte.
-    let cases = [
-        (4_096, 62, 50, 0),
-        (1, 20, 100_000, 0),
-        (16_384, 200, 5, 200),
-    ];
-    for (size, pause_ms, pieces, slowly) in cases {
-        let test = async {
-            let backends = backends(move |mut stream: TcpStream| async move {
-                let mut head = Vec::new();
-                while !head.ends_with(b"\r\n\r\n") {
-                    head.push(stream.read_u8().await.expect("a head"));
-                }
-                let began = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                stream.write_all(began).await.expect("the proxy reads");
-                for _ in 0..pieces {
-                    let piece = format!("{size:x}\r\n{}\r\n", "x".repeat(size));
-                    if stream.write_all(piece.as_bytes()).await.is_err() {
-                        return;
-                    }
-                    sleep(Duration::from_millis(pause_ms)).await;
-                }
-                let _ = stream.write_all(b"0\r\n\r\n").await;
-                sleep(Duration::from_secs(60)).await;
-            })
+async fn a_response_without_a_length_is_cut_off_only_where_it_comes_too_slowly() {
+    const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
+    const LONGEST_AFTER_TIMEOUT: Duration = Duration::from_millis(500);
+    let steady = ChunkedResponse {
+        chunk_size: 4_096,
+        pause: Duration::from_millis(62),
+        chunks: 50,
+        client_time_per_byte: Duration::ZERO,
+    };
+    let slow = ChunkedResponse {
+        chunk_size: 1,
+        pause: Duration::from_millis(20),
+        chunks: 100_000,
+        client_time_per_byte: Duration::ZERO,
+    };
+    let slowly_read = ChunkedResponse {
+        chunk_size: 16_384,
+        pause: Duration::from_millis(200),
+        chunks: 5,
+        client_time_per_byte: Duration::from_micros(200),
+    };
+    for response in [steady, slow, slowly_read] {
+        let attempt = LocalSet::new()
+            .run_until(attempt_chunked(response, REQUEST_TIMEOUT))
             .await;
-            let call = call("/long");
-            let deadlines = AttemptDeadlines {
-                deadline: Instant::now() + Duration::from_secs(1),
-                write_deadline: None,
-            };
-            let (_keep, cancel) = oneshot::channel();
-            let (sender, body) = oneshot::channel();
-            let endpoint = backends.endpoint(BACKEND).expect("it is listed");
-            let over = Rc::clone(&call);
-            spawn_local(async move {
-                sleep(OVER).await;
-                over.cancel.trigger();
-            });
-            let client = spawn_local(async move {
-                let mut body: ResponseBody = body.await.expect("it begins");
-                let mut got = 0;
-                while let Some(Ok(frame)) = body.frame().await {
-                    let taken = frame.into_data().expect("data").len();
-                    got += taken;
-                    sleep(Duration::from_micros(taken as u64 * slowly)).await;
-                }
-                got
-            });
-            let on_response_start =
-                |served: Served| assert!(sender.send(served.body.into()).is_ok());
-            let began = Instant::now();
-            let ended = backends
-                .attempt(endpoint, call, deadlines, cancel, on_response_start)
-                .await;
-            (
-                ended.outcome,
-                began.elapsed(),
-                client.await.expect("a client"),
-            )
-        };
-        let (outcome, took, got) = LocalSet::new().run_until(test).await;
-        if size == 1 {
-            assert_eq!(outcome, Outcome::Timeout, "nothing tells that it ends");
-            assert!(took <= OVER + AT_MOST, "{took:?}");
+        if response.chunk_size == 1 {
+            assert_eq!(
+                attempt.outcome,
+                Outcome::Timeout,
+                "nothing tells that it ends"
+            );
+            assert!(
+                attempt.duration <= REQUEST_TIMEOUT + LONGEST_AFTER_TIMEOUT,
+                "{:?}",
+                attempt.duration
+            );
         } else {
             assert_eq!(
-                (outcome, got),
-                (Outcome::Ok, size * pieces),
-                "its backend was still giving"
+                (attempt.outcome, attempt.received),
+                (Outcome::Ok, response.chunk_size * response.chunks),
+                "its backend was still sending"
             );
         }
     }
