--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -10,6 +10,9 @@
 use crate::api::{ClassIndex, MachineType, Micros, Settings, Zone};
 use crate::spread::golden_ratio_position;
 
+#[cfg(test)]
+mod tests;
+
 /// Backends that a proxy spreads its requests over, at the least, where its limits add up to fewer slots.
 const MIN_BACKENDS: f64 = 3.0;
 
--- a/src/balancer/in_flight.rs
+++ b/src/balancer/in_flight.rs
@@ -2,6 +2,9 @@
 
 use crate::api::Micros;
 
+#[cfg(test)]
+mod tests;
+
 /// The attempts in flight at one backend.
 #[derive(Default)]
 pub(crate) struct InFlight {
--- /dev/null
+++ b/src/balancer/in_flight/tests.rs
@@ -0,0 +1,85 @@
+//! The attempts in flight at one backend: overdue and overtaken ones, and whether the backend responds.
+
+use super::*;
+
+const TIMEOUT: Micros = 50;
+
+/// Returns the state of a backend with attempts sent at 0 that are overdue at these times.
+fn with_attempts_overdue_at(times: &[Micros]) -> InFlight {
+    let mut in_flight = InFlight::new(0);
+    for &overdue_at in times {
+        in_flight.start(0, overdue_at);
+    }
+    in_flight
+}
+
+#[test]
+fn attempts_are_counted_from_their_start_to_their_end() {
+    let mut in_flight = with_attempts_overdue_at(&[100, 200]);
+    assert_eq!(in_flight.count(), 2);
+    in_flight.end(100);
+    assert_eq!(in_flight.count(), 1);
+    in_flight.end(200);
+    in_flight.end(200);
+    assert_eq!(in_flight.count(), 0);
+}
+
+#[test]
+fn attempts_are_overdue_after_their_time() {
+    let in_flight = with_attempts_overdue_at(&[100, 200, 300]);
+    for (now, not_overdue) in [(100, 3), (101, 2), (200, 2), (300, 1), (301, 0)] {
+        assert_eq!(in_flight.not_overdue(now), not_overdue, "at {now}");
+    }
+}
+
+#[test]
+fn an_attempt_is_overtaken_by_a_response_to_one_sent_when_it_was_overdue() {
+    let mut in_flight = with_attempts_overdue_at(&[100, 200, 300]);
+    assert_eq!(in_flight.overtaken(), 0);
+    in_flight.record_response(400, 100);
+    assert_eq!(in_flight.overtaken(), 0, "sent just before it was overdue");
+    in_flight.record_response(400, 201);
+    assert_eq!(in_flight.overtaken(), 2);
+    in_flight.record_response(500, 50);
+    assert_eq!(
+        in_flight.overtaken(),
+        2,
+        "an earlier attempt changes nothing"
+    );
+    in_flight.end(100);
+    assert_eq!(in_flight.overtaken(), 1);
+}
+
+#[test]
+fn a_backend_is_unresponsive_that_owes_responses_for_longer_than_the_timeout() {
+    let mut in_flight = InFlight::new(0);
+    in_flight.start(100, 1_000);
+    in_flight.start(120, 1_000);
+    assert!(!in_flight.is_unresponsive(150, TIMEOUT));
+    assert!(in_flight.is_unresponsive(151, TIMEOUT));
+    in_flight.record_response(160, 100);
+    assert!(!in_flight.is_unresponsive(210, TIMEOUT));
+    assert!(in_flight.is_unresponsive(211, TIMEOUT));
+}
+
+#[test]
+fn a_backend_that_owes_no_response_is_not_unresponsive() {
+    let mut in_flight = InFlight::new(0);
+    assert!(!in_flight.is_unresponsive(1_000, TIMEOUT));
+    in_flight.start(1_000, 2_000);
+    assert!(!in_flight.is_unresponsive(1_050, TIMEOUT), "idle before");
+    in_flight.end(2_000);
+    assert!(!in_flight.is_unresponsive(9_000, TIMEOUT));
+}
+
+#[test]
+fn a_response_counts_as_given_since_any_earlier_time() {
+    let mut in_flight = InFlight::new(0);
+    in_flight.start(100, 1_000);
+    in_flight.start(110, 1_000);
+    assert!(!in_flight.has_answered_since(100));
+    in_flight.record_response(300, 100);
+    assert!(in_flight.has_answered_since(110));
+    assert!(in_flight.has_answered_since(299));
+    assert!(!in_flight.has_answered_since(300));
+}
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -5,6 +5,9 @@
 use rustc_hash::FxHashMap;
 use std::ops::{Index, IndexMut};
 
+#[cfg(test)]
+mod tests;
+
 /// Key of a request in the [`RequestTable`]. It stays the same as long as the request is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RequestKey(u32);
--- a/src/balancer/throughput.rs
+++ b/src/balancer/throughput.rs
@@ -3,6 +3,9 @@
 use super::time::seconds;
 use crate::api::Micros;
 
+#[cfg(test)]
+mod tests;
+
 /// The shortest span that is measured, seconds: a single second of a small proxy says too little.
 const MIN_SPAN_S: f64 = 4.0;
 /// What the peak falls to, at most, with each span.
