--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -77,7 +77,8 @@
 pub(crate) struct Classification {
     /// What it says of the backend.
     pub(crate) effect: Effect,
-    /// No response came and the backend answered nothing else meanwhile: an idle connection may be to blame.
+    /// No response came: the attempt timed out while the backend answered nothing else, or its connection broke. An idle
+    /// connection may be to blame.
     pub(crate) is_lost: bool,
     /// Which limits learn from it.
     pub(crate) limit_evidence: LimitEvidence,
