--- a/src/balancer/capacity/tests.rs
+++ b/src/balancer/capacity/tests.rs
@@ -20,19 +20,19 @@
 
 #[test]
 fn a_proxy_with_slots_for_three_backends_has_no_bound() {
-    for slots in [3.0, 100.0] {
-        let capacity = capacity(slots, 0);
+    for limit_sum in [3.0, 100.0] {
+        let capacity = capacity(limit_sum, 0);
         assert!(!capacity.has_few_slots());
         assert_eq!(capacity.limit_factor(), 1.0);
         assert_eq!(capacity.max_in_flight(), None);
-        assert_eq!(capacity.slots(), slots);
+        assert_eq!(capacity.limit_sum(), limit_sum);
     }
 }
 
 #[test]
 fn few_slots_are_spread_over_three_backends() {
-    for (slots, limit_factor) in [(1.5, 2.0), (0.75, 4.0), (2.4, 1.25)] {
-        let capacity = capacity(slots, 0);
+    for (limit_sum, limit_factor) in [(1.5, 2.0), (0.75, 4.0), (2.4, 1.25)] {
+        let capacity = capacity(limit_sum, 0);
         assert!(capacity.has_few_slots());
         assert_close(capacity.limit_factor(), limit_factor);
     }
