--- a/src/proxy/bodies/outgoing.rs
+++ b/src/proxy/bodies/message_bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies as they are written: to a backend, or to a client.
+//! The bodies of requests, of their attempts and of responses: each is buffered completely or streamed.
 
 use super::stream::{BodyError, FramePoll};
 use super::{BufferedBody, Progress, StreamedResponse, Upload};
--- a/src/proxy/bodies/mod.rs
+++ b/src/proxy/bodies/mod.rs
@@ -6,19 +6,21 @@
 //! | `buffered` | bodies that are held completely |
 //! | `upload`, `streamed` | a request's and a response's body that is streamed |
 //! | `stream` | what both share: the length, the error |
-//! | `outgoing` | a body as it is written, buffered or streamed |
+//! | `message_bodies` | the bodies of requests, attempts and responses, each buffered or streamed |
 //! | `deadline` | how long a body may take |
 
 mod buffered;
 mod deadline;
-mod outgoing;
+mod message_bodies;
 mod stream;
 mod streamed;
 mod upload;
 
 pub use buffered::{BodyBuffer, BufferedBody};
 pub use deadline::BodyDeadline;
-pub use outgoing::{CallBody, OutgoingBody, PendingUpload, RequestBody, ResponseBody, ServedBody};
+pub use message_bodies::{
+    CallBody, OutgoingBody, PendingUpload, RequestBody, ResponseBody, ServedBody,
+};
 pub use stream::BodyError;
 pub use streamed::{ReceiverClosed, ResponseSender, StreamedResponse};
 pub use upload::{Progress, Upload};
