--- a/src/proxy/driver/actions.rs
+++ b/src/proxy/driver/actions.rs
@@ -2,7 +2,7 @@
 
 use super::Driver;
 use super::attempts::AttemptStart;
-use super::timers::Timer;
+use super::timers::DriverTimer;
 use crate::api::{Action, LogEvent, Micros, RequestId};
 use crate::proxy::messages::Answer;
 use std::time::Duration;
@@ -42,7 +42,7 @@
             Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
             Action::SetTimer { after, token } => {
                 let due = now.saturating_add(after);
-                self.timers.set(due, Timer::Balancer(token));
+                self.timers.set(due, DriverTimer::Balancer(token));
             }
             Action::Subscribe => {
                 // Nobody receives it where discovery sends changes by itself.
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -4,18 +4,18 @@
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `requests` | the table of open requests and their attempts |
+//! | `requests` | the table of pending requests and their attempts |
 //! | `timers`, `margins` | timers; how long before a client's timeout a request has to be decided |
-//! | `arrivals` | requests from their arrival to their final answer |
+//! | `request_events` | a request arrives, its final answer is due, its client disconnects |
 //! | `attempts` | attempts and health checks, from their start to their outcome |
 //! | `membership` | changes of the endpoint list |
 //! | `actions` | what the balancer wants done |
 
 mod actions;
-mod arrivals;
 mod attempts;
 mod margins;
 mod membership;
+mod request_events;
 mod requests;
 mod timers;
 
@@ -26,10 +26,10 @@
 use crate::api::{Action, Event, Micros};
 use crate::balancer::Balancer;
 use attempts::Completion;
-use requests::OpenRequests;
+use requests::PendingRequests;
 use std::collections::VecDeque;
 use std::rc::Rc;
-use timers::{Timer, Timers};
+use timers::{DriverTimer, DriverTimers};
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 
@@ -53,8 +53,8 @@
     messages: mpsc::UnboundedReceiver<Message>,
     /// Asks the discovery watcher to open a watch, where discovery is polled.
     poll_requests: mpsc::UnboundedSender<()>,
-    requests: OpenRequests,
-    timers: Timers,
+    requests: PendingRequests,
+    timers: DriverTimers,
     /// Attempts and health checks that ended, and that the balancer was not notified of yet.
     completions: VecDeque<Completion>,
     /// Actions of the balancer that are not executed yet; empty between events.
@@ -83,8 +83,8 @@
             handle: handle.clone(),
             messages,
             poll_requests,
-            requests: OpenRequests::default(),
-            timers: Timers::default(),
+            requests: PendingRequests::default(),
+            timers: DriverTimers::default(),
             completions: VecDeque::new(),
             actions: Vec::new(),
         };
@@ -119,8 +119,8 @@
         let now = self.clock.now();
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Balancer(token) => self.handle_event(now, Event::Timer(token)),
-                Timer::FinalAnswer(request) => self.on_final_answer_due(now, request),
+                DriverTimer::Balancer(token) => self.handle_event(now, Event::Timer(token)),
+                DriverTimer::FinalAnswer(request) => self.on_final_answer_due(now, request),
             }
         }
     }
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -1,9 +1,9 @@
-//! Requests, from their arrival to their final answer.
+//! The events of a request: it arrives, its final answer is due, its client disconnects.
 
 use super::Driver;
 use super::margins::{balancer_timeout, final_answer_timeout, last_answer_before};
-use super::requests::OpenRequest;
-use super::timers::Timer;
+use super::requests::PendingRequest;
+use super::timers::DriverTimer;
 use crate::api::{Event, Micros, RequestId};
 use crate::proxy::messages::{Answer, Inbound};
 use crate::proxy::request_log;
@@ -25,10 +25,11 @@
         let client_timeout_at = arrived.saturating_add(request.timeout);
         let remaining = client_timeout_at.saturating_sub(now);
         request.timeout = balancer_timeout(remaining);
-        let open = OpenRequest::new(call, client, remaining);
+        let open = PendingRequest::new(call, client, remaining);
         self.requests.insert(request.id, open);
         let answer_due = now + final_answer_timeout(remaining);
-        self.timers.set(answer_due, Timer::FinalAnswer(request.id));
+        self.timers
+            .set(answer_due, DriverTimer::FinalAnswer(request.id));
         self.handle_event(now, Event::Request(request));
     }
 
@@ -41,7 +42,7 @@
         if let Some(due) = self.streamed_answer_due(now, open)
             && due > now
         {
-            self.timers.set(due, Timer::FinalAnswer(request));
+            self.timers.set(due, DriverTimer::FinalAnswer(request));
             return;
         }
         open.call.cancel.trigger();
@@ -53,7 +54,7 @@
 
     /// Returns when a request with a streamed body is answered at the latest: its client's timeout
     /// counts from the last byte of the body. `None` where the body is not streamed.
-    fn streamed_answer_due(&self, now: Micros, open: &OpenRequest) -> Option<Micros> {
+    fn streamed_answer_due(&self, now: Micros, open: &PendingRequest) -> Option<Micros> {
         let progress = open.call.body.progress()?;
         let complete_at = match progress.finished_at() {
             Some(at) => self.clock.at(at),
--- a/src/proxy/driver/requests.rs
+++ b/src/proxy/driver/requests.rs
@@ -1,4 +1,4 @@
-//! The table of open requests and their attempts.
+//! The table of pending requests and their attempts.
 
 use crate::api::{BackendId, Micros, RequestId};
 use crate::proxy::backends::Call;
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// How far an attempt is.
+/// How far an attempt is on the sockets.
 #[derive(Debug)]
-enum AttemptState {
+enum SocketAttemptState {
     /// It runs; the sender cancels it.
     Running(oneshot::Sender<()>),
     /// It was cancelled, and its outcome is still to come.
@@ -20,26 +20,26 @@
     Ended,
 }
 
-/// An attempt of a request.
+/// An attempt of a request as the driver follows it; the balancer has its own view.
 #[derive(Debug)]
-struct Attempt {
+struct SocketAttempt {
     backend: BackendId,
     sent_at: Micros,
-    state: AttemptState,
+    state: SocketAttemptState,
 }
 
 /// A request that may still get an answer, or has an attempt that did not end.
 #[derive(Debug)]
-pub(super) struct OpenRequest {
+pub(super) struct PendingRequest {
     pub(super) call: Rc<Call>,
     /// Receives the final answer; `None` once it was sent or the client disconnected.
     client: Option<oneshot::Sender<Answer>>,
     /// How long the client still waited when the request was received.
     pub(super) remaining: Micros,
-    attempts: Vec<Attempt>,
+    attempts: Vec<SocketAttempt>,
 }
 
-impl OpenRequest {
+impl PendingRequest {
     pub(super) fn new(call: Call, client: oneshot::Sender<Answer>, remaining: Micros) -> Self {
         Self {
             call: Rc::new(call),
@@ -78,10 +78,10 @@
     ) -> (u16, oneshot::Receiver<()>) {
         let number = self.attempts.len() as u16;
         let (cancel, cancelled) = oneshot::channel();
-        self.attempts.push(Attempt {
+        self.attempts.push(SocketAttempt {
             backend,
             sent_at: now,
-            state: AttemptState::Running(cancel),
+            state: SocketAttemptState::Running(cancel),
         });
         (number, cancelled)
     }
@@ -91,22 +91,22 @@
         let Some(attempt) = self.attempts.get_mut(usize::from(number)) else {
             return;
         };
-        match std::mem::replace(&mut attempt.state, AttemptState::Cancelled) {
-            AttemptState::Running(cancel) => {
+        match std::mem::replace(&mut attempt.state, SocketAttemptState::Cancelled) {
+            SocketAttemptState::Running(cancel) => {
                 let _ = cancel.send(());
             }
-            AttemptState::Cancelled => {}
-            AttemptState::Ended => attempt.state = AttemptState::Ended,
+            SocketAttemptState::Cancelled => {}
+            SocketAttemptState::Ended => attempt.state = SocketAttemptState::Ended,
         }
     }
 
     /// Notes the end of an attempt and returns its backend; `None` if it had ended before.
     pub(super) fn end_attempt(&mut self, number: u16) -> Option<BackendId> {
         let attempt = self.attempts.get_mut(usize::from(number))?;
-        if matches!(attempt.state, AttemptState::Ended) {
+        if matches!(attempt.state, SocketAttemptState::Ended) {
             return None;
         }
-        attempt.state = AttemptState::Ended;
+        attempt.state = SocketAttemptState::Ended;
         Some(attempt.backend)
     }
 
@@ -139,31 +139,31 @@
         let all_ended = self
             .attempts
             .iter()
-            .all(|attempt| matches!(attempt.state, AttemptState::Ended));
+            .all(|attempt| matches!(attempt.state, SocketAttemptState::Ended));
         self.client.is_none() && all_ended
     }
 }
 
-/// All open requests.
+/// All pending requests.
 #[derive(Debug, Default)]
-pub(super) struct OpenRequests(FxHashMap<RequestId, OpenRequest>);
+pub(super) struct PendingRequests(FxHashMap<RequestId, PendingRequest>);
 
-impl OpenRequests {
-    pub(super) fn insert(&mut self, id: RequestId, request: OpenRequest) {
+impl PendingRequests {
+    pub(super) fn insert(&mut self, id: RequestId, request: PendingRequest) {
         self.0.insert(id, request);
     }
 
-    pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
+    pub(super) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.0.get(&id)
     }
 
-    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.0.get_mut(&id)
     }
 
     /// Removes a request for which nothing more can come.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
-        if self.0.get(&id).is_some_and(OpenRequest::is_finished) {
+        if self.0.get(&id).is_some_and(PendingRequest::is_finished) {
             self.0.remove(&id);
         }
     }
--- a/src/proxy/driver/requests/tests.rs
+++ b/src/proxy/driver/requests/tests.rs
@@ -7,7 +7,7 @@
 
 const REQUEST: RequestId = 1;
 
-fn open_request() -> (OpenRequest, oneshot::Receiver<Answer>) {
+fn pending_request() -> (PendingRequest, oneshot::Receiver<Answer>) {
     let call = Call {
         method: Method::GET,
         target: Uri::from_static("/"),
@@ -16,12 +16,12 @@
         cancel: CancelSignal::default(),
     };
     let (client, answer) = oneshot::channel();
-    (OpenRequest::new(call, client, 1_000_000), answer)
+    (PendingRequest::new(call, client, 1_000_000), answer)
 }
 
 #[test]
 fn a_request_is_answered_once() {
-    let (mut open, mut answer) = open_request();
+    let (mut open, mut answer) = pending_request();
     assert!(open.is_unanswered());
     assert!(open.answer(REQUEST, Answer::Rejected { retry_after: 7 }));
     assert!(!open.answer(REQUEST, Answer::Failed));
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_cancelled_attempt_is_notified_once_and_still_ends_once() {
-    let (mut open, _answer) = open_request();
+    let (mut open, _answer) = pending_request();
     let (first, mut first_cancelled) = open.start_attempt(5, 10);
     let (second, mut second_cancelled) = open.start_attempt(6, 20);
     assert_eq!((first, second), (0, 1));
@@ -50,20 +50,20 @@
 
 #[test]
 fn a_request_stays_until_it_is_answered_and_its_attempts_have_ended() {
-    let (mut open, _answer) = open_request();
+    let (mut open, _answer) = pending_request();
     let (attempt, _cancelled) = open.start_attempt(5, 10);
-    let mut requests = OpenRequests::default();
+    let mut requests = PendingRequests::default();
     requests.insert(REQUEST, open);
-    let stays = |requests: &mut OpenRequests| {
+    let stays = |requests: &mut PendingRequests| {
         requests.remove_if_finished(REQUEST);
         requests.get(REQUEST).is_some()
     };
     assert!(stays(&mut requests));
-    let open = requests.get_mut(REQUEST).expect("an open request");
+    let open = requests.get_mut(REQUEST).expect("a pending request");
     assert!(open.disconnect());
     open.cancel_attempt(attempt);
     assert!(stays(&mut requests), "the attempt's outcome is to come");
-    let open = requests.get_mut(REQUEST).expect("an open request");
+    let open = requests.get_mut(REQUEST).expect("a pending request");
     open.end_attempt(attempt);
     assert!(!stays(&mut requests));
 }
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// A backend as discovery lists it.
+/// A backend as discovery lists it. The sockets to it are [`backends::Endpoint`](super::backends::Endpoint).
 #[derive(Clone, Copy, Debug)]
-pub struct Endpoint {
+pub struct ListedEndpoint {
     /// The backend in the terms of the decisions.
     pub backend: Backend,
     /// Where it listens.
@@ -20,11 +20,11 @@
 #[derive(Debug)]
 pub enum MembershipUpdate {
     /// Endpoints that changed.
-    Delta(Vec<Endpoint>),
+    Delta(Vec<ListedEndpoint>),
     /// The complete list.
-    Full(Vec<Endpoint>),
+    Full(Vec<ListedEndpoint>),
     /// The complete list as the configuration holds it, perhaps out of date.
-    Cached(Vec<Endpoint>),
+    Cached(Vec<ListedEndpoint>),
     /// A call to discovery failed.
     WatchFailed,
     /// A call to discovery was not answered in time.
@@ -34,7 +34,7 @@
 impl MembershipUpdate {
     /// Returns the endpoints that the update has; none where it is about the watch.
     #[must_use]
-    pub fn endpoints(&self) -> &[Endpoint] {
+    pub fn endpoints(&self) -> &[ListedEndpoint] {
         match self {
             Self::Delta(endpoints) | Self::Full(endpoints) | Self::Cached(endpoints) => endpoints,
             Self::WatchFailed | Self::WatchStalled => &[],
