--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -113,7 +113,7 @@
             biased;
             connected = pool.connection(self.endpoint, self.deadlines.deadline) => connected,
             Ok(()) = cancel => return Err(Outcome::NotSent),
-            () = self.withdrawn() => return Err(Outcome::NotSent),
+            () = self.must_not_be_sent() => return Err(Outcome::NotSent),
         };
         connected.map_err(|error| error.connect_outcome())
     }
@@ -146,16 +146,16 @@
         } = prepared;
         let socket = Rc::clone(&connection.socket);
         socket.begin_request(complete_at);
-        let withdrawn = async {
-            self.withdrawn().await;
-            // A request that may run is not withdrawn.
+        let must_not_be_sent = async {
+            self.must_not_be_sent().await;
+            // A request that is written completely may run: its response is still of use to the balancer.
             if self.is_written(socket.written(), complete_at) {
                 std::future::pending::<()>().await;
             }
         };
         tokio::select! {
             biased;
-            () = withdrawn => Err(BackendError::Cancelled),
+            () = must_not_be_sent => Err(BackendError::Cancelled),
             exchanged = exchange(&mut connection.sender, request) => exchanged,
             Ok(()) = cancel => Err(BackendError::Cancelled),
             () = self.timed_out(remaining) => Err(BackendError::TimedOut),
@@ -218,7 +218,7 @@
             body: ServedBody::Streamed(streamed),
             content_type: head.content_type(),
         });
-        relay_body(sender, body, cancel, &self.call.cancel).await
+        relay_body(sender, body, cancel, &self.call.over).await
     }
 
     /// Returns the result of a response that came ahead of the complete request. Rule 2: kept, the connection
@@ -263,11 +263,12 @@
             .is_some_and(|progress| progress.is_broken())
     }
 
-    /// Waits until the request is not to be sent any more, unless it is complete by then.
-    async fn withdrawn(&self) {
+    /// Waits until a request that is not written completely must not be sent any more: because it is over, or
+    /// because its write deadline has passed.
+    async fn must_not_be_sent(&self) {
         let write_deadline = self.deadlines.write_deadline;
         tokio::select! {
-            () = self.call.cancel.triggered() => {}
+            () = self.call.over.wait() => {}
             () = sleep_until(write_deadline.unwrap_or_else(Instant::now)), if write_deadline.is_some() => {}
         }
     }
--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -11,24 +11,26 @@
 /// The id that a client gives a request, and that is forwarded with each attempt.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 
-/// Signals that a request is over: its client has left or has its final response, or its time has ended.
+/// Tells the attempts of a request that it is over: its client disconnected before it had a response, or the
+/// latest time of its final answer has come, also where a streamed response had begun by then. A complete response
+/// does not set it. An attempt that the balancer cancels is told by a channel of its own.
 #[derive(Debug, Default)]
-pub struct CancelSignal {
-    triggered: Cell<bool>,
-    waiting: Notify,
+pub struct RequestOver {
+    is_over: Cell<bool>,
+    changed: Notify,
 }
 
-impl CancelSignal {
-    /// Ends the request. Triggered again it changes nothing.
-    pub fn trigger(&self) {
-        self.triggered.set(true);
-        self.waiting.notify_waiters();
+impl RequestOver {
+    /// Marks the request as over. Repeated, it changes nothing.
+    pub fn set(&self) {
+        self.is_over.set(true);
+        self.changed.notify_waiters();
     }
 
     /// Waits until the request is over.
-    pub async fn triggered(&self) {
-        while !self.triggered.get() {
-            self.waiting.notified().await;
+    pub async fn wait(&self) {
+        while !self.is_over.get() {
+            self.changed.notified().await;
         }
     }
 }
@@ -44,8 +46,8 @@
     pub headers: HeaderMap,
     /// The body, unchanged.
     pub body: CallBody,
-    /// An attempt that is not written completely when this is triggered is not sent any more.
-    pub cancel: CancelSignal,
+    /// An attempt that is not written completely when the request is over is not sent any more.
+    pub over: RequestOver,
 }
 
 impl Call {
--- a/src/proxy/backends/health_check.rs
+++ b/src/proxy/backends/health_check.rs
@@ -1,7 +1,7 @@
 //! A health check of one backend.
 
 use super::Backends;
-use super::call::{AttemptResult, Call, CancelSignal};
+use super::call::{AttemptResult, Call, RequestOver};
 use super::endpoint::Endpoint;
 use super::error::BackendError;
 use super::exchange::exchange;
@@ -70,7 +70,7 @@
         target: Uri::from_static(path),
         headers: HeaderMap::new(),
         body: BufferedBody::default().into(),
-        cancel: CancelSignal::default(),
+        over: RequestOver::default(),
     }
 }
 
--- a/src/proxy/backends/mod.rs
+++ b/src/proxy/backends/mod.rs
@@ -31,7 +31,7 @@
 mod response;
 mod stray_bytes;
 
-pub use call::{AttemptDeadlines, AttemptResult, CORRELATION_ID, Call, CancelSignal, Served};
+pub use call::{AttemptDeadlines, AttemptResult, CORRELATION_ID, Call, RequestOver, Served};
 pub use endpoint::Endpoint;
 
 use super::counters::Counters;
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -1,6 +1,6 @@
 //! A response that is relayed to its client while it comes.
 
-use super::call::CancelSignal;
+use super::call::RequestOver;
 use super::error::BackendError;
 use super::response::PartialBody;
 use crate::api::Outcome;
@@ -21,7 +21,7 @@
     sender: ResponseSender,
     body: PartialBody,
     cancel: oneshot::Receiver<()>,
-    request_over: &CancelSignal,
+    request_over: &RequestOver,
 ) -> Outcome {
     let mut relay = Relay {
         sender,
@@ -52,7 +52,7 @@
     forwarded: u64,
     deadline: BodyDeadline,
     cancel: oneshot::Receiver<()>,
-    request_over: &'a CancelSignal,
+    request_over: &'a RequestOver,
 }
 
 impl Relay<'_> {
@@ -73,7 +73,7 @@
         let late_at = self.deadline.after(self.forwarded);
         // While this waits, all that has come was forwarded, however slowly its client reads.
         let too_slow = async {
-            request_over.triggered().await;
+            request_over.wait().await;
             sleep_until(late_at).await;
         };
         let may_be_endless = self.length.is_none() && self.forwarded <= BODY_CAP as u64;
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -7,7 +7,7 @@
 };
 use super::{Class, Clients};
 use crate::api::{ClassIndex, Micros, TenantIndex};
-use crate::proxy::backends::{CORRELATION_ID, Call, CancelSignal};
+use crate::proxy::backends::{CORRELATION_ID, Call, RequestOver};
 use crate::proxy::bodies::{BodyBuffer, BodyDeadline, CallBody, Upload, next_data};
 use crate::proxy::budget::Reservation;
 use crate::proxy::limits::{BODY_CAP, FORWARDED_BODY_CAP};
@@ -46,7 +46,7 @@
             target,
             headers,
             body,
-            cancel: CancelSignal::default(),
+            over: RequestOver::default(),
         };
         // The time of a request counts from its last byte.
         let arrived = self.clock.now();
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -45,7 +45,7 @@
             self.timers.set(due, DriverTimer::FinalAnswer(request));
             return;
         }
-        open.call.cancel.trigger();
+        open.call.over.set();
         if self.answer(request, Answer::Failed) {
             self.handle_event(now, Event::ClientDisconnected(request));
             self.requests.remove_if_finished(request);
@@ -77,7 +77,7 @@
         request_log::client_disconnected(request);
         // Rule 1: an attempt that still waits for its connection is not sent, because nobody waits
         // for its response.
-        open.call.cancel.trigger();
+        open.call.over.set();
         self.handle_event(now, Event::ClientDisconnected(request));
         self.requests.remove_if_finished(request);
     }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tillerproxy::api::{Outcome, Readiness};
-use tillerproxy::proxy::backends::{AttemptDeadlines, Backends, Call, CancelSignal, Served};
+use tillerproxy::proxy::backends::{AttemptDeadlines, Backends, Call, RequestOver, Served};
 use tillerproxy::proxy::bodies::{BufferedBody, CallBody, ResponseBody, ServedBody};
 use tillerproxy::proxy::counters::Counters;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -53,7 +53,7 @@
         target: Uri::from_static(path),
         headers: HeaderMap::new(),
         body: CallBody::from(BufferedBody::from(Bytes::new())),
-        cancel: CancelSignal::default(),
+        over: RequestOver::default(),
     })
 }
 
@@ -170,7 +170,7 @@
     let timed_out = Rc::clone(&call);
     spawn_local(async move {
         sleep(request_timeout).await;
-        timed_out.cancel.trigger();
+        timed_out.over.set();
     });
     let client = spawn_local(response.read(body));
     let on_response_start = |served: Served| assert!(body_sender.send(served.body.into()).is_ok());
