--- a/lab/src/slopes/endpoints.rs
+++ b/lab/src/slopes/endpoints.rs
@@ -9,8 +9,8 @@
 use std::collections::HashSet;
 use tillerproxy::api::Backend;
 use tillerproxy::proxy::clock::Clock;
-use tillerproxy::proxy::config::Names;
 use tillerproxy::proxy::discovery::{DiscoveryError, Translator};
+use tillerproxy::settings_json::Names;
 
 /// Backends of one deduplication cell.
 const CELL_BACKENDS: u32 = 50;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,5 +4,6 @@
 pub mod api;
 pub mod balancer;
 pub mod proxy;
+pub mod settings_json;
 pub mod simulator;
 mod spread;
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -15,13 +15,13 @@
 
 use super::budget::Budget;
 use super::clock::Clock;
-use super::config::Names;
 use super::connections::{ClientConnection, ClientConnections};
 use super::counters::Counters;
 use super::lifecycle::Lifecycle;
 use super::limits::{ACCEPT_BACKOFF, CLIENT_HEAD_CAP};
 use super::messages::Handle;
 use crate::api::{ClassIndex, Idempotency, Micros, Settings, TenantIndex};
+use crate::settings_json::Names;
 use hyper::Method;
 use hyper::header::HeaderValue;
 use rustc_hash::{FxHashMap, FxHashSet};
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -4,7 +4,7 @@
 use super::limits::MAX_OPERATOR_CALLS;
 use super::logging::{InvalidLogOption, parse_filter};
 use crate::api::{Micros, Settings, SettingsError};
-use crate::simulator::parse_settings;
+use crate::settings_json::{Names, deserialize, deserialize_proxy_settings, parse_settings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::{AddrParseError, SocketAddr};
@@ -24,7 +24,6 @@
 const RESERVED_DESCRIPTORS: usize = 24;
 const DEFAULT_DESCRIPTORS: usize = 1_024;
 const DEFAULT_MEMORY_MB: usize = 192;
-const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
 /// Why the configuration cannot be used.
 #[derive(Debug, Error)]
@@ -66,21 +65,6 @@
     Settings(#[from] SettingsError),
 }
 
-/// Names that the protocols use, and that the decisions know by their position.
-#[derive(Clone, Debug, Default)]
-pub struct Names {
-    /// Request classes.
-    pub classes: Vec<String>,
-    /// Tenants; may be empty.
-    pub tenants: Vec<String>,
-    /// Zones.
-    pub zones: Vec<String>,
-    /// Machine types.
-    pub machine_types: Vec<String>,
-    /// Fields of a load report.
-    pub load_report_fields: Vec<String>,
-}
-
 /// A configuration that was checked.
 #[derive(Debug)]
 pub struct Config {
@@ -143,41 +127,6 @@
     filter: Option<String>,
 }
 
-/// The part of the settings that only the sockets need.
-#[derive(Deserialize)]
-struct RawSettings {
-    #[serde(default)]
-    classes: Vec<RawNamed>,
-    #[serde(default)]
-    tenants: Vec<RawNamed>,
-    #[serde(default, rename = "failureDomains")]
-    zones: Vec<String>,
-    #[serde(default, rename = "kinds")]
-    machine_types: Vec<String>,
-    #[serde(default, rename = "loadReport")]
-    load_report: RawLoadReport,
-    #[serde(default)]
-    permissions: RawPermissions,
-}
-
-#[derive(Deserialize)]
-struct RawNamed {
-    #[serde(default)]
-    name: String,
-}
-
-#[derive(Deserialize, Default)]
-struct RawLoadReport {
-    #[serde(default)]
-    fields: Vec<String>,
-}
-
-#[derive(Deserialize, Default)]
-struct RawPermissions {
-    #[serde(default, rename = "dialTimeoutUs")]
-    connect_timeout: Option<Micros>,
-}
-
 impl Config {
     /// Reads the file that the environment names. `process_count` is the number of processes that
     /// its limits hold for: two during an upgrade.
@@ -201,12 +150,12 @@
         variable: impl Fn(&str) -> Option<String>,
         process_count: usize,
     ) -> Result<Self, ConfigError> {
-        let raw: RawConfig = deserialize(&mut serde_json::Deserializer::from_slice(json))?;
+        let raw: RawConfig = deserialize(json).map_err(ConfigError::Malformed)?;
         let settings_json = raw.settings.to_string();
-        let raw_settings: RawSettings =
-            deserialize(&mut serde_json::Deserializer::from_str(&settings_json))?;
-        let connect_timeout = raw_settings.permissions.connect_timeout();
-        let names = raw_settings.into_names()?;
+        let proxy_settings =
+            deserialize_proxy_settings(settings_json.as_bytes()).map_err(ConfigError::Malformed)?;
+        let connect_timeout = proxy_settings.connect_timeout();
+        let names = proxy_settings.into_names()?;
         let raw = raw.completed_by(variable);
         let listen = parse_address("listen", raw.listen.unwrap_or_default())?;
         let operator = raw
@@ -262,55 +211,6 @@
     }
 }
 
-impl RawPermissions {
-    fn connect_timeout(&self) -> Micros {
-        self.connect_timeout
-            .filter(|&timeout| timeout > 0)
-            .unwrap_or(DEFAULT_CONNECT_TIMEOUT)
-    }
-}
-
-impl RawSettings {
-    fn into_names(self) -> Result<Names, SettingsError> {
-        Ok(Names {
-            classes: distinct_names("classes", self.classes)?,
-            tenants: distinct_names("tenants", self.tenants)?,
-            zones: self.zones,
-            machine_types: self.machine_types,
-            load_report_fields: self.load_report.fields,
-        })
-    }
-}
-
-/// Returns the names of a list of the settings. Requests are told apart by them, so each has one of
-/// its own.
-fn distinct_names(list: &str, entries: Vec<RawNamed>) -> Result<Vec<String>, SettingsError> {
-    let mut names = Vec::with_capacity(entries.len());
-    for (index, RawNamed { name }) in entries.into_iter().enumerate() {
-        let problem = if name.is_empty() {
-            Some("must not be empty")
-        } else if names.contains(&name) {
-            Some("stands there twice")
-        } else {
-            None
-        };
-        if let Some(problem) = problem {
-            return Err(SettingsError {
-                field: format!("{list}[{index}].name"),
-                problem: problem.into(),
-            });
-        }
-        names.push(name);
-    }
-    Ok(names)
-}
-
-fn deserialize<'a, T: Deserialize<'a>, R: serde_json::de::Read<'a>>(
-    json: &mut serde_json::Deserializer<R>,
-) -> Result<T, ConfigError> {
-    serde_path_to_error::deserialize(json).map_err(ConfigError::Malformed)
-}
-
 fn parse_address(field: &'static str, given: String) -> Result<SocketAddr, ConfigError> {
     given.parse().map_err(|source| ConfigError::Address {
         field,
--- a/src/proxy/discovery/tests.rs
+++ b/src/proxy/discovery/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::proxy::clock::Clock;
-use crate::proxy::config::Names;
+use crate::settings_json::Names;
 use serde_json::{Value, json};
 
 #[test]
--- a/src/simulator/settings/mod.rs
+++ b/src/settings_json/mod.rs
@@ -1,32 +1,58 @@
 //! Reads the settings of a proxy from JSON text.
 //!
-//! The simulator sends them when it starts a proxy; the real proxy has them in its configuration. `raw` has the keys as
-//! they are written; this module gives them the terms and types of [`crate::api`].
+//! The simulator sends them when it starts a proxy; the real proxy has them in its configuration. `raw` has the keys of
+//! the decisions' settings as they are written; this module gives them the terms and types of [`crate::api`]. `proxy` has
+//! the keys that only the proxy on real sockets needs. It is deserialized apart because the simulator's settings need
+//! not have names, and because the errors of both parts come in the order in which the configuration is checked.
 
+mod proxy;
 mod raw;
 
+pub use proxy::Names;
+
 use crate::api::{
     Class, DiscoveryMode, Idempotency, KeyScope, LoadReportFields, Permissions, SafetyLimits,
     Settings, SettingsError, Tenant, Zone,
 };
+use proxy::RawProxySettings;
 use raw::{RawClass, RawLoadReport, RawPermissions, RawSafety, RawSettings};
+use serde::Deserialize;
 
 /// Reads the settings from JSON text. Unknown keys are ignored.
 ///
 /// # Errors
 /// Names the key that is missing or makes no sense.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsError> {
-    let mut deserializer = serde_json::Deserializer::from_slice(json);
-    let raw: RawSettings =
-        serde_path_to_error::deserialize(&mut deserializer).map_err(|error| SettingsError {
-            field: error.path().to_string(),
-            problem: error.into_inner().to_string(),
-        })?;
+    let raw: RawSettings = deserialize(json).map_err(|error| SettingsError {
+        field: error.path().to_string(),
+        problem: error.into_inner().to_string(),
+    })?;
     let settings = convert(raw)?;
     settings.validate()?;
     Ok(settings)
 }
 
+/// Deserializes the settings that only the proxy on real sockets needs.
+///
+/// # Errors
+/// Names the field that is malformed.
+pub(crate) fn deserialize_proxy_settings(
+    json: &[u8],
+) -> Result<RawProxySettings, serde_path_to_error::Error<serde_json::Error>> {
+    deserialize(json)
+}
+
+/// Deserializes the value at the beginning of JSON text.
+///
+/// # Errors
+/// Names the path of what is missing or malformed.
+pub(crate) fn deserialize<'a, T: Deserialize<'a>>(
+    json: &'a [u8],
+) -> Result<T, serde_path_to_error::Error<serde_json::Error>> {
+    let mut deserializer = serde_json::Deserializer::from_slice(json);
+    serde_path_to_error::deserialize(&mut deserializer)
+}
+
 fn convert(raw: RawSettings) -> Result<Settings, SettingsError> {
     let mut classes = Vec::with_capacity(raw.classes.len());
     for (index, class) in raw.classes.iter().enumerate() {
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,8 +1,8 @@
 //! The simulator's protocol: how a simulated bench drives the decisions of many proxies in one process.
 //!
 //! The simulator writes batches of binary records and expects one reply to each. [`frames`] reads the records and
-//! writes the replies; [`settings`] reads the JSON text that configures a proxy, which the real proxy has in its
-//! configuration too. Nothing here decides anything or does I/O: the program `tillerproxy-simhost` does the I/O and
+//! writes the replies; [`settings_json`](crate::settings_json) reads the JSON text that configures a proxy, which the
+//! real proxy has in its configuration too. Nothing here decides anything or does I/O: the program `tillerproxy-simhost` does the I/O and
 //! passes events on to a [`Balancer`](crate::balancer::Balancer).
 //!
 //! The protocol's own names end here. What it calls `me` or `aimUs` is `proxy_index` and `latency_objective`
@@ -10,7 +10,6 @@
 
 mod error;
 pub mod frames;
-pub mod settings;
 
+pub use crate::settings_json::parse_settings;
 pub use error::{FrameError, FrameErrorKind};
-pub use settings::parse_settings;
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -8,9 +8,10 @@
 const FILE_EXTENSIONS: [&str; 4] = ["rs", "md", "toml", "json"];
 
 /// Files that map names of a protocol to the terms of the code, and the least number of names that each maps.
-const FILES_WITH_RENAMED_KEYS: [(&str, usize); 3] = [
-    ("src/simulator/settings/raw.rs", 21),
-    ("src/proxy/config.rs", 5),
+const FILES_WITH_RENAMED_KEYS: [(&str, usize); 4] = [
+    ("src/settings_json/raw.rs", 21),
+    ("src/settings_json/proxy.rs", 4),
+    ("src/proxy/config.rs", 2),
     ("src/proxy/discovery/wire.rs", 8),
 ];
 
