--- a/src/proxy/backends/exchange.rs
+++ b/src/proxy/backends/exchange.rs
@@ -3,10 +3,11 @@
 use super::error::BackendError;
 use super::response::{BackendBody, BackendResponse, PartialBody, ResponseHead};
 use crate::proxy::bodies::{BodyBuffer, RequestBody, next_data};
+use crate::proxy::header_values::connection_options;
 use crate::proxy::limits::{BODY_CAP, FORWARDED_BODY_CAP};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::SendRequest;
-use hyper::header::{CONNECTION, TRANSFER_ENCODING};
+use hyper::header::TRANSFER_ENCODING;
 use hyper::{Request, Response, StatusCode, Version};
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
@@ -98,12 +99,7 @@
 }
 
 fn closes_connection(response: &Response<Incoming>) -> bool {
-    let mut options = response
-        .headers()
-        .get_all(CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|value| value.split(','));
+    let mut options = connection_options(response.headers());
     response.version() == Version::HTTP_10
-        || options.any(|option| option.trim().eq_ignore_ascii_case("close"))
+        || options.any(|option| option.eq_ignore_ascii_case("close"))
 }
--- a/src/proxy/backends/request.rs
+++ b/src/proxy/backends/request.rs
@@ -2,14 +2,13 @@
 
 use super::call::Call;
 use crate::proxy::bodies::RequestBody;
+use crate::proxy::header_values::REMAINING_TIME_MS;
 use hyper::body::Body;
-use hyper::header::{CONTENT_LENGTH, HOST, HeaderName, HeaderValue};
+use hyper::header::{CONTENT_LENGTH, HOST, HeaderValue};
 use hyper::{Method, Request};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const TIMEOUT: HeaderName = HeaderName::from_static("x-time-left-ms");
-
 /// Builds the request of a call to the backend at `address`, which has `remaining` to respond.
 pub(super) fn build_request(
     call: &Call,
@@ -24,7 +23,7 @@
     let headers = request.headers_mut();
     headers.clone_from(&call.headers);
     let millis = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
-    headers.insert(TIMEOUT, HeaderValue::from(millis));
+    headers.insert(REMAINING_TIME_MS, HeaderValue::from(millis));
     if call.method != Method::GET
         && let Some(length) = length
     {
--- a/src/proxy/bodies/deadline.rs
+++ b/src/proxy/bodies/deadline.rs
@@ -1,11 +1,11 @@
 //! How long a body may take.
 
+use crate::proxy::clock::MICROS_PER_SECOND;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// A sender that is slower than this, beyond the time that any body may take, is cut off.
 const MIN_BYTES_PER_SECOND: u64 = 32 * 1024;
-const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// How long a body may take: a grace, and longer the more bytes of it have come.
 #[derive(Clone, Copy, Debug)]
--- a/src/proxy/clients/error.rs
+++ b/src/proxy/clients/error.rs
@@ -1,13 +1,15 @@
-//! Why a request is rejected before the balancer sees it.
+//! Why a request is not passed to the balancer.
 
 use crate::proxy::bodies::BufferedBody;
-use crate::proxy::responses::plain;
-use hyper::header::{ALLOW, HeaderValue};
+use crate::proxy::responses::{METHOD_NOT_ALLOWED_TEXT, plain, set_allowed_methods};
+use hyper::header::HeaderValue;
 use hyper::{Method, Response, StatusCode};
 
-/// A request that is rejected before the balancer sees it. The message is the body of the response.
+/// A request that is not passed to the balancer because it is invalid or incomplete. The message is the body of the
+/// response. A valid request that the balancer sheds is rejected instead:
+/// [`Answer::Rejected`](crate::proxy::messages::Answer::Rejected).
 #[derive(Debug, thiserror::Error)]
-pub(super) enum RequestError {
+pub(super) enum InvalidRequest {
     #[error("the body may end in two places")]
     AmbiguousBody,
     #[error("a header comes twice")]
@@ -18,7 +20,7 @@
     ClassMismatch,
     #[error("unknown account")]
     UnknownAccount,
-    #[error("not the method for this")]
+    #[error("{}", METHOD_NOT_ALLOWED_TEXT.trim_end())]
     MethodNotAllowed { allowed: Method },
     #[error("Idempotency-Key is missing")]
     MissingIdempotencyKey,
@@ -39,7 +41,7 @@
     ClientDisconnected,
 }
 
-impl RequestError {
+impl InvalidRequest {
     fn status(&self) -> StatusCode {
         match self {
             Self::MethodNotAllowed { .. } => StatusCode::METHOD_NOT_ALLOWED,
@@ -65,7 +67,7 @@
         if let Self::MethodNotAllowed { allowed } = &self
             && let Ok(allowed) = HeaderValue::try_from(allowed.as_str())
         {
-            response.headers_mut().insert(ALLOW, allowed);
+            set_allowed_methods(&mut response, allowed);
         }
         response
     }
--- a/src/proxy/clients/headers.rs
+++ b/src/proxy/clients/headers.rs
@@ -1,12 +1,12 @@
 //! The headers of requests: those that decide what a request is, and those that are forwarded to a backend.
 
 use crate::proxy::backends::CORRELATION_ID;
+use crate::proxy::header_values::{REMAINING_TIME_MS, connection_options};
 use hyper::Uri;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 
 pub(super) const SERVICE_CLASS: HeaderName = HeaderName::from_static("x-service-class");
 pub(super) const ACCOUNT: HeaderName = HeaderName::from_static("x-account");
-pub(super) const TIMEOUT: HeaderName = HeaderName::from_static("x-time-left-ms");
 pub(super) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 pub(super) const RETRY: HeaderName = HeaderName::from_static("x-repeat");
 pub(super) const WEIGHT_HINT: HeaderName = HeaderName::from_static("x-weight-hint");
@@ -16,7 +16,7 @@
     CORRELATION_ID,
     SERVICE_CLASS,
     ACCOUNT,
-    TIMEOUT,
+    REMAINING_TIME_MS,
     IDEMPOTENCY_KEY,
 ];
 
@@ -36,12 +36,8 @@
 
 /// Removes the headers that are not forwarded, with those that `Connection` names.
 pub(super) fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
-    let named_by_connection: Vec<HeaderName> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|value| value.split(','))
-        .filter_map(|name| name.trim().parse().ok())
+    let named_by_connection: Vec<HeaderName> = connection_options(&headers)
+        .filter_map(|name| name.parse().ok())
         .collect();
     for name in named_by_connection {
         // A request never loses its identity.
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -1,8 +1,8 @@
 //! A client's request: checked, described for the balancer, and its body read as far as it is to be buffered.
 
-use super::error::RequestError;
+use super::error::InvalidRequest;
 use super::headers::{
-    ACCOUNT, IDEMPOTENCY_KEY, RETRY, SERVICE_CLASS, SINGLE_HEADERS, TIMEOUT, WEIGHT_HINT,
+    ACCOUNT, IDEMPOTENCY_KEY, RETRY, SERVICE_CLASS, SINGLE_HEADERS, WEIGHT_HINT,
     end_to_end_headers, origin_form,
 };
 use super::{Class, Clients};
@@ -10,6 +10,8 @@
 use crate::proxy::backends::{CORRELATION_ID, Call, RequestOver};
 use crate::proxy::bodies::{BodyBuffer, BodyDeadline, CallBody, Upload, next_data};
 use crate::proxy::budget::Reservation;
+use crate::proxy::clock::MICROS_PER_MILLI;
+use crate::proxy::header_values::{REMAINING_TIME_MS, parse_decimal};
 use crate::proxy::limits::{BODY_CAP, FORWARDED_BODY_CAP};
 use crate::proxy::messages::Inbound;
 use hyper::Request;
@@ -25,7 +27,6 @@
 const BUFFER_CAP: usize = 2 << 20;
 /// The longest timeout that is understood: an hour.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
-const MICROS_PER_MILLI: Micros = 1_000;
 
 impl Clients {
     /// Reads a request completely, or as far as it is to be buffered.
@@ -33,10 +34,10 @@
         &self,
         request: Request<Incoming>,
         deadline: BodyDeadline,
-    ) -> Result<Inbound, RequestError> {
+    ) -> Result<Inbound, InvalidRequest> {
         let (head, body) = request.into_parts();
         if body.size_hint().lower() > FORWARDED_BODY_CAP {
-            return Err(RequestError::BodyTooLarge);
+            return Err(InvalidRequest::BodyTooLarge);
         }
         let mut request = self.describe(&head)?;
         let body = self.read_body(body, deadline).await?;
@@ -66,7 +67,7 @@
         &self,
         mut body: Incoming,
         deadline: BodyDeadline,
-    ) -> Result<CallBody, RequestError> {
+    ) -> Result<CallBody, InvalidRequest> {
         let may_fit = body
             .size_hint()
             .exact()
@@ -77,7 +78,7 @@
             let late_at = deadline.after(buffer.len() as u64);
             let received = timeout_at(late_at, next_data(&mut body))
                 .await
-                .map_err(|_| RequestError::BodyTimedOut)?;
+                .map_err(|_| InvalidRequest::BodyTimedOut)?;
             let Some(data) = received? else {
                 return Ok(CallBody::Buffered(buffer.take(), reserved));
             };
@@ -103,11 +104,11 @@
     }
 
     /// Describes a request with that head for the balancer.
-    fn describe(&self, head: &Parts) -> Result<crate::api::Request, RequestError> {
+    fn describe(&self, head: &Parts) -> Result<crate::api::Request, InvalidRequest> {
         // A backend may read the other one of two and take the request for something else.
         let is_duplicate = |name| head.headers.get_all(name).iter().nth(1).is_some();
         if SINGLE_HEADERS.iter().any(is_duplicate) {
-            return Err(RequestError::DuplicateHeader);
+            return Err(InvalidRequest::DuplicateHeader);
         }
         let (class, settings) = self.class(head)?;
         check_method_and_ids(head, settings)?;
@@ -124,29 +125,29 @@
     }
 
     /// Returns the class that the path names, which the header has to name as well where it is there.
-    fn class(&self, head: &Parts) -> Result<(ClassIndex, &Class), RequestError> {
+    fn class(&self, head: &Parts) -> Result<(ClassIndex, &Class), InvalidRequest> {
         let in_path = head.uri.path().split('/').nth(1).unwrap_or_default();
         let (class, settings) = self
             .classes
             .get(in_path)
-            .ok_or(RequestError::UnknownClass)?;
+            .ok_or(InvalidRequest::UnknownClass)?;
         if head.headers.contains_key(SERVICE_CLASS)
             && utf8_header(head, &SERVICE_CLASS) != Some(in_path)
         {
-            return Err(RequestError::ClassMismatch);
+            return Err(InvalidRequest::ClassMismatch);
         }
         Ok((*class, settings))
     }
 
     /// Returns the tenant whose account the header names, or the first one where the settings name none.
-    fn tenant(&self, head: &Parts) -> Result<TenantIndex, RequestError> {
+    fn tenant(&self, head: &Parts) -> Result<TenantIndex, InvalidRequest> {
         if self.tenants.is_empty() {
             return Ok(TenantIndex(0));
         }
         utf8_header(head, &ACCOUNT)
             .and_then(|account| self.tenants.get(account))
             .copied()
-            .ok_or(RequestError::UnknownAccount)
+            .ok_or(InvalidRequest::UnknownAccount)
     }
 }
 
@@ -163,31 +164,29 @@
 }
 
 /// Checks the method and the headers that identify a request.
-fn check_method_and_ids(head: &Parts, class: &Class) -> Result<(), RequestError> {
+fn check_method_and_ids(head: &Parts, class: &Class) -> Result<(), InvalidRequest> {
     if head.method != class.method {
-        return Err(RequestError::MethodNotAllowed {
+        return Err(InvalidRequest::MethodNotAllowed {
             allowed: class.method.clone(),
         });
     }
     // Without its key a backend would not drop a repeat.
     if class.needs_key && ascii_header(head, &IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
-        return Err(RequestError::MissingIdempotencyKey);
+        return Err(InvalidRequest::MissingIdempotencyKey);
     }
     if ascii_header(head, &CORRELATION_ID).is_none_or(str::is_empty) {
-        return Err(RequestError::MissingCorrelationId);
+        return Err(InvalidRequest::MissingCorrelationId);
     }
     Ok(())
 }
 
 /// Returns how long the client waits.
-fn timeout(head: &Parts) -> Result<Micros, RequestError> {
-    ascii_header(head, &TIMEOUT)
-        // The parser of numbers would take a sign.
-        .filter(|value| value.bytes().all(|byte| byte.is_ascii_digit()))
-        .and_then(|digits| digits.parse::<u64>().ok())
+fn timeout(head: &Parts) -> Result<Micros, InvalidRequest> {
+    ascii_header(head, &REMAINING_TIME_MS)
+        .and_then(|value| parse_decimal(value.as_bytes()))
         .filter(|&millis| millis <= MAX_TIMEOUT_MS)
         .map(|millis| millis * MICROS_PER_MILLI)
-        .ok_or(RequestError::InvalidTimeout)
+        .ok_or(InvalidRequest::InvalidTimeout)
 }
 
 /// Returns the key of a request by which the balancer prefers backends: its number, or a hash.
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -1,7 +1,7 @@
 //! The response to one request of a client.
 
 use super::Clients;
-use super::error::RequestError;
+use super::error::InvalidRequest;
 use super::headers::SERVICE_CLASS;
 use crate::api::RequestId;
 use crate::proxy::backends::{CORRELATION_ID, Served};
@@ -61,10 +61,10 @@
         connection: &ClientConnection,
         number: u64,
         deadline: BodyDeadline,
-    ) -> Result<Response<ResponseBody>, RequestError> {
+    ) -> Result<Response<ResponseBody>, InvalidRequest> {
         // Rule 2: a backend that reads the other end of the body would run a part of it as a request.
         if connection.is_ambiguous(number) {
-            return Err(RequestError::AmbiguousBody);
+            return Err(InvalidRequest::AmbiguousBody);
         }
         let inbound = self.read_request(request, deadline).await?;
         self.forward(inbound, connection).await
@@ -92,14 +92,14 @@
         &self,
         inbound: Inbound,
         connection: &ClientConnection,
-    ) -> Result<Response<ResponseBody>, RequestError> {
+    ) -> Result<Response<ResponseBody>, InvalidRequest> {
         // The client may have disconnected while its connection waited to be accepted.
         if connection.is_closed_by_client() {
-            return Err(RequestError::ClientDisconnected);
+            return Err(InvalidRequest::ClientDisconnected);
         }
         // Rule 2: forwarded, a second request of the same id would be a second copy of the first.
         let Some(_id) = OpenId::claim(&self.ids, &inbound.call.headers) else {
-            return Err(RequestError::DuplicateRequest);
+            return Err(InvalidRequest::DuplicateRequest);
         };
         let upload = inbound.call.body.pending_upload();
         let ticket = self.counters.begin_request(inbound.request.class);
@@ -131,7 +131,7 @@
         inbound: Inbound,
         connection: &ClientConnection,
         is_upload: bool,
-    ) -> Result<Option<Answer>, RequestError> {
+    ) -> Result<Option<Answer>, InvalidRequest> {
         let (sender, answer) = oneshot::channel();
         let guard = DisconnectGuard {
             handle: &self.handle,
@@ -153,7 +153,7 @@
         let answer = tokio::select! {
             biased;
             answer = answer => answer,
-            () = disconnected => return Err(RequestError::ClientDisconnected),
+            () = disconnected => return Err(InvalidRequest::ClientDisconnected),
         };
         guard.disarm();
         Ok(answer.ok())
@@ -162,7 +162,7 @@
 
 /// Returns the response to a request that is not forwarded. What follows a malformed one may be a part of it, so
 /// the connection ends with it.
-fn error_response(error: RequestError) -> Response<ResponseBody> {
+fn error_response(error: InvalidRequest) -> Response<ResponseBody> {
     tracing::debug!(%error, "request not forwarded");
     let mut response = error.into_response().map(ResponseBody::Buffered);
     close(&mut response);
--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -4,6 +4,11 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
+/// Microseconds in a second.
+pub const MICROS_PER_SECOND: Micros = 1_000_000;
+/// Microseconds in a millisecond.
+pub const MICROS_PER_MILLI: Micros = 1_000;
+
 /// Begins at the system's time and then follows the monotonic clock, so that no step of the
 /// system's clock moves it.
 ///
@@ -52,7 +57,7 @@
         if unix_ms == 0 {
             return None;
         }
-        let unix = unix_ms.saturating_mul(1_000);
+        let unix = unix_ms.saturating_mul(MICROS_PER_MILLI);
         Some(unix.min(self.now()))
     }
 }
--- a/src/proxy/framing.rs
+++ b/src/proxy/framing.rs
@@ -4,6 +4,8 @@
 //! which a backend may read otherwise (request smuggling). It does not tell either whether a head has begun,
 //! which decides what it costs to close the connection.
 
+use super::header_values::parse_decimal;
+
 /// The largest line, in bytes, of a chunk's size with its extensions, or of a trailer.
 const MAX_LINE: usize = 4 * 1024;
 
@@ -207,9 +209,7 @@
         let name = &line[..colon];
         let value = line[colon + 1..].trim_ascii();
         let found = if name.eq_ignore_ascii_case(b"content-length") {
-            // The parser of numbers would take a sign.
-            let digits = value.iter().all(u8::is_ascii_digit).then_some(value)?;
-            BodyLength::Known(std::str::from_utf8(digits).ok()?.parse().ok()?)
+            BodyLength::Known(parse_decimal(value)?)
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             // No other coding is undone here, and none may be hidden from the backend.
             value
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -17,6 +17,7 @@
 pub mod discovery;
 pub mod driver;
 pub mod framing;
+mod header_values;
 pub mod inherited;
 pub mod lifecycle;
 pub mod limits;
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -8,7 +8,7 @@
 use super::lifecycle::{Lifecycle, ShuttingDown};
 use super::limits::{ACCEPT_BACKOFF, MAX_OPERATOR_CALLS};
 use super::messages::{Handle, Message};
-use super::responses::{Rejection, plain};
+use super::responses::{ErrorResponse, plain};
 use super::socket::Socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -126,7 +126,7 @@
             let operator = Rc::clone(&self);
             Box::pin(async move {
                 let response = operator.respond(request, deadline).await;
-                Ok::<_, Infallible>(response.unwrap_or_else(Rejection::into_response))
+                Ok::<_, Infallible>(response.unwrap_or_else(ErrorResponse::into_response))
             })
         });
         let mut connection = http1::Builder::new()
@@ -144,20 +144,20 @@
         &self,
         request: Request<Incoming>,
         deadline: Instant,
-    ) -> Result<OperatorResponse, Rejection> {
+    ) -> Result<OperatorResponse, ErrorResponse> {
         let (head, body) = request.into_parts();
         let Some(call) = OperatorCall::of_path(head.uri.path()) else {
-            return Err(Rejection::new(StatusCode::NOT_FOUND, "no such call\n"));
+            return Err(ErrorResponse::new(StatusCode::NOT_FOUND, "no such call\n"));
         };
         let (methods, method_names) = call.methods();
         if !methods.contains(&head.method) {
-            return Err(Rejection::method(method_names));
+            return Err(ErrorResponse::method_not_allowed(method_names));
         }
         receive_body(body, deadline).await?;
         self.execute(call).await
     }
 
-    async fn execute(&self, call: OperatorCall) -> Result<OperatorResponse, Rejection> {
+    async fn execute(&self, call: OperatorCall) -> Result<OperatorResponse, ErrorResponse> {
         match call {
             OperatorCall::Ready => self.readiness(),
             OperatorCall::Counters => Ok(self.counters().await),
@@ -168,11 +168,11 @@
         }
     }
 
-    fn readiness(&self) -> Result<OperatorResponse, Rejection> {
+    fn readiness(&self) -> Result<OperatorResponse, ErrorResponse> {
         if self.lifecycle.is_in_service() {
             Ok(plain(StatusCode::OK, "ready\n"))
         } else {
-            Err(Rejection::new(
+            Err(ErrorResponse::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "not ready\n",
             ))
@@ -183,12 +183,15 @@
         &self,
         call: OperatorCall,
         result: Result<(), ShuttingDown>,
-    ) -> Result<OperatorResponse, Rejection> {
+    ) -> Result<OperatorResponse, ErrorResponse> {
         let stage = self.lifecycle.stage();
         tracing::info!(?call, ?stage, "operator call");
         match result {
             Ok(()) => Ok(plain(StatusCode::OK, "done\n")),
-            Err(ShuttingDown) => Err(Rejection::new(StatusCode::CONFLICT, "the process ends\n")),
+            Err(ShuttingDown) => Err(ErrorResponse::new(
+                StatusCode::CONFLICT,
+                "the process ends\n",
+            )),
         }
     }
 
@@ -207,8 +210,8 @@
 
 /// Receives a call's body, which means nothing: a call is executed only once it has arrived
 /// completely.
-async fn receive_body(body: Incoming, deadline: Instant) -> Result<(), Rejection> {
-    let too_large = || Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the call is too large\n");
+async fn receive_body(body: Incoming, deadline: Instant) -> Result<(), ErrorResponse> {
+    let too_large = || ErrorResponse::new(StatusCode::PAYLOAD_TOO_LARGE, "the call is too large\n");
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(too_large());
     }
@@ -216,11 +219,11 @@
     match timeout_at(deadline, body).await {
         Ok(Ok(_)) => Ok(()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
-        Ok(Err(_)) => Err(Rejection::new(
+        Ok(Err(_)) => Err(ErrorResponse::new(
             StatusCode::BAD_REQUEST,
             "the call is broken\n",
         )),
-        Err(_) => Err(Rejection::new(
+        Err(_) => Err(ErrorResponse::new(
             StatusCode::REQUEST_TIMEOUT,
             "the call is late\n",
         )),
--- a/src/proxy/responses.rs
+++ b/src/proxy/responses.rs
@@ -1,22 +1,24 @@
 //! Responses that the proxy itself makes.
 
 use super::bodies::BufferedBody;
+use super::clock::MICROS_PER_SECOND;
 use crate::api::Micros;
 use bytes::Bytes;
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-const MICROS_PER_SECOND: f64 = 1e6;
+/// The text of a response with status 405.
+pub(super) const METHOD_NOT_ALLOWED_TEXT: &str = "not the method for this\n";
 
-/// A response to a request that is not given to the balancer.
-pub(super) struct Rejection {
+/// The response to an operator's call that is invalid or cannot be executed.
+pub(super) struct ErrorResponse {
     status: StatusCode,
     reason: &'static str,
     /// Methods for the `Allow` header.
     allow: Option<&'static str>,
 }
 
-impl Rejection {
+impl ErrorResponse {
     pub(super) const fn new(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
@@ -25,11 +27,11 @@
         }
     }
 
-    /// Rejects a method that the path does not have; `allowed` are those that it has.
-    pub(super) const fn method(allowed: &'static str) -> Self {
+    /// Makes the response to a method that the path does not have; `allowed` are those that it has.
+    pub(super) const fn method_not_allowed(allowed: &'static str) -> Self {
         Self {
             status: StatusCode::METHOD_NOT_ALLOWED,
-            reason: "not the method for this\n",
+            reason: METHOD_NOT_ALLOWED_TEXT,
             allow: Some(allowed),
         }
     }
@@ -37,14 +39,17 @@
     pub(super) fn into_response(self) -> Response<BufferedBody> {
         let mut response = plain(self.status, self.reason);
         if let Some(allowed) = self.allow {
-            response
-                .headers_mut()
-                .insert(header::ALLOW, HeaderValue::from_static(allowed));
+            set_allowed_methods(&mut response, HeaderValue::from_static(allowed));
         }
         response
     }
 }
 
+/// Names the methods that a path has, in a response to another one.
+pub(super) fn set_allowed_methods<B>(response: &mut Response<B>, allowed: HeaderValue) {
+    response.headers_mut().insert(header::ALLOW, allowed);
+}
+
 /// Makes a response of plain text.
 pub(super) fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<BufferedBody> {
     let mut response = Response::new(BufferedBody::from(text.into()));
@@ -55,11 +60,11 @@
     response
 }
 
-/// Makes the response to a request that the balancer rejected. `retry_after` is how long the client
-/// should wait before it retries; 0: not said.
+/// Makes the response to a request that the balancer rejected. Its cause is not part of the response. `retry_after` is how long the client should wait before it retries; 0: not
+/// said.
 pub(super) fn rejected(retry_after: Micros) -> Response<BufferedBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
-    let seconds = retry_after as f64 / MICROS_PER_SECOND;
+    let seconds = retry_after as f64 / MICROS_PER_SECOND as f64;
     if retry_after > 0
         && let Ok(seconds) = HeaderValue::try_from(format!("{seconds:.3}"))
     {
