--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -142,13 +142,13 @@
             Rc::clone(&counters),
         );
         let balancer = Balancer::new(settings.clone(), config.seed, clock.now())?;
-        let (poll_sender, poll_requests) = mpsc::unbounded_channel();
+        let (watch_request_sender, watch_requests) = mpsc::unbounded_channel();
         let (driver, handle) = Driver::new(
             balancer,
             clock,
             Rc::clone(&backends),
             driver_settings(settings),
-            poll_sender,
+            watch_request_sender,
             Rc::clone(&lifecycle),
         );
         let operator = Operator::new(
@@ -163,7 +163,7 @@
             Translator::new(clock, &config.names),
             handle.clone(),
             Rc::clone(&lifecycle),
-            polling(settings, poll_requests),
+            polling(settings, watch_requests),
         );
         let clients = Clients::new(
             handle,
@@ -193,11 +193,11 @@
     }
 }
 
-fn polling(settings: &Settings, requests: mpsc::UnboundedReceiver<()>) -> Option<Polling> {
+fn polling(settings: &Settings, watch_requests: mpsc::UnboundedReceiver<()>) -> Option<Polling> {
     match settings.discovery_mode {
         DiscoveryMode::Pushed => None,
         DiscoveryMode::Polled => Some(Polling::new(
-            requests,
+            watch_requests,
             settings.proxy_index,
             settings.proxy_count,
         )),
--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -1,13 +1,21 @@
 //! Timing of the calls to discovery.
 //!
-//! A change that discovery cannot deliver to a stalled watch counts as known to the proxy 6 s after
-//! the watch stalled, or 2 s after its long-poll timeout if that is later; after a change of
-//! discovery's address, 4 s later. By then the call has to be made again, and may have queued at
-//! discovery for 2 s.
+//! The operators' terms say when a change counts as known to the proxy although a watch could not deliver it:
+//! [`KNOWN_AFTER_STALL`] after the watch stalled, or [`KNOWN_AFTER_LONG_POLL`] after its long-poll timeout if that is
+//! later; [`KNOWN_AFTER_ADDRESS_CHANGE`] after a change of discovery's address. By then the watch has to be opened
+//! again, and the call for that may have queued at discovery for 2 s. The timeouts below are chosen so that it can be.
 
 use crate::spread::golden_ratio_position;
 use std::time::Duration;
 
+/// A term of the operators: a change counts as known this long after the watch stalled.
+pub const KNOWN_AFTER_STALL: Duration = Duration::from_secs(6);
+/// A term of the operators: a change does not count as known before this long after the stalled watch's long-poll
+/// timeout.
+pub const KNOWN_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
+/// A term of the operators: a change counts as known this long after discovery's address changed.
+pub const KNOWN_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
+
 /// Long-poll timeout where discovery is an agent on the same machine: bounds how long a broken call
 /// goes unnoticed.
 const PUSHED_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -23,13 +31,31 @@
 /// Timeout of a call that may queue at discovery, which keeps the place of a call that was dropped:
 /// a shorter one would make the queue longer.
 const QUEUED_CALL_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// Time after its long-poll timeout at which a watch that does not queue counts as stalled.
-/// Responses were seen to come within a millisecond.
+/// Time after its long-poll timeout at which a watch that does not queue counts as stalled: discovery answers at
+/// once then, so this is the time that the response may travel.
 const WATCH_STALL_DELAY: Duration = Duration::from_millis(250);
 /// Time between a failed call to an agent and the next one: short compared with the shortest drain
 /// grace period, 250 ms.
 pub const PUSHED_RETRY_DELAY: Duration = Duration::from_millis(100);
 
+const _: () = {
+    let pushed_retry_ms = PUSHED_LONG_POLL_TIMEOUT.as_millis()
+        + WATCH_STALL_DELAY.as_millis()
+        + PUSHED_RETRY_DELAY.as_millis();
+    assert!(
+        pushed_retry_ms < KNOWN_AFTER_STALL.as_millis(),
+        "a stalled watch on an agent is opened again before its changes count as known"
+    );
+    assert!(
+        WATCH_STALL_DELAY.as_millis() < KNOWN_AFTER_LONG_POLL.as_millis(),
+        "a stalled watch on a shared discovery fails before its changes count as known"
+    );
+    assert!(
+        QUEUED_CALL_TIMEOUT.as_millis() < KNOWN_AFTER_ADDRESS_CHANGE.as_millis(),
+        "the first call to a new address ends before its changes count as known"
+    );
+};
+
 /// The times of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallTiming {
--- a/src/proxy/discovery/mod.rs
+++ b/src/proxy/discovery/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! The [`Watcher`] fetches the complete list once and then follows its changes by long polling:
 //! each call names the revision that the proxy holds, and discovery answers once it has a newer one
-//! or the call's time is over. Discovery is either an agent on the same machine, called without
-//! pause, or a service that all proxies share, called when the balancer asks for it ([`Polling`]).
+//! or the call's time is over. Discovery is either an agent on the same machine, on which a watch is always
+//! open, or a service that all proxies share, where a watch is opened when the balancer wants one ([`Polling`]).
 //!
 //! | module | job |
 //! | --- | --- |
@@ -24,7 +24,10 @@
 mod wire;
 
 pub use error::DiscoveryError;
-pub use intervals::{CallTiming, PUSHED_RETRY_DELAY, polled_long_poll_timeout};
+pub use intervals::{
+    CallTiming, KNOWN_AFTER_ADDRESS_CHANGE, KNOWN_AFTER_LONG_POLL, KNOWN_AFTER_STALL,
+    PUSHED_RETRY_DELAY, polled_long_poll_timeout,
+};
 pub use translator::{EndpointList, Translator};
 pub use watcher::{Polling, Watcher};
 
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -17,12 +17,15 @@
 /// The resource that has the endpoint list.
 const ENDPOINT_LIST_PATH: &str = "/discovery/hosts";
 
-/// How discovery is called where all proxies share it: a watch is opened when the balancer asks for
-/// it.
+/// Opens a watch only when the balancer wants one
+/// ([`DiscoveryMode::Polled`](crate::api::DiscoveryMode::Polled)): discovery is a service that all proxies share, so
+/// the balancers limit how often all of them together open watches. Without it
+/// ([`DiscoveryMode::Pushed`](crate::api::DiscoveryMode::Pushed)) discovery is an agent on the same machine, on which
+/// the watcher always holds a watch. In both modes a watch is a sequence of long polls.
 #[derive(Debug)]
 pub struct Polling {
-    /// The balancer's requests to open a watch.
-    requests: mpsc::UnboundedReceiver<()>,
+    /// Receives a value whenever the balancer wants a watch to be opened.
+    watch_requests: mpsc::UnboundedReceiver<()>,
     /// Long-poll timeout of a watch that is continued.
     long_poll_timeout: Duration,
 }
@@ -30,25 +33,29 @@
 impl Polling {
     /// Creates the polling of one proxy.
     #[must_use]
-    pub fn new(requests: mpsc::UnboundedReceiver<()>, proxy_index: u32, proxy_count: u32) -> Self {
+    pub fn new(
+        watch_requests: mpsc::UnboundedReceiver<()>,
+        proxy_index: u32,
+        proxy_count: u32,
+    ) -> Self {
         Self {
-            requests,
+            watch_requests,
             long_poll_timeout: polled_long_poll_timeout(proxy_index, proxy_count),
         }
     }
 
-    /// Waits until the balancer asks for a watch.
-    async fn requested(&mut self) {
+    /// Waits until the balancer wants a watch to be opened.
+    async fn watch_requested(&mut self) {
         // The driver, which holds the sender, ends only with the process.
-        if self.requests.recv().await.is_none() {
+        if self.watch_requests.recv().await.is_none() {
             std::future::pending::<()>().await;
         }
         self.discard_requests();
     }
 
-    /// Discards the requests that the last call has answered.
+    /// Discards the requests that came before the last call ended: it was made for them too.
     fn discard_requests(&mut self) {
-        while self.requests.try_recv().is_ok() {}
+        while self.watch_requests.try_recv().is_ok() {}
     }
 }
 
@@ -61,7 +68,7 @@
     Watching,
     /// The last call failed.
     Failed,
-    /// Discovery has a new address: it is called at once, also where it is polled.
+    /// Discovery has a new address: a watch is opened there at once, also where it is polled.
     AddressChanged,
 }
 
@@ -83,7 +90,7 @@
 
 impl Watcher {
     /// Creates a watcher that has made no call. With `polling` it opens a watch only when the
-    /// balancer asks for one.
+    /// balancer wants one.
     #[must_use]
     pub fn new(
         addresses: watch::Receiver<SocketAddr>,
@@ -123,7 +130,7 @@
             }
             Err(error) => tracing::warn!(%error, "no cached endpoint list"),
         }
-        // An empty one is sent too: it makes the balancer ask for a watch.
+        // An empty one is sent too: it makes the balancer open a watch.
         self.send(MembershipUpdate::Cached(endpoints));
     }
 
@@ -157,7 +164,10 @@
                     self.state = WatchState::Watching;
                     self.publish(list);
                 }
-                Err(error) => self.on_failure(&error).await,
+                Err(error) => {
+                    self.on_failure(&error);
+                    self.after_failure(&error).await;
+                }
             }
         }
     }
@@ -167,7 +177,7 @@
             WatchState::Watching | WatchState::AddressChanged => {}
             WatchState::Starting | WatchState::Failed => {
                 if let Some(polling) = &mut self.polling {
-                    polling.requested().await;
+                    polling.watch_requested().await;
                 }
             }
         }
@@ -183,19 +193,28 @@
         }
     }
 
-    /// Logs the first of consecutive failures. The balancer decides when a shared discovery is
-    /// called again; an agent is called again after a short delay.
-    async fn on_failure(&mut self, error: &DiscoveryError) {
+    /// Records a failed call: logs the first of consecutive failures, and drops the connection.
+    fn on_failure(&mut self, error: &DiscoveryError) {
         if self.state != WatchState::Failed {
             tracing::warn!(%error, "call to discovery failed");
         }
         self.client.disconnect();
         self.state = WatchState::Failed;
-        let Some(polling) = &mut self.polling else {
-            sleep(PUSHED_RETRY_DELAY).await;
-            return;
-        };
-        polling.discard_requests();
+    }
+
+    /// Prepares the next call. The balancer decides when a watch is opened again on a shared discovery, so it is
+    /// notified; a watch on an agent is opened again after a short delay.
+    async fn after_failure(&mut self, error: &DiscoveryError) {
+        match &mut self.polling {
+            None => sleep(PUSHED_RETRY_DELAY).await,
+            Some(polling) => {
+                polling.discard_requests();
+                self.notify_of_failure(error);
+            }
+        }
+    }
+
+    fn notify_of_failure(&self, error: &DiscoveryError) {
         let update = match error {
             DiscoveryError::Timeout => MembershipUpdate::WatchStalled,
             _ => MembershipUpdate::WatchFailed,
--- a/src/proxy/driver/actions.rs
+++ b/src/proxy/driver/actions.rs
@@ -45,8 +45,8 @@
                 self.timers.set(due, DriverTimer::Balancer(token));
             }
             Action::Subscribe => {
-                // Nobody receives it where discovery sends changes by itself.
-                let _ = self.poll_requests.send(());
+                // Nothing receives it where discovery is an agent: the watch on it is always open.
+                let _ = self.watch_requests.send(());
             }
             Action::HealthCheck(backend) => self.start_health_check(backend),
             Action::CloseIdleConnections(backend) => self.backends.close_idle(backend),
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -51,8 +51,8 @@
     lifecycle: Rc<Lifecycle>,
     handle: Handle,
     messages: mpsc::UnboundedReceiver<Message>,
-    /// Asks the discovery watcher to open a watch, where discovery is polled.
-    poll_requests: mpsc::UnboundedSender<()>,
+    /// Tells the discovery watcher to open a watch. Nothing receives it unless discovery is polled.
+    watch_requests: mpsc::UnboundedSender<()>,
     requests: PendingRequests,
     timers: DriverTimers,
     /// Attempts and health checks that ended, and that the balancer was not notified of yet.
@@ -63,14 +63,14 @@
 
 impl Driver {
     /// Creates a driver with no requests, and the handle that other tasks send messages with.
-    /// `poll_requests` receives a value whenever the balancer wants a watch on discovery.
+    /// `watch_requests` is sent a value whenever the balancer wants a watch to be opened on discovery.
     #[must_use]
     pub fn new(
         balancer: Balancer,
         clock: Clock,
         backends: Rc<Backends>,
         settings: DriverSettings,
-        poll_requests: mpsc::UnboundedSender<()>,
+        watch_requests: mpsc::UnboundedSender<()>,
         lifecycle: Rc<Lifecycle>,
     ) -> (Self, Handle) {
         let (handle, messages) = Handle::channel();
@@ -82,7 +82,7 @@
             lifecycle,
             handle: handle.clone(),
             messages,
-            poll_requests,
+            watch_requests,
             requests: PendingRequests::default(),
             timers: DriverTimers::default(),
             completions: VecDeque::new(),
