--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -75,7 +75,8 @@
             Ok(connection) => connection,
             Err(outcome) => return outcome.into(),
         };
-        // Rule 3: while the connection came up, the backend may have begun to drain or have been replaced.
+        // While the connection was established, the backend may have begun to drain or have been replaced; it gets
+        // no new request then (rule 3).
         if !self.endpoint.is_ready() || connection.generation != self.endpoint.generation() {
             return Outcome::NotSent.into();
         }
@@ -92,9 +93,8 @@
         };
         let complete_at = prepared.complete_at;
         let exchanged = self.exchange(&mut connection, prepared, &mut cancel).await;
-        // Rule 2: a request that the socket did not take completely cannot run; of anything else nothing is
-        // certain. Reading the count and dropping the connection happen in one step, so nothing more is written
-        // in between.
+        // A request that the socket did not take completely cannot run, and any other may have run (rule 2). Reading
+        // the count and dropping the connection happen in one step, so nothing more is written in between.
         let is_written = self.is_written(connection.socket.written(), complete_at);
         match exchanged {
             Ok(response) if is_written => {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Returns whether the request is complete on a connection that took this many bytes. One that is streamed
+    /// Returns whether the request is complete on a connection that took this many bytes. A request that is streamed
     /// without a length is complete at the end of its body.
     fn is_written(&self, written: u64, complete_at: Option<u64>) -> bool {
         match complete_at {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Returns the result of a response that came behind the complete request.
+    /// Returns the result of a response that came after the request was written completely.
     async fn on_response(
         &self,
         response: BackendResponse,
@@ -221,9 +221,9 @@
         relay_body(sender, body, cancel, &self.call.over).await
     }
 
-    /// Returns the result of a response that came ahead of the complete request. Rule 2: kept, the connection
-    /// would take the rest of a request that is over, and that would run. A good response can't be the
-    /// request's own.
+    /// Returns the result of a response that came before the request was written completely. The connection is not
+    /// kept: it would take the rest of a request that is over, which would then run (rule 2). A 200 response can't
+    /// be the request's own.
     fn early_response(&self, response: BackendResponse) -> AttemptResult {
         let result = response.into_result(&self.backends.load_reports);
         if result.outcome == Outcome::Ok {
@@ -237,10 +237,10 @@
     fn failure(&self, error: &BackendError, is_written: bool) -> Outcome {
         tracing::debug!(backend = %self.endpoint.address(), %error, "attempt failed");
         if !is_written && self.is_broken_by_client() {
-            // It is reported of no backend.
+            // The backend is not at fault.
             Outcome::NotSent
         } else if error.is_malformed() {
-            // Also ahead of the complete request: nobody knows what an early response means.
+            // Also before the request was written completely: the meaning of such a response is unknown.
             Outcome::CorruptResponse
         } else if error.is_cancelled() && is_written {
             Outcome::Cancelled
--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -5,7 +5,7 @@
 use crate::proxy::bodies::RequestBody;
 use crate::proxy::counters::Counters;
 use crate::proxy::dial::connect;
-use crate::proxy::limits::BACKEND_HEAD_CAP;
+use crate::proxy::limits::MAX_BACKEND_HEAD_BYTES;
 use crate::proxy::socket::{Socket, Unread};
 use crate::proxy::socket_io::{ObservedSocket, SocketIo};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -161,7 +161,7 @@
             Rc::clone(&self.counters),
         ));
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BACKEND_HEAD_CAP)
+            .max_buf_size(MAX_BACKEND_HEAD_BYTES)
             .handshake(TokioIo::new(SocketIo::new(&socket)))
             .await
             .map_err(BackendError::Handshake)?;
--- a/src/proxy/backends/exchange.rs
+++ b/src/proxy/backends/exchange.rs
@@ -4,7 +4,7 @@
 use super::response::{BackendBody, BackendResponse, PartialBody, ResponseHead};
 use crate::proxy::bodies::{BodyBuffer, RequestBody, next_data};
 use crate::proxy::header_values::connection_options;
-use crate::proxy::limits::{BODY_CAP, FORWARDED_BODY_CAP};
+use crate::proxy::limits::{BUFFERED_BODY_BYTES, MAX_FORWARDED_BODY_BYTES};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::SendRequest;
 use hyper::header::TRANSFER_ENCODING;
@@ -82,19 +82,20 @@
 
 /// Returns whether a body may still fit into what is buffered of one.
 fn may_fit(length: Option<u64>, buffer: &BodyBuffer) -> bool {
-    length.is_none_or(|length| length <= BODY_CAP as u64) && buffer.len() <= BODY_CAP
+    length.is_none_or(|length| length <= BUFFERED_BODY_BYTES as u64)
+        && buffer.len() <= BUFFERED_BODY_BYTES
 }
 
 /// Returns whether the response may become complete. Where it may not, failing at once leaves time for another
-/// attempt: the rest of a response of gigabytes would be read for nothing. One that only the end of its
-/// connection ends has to announce that, or it could not be distinguished from one whose length was lost.
+/// attempt: the rest of a response of gigabytes would be read for nothing. A response that ends with its connection
+/// has to announce that, or it could not be distinguished from a response whose length was lost.
 fn can_become_complete(response: &Response<Incoming>) -> bool {
     let length = response.body().size_hint();
     let has_end = length.exact().is_some()
         || response.headers().contains_key(TRANSFER_ENCODING)
         || closes_connection(response);
     has_end
-        && length.lower() <= FORWARDED_BODY_CAP
+        && length.lower() <= MAX_FORWARDED_BODY_BYTES
         && response.status() != StatusCode::SWITCHING_PROTOCOLS
 }
 
--- a/src/proxy/backends/load_report.rs
+++ b/src/proxy/backends/load_report.rs
@@ -11,7 +11,7 @@
         Self { fields }
     }
 
-    /// Returns the values in the order of the fields. One that the report lacks is not a number.
+    /// Returns the values in the order of the fields; a field that the report lacks is NaN.
     pub(super) fn parse(&self, report: &str) -> Vec<f32> {
         self.fields
             .iter()
--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -12,7 +12,7 @@
 
 /// How often idle connections are checked for their age.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a connection may take to become ready again behind its response.
+/// How long a connection may take to become ready again after its response.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long before its idle timeout a connection is no longer used: the backend's clock started earlier.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -5,7 +5,7 @@
 use super::response::PartialBody;
 use crate::api::Outcome;
 use crate::proxy::bodies::{BodyDeadline, BufferedBody, ResponseSender, next_data};
-use crate::proxy::limits::{BODY_CAP, FORWARDED_BODY_CAP, RESPONSE_STALL_TIMEOUT};
+use crate::proxy::limits::{BUFFERED_BODY_BYTES, MAX_FORWARDED_BODY_BYTES, RESPONSE_STALL_TIMEOUT};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use std::time::Duration;
@@ -76,7 +76,7 @@
             request_over.wait().await;
             sleep_until(late_at).await;
         };
-        let may_be_endless = self.length.is_none() && self.forwarded <= BODY_CAP as u64;
+        let may_be_endless = self.length.is_none() && self.forwarded <= BUFFERED_BODY_BYTES as u64;
         tokio::select! {
             biased;
             received = timeout(RESPONSE_STALL_TIMEOUT, next_data(&mut self.rest)) => match received {
@@ -93,7 +93,7 @@
     /// Forwards data once the client's side takes it.
     async fn forward(&mut self, data: Bytes) -> Result<(), Outcome> {
         self.forwarded += data.len() as u64;
-        if self.forwarded > FORWARDED_BODY_CAP {
+        if self.forwarded > MAX_FORWARDED_BODY_BYTES {
             return Err(Outcome::CorruptResponse);
         }
         self.sender
--- a/src/proxy/backends/stray_bytes.rs
+++ b/src/proxy/backends/stray_bytes.rs
@@ -4,28 +4,30 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection rests behind a response before it carries another request, where second responses were
-/// seen lately. They come some milliseconds behind the first; with a request in flight, one would be taken for
-/// its response.
+/// How long a connection is not used again after a response, while stray bytes are recent. A second response comes
+/// some milliseconds after the first; with another request in flight, it would be taken for that request's response.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
-/// How long a second response counts as seen lately.
-const MEMORY: Duration = Duration::from_secs(60);
+/// How long stray bytes on any connection count as recent.
+const RECENT_STRAY_BYTES: Duration = Duration::from_secs(60);
 
 /// When bytes last came that belong to no request, on any connection.
 #[derive(Default)]
 pub(super) struct StrayBytes(Cell<Option<Instant>>);
 
 impl StrayBytes {
-    /// Records that some came now.
+    /// Records that stray bytes came now.
     pub(super) fn record(&self) {
         self.0.set(Some(Instant::now()));
     }
 
-    /// Returns how long a connection rests behind a response. Departure: it rests only where second responses
-    /// were seen lately; elsewhere the delay would cost capacity for nothing.
+    /// Returns how long a connection is not used again after a response. Departure: there is a delay only while stray
+    /// bytes are recent; elsewhere it would cost capacity for nothing.
     pub(super) fn reuse_delay(&self) -> Duration {
-        let seen_lately = self.0.get().is_some_and(|at| at.elapsed() < MEMORY);
-        if seen_lately {
+        let are_recent = self
+            .0
+            .get()
+            .is_some_and(|last| last.elapsed() < RECENT_STRAY_BYTES);
+        if are_recent {
             REUSE_DELAY
         } else {
             Duration::ZERO
--- a/src/proxy/bodies/buffered.rs
+++ b/src/proxy/bodies/buffered.rs
@@ -1,7 +1,7 @@
 //! Bodies that are buffered completely.
 
 use super::stream::{BodyError, FramePoll};
-use crate::proxy::limits::BODY_CAP;
+use crate::proxy::limits::BUFFERED_BODY_BYTES;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::collections::VecDeque;
@@ -66,7 +66,7 @@
 }
 
 /// Collects a body as it comes. A single piece is held without a copy; several are copied to pieces of
-/// [`BODY_CAP`] bytes: a buffer that grows in place leaves as much memory unused as a large body takes.
+/// [`BUFFERED_BODY_BYTES`] bytes: a buffer that grows in place leaves as much memory unused as a large body takes.
 #[derive(Default)]
 pub struct BodyBuffer {
     /// The pieces that are full.
@@ -84,7 +84,7 @@
         }
         if self.last.is_empty()
             && self.full.pieces.len() == 1
-            && self.full.remaining < BODY_CAP as u64
+            && self.full.remaining < BUFFERED_BODY_BYTES as u64
         {
             // The first one was not copied.
             let first = std::mem::take(&mut self.full);
@@ -99,12 +99,12 @@
         while !data.is_empty() {
             // Most bodies are small; what is larger than one piece takes whole ones.
             if self.last.is_empty() && !self.full.pieces.is_empty() {
-                self.last.reserve_exact(BODY_CAP);
+                self.last.reserve_exact(BUFFERED_BODY_BYTES);
             }
-            let fitting = data.len().min(BODY_CAP - self.last.len());
+            let fitting = data.len().min(BUFFERED_BODY_BYTES - self.last.len());
             let (copied, rest) = data.split_at(fitting);
             self.last.extend_from_slice(copied);
-            if self.last.len() == BODY_CAP {
+            if self.last.len() == BUFFERED_BODY_BYTES {
                 self.finish_piece();
             }
             data = rest;
--- a/src/proxy/bodies/buffered/tests.rs
+++ b/src/proxy/bodies/buffered/tests.rs
@@ -16,7 +16,8 @@
         let sizes: Vec<_> = held.pieces.iter().map(Bytes::len).collect();
         let (last, others) = sizes.split_last().expect("a piece");
         assert!(
-            others.iter().all(|&len| len == BODY_CAP) && *last <= BODY_CAP.max(size),
+            others.iter().all(|&len| len == BUFFERED_BODY_BYTES)
+                && *last <= BUFFERED_BODY_BYTES.max(size),
             "{sizes:?}"
         );
     }
--- a/src/proxy/bodies/streamed.rs
+++ b/src/proxy/bodies/streamed.rs
@@ -39,7 +39,7 @@
             .map_err(|_| ReceiverClosed)
     }
 
-    /// Marks the response as complete. One whose sender is dropped without this has broken off.
+    /// Marks the response as complete. A response whose sender is dropped before has broken off.
     pub async fn finish(self) {
         let _ = self.0.send(Piece::End).await;
     }
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -4,7 +4,7 @@
 use super::{BodyDeadline, BufferedBody};
 use crate::proxy::budget::Reservation;
 use crate::proxy::counters::Counters;
-use crate::proxy::limits::FORWARDED_BODY_CAP;
+use crate::proxy::limits::MAX_FORWARDED_BODY_BYTES;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -123,7 +123,7 @@
     fn forward(&mut self, data: Bytes) -> FramePoll {
         self.progress.consumed.set(true);
         self.length.forward(data.len());
-        if self.length.forwarded() > FORWARDED_BODY_CAP {
+        if self.length.forwarded() > MAX_FORWARDED_BODY_BYTES {
             return self.fail(BodyError::TooLarge);
         }
         if self.length.is_complete() {
--- a/src/proxy/budget.rs
+++ b/src/proxy/budget.rs
@@ -1,6 +1,6 @@
 //! Division of the limits on memory and descriptors between clients, backends and bodies.
 
-use super::limits::{BACKEND_HEAD_CAP, BODY_CAP, CLIENT_HEAD_CAP};
+use super::limits::{BUFFERED_BODY_BYTES, MAX_BACKEND_HEAD_BYTES, MAX_CLIENT_HEAD_BYTES};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -33,8 +33,10 @@
         // connection.
         let client_sockets = sockets * 3 / 5;
         let backend_sockets = sockets - client_sockets;
-        let clients = client_sockets.min(2 * fifth_bytes / (CLIENT_HEAD_CAP + BODY_CAP));
-        let backends = backend_sockets.min(fifth_bytes / (BACKEND_HEAD_CAP + BODY_CAP));
+        let clients =
+            client_sockets.min(2 * fifth_bytes / (MAX_CLIENT_HEAD_BYTES + BUFFERED_BODY_BYTES));
+        let backends =
+            backend_sockets.min(fifth_bytes / (MAX_BACKEND_HEAD_BYTES + BUFFERED_BODY_BYTES));
         Self {
             clients: clients.max(1),
             backends: backends.max(1),
--- a/src/proxy/budget/tests.rs
+++ b/src/proxy/budget/tests.rs
@@ -10,8 +10,8 @@
     ] {
         let budget = Budget::of(descriptors, memory_mb, 37, processes);
         let bodies = budget.bodies.available.load(Ordering::Relaxed);
-        let held = budget.clients * (CLIENT_HEAD_CAP + BODY_CAP)
-            + budget.backends * (BACKEND_HEAD_CAP + BODY_CAP)
+        let held = budget.clients * (MAX_CLIENT_HEAD_BYTES + BUFFERED_BODY_BYTES)
+            + budget.backends * (MAX_BACKEND_HEAD_BYTES + BUFFERED_BODY_BYTES)
             + bodies;
         assert!(
             processes * held <= (memory_mb << 20) / 5 * 4,
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -1,4 +1,4 @@
-//! A client's request: checked, described for the balancer, and its body read as far as it is to be buffered.
+//! A client's request: checked, described for the balancer, and its body read as far as it is buffered.
 
 use super::error::InvalidRequest;
 use super::headers::{
@@ -12,7 +12,7 @@
 use crate::proxy::budget::Reservation;
 use crate::proxy::clock::MICROS_PER_MILLI;
 use crate::proxy::header_values::{REMAINING_TIME_MS, parse_decimal};
-use crate::proxy::limits::{BODY_CAP, FORWARDED_BODY_CAP};
+use crate::proxy::limits::{BUFFERED_BODY_BYTES, MAX_FORWARDED_BODY_BYTES};
 use crate::proxy::messages::Inbound;
 use hyper::Request;
 use hyper::body::{Body, Incoming};
@@ -24,19 +24,19 @@
 use tokio::time::timeout_at;
 
 /// A request's body beyond the usual size is buffered up to this many bytes, while there is memory for it.
-const BUFFER_CAP: usize = 2 << 20;
+const MAX_BUFFERED_BYTES: usize = 2 << 20;
 /// The longest timeout that is understood: an hour.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
 impl Clients {
-    /// Reads a request completely, or as far as it is to be buffered.
+    /// Reads a request completely, or as far as it is buffered.
     pub(super) async fn read_request(
         &self,
         request: Request<Incoming>,
         deadline: BodyDeadline,
     ) -> Result<Inbound, InvalidRequest> {
         let (head, body) = request.into_parts();
-        if body.size_hint().lower() > FORWARDED_BODY_CAP {
+        if body.size_hint().lower() > MAX_FORWARDED_BODY_BYTES {
             return Err(InvalidRequest::BodyTooLarge);
         }
         let mut request = self.describe(&head)?;
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Reads a request's body as far as it is to be buffered. The rest is streamed.
+    /// Reads a request's body as far as it is buffered. The rest is streamed.
     async fn read_body(
         &self,
         mut body: Incoming,
@@ -71,10 +71,10 @@
         let may_fit = body
             .size_hint()
             .exact()
-            .is_none_or(|length| length <= BUFFER_CAP as u64);
+            .is_none_or(|length| length <= MAX_BUFFERED_BYTES as u64);
         let mut buffer = BodyBuffer::default();
         let mut reserved = Vec::new();
-        while may_fit && buffer.len() <= BUFFER_CAP {
+        while may_fit && buffer.len() <= MAX_BUFFERED_BYTES {
             let late_at = deadline.after(buffer.len() as u64);
             let received = timeout_at(late_at, next_data(&mut body))
                 .await
@@ -94,8 +94,8 @@
     /// Reserves memory for what is buffered of a body. Returns false where none is left. It is reserved as the
     /// bytes come: a slow client takes no more than it has sent.
     fn reserve_memory(&self, buffered: usize, reserved: &mut Vec<Reservation>) -> bool {
-        while buffered > (reserved.len() + 1) * BODY_CAP {
-            let Some(memory) = self.budget.bodies.reserve(BODY_CAP) else {
+        while buffered > (reserved.len() + 1) * BUFFERED_BODY_BYTES {
+            let Some(memory) = self.budget.bodies.reserve(BUFFERED_BODY_BYTES) else {
                 return false;
             };
             reserved.push(memory);
@@ -189,7 +189,8 @@
         .ok_or(InvalidRequest::InvalidTimeout)
 }
 
-/// Returns the key of a request by which the balancer prefers backends: its number, or a hash.
+/// Returns the key of a request's query: its hexadecimal number, or a hash of it. The balancer is given it, but its
+/// decisions do not use it.
 fn affinity_key(query: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(name, _)| *name == "key")?;
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -18,7 +18,7 @@
 use super::connections::{ClientConnection, ClientConnections};
 use super::counters::Counters;
 use super::lifecycle::Lifecycle;
-use super::limits::{ACCEPT_BACKOFF, CLIENT_HEAD_CAP};
+use super::limits::{ACCEPT_BACKOFF, MAX_CLIENT_HEAD_BYTES};
 use super::messages::Handle;
 use crate::api::{ClassIndex, Idempotency, Micros, Settings, TenantIndex};
 use crate::settings_json::Names;
@@ -129,8 +129,9 @@
         self.accepted_at.get().elapsed()
     }
 
-    /// Waits until a client connection has ended, or may be cheaper to close than before.
-    pub async fn connection_ended(&self) {
+    /// Waits until a client connection has ended, or may be cheaper to close than before: that no connection has ended
+    /// when this returns is possible, so the caller checks again.
+    pub async fn connection_freed(&self) {
         self.connection_freed.notified().await;
     }
 
@@ -156,7 +157,6 @@
         }
     }
 
-    /// Starts to serve a connection.
     fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
         self.accepted_at.set(Instant::now());
         self.open.set(self.open.get() + 1);
@@ -188,10 +188,10 @@
         }
     }
 
-    /// Serves a connection, listed among the open ones.
+    /// Serves a connection, which can be evicted meanwhile.
     async fn connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let connection = Rc::new(ClientConnection::new(stream, CLIENT_HEAD_CAP));
+        let connection = Rc::new(ClientConnection::new(stream, MAX_CLIENT_HEAD_BYTES));
         let number = self.connections.borrow_mut().add(&connection);
         self.serve(&connection).await;
         self.connections.borrow_mut().remove(number);
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -8,7 +8,7 @@
 use crate::proxy::bodies::{BodyDeadline, BufferedBody, ResponseBody, ServedBody};
 use crate::proxy::connections::ClientConnection;
 use crate::proxy::counters::{RequestOutcome, RequestTicket};
-use crate::proxy::limits::REQUEST_TIME;
+use crate::proxy::limits::REQUEST_TIMEOUT;
 use crate::proxy::messages::{Answer, Handle, Inbound, Message};
 use crate::proxy::responses::{close, plain, rejected};
 use crate::proxy::socket_io::ObservedSocket;
@@ -34,9 +34,9 @@
     ) -> Response<ResponseBody> {
         let now = Instant::now();
         let late_at = if number == 1 {
-            connection.connected_at() + REQUEST_TIME
+            connection.connected_at() + REQUEST_TIMEOUT
         } else {
-            now + REQUEST_TIME
+            now + REQUEST_TIMEOUT
         };
         let deadline = BodyDeadline {
             grace_ends: late_at.max(now + MIN_BODY_TIME),
@@ -62,7 +62,8 @@
         number: u64,
         deadline: BodyDeadline,
     ) -> Result<Response<ResponseBody>, InvalidRequest> {
-        // Rule 2: a backend that reads the other end of the body would run a part of it as a request.
+        // A backend that reads the other end of the body would run a part of it as a request, which no client sent
+        // (rule 2).
         if connection.is_ambiguous(number) {
             return Err(InvalidRequest::AmbiguousBody);
         }
@@ -70,15 +71,15 @@
         self.forward(inbound, connection).await
     }
 
-    /// Returns whether the front asks if this proxy serves. A class may have the name of that path; its requests
-    /// name it in a header.
+    /// Returns whether this is the health check that the load balancer in front of the proxies makes. A class may have
+    /// the name of its path; requests of the class name it in a header.
     fn is_health_check(&self, request: &Request<Incoming>) -> bool {
         let names_a_class =
             self.classes.contains_key("up") && request.headers().contains_key(SERVICE_CLASS);
         request.uri().path() == "/up" && !names_a_class
     }
 
-    /// Returns the response to the front's health check.
+    /// Returns the response to the health check.
     fn health(&self) -> Response<BufferedBody> {
         if self.lifecycle.is_in_service() {
             plain(StatusCode::OK, "up\n")
@@ -97,7 +98,7 @@
         if connection.is_closed_by_client() {
             return Err(InvalidRequest::ClientDisconnected);
         }
-        // Rule 2: forwarded, a second request of the same id would be a second copy of the first.
+        // A second request of the same id could run as a second copy of the first (rule 2).
         let Some(_id) = OpenId::claim(&self.ids, &inbound.call.headers) else {
             return Err(InvalidRequest::DuplicateRequest);
         };
@@ -185,7 +186,7 @@
     response
 }
 
-/// Notifies the driver when a client leaves while its request is open: its connection then drops the future of
+/// Notifies the driver when a client disconnects while its request is open: its connection then drops the future of
 /// the response.
 struct DisconnectGuard<'a> {
     handle: &'a Handle,
@@ -195,7 +196,7 @@
 }
 
 impl DisconnectGuard<'_> {
-    /// Ends the watch, because the request has its answer.
+    /// Makes the guard send nothing, because the request has its answer.
     fn disarm(mut self) {
         self.is_armed = false;
     }
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -3,7 +3,7 @@
 use super::Clients;
 use crate::proxy::bodies::ResponseBody;
 use crate::proxy::connections::ClientConnection;
-use crate::proxy::limits::{CLIENT_HEAD_CAP, REQUEST_TIME};
+use crate::proxy::limits::{CLIENT_IDLE_TIMEOUT, MAX_CLIENT_HEAD_BYTES};
 use crate::proxy::socket_io::{ObservedSocket, SocketIo};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -130,7 +130,7 @@
         http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(None)
-            .max_buf_size(CLIENT_HEAD_CAP)
+            .max_buf_size(MAX_CLIENT_HEAD_BYTES)
             .serve_connection(TokioIo::new(SocketIo::new(connection)), service)
     }
 }
@@ -193,7 +193,7 @@
         DeadlineState::CheckAgainAt(match deadline {
             _ if is_late => now + RECHECK_INTERVAL,
             Some(deadline) => deadline,
-            None => now + REQUEST_TIME / 4,
+            None => now + CLIENT_IDLE_TIMEOUT / 4,
         })
     }
 }
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -1,9 +1,9 @@
-//! The clients' connections as they look from outside: the state of each one, since when, and what it would
-//! cost to close it.
+//! The state of each client connection, as its deadline and its eviction need it: what the client and the proxy do
+//! on it, since when, and what it would cost to close it.
 
 use super::budget::MemoryBudget;
 use super::framing::Framing;
-use super::limits::{REQUEST_TIME, RESPONSE_STALL_TIMEOUT};
+use super::limits::{CLIENT_IDLE_TIMEOUT, RESPONSE_STALL_TIMEOUT};
 use super::read_ahead::{READ_PIECE, ReadAhead};
 use super::socket::{Socket, Unread};
 use super::socket_io::ObservedSocket;
@@ -19,20 +19,22 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a client may take for a head. For the first one on a connection this counts from the accept.
-const HEAD_TIME: Duration = Duration::from_millis(2_750);
+/// Time in which a client has to send a head, and for which bytes that belong to no open request are read. For the
+/// first head on a connection it counts from the accept, for others from their first byte.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2_750);
 
-/// A connection with activity this lately may well go on.
+/// A connection that has brought no complete request yet is closed last to make room for another client while its last
+/// activity is more recent than this: the request may still be on its way.
 const ACTIVE_WINDOW: Duration = Duration::from_millis(500);
 
 /// The state of a connection, as its deadline and its eviction need it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// Its client reads more slowly than its response comes.
+    /// The client reads more slowly than its response comes.
     WriteBlocked,
     /// It has a request without a complete response.
     Serving,
-    /// It never brought a byte of a request.
+    /// No byte of a request has come yet.
     Unused,
     /// It had requests and has none now.
     Idle,
@@ -51,11 +53,11 @@
     Idle,
     /// A part of a head has come, and nothing more for a while.
     PartialHead,
-    /// It may bring a request at any moment: it came just now, or its head is coming.
+    /// A request may come at any moment: the connection is new, or a head is coming.
     Active,
 }
 
-/// One connection of a client.
+/// A connection of a client.
 pub struct ClientConnection {
     socket: Socket,
     ahead: RefCell<ReadAhead>,
@@ -70,14 +72,14 @@
     responses: Cell<u64>,
     /// Its client reads more slowly than its response comes.
     write_blocked: Cell<bool>,
-    /// Tells its task to close it, so that another client can be accepted.
+    /// Tells the connection's task to close it, so that another client can be accepted.
     eviction: Notify,
     /// The task was notified, and has not checked yet.
     eviction_pending: Cell<bool>,
 }
 
 impl ClientConnection {
-    /// Creates one that was accepted now, whose heads may have so many bytes.
+    /// Creates a connection that was accepted now. `head_cap` is the largest head, in bytes.
     #[must_use]
     pub fn new(stream: TcpStream, head_cap: usize) -> Self {
         let now = Instant::now();
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Returns whether its client has closed it, as far as the runtime knows, whatever is still unread.
+    /// Returns whether the client has closed the connection, as far as the runtime knows, whatever is still unread.
     #[must_use]
     pub fn is_closed_by_client(&self) -> bool {
         pin!(self.socket.closed_by_peer())
@@ -104,9 +106,9 @@
             .is_ready()
     }
 
-    /// Waits until its client has closed it. What the client sends meanwhile is read ahead, as far as there is
-    /// `memory` for it: behind more than the kernel takes, the end would not be seen. Whatever of the request
-    /// itself is still to come would be read as well, so it has to be complete.
+    /// Waits until the client has closed the connection. What the client sends meanwhile is read ahead, as far as
+    /// there is `memory` for it: the end would not be seen after more bytes than the kernel buffers. The present
+    /// request must be complete, because the rest of it would be read ahead as well.
     pub async fn closed_by_client(&self, memory: &MemoryBudget) {
         tokio::select! {
             () = self.socket.closed_by_peer() => {}
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Reads ahead until its client has closed it.
+    /// Reads ahead until the client has closed the connection.
     async fn read_ahead(&self, memory: &MemoryBudget) {
         while self.socket.has_bytes().await {
             if !self.ahead.borrow_mut().make_room(memory) {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Returns when it was accepted.
+    /// Returns when the connection was accepted.
     #[must_use]
     pub fn connected_at(&self) -> Instant {
         self.connected_at
@@ -140,18 +142,18 @@
         self.requests.get()
     }
 
-    /// Ends a request, which has its response or the last byte of it.
+    /// Ends the present request: its response is complete, or ready to be written completely.
     pub fn end_request(&self) {
         self.responses.set(self.responses.get() + 1);
     }
 
-    /// Returns whether the body of that request can be read in two ways.
+    /// Returns whether the end of the body of the request of that number is ambiguous.
     #[must_use]
     pub fn is_ambiguous(&self, number: u64) -> bool {
         self.framing.borrow().is_ambiguous(number)
     }
 
-    /// Returns whether no request is on it, nor a part of one, not even in the kernel.
+    /// Returns whether the connection has no request and no part of one, not even unread bytes in the kernel.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let is_idle = matches!(
@@ -161,19 +163,20 @@
         is_idle && !self.has_unread()
     }
 
-    /// Returns whether no complete request is on it, as far as the kernel knows.
+    /// Returns whether the connection may be closed to make room: it has no complete request, and no unread bytes
+    /// that may be one.
     #[must_use]
     pub fn is_evictable(&self) -> bool {
         self.eviction_cost().is_some() && !self.has_unread()
     }
 
-    /// Returns whether bytes wait that were not read yet.
+    /// Returns whether bytes have come that were not read yet.
     #[must_use]
     pub fn has_unread(&self) -> bool {
         !self.ahead.borrow().is_empty() || self.socket.unread() == Unread::Bytes
     }
 
-    /// Returns when its client has taken too long, where it is the client's turn.
+    /// Returns when the client will have taken too long; `None` while the proxy has to respond.
     #[must_use]
     pub fn deadline(&self) -> Option<Instant> {
         match self.state() {
@@ -182,27 +185,27 @@
                 Some(self.last_activity.get() + RESPONSE_STALL_TIMEOUT)
             }
             ConnectionState::Unused | ConnectionState::Idle => {
-                Some(self.last_activity.get() + REQUEST_TIME)
+                Some(self.last_activity.get() + CLIENT_IDLE_TIMEOUT)
             }
-            // What is malformed is the library's to reject, and has no longer than a head.
+            // The library rejects what is malformed. It has as long as a head, or it could stay open for ever.
             ConnectionState::ReadingHead | ConnectionState::Discarding => {
                 let started_at = if self.requests.get() == 0 {
                     self.connected_at
                 } else {
                     self.head_started_at.get()
                 };
-                Some(started_at + HEAD_TIME)
+                Some(started_at + HEAD_TIMEOUT)
             }
         }
     }
 
-    /// Waits until it is to be closed so that another client can be accepted.
+    /// Waits until the connection should be closed so that another client can be accepted.
     pub async fn eviction_requested(&self) {
         self.eviction.notified().await;
         self.eviction_pending.set(false);
     }
 
-    /// Tells its task to close it.
+    /// Tells the connection's task to close it, if it still may be closed then.
     fn request_eviction(&self) {
         self.eviction_pending.set(true);
         self.eviction.notify_one();
@@ -226,7 +229,7 @@
         }
     }
 
-    /// Returns what it costs to close it; `None` where it must not be closed for another client.
+    /// Returns what it costs to close the connection; `None` where it must not be closed for another client.
     fn eviction_cost(&self) -> Option<EvictionCost> {
         let is_active = self.last_activity.get().elapsed() < ACTIVE_WINDOW;
         match self.state() {
--- a/src/proxy/connections/tests.rs
+++ b/src/proxy/connections/tests.rs
@@ -109,14 +109,14 @@
     let start = Instant::now();
     assert_eq!(
         connection.deadline(),
-        Some(start + REQUEST_TIME),
+        Some(start + CLIENT_IDLE_TIMEOUT),
         "it is silent"
     );
     tokio::time::advance(Duration::from_secs(1)).await;
     connection.record_read(&HEAD[..5]);
     assert_eq!(
         connection.deadline(),
-        Some(start + HEAD_TIME),
+        Some(start + HEAD_TIMEOUT),
         "the first head counts from connecting"
     );
     connection.record_read(&HEAD[5..]);
@@ -130,12 +130,12 @@
     connection.record_read(&HEAD[5..9]);
     assert_eq!(
         connection.deadline(),
-        Some(begun + HEAD_TIME),
+        Some(begun + HEAD_TIMEOUT),
         "a later one counts from its first byte"
     );
     connection.write_blocked.set(true);
     assert!(
-        connection.deadline() > Some(begun + HEAD_TIME),
+        connection.deadline() > Some(begun + HEAD_TIMEOUT),
         "an answer is not cut off while its client reads"
     );
 }
--- a/src/proxy/dial.rs
+++ b/src/proxy/dial.rs
@@ -6,8 +6,8 @@
 
 /// Connects to a backend or to discovery, and turns Nagle's algorithm off.
 ///
-/// The socket is created first and connected then: created and connected in one call, most connects of many
-/// proxies that start together were seen to fail with EBADF with the clock of the test bench.
+/// The socket is created before it is connected, in two calls: under an emulated clock, a connect that creates its
+/// own socket may fail with `EBADF`.
 ///
 /// # Errors
 /// Where there is no socket, or the peer cannot be reached.
--- a/src/proxy/driver/attempts.rs
+++ b/src/proxy/driver/attempts.rs
@@ -33,7 +33,7 @@
 }
 
 impl Driver {
-    /// Starts an attempt. One that may not be sent any more ends at once.
+    /// Starts an attempt. An attempt that must not be sent any more ends at once.
     pub(super) fn start_attempt(&mut self, now: Micros, start: AttemptStart) {
         let AttemptStart {
             request,
@@ -104,8 +104,8 @@
         });
     }
 
-    /// Passes on a streamed response that began. Without a client the response is dropped, which
-    /// ends the attempt.
+    /// Answers the client with a streamed response that began. Without a client the response is dropped,
+    /// which ends the attempt.
     pub(super) fn on_response_started(
         &mut self,
         now: Micros,
@@ -135,7 +135,7 @@
         self.handle_completions(now);
     }
 
-    /// Tells the balancer of all that completed, until its actions complete nothing more at once.
+    /// Gives the balancer all completions, and those that its actions cause at once.
     pub(super) fn handle_completions(&mut self, now: Micros) {
         while let Some(completion) = self.completions.pop_front() {
             match completion {
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -33,8 +33,7 @@
         self.handle_event(now, Event::Request(request));
     }
 
-    /// Fails a request that the balancer left open. Rule 1: each client gets an answer before its
-    /// timeout.
+    /// Fails a request that the balancer left open, so that each client gets an answer before its timeout (rule 1).
     pub(super) fn on_final_answer_due(&mut self, now: Micros, request: RequestId) {
         let Some(open) = self.requests.get(request) else {
             return;
@@ -75,8 +74,8 @@
             return;
         }
         request_log::client_disconnected(request);
-        // Rule 1: an attempt that still waits for its connection is not sent, because nobody waits
-        // for its response.
+        // Nobody waits for the response: an attempt that still waits for its connection must not be sent any more
+        // (rule 1: nothing is started for a request after its end).
         open.call.over.set();
         self.handle_event(now, Event::ClientDisconnected(request));
         self.requests.remove_if_finished(request);
--- a/src/proxy/driver/requests.rs
+++ b/src/proxy/driver/requests.rs
@@ -65,12 +65,12 @@
         true
     }
 
-    /// Notes that the client disconnected. Returns whether it still waited for an answer.
+    /// Records that the client disconnected. Returns whether it still waited for an answer.
     pub(super) fn disconnect(&mut self) -> bool {
         self.client.take().is_some()
     }
 
-    /// Adds an attempt. Returns its number and what tells it that it is cancelled.
+    /// Adds an attempt. Returns its number and the channel that cancels it.
     pub(super) fn start_attempt(
         &mut self,
         backend: BackendId,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Notes the end of an attempt and returns its backend; `None` if it had ended before.
+    /// Records the end of an attempt and returns its backend; `None` if it had ended before.
     pub(super) fn end_attempt(&mut self, number: u16) -> Option<BackendId> {
         let attempt = self.attempts.get_mut(usize::from(number))?;
         if matches!(attempt.state, SocketAttemptState::Ended) {
--- a/src/proxy/framing.rs
+++ b/src/proxy/framing.rs
@@ -1,7 +1,7 @@
-//! Where the messages of a client's connection begin and end.
+//! Follows where the messages on a client's connection begin and end.
 //!
 //! The HTTP library parses them too, but it ignores a length beside an encoding and merges repeated lengths,
-//! which a backend may read otherwise (request smuggling). It does not tell either whether a head has begun,
+//! which a backend may read otherwise (request smuggling). Nor does it tell whether a head has begun,
 //! which decides what it costs to close the connection.
 
 use super::header_values::parse_decimal;
@@ -45,7 +45,7 @@
     head_cap: usize,
     /// Heads that are complete.
     heads: u64,
-    /// The number of the head whose body may end in two places. Nothing is read behind it.
+    /// The number of the head whose body may end in two places. Nothing is read after it.
     ambiguous_head: Option<u64>,
 }
 
@@ -105,7 +105,7 @@
     }
 
     /// Skips `remaining` bytes, as far as they have come: `unfinished` then holds the rest, or `next` follows.
-    /// Returns the bytes behind them.
+    /// Returns the bytes after them.
     fn skip<'a>(
         &mut self,
         bytes: &'a [u8],
@@ -125,7 +125,7 @@
         &bytes[skipped..]
     }
 
-    /// Reads a head, as far as it has come. Returns the bytes behind it.
+    /// Reads a head, as far as it has come. Returns the bytes after it.
     fn read_head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         // Empty lines ahead of a request are no part of it.
         if self.partial.is_empty() && matches!(bytes[0], b'\r' | b'\n') {
@@ -155,7 +155,7 @@
         &bytes[end - already_read..]
     }
 
-    /// Reads a line of a chunked body, as far as it has come. Returns the bytes behind it.
+    /// Reads a line of a chunked body, as far as it has come. Returns the bytes after it.
     fn read_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let end = bytes.iter().position(|&byte| byte == b'\n');
         let taken = end.map_or(bytes.len(), |end| end + 1);
@@ -167,7 +167,7 @@
         self.partial.extend_from_slice(&bytes[..taken]);
         if end.is_some() {
             self.reading = match self.reading {
-                Reading::ChunkSize => behind_chunk_size(&self.partial),
+                Reading::ChunkSize => after_chunk_size(&self.partial),
                 // An empty line ends the trailers.
                 _ if matches!(self.partial.as_slice(), b"\r\n" | b"\n") => Reading::Head,
                 reading => reading,
@@ -179,7 +179,7 @@
 }
 
 /// Returns what follows the line of a chunk's size.
-fn behind_chunk_size(line: &[u8]) -> Reading {
+fn after_chunk_size(line: &[u8]) -> Reading {
     match chunk_size(line) {
         Some(0) => Reading::Trailers,
         Some(size) => Reading::Chunk(size.saturating_add(CHUNK_END.len() as u64)),
@@ -187,7 +187,8 @@
     }
 }
 
-/// Returns the length of a head, up to and with its empty line, if that is there behind `from`.
+/// Returns the length of a head, up to and with its empty line, if that line's break is found at `from` or
+/// later.
 fn head_end(bytes: &[u8], from: usize) -> Option<usize> {
     let rest = |at: usize| &bytes[at + 1..];
     (from..bytes.len())
@@ -199,7 +200,7 @@
         })
 }
 
-/// Returns how the body behind a head ends; `None` where that can be read in two ways.
+/// Returns how the body after a head ends; `None` where that can be read in two ways.
 fn body_length(head: &[u8]) -> Option<BodyLength> {
     let mut length = BodyLength::None;
     for line in head.split(|&byte| byte == b'\n').skip(1) {
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -10,8 +10,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long an idle client connection stays open once clients are to leave. Closed sooner, it would
-/// often cross a request that is on its way.
+/// How long an idle client connection stays open while the proxy drains. Closed sooner, it would often cross a
+/// request that is on its way.
 const IDLE_GRACE_PERIOD: Duration = Duration::from_millis(1_500);
 /// Idle client connections close this long before the last answers are due, so that a request that
 /// comes on one until then is still answered.
@@ -46,7 +46,7 @@
     pub process_end: Instant,
 }
 
-/// The state machine.
+/// The state machine, which all parts of the proxy share.
 pub struct Lifecycle {
     stage: watch::Sender<Stage>,
     /// Whether there are backends to serve from.
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Returns the stage.
+    /// Returns the present stage.
     #[must_use]
     pub fn stage(&self) -> Stage {
         *self.stage.borrow()
@@ -78,19 +78,19 @@
         self.stage.subscribe()
     }
 
-    /// Whether new requests are welcome.
+    /// Whether the health check reports that new requests should be sent here. They are served in any stage.
     #[must_use]
     pub fn is_in_service(&self) -> bool {
         self.stage() == Stage::InService
     }
 
-    /// Whether clients are to leave.
+    /// Whether the proxy drains: responses close their connections, and idle ones are closed.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         matches!(self.stage(), Stage::OutOfService | Stage::ShuttingDown)
     }
 
-    /// Notes that there are backends to serve from. This ends the start, but no drain.
+    /// Records that there are backends to serve from. This ends the start, but no drain.
     pub fn mark_ready(&self) {
         self.is_ready.set(true);
         if self.stage() == Stage::Starting {
@@ -152,8 +152,8 @@
         self.shutdown.get().map(|times| times.process_end)
     }
 
-    /// Returns when a client connection that is idle from now on is closed; `None` unless clients
-    /// are to leave.
+    /// Returns when a client connection that is idle from this call on is closed: a grace period after now, by the
+    /// runtime's clock. `None` unless the proxy drains.
     #[must_use]
     pub fn idle_close_at(&self) -> Option<Instant> {
         if !self.is_draining() {
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -78,7 +78,7 @@
 pub enum Message {
     /// A request arrived.
     Request {
-        /// The request.
+        /// As the client sent it; boxed because the other messages are small.
         inbound: Box<Inbound>,
         /// Receives its final answer.
         client: oneshot::Sender<Answer>,
@@ -87,27 +87,27 @@
     ClientDisconnected(RequestId),
     /// A streamed response began.
     ResponseStarted {
-        /// The request.
+        /// The request whose attempt has it.
         request: RequestId,
-        /// The attempt.
+        /// The attempt's number within the request, from 0 on.
         attempt: u16,
-        /// The response.
+        /// Its body goes on while the client takes it.
         response: Served,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The attempt's number within the request, from 0 on.
         attempt: u16,
-        /// How it ended.
+        /// Its outcome, and its response unless that was streamed.
         result: AttemptResult,
     },
     /// A health check ended.
     HealthChecked {
-        /// The backend.
+        /// The backend that was checked.
         backend: BackendId,
-        /// How it ended.
+        /// Its outcome, and the load report if one came.
         result: AttemptResult,
     },
     /// The endpoint list changed, or the watch on it did.
--- a/src/proxy/read_ahead.rs
+++ b/src/proxy/read_ahead.rs
@@ -1,11 +1,11 @@
 //! Bytes that were read from a client's connection before the HTTP library asked for them, in their order.
 //!
 //! The end of a connection is seen only once all that came before it has left the kernel, and the HTTP library
-//! reads nothing behind an open request. What a client sends there is held here, so that its disconnect is
+//! reads nothing after an open request. What a client sends there is held here, so that its disconnect is
 //! noticed.
 
 use super::budget::{MemoryBudget, Reservation};
-use super::limits::BODY_CAP;
+use super::limits::BUFFERED_BODY_BYTES;
 use bytes::{Buf, BytesMut};
 use std::task::Waker;
 use tokio::io::ReadBuf;
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub struct ReadAhead {
     bytes: BytesMut,
-    /// Memory for the bytes, in units of [`BODY_CAP`].
+    /// Memory for the bytes, in units of [`BUFFERED_BODY_BYTES`].
     reserved: Vec<Reservation>,
     /// The HTTP library, where it waits for bytes.
     reader: Option<Waker>,
@@ -38,8 +38,8 @@
         if wanted > READ_AHEAD_CAP {
             return false;
         }
-        while self.reserved.len() * BODY_CAP < wanted {
-            let Some(reserved) = memory.reserve(BODY_CAP) else {
+        while self.reserved.len() * BUFFERED_BODY_BYTES < wanted {
+            let Some(reserved) = memory.reserve(BUFFERED_BODY_BYTES) else {
                 return false;
             };
             self.reserved.push(reserved);
@@ -63,7 +63,8 @@
         if self.is_empty() {
             self.bytes = BytesMut::new();
         }
-        self.reserved.truncate(self.bytes.len().div_ceil(BODY_CAP));
+        self.reserved
+            .truncate(self.bytes.len().div_ceil(BUFFERED_BODY_BYTES));
     }
 
     /// Registers the HTTP library, which has found nothing to read, to be woken by the next bytes.
--- a/src/proxy/shutdown.rs
+++ b/src/proxy/shutdown.rs
@@ -67,7 +67,7 @@
 /// Waits until no client is connected. Returns whether that was so by the deadline.
 async fn all_disconnected_by(deadline: Instant, clients: &Clients) -> bool {
     while clients.open() > 0 {
-        if timeout_at(deadline, clients.connection_ended())
+        if timeout_at(deadline, clients.connection_freed())
             .await
             .is_err()
         {
--- a/src/proxy/socket.rs
+++ b/src/proxy/socket.rs
@@ -10,11 +10,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a closing connection is read on after its last byte, and in all, so that the kernel does not
-/// answer late bytes with a reset that destroys a response on its way.
-const LINGER: Duration = Duration::from_millis(500);
-const LINGER_TOTAL: Duration = Duration::from_secs(2);
-const LINGER_BUFFER: usize = 8 * 1024;
+/// A closing connection is still read until nothing has come for this long: the kernel would answer late bytes with a
+/// reset, which destroys a response on its way.
+const LINGER_QUIET_TIME: Duration = Duration::from_millis(500);
+/// How long a closing connection is read at the most.
+const MAX_LINGER_TIME: Duration = Duration::from_secs(2);
+const LINGER_BUFFER_BYTES: usize = 8 * 1024;
 
 /// What has come in and was not read yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -100,9 +101,9 @@
         if self.end_sending().is_err() {
             return;
         }
-        let _ = timeout(LINGER_TOTAL, async {
-            let mut buffer = vec![0; LINGER_BUFFER];
-            while let Ok(Some(_)) = timeout(LINGER, self.read(&mut buffer)).await {}
+        let _ = timeout(MAX_LINGER_TIME, async {
+            let mut buffer = vec![0; LINGER_BUFFER_BYTES];
+            while let Ok(Some(_)) = timeout(LINGER_QUIET_TIME, self.read(&mut buffer)).await {}
         })
         .await;
     }
