--- a/tests/proxy/http1.rs
+++ b/tests/proxy/http1.rs
@@ -1,6 +1,5 @@
 //! HTTP/1.1: the forms of requests and responses, large bodies and slow peers.
 
-use crate::UP;
 use crate::rig::*;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener};
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -1,6 +1,5 @@
 //! The log as operators see it: its filter, its format, and the events of one request.
 
-use crate::UP;
 use crate::rig::*;
 use serde_json::Value;
 use std::process::Stdio;
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -11,40 +11,9 @@
 use serde_json::json;
 use std::io::Read;
 use std::net::Shutdown;
-use std::sync::mpsc::{Sender, channel};
+use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// The concurrency limit of a single backend at the start.
-const INITIAL_LIMIT: usize = 2;
-
-const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-
-/// A backend that holds its first requests, as many as its limit allows at the start, each until it gets a
-/// signal. Later requests are answered at once.
-fn full_backend() -> (Backend, Vec<Sender<()>>) {
-    let (mut signals, mut releases) = (Vec::new(), Vec::new());
-    for _ in 0..INITIAL_LIMIT {
-        let (release, signal) = channel();
-        signals.push(signal);
-        releases.push(release);
-    }
-    let backend = Backend::start(move |_| match signals.pop() {
-        Some(signal) => Reply::After(signal, Box::new(ok("first"))),
-        None => ok("later"),
-    });
-    (backend, releases)
-}
-
-fn fill(proxy: &Proxy, backend: &Backend) -> Vec<Client> {
-    let fill = (0..INITIAL_LIMIT).map(|i| {
-        let mut client = proxy.client();
-        client.send(&request("charge", &format!("fill-{i}"), "x"));
-        backend.next();
-        client
-    });
-    fill.collect()
-}
-
 #[test]
 fn requests_and_responses_are_forwarded_unchanged() {
     let discovery = Discovery::start();
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -1,7 +1,7 @@
 //! The operators' calls, the metrics, the drain and the upgrade.
 
 use crate::rig::*;
-use crate::{UP, fill, full_backend};
+
 use std::io::Read;
 use std::net::TcpListener;
 use std::sync::mpsc::channel;
--- a/tests/proxy/overload.rs
+++ b/tests/proxy/overload.rs
@@ -1,6 +1,5 @@
 //! Overload: idle clients that take every descriptor, and many proxies that start together.
 
-use crate::UP;
 use crate::rig::*;
 use serde_json::{Value, json};
 use std::io::{BufReader, Read, Write};
--- a/tests/proxy/races.rs
+++ b/tests/proxy/races.rs
@@ -1,7 +1,7 @@
 //! Races: what happens between a decision and its execution, such as a disconnect during a connect.
 
 use crate::rig::*;
-use crate::{INITIAL_LIMIT, UP, fill, full_backend};
+
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
--- /dev/null
+++ b/tests/proxy/rig/configuration.rs
@@ -0,0 +1,38 @@
+//! Configurations of the proxy as its platform writes them.
+
+use super::discovery::Discovery;
+use serde_json::{Value, json};
+use std::net::SocketAddr;
+
+/// A configuration without cached endpoints.
+pub fn config(name: &str, discovery: &Discovery) -> Value {
+    config_at(name, discovery.address)
+}
+
+/// A configuration without cached endpoints and with an operators' address.
+pub fn operated(name: &str, discovery: &Discovery) -> Value {
+    let mut config = config(name, discovery);
+    config["operator"] = "127.0.0.1:0".into();
+    config
+}
+
+/// One with discovery at this address.
+pub fn config_at(name: &str, discovery: SocketAddr) -> Value {
+    json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
+        "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {"revision": 0, "complete": true, "members": []}, "settings": settings()})
+}
+
+pub fn settings() -> Value {
+    let class = |name: &str, effect: &str| {
+        json!({"name": name, "aimUs": 10_000_000, "deadlineUs": 20_000_000, "worth": 1.0, "lateWorth": 0.5,
+               "effect": effect, "group": "cell", "keyTtlUs": 3_000_000})
+    };
+    json!({"me": 0, "balancers": 1, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
+        "membershipMode": "pushed",
+        "classes": [class("read", "retryable"), class("submit", "dedup"), class("charge", "fragile")],
+        "permissions": {"maxAttempts": 4, "secondCopies": true, "cancel": true, "probes": true,
+                        "connIdleUs": 15_000_000, "multiplex": 1, "retryAfter": true,
+                        "maxRetryAfterUs": 2_000_000, "dialTimeoutUs": 5_000_000},
+        "safety": {"coldFrom": 0.3, "coldUs": 8_000_000, "fallMultiple": 3.0, "fallUs": 2_000_000}})
+}
