--- /dev/null
+++ b/tests/proxy/bodies.rs
@@ -0,0 +1,256 @@
+//! Large bodies of requests and responses: streamed through little memory, and never partly sent twice.
+
+use crate::rig::*;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{Receiver, channel};
+use std::thread;
+
+const LARGE: usize = 32 << 20;
+
+#[test]
+fn a_body_at_the_cap_is_forwarded() {
+    let discovery = Discovery::start();
+    let body = "y".repeat(64 * 1024);
+    let answered = body.clone();
+    let backend = Backend::start(move |_| ok(&answered));
+    let proxy = Proxy::start(
+        "cap",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let got = proxy.client().ask(&request("submit", "1", &body));
+    assert_eq!((got.status(), got.body.len()), (200, body.len()));
+    assert_eq!(backend.next().body.len(), body.len());
+}
+
+/// Backends send good responses beyond the cap of the protocol, and each of them is forwarded.
+#[test]
+fn large_responses_are_forwarded() {
+    let discovery = Discovery::start();
+    let large = "z".repeat(400_000);
+    let answered = large.clone();
+    let backend = Backend::start(move |_| ok(&answered));
+    let mut config = config("large", &discovery);
+    config["limits"]["memory_mb"] = 8.into();
+    let proxy = Proxy::start_with("large", config);
+    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    for id in 0..20 {
+        let got = proxy.client().ask(&request("charge", &id.to_string(), "x"));
+        assert_eq!((got.status(), got.body.len()), (200, large.len()));
+    }
+}
+
+#[test]
+fn large_responses_are_streamed_through_little_memory_to_slow_clients() {
+    let body = pattern(LARGE);
+    let answered = answer("200 OK", "", &body);
+    let backend = Backend::start(move |_| Reply::Write(answered.clone()));
+    let proxy = start_with_little_memory("large-answers", &backend);
+    let mut clients: Vec<_> = (0..12)
+        .map(|i| {
+            let mut client = proxy.client();
+            client.send(&request("submit", &format!("l-{i}"), "x"));
+            // A response that has started holds no slot any more.
+            let mut head = [0; 12];
+            client.reader.read_exact(&mut head).expect("it begins");
+            assert_eq!(&head, b"HTTP/1.1 200");
+            client
+        })
+        .collect();
+    assert_eq!(proxy.figure("app_in_progress"), 12, "until the last byte");
+    for client in &mut clients {
+        let got = client.receive();
+        assert!(got.body == body, "{} bytes", got.body.len());
+    }
+    assert!(proxy.peak_memory() < 32 << 10, "{} kB", proxy.peak_memory());
+    while proxy.figure("app_in_progress") > 0 {}
+    assert_eq!(
+        proxy.figure("app_handled{category=\"submit\",outcome=\"passed\"}"),
+        12
+    );
+}
+
+#[test]
+fn large_bodies_are_streamed_through_little_memory_to_a_backend() {
+    let backend = Backend::start(|seen| ok(&seen.body.len().to_string()));
+    let proxy = start_with_little_memory("large-bodies", &backend);
+    let body = pattern(LARGE);
+    let address = proxy.address;
+    let senders: Vec<_> = (0..4)
+        .map(|i| {
+            let body = body.clone();
+            thread::spawn(move || {
+                let mut stream = TcpStream::connect(address).expect("it accepts");
+                stream
+                    .set_read_timeout(Some(TEST_TIMEOUT))
+                    .expect("a time-out");
+                let head = request("charge", &format!("u-{i}"), "");
+                // With a length, and in chunks.
+                let fields = if i % 2 == 0 {
+                    format!("Content-Length: {LARGE}")
+                } else {
+                    "Transfer-Encoding: chunked".into()
+                };
+                stream
+                    .write_all(head.replace("Content-Length: 0", &fields).as_bytes())
+                    .expect("it reads");
+                for piece in body.chunks(100_000) {
+                    if i % 2 == 1 {
+                        stream
+                            .write_all(format!("{:x};odd=\"ext\"\r\n", piece.len()).as_bytes())
+                            .expect("it reads");
+                    }
+                    stream.write_all(piece).expect("it reads");
+                    if i % 2 == 1 {
+                        stream.write_all(b"\r\n").expect("it reads");
+                    }
+                }
+                if i % 2 == 1 {
+                    stream
+                        .write_all(b"0\r\nX-Trailer: y\r\n\r\n")
+                        .expect("it reads");
+                }
+                read_message(&mut BufReader::new(stream)).expect("an answer")
+            })
+        })
+        .collect();
+    for sender in senders {
+        let got = sender.join().expect("it is sent");
+        let room = got.status() == 200 && got.body == LARGE.to_string().as_bytes();
+        assert!(room || got.status() == 503, "{} {:?}", got.head, got.body);
+    }
+    let arrived: Vec<_> = backend.seen.try_iter().collect();
+    assert!(!arrived.is_empty() && arrived.iter().all(|seen| seen.body == body));
+    assert_eq!(proxy.figure("app_upstream_tries"), arrived.len() as u64);
+    assert!(proxy.peak_memory() < 32 << 10, "{} kB", proxy.peak_memory());
+}
+
+#[test]
+fn the_first_bytes_of_a_large_response_do_not_wait_for_the_last() {
+    let body = pattern(200_000);
+    for (name, fields) in [
+        ("first-length", "Content-Length: 200000\r\n"),
+        ("first-close", "Connection: close\r\n"),
+    ] {
+        let (release, signal) = channel();
+        let mut signal = Some(signal);
+        let (first, rest) = (body[..100_000].to_vec(), body[100_000..].to_vec());
+        let backend = Backend::start(move |_| {
+            let head = format!("HTTP/1.1 200 OK\r\n{fields}\r\n").into_bytes();
+            let rest = Reply::WriteAndClose(rest.clone());
+            Reply::Then(
+                [head, first.clone()].concat(),
+                signal.take().expect("one"),
+                Box::new(rest),
+            )
+        });
+        let proxy = start_with_little_memory(name, &backend);
+        let mut client = proxy.client();
+        client.send(&request("charge", "1", "x"));
+        let mut begun = [0; 15];
+        client.reader.read_exact(&mut begun).expect("it begins");
+        assert_eq!(&begun, b"HTTP/1.1 200 OK");
+        release.send(()).expect("the backend waits");
+        assert!(client.receive().body == body);
+    }
+}
+
+/// The connection breaks before the last byte, so the request has not run, and its class is idempotent; but what
+/// was streamed of its body is not held any more.
+#[test]
+fn a_partly_streamed_body_is_not_sent_again() {
+    let (sender, accepted) = channel();
+    let breaker = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = breaker.local_addr().expect("an address");
+    thread::spawn(move || {
+        for stream in breaker.incoming() {
+            let mut stream = stream.expect("a connection");
+            stream
+                .read_exact(&mut [0; 50_000])
+                .expect("a part of the body");
+            sender.send(()).expect("the test waits");
+        }
+    });
+    let discovery = Discovery::start();
+    let proxy = Proxy::start(
+        "spent",
+        &discovery,
+        &[
+            entry("s-1", address, "active", 0),
+            entry("s-2", address, "active", 0),
+        ],
+    );
+    let mut client = proxy.client();
+    let head = request("read", "1", "").replace("Content-Length: 0", "Content-Length: 3000000");
+    client.send(&head);
+    let _ = client.stream.write_all(&pattern(3_000_000));
+    accepted.recv_timeout(TEST_TIMEOUT).expect("it comes once");
+    let got = client.receive();
+    assert!(got.status() == 503 || got.status() == 502, "{}", got.head);
+    assert!(accepted.try_recv().is_err(), "and only once");
+}
+
+/// A backend that responds once the head of a request has come, and reads on at a signal. Sends how many bytes of
+/// the body came.
+fn responds_early(early: Vec<u8>, signal: Receiver<()>) -> (SocketAddr, Receiver<u64>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let (sender, came) = channel();
+    thread::spawn(move || {
+        let (mut stream, _) = listener.accept().expect("a connection");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
+        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let mut line = String::new();
+        while line != "\r\n" {
+            line.clear();
+            reader.read_line(&mut line).expect("a head");
+        }
+        stream.write_all(&early).expect("the proxy reads");
+        signal.recv_timeout(TEST_TIMEOUT).expect("a signal");
+        let _ = sender.send(std::io::copy(&mut reader, &mut std::io::sink()).unwrap_or_default());
+    });
+    (address, came)
+}
+
+/// The client has its response, so the backend must not get the rest of the body and run the request. A 200 that
+/// comes before the complete request can't be its response.
+#[test]
+fn a_request_answered_before_its_body_never_arrives_completely() {
+    const LENGTH: usize = 3 << 20;
+    let large = "x".repeat(100_000);
+    let cases = [
+        (
+            answer("503 Service Unavailable", "X-Unprocessed: 1\r\n", b""),
+            503,
+        ),
+        (answer("500 Oops", "", b""), 502),
+        (answer("200 OK", "", b"another's"), 502),
+        (answer("200 OK", "", large.as_bytes()), 502),
+    ];
+    for (i, (early, status)) in cases.into_iter().enumerate() {
+        let discovery = Discovery::start();
+        let (release, signal) = channel();
+        let (address, came) = responds_early(early, signal);
+        let name = format!("answered-early-{i}");
+        let proxy = Proxy::start(&name, &discovery, &[entry("s-1", address, "active", 0)]);
+        let mut client = proxy.client();
+        let whole = request("charge", "1", &"x".repeat(LENGTH));
+        let (most, last) = whole.split_at(whole.len() - 1_000);
+        client.send(most);
+        assert_eq!(client.receive().status(), status, "case {i}");
+        // Where the proxy has ended the request, nobody reads this.
+        let _ = client.stream.write_all(last.as_bytes());
+        drop(client);
+        release.send(()).expect("the backend waits");
+        let came = came
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the connection ends");
+        assert!(
+            came < LENGTH as u64,
+            "case {i}: {came} bytes of the body came"
+        );
+    }
+}
--- /dev/null
+++ b/tests/proxy/client_disconnect.rs
@@ -0,0 +1,346 @@
+//! Clients that disconnect: their requests are neither sent nor retried afterwards.
+
+use crate::rig::*;
+use std::net::Shutdown;
+use std::sync::mpsc::Sender;
+use std::time::{Duration, Instant};
+
+#[derive(Clone, Copy, Debug)]
+enum Disconnect {
+    Close,
+    HalfClose,
+    Reset,
+}
+
+const DISCONNECTS: [Disconnect; 3] = [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset];
+
+/// Disconnects in that way. After a half-close the client is returned, because dropping it would close it.
+fn disconnect(client: Client, way: Disconnect) -> Option<Client> {
+    match way {
+        Disconnect::Close => None,
+        Disconnect::HalfClose => {
+            client
+                .stream
+                .shutdown(Shutdown::Write)
+                .expect("an open connection");
+            Some(client)
+        }
+        Disconnect::Reset => {
+            let socket = socket2::SockRef::from(&client.stream);
+            socket
+                .set_linger(Some(Duration::ZERO))
+                .expect("an open connection");
+            None
+        }
+    }
+}
+
+/// A proxy whose queued requests wait for many seconds.
+fn start_with_long_timeouts(
+    name: &str,
+    discovery: &Discovery,
+    backend: &Backend,
+    memory_mb: u64,
+) -> Proxy {
+    let mut config = operated(name, discovery);
+    for class in [0, 2] {
+        config["settings"]["classes"][class]["deadlineUs"] = 200_000_000.into();
+        config["settings"]["classes"][class]["aimUs"] = 100_000_000.into();
+    }
+    config["limits"]["memory_mb"] = memory_mb.into();
+    let proxy = Proxy::start_with(name, config);
+    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    proxy
+}
+
+/// Waits until this many requests are in progress, for less time than any is queued. Returns how long it took.
+fn wait_for_in_progress(proxy: &Proxy, requests: usize) -> Duration {
+    let began = Instant::now();
+    while proxy.figure("app_in_progress") != requests as u64 {
+        assert!(
+            began.elapsed() < Duration::from_secs(5),
+            "not {requests} in progress"
+        );
+    }
+    began.elapsed()
+}
+
+/// Lets the backend answer and sends one more request, which is the only one that the backend may receive.
+fn only_new_requests_arrive(
+    proxy: &Proxy,
+    backend: &Backend,
+    clients: Vec<Client>,
+    releases: &[Sender<()>],
+) {
+    for (release, mut client) in releases.iter().zip(clients.into_iter().rev()) {
+        release.send(()).expect("the backend waits");
+        assert_eq!(client.receive().status(), 200);
+    }
+    assert_eq!(
+        proxy
+            .client()
+            .ask(&request("charge", "stays", "x"))
+            .status(),
+        200
+    );
+    assert_eq!(backend.next().header("x-correlation-id"), Some("stays"));
+}
+
+/// What a client may have sent behind its request when it disconnects: nothing, another request, garbage.
+fn pipelined_input() -> [String; 3] {
+    [
+        String::new(),
+        request("charge", "behind", "x"),
+        "x".repeat(20_000),
+    ]
+}
+
+/// No attempt starts later than this after its client has disconnected.
+const DISCONNECT_NOTICED_WITHIN: Duration = Duration::from_millis(100);
+
+#[test]
+fn a_queued_request_whose_client_disconnects_is_dropped() {
+    let discovery = Discovery::start();
+    let (backend, releases) = full_backend();
+    let proxy = Proxy::start(
+        "left",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let mut first = fill(&proxy, &backend);
+    let mut disconnecting = proxy.client();
+    disconnecting.send(&request("charge", "2", "x"));
+    // The answer on another connection shows that the proxy has seen what came before it.
+    assert_eq!(proxy.client().ask(UP).status(), 200);
+    disconnecting
+        .stream
+        .shutdown(Shutdown::Write)
+        .expect("an open connection");
+    assert!(
+        disconnecting.ends_cleanly(),
+        "the proxy has seen that the client left, and ended its side too"
+    );
+    for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
+        release.send(()).expect("the backend waits");
+        assert_eq!(client.receive().status(), 200);
+    }
+    assert_eq!(
+        proxy.client().ask(&request("charge", "3", "x")).status(),
+        200
+    );
+    assert_eq!(backend.next().header("x-correlation-id"), Some("3"));
+}
+
+#[test]
+fn a_request_whose_client_disconnects_during_the_connect_is_not_sent() {
+    let discovery = Discovery::start();
+    let backend = FullQueue::start();
+    let proxy = Proxy::start(
+        "left-dialing",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let mut disconnecting = proxy.client();
+    disconnecting.send(&request("charge", "left", "x"));
+    assert_eq!(
+        proxy.client().ask(UP).status(),
+        200,
+        "the proxy has seen what came before"
+    );
+    disconnecting
+        .stream
+        .shutdown(Shutdown::Write)
+        .expect("an open connection");
+    assert!(
+        disconnecting.ends_cleanly(),
+        "the proxy has seen that the client left"
+    );
+    let mut client = proxy.client();
+    client.send(&request("charge", "stays", "x"));
+    assert_eq!(received_ids(backend.empty()), ["stays"]);
+    assert_eq!(client.receive().body, b"there");
+}
+
+#[test]
+fn queued_requests_whose_clients_disconnect_in_a_burst_are_not_sent() {
+    let discovery = Discovery::start();
+    let (backend, releases) = full_backend();
+    let proxy = start_with_long_timeouts("burst", &discovery, &backend, 192);
+    let clients = fill(&proxy, &backend);
+    let behind = pipelined_input();
+    let mut disconnecting = Vec::new();
+    for (i, (way, behind)) in DISCONNECTS
+        .iter()
+        .flat_map(|way| behind.iter().map(move |b| (*way, b)))
+        .enumerate()
+    {
+        let mut client = proxy.client();
+        client.send(
+            &(request("charge", &format!("left-{i}"), "x").replace("15000", "190000") + behind),
+        );
+        disconnecting.push((client, way));
+    }
+    wait_for_in_progress(&proxy, INITIAL_LIMIT + disconnecting.len());
+    let left: Vec<_> = disconnecting
+        .into_iter()
+        .filter_map(|(client, way)| disconnect(client, way))
+        .collect();
+    wait_for_in_progress(&proxy, INITIAL_LIMIT);
+    only_new_requests_arrive(&proxy, &backend, clients, &releases);
+    drop(left);
+}
+
+/// The end of its body is still in the kernel: nobody reads it before the request is sent to a backend.
+#[test]
+fn a_queued_request_whose_client_disconnects_behind_its_unread_body_is_not_sent() {
+    for way in DISCONNECTS {
+        let discovery = Discovery::start();
+        let (backend, releases) = full_backend();
+        let proxy = start_with_long_timeouts(&format!("unread-{way:?}"), &discovery, &backend, 8);
+        let clients = fill(&proxy, &backend);
+        let mut client = proxy.client();
+        let body = "x".repeat(1_740_000);
+        client.send(&request("charge", "left", &body).replace("15000", "190000"));
+        wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
+        let left = disconnect(client, way);
+        wait_for_in_progress(&proxy, INITIAL_LIMIT);
+        only_new_requests_arrive(&proxy, &backend, clients, &releases);
+        drop(left);
+    }
+}
+
+/// The client disconnects during the connect, in each way and whatever it sent behind its request.
+#[test]
+fn a_request_is_not_sent_on_a_connection_that_comes_up_after_its_client_disconnected() {
+    let discovery = Discovery::start();
+    let backend = FullQueue::start();
+    let mut config = operated("left-connecting", &discovery);
+    // A single backend has a low limit; requests beyond it would be queued.
+    config["settings"]["permissions"]["dialTimeoutUs"] = 15_000_000.into();
+    let proxy = Proxy::start_with("left-connecting", config);
+    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    let mut noticed_after = Vec::new();
+    for (i, (way, behind)) in DISCONNECTS
+        .iter()
+        .flat_map(|way| pipelined_input().map(|b| (*way, b)))
+        .enumerate()
+    {
+        let mut client = proxy.client();
+        client.send(&(request("charge", &format!("left-{i}"), "x") + &behind));
+        wait_for_in_progress(&proxy, 1);
+        let left = disconnect(client, way);
+        noticed_after.push(wait_for_in_progress(&proxy, 0));
+        drop(left);
+    }
+    // A machine that is busy elsewhere may hold up some of them.
+    noticed_after.sort_unstable();
+    assert!(
+        noticed_after[noticed_after.len() / 2] <= DISCONNECT_NOTICED_WITHIN,
+        "{noticed_after:?}"
+    );
+    let mut client = proxy.client();
+    client.send(&request("charge", "stays", "x"));
+    assert_eq!(received_ids(backend.empty()), ["stays"]);
+    assert_eq!(client.receive().body, b"there");
+}
+
+/// The first attempt is in flight when its client disconnects, and a retry would have followed.
+#[test]
+fn a_request_is_not_retried_after_its_client_disconnected() {
+    for (i, (way, behind)) in DISCONNECTS
+        .iter()
+        .flat_map(|way| pipelined_input().map(|b| (*way, b)))
+        .enumerate()
+    {
+        let discovery = Discovery::start();
+        let (breaks, release) = closes_on_signal();
+        let other = Backend::start(|_| ok("there"));
+        let name = format!("left-retry-{i}");
+        let proxy = Proxy::start_with(&name, operated(&name, &discovery));
+        discovery.post(true, &[entry("s-1", breaks.address, "active", 0)]);
+        let mut client = proxy.client();
+        client.send(&(request("read", "left", "") + &behind));
+        breaks.next();
+        discovery.post(
+            true,
+            &[
+                entry("s-1", breaks.address, "active", 0),
+                entry("s-2", other.address, "active", 0),
+            ],
+        );
+        let left = disconnect(client, way);
+        wait_for_in_progress(&proxy, 0);
+        release.send(()).expect("the backend waits");
+        discovery.post(true, &[entry("s-2", other.address, "active", 0)]);
+        for id in ["stays", "comes later"] {
+            assert_eq!(
+                proxy.client().ask(&request("charge", id, "x")).status(),
+                200
+            );
+            assert_eq!(
+                other.next().header("x-correlation-id"),
+                Some(id),
+                "{way:?}, {} behind it",
+                behind.len()
+            );
+        }
+        drop(left);
+    }
+}
+
+/// The first attempt has ended, the retry is queued, and its client disconnects meanwhile.
+#[test]
+fn a_queued_retry_is_not_sent_after_its_client_disconnected() {
+    for (i, (way, behind)) in DISCONNECTS
+        .iter()
+        .flat_map(|way| pipelined_input().map(|b| (*way, b)))
+        .enumerate()
+    {
+        let discovery = Discovery::start();
+        let (breaks, release) = closes_on_signal();
+        let (backend, releases) = full_backend();
+        let proxy =
+            start_with_long_timeouts(&format!("left-waiting-{i}"), &discovery, &breaks, 192);
+        let mut client = proxy.client();
+        client.send(&(request("read", "left", "").replace("15000", "190000") + &behind));
+        breaks.next();
+        discovery.post(true, &[entry("s-2", backend.address, "active", 0)]);
+        let clients = fill(&proxy, &backend);
+        release.send(()).expect("the backend waits");
+        // By then it has seen that the first attempt broke.
+        (0..20).for_each(|_| _ = proxy.client().ask(UP));
+        let left = disconnect(client, way);
+        wait_for_in_progress(&proxy, INITIAL_LIMIT);
+        only_new_requests_arrive(&proxy, &backend, clients, &releases);
+        drop(left);
+    }
+}
+
+/// The end comes behind far more bytes than the kernel buffers for a connection that nobody reads.
+#[test]
+fn a_disconnect_behind_more_than_the_kernel_buffers_is_noticed() {
+    const FAR_BEHIND: usize = 1_000_000;
+    let discovery = Discovery::start();
+    let (backend, releases) = full_backend();
+    let proxy = start_with_long_timeouts("far-behind", &discovery, &backend, 192);
+    let clients = fill(&proxy, &backend);
+    let further = request("charge", "behind", "x");
+    let behind = [
+        further.repeat(FAR_BEHIND / further.len()),
+        "x".repeat(FAR_BEHIND),
+    ];
+    for (i, (way, behind)) in DISCONNECTS
+        .iter()
+        .flat_map(|way| behind.iter().map(move |b| (*way, b)))
+        .enumerate()
+    {
+        let mut client = proxy.client();
+        client.send(&request("charge", &format!("left-{i}"), "x").replace("15000", "190000"));
+        wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
+        client.send(behind);
+        let left = disconnect(client, way);
+        wait_for_in_progress(&proxy, INITIAL_LIMIT);
+        drop(left);
+    }
+    only_new_requests_arrive(&proxy, &backend, clients, &releases);
+}
--- /dev/null
+++ b/tests/proxy/connection_reuse.rs
@@ -0,0 +1,117 @@
+//! Connections to backends: which are used again.
+
+use crate::rig::*;
+use std::sync::mpsc::channel;
+
+#[test]
+fn a_connection_that_its_backend_has_closed_is_not_reused() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| Reply::WriteAndClose(answer("200 OK", "", b"last")));
+    let proxy = Proxy::start(
+        "closed",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let mut client = proxy.client();
+    for id in ["1", "2", "3", "4"] {
+        assert_eq!(client.ask(&request("charge", id, "x")).status(), 200);
+        backend.next();
+        // The proxy can't know of a close that is still to come, which would reset the next request.
+        backend.wait_until_closed();
+    }
+}
+
+/// A connection that is closed while the process is stopped looks open to the runtime when the next request comes.
+#[test]
+fn a_connection_whose_close_the_runtime_has_not_seen_is_not_reused() {
+    let discovery = Discovery::start();
+    let (closes, signals): (Vec<_>, Vec<_>) = (0..4).map(|_| channel()).unzip();
+    let mut signals = signals.into_iter();
+    let backend = Backend::start(move |_| {
+        let signal = signals.next().expect("as many requests as signals");
+        Reply::Then(
+            answer("200 OK", "", b"last"),
+            signal,
+            Box::new(Reply::WriteAndClose(Vec::new())),
+        )
+    });
+    let proxy = Proxy::start(
+        "closed-unseen",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let mut client = proxy.client();
+    for (id, close) in closes.iter().enumerate() {
+        client.send(&request("charge", &id.to_string(), "x"));
+        proxy.go_on();
+        assert_eq!(client.receive().status(), 200);
+        backend.next();
+        proxy.halt();
+        close.send(()).expect("the backend waits");
+        backend.wait_until_closed();
+    }
+}
+
+#[test]
+fn a_restarted_backend_gets_a_new_connection() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| ok("there"));
+    let proxy = Proxy::start(
+        "restarted",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 1_000)],
+    );
+    let mut client = proxy.client();
+    assert_eq!(client.ask(&request("charge", "1", "x")).status(), 200);
+    assert_eq!(client.ask(&request("charge", "2", "x")).status(), 200);
+    let (first, second) = (backend.next().connection, backend.next().connection);
+    assert_eq!(first, second, "a connection is used again");
+    discovery.post(false, &[entry("s-1", backend.address, "active", 2_000)]);
+    assert_eq!(client.ask(&request("charge", "3", "x")).status(), 200);
+    assert_ne!(backend.next().connection, second);
+}
+
+/// A connection that was in use while its backend was removed belongs to a process that has ended.
+#[test]
+fn connections_of_a_removed_backend_are_never_reused() {
+    for complete in [false, true] {
+        let discovery = Discovery::start();
+        let (release, signal) = channel();
+        let mut signal = Some(signal);
+        let backend = Backend::start(move |_| match signal.take() {
+            Some(signal) => Reply::After(signal, Box::new(ok("of the old one"))),
+            None => ok("of the new one"),
+        });
+        let here = |id: &str| entry(id, backend.address, "active", 0);
+        let proxy = Proxy::start(&format!("gone-{complete}"), &discovery, &[here("s-1")]);
+        let mut client = proxy.client();
+        client.send(&request("charge", "1", "x"));
+        assert_eq!(backend.next().connection, 0);
+        let left = entry("s-1", backend.address, "left", 0);
+        discovery.post(
+            complete,
+            if complete {
+                &[]
+            } else {
+                std::slice::from_ref(&left)
+            },
+        );
+        discovery.post(false, &[here("s-1")]);
+        release.send(()).expect("the backend waits");
+        assert_eq!(client.receive().body, b"of the old one");
+        for id in ["2", "3"] {
+            assert_eq!(
+                client.ask(&request("charge", id, "x")).body,
+                b"of the new one"
+            );
+            assert_eq!(backend.next().connection, 1);
+        }
+        discovery.post(true, &[here("s-2")]);
+        assert_eq!(client.ask(&request("charge", "4", "x")).status(), 200);
+        assert_eq!(
+            backend.next().connection,
+            2,
+            "another backend at the same address"
+        );
+    }
+}
--- /dev/null
+++ b/tests/proxy/corrupt_responses.rs
@@ -0,0 +1,126 @@
+//! Responses that are malformed, or followed by bytes that belong to no response.
+
+use crate::rig::*;
+
+#[test]
+fn a_broken_response_is_never_a_200_and_a_non_idempotent_request_is_not_retried() {
+    let breaks: [&[u8]; 3] = [
+        b"",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
+        b"garbage\r\n\r\n",
+    ];
+    for (i, bytes) in breaks.into_iter().enumerate() {
+        let discovery = Discovery::start();
+        let one = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
+        let two = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
+        let members = [
+            entry("s-1", one.address, "active", 0),
+            entry("s-2", two.address, "active", 0),
+        ];
+        let proxy = Proxy::start(&format!("broken-{i}"), &discovery, &members);
+        let got = proxy.client().ask(&request("charge", "1", "x"));
+        assert_eq!(got.status(), 502, "failed: the request may have run");
+        assert_eq!(one.rest() + two.rest(), 1);
+    }
+}
+
+/// Backends send what can't become a response and keep the connection open. Waiting would leave no time for
+/// another attempt; a reset would be counted against a healthy backend.
+#[test]
+fn a_corrupt_response_fails_at_once_and_only_idempotent_requests_are_retried() {
+    let endless_head = format!("HTTP/1.1 200 OK\r\nX-Long: {}", "y".repeat(20_000));
+    let corrupt: [&[u8]; 10] = [
+        b"\x00\xfe\x17 noise \x9c\r\n\r\n",
+        b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbody",
+        b"HTTP/1.1 200 OK\r\nCont\x00ent: 4\r\n\r\nbody",
+        b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nbody",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 9\r\n\r\nbody",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nno length\r\n",
+        b"HTTP/1.1 200 OK\r\n\r\nwithout an end",
+        b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
+        endless_head.as_bytes(),
+    ];
+    for (i, bytes) in corrupt.into_iter().enumerate() {
+        let discovery = Discovery::start();
+        let shared = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
+        let start = |bytes: Vec<u8>| {
+            let first = std::sync::Arc::clone(&shared);
+            Backend::start(
+                move |_| match first.swap(false, std::sync::atomic::Ordering::SeqCst) {
+                    true => Reply::Write(bytes.clone()),
+                    false => ok("good"),
+                },
+            )
+        };
+        let (one, two) = (start(bytes.to_vec()), start(bytes.to_vec()));
+        let members = [
+            entry("s-1", one.address, "active", 0),
+            entry("s-2", two.address, "active", 0),
+        ];
+        let proxy = Proxy::start(&format!("corrupt-{i}"), &discovery, &members);
+        let got = proxy.client().ask(&request("read", "1", ""));
+        assert_eq!(
+            (got.status(), got.body.as_slice()),
+            (200, b"good".as_slice()),
+            "case {i}"
+        );
+        shared.store(true, std::sync::atomic::Ordering::SeqCst);
+        let got = proxy.client().ask(&request("charge", "2", "x"));
+        assert_eq!(got.status(), 502, "case {i}: it may have run");
+        assert_eq!(one.rest() + two.rest(), 3, "case {i}");
+    }
+}
+
+/// A good response with more bytes behind it is good. Its connection is not reused, and no later request fails.
+#[test]
+fn bytes_behind_a_response_are_served_to_nobody() {
+    let behind: [&[u8]; 3] = [
+        b"\x00noise",
+        b"\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong",
+    ];
+    for (i, more) in behind.into_iter().enumerate() {
+        let discovery = Discovery::start();
+        let backend = Backend::start(move |seen| {
+            let id = seen.header("x-correlation-id").expect("an id").as_bytes();
+            Reply::Write([answer("200 OK", "", id), more.to_vec()].concat())
+        });
+        let members = [entry("s-1", backend.address, "active", 0)];
+        let proxy = Proxy::start(&format!("behind-{i}"), &discovery, &members);
+        let mut client = proxy.client();
+        for id in ["one", "two", "three", "four"] {
+            let got = client.ask(&request("charge", id, "x"));
+            assert_eq!(
+                (got.status(), got.body.as_slice()),
+                (200, id.as_bytes()),
+                "case {i}"
+            );
+        }
+        let connections: Vec<_> = (0..4).map(|_| backend.next().connection).collect();
+        assert_eq!(connections, [0, 1, 2, 3], "case {i}");
+    }
+}
+
+/// 1xx responses come before the final one, and a malformed load report is ignored.
+#[test]
+fn early_hints_and_malformed_load_reports_do_no_harm() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| {
+        let early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
+        let report = "X-Backend-Load: inflight=é,,=;util=NaN,queue\r\n";
+        Reply::Write([early.to_vec(), answer("200 OK", report, b"good")].concat())
+    });
+    let proxy = Proxy::start(
+        "early",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    for id in ["1", "2"] {
+        let got = proxy.client().ask(&request("charge", id, "x"));
+        assert_eq!(
+            (got.status(), got.body.as_slice()),
+            (200, b"good".as_slice())
+        );
+    }
+}
--- /dev/null
+++ b/tests/proxy/forwarding.rs
@@ -0,0 +1,229 @@
+//! What reaches backends and clients: the request, the response, and their connections.
+
+use crate::rig::*;
+use serde_json::json;
+use std::io::Write;
+use std::sync::mpsc::channel;
+use std::thread;
+
+#[test]
+fn requests_and_responses_are_forwarded_unchanged() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| Reply::Write(answer("200 OK", "", b"\x00\xffbody\r\n\r\n")));
+    let proxy = Proxy::start(
+        "unchanged",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let got = proxy.client().ask(&request("submit", "5c0f", "some body"));
+    assert_eq!(
+        (got.status(), got.body.as_slice()),
+        (200, b"\x00\xffbody\r\n\r\n".as_slice())
+    );
+    let seen = backend.next();
+    assert_eq!(seen.first_line(), "POST /submit?key=7f3a HTTP/1.1");
+    assert_eq!(seen.header("x-correlation-id"), Some("5c0f"));
+    assert_eq!(seen.header("idempotency-key"), Some("5c0f"));
+    assert_eq!(seen.body, b"some body");
+    let left: u64 = seen
+        .header("x-time-left-ms")
+        .expect("the time left")
+        .parse()
+        .expect("a number");
+    assert!(
+        left < 15_000,
+        "the proxy waits for less than the client does, not {left} ms"
+    );
+}
+
+#[test]
+fn a_connection_serves_one_request_after_another() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|seen| ok(seen.header("x-correlation-id").expect("an id")));
+    let proxy = Proxy::start(
+        "kept",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let mut client = proxy.client();
+    for id in ["a", "b", "c"] {
+        let got = client.ask(&request("read", id, ""));
+        assert_eq!((got.status(), got.body.as_slice()), (200, id.as_bytes()));
+    }
+}
+
+/// Customers choose names: one is the path of the front's health check, another has letters beyond ASCII.
+#[test]
+fn classes_and_tenants_of_any_name_are_served() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| ok("run"));
+    let mut config = config("names", &discovery);
+    config["settings"]["classes"][2]["name"] = "up".into();
+    config["settings"]["tenants"] = json!([{"name": "plain", "allowancePerS": 9.0}, {"name": "Ñañez-Ltda", "allowancePerS": 9.0}]);
+    let proxy = Proxy::start_with("names", config);
+    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    let mut client = proxy.client();
+    for (id, account) in [("1", "plain"), ("2", "Ñañez-Ltda")] {
+        let asked = request("up", id, "x");
+        let asked = asked.replace("Host:", &format!("X-Account: {account}\r\nHost:"));
+        assert_eq!(client.ask(&asked).body, b"run", "{account}");
+        assert_eq!(backend.next().first_line(), "POST /up?key=7f3a HTTP/1.1");
+    }
+    assert_eq!(client.ask(UP).body, b"up\n");
+}
+
+#[test]
+fn connections_are_kept_or_closed_as_their_requests_say() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| ok("fine"));
+    let proxy = Proxy::start(
+        "kept-or-closed",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let keep = "Connection: keep-alive\r\nHost";
+    let close = "Connection: foo, Close\r\nHost";
+    for (version, fields, kept) in [
+        ("HTTP/1.1", "Host", true),
+        ("HTTP/1.1", close, false),
+        ("HTTP/1.0", "Host", false),
+        ("HTTP/1.0", keep, true),
+    ] {
+        let mut client = proxy.client();
+        let text = |id: &str| {
+            request("submit", id, "x")
+                .replace("HTTP/1.1", version)
+                .replacen("Host", fields, 1)
+        };
+        assert_eq!(client.ask(&text("1")).status(), 200, "{version} {fields}");
+        if kept {
+            assert_eq!(client.ask(&text("2")).status(), 200, "{version} {fields}");
+        } else {
+            assert!(client.ends_cleanly(), "{version} {fields}");
+        }
+    }
+}
+
+#[test]
+fn a_client_that_expects_100_continue_gets_it() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|seen| {
+        assert_eq!(seen.header("expect"), None);
+        ok(&String::from_utf8_lossy(&seen.body))
+    });
+    let proxy = Proxy::start(
+        "expect",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let mut client = proxy.client();
+    client.send(&request("submit", "1", "").replace(
+        "Content-Length: 0",
+        "Expect: 100-continue\r\nContent-Length: 4",
+    ));
+    assert_eq!(client.receive().status(), 100);
+    assert_eq!(client.ask("body").body, b"body");
+}
+
+/// A client may be slow, as long as it continues.
+#[test]
+fn a_request_in_small_pieces_is_served() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|seen| ok(&seen.body.len().to_string()));
+    let proxy = Proxy::start(
+        "pieces",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let mut client = proxy.client();
+    client.stream.set_nodelay(true).expect("no delay");
+    let text = request("submit", "1", &"x".repeat(3_000));
+    text.as_bytes()
+        .chunks(7)
+        .for_each(|piece| client.stream.write_all(piece).expect("it reads"));
+    assert_eq!(client.receive().body, b"3000");
+}
+
+#[test]
+fn pipelined_requests_get_their_responses_in_order() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|seen| ok(seen.header("x-correlation-id").expect("an id")));
+    let proxy = Proxy::start(
+        "pipelined",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let mut client = proxy.client();
+    let ambiguous = request("submit", "4", "").replace(
+        "Content-Length: 0",
+        "Transfer-Encoding: chunked\r\nContent-Length: 5",
+    );
+    let all = ["1", "2", "3"]
+        .map(|id| request("submit", id, "x"))
+        .concat()
+        + UP
+        + &ambiguous
+        + "0\r\n\r\n"
+        + &request("submit", "5", "x");
+    client.send(&all);
+    for id in ["1", "2", "3"] {
+        assert_eq!(client.receive().body, id.as_bytes());
+    }
+    assert_eq!(client.receive().status(), 200);
+    assert_eq!(
+        client.receive().status(),
+        400,
+        "its end can be read in two ways"
+    );
+    assert!(client.ends_cleanly(), "and so nothing behind it is read");
+    assert_eq!(backend.seen.try_iter().count(), 3);
+}
+
+/// More comes behind an open request than is read ahead.
+#[test]
+fn pipelined_requests_behind_an_open_one_are_served_in_order() {
+    const FURTHER: usize = 60;
+    const BODY: usize = 60_000;
+    let discovery = Discovery::start();
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
+    let backend = Backend::start(move |seen| {
+        let own = ok(&String::from_utf8_lossy(&seen.body));
+        match signal.take() {
+            Some(signal) => Reply::After(signal, Box::new(own)),
+            None => own,
+        }
+    });
+    let proxy = Proxy::start(
+        "in-order",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let mut client = proxy.client();
+    client.send(&request("charge", "open", "first"));
+    backend.next();
+    let mut stream = client.stream.try_clone().expect("a clone");
+    let body = |i: usize| format!("{i:06}").repeat(BODY / 6);
+    let sending = thread::spawn(move || {
+        for i in 0..FURTHER {
+            stream.write_all(request("charge", &format!("further-{i}"), &body(i)).as_bytes())?;
+        }
+        Ok::<_, std::io::Error>(())
+    });
+    // By then it has read what it reads ahead.
+    (0..20).for_each(|_| _ = proxy.client().ask(UP));
+    release.send(()).expect("the backend waits");
+    assert_eq!(client.receive().body, b"first");
+    for i in 0..FURTHER {
+        let got = client.receive();
+        assert!(
+            got.status() == 200 && got.body == body(i).as_bytes(),
+            "request {i}: {}",
+            got.status()
+        );
+    }
+    sending
+        .join()
+        .expect("a thread")
+        .expect("the proxy reads all");
+}
--- /dev/null
+++ b/tests/proxy/response_ends.rs
@@ -0,0 +1,210 @@
+//! The end of a response: by its length, by a close, by a reset, or never.
+
+use crate::rig::*;
+use std::io::{BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener};
+use std::thread;
+use std::time::{Duration, Instant};
+
+#[test]
+fn responses_without_a_body_or_ended_by_a_close_are_understood() {
+    let cases: [(&str, &[u8], u16); 5] = [
+        ("closes", b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody", 200),
+        ("old", b"HTTP/1.0 200 OK\r\n\r\nbody", 200),
+        ("chunks", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nbo\r\n2\r\ndy\r\n0\r\nX-T: 1\r\n\r\n", 200),
+        ("no-content", b"HTTP/1.1 204 No Content\r\n\r\n", 502),
+        ("not-modified", b"HTTP/1.1 304 Not Modified\r\nContent-Length: 4\r\n\r\n", 502),
+    ];
+    for (name, bytes, status) in cases {
+        let discovery = Discovery::start();
+        let backend = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
+        let proxy = Proxy::start(
+            name,
+            &discovery,
+            &[entry("s-1", backend.address, "active", 0)],
+        );
+        let got = proxy.client().ask(&request("charge", "1", "x"));
+        assert_eq!(got.status(), status, "{name}");
+        assert!(status != 200 || got.body == b"body", "{name}");
+    }
+    let discovery = Discovery::start();
+    let proxy = Proxy::start("head", &discovery, &[]);
+    let mut client = proxy.client();
+    client.send("HEAD /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+    let mut text = String::new();
+    client.reader.read_to_string(&mut text).expect("text");
+    assert!(
+        text.starts_with("HTTP/1.1 200 ") && text.ends_with("\r\n\r\n"),
+        "{text}"
+    );
+}
+
+#[test]
+fn a_response_that_breaks_off_once_it_has_started_looks_broken() {
+    for (name, fields) in [
+        ("broken-length", "Content-Length: 200000\r\n"),
+        ("broken-chunks", "Transfer-Encoding: chunked\r\n"),
+    ] {
+        let backend = Backend::start(move |_| {
+            let chunk = if fields.starts_with('T') {
+                "20000\r\n"
+            } else {
+                ""
+            };
+            let head = format!("HTTP/1.1 200 OK\r\n{fields}\r\n{chunk}");
+            Reply::WriteAndClose([head.into_bytes(), pattern(100_000)].concat())
+        });
+        let proxy = start_with_little_memory(name, &backend);
+        for version in ["HTTP/1.1", "HTTP/1.0"] {
+            let mut client = proxy.client();
+            client.send(&request("submit", version, "x").replace("HTTP/1.1", version));
+            let mut all = Vec::new();
+            let ended = client.reader.read_to_end(&mut all);
+            let whole = all.ends_with(b"0\r\n\r\n");
+            let text = String::from_utf8_lossy(&all[..300.min(all.len())]).to_lowercase();
+            let shows = text.contains("content-length: 200000") || text.contains("chunked");
+            assert!(ended.is_err() || (shows && !whole), "{name} {version}");
+        }
+        assert_eq!(backend.next().header("x-correlation-id"), Some("HTTP/1.1"));
+        assert_eq!(backend.next().header("x-correlation-id"), Some("HTTP/1.0"));
+        assert_eq!(backend.rest(), 0, "nothing that has begun is sent again");
+        let failed = "app_handled{category=\"submit\",outcome=\"bad_gateway\"}";
+        while proxy.figure(failed) < 2 {}
+    }
+}
+
+/// A backend that answers each request with these bytes and resets its connection after a pause.
+fn resets_after(bytes: Vec<u8>, pause: Duration) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    thread::spawn(move || {
+        for mut stream in listener.incoming().map_while(Result::ok) {
+            if read_message(&mut BufReader::new(&stream)).is_some() {
+                let _ = stream.write_all(&bytes);
+                thread::sleep(pause);
+                let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
+            }
+        }
+    });
+    address
+}
+
+/// A response without a length ends with its connection, but not with a reset.
+#[test]
+fn a_reset_never_completes_a_response_without_a_length() {
+    for head in [
+        "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
+        "HTTP/1.0 200 OK\r\n\r\n",
+    ] {
+        for (length, pause_ms) in [
+            (0, 0),
+            (40, 0),
+            (40, 100),
+            (40, 600),
+            (100_000, 0),
+            (100_000, 100),
+        ] {
+            let bytes = [head.as_bytes(), &pattern(length)].concat();
+            let address = resets_after(bytes, Duration::from_millis(pause_ms));
+            let discovery = Discovery::start();
+            let name = format!("reset-{length}-{pause_ms}");
+            let proxy = Proxy::start(&name, &discovery, &[entry("s-1", address, "active", 0)]);
+            let mut client = proxy.client();
+            client
+                .send(&request("charge", "1", "x").replace("Host:", "Connection: close\r\nHost:"));
+            let mut all = Vec::new();
+            let ended = client.reader.read_to_end(&mut all);
+            let failed = all.starts_with(b"HTTP/1.1 502 ");
+            let text = String::from_utf8_lossy(&all[..200.min(all.len())]).to_lowercase();
+            let cut_off = text.contains("chunked") && !all.ends_with(b"0\r\n\r\n");
+            assert!(
+                failed || ended.is_err() || cut_off,
+                "{name}: {} bytes",
+                all.len()
+            );
+        }
+    }
+}
+
+#[test]
+fn a_request_without_a_response_times_out() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| Reply::Hang);
+    let proxy = Proxy::start(
+        "hang",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let mut client = proxy.client();
+    let got = client.ask(&request("charge", "1", "x").replace("15000", "300"));
+    assert_eq!(got.status(), 502);
+    assert_eq!(
+        client.ask(UP).status(),
+        200,
+        "exactly one answer came, and the connection goes on"
+    );
+}
+
+/// Responses without an end, as fast as they are read and byte by byte.
+#[test]
+fn endless_responses_time_out_and_take_no_memory() {
+    let ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    let (fast, slow) = (Duration::ZERO, Duration::from_millis(20));
+    let large = "x".repeat(64 * 1024);
+    let cases = [
+        ("HTTP/1.1 200 OK\r\nX-Long: ", "x", slow),
+        ("HTTP/1.1 200 OK\r\n", "X-Field: value\r\n", fast),
+        ("", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", fast),
+        (
+            "HTTP/1.1 500 Oops\r\nTransfer-Encoding: chunked\r\n\r\n",
+            "1\r\nx\r\n",
+            slow,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n",
+            "x",
+            slow,
+        ),
+        (ok, "1\r\nx\r\n", slow),
+        (ok, &format!("{:x}\r\n{large}\r\n", large.len()), fast),
+        ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "x", slow),
+    ];
+    let (mut proxies, mut clients) = (Vec::new(), Vec::new());
+    for (i, (first, again, pause)) in cases.into_iter().enumerate() {
+        let (first, again) = (first.as_bytes().to_vec(), again.as_bytes().to_vec());
+        let discovery = Discovery::start();
+        let backend = Backend::start(move |_| Reply::Endless(first.clone(), again.clone(), pause));
+        let proxy = Proxy::start(
+            &format!("endless-{i}"),
+            &discovery,
+            &[entry("s-1", backend.address, "active", 0)],
+        );
+        let mut client = proxy.client();
+        client.send(&request("charge", "1", "x").replace("15000", "2000"));
+        clients.push(client);
+        proxies.push((proxy, backend, discovery));
+    }
+    let began = Instant::now();
+    for (i, mut client) in clients.into_iter().enumerate() {
+        let mut got = Vec::new();
+        let ended = Read::read_to_end(&mut client.reader, &mut got);
+        let failed = got.starts_with(b"HTTP/1.1 502");
+        assert!(
+            failed || (ended.is_err() && got.starts_with(b"HTTP/1.1 200")),
+            "case {i}: {} bytes",
+            got.len()
+        );
+        let (proxy, ..) = &proxies[i];
+        assert!(
+            proxy.peak_memory() < 40_000,
+            "case {i}: {} kB",
+            proxy.peak_memory()
+        );
+    }
+    // One that fails may stay idle for 2.5 s.
+    assert!(
+        began.elapsed() < Duration::from_millis(5_500),
+        "{:?}",
+        began.elapsed()
+    );
+}
--- a/tests/proxy/rig/backend.rs
+++ b/tests/proxy/rig/backend.rs
@@ -4,7 +4,7 @@
 use super::message::{Message, answer, read_message};
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::mpsc::{Receiver, channel};
+use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use std::{fs, thread};
@@ -137,3 +137,16 @@
         fields.next() == Some(remote.as_str()) && fields.next() == Some(ESTABLISHED)
     })
 }
+
+/// A backend that reports its request, and closes the connection without a response at a signal.
+pub fn closes_on_signal() -> (Backend, Sender<()>) {
+    let (release, signal) = channel();
+    let mut reply = Some(Reply::After(
+        signal,
+        Box::new(Reply::WriteAndClose(Vec::new())),
+    ));
+    (
+        Backend::start(move |_| reply.take().expect("asked once")),
+        release,
+    )
+}
--- a/tests/proxy/rig/full_queue.rs
+++ b/tests/proxy/rig/full_queue.rs
@@ -1,7 +1,11 @@
 //! A stand-in for a backend that accepts no connection until the test says so.
 
+use super::TEST_TIMEOUT;
+use super::message::{answer, read_message};
 use socket2::{Domain, Socket, Type};
+use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::Duration;
 
 /// A backend whose accept queue is full: connects to it wait until it is emptied.
 pub struct FullQueue {
@@ -33,3 +37,30 @@
         self.listener
     }
 }
+
+/// The kernel repeats a connect at most this long after the queue of the listener has room.
+const RECONNECTS_WITHIN: Duration = Duration::from_secs(4);
+
+/// Accepts connections and answers a request on each, until no connection has come for long. Returns the ids of
+/// the requests.
+pub fn received_ids(listener: TcpListener) -> Vec<String> {
+    let listener = socket2::Socket::from(listener);
+    listener
+        .set_read_timeout(Some(RECONNECTS_WITHIN))
+        .expect("a time-out");
+    let mut seen = Vec::new();
+    while let Ok((stream, _)) = listener.accept() {
+        let mut stream = TcpStream::from(stream);
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
+        let Some(got) = read_message(&mut BufReader::new(&stream)) else {
+            continue;
+        };
+        seen.push(got.header("x-correlation-id").expect("an id").to_owned());
+        stream
+            .write_all(&answer("200 OK", "", b"there"))
+            .expect("the proxy reads");
+    }
+    seen
+}
--- a/tests/proxy/rig/message.rs
+++ b/tests/proxy/rig/message.rs
@@ -76,3 +76,8 @@
     bytes.extend_from_slice(body);
     bytes
 }
+
+/// Returns a body of this length whose parts differ.
+pub fn pattern(length: usize) -> Vec<u8> {
+    (0..length).map(|i| (i / 7 + i / 4_099) as u8).collect()
+}
--- a/tests/proxy/rig/mod.rs
+++ b/tests/proxy/rig/mod.rs
@@ -10,13 +10,13 @@
 mod process;
 mod saturated_backend;
 
-pub use backend::{Backend, Reply, ok};
+pub use backend::{Backend, Reply, closes_on_signal, ok};
 pub use client::{Client, UP, request};
 pub use configuration::{config, config_at, operated};
 pub use discovery::{Discovery, entry};
-pub use full_queue::FullQueue;
-pub use message::{Message, answer, read_message};
-pub use process::{Proxy, command, heir, launch};
+pub use full_queue::{FullQueue, received_ids};
+pub use message::{Message, answer, pattern, read_message};
+pub use process::{Proxy, command, heir, launch, start_with_little_memory};
 pub use saturated_backend::{INITIAL_LIMIT, fill, full_backend};
 use std::time::Duration;
 
--- a/tests/proxy/rig/process.rs
+++ b/tests/proxy/rig/process.rs
@@ -1,8 +1,9 @@
 //! The process of the proxy: its start, its signals, its log and its operator calls.
 
+use super::backend::Backend;
 use super::client::Client;
-use super::configuration::config;
-use super::discovery::Discovery;
+use super::configuration::{config, operated};
+use super::discovery::{Discovery, entry};
 use super::message::Message;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read};
@@ -215,3 +216,14 @@
         let _ = self.child.wait();
     }
 }
+
+/// A proxy with little memory and a backend.
+pub fn start_with_little_memory(name: &str, backend: &Backend) -> Proxy {
+    let discovery = Discovery::start();
+    let mut config = operated(name, &discovery);
+    config["limits"]["memory_mb"] = 32.into();
+    config["settings"]["permissions"]["secondCopies"] = false.into();
+    let proxy = Proxy::start_with(name, config);
+    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    proxy
+}
--- /dev/null
+++ b/tests/proxy/shutdown.rs
@@ -0,0 +1,208 @@
+//! Graceful shutdown: open requests and those that still arrive are served before the process ends.
+
+use crate::rig::*;
+use std::sync::mpsc::channel;
+use std::thread;
+use std::time::{Duration, Instant};
+
+#[test]
+fn at_sigterm_it_finishes_open_requests_and_those_that_still_arrive() {
+    let discovery = Discovery::start();
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
+    let one = Backend::start(move |seen| match seen.header("x-correlation-id") {
+        Some("1") => Reply::After(
+            signal.take().expect("asked once"),
+            Box::new(ok("taken before")),
+        ),
+        _ => ok("still comes"),
+    });
+    let members = [entry("s-1", one.address, "active", 0)];
+    let mut proxy = Proxy::start("sigterm", &discovery, &members);
+    let (mut idle, mut before) = (proxy.client(), proxy.client());
+    assert_eq!(idle.ask(UP).status(), 200);
+    before.send(&request("read", "1", ""));
+    one.next();
+    proxy.terminate();
+    // Once /up says so, the signal has arrived; connections are still accepted.
+    while proxy.client().ask(UP).status() == 200 {}
+    let late = proxy.client().ask(UP);
+    assert_eq!(late.header("connection"), Some("close"));
+    assert!(
+        idle.ends_cleanly(),
+        "an idle connection is closed, not reset"
+    );
+    release.send(()).expect("the backend waits");
+    let got = before.receive();
+    assert_eq!(
+        (got.status(), got.body.as_slice()),
+        (200, b"taken before".as_slice())
+    );
+    assert_eq!(got.header("connection"), Some("close"));
+    assert!(before.ends_cleanly());
+    drop((idle, before));
+    assert_eq!(proxy.wait().code(), Some(0));
+}
+
+/// The proxy may hold a single connection, and another one waits in the kernel's queue with its request. After
+/// SIGTERM, the first connection ends when nothing else keeps the process alive.
+#[test]
+fn a_request_that_waits_to_be_accepted_is_served_before_the_process_ends() {
+    let discovery = Discovery::start();
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
+    let backend = Backend::start(move |_| match signal.take() {
+        Some(signal) => Reply::After(signal, Box::new(ok("first"))),
+        None => ok("queued"),
+    });
+    let mut config = config("queued", &discovery);
+    config["limits"]["memory_mb"] = 0.into();
+    let mut proxy = Proxy::start_with("queued", config);
+    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    let mut first = proxy.client();
+    first.send(&request("charge", "1", "x"));
+    backend.next();
+    let mut queued = proxy.client();
+    queued.send(&request("charge", "2", "x"));
+    proxy.terminate();
+    // Connections are accepted for a minimum time; its end cannot be seen from outside.
+    thread::sleep(Duration::from_millis(1_200));
+    release.send(()).expect("the backend waits");
+    assert_eq!(first.receive().body, b"first");
+    drop(first);
+    assert_eq!(queued.receive().body, b"queued");
+    drop(queued);
+    assert_eq!(proxy.wait().code(), Some(0));
+}
+
+/// The process is stopped until the minimum time for which connections are accepted has passed, and one waits
+/// then.
+#[test]
+fn a_request_that_came_while_the_process_was_stopped_is_served_before_it_ends() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| ok("there"));
+    let members = [entry("s-1", backend.address, "active", 0)];
+    let mut proxy = loop {
+        let mut proxy = Proxy::start("halted", &discovery, &members);
+        proxy.terminate();
+        while proxy.client().ask(UP).status() == 200 {}
+        proxy.halt();
+        // Where the test itself was delayed for so long that the process has ended, it starts again.
+        if proxy.child.try_wait().expect("a child").is_none() {
+            break proxy;
+        }
+    };
+    let mut client = proxy.client();
+    client.send(&request("charge", "1", "x"));
+    // The end of that time cannot be seen from outside.
+    thread::sleep(Duration::from_millis(1_500));
+    proxy.go_on();
+    assert_eq!(client.receive().body, b"there");
+    drop(client);
+    assert_eq!(proxy.wait().code(), Some(0));
+}
+
+/// The client reads nothing until SIGTERM, so most of the response waits. The response starts before the signal,
+/// or behind it and then closes its connection.
+#[test]
+fn a_response_that_is_read_late_is_complete_before_the_process_ends() {
+    const LENGTH: usize = 8 << 20;
+    let body: Vec<u8> = (0..LENGTH).map(|i| (i / 7) as u8).collect();
+    for behind in [false, true] {
+        let discovery = Discovery::start();
+        let (release, signal) = channel();
+        let mut reply = Some(Reply::After(
+            signal,
+            Box::new(Reply::Write(answer("200 OK", "", &body))),
+        ));
+        let backend = Backend::start(move |_| reply.take().expect("asked once"));
+        let name = format!("read-late-{behind}");
+        let mut proxy = Proxy::start(
+            &name,
+            &discovery,
+            &[entry("s-1", backend.address, "active", 0)],
+        );
+        let mut client = proxy.client();
+        client.send(&request("charge", "1", "x"));
+        backend.next();
+        let let_begin = || {
+            release.send(()).expect("the backend waits");
+            assert_eq!(client.stream.peek(&mut [0]).expect("it begins"), 1);
+        };
+        if !behind {
+            let_begin();
+        }
+        proxy.terminate();
+        while proxy.client().ask(UP).status() == 200 {}
+        if behind {
+            let_begin();
+        }
+        let got = client.receive();
+        assert_eq!(
+            (got.status(), got.header("connection")),
+            (200, behind.then_some("close"))
+        );
+        assert!(got.body == body, "{} bytes", got.body.len());
+        assert!(client.ends_cleanly());
+        drop(client);
+        assert_eq!(proxy.wait().code(), Some(0));
+    }
+}
+
+/// The platform may kill the process 3.7 s after the signal, however long the deadlines are.
+const KILLED_AFTER: Duration = Duration::from_millis(3_700);
+
+/// Signals come twice and together, the backend hangs, one connection is silent, one body is still coming.
+#[test]
+fn requests_behind_sigterm_are_answered_before_the_process_may_be_killed() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| Reply::Hang);
+    let mut proxy = Proxy::start(
+        "killed",
+        &discovery,
+        &[entry("s-1", backend.address, "active", 0)],
+    );
+    let (mut unresponsive, mut flowing, mut late) =
+        (proxy.client(), proxy.client(), proxy.client());
+    assert_eq!(late.ask(UP).status(), 200);
+    let whole = request("charge", "flowing", "0123456789");
+    let (most, last) = whole.split_at(whole.len() - 5);
+    flowing.send(most);
+    assert_eq!(
+        proxy.client().ask(UP).status(),
+        200,
+        "what came before was seen"
+    );
+    let began = Instant::now();
+    proxy.terminate();
+    proxy.reload("{");
+    proxy.terminate();
+    while proxy.client().ask(UP).status() == 200 {}
+    late.send(&request("charge", "late", "x"));
+    thread::sleep(Duration::from_millis(1_000));
+    flowing.send(last);
+    for client in [&mut late, &mut flowing] {
+        assert_eq!(client.receive().status(), 502, "it may have run");
+    }
+    assert!(
+        began.elapsed() < KILLED_AFTER,
+        "after {:?}",
+        began.elapsed()
+    );
+    assert!(unresponsive.ends_cleanly());
+    drop((unresponsive, flowing, late));
+    assert_eq!(proxy.wait().code(), Some(0));
+    assert!(began.elapsed() < KILLED_AFTER);
+}
+
+#[test]
+fn a_sigterm_before_the_process_can_serve_ends_it_cleanly() {
+    let discovery = Discovery::start();
+    let mut proxy = Proxy::start_bare("unready", &discovery);
+    proxy.terminate();
+    let refused = proxy
+        .client()
+        .ask(&request("read", "1", "").replace("15000", "300"));
+    assert_eq!(refused.status(), 503);
+    assert_eq!(proxy.wait().code(), Some(0));
+}
