--- /dev/null
+++ b/tests/watch/proxy.rs
@@ -0,0 +1,100 @@
+//! The parts of a proxy that follow discovery, on the runtime of the test.
+
+use crate::discovery::list;
+use serde_json::json;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tillerproxy::api::{DiscoveryMode, Settings};
+use tillerproxy::balancer::Balancer;
+use tillerproxy::proxy::backends::Backends;
+use tillerproxy::proxy::clock::Clock;
+use tillerproxy::proxy::config::Names;
+use tillerproxy::proxy::counters::Counters;
+use tillerproxy::proxy::discovery::{Polling, Translator, Watcher};
+use tillerproxy::proxy::driver::{Driver, DriverSettings};
+use tillerproxy::proxy::lifecycle::Lifecycle;
+use tillerproxy::simulator::parse_settings;
+use tokio::sync::{mpsc, watch};
+use tokio::task::{LocalSet, spawn_local};
+use tokio::time::{Instant, sleep};
+
+/// The parts of one proxy that follow discovery.
+pub struct Proxy {
+    backends: Rc<Backends>,
+    pub discovery_address: watch::Sender<SocketAddr>,
+}
+
+/// The settings of a proxy that follows discovery in this mode.
+fn settings(proxy_index: u32, proxy_count: u32, mode: &str, poll_interval: Duration) -> Settings {
+    let settings = json!({"me": proxy_index, "balancers": proxy_count, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
+            "membershipMode": mode,
+            "classes": [{"name": "c", "aimUs": 1_000_000, "deadlineUs": 2_000_000, "worth": 1.0, "effect": "fragile"}],
+            "permissions": {"maxAttempts": 1},
+            "safety": {"askWithinUs": poll_interval.as_micros() as u64, "coldFrom": 0.3, "coldUs": 1_000_000, "fallMultiple": 3.0, "fallUs": 2_000_000}});
+    parse_settings(settings.to_string().as_bytes()).expect("good settings")
+}
+
+impl Proxy {
+    pub fn start(proxy_index: u32, proxy_count: u32, mode: &str, discovery: SocketAddr) -> Self {
+        Self::start_with(proxy_index, proxy_count, mode, Duration::ZERO, discovery)
+    }
+
+    /// Starts a proxy with this poll interval.
+    pub fn start_with(
+        proxy_index: u32,
+        proxy_count: u32,
+        mode: &str,
+        poll_interval: Duration,
+        discovery: SocketAddr,
+    ) -> Self {
+        let settings = settings(proxy_index, proxy_count, mode, poll_interval);
+        let is_polled = settings.discovery_mode == DiscoveryMode::Polled;
+        let clock = Clock::start();
+        let backends = Backends::new(10, 250_000, 1_000_000, Vec::new(), Counters::new(&[]));
+        let balancer = Balancer::new(settings, u64::from(proxy_index) + 1, clock.now())
+            .expect("good settings");
+        let (poll_sender, poll_requests) = mpsc::unbounded_channel();
+        let driver_settings = DriverSettings {
+            max_attempts: 1,
+            load_report_by_health_check: false,
+        };
+        let lifecycle = Lifecycle::start();
+        let (driver, handle) = Driver::new(
+            balancer,
+            clock,
+            Rc::clone(&backends),
+            driver_settings,
+            poll_sender,
+            Rc::clone(&lifecycle),
+        );
+        let names = Names {
+            zones: vec!["a".into()],
+            machine_types: vec!["m".into()],
+            ..Names::default()
+        };
+        let (discovery_address, addresses) = watch::channel(discovery);
+        let polling = is_polled.then(|| Polling::new(poll_requests, proxy_index, proxy_count));
+        let translator = Translator::new(clock, &names);
+        let mut watcher = Watcher::new(addresses, translator, handle, lifecycle, polling);
+        watcher.start_from_cache(&list(1, true, &[("s-1", "active"), ("s-2", "active")]));
+        spawn_local(driver.run());
+        spawn_local(watcher.run());
+        Self {
+            backends,
+            discovery_address,
+        }
+    }
+
+    /// Waits until this many backends are listed, and returns when that was.
+    pub async fn lists(&self, backends: usize) -> Instant {
+        while self.backends.len() != backends {
+            sleep(Duration::from_millis(1)).await;
+        }
+        Instant::now()
+    }
+}
+
+pub async fn local<T>(test: impl Future<Output = T>) -> T {
+    LocalSet::new().run_until(test).await
+}
