--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -17,11 +17,11 @@
     let proxy = Proxy::start(
         "cap",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
-    let got = proxy.client().ask(&request("submit", "1", &body));
+    let got = proxy.client().exchange(&request("submit", "1", &body));
     assert_eq!((got.status(), got.body.len()), (200, body.len()));
-    assert_eq!(backend.next().body.len(), body.len());
+    assert_eq!(backend.next_request().body.len(), body.len());
 }
 
 /// Backends send good responses beyond the cap of the protocol, and each of them is forwarded.
@@ -34,9 +34,11 @@
     let mut config = config("large", &discovery);
     config["limits"]["memory_mb"] = 8.into();
     let proxy = Proxy::start_with("large", config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
     for id in 0..20 {
-        let got = proxy.client().ask(&request("charge", &id.to_string(), "x"));
+        let got = proxy
+            .client()
+            .exchange(&request("charge", &id.to_string(), "x"));
         assert_eq!((got.status(), got.body.len()), (200, large.len()));
     }
 }
@@ -44,7 +46,7 @@
 #[test]
 fn large_responses_are_streamed_through_little_memory_to_slow_clients() {
     let body = pattern(LARGE);
-    let answered = answer("200 OK", "", &body);
+    let answered = response("200 OK", "", &body);
     let backend = Backend::start(move |_| Reply::Write(answered.clone()));
     let proxy = start_with_little_memory("large-answers", &backend);
     let mut clients: Vec<_> = (0..12)
@@ -58,22 +60,23 @@
             client
         })
         .collect();
-    assert_eq!(proxy.figure("app_in_progress"), 12, "until the last byte");
+    assert_eq!(proxy.metric("app_in_progress"), 12, "until the last byte");
     for client in &mut clients {
         let got = client.receive();
         assert!(got.body == body, "{} bytes", got.body.len());
     }
-    assert!(proxy.peak_memory() < 32 << 10, "{} kB", proxy.peak_memory());
-    while proxy.figure("app_in_progress") > 0 {}
-    assert_eq!(
-        proxy.figure("app_handled{category=\"submit\",outcome=\"passed\"}"),
-        12
+    assert!(
+        proxy.peak_memory_kb() < 32 << 10,
+        "{} kB",
+        proxy.peak_memory_kb()
     );
+    while proxy.metric("app_in_progress") > 0 {}
+    assert_eq!(proxy.handled("submit", "passed"), 12);
 }
 
 #[test]
 fn large_bodies_are_streamed_through_little_memory_to_a_backend() {
-    let backend = Backend::start(|seen| ok(&seen.body.len().to_string()));
+    let backend = Backend::start(|received| ok(&received.body.len().to_string()));
     let proxy = start_with_little_memory("large-bodies", &backend);
     let body = pattern(LARGE);
     let address = proxy.address;
@@ -120,10 +123,14 @@
         let room = got.status() == 200 && got.body == LARGE.to_string().as_bytes();
         assert!(room || got.status() == 503, "{} {:?}", got.head, got.body);
     }
-    let arrived: Vec<_> = backend.seen.try_iter().collect();
-    assert!(!arrived.is_empty() && arrived.iter().all(|seen| seen.body == body));
-    assert_eq!(proxy.figure("app_upstream_tries"), arrived.len() as u64);
-    assert!(proxy.peak_memory() < 32 << 10, "{} kB", proxy.peak_memory());
+    let arrived: Vec<_> = backend.requests.try_iter().collect();
+    assert!(!arrived.is_empty() && arrived.iter().all(|received| received.body == body));
+    assert_eq!(proxy.metric("app_upstream_tries"), arrived.len() as u64);
+    assert!(
+        proxy.peak_memory_kb() < 32 << 10,
+        "{} kB",
+        proxy.peak_memory_kb()
+    );
 }
 
 #[test]
@@ -177,8 +184,8 @@
         "spent",
         &discovery,
         &[
-            entry("s-1", address, "active", 0),
-            entry("s-2", address, "active", 0),
+            endpoint("s-1", address, "active", 0),
+            endpoint("s-2", address, "active", 0),
         ],
     );
     let mut client = proxy.client();
@@ -223,19 +230,19 @@
     let large = "x".repeat(100_000);
     let cases = [
         (
-            answer("503 Service Unavailable", "X-Unprocessed: 1\r\n", b""),
+            response("503 Service Unavailable", "X-Unprocessed: 1\r\n", b""),
             503,
         ),
-        (answer("500 Oops", "", b""), 502),
-        (answer("200 OK", "", b"another's"), 502),
-        (answer("200 OK", "", large.as_bytes()), 502),
+        (response("500 Oops", "", b""), 502),
+        (response("200 OK", "", b"another's"), 502),
+        (response("200 OK", "", large.as_bytes()), 502),
     ];
     for (i, (early, status)) in cases.into_iter().enumerate() {
         let discovery = Discovery::start();
         let (release, signal) = channel();
         let (address, came) = responds_early(early, signal);
         let name = format!("answered-early-{i}");
-        let proxy = Proxy::start(&name, &discovery, &[entry("s-1", address, "active", 0)]);
+        let proxy = Proxy::start(&name, &discovery, &[endpoint("s-1", address, "active", 0)]);
         let mut client = proxy.client();
         let whole = request("charge", "1", &"x".repeat(LENGTH));
         let (most, last) = whole.split_at(whole.len() - 1_000);
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -5,16 +5,16 @@
 #[test]
 fn without_capacity_a_request_is_rejected_with_retry_after() {
     let discovery = Discovery::start();
-    let (backend, releases) = full_backend();
+    let (backend, releases) = holding_backend();
     let proxy = Proxy::start(
         "refused",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
-    let mut first = fill(&proxy, &backend);
+    let mut first = saturate(&proxy, &backend);
     let refused = proxy
         .client()
-        .ask(&request("charge", "2", "x").replace("15000", "500"));
+        .exchange(&request("charge", "2", "x").replace("15000", "500"));
     assert_eq!(refused.status(), 503);
     let wait: f64 = refused
         .header("retry-after")
@@ -26,7 +26,11 @@
         release.send(()).expect("the backend waits");
         assert_eq!(client.receive().body, b"first");
     }
-    assert_eq!(backend.rest(), 0, "a refused request never went out");
+    assert_eq!(
+        backend.further_requests(),
+        0,
+        "a refused request never went out"
+    );
 }
 
 /// Each backend holds one request; there are more backends than descriptors for them.
@@ -37,12 +41,12 @@
     let members: Vec<_> = backends
         .iter()
         .enumerate()
-        .map(|(i, b)| entry(&format!("s-{i}"), b.address, "active", 0))
+        .map(|(i, b)| endpoint(&format!("s-{i}"), b.address, "active", 0))
         .collect();
     let mut config = config("shortage", &discovery);
     config["limits"]["sockets"] = 48.into();
     let mut proxy = Proxy::start_with("shortage", config);
-    discovery.post(true, &members);
+    discovery.publish_and_wait(true, &members);
     let clients: Vec<_> = (0..14)
         .map(|i| {
             let mut client = proxy.client();
@@ -71,6 +75,6 @@
     let proxy = Proxy::start_with("idle", config);
     // More than the proxy may hold at a time, and none of them sends a byte.
     let clients: Vec<_> = (0..64).map(|_| proxy.client()).collect();
-    assert_eq!(proxy.client().ask(UP).status(), 503);
+    assert_eq!(proxy.client().exchange(UP).status(), 503);
     drop(clients);
 }
--- a/tests/proxy/client_disconnect.rs
+++ b/tests/proxy/client_disconnect.rs
@@ -42,21 +42,21 @@
     backend: &Backend,
     memory_mb: u64,
 ) -> Proxy {
-    let mut config = operated(name, discovery);
+    let mut config = config_with_operator(name, discovery);
     for class in [0, 2] {
         config["settings"]["classes"][class]["deadlineUs"] = 200_000_000.into();
         config["settings"]["classes"][class]["aimUs"] = 100_000_000.into();
     }
     config["limits"]["memory_mb"] = memory_mb.into();
     let proxy = Proxy::start_with(name, config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
     proxy
 }
 
 /// Waits until this many requests are in progress, for less time than any is queued. Returns how long it took.
 fn wait_for_in_progress(proxy: &Proxy, requests: usize) -> Duration {
     let began = Instant::now();
-    while proxy.figure("app_in_progress") != requests as u64 {
+    while proxy.metric("app_in_progress") != requests as u64 {
         assert!(
             began.elapsed() < Duration::from_secs(5),
             "not {requests} in progress"
@@ -79,11 +79,14 @@
     assert_eq!(
         proxy
             .client()
-            .ask(&request("charge", "stays", "x"))
+            .exchange(&request("charge", "stays", "x"))
             .status(),
         200
     );
-    assert_eq!(backend.next().header("x-correlation-id"), Some("stays"));
+    assert_eq!(
+        backend.next_request().header("x-correlation-id"),
+        Some("stays")
+    );
 }
 
 /// What a client may have sent behind its request when it disconnects: nothing, another request, garbage.
@@ -101,17 +104,17 @@
 #[test]
 fn a_queued_request_whose_client_disconnects_is_dropped() {
     let discovery = Discovery::start();
-    let (backend, releases) = full_backend();
+    let (backend, releases) = holding_backend();
     let proxy = Proxy::start(
         "left",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
-    let mut first = fill(&proxy, &backend);
+    let mut first = saturate(&proxy, &backend);
     let mut disconnecting = proxy.client();
     disconnecting.send(&request("charge", "2", "x"));
     // The answer on another connection shows that the proxy has seen what came before it.
-    assert_eq!(proxy.client().ask(UP).status(), 200);
+    assert_eq!(proxy.client().exchange(UP).status(), 200);
     disconnecting
         .stream
         .shutdown(Shutdown::Write)
@@ -125,25 +128,28 @@
         assert_eq!(client.receive().status(), 200);
     }
     assert_eq!(
-        proxy.client().ask(&request("charge", "3", "x")).status(),
+        proxy
+            .client()
+            .exchange(&request("charge", "3", "x"))
+            .status(),
         200
     );
-    assert_eq!(backend.next().header("x-correlation-id"), Some("3"));
+    assert_eq!(backend.next_request().header("x-correlation-id"), Some("3"));
 }
 
 #[test]
 fn a_request_whose_client_disconnects_during_the_connect_is_not_sent() {
     let discovery = Discovery::start();
-    let backend = FullQueue::start();
+    let backend = FullBacklog::start();
     let proxy = Proxy::start(
         "left-dialing",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let mut disconnecting = proxy.client();
     disconnecting.send(&request("charge", "left", "x"));
     assert_eq!(
-        proxy.client().ask(UP).status(),
+        proxy.client().exchange(UP).status(),
         200,
         "the proxy has seen what came before"
     );
@@ -157,16 +163,16 @@
     );
     let mut client = proxy.client();
     client.send(&request("charge", "stays", "x"));
-    assert_eq!(received_ids(backend.empty()), ["stays"]);
+    assert_eq!(received_ids(backend.accept_pending()), ["stays"]);
     assert_eq!(client.receive().body, b"there");
 }
 
 #[test]
 fn queued_requests_whose_clients_disconnect_in_a_burst_are_not_sent() {
     let discovery = Discovery::start();
-    let (backend, releases) = full_backend();
+    let (backend, releases) = holding_backend();
     let proxy = start_with_long_timeouts("burst", &discovery, &backend, 192);
-    let clients = fill(&proxy, &backend);
+    let clients = saturate(&proxy, &backend);
     let behind = pipelined_input();
     let mut disconnecting = Vec::new();
     for (i, (way, behind)) in DISCONNECTS
@@ -195,9 +201,9 @@
 fn a_queued_request_whose_client_disconnects_behind_its_unread_body_is_not_sent() {
     for way in DISCONNECTS {
         let discovery = Discovery::start();
-        let (backend, releases) = full_backend();
+        let (backend, releases) = holding_backend();
         let proxy = start_with_long_timeouts(&format!("unread-{way:?}"), &discovery, &backend, 8);
-        let clients = fill(&proxy, &backend);
+        let clients = saturate(&proxy, &backend);
         let mut client = proxy.client();
         let body = "x".repeat(1_740_000);
         client.send(&request("charge", "left", &body).replace("15000", "190000"));
@@ -213,12 +219,12 @@
 #[test]
 fn a_request_is_not_sent_on_a_connection_that_comes_up_after_its_client_disconnected() {
     let discovery = Discovery::start();
-    let backend = FullQueue::start();
-    let mut config = operated("left-connecting", &discovery);
+    let backend = FullBacklog::start();
+    let mut config = config_with_operator("left-connecting", &discovery);
     // A single backend has a low limit; requests beyond it would be queued.
     config["settings"]["permissions"]["dialTimeoutUs"] = 15_000_000.into();
     let proxy = Proxy::start_with("left-connecting", config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
     let mut noticed_after = Vec::new();
     for (i, (way, behind)) in DISCONNECTS
         .iter()
@@ -240,7 +246,7 @@
     );
     let mut client = proxy.client();
     client.send(&request("charge", "stays", "x"));
-    assert_eq!(received_ids(backend.empty()), ["stays"]);
+    assert_eq!(received_ids(backend.accept_pending()), ["stays"]);
     assert_eq!(client.receive().body, b"there");
 }
 
@@ -256,29 +262,32 @@
         let (breaks, release) = closes_on_signal();
         let other = Backend::start(|_| ok("there"));
         let name = format!("left-retry-{i}");
-        let proxy = Proxy::start_with(&name, operated(&name, &discovery));
-        discovery.post(true, &[entry("s-1", breaks.address, "active", 0)]);
+        let proxy = Proxy::start_with(&name, config_with_operator(&name, &discovery));
+        discovery.publish_and_wait(true, &[endpoint("s-1", breaks.address, "active", 0)]);
         let mut client = proxy.client();
         client.send(&(request("read", "left", "") + &behind));
-        breaks.next();
-        discovery.post(
+        breaks.next_request();
+        discovery.publish_and_wait(
             true,
             &[
-                entry("s-1", breaks.address, "active", 0),
-                entry("s-2", other.address, "active", 0),
+                endpoint("s-1", breaks.address, "active", 0),
+                endpoint("s-2", other.address, "active", 0),
             ],
         );
         let left = disconnect(client, way);
         wait_for_in_progress(&proxy, 0);
         release.send(()).expect("the backend waits");
-        discovery.post(true, &[entry("s-2", other.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[endpoint("s-2", other.address, "active", 0)]);
         for id in ["stays", "comes later"] {
             assert_eq!(
-                proxy.client().ask(&request("charge", id, "x")).status(),
+                proxy
+                    .client()
+                    .exchange(&request("charge", id, "x"))
+                    .status(),
                 200
             );
             assert_eq!(
-                other.next().header("x-correlation-id"),
+                other.next_request().header("x-correlation-id"),
                 Some(id),
                 "{way:?}, {} behind it",
                 behind.len()
@@ -298,17 +307,17 @@
     {
         let discovery = Discovery::start();
         let (breaks, release) = closes_on_signal();
-        let (backend, releases) = full_backend();
+        let (backend, releases) = holding_backend();
         let proxy =
             start_with_long_timeouts(&format!("left-waiting-{i}"), &discovery, &breaks, 192);
         let mut client = proxy.client();
         client.send(&(request("read", "left", "").replace("15000", "190000") + &behind));
-        breaks.next();
-        discovery.post(true, &[entry("s-2", backend.address, "active", 0)]);
-        let clients = fill(&proxy, &backend);
+        breaks.next_request();
+        discovery.publish_and_wait(true, &[endpoint("s-2", backend.address, "active", 0)]);
+        let clients = saturate(&proxy, &backend);
         release.send(()).expect("the backend waits");
         // By then it has seen that the first attempt broke.
-        (0..20).for_each(|_| _ = proxy.client().ask(UP));
+        (0..20).for_each(|_| _ = proxy.client().exchange(UP));
         let left = disconnect(client, way);
         wait_for_in_progress(&proxy, INITIAL_LIMIT);
         only_new_requests_arrive(&proxy, &backend, clients, &releases);
@@ -321,9 +330,9 @@
 fn a_disconnect_behind_more_than_the_kernel_buffers_is_noticed() {
     const FAR_BEHIND: usize = 1_000_000;
     let discovery = Discovery::start();
-    let (backend, releases) = full_backend();
+    let (backend, releases) = holding_backend();
     let proxy = start_with_long_timeouts("far-behind", &discovery, &backend, 192);
-    let clients = fill(&proxy, &backend);
+    let clients = saturate(&proxy, &backend);
     let further = request("charge", "behind", "x");
     let behind = [
         further.repeat(FAR_BEHIND / further.len()),
--- a/tests/proxy/connection_reuse.rs
+++ b/tests/proxy/connection_reuse.rs
@@ -6,16 +6,16 @@
 #[test]
 fn a_connection_that_its_backend_has_closed_is_not_reused() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| Reply::WriteAndClose(answer("200 OK", "", b"last")));
+    let backend = Backend::start(|_| Reply::WriteAndClose(response("200 OK", "", b"last")));
     let proxy = Proxy::start(
         "closed",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let mut client = proxy.client();
     for id in ["1", "2", "3", "4"] {
-        assert_eq!(client.ask(&request("charge", id, "x")).status(), 200);
-        backend.next();
+        assert_eq!(client.exchange(&request("charge", id, "x")).status(), 200);
+        backend.next_request();
         // The proxy can't know of a close that is still to come, which would reset the next request.
         backend.wait_until_closed();
     }
@@ -30,7 +30,7 @@
     let backend = Backend::start(move |_| {
         let signal = signals.next().expect("as many requests as signals");
         Reply::Then(
-            answer("200 OK", "", b"last"),
+            response("200 OK", "", b"last"),
             signal,
             Box::new(Reply::WriteAndClose(Vec::new())),
         )
@@ -38,15 +38,15 @@
     let proxy = Proxy::start(
         "closed-unseen",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let mut client = proxy.client();
     for (id, close) in closes.iter().enumerate() {
         client.send(&request("charge", &id.to_string(), "x"));
-        proxy.go_on();
+        proxy.resume();
         assert_eq!(client.receive().status(), 200);
-        backend.next();
-        proxy.halt();
+        backend.next_request();
+        proxy.suspend();
         close.send(()).expect("the backend waits");
         backend.wait_until_closed();
     }
@@ -59,16 +59,19 @@
     let proxy = Proxy::start(
         "restarted",
         &discovery,
-        &[entry("s-1", backend.address, "active", 1_000)],
+        &[endpoint("s-1", backend.address, "active", 1_000)],
     );
     let mut client = proxy.client();
-    assert_eq!(client.ask(&request("charge", "1", "x")).status(), 200);
-    assert_eq!(client.ask(&request("charge", "2", "x")).status(), 200);
-    let (first, second) = (backend.next().connection, backend.next().connection);
+    assert_eq!(client.exchange(&request("charge", "1", "x")).status(), 200);
+    assert_eq!(client.exchange(&request("charge", "2", "x")).status(), 200);
+    let (first, second) = (
+        backend.next_request().connection,
+        backend.next_request().connection,
+    );
     assert_eq!(first, second, "a connection is used again");
-    discovery.post(false, &[entry("s-1", backend.address, "active", 2_000)]);
-    assert_eq!(client.ask(&request("charge", "3", "x")).status(), 200);
-    assert_ne!(backend.next().connection, second);
+    discovery.publish_and_wait(false, &[endpoint("s-1", backend.address, "active", 2_000)]);
+    assert_eq!(client.exchange(&request("charge", "3", "x")).status(), 200);
+    assert_ne!(backend.next_request().connection, second);
 }
 
 /// A connection that was in use while its backend was removed belongs to a process that has ended.
@@ -82,13 +85,13 @@
             Some(signal) => Reply::After(signal, Box::new(ok("of the old one"))),
             None => ok("of the new one"),
         });
-        let here = |id: &str| entry(id, backend.address, "active", 0);
+        let here = |id: &str| endpoint(id, backend.address, "active", 0);
         let proxy = Proxy::start(&format!("gone-{complete}"), &discovery, &[here("s-1")]);
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
-        assert_eq!(backend.next().connection, 0);
-        let left = entry("s-1", backend.address, "left", 0);
-        discovery.post(
+        assert_eq!(backend.next_request().connection, 0);
+        let left = endpoint("s-1", backend.address, "left", 0);
+        discovery.publish_and_wait(
             complete,
             if complete {
                 &[]
@@ -96,20 +99,20 @@
                 std::slice::from_ref(&left)
             },
         );
-        discovery.post(false, &[here("s-1")]);
+        discovery.publish_and_wait(false, &[here("s-1")]);
         release.send(()).expect("the backend waits");
         assert_eq!(client.receive().body, b"of the old one");
         for id in ["2", "3"] {
             assert_eq!(
-                client.ask(&request("charge", id, "x")).body,
+                client.exchange(&request("charge", id, "x")).body,
                 b"of the new one"
             );
-            assert_eq!(backend.next().connection, 1);
+            assert_eq!(backend.next_request().connection, 1);
         }
-        discovery.post(true, &[here("s-2")]);
-        assert_eq!(client.ask(&request("charge", "4", "x")).status(), 200);
+        discovery.publish_and_wait(true, &[here("s-2")]);
+        assert_eq!(client.exchange(&request("charge", "4", "x")).status(), 200);
         assert_eq!(
-            backend.next().connection,
+            backend.next_request().connection,
             2,
             "another backend at the same address"
         );
--- a/tests/proxy/corrupt_responses.rs
+++ b/tests/proxy/corrupt_responses.rs
@@ -14,13 +14,13 @@
         let one = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
         let two = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
         let members = [
-            entry("s-1", one.address, "active", 0),
-            entry("s-2", two.address, "active", 0),
+            endpoint("s-1", one.address, "active", 0),
+            endpoint("s-2", two.address, "active", 0),
         ];
         let proxy = Proxy::start(&format!("broken-{i}"), &discovery, &members);
-        let got = proxy.client().ask(&request("charge", "1", "x"));
+        let got = proxy.client().exchange(&request("charge", "1", "x"));
         assert_eq!(got.status(), 502, "failed: the request may have run");
-        assert_eq!(one.rest() + two.rest(), 1);
+        assert_eq!(one.further_requests() + two.further_requests(), 1);
     }
 }
 
@@ -55,20 +55,24 @@
         };
         let (one, two) = (start(bytes.to_vec()), start(bytes.to_vec()));
         let members = [
-            entry("s-1", one.address, "active", 0),
-            entry("s-2", two.address, "active", 0),
+            endpoint("s-1", one.address, "active", 0),
+            endpoint("s-2", two.address, "active", 0),
         ];
         let proxy = Proxy::start(&format!("corrupt-{i}"), &discovery, &members);
-        let got = proxy.client().ask(&request("read", "1", ""));
+        let got = proxy.client().exchange(&request("read", "1", ""));
         assert_eq!(
             (got.status(), got.body.as_slice()),
             (200, b"good".as_slice()),
             "case {i}"
         );
         shared.store(true, std::sync::atomic::Ordering::SeqCst);
-        let got = proxy.client().ask(&request("charge", "2", "x"));
+        let got = proxy.client().exchange(&request("charge", "2", "x"));
         assert_eq!(got.status(), 502, "case {i}: it may have run");
-        assert_eq!(one.rest() + two.rest(), 3, "case {i}");
+        assert_eq!(
+            one.further_requests() + two.further_requests(),
+            3,
+            "case {i}"
+        );
     }
 }
 
@@ -82,22 +86,25 @@
     ];
     for (i, more) in behind.into_iter().enumerate() {
         let discovery = Discovery::start();
-        let backend = Backend::start(move |seen| {
-            let id = seen.header("x-correlation-id").expect("an id").as_bytes();
-            Reply::Write([answer("200 OK", "", id), more.to_vec()].concat())
+        let backend = Backend::start(move |received| {
+            let id = received
+                .header("x-correlation-id")
+                .expect("an id")
+                .as_bytes();
+            Reply::Write([response("200 OK", "", id), more.to_vec()].concat())
         });
-        let members = [entry("s-1", backend.address, "active", 0)];
+        let members = [endpoint("s-1", backend.address, "active", 0)];
         let proxy = Proxy::start(&format!("behind-{i}"), &discovery, &members);
         let mut client = proxy.client();
         for id in ["one", "two", "three", "four"] {
-            let got = client.ask(&request("charge", id, "x"));
+            let got = client.exchange(&request("charge", id, "x"));
             assert_eq!(
                 (got.status(), got.body.as_slice()),
                 (200, id.as_bytes()),
                 "case {i}"
             );
         }
-        let connections: Vec<_> = (0..4).map(|_| backend.next().connection).collect();
+        let connections: Vec<_> = (0..4).map(|_| backend.next_request().connection).collect();
         assert_eq!(connections, [0, 1, 2, 3], "case {i}");
     }
 }
@@ -109,15 +116,15 @@
     let backend = Backend::start(|_| {
         let early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
         let report = "X-Backend-Load: inflight=é,,=;util=NaN,queue\r\n";
-        Reply::Write([early.to_vec(), answer("200 OK", report, b"good")].concat())
+        Reply::Write([early.to_vec(), response("200 OK", report, b"good")].concat())
     });
     let proxy = Proxy::start(
         "early",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     for id in ["1", "2"] {
-        let got = proxy.client().ask(&request("charge", id, "x"));
+        let got = proxy.client().exchange(&request("charge", id, "x"));
         assert_eq!(
             (got.status(), got.body.as_slice()),
             (200, b"good".as_slice())
--- a/tests/proxy/discovery.rs
+++ b/tests/proxy/discovery.rs
@@ -11,10 +11,10 @@
 fn it_is_up_only_with_an_endpoint_list() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
-    let proxy = Proxy::start_bare("up", &discovery);
-    assert_eq!(proxy.client().ask(UP).status(), 503);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-    assert_eq!(proxy.client().ask(UP).status(), 200);
+    let proxy = Proxy::start_without_endpoints("up", &discovery);
+    assert_eq!(proxy.client().exchange(UP).status(), 503);
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    assert_eq!(proxy.client().exchange(UP).status(), 200);
 }
 
 #[test]
@@ -22,7 +22,7 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let mut config = config("known", &discovery);
-    config["known"] = json!({"revision": 7, "complete": true, "members": [entry("s-1", backend.address, "active", 0)]});
+    config["known"] = json!({"revision": 7, "complete": true, "members": [endpoint("s-1", backend.address, "active", 0)]});
     config["settings"]["membershipMode"] = "on_request".into();
     let proxy = Proxy::start_with("known", config);
     assert_eq!(
@@ -31,11 +31,14 @@
         "one call, for the changes alone"
     );
     assert_eq!(
-        proxy.client().ask(UP).status(),
+        proxy.client().exchange(UP).status(),
         200,
         "discovery has not answered"
     );
-    assert_eq!(proxy.client().ask(&request("read", "1", "")).status(), 200);
+    assert_eq!(
+        proxy.client().exchange(&request("read", "1", "")).status(),
+        200
+    );
 }
 
 #[test]
@@ -43,10 +46,10 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let mut config = config("older", &discovery);
-    config["known"] = json!({"revision": 7, "complete": true, "members": [entry("s-1", backend.address, "active", 0)]});
+    config["known"] = json!({"revision": 7, "complete": true, "members": [endpoint("s-1", backend.address, "active", 0)]});
     let proxy = Proxy::start_with("older", config);
     assert_eq!(discovery.next_call(), Some(7));
-    discovery.put(false, &[entry("s-1", backend.address, "left", 0)]);
+    discovery.publish(false, &[endpoint("s-1", backend.address, "left", 0)]);
     assert_eq!(discovery.next_call(), None);
     assert_eq!(discovery.next_call(), Some(1), "versions began anew");
     drop(proxy);
@@ -59,7 +62,7 @@
     assert_eq!(discovery.next_call(), None);
     thread::sleep(Duration::from_millis(2_500));
     assert_eq!(
-        discovery.calls(),
+        discovery.take_calls(),
         0,
         "calls made while the first one waits for its turn"
     );
@@ -74,8 +77,11 @@
         config["known"] = known;
         config["settings"]["membershipMode"] = "on_request".into();
         let proxy = Proxy::start_with("asked", config);
-        discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-        assert_eq!(proxy.client().ask(&request("read", "1", "")).status(), 200);
+        discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+        assert_eq!(
+            proxy.client().exchange(&request("read", "1", "")).status(),
+            200
+        );
     }
 }
 
@@ -83,9 +89,9 @@
 fn malformed_endpoints_of_a_list_are_skipped() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
-    let good = entry("s-1", backend.address, "active", 0);
+    let good = endpoint("s-1", backend.address, "active", 0);
     let odd = |name: &str, value: Value| {
-        let mut entry = entry("s-odd", backend.address, "active", 0);
+        let mut entry = endpoint("s-odd", backend.address, "active", 0);
         entry[name] = value;
         entry
     };
@@ -99,7 +105,10 @@
         good,
     ];
     let proxy = Proxy::start("odd", &discovery, &members);
-    assert_eq!(proxy.client().ask(&request("read", "1", "")).status(), 200);
+    assert_eq!(
+        proxy.client().exchange(&request("read", "1", "")).status(),
+        200
+    );
 }
 
 #[test]
@@ -110,35 +119,41 @@
         let proxy = Proxy::start(
             phase,
             &discovery,
-            &[entry("s-1", backend.address, "active", 0)],
+            &[endpoint("s-1", backend.address, "active", 0)],
+        );
+        assert_eq!(
+            proxy.client().exchange(&request("read", "1", "")).status(),
+            200
         );
-        assert_eq!(proxy.client().ask(&request("read", "1", "")).status(), 200);
-        backend.next();
-        discovery.post(false, &[entry("s-1", backend.address, phase, 0)]);
+        backend.next_request();
+        discovery.publish_and_wait(false, &[endpoint("s-1", backend.address, phase, 0)]);
         let short = request("read", "2", "").replace("15000", "300");
-        assert_eq!(proxy.client().ask(&short).status(), 503, "{phase}");
-        assert_eq!(backend.rest(), 0, "{phase}");
-        discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-        assert_eq!(proxy.client().ask(&request("read", "3", "")).status(), 200);
+        assert_eq!(proxy.client().exchange(&short).status(), 503, "{phase}");
+        assert_eq!(backend.further_requests(), 0, "{phase}");
+        discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+        assert_eq!(
+            proxy.client().exchange(&request("read", "3", "")).status(),
+            200
+        );
     }
 }
 
 #[test]
 fn a_backend_that_began_to_drain_during_the_connect_gets_no_request() {
     let discovery = Discovery::start();
-    let full = FullQueue::start();
+    let full = FullBacklog::start();
     let address = full.address;
     let proxy = Proxy::start(
         "slow-connect",
         &discovery,
-        &[entry("s-1", address, "active", 0)],
+        &[endpoint("s-1", address, "active", 0)],
     );
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
     // An answer on another connection shows that the proxy has seen the request.
-    assert_eq!(proxy.client().ask(UP).status(), 200);
-    discovery.post(false, &[entry("s-1", address, "leaving", 0)]);
-    let listener = full.empty();
+    assert_eq!(proxy.client().exchange(UP).status(), 200);
+    discovery.publish_and_wait(false, &[endpoint("s-1", address, "leaving", 0)]);
+    let listener = full.accept_pending();
     let (mut stream, _) = listener.accept().expect("the proxy's connection");
     let got = client.receive();
     assert_eq!(got.status(), 503, "it never ran, so a repeat is harmless");
@@ -160,15 +175,19 @@
         None => ok("before"),
     });
     let after = Backend::start(|_| ok("after"));
-    let mut proxy = Proxy::start("sighup", &old, &[entry("s-1", before.address, "active", 0)]);
+    let mut proxy = Proxy::start(
+        "sighup",
+        &old,
+        &[endpoint("s-1", before.address, "active", 0)],
+    );
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
-    before.next();
+    before.next_request();
     // A file that can't be used leaves all as it was.
     proxy.reload("{");
     proxy.wait_for_log("configuration not reloaded");
     assert_eq!(
-        proxy.client().ask(&request("read", "2", "")).body,
+        proxy.client().exchange(&request("read", "2", "")).body,
         b"before"
     );
     for turn in 0..2 {
@@ -177,8 +196,8 @@
         } else {
             (&new, &old, "s-3")
         };
-        from.calls();
-        to.calls();
+        from.take_calls();
+        to.take_calls();
         proxy.reload(&config("sighup", to).to_string());
         assert_eq!(
             to.next_call(),
@@ -186,9 +205,15 @@
             "the version of another service means nothing to this one"
         );
         // Until the new service has sent its list, the old list is used.
-        assert_eq!(proxy.client().ask(&request("read", "3", "")).status(), 200);
-        to.post(true, &[entry(name, after.address, "active", 0)]);
-        assert_eq!(proxy.client().ask(&request("read", "4", "")).body, b"after");
+        assert_eq!(
+            proxy.client().exchange(&request("read", "3", "")).status(),
+            200
+        );
+        to.publish_and_wait(true, &[endpoint(name, after.address, "active", 0)]);
+        assert_eq!(
+            proxy.client().exchange(&request("read", "4", "")).body,
+            b"after"
+        );
     }
     release.send(()).expect("the backend waits");
     assert_eq!(client.receive().body, b"taken before");
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -9,23 +9,25 @@
 #[test]
 fn requests_and_responses_are_forwarded_unchanged() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|_| Reply::Write(answer("200 OK", "", b"\x00\xffbody\r\n\r\n")));
+    let backend = Backend::start(|_| Reply::Write(response("200 OK", "", b"\x00\xffbody\r\n\r\n")));
     let proxy = Proxy::start(
         "unchanged",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
-    let got = proxy.client().ask(&request("submit", "5c0f", "some body"));
+    let got = proxy
+        .client()
+        .exchange(&request("submit", "5c0f", "some body"));
     assert_eq!(
         (got.status(), got.body.as_slice()),
         (200, b"\x00\xffbody\r\n\r\n".as_slice())
     );
-    let seen = backend.next();
-    assert_eq!(seen.first_line(), "POST /submit?key=7f3a HTTP/1.1");
-    assert_eq!(seen.header("x-correlation-id"), Some("5c0f"));
-    assert_eq!(seen.header("idempotency-key"), Some("5c0f"));
-    assert_eq!(seen.body, b"some body");
-    let left: u64 = seen
+    let received = backend.next_request();
+    assert_eq!(received.first_line(), "POST /submit?key=7f3a HTTP/1.1");
+    assert_eq!(received.header("x-correlation-id"), Some("5c0f"));
+    assert_eq!(received.header("idempotency-key"), Some("5c0f"));
+    assert_eq!(received.body, b"some body");
+    let left: u64 = received
         .header("x-time-left-ms")
         .expect("the time left")
         .parse()
@@ -39,15 +41,16 @@
 #[test]
 fn a_connection_serves_one_request_after_another() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|seen| ok(seen.header("x-correlation-id").expect("an id")));
+    let backend =
+        Backend::start(|received| ok(received.header("x-correlation-id").expect("an id")));
     let proxy = Proxy::start(
         "kept",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let mut client = proxy.client();
     for id in ["a", "b", "c"] {
-        let got = client.ask(&request("read", id, ""));
+        let got = client.exchange(&request("read", id, ""));
         assert_eq!((got.status(), got.body.as_slice()), (200, id.as_bytes()));
     }
 }
@@ -61,15 +64,18 @@
     config["settings"]["classes"][2]["name"] = "up".into();
     config["settings"]["tenants"] = json!([{"name": "plain", "allowancePerS": 9.0}, {"name": "Ñañez-Ltda", "allowancePerS": 9.0}]);
     let proxy = Proxy::start_with("names", config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
     let mut client = proxy.client();
     for (id, account) in [("1", "plain"), ("2", "Ñañez-Ltda")] {
         let asked = request("up", id, "x");
         let asked = asked.replace("Host:", &format!("X-Account: {account}\r\nHost:"));
-        assert_eq!(client.ask(&asked).body, b"run", "{account}");
-        assert_eq!(backend.next().first_line(), "POST /up?key=7f3a HTTP/1.1");
+        assert_eq!(client.exchange(&asked).body, b"run", "{account}");
+        assert_eq!(
+            backend.next_request().first_line(),
+            "POST /up?key=7f3a HTTP/1.1"
+        );
     }
-    assert_eq!(client.ask(UP).body, b"up\n");
+    assert_eq!(client.exchange(UP).body, b"up\n");
 }
 
 #[test]
@@ -79,7 +85,7 @@
     let proxy = Proxy::start(
         "kept-or-closed",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let keep = "Connection: keep-alive\r\nHost";
     let close = "Connection: foo, Close\r\nHost";
@@ -95,9 +101,17 @@
                 .replace("HTTP/1.1", version)
                 .replacen("Host", fields, 1)
         };
-        assert_eq!(client.ask(&text("1")).status(), 200, "{version} {fields}");
+        assert_eq!(
+            client.exchange(&text("1")).status(),
+            200,
+            "{version} {fields}"
+        );
         if kept {
-            assert_eq!(client.ask(&text("2")).status(), 200, "{version} {fields}");
+            assert_eq!(
+                client.exchange(&text("2")).status(),
+                200,
+                "{version} {fields}"
+            );
         } else {
             assert!(client.ends_cleanly(), "{version} {fields}");
         }
@@ -107,14 +121,14 @@
 #[test]
 fn a_client_that_expects_100_continue_gets_it() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|seen| {
-        assert_eq!(seen.header("expect"), None);
-        ok(&String::from_utf8_lossy(&seen.body))
+    let backend = Backend::start(|received| {
+        assert_eq!(received.header("expect"), None);
+        ok(&String::from_utf8_lossy(&received.body))
     });
     let proxy = Proxy::start(
         "expect",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let mut client = proxy.client();
     client.send(&request("submit", "1", "").replace(
@@ -122,18 +136,18 @@
         "Expect: 100-continue\r\nContent-Length: 4",
     ));
     assert_eq!(client.receive().status(), 100);
-    assert_eq!(client.ask("body").body, b"body");
+    assert_eq!(client.exchange("body").body, b"body");
 }
 
 /// A client may be slow, as long as it continues.
 #[test]
 fn a_request_in_small_pieces_is_served() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|seen| ok(&seen.body.len().to_string()));
+    let backend = Backend::start(|received| ok(&received.body.len().to_string()));
     let proxy = Proxy::start(
         "pieces",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let mut client = proxy.client();
     client.stream.set_nodelay(true).expect("no delay");
@@ -147,11 +161,12 @@
 #[test]
 fn pipelined_requests_get_their_responses_in_order() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|seen| ok(seen.header("x-correlation-id").expect("an id")));
+    let backend =
+        Backend::start(|received| ok(received.header("x-correlation-id").expect("an id")));
     let proxy = Proxy::start(
         "pipelined",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let mut client = proxy.client();
     let ambiguous = request("submit", "4", "").replace(
@@ -176,7 +191,7 @@
         "its end can be read in two ways"
     );
     assert!(client.ends_cleanly(), "and so nothing behind it is read");
-    assert_eq!(backend.seen.try_iter().count(), 3);
+    assert_eq!(backend.requests.try_iter().count(), 3);
 }
 
 /// More comes behind an open request than is read ahead.
@@ -187,8 +202,8 @@
     let discovery = Discovery::start();
     let (release, signal) = channel();
     let mut signal = Some(signal);
-    let backend = Backend::start(move |seen| {
-        let own = ok(&String::from_utf8_lossy(&seen.body));
+    let backend = Backend::start(move |received| {
+        let own = ok(&String::from_utf8_lossy(&received.body));
         match signal.take() {
             Some(signal) => Reply::After(signal, Box::new(own)),
             None => own,
@@ -197,11 +212,11 @@
     let proxy = Proxy::start(
         "in-order",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let mut client = proxy.client();
     client.send(&request("charge", "open", "first"));
-    backend.next();
+    backend.next_request();
     let mut stream = client.stream.try_clone().expect("a clone");
     let body = |i: usize| format!("{i:06}").repeat(BODY / 6);
     let sending = thread::spawn(move || {
@@ -211,7 +226,7 @@
         Ok::<_, std::io::Error>(())
     });
     // By then it has read what it reads ahead.
-    (0..20).for_each(|_| _ = proxy.client().ask(UP));
+    (0..20).for_each(|_| _ = proxy.client().exchange(UP));
     release.send(()).expect("the backend waits");
     assert_eq!(client.receive().body, b"first");
     for i in 0..FURTHER {
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -8,24 +8,24 @@
 fn start_logging(name: &str, discovery: &Discovery, variables: &[(&str, &str)]) -> Proxy {
     let mut command = command(name, &config(name, discovery).to_string());
     command.envs(variables.iter().copied());
-    Proxy::follow(name, command.spawn().expect("the program starts"))
+    Proxy::wait_until_listening(name, command.spawn().expect("the program starts"))
 }
 
 #[test]
 fn the_events_of_a_request_can_be_found_by_its_correlation_id() {
     let discovery = Discovery::start();
-    let failing = Backend::start(|_| Reply::Write(answer("500 No", "", b"")));
+    let failing = Backend::start(|_| Reply::Write(response("500 No", "", b"")));
     let variables = [
         ("EDGE_LOG", "info,tillerproxy::request=debug"),
         ("EDGE_LOG_FORMAT", "json"),
     ];
     let mut proxy = start_logging("log-events", &discovery, &variables);
-    discovery.post(true, &[entry("s-1", failing.address, "active", 0)]);
-    while proxy.client().ask(UP).status() != 200 {}
+    discovery.publish_and_wait(true, &[endpoint("s-1", failing.address, "active", 0)]);
+    while proxy.client().exchange(UP).status() != 200 {}
     assert_eq!(
         proxy
             .client()
-            .ask(&request("charge", "9b1f03aa", "x"))
+            .exchange(&request("charge", "9b1f03aa", "x"))
             .status(),
         502
     );
@@ -60,8 +60,8 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let mut proxy = start_logging("log-reload", &discovery, &[("EDGE_LOG", "info")]);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-    while proxy.client().ask(UP).status() != 200 {}
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    while proxy.client().exchange(UP).status() != 200 {}
     let plain = config("log-reload", &discovery);
     let mut verbose = plain.clone();
     verbose["log"] = serde_json::json!({"filter": "info,tillerproxy::request=debug"});
@@ -75,7 +75,10 @@
             proxy.wait_for_log("configuration reloaded");
         }
         assert_eq!(
-            proxy.client().ask(&request("submit", id, "x")).status(),
+            proxy
+                .client()
+                .exchange(&request("submit", id, "x"))
+                .status(),
             200
         );
         if id == "loud" {
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -15,12 +15,12 @@
 fn calls_are_answered_before_the_proxy_is_ready() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
-    let proxy = Proxy::start_with("calls", operated("calls", &discovery));
-    assert_eq!(proxy.call("GET", READY).status(), 503);
-    assert_eq!(proxy.figure("app_known_backends"), 0);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-    assert_eq!(proxy.call("GET", READY).status(), 200);
-    let mut head = proxy.caller();
+    let proxy = Proxy::start_with("calls", config_with_operator("calls", &discovery));
+    assert_eq!(proxy.operator_call("GET", READY).status(), 503);
+    assert_eq!(proxy.metric("app_known_backends"), 0);
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    assert_eq!(proxy.operator_call("GET", READY).status(), 200);
+    let mut head = proxy.operator_client();
     head.send("HEAD /control/ready HTTP/1.1\r\n\r\n");
     let mut text = String::new();
     head.reader.read_to_string(&mut text).expect("text");
@@ -28,7 +28,7 @@
         text.starts_with("HTTP/1.1 200 ") && text.ends_with("\r\n\r\n"),
         "a head and no body: {text}"
     );
-    let figures = proxy.call("GET", COUNTERS);
+    let figures = proxy.operator_call("GET", COUNTERS);
     assert!(
         figures
             .header("content-type")
@@ -37,7 +37,7 @@
     for class in ["read", "submit", "charge"] {
         for outcome in ["passed", "dropped", "bad_gateway"] {
             let figure = format!("app_handled{{category=\"{class}\",outcome=\"{outcome}\"}}");
-            assert_eq!(proxy.figure(&figure), 0, "{figure}");
+            assert_eq!(proxy.metric(&figure), 0, "{figure}");
         }
     }
 }
@@ -45,8 +45,8 @@
 #[test]
 fn malformed_calls_are_rejected_and_change_nothing() {
     let discovery = Discovery::start();
-    let proxy = Proxy::start_with("odd-calls", operated("odd-calls", &discovery));
-    discovery.post(true, &[]);
+    let proxy = Proxy::start_with("odd-calls", config_with_operator("odd-calls", &discovery));
+    discovery.publish_and_wait(true, &[]);
     let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(20_000));
     let body = "POST /control/out-of-service HTTP/1.1\r\nContent-Length: 100000\r\n\r\n";
     let both =
@@ -70,35 +70,38 @@
         (&long, 431, None),
     ];
     for (text, status, allow) in cases {
-        let mut caller = proxy.caller();
-        let got = caller.ask(text);
+        let mut client = proxy.operator_client();
+        let got = client.exchange(text);
         assert_eq!(
             (got.status(), got.header("allow")),
             (status, allow),
             "{}",
             &text[..40.min(text.len())]
         );
-        assert!(caller.ends_cleanly());
+        assert!(client.ends_cleanly());
     }
     let fields: String = (0..400)
         .map(|n| format!("X-{n}: {}\r\n", "y".repeat(40)))
         .collect();
     assert_eq!(
         proxy
-            .caller()
-            .ask(&format!("GET {READY} HTTP/1.1\r\n{fields}\r\n"))
+            .operator_client()
+            .exchange(&format!("GET {READY} HTTP/1.1\r\n{fields}\r\n"))
             .status(),
         431
     );
-    assert_eq!(proxy.call("GET", READY).status(), 200);
+    assert_eq!(proxy.operator_call("GET", READY).status(), 200);
 }
 
 /// More callers than calls that may be open at a time.
 #[test]
 fn callers_that_send_nothing_or_an_incomplete_call_delay_no_other() {
     let discovery = Discovery::start();
-    let proxy = Proxy::start_with("silent-calls", operated("silent-calls", &discovery));
-    discovery.post(true, &[]);
+    let proxy = Proxy::start_with(
+        "silent-calls",
+        config_with_operator("silent-calls", &discovery),
+    );
+    discovery.publish_and_wait(true, &[]);
     let incomplete = |n: usize| {
         [
             "",
@@ -108,23 +111,23 @@
     };
     let mut waiting: Vec<Client> = Vec::new();
     for n in 0..60 {
-        let mut caller = proxy.caller();
-        caller.send(incomplete(n));
-        waiting.push(caller);
+        let mut client = proxy.operator_client();
+        client.send(incomplete(n));
+        waiting.push(client);
         assert_eq!(
-            proxy.call("GET", READY).status(),
+            proxy.operator_call("GET", READY).status(),
             200,
             "an incomplete call changes nothing"
         );
     }
     // Each of them is closed in the end.
-    for caller in &mut waiting {
-        caller
+    for client in &mut waiting {
+        client
             .reader
             .get_ref()
             .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a time-out");
-        while !matches!(caller.reader.read(&mut [0; 256]), Ok(0) | Err(_)) {}
+        while !matches!(client.reader.read(&mut [0; 256]), Ok(0) | Err(_)) {}
     }
 }
 
@@ -132,12 +135,12 @@
 #[test]
 fn calls_are_answered_while_clients_hold_every_connection() {
     let discovery = Discovery::start();
-    let (backend, _releases) = full_backend();
-    let mut config = operated("crowded-calls", &discovery);
+    let (backend, _releases) = holding_backend();
+    let mut config = config_with_operator("crowded-calls", &discovery);
     config["limits"]["sockets"] = 90.into();
     let proxy = Proxy::start_with("crowded-calls", config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-    let _busy = fill(&proxy, &backend);
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    let _busy = saturate(&proxy, &backend);
     let _crowd: Vec<Client> = (0..100)
         .map(|i| {
             let mut client = proxy.client();
@@ -145,10 +148,10 @@
             client
         })
         .collect();
-    assert_eq!(proxy.call("GET", READY).status(), 200);
-    assert_eq!(proxy.figure("app_in_progress"), 2);
+    assert_eq!(proxy.operator_call("GET", READY).status(), 200);
+    assert_eq!(proxy.metric("app_in_progress"), 2);
     assert_eq!(
-        proxy.client().ask(UP).status(),
+        proxy.client().exchange(UP).status(),
         200,
         "a client that sends a request is admitted, and an idle one closed"
     );
@@ -157,49 +160,55 @@
 #[test]
 fn metrics_follow_the_requests() {
     let discovery = Discovery::start();
-    let (release, word) = channel();
-    let mut word = Some(word);
-    let backend = Backend::start(move |seen| match seen.header("x-correlation-id") {
-        Some("bad") => Reply::Write(answer("500 Internal Server Error", "", b"")),
-        Some("wait") => Reply::After(word.take().expect("one"), Box::new(ok("late"))),
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
+    let backend = Backend::start(move |received| match received.header("x-correlation-id") {
+        Some("bad") => Reply::Write(response("500 Internal Server Error", "", b"")),
+        Some("wait") => Reply::After(signal.take().expect("one"), Box::new(ok("late"))),
         _ => ok("fine"),
     });
-    let proxy = Proxy::start_with("figures", operated("figures", &discovery));
-    let draining = entry("s-2", backend.address, "leaving", 0);
-    discovery.post(
+    let proxy = Proxy::start_with("metrics", config_with_operator("metrics", &discovery));
+    let draining = endpoint("s-2", backend.address, "leaving", 0);
+    discovery.publish_and_wait(
         true,
-        &[entry("s-1", backend.address, "active", 0), draining],
+        &[endpoint("s-1", backend.address, "active", 0), draining],
     );
     assert_eq!(
         (
-            proxy.figure("app_known_backends"),
-            proxy.figure("app_skipped_backends")
+            proxy.metric("app_known_backends"),
+            proxy.metric("app_skipped_backends")
         ),
         (2, 1)
     );
     let mut client = proxy.client();
     for id in ["1", "2", "3"] {
-        assert_eq!(client.ask(&request("submit", id, "x")).status(), 200);
+        assert_eq!(client.exchange(&request("submit", id, "x")).status(), 200);
     }
-    assert_eq!(client.ask(&request("charge", "bad", "x")).status(), 502);
     assert_eq!(
-        proxy.client().ask(&request("charge", "", "x")).status(),
+        client.exchange(&request("charge", "bad", "x")).status(),
+        502
+    );
+    assert_eq!(
+        proxy
+            .client()
+            .exchange(&request("charge", "", "x"))
+            .status(),
         400,
         "a malformed request is not counted"
     );
     let mut waits = proxy.client();
     waits.send(&request("charge", "wait", "x"));
     for _ in 0..5 {
-        backend.next();
+        backend.next_request();
     }
-    assert_eq!(proxy.figure("app_in_progress"), 1);
+    assert_eq!(proxy.metric("app_in_progress"), 1);
     assert_eq!(
-        proxy.figure("app_upstream_tries"),
+        proxy.metric("app_upstream_tries"),
         5,
         "an attempt without a response counts too"
     );
     let handled = |class: &str, outcome: &str| {
-        proxy.figure(&format!(
+        proxy.metric(&format!(
             "app_handled{{category=\"{class}\",outcome=\"{outcome}\"}}"
         ))
     };
@@ -211,7 +220,7 @@
     release.send(()).expect("the backend waits");
     assert_eq!(waits.receive().status(), 200);
     assert_eq!(
-        (handled("charge", "passed"), proxy.figure("app_in_progress")),
+        (handled("charge", "passed"), proxy.metric("app_in_progress")),
         (1, 0)
     );
 }
@@ -219,56 +228,53 @@
 #[test]
 fn a_rejected_request_is_counted_and_one_whose_client_disconnected_is_no_longer_in_progress() {
     let discovery = Discovery::start();
-    let (backend, releases) = full_backend();
-    let mut config = operated("refused-figure", &discovery);
+    let (backend, releases) = holding_backend();
+    let mut config = config_with_operator("rejected-metric", &discovery);
     config["settings"]["classes"][1]["deadlineUs"] = 10_000_000.into();
-    let proxy = Proxy::start_with("refused-figure", config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-    let clients = fill(&proxy, &backend);
+    let proxy = Proxy::start_with("rejected-metric", config);
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    let clients = saturate(&proxy, &backend);
     let short = request("submit", "1", "x").replace("15000", "300");
-    assert_eq!(proxy.client().ask(&short).status(), 503);
-    assert_eq!(
-        proxy.figure("app_handled{category=\"submit\",outcome=\"dropped\"}"),
-        1
-    );
-    assert_eq!(proxy.figure("app_in_progress"), clients.len() as u64);
+    assert_eq!(proxy.client().exchange(&short).status(), 503);
+    assert_eq!(proxy.handled("submit", "dropped"), 1);
+    assert_eq!(proxy.metric("app_in_progress"), clients.len() as u64);
     drop(clients);
-    while proxy.figure("app_in_progress") > 0 {}
+    while proxy.metric("app_in_progress") > 0 {}
     drop(releases);
 }
 
 #[test]
 fn out_of_service_the_proxy_serves_and_closes_every_connection() {
     let discovery = Discovery::start();
-    let (release, word) = channel();
-    let mut word = Some(word);
-    let backend = Backend::start(move |seen| match seen.header("x-correlation-id") {
-        Some("held") => Reply::After(word.take().expect("one"), Box::new(ok("held"))),
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
+    let backend = Backend::start(move |received| match received.header("x-correlation-id") {
+        Some("held") => Reply::After(signal.take().expect("one"), Box::new(ok("held"))),
         _ => ok("fine"),
     });
-    let proxy = Proxy::start_with("drained", operated("drained", &discovery));
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    let proxy = Proxy::start_with("drained", config_with_operator("drained", &discovery));
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
     let (mut idle, mut used, mut busy) = (proxy.client(), proxy.client(), proxy.client());
     for (client, id) in [(&mut idle, "i"), (&mut used, "u")] {
-        assert_eq!(client.ask(&request("submit", id, "x")).status(), 200);
+        assert_eq!(client.exchange(&request("submit", id, "x")).status(), 200);
     }
     busy.send(&request("charge", "held", "x"));
     for _ in 0..3 {
-        backend.next();
+        backend.next_request();
     }
     for _ in 0..2 {
-        assert_eq!(proxy.call("POST", OUT_OF_SERVICE).status(), 200);
+        assert_eq!(proxy.operator_call("POST", OUT_OF_SERVICE).status(), 200);
         assert_eq!(
             (
-                proxy.client().ask(UP).status(),
-                proxy.call("GET", READY).status()
+                proxy.client().exchange(UP).status(),
+                proxy.operator_call("GET", READY).status()
             ),
             (503, 503)
         );
     }
     let mut newcomer = proxy.client();
     for (client, id) in [(&mut used, "u2"), (&mut newcomer, "n")] {
-        let got = client.ask(&request("submit", id, "x"));
+        let got = client.exchange(&request("submit", id, "x"));
         assert_eq!(
             (got.status(), got.header("connection")),
             (200, Some("close"))
@@ -280,32 +286,35 @@
     assert_eq!(busy.receive().body, b"held");
     assert!(busy.ends_cleanly());
     for _ in 0..2 {
-        assert_eq!(proxy.call("POST", IN_SERVICE).status(), 200);
+        assert_eq!(proxy.operator_call("POST", IN_SERVICE).status(), 200);
         assert_eq!(
             (
-                proxy.client().ask(UP).status(),
-                proxy.call("GET", READY).status()
+                proxy.client().exchange(UP).status(),
+                proxy.operator_call("GET", READY).status()
             ),
             (200, 200)
         );
     }
     let mut client = proxy.client();
-    let got = client.ask(&request("submit", "again", "x"));
+    let got = client.exchange(&request("submit", "again", "x"));
     assert_eq!((got.status(), got.header("connection")), (200, None));
-    assert_eq!(client.ask(&request("submit", "more", "x")).status(), 200);
+    assert_eq!(
+        client.exchange(&request("submit", "more", "x")).status(),
+        200
+    );
 }
 
 #[test]
 fn a_process_that_shuts_down_cannot_return_to_service() {
     let discovery = Discovery::start();
-    let (backend, releases) = full_backend();
-    let mut proxy = Proxy::start_with("stopping", operated("stopping", &discovery));
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
-    let clients = fill(&proxy, &backend);
-    assert_eq!(proxy.call("POST", OUT_OF_SERVICE).status(), 200);
+    let (backend, releases) = holding_backend();
+    let mut proxy = Proxy::start_with("stopping", config_with_operator("stopping", &discovery));
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    let clients = saturate(&proxy, &backend);
+    assert_eq!(proxy.operator_call("POST", OUT_OF_SERVICE).status(), 200);
     proxy.terminate();
-    while proxy.call("POST", IN_SERVICE).status() != 409 {}
-    assert_eq!(proxy.client().ask(UP).status(), 503);
+    while proxy.operator_call("POST", IN_SERVICE).status() != 409 {}
+    assert_eq!(proxy.client().exchange(UP).status(), 503);
     for release in &releases {
         release.send(()).expect("the backend waits");
     }
@@ -318,38 +327,41 @@
 #[test]
 fn a_new_process_takes_over_the_listener_of_the_platform() {
     let discovery = Discovery::start();
-    let (release, word) = channel();
-    let mut word = Some(word);
-    let backend = Backend::start(move |seen| match seen.header("x-correlation-id") {
-        Some("old") => Reply::After(word.take().expect("one"), Box::new(ok("old"))),
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
+    let backend = Backend::start(move |received| match received.header("x-correlation-id") {
+        Some("old") => Reply::After(signal.take().expect("one"), Box::new(ok("old"))),
         _ => ok("fine"),
     });
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let config = operated("heir", &discovery);
-    let mut old = heir("heir-old", &config, &listener);
+    let config = config_with_operator("takeover", &discovery);
+    let mut old = start_with_listener("takeover-old", &config, &listener);
     assert_eq!(old.address, address);
-    let members = [entry("s-1", backend.address, "active", 0)];
-    discovery.post(true, &members);
+    let members = [endpoint("s-1", backend.address, "active", 0)];
+    discovery.publish_and_wait(true, &members);
     let mut busy = old.client();
     busy.send(&request("charge", "old", "x"));
-    backend.next();
-    let new = heir("heir-new", &config, &listener);
-    while new.call("GET", READY).status() != 200 {}
+    backend.next_request();
+    let new = start_with_listener("takeover-new", &config, &listener);
+    while new.operator_call("GET", READY).status() != 200 {}
     old.terminate();
-    while old.call("GET", READY).status() != 503 {}
+    while old.operator_call("GET", READY).status() != 503 {}
     // Connections from now on belong to the new process.
     for id in ["a", "b", "c", "d"] {
-        assert_eq!(new.client().ask(&request("submit", id, "x")).status(), 200);
+        assert_eq!(
+            new.client().exchange(&request("submit", id, "x")).status(),
+            200
+        );
     }
-    assert_eq!(
-        new.figure("app_handled{category=\"submit\",outcome=\"passed\"}"),
-        4
-    );
+    assert_eq!(new.handled("submit", "passed"), 4);
     release.send(()).expect("the backend waits");
     assert_eq!(busy.receive().body, b"old");
     assert!(old.wait().success());
-    assert_eq!(new.client().ask(&request("submit", "e", "x")).status(), 200);
+    assert_eq!(
+        new.client().exchange(&request("submit", "e", "x")).status(),
+        200
+    );
 }
 
 #[test]
--- a/tests/proxy/overload.rs
+++ b/tests/proxy/overload.rs
@@ -100,7 +100,7 @@
         let mut config = config_at(&format!("crowd-{mode}"), discovery);
         config["limits"]["sockets"] = DESCRIPTORS.into();
         config["settings"]["membershipMode"] = mode.into();
-        let known = entry("old", unused_address("127.79.0.1"), "active", 0);
+        let known = endpoint("old", unused_address("127.79.0.1"), "active", 0);
         config["known"] = json!({"revision": 3, "complete": true, "members": [known]});
         let proxy = Proxy::start_limited(&format!("crowd-{mode}"), &config, DESCRIPTORS);
         let crowd = IdleClients::gather(proxy.address, &words);
@@ -109,7 +109,7 @@
         let discovery = Discovery::start_at(&discovery.to_string());
         let back = Instant::now();
         let backend = Backend::start(|_| ok("there"));
-        discovery.post(true, &[entry("new", backend.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[endpoint("new", backend.address, "active", 0)]);
         let mut tries = 0;
         while try_request(&proxy, &format!("crowded-{tries}")).is_none_or(|got| got.status() != 200)
         {
@@ -145,10 +145,10 @@
     thread::spawn(move || {
         for (came, mut stream) in queue {
             let reply = if came.elapsed() > LONGEST_WAIT {
-                answer("503 Service Unavailable", "", b"")
+                response("503 Service Unavailable", "", b"")
             } else {
                 thread::sleep(CALL_DURATION);
-                answer("200 OK", "", list.to_string().as_bytes())
+                response("200 OK", "", list.to_string().as_bytes())
             };
             let _ = stream.write_all(&reply);
         }
@@ -192,7 +192,7 @@
         Start::NothingKnown,
     ] {
         let backend = Backend::start(|_| ok("there"));
-        let members = json!([entry("s-1", backend.address, "active", 0)]);
+        let members = json!([endpoint("s-1", backend.address, "active", 0)]);
         let discovery = unused_address("127.79.1.1");
         if !matches!(start, Start::NoDiscovery) {
             serve_in_turn(
@@ -217,7 +217,7 @@
         let proxies: Vec<_> = (0..PROXY_COUNT).map(launch).collect();
         let mut waiting: Vec<_> = proxies.iter().collect();
         while !waiting.is_empty() && began.elapsed() < READY_WITHIN {
-            waiting.retain(|proxy| proxy.client().ask(UP).status() != 200);
+            waiting.retain(|proxy| proxy.client().exchange(UP).status() != 200);
             thread::sleep(Duration::from_millis(20));
         }
         assert!(
@@ -232,7 +232,7 @@
             assert_eq!(
                 proxy
                     .client()
-                    .ask(&request("read", &i.to_string(), ""))
+                    .exchange(&request("read", &i.to_string(), ""))
                     .status(),
                 200,
                 "{start:?}"
--- a/tests/proxy/request_forms.rs
+++ b/tests/proxy/request_forms.rs
@@ -12,7 +12,7 @@
     let proxy = Proxy::start(
         "nonsense",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let good = request("submit", "7", "x");
     let cases = [
@@ -81,25 +81,25 @@
     for (text, status) in cases {
         let line = text.lines().next().unwrap_or_default().to_owned();
         let mut client = proxy.client();
-        assert_eq!(client.ask(&text).status(), status, "{line}");
+        assert_eq!(client.exchange(&text).status(), status, "{line}");
         assert!(
             client.ends_cleanly(),
             "what follows a malformed request may be a part of it: {line}"
         );
     }
-    assert_eq!(backend.rest(), 0);
-    assert_eq!(proxy.client().ask(&good).status(), 200);
+    assert_eq!(backend.further_requests(), 0);
+    assert_eq!(proxy.client().exchange(&good).status(), 200);
 }
 
 /// Each form that a client may use, and the response.
 #[test]
 fn every_form_of_a_request_is_understood() {
     let discovery = Discovery::start();
-    let backend = Backend::start(|seen| ok(&String::from_utf8_lossy(&seen.body)));
+    let backend = Backend::start(|received| ok(&String::from_utf8_lossy(&received.body)));
     let proxy = Proxy::start(
         "forms",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let post = |id: &str, fields: &str, body: &str| {
         request("submit", id, "").replace("Content-Length: 0\r\n", fields) + body
@@ -191,7 +191,7 @@
         ),
     ];
     for (form, text, wanted) in cases {
-        let got = proxy.client().ask(&text);
+        let got = proxy.client().exchange(&text);
         let got = format!(
             "{} {}",
             got.status(),
@@ -204,9 +204,9 @@
         assert_eq!(got, wanted, "{form}");
     }
     let absolute = backend
-        .seen
+        .requests
         .try_iter()
-        .find(|seen| seen.header("x-correlation-id") == Some("6"));
+        .find(|received| received.header("x-correlation-id") == Some("6"));
     let absolute = absolute.expect("it was sent on");
     assert_eq!(
         (absolute.first_line(), absolute.header("host")),
@@ -222,7 +222,7 @@
     let proxy = Proxy::start(
         "smuggled",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let hidden = request("charge", "hidden", "x");
     let body = format!("0\r\n\r\n{hidden}");
@@ -237,12 +237,12 @@
     ] {
         let mut client = proxy.client();
         let head = request("charge", "outer", "").replace("Content-Length: 0\r\n", &fields);
-        let got = client.ask(&format!("{head}{body}"));
+        let got = client.exchange(&format!("{head}{body}"));
         assert!((400..500).contains(&got.status()), "{}", got.head);
         assert!(client.ends_cleanly());
     }
-    assert_eq!(proxy.client().ask(UP).status(), 200);
-    assert_eq!(backend.rest(), 0);
+    assert_eq!(proxy.client().exchange(UP).status(), 200);
+    assert_eq!(backend.further_requests(), 0);
 }
 
 #[test]
@@ -257,20 +257,23 @@
     let proxy = Proxy::start(
         "same-id",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let mut first = proxy.client();
     first.send(&request("charge", "1", "x"));
-    backend.next();
+    backend.next_request();
     assert_eq!(
-        proxy.client().ask(&request("charge", "1", "x")).status(),
+        proxy
+            .client()
+            .exchange(&request("charge", "1", "x"))
+            .status(),
         409
     );
-    assert_eq!(backend.rest(), 0);
+    assert_eq!(backend.further_requests(), 0);
     release.send(()).expect("the backend waits");
     assert_eq!(first.receive().body, b"first");
     assert_eq!(
-        proxy.client().ask(&request("charge", "1", "x")).body,
+        proxy.client().exchange(&request("charge", "1", "x")).body,
         b"later",
         "the id is free again"
     );
@@ -289,7 +292,7 @@
         client
     });
     let mut asked = proxy.client();
-    assert_eq!(asked.ask(UP).status(), 200);
+    assert_eq!(asked.exchange(UP).status(), 200);
     for mut client in halves {
         let mut rest = Vec::new();
         client.reader.read_to_end(&mut rest).expect("no reset");
--- a/tests/proxy/response_ends.rs
+++ b/tests/proxy/response_ends.rs
@@ -21,9 +21,9 @@
         let proxy = Proxy::start(
             name,
             &discovery,
-            &[entry("s-1", backend.address, "active", 0)],
+            &[endpoint("s-1", backend.address, "active", 0)],
         );
-        let got = proxy.client().ask(&request("charge", "1", "x"));
+        let got = proxy.client().exchange(&request("charge", "1", "x"));
         assert_eq!(got.status(), status, "{name}");
         assert!(status != 200 || got.body == b"body", "{name}");
     }
@@ -65,11 +65,21 @@
             let shows = text.contains("content-length: 200000") || text.contains("chunked");
             assert!(ended.is_err() || (shows && !whole), "{name} {version}");
         }
-        assert_eq!(backend.next().header("x-correlation-id"), Some("HTTP/1.1"));
-        assert_eq!(backend.next().header("x-correlation-id"), Some("HTTP/1.0"));
-        assert_eq!(backend.rest(), 0, "nothing that has begun is sent again");
+        assert_eq!(
+            backend.next_request().header("x-correlation-id"),
+            Some("HTTP/1.1")
+        );
+        assert_eq!(
+            backend.next_request().header("x-correlation-id"),
+            Some("HTTP/1.0")
+        );
+        assert_eq!(
+            backend.further_requests(),
+            0,
+            "nothing that has begun is sent again"
+        );
         let failed = "app_handled{category=\"submit\",outcome=\"bad_gateway\"}";
-        while proxy.figure(failed) < 2 {}
+        while proxy.metric(failed) < 2 {}
     }
 }
 
@@ -108,7 +118,7 @@
             let address = resets_after(bytes, Duration::from_millis(pause_ms));
             let discovery = Discovery::start();
             let name = format!("reset-{length}-{pause_ms}");
-            let proxy = Proxy::start(&name, &discovery, &[entry("s-1", address, "active", 0)]);
+            let proxy = Proxy::start(&name, &discovery, &[endpoint("s-1", address, "active", 0)]);
             let mut client = proxy.client();
             client
                 .send(&request("charge", "1", "x").replace("Host:", "Connection: close\r\nHost:"));
@@ -133,13 +143,13 @@
     let proxy = Proxy::start(
         "hang",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let mut client = proxy.client();
-    let got = client.ask(&request("charge", "1", "x").replace("15000", "300"));
+    let got = client.exchange(&request("charge", "1", "x").replace("15000", "300"));
     assert_eq!(got.status(), 502);
     assert_eq!(
-        client.ask(UP).status(),
+        client.exchange(UP).status(),
         200,
         "exactly one answer came, and the connection goes on"
     );
@@ -177,7 +187,7 @@
         let proxy = Proxy::start(
             &format!("endless-{i}"),
             &discovery,
-            &[entry("s-1", backend.address, "active", 0)],
+            &[endpoint("s-1", backend.address, "active", 0)],
         );
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x").replace("15000", "2000"));
@@ -196,9 +206,9 @@
         );
         let (proxy, ..) = &proxies[i];
         assert!(
-            proxy.peak_memory() < 40_000,
+            proxy.peak_memory_kb() < 40_000,
             "case {i}: {} kB",
-            proxy.peak_memory()
+            proxy.peak_memory_kb()
         );
     }
     // One that fails may stay idle for 2.5 s.
--- a/tests/proxy/retries.rs
+++ b/tests/proxy/retries.rs
@@ -15,20 +15,24 @@
         ("X-Unprocessed: 0\r\n", 502, 1),
     ] {
         let discovery = Discovery::start();
-        let reject = move |_: &Message| Reply::Write(answer("503 Service Unavailable", more, b""));
+        let reject =
+            move |_: &Message| Reply::Write(response("503 Service Unavailable", more, b""));
         let (one, two) = (Backend::start(reject), Backend::start(reject));
         let members = [
-            entry("s-1", one.address, "active", 0),
-            entry("s-2", two.address, "active", 0),
+            endpoint("s-1", one.address, "active", 0),
+            endpoint("s-2", two.address, "active", 0),
         ];
         let proxy = Proxy::start(
             &format!("mark-{status}-{}", more.len()),
             &discovery,
             &members,
         );
-        let got = proxy.client().ask(&request("charge", "1", "x"));
+        let got = proxy.client().exchange(&request("charge", "1", "x"));
         assert_eq!(
-            (got.status(), one.rest() + two.rest()),
+            (
+                got.status(),
+                one.further_requests() + two.further_requests()
+            ),
             (status, attempts),
             "with `{more}`"
         );
@@ -44,13 +48,16 @@
         .local_addr()
         .expect("an address");
     let members = [
-        entry("s-1", nobody, "active", 0),
-        entry("s-2", backend.address, "active", 0),
+        endpoint("s-1", nobody, "active", 0),
+        endpoint("s-2", backend.address, "active", 0),
     ];
     let proxy = Proxy::start("unreachable", &discovery, &members);
     for id in ["1", "2", "3"] {
         assert_eq!(
-            proxy.client().ask(&request("charge", id, "x")).status(),
+            proxy
+                .client()
+                .exchange(&request("charge", id, "x"))
+                .status(),
             200
         );
     }
@@ -71,21 +78,21 @@
             Box::new(Reply::WriteAndClose(Vec::new())),
         ));
         let breaks = Backend::start(move |_| reply.take().expect("asked once"));
-        let late = FullQueue::start();
+        let late = FullBacklog::start();
         let name = format!("window-{group}");
         let mut config = config(&name, &discovery);
         config["settings"]["classes"][1]["keyTtlUs"] = (KEY_TTL.as_micros() as u64).into();
         config["settings"]["classes"][1]["group"] = group.into();
         let proxy = Proxy::start_with(&name, config);
-        discovery.post(true, &[entry("s-1", breaks.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[endpoint("s-1", breaks.address, "active", 0)]);
         let mut client = proxy.client();
         client.send(&request("submit", "keyed", "x"));
-        breaks.next();
-        discovery.post(false, &[entry("s-2", late.address, "active", 0)]);
+        breaks.next_request();
+        discovery.publish_and_wait(false, &[endpoint("s-2", late.address, "active", 0)]);
         release.send(()).expect("the backend waits");
         // This test is about the time: the key expires before the second backend accepts a connection.
         thread::sleep(KEY_TTL);
-        assert_eq!(received_ids(late.empty()), [""; 0]);
+        assert_eq!(received_ids(late.accept_pending()), [""; 0]);
         assert_eq!(
             client.receive().status(),
             502,
@@ -101,29 +108,29 @@
     const TIME_LEFT: Duration = Duration::from_millis(15_000);
     let discovery = Discovery::start();
     let (breaks, release) = closes_on_signal();
-    let late = FullQueue::start();
+    let late = FullBacklog::start();
     let proxy = Proxy::start(
         "time-left",
         &discovery,
-        &[entry("s-1", breaks.address, "active", 0)],
+        &[endpoint("s-1", breaks.address, "active", 0)],
     );
     let mut client = proxy.client();
     let sent_at = Instant::now();
     client.send(&request("read", "slow", ""));
-    breaks.next();
-    discovery.post(true, &[entry("s-2", late.address, "active", 0)]);
+    breaks.next_request();
+    discovery.publish_and_wait(true, &[endpoint("s-2", late.address, "active", 0)]);
     thread::sleep(FIRST_TAKES);
     release.send(()).expect("the backend waits");
     thread::sleep(FIRST_TAKES);
-    let listener = late.empty();
+    let listener = late.accept_pending();
     let (mut stream, _) = listener.accept().expect("the second attempt");
-    let seen = read_message(&mut BufReader::new(&stream)).expect("a request");
+    let received = read_message(&mut BufReader::new(&stream)).expect("a request");
     let left = TIME_LEFT.saturating_sub(sent_at.elapsed());
     stream
-        .write_all(&answer("200 OK", "", b"there"))
+        .write_all(&response("200 OK", "", b"there"))
         .expect("the proxy reads");
     assert_eq!(client.receive().body, b"there");
-    let time_left: u64 = seen
+    let time_left: u64 = received
         .header("x-time-left-ms")
         .expect("the time left")
         .parse()
--- a/tests/proxy/rig/backend.rs
+++ b/tests/proxy/rig/backend.rs
@@ -1,7 +1,7 @@
 //! A stand-in for a backend: it answers by a script and reports the requests that it receives.
 
 use super::TEST_TIMEOUT;
-use super::message::{Message, answer, read_message};
+use super::message::{Message, read_message, response};
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -15,18 +15,19 @@
     Write(Vec<u8>),
     /// Writes these bytes and closes the connection.
     WriteAndClose(Vec<u8>),
-    /// Waits for a signal from the test, then does that.
+    /// Waits for a signal from the test, then executes the reply.
     After(Receiver<()>, Box<Reply>),
-    /// Writes these bytes, waits for a signal, then does that.
+    /// Writes these bytes, waits for a signal, then executes the reply.
     Then(Vec<u8>, Receiver<()>, Box<Reply>),
-    /// Writes these bytes, then those again and again with a pause between them.
+    /// Writes the first bytes, then the second ones again and again with a pause between them.
     Endless(Vec<u8>, Vec<u8>, Duration),
     /// Never answers.
     Hang,
 }
 
+/// Replies with status 200 and this body.
 pub fn ok(body: &str) -> Reply {
-    Reply::Write(answer("200 OK", "", body.as_bytes()))
+    Reply::Write(response("200 OK", "", body.as_bytes()))
 }
 
 type Script = Box<dyn FnMut(&Message) -> Reply + Send>;
@@ -34,9 +35,30 @@
 /// A backend that answers by its script and sends the test what it received.
 pub struct Backend {
     pub address: SocketAddr,
-    pub seen: Receiver<Message>,
+    /// The requests that it receives.
+    pub requests: Receiver<Message>,
 }
 
+/// Serves one connection until its peer or a reply closes it.
+fn serve(
+    mut stream: TcpStream,
+    connection: usize,
+    script: &Mutex<Script>,
+    sender: &Sender<Message>,
+) {
+    let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+    while let Some(mut request) = read_message(&mut reader) {
+        request.connection = connection;
+        let reply = script.lock().expect("a script")(&request);
+        let _ = sender.send(request);
+        if !execute(reply, &mut stream) {
+            let _ = stream.shutdown(Shutdown::Both);
+            return;
+        }
+    }
+}
+
+/// Executes a reply, and returns whether the connection stays open.
 fn execute(reply: Reply, stream: &mut TcpStream) -> bool {
     match reply {
         Reply::Write(bytes) => stream.write_all(&bytes).is_ok(),
@@ -65,49 +87,39 @@
 }
 
 impl Backend {
+    /// Starts a backend whose script is called with each request.
     pub fn start(script: impl FnMut(&Message) -> Reply + Send + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (sender, seen) = channel();
+        let (sender, requests) = channel();
         let script: Arc<Mutex<Script>> = Arc::new(Mutex::new(Box::new(script)));
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                let (Ok(mut stream), sender, script) =
-                    (stream, sender.clone(), Arc::clone(&script))
-                else {
+                let Ok(stream) = stream else {
                     return;
                 };
-                thread::spawn(move || {
-                    let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-                    while let Some(mut request) = read_message(&mut reader) {
-                        request.connection = connection;
-                        let reply = script.lock().expect("a script")(&request);
-                        let _ = sender.send(request);
-                        if !execute(reply, &mut stream) {
-                            let _ = stream.shutdown(Shutdown::Both);
-                            return;
-                        }
-                    }
-                });
+                let sender = sender.clone();
+                let script = Arc::clone(&script);
+                thread::spawn(move || serve(stream, connection, &script, &sender));
             }
         });
-        Self { address, seen }
+        Self { address, requests }
     }
 
     /// Returns the next request that it receives.
-    pub fn next(&self) -> Message {
-        self.seen
+    pub fn next_request(&self) -> Message {
+        self.requests
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the backend sees a request")
+            .expect("the backend receives a request")
     }
 
-    /// Returns the number of requests that it has received beyond those.
-    pub fn rest(&self) -> usize {
-        self.seen.try_iter().count()
+    /// Returns the number of requests that it has received that the test has not taken.
+    pub fn further_requests(&self) -> usize {
+        self.requests.try_iter().count()
     }
 
     /// Waits until no connection to it looks open to its peer's kernel: each close has reached the peer's socket,
-    /// whether or not the peer's process has seen it.
+    /// whether or not the peer's process has read it.
     pub fn wait_until_closed(&self) {
         let began = Instant::now();
         while has_established_to(self.address) {
--- a/tests/proxy/rig/client.rs
+++ b/tests/proxy/rig/client.rs
@@ -8,6 +8,7 @@
 /// A health check of the proxy.
 pub const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
+/// A connection of a client to the proxy.
 pub struct Client {
     pub stream: TcpStream,
     pub reader: BufReader<TcpStream>,
@@ -26,17 +27,20 @@
         }
     }
 
+    /// Sends this text.
     pub fn send(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
             .expect("the proxy reads");
     }
 
+    /// Receives one response.
     pub fn receive(&mut self) -> Message {
-        read_message(&mut self.reader).expect("a whole answer")
+        read_message(&mut self.reader).expect("a complete response")
     }
 
-    pub fn ask(&mut self, text: &str) -> Message {
+    /// Sends a request and receives its response.
+    pub fn exchange(&mut self, text: &str) -> Message {
         self.send(text);
         self.receive()
     }
@@ -47,7 +51,7 @@
     }
 }
 
-/// A request of a class as clients send it. `id` is also its key.
+/// Returns a request of a class as clients send it. `id` is also its idempotency key.
 pub fn request(class: &str, id: &str, body: &str) -> String {
     let method = if class == "read" { "GET" } else { "POST" };
     let key = if class == "submit" {
--- a/tests/proxy/rig/full_queue.rs
+++ b/tests/proxy/rig/full_backlog.rs
@@ -1,20 +1,20 @@
-//! A stand-in for a backend that accepts no connection until the test says so.
+//! A stand-in for a backend that accepts no connection until the test lets it.
 
 use super::TEST_TIMEOUT;
-use super::message::{answer, read_message};
+use super::message::{read_message, response};
 use socket2::{Domain, Socket, Type};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A backend whose accept queue is full: connects to it wait until it is emptied.
-pub struct FullQueue {
+/// A backend whose accept queue is full: connects to it wait until the test accepts.
+pub struct FullBacklog {
     pub address: SocketAddr,
     listener: TcpListener,
     _filler: TcpStream,
 }
 
-impl FullQueue {
+impl FullBacklog {
     pub fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket
@@ -32,7 +32,7 @@
     }
 
     /// Lets the waiting connects succeed.
-    pub fn empty(self) -> TcpListener {
+    pub fn accept_pending(self) -> TcpListener {
         drop(self.listener.accept().expect("the filler"));
         self.listener
     }
@@ -41,26 +41,32 @@
 /// The kernel repeats a connect at most this long after the queue of the listener has room.
 const RECONNECTS_WITHIN: Duration = Duration::from_secs(4);
 
-/// Accepts connections and answers a request on each, until no connection has come for long. Returns the ids of
+/// Accepts connections and answers a request on each, until none has come for longer than the kernel takes
+/// to repeat a connect. Returns the ids of
 /// the requests.
 pub fn received_ids(listener: TcpListener) -> Vec<String> {
     let listener = socket2::Socket::from(listener);
     listener
         .set_read_timeout(Some(RECONNECTS_WITHIN))
         .expect("a time-out");
-    let mut seen = Vec::new();
+    let mut ids = Vec::new();
     while let Ok((stream, _)) = listener.accept() {
         let mut stream = TcpStream::from(stream);
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a time-out");
-        let Some(got) = read_message(&mut BufReader::new(&stream)) else {
+        let Some(request) = read_message(&mut BufReader::new(&stream)) else {
             continue;
         };
-        seen.push(got.header("x-correlation-id").expect("an id").to_owned());
+        ids.push(
+            request
+                .header("x-correlation-id")
+                .expect("an id")
+                .to_owned(),
+        );
         stream
-            .write_all(&answer("200 OK", "", b"there"))
+            .write_all(&response("200 OK", "", b"there"))
             .expect("the proxy reads");
     }
-    seen
+    ids
 }
--- a/tests/proxy/rig/message.rs
+++ b/tests/proxy/rig/message.rs
@@ -7,32 +7,35 @@
 pub struct Message {
     pub head: String,
     pub body: Vec<u8>,
-    /// The number of the backend's connection that it came on.
+    /// The index of the backend's connection that it was received on.
     pub connection: usize,
 }
 
 impl Message {
+    /// Returns the request line or the status line.
     pub fn first_line(&self) -> &str {
         self.head.lines().next().unwrap_or_default()
     }
 
+    /// Returns the status of a response.
     pub fn status(&self) -> u16 {
         self.first_line()
             .split(' ')
             .nth(1)
-            .and_then(|s| s.parse().ok())
+            .and_then(|status| status.parse().ok())
             .expect("a status line")
     }
 
+    /// Returns the value of the first field of this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut fields = self.head.lines().filter_map(|line| line.split_once(':'));
         fields
-            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .find(|(field, _)| field.eq_ignore_ascii_case(name))
             .map(|(_, value)| value.trim())
     }
 }
 
-/// Reads one message; `None` at the end of the connection.
+/// Reads one message. Returns `None` at the end of the connection.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -40,36 +43,43 @@
             return None;
         }
     }
-    let mut seen = Message {
+    let mut message = Message {
         head,
         body: Vec::new(),
         connection: 0,
     };
-    if seen.header("transfer-encoding") == Some("chunked") {
-        loop {
-            let mut line = String::new();
-            reader.read_line(&mut line).ok()?;
-            let size = usize::from_str_radix(line.trim(), 16).ok()?;
-            let start = seen.body.len();
-            seen.body.resize(start + size, 0);
-            reader.read_exact(&mut seen.body[start..]).ok()?;
-            reader.read_line(&mut line).ok()?;
-            if size == 0 {
-                return Some(seen);
-            }
-        }
+    if message.header("transfer-encoding") == Some("chunked") {
+        read_chunks(reader, &mut message.body)?;
+        return Some(message);
     }
-    let length = seen
+    let length = message
         .header("content-length")
-        .map_or(0, |l| l.parse().expect("a length"));
-    seen.body.resize(length, 0);
-    reader.read_exact(&mut seen.body).ok()?;
-    Some(seen)
+        .map_or(0, |length| length.parse().expect("a length"));
+    message.body.resize(length, 0);
+    reader.read_exact(&mut message.body).ok()?;
+    Some(message)
+}
+
+/// Reads a chunked body without extensions and trailers.
+fn read_chunks(reader: &mut impl BufRead, body: &mut Vec<u8>) -> Option<()> {
+    loop {
+        let mut line = String::new();
+        reader.read_line(&mut line).ok()?;
+        let size = usize::from_str_radix(line.trim(), 16).ok()?;
+        let start = body.len();
+        body.resize(start + size, 0);
+        reader.read_exact(&mut body[start..]).ok()?;
+        reader.read_line(&mut line).ok()?;
+        if size == 0 {
+            return Some(());
+        }
+    }
 }
 
-pub fn answer(status: &str, more: &str, body: &[u8]) -> Vec<u8> {
+/// Returns a response with this body. `fields` are further header fields, each with its line end.
+pub fn response(status: &str, fields: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!(
-        "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n",
+        "HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n",
         body.len()
     )
     .into_bytes();
--- a/tests/proxy/rig/mod.rs
+++ b/tests/proxy/rig/mod.rs
@@ -5,19 +5,19 @@
 mod client;
 mod configuration;
 mod discovery;
-mod full_queue;
+mod full_backlog;
 mod message;
 mod process;
 mod saturated_backend;
 
 pub use backend::{Backend, Reply, closes_on_signal, ok};
 pub use client::{Client, UP, request};
-pub use configuration::{config, config_at, operated};
-pub use discovery::{Discovery, entry};
-pub use full_queue::{FullQueue, received_ids};
-pub use message::{Message, answer, pattern, read_message};
-pub use process::{Proxy, command, heir, launch, start_with_little_memory};
-pub use saturated_backend::{INITIAL_LIMIT, fill, full_backend};
+pub use configuration::{config, config_at, config_with_operator};
+pub use discovery::{Discovery, endpoint};
+pub use full_backlog::{FullBacklog, received_ids};
+pub use message::{Message, pattern, read_message, response};
+pub use process::{Proxy, command, launch, start_with_listener, start_with_little_memory};
+pub use saturated_backend::{INITIAL_LIMIT, holding_backend, saturate};
 use std::time::Duration;
 
 /// Ends a test that waits for an event that never comes.
--- a/tests/proxy/rig/process.rs
+++ b/tests/proxy/rig/process.rs
@@ -2,8 +2,8 @@
 
 use super::backend::Backend;
 use super::client::Client;
-use super::configuration::{config, operated};
-use super::discovery::{Discovery, entry};
+use super::configuration::{config, config_with_operator};
+use super::discovery::{Discovery, endpoint};
 use super::message::Message;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read};
@@ -13,7 +13,7 @@
 use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
 use std::{env, fs};
 
-/// The program, running.
+/// A running process of the program.
 pub struct Proxy {
     pub child: Child,
     pub address: SocketAddr,
@@ -32,7 +32,7 @@
     command(name, config).spawn().expect("the program starts")
 }
 
-/// The program with this configuration, not started yet.
+/// Returns the command that starts the program with this configuration.
 pub fn command(name: &str, config: &str) -> Command {
     let path = config_path(name);
     fs::write(&path, config).expect("the configuration is written");
@@ -41,40 +41,40 @@
     command
 }
 
-/// The program with this configuration and a listening socket of the platform's, as its standard input.
-pub fn heir(name: &str, config: &Value, listener: &TcpListener) -> Proxy {
+/// Starts the program with this configuration and the platform's listening socket as its standard input.
+pub fn start_with_listener(name: &str, config: &Value, listener: &TcpListener) -> Proxy {
     let listener: OwnedFd = listener.try_clone().expect("a clone").into();
     let mut command = command(name, &config.to_string());
     command.env("EDGE_FD", "0").stdin(Stdio::from(listener));
-    Proxy::follow(name, command.spawn().expect("the program starts"))
+    Proxy::wait_until_listening(name, command.spawn().expect("the program starts"))
 }
 
-/// The address behind these words of a line of the log, in either of its formats.
-fn address_behind(line: &str, words: &str) -> Option<SocketAddr> {
+/// Returns the address after these words in a line of the log, in either of its formats.
+fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
     let (_, rest) = line.trim().rsplit_once(words)?;
     let address = rest.split('"').next().unwrap_or_default();
     Some(address.parse().expect("an address"))
 }
 
 impl Proxy {
-    /// A proxy that is up with these backends.
+    /// Starts a proxy, and waits until it has these endpoints.
     pub fn start(name: &str, discovery: &Discovery, members: &[Value]) -> Self {
-        let proxy = Self::start_bare(name, discovery);
-        discovery.post(true, members);
+        let proxy = Self::start_without_endpoints(name, discovery);
+        discovery.publish_and_wait(true, members);
         proxy
     }
 
-    /// A proxy that has no endpoint list yet.
-    pub fn start_bare(name: &str, discovery: &Discovery) -> Self {
+    /// Starts a proxy that has no endpoint list.
+    pub fn start_without_endpoints(name: &str, discovery: &Discovery) -> Self {
         Self::start_with(name, config(name, discovery))
     }
 
-    /// A proxy with this configuration.
+    /// Starts a proxy with this configuration.
     pub fn start_with(name: &str, config: Value) -> Self {
-        Self::follow(name, launch(name, &config.to_string()))
+        Self::wait_until_listening(name, launch(name, &config.to_string()))
     }
 
-    /// A proxy with this configuration, whose process may have this many descriptors.
+    /// Starts a proxy with this configuration, whose process may have this many descriptors.
     pub fn start_limited(name: &str, config: &Value, descriptors: usize) -> Self {
         let program = command(name, &config.to_string());
         let mut limited = Command::new("sh");
@@ -82,7 +82,7 @@
         limited
             .arg(program.get_program())
             .envs(program.get_envs().filter_map(|(k, v)| Some((k, v?))));
-        Self::follow(
+        Self::wait_until_listening(
             name,
             limited
                 .stderr(Stdio::piped())
@@ -91,11 +91,11 @@
         )
     }
 
-    /// A proxy that was started: its addresses are in its log.
-    pub fn follow(name: &str, mut child: Child) -> Self {
+    /// Waits until a started process has logged its addresses.
+    pub fn wait_until_listening(name: &str, mut child: Child) -> Self {
         let log = BufReader::new(child.stderr.take().expect("standard error"));
         let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
-        // From here on the process ends with the test, also where the log is not what is wanted.
+        // From here on the process ends with the test, also where its log is not as expected.
         let mut proxy = Self {
             child,
             address: unknown,
@@ -111,8 +111,8 @@
                 0,
                 "the proxy ended before it listened"
             );
-            proxy.operator = address_behind(&line, "operators call ").or(proxy.operator);
-            proxy.address = address_behind(&line, "listens on ").unwrap_or(proxy.address);
+            proxy.operator = address_after(&line, "operators call ").or(proxy.operator);
+            proxy.address = address_after(&line, "listens on ").unwrap_or(proxy.address);
         }
         proxy
     }
@@ -123,19 +123,27 @@
     }
 
     /// Opens a connection as an operator.
-    pub fn caller(&self) -> Client {
+    pub fn operator_client(&self) -> Client {
         Client::connect(self.operator.expect("an operators' address"))
     }
 
-    /// One call of an operator.
-    pub fn call(&self, method: &str, path: &str) -> Message {
-        self.caller()
-            .ask(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
+    /// Makes one operator call.
+    pub fn operator_call(&self, method: &str, path: &str) -> Message {
+        self.operator_client()
+            .exchange(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
+    }
+
+    /// Returns the number of final answers to requests of this class with this outcome.
+    pub fn handled(&self, class: &str, outcome: &str) -> u64 {
+        self.metric(&format!(
+            "app_handled{{category=\"{class}\",outcome=\"{outcome}\"}}"
+        ))
     }
 
     /// Returns the metric of that name and labels.
-    pub fn figure(&self, name: &str) -> u64 {
-        let text = String::from_utf8(self.call("GET", "/control/counters").body).expect("text");
+    pub fn metric(&self, name: &str) -> u64 {
+        let text =
+            String::from_utf8(self.operator_call("GET", "/control/counters").body).expect("text");
         let value = text
             .lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
@@ -145,8 +153,8 @@
             .expect("a number")
     }
 
-    /// Returns the peak of its memory, in kB.
-    pub fn peak_memory(&self) -> u64 {
+    /// Returns the peak of its resident memory, in kB.
+    pub fn peak_memory_kb(&self) -> u64 {
         let status =
             fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a status");
         let line = status
@@ -166,16 +174,18 @@
         assert!(done.expect("kill runs").success());
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Stops the process, as a machine without a free core does.
-    pub fn halt(&self) {
+    /// Suspends the process, as on a machine without a free core.
+    pub fn suspend(&self) {
         self.signal("-STOP");
     }
 
-    pub fn go_on(&self) {
+    /// Resumes a suspended process.
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -185,7 +195,7 @@
         self.signal("-HUP");
     }
 
-    /// Waits for a line of the log that holds these words.
+    /// Waits for a line of the log that contains these words.
     pub fn wait_for_log(&mut self, words: &str) {
         let mut line = String::new();
         while !line.contains(words) {
@@ -205,6 +215,7 @@
         text
     }
 
+    /// Waits until the process has ended.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().expect("the proxy ends")
     }
@@ -217,13 +228,13 @@
     }
 }
 
-/// A proxy with little memory and a backend.
+/// Starts a proxy with little memory and one backend.
 pub fn start_with_little_memory(name: &str, backend: &Backend) -> Proxy {
     let discovery = Discovery::start();
-    let mut config = operated(name, &discovery);
+    let mut config = config_with_operator(name, &discovery);
     config["limits"]["memory_mb"] = 32.into();
     config["settings"]["permissions"]["secondCopies"] = false.into();
     let proxy = Proxy::start_with(name, config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
     proxy
 }
--- a/tests/proxy/rig/saturated_backend.rs
+++ b/tests/proxy/rig/saturated_backend.rs
@@ -10,8 +10,9 @@
 
 /// A backend that holds its first requests, as many as its limit allows at the start, each until it gets a
 /// signal. Later requests are answered at once.
-pub fn full_backend() -> (Backend, Vec<Sender<()>>) {
-    let (mut signals, mut releases) = (Vec::new(), Vec::new());
+pub fn holding_backend() -> (Backend, Vec<Sender<()>>) {
+    let mut signals = Vec::new();
+    let mut releases = Vec::new();
     for _ in 0..INITIAL_LIMIT {
         let (release, signal) = channel();
         signals.push(signal);
@@ -24,12 +25,13 @@
     (backend, releases)
 }
 
-pub fn fill(proxy: &Proxy, backend: &Backend) -> Vec<Client> {
-    let fill = (0..INITIAL_LIMIT).map(|i| {
+/// Sends as many requests as the backend's limit allows, and returns their clients once it has received them.
+pub fn saturate(proxy: &Proxy, backend: &Backend) -> Vec<Client> {
+    let clients = (0..INITIAL_LIMIT).map(|i| {
         let mut client = proxy.client();
         client.send(&request("charge", &format!("fill-{i}"), "x"));
-        backend.next();
+        backend.next_request();
         client
     });
-    fill.collect()
+    clients.collect()
 }
--- a/tests/proxy/shutdown.rs
+++ b/tests/proxy/shutdown.rs
@@ -10,23 +10,23 @@
     let discovery = Discovery::start();
     let (release, signal) = channel();
     let mut signal = Some(signal);
-    let one = Backend::start(move |seen| match seen.header("x-correlation-id") {
+    let one = Backend::start(move |received| match received.header("x-correlation-id") {
         Some("1") => Reply::After(
             signal.take().expect("asked once"),
             Box::new(ok("taken before")),
         ),
         _ => ok("still comes"),
     });
-    let members = [entry("s-1", one.address, "active", 0)];
+    let members = [endpoint("s-1", one.address, "active", 0)];
     let mut proxy = Proxy::start("sigterm", &discovery, &members);
     let (mut idle, mut before) = (proxy.client(), proxy.client());
-    assert_eq!(idle.ask(UP).status(), 200);
+    assert_eq!(idle.exchange(UP).status(), 200);
     before.send(&request("read", "1", ""));
-    one.next();
+    one.next_request();
     proxy.terminate();
     // Once /up says so, the signal has arrived; connections are still accepted.
-    while proxy.client().ask(UP).status() == 200 {}
-    let late = proxy.client().ask(UP);
+    while proxy.client().exchange(UP).status() == 200 {}
+    let late = proxy.client().exchange(UP);
     assert_eq!(late.header("connection"), Some("close"));
     assert!(
         idle.ends_cleanly(),
@@ -58,10 +58,10 @@
     let mut config = config("queued", &discovery);
     config["limits"]["memory_mb"] = 0.into();
     let mut proxy = Proxy::start_with("queued", config);
-    discovery.post(true, &[entry("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
     let mut first = proxy.client();
     first.send(&request("charge", "1", "x"));
-    backend.next();
+    backend.next_request();
     let mut queued = proxy.client();
     queued.send(&request("charge", "2", "x"));
     proxy.terminate();
@@ -81,12 +81,12 @@
 fn a_request_that_came_while_the_process_was_stopped_is_served_before_it_ends() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
-    let members = [entry("s-1", backend.address, "active", 0)];
+    let members = [endpoint("s-1", backend.address, "active", 0)];
     let mut proxy = loop {
-        let mut proxy = Proxy::start("halted", &discovery, &members);
+        let mut proxy = Proxy::start("suspended", &discovery, &members);
         proxy.terminate();
-        while proxy.client().ask(UP).status() == 200 {}
-        proxy.halt();
+        while proxy.client().exchange(UP).status() == 200 {}
+        proxy.suspend();
         // Where the test itself was delayed for so long that the process has ended, it starts again.
         if proxy.child.try_wait().expect("a child").is_none() {
             break proxy;
@@ -96,7 +96,7 @@
     client.send(&request("charge", "1", "x"));
     // The end of that time cannot be seen from outside.
     thread::sleep(Duration::from_millis(1_500));
-    proxy.go_on();
+    proxy.resume();
     assert_eq!(client.receive().body, b"there");
     drop(client);
     assert_eq!(proxy.wait().code(), Some(0));
@@ -113,18 +113,18 @@
         let (release, signal) = channel();
         let mut reply = Some(Reply::After(
             signal,
-            Box::new(Reply::Write(answer("200 OK", "", &body))),
+            Box::new(Reply::Write(response("200 OK", "", &body))),
         ));
         let backend = Backend::start(move |_| reply.take().expect("asked once"));
         let name = format!("read-late-{behind}");
         let mut proxy = Proxy::start(
             &name,
             &discovery,
-            &[entry("s-1", backend.address, "active", 0)],
+            &[endpoint("s-1", backend.address, "active", 0)],
         );
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
-        backend.next();
+        backend.next_request();
         let let_begin = || {
             release.send(()).expect("the backend waits");
             assert_eq!(client.stream.peek(&mut [0]).expect("it begins"), 1);
@@ -133,7 +133,7 @@
             let_begin();
         }
         proxy.terminate();
-        while proxy.client().ask(UP).status() == 200 {}
+        while proxy.client().exchange(UP).status() == 200 {}
         if behind {
             let_begin();
         }
@@ -160,16 +160,16 @@
     let mut proxy = Proxy::start(
         "killed",
         &discovery,
-        &[entry("s-1", backend.address, "active", 0)],
+        &[endpoint("s-1", backend.address, "active", 0)],
     );
     let (mut unresponsive, mut flowing, mut late) =
         (proxy.client(), proxy.client(), proxy.client());
-    assert_eq!(late.ask(UP).status(), 200);
+    assert_eq!(late.exchange(UP).status(), 200);
     let whole = request("charge", "flowing", "0123456789");
     let (most, last) = whole.split_at(whole.len() - 5);
     flowing.send(most);
     assert_eq!(
-        proxy.client().ask(UP).status(),
+        proxy.client().exchange(UP).status(),
         200,
         "what came before was seen"
     );
@@ -177,7 +177,7 @@
     proxy.terminate();
     proxy.reload("{");
     proxy.terminate();
-    while proxy.client().ask(UP).status() == 200 {}
+    while proxy.client().exchange(UP).status() == 200 {}
     late.send(&request("charge", "late", "x"));
     thread::sleep(Duration::from_millis(1_000));
     flowing.send(last);
@@ -198,11 +198,11 @@
 #[test]
 fn a_sigterm_before_the_process_can_serve_ends_it_cleanly() {
     let discovery = Discovery::start();
-    let mut proxy = Proxy::start_bare("unready", &discovery);
+    let mut proxy = Proxy::start_without_endpoints("unready", &discovery);
     proxy.terminate();
     let refused = proxy
         .client()
-        .ask(&request("read", "1", "").replace("15000", "300"));
+        .exchange(&request("read", "1", "").replace("15000", "300"));
     assert_eq!(refused.status(), 503);
     assert_eq!(proxy.wait().code(), Some(0));
 }
