--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -17,7 +17,7 @@
     let proxy = Proxy::start(
         "cap",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let got = proxy.client().exchange(&request("submit", "1", &body));
     assert_eq!((got.status(), got.body.len()), (200, body.len()));
@@ -34,7 +34,7 @@
     let mut config = config("large", &discovery);
     config["limits"]["memory_mb"] = 8.into();
     let proxy = Proxy::start_with("large", config);
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     for id in 0..20 {
         let got = proxy
             .client()
@@ -87,7 +87,7 @@
                 let mut stream = TcpStream::connect(address).expect("it accepts");
                 stream
                     .set_read_timeout(Some(TEST_TIMEOUT))
-                    .expect("a time-out");
+                    .expect("a timeout");
                 let head = request("charge", &format!("u-{i}"), "");
                 // With a length, and in chunks.
                 let fields = if i % 2 == 0 {
@@ -184,8 +184,8 @@
         "spent",
         &discovery,
         &[
-            endpoint("s-1", address, "active", 0),
-            endpoint("s-2", address, "active", 0),
+            active_endpoint("s-1", address),
+            active_endpoint("s-2", address),
         ],
     );
     let mut client = proxy.client();
@@ -208,7 +208,7 @@
         let (mut stream, _) = listener.accept().expect("a connection");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("a timeout");
         let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
         let mut line = String::new();
         while line != "\r\n" {
@@ -242,7 +242,7 @@
         let (release, signal) = channel();
         let (address, came) = responds_early(early, signal);
         let name = format!("answered-early-{i}");
-        let proxy = Proxy::start(&name, &discovery, &[endpoint("s-1", address, "active", 0)]);
+        let proxy = Proxy::start(&name, &discovery, &[active_endpoint("s-1", address)]);
         let mut client = proxy.client();
         let whole = request("charge", "1", &"x".repeat(LENGTH));
         let (most, last) = whole.split_at(whole.len() - 1_000);
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -7,16 +7,16 @@
     let discovery = Discovery::start();
     let (backend, releases) = holding_backend();
     let proxy = Proxy::start(
-        "refused",
+        "rejected",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut first = saturate(&proxy, &backend);
-    let refused = proxy
+    let rejected = proxy
         .client()
         .exchange(&request("charge", "2", "x").replace("15000", "500"));
-    assert_eq!(refused.status(), 503);
-    let wait: f64 = refused
+    assert_eq!(rejected.status(), 503);
+    let wait: f64 = rejected
         .header("retry-after")
         .expect("Retry-After")
         .parse()
@@ -29,7 +29,7 @@
     assert_eq!(
         backend.further_requests(),
         0,
-        "a refused request never went out"
+        "a rejected request is not sent"
     );
 }
 
@@ -41,7 +41,7 @@
     let members: Vec<_> = backends
         .iter()
         .enumerate()
-        .map(|(i, b)| endpoint(&format!("s-{i}"), b.address, "active", 0))
+        .map(|(i, b)| active_endpoint(&format!("s-{i}"), b.address))
         .collect();
     let mut config = config("shortage", &discovery);
     config["limits"]["sockets"] = 48.into();
--- a/tests/proxy/client_disconnect.rs
+++ b/tests/proxy/client_disconnect.rs
@@ -5,6 +5,7 @@
 use std::sync::mpsc::Sender;
 use std::time::{Duration, Instant};
 
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
     Close,
@@ -35,7 +36,7 @@
     }
 }
 
-/// A proxy whose queued requests wait for many seconds.
+/// Starts a proxy whose queued requests wait for many seconds.
 fn start_with_long_timeouts(
     name: &str,
     discovery: &Discovery,
@@ -49,7 +50,7 @@
     }
     config["limits"]["memory_mb"] = memory_mb.into();
     let proxy = Proxy::start_with(name, config);
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     proxy
 }
 
@@ -89,7 +90,7 @@
     );
 }
 
-/// What a client may have sent behind its request when it disconnects: nothing, another request, garbage.
+/// Returns what a client may have sent after its request when it disconnects: nothing, another request, garbage.
 fn pipelined_input() -> [String; 3] {
     [
         String::new(),
@@ -98,6 +99,17 @@
     ]
 }
 
+/// Returns each way to disconnect with each of these inputs.
+fn disconnect_cases(inputs: &[String]) -> Vec<(Disconnect, String)> {
+    let mut cases = Vec::new();
+    for way in DISCONNECTS {
+        for input in inputs {
+            cases.push((way, input.clone()));
+        }
+    }
+    cases
+}
+
 /// No attempt starts later than this after its client has disconnected.
 const DISCONNECT_NOTICED_WITHIN: Duration = Duration::from_millis(100);
 
@@ -108,7 +120,7 @@
     let proxy = Proxy::start(
         "left",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut first = saturate(&proxy, &backend);
     let mut disconnecting = proxy.client();
@@ -121,7 +133,7 @@
         .expect("an open connection");
     assert!(
         disconnecting.ends_cleanly(),
-        "the proxy has seen that the client left, and ended its side too"
+        "the proxy has seen that the client disconnected, and ended its side too"
     );
     for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
         release.send(()).expect("the backend waits");
@@ -144,7 +156,7 @@
     let proxy = Proxy::start(
         "left-dialing",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut disconnecting = proxy.client();
     disconnecting.send(&request("charge", "left", "x"));
@@ -159,7 +171,7 @@
         .expect("an open connection");
     assert!(
         disconnecting.ends_cleanly(),
-        "the proxy has seen that the client left"
+        "the proxy has seen that the client disconnected"
     );
     let mut client = proxy.client();
     client.send(&request("charge", "stays", "x"));
@@ -173,30 +185,26 @@
     let (backend, releases) = holding_backend();
     let proxy = start_with_long_timeouts("burst", &discovery, &backend, 192);
     let clients = saturate(&proxy, &backend);
-    let behind = pipelined_input();
     let mut disconnecting = Vec::new();
-    for (i, (way, behind)) in DISCONNECTS
-        .iter()
-        .flat_map(|way| behind.iter().map(move |b| (*way, b)))
-        .enumerate()
-    {
+    let cases = disconnect_cases(&pipelined_input());
+    for (i, (way, behind)) in cases.into_iter().enumerate() {
         let mut client = proxy.client();
         client.send(
-            &(request("charge", &format!("left-{i}"), "x").replace("15000", "190000") + behind),
+            &(request("charge", &format!("left-{i}"), "x").replace("15000", "190000") + &behind),
         );
         disconnecting.push((client, way));
     }
     wait_for_in_progress(&proxy, INITIAL_LIMIT + disconnecting.len());
-    let left: Vec<_> = disconnecting
+    let half_closed: Vec<_> = disconnecting
         .into_iter()
         .filter_map(|(client, way)| disconnect(client, way))
         .collect();
     wait_for_in_progress(&proxy, INITIAL_LIMIT);
     only_new_requests_arrive(&proxy, &backend, clients, &releases);
-    drop(left);
+    drop(half_closed);
 }
 
-/// The end of its body is still in the kernel: nobody reads it before the request is sent to a backend.
+/// The end of its body stays in the kernel, because the proxy reads it only while it sends the request.
 #[test]
 fn a_queued_request_whose_client_disconnects_behind_its_unread_body_is_not_sent() {
     for way in DISCONNECTS {
@@ -208,10 +216,10 @@
         let body = "x".repeat(1_740_000);
         client.send(&request("charge", "left", &body).replace("15000", "190000"));
         wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
-        let left = disconnect(client, way);
+        let half_closed = disconnect(client, way);
         wait_for_in_progress(&proxy, INITIAL_LIMIT);
         only_new_requests_arrive(&proxy, &backend, clients, &releases);
-        drop(left);
+        drop(half_closed);
     }
 }
 
@@ -224,19 +232,16 @@
     // A single backend has a low limit; requests beyond it would be queued.
     config["settings"]["permissions"]["dialTimeoutUs"] = 15_000_000.into();
     let proxy = Proxy::start_with("left-connecting", config);
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let mut noticed_after = Vec::new();
-    for (i, (way, behind)) in DISCONNECTS
-        .iter()
-        .flat_map(|way| pipelined_input().map(|b| (*way, b)))
-        .enumerate()
-    {
+    let cases = disconnect_cases(&pipelined_input());
+    for (i, (way, behind)) in cases.into_iter().enumerate() {
         let mut client = proxy.client();
         client.send(&(request("charge", &format!("left-{i}"), "x") + &behind));
         wait_for_in_progress(&proxy, 1);
-        let left = disconnect(client, way);
+        let half_closed = disconnect(client, way);
         noticed_after.push(wait_for_in_progress(&proxy, 0));
-        drop(left);
+        drop(half_closed);
     }
     // A machine that is busy elsewhere may hold up some of them.
     noticed_after.sort_unstable();
@@ -253,31 +258,28 @@
 /// The first attempt is in flight when its client disconnects, and a retry would have followed.
 #[test]
 fn a_request_is_not_retried_after_its_client_disconnected() {
-    for (i, (way, behind)) in DISCONNECTS
-        .iter()
-        .flat_map(|way| pipelined_input().map(|b| (*way, b)))
-        .enumerate()
-    {
+    let cases = disconnect_cases(&pipelined_input());
+    for (i, (way, behind)) in cases.into_iter().enumerate() {
         let discovery = Discovery::start();
-        let (breaks, release) = closes_on_signal();
+        let (closing, release) = closes_on_signal();
         let other = Backend::start(|_| ok("there"));
         let name = format!("left-retry-{i}");
         let proxy = Proxy::start_with(&name, config_with_operator(&name, &discovery));
-        discovery.publish_and_wait(true, &[endpoint("s-1", breaks.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[active_endpoint("s-1", closing.address)]);
         let mut client = proxy.client();
         client.send(&(request("read", "left", "") + &behind));
-        breaks.next_request();
+        closing.next_request();
         discovery.publish_and_wait(
             true,
             &[
-                endpoint("s-1", breaks.address, "active", 0),
-                endpoint("s-2", other.address, "active", 0),
+                active_endpoint("s-1", closing.address),
+                active_endpoint("s-2", other.address),
             ],
         );
-        let left = disconnect(client, way);
+        let half_closed = disconnect(client, way);
         wait_for_in_progress(&proxy, 0);
         release.send(()).expect("the backend waits");
-        discovery.publish_and_wait(true, &[endpoint("s-2", other.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[active_endpoint("s-2", other.address)]);
         for id in ["stays", "comes later"] {
             assert_eq!(
                 proxy
@@ -293,63 +295,58 @@
                 behind.len()
             );
         }
-        drop(left);
+        drop(half_closed);
     }
 }
 
 /// The first attempt has ended, the retry is queued, and its client disconnects meanwhile.
 #[test]
 fn a_queued_retry_is_not_sent_after_its_client_disconnected() {
-    for (i, (way, behind)) in DISCONNECTS
-        .iter()
-        .flat_map(|way| pipelined_input().map(|b| (*way, b)))
-        .enumerate()
-    {
+    let cases = disconnect_cases(&pipelined_input());
+    for (i, (way, behind)) in cases.into_iter().enumerate() {
         let discovery = Discovery::start();
-        let (breaks, release) = closes_on_signal();
+        let (closing, release) = closes_on_signal();
         let (backend, releases) = holding_backend();
         let proxy =
-            start_with_long_timeouts(&format!("left-waiting-{i}"), &discovery, &breaks, 192);
+            start_with_long_timeouts(&format!("left-waiting-{i}"), &discovery, &closing, 192);
         let mut client = proxy.client();
         client.send(&(request("read", "left", "").replace("15000", "190000") + &behind));
-        breaks.next_request();
-        discovery.publish_and_wait(true, &[endpoint("s-2", backend.address, "active", 0)]);
+        closing.next_request();
+        discovery.publish_and_wait(true, &[active_endpoint("s-2", backend.address)]);
         let clients = saturate(&proxy, &backend);
         release.send(()).expect("the backend waits");
-        // By then it has seen that the first attempt broke.
-        (0..20).for_each(|_| _ = proxy.client().exchange(UP));
-        let left = disconnect(client, way);
+        // After these responses the proxy has seen the end of the first attempt.
+        for _ in 0..20 {
+            proxy.client().exchange(UP);
+        }
+        let half_closed = disconnect(client, way);
         wait_for_in_progress(&proxy, INITIAL_LIMIT);
         only_new_requests_arrive(&proxy, &backend, clients, &releases);
-        drop(left);
+        drop(half_closed);
     }
 }
 
 /// The end comes behind far more bytes than the kernel buffers for a connection that nobody reads.
 #[test]
 fn a_disconnect_behind_more_than_the_kernel_buffers_is_noticed() {
-    const FAR_BEHIND: usize = 1_000_000;
+    const PIPELINED_LENGTH: usize = 1_000_000;
     let discovery = Discovery::start();
     let (backend, releases) = holding_backend();
     let proxy = start_with_long_timeouts("far-behind", &discovery, &backend, 192);
     let clients = saturate(&proxy, &backend);
     let further = request("charge", "behind", "x");
     let behind = [
-        further.repeat(FAR_BEHIND / further.len()),
-        "x".repeat(FAR_BEHIND),
+        further.repeat(PIPELINED_LENGTH / further.len()),
+        "x".repeat(PIPELINED_LENGTH),
     ];
-    for (i, (way, behind)) in DISCONNECTS
-        .iter()
-        .flat_map(|way| behind.iter().map(move |b| (*way, b)))
-        .enumerate()
-    {
+    for (i, (way, behind)) in disconnect_cases(&behind).into_iter().enumerate() {
         let mut client = proxy.client();
         client.send(&request("charge", &format!("left-{i}"), "x").replace("15000", "190000"));
         wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
-        client.send(behind);
-        let left = disconnect(client, way);
+        client.send(&behind);
+        let half_closed = disconnect(client, way);
         wait_for_in_progress(&proxy, INITIAL_LIMIT);
-        drop(left);
+        drop(half_closed);
     }
     only_new_requests_arrive(&proxy, &backend, clients, &releases);
 }
--- a/tests/proxy/connection_reuse.rs
+++ b/tests/proxy/connection_reuse.rs
@@ -10,7 +10,7 @@
     let proxy = Proxy::start(
         "closed",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut client = proxy.client();
     for id in ["1", "2", "3", "4"] {
@@ -38,7 +38,7 @@
     let proxy = Proxy::start(
         "closed-unseen",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut client = proxy.client();
     for (id, close) in closes.iter().enumerate() {
@@ -79,13 +79,8 @@
 fn connections_of_a_removed_backend_are_never_reused() {
     for complete in [false, true] {
         let discovery = Discovery::start();
-        let (release, signal) = channel();
-        let mut signal = Some(signal);
-        let backend = Backend::start(move |_| match signal.take() {
-            Some(signal) => Reply::After(signal, Box::new(ok("of the old one"))),
-            None => ok("of the new one"),
-        });
-        let here = |id: &str| endpoint(id, backend.address, "active", 0);
+        let (backend, release) = holds_first_request("of the old one", "of the new one");
+        let here = |id: &str| active_endpoint(id, backend.address);
         let proxy = Proxy::start(&format!("gone-{complete}"), &discovery, &[here("s-1")]);
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
--- a/tests/proxy/corrupt_responses.rs
+++ b/tests/proxy/corrupt_responses.rs
@@ -14,8 +14,8 @@
         let one = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
         let two = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
         let members = [
-            endpoint("s-1", one.address, "active", 0),
-            endpoint("s-2", two.address, "active", 0),
+            active_endpoint("s-1", one.address),
+            active_endpoint("s-2", two.address),
         ];
         let proxy = Proxy::start(&format!("broken-{i}"), &discovery, &members);
         let got = proxy.client().exchange(&request("charge", "1", "x"));
@@ -55,8 +55,8 @@
         };
         let (one, two) = (start(bytes.to_vec()), start(bytes.to_vec()));
         let members = [
-            endpoint("s-1", one.address, "active", 0),
-            endpoint("s-2", two.address, "active", 0),
+            active_endpoint("s-1", one.address),
+            active_endpoint("s-2", two.address),
         ];
         let proxy = Proxy::start(&format!("corrupt-{i}"), &discovery, &members);
         let got = proxy.client().exchange(&request("read", "1", ""));
@@ -93,7 +93,7 @@
                 .as_bytes();
             Reply::Write([response("200 OK", "", id), more.to_vec()].concat())
         });
-        let members = [endpoint("s-1", backend.address, "active", 0)];
+        let members = [active_endpoint("s-1", backend.address)];
         let proxy = Proxy::start(&format!("behind-{i}"), &discovery, &members);
         let mut client = proxy.client();
         for id in ["one", "two", "three", "four"] {
@@ -121,7 +121,7 @@
     let proxy = Proxy::start(
         "early",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     for id in ["1", "2"] {
         let got = proxy.client().exchange(&request("charge", id, "x"));
--- a/tests/proxy/discovery.rs
+++ b/tests/proxy/discovery.rs
@@ -3,7 +3,6 @@
 use crate::rig::*;
 use serde_json::{Value, json};
 use std::io::Read;
-use std::sync::mpsc::channel;
 use std::thread;
 use std::time::Duration;
 
@@ -13,7 +12,7 @@
     let backend = Backend::start(|_| ok("there"));
     let proxy = Proxy::start_without_endpoints("up", &discovery);
     assert_eq!(proxy.client().exchange(UP).status(), 503);
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     assert_eq!(proxy.client().exchange(UP).status(), 200);
 }
 
@@ -22,7 +21,7 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let mut config = config("known", &discovery);
-    config["known"] = json!({"revision": 7, "complete": true, "members": [endpoint("s-1", backend.address, "active", 0)]});
+    config["known"] = json!({"revision": 7, "complete": true, "members": [active_endpoint("s-1", backend.address)]});
     config["settings"]["membershipMode"] = "on_request".into();
     let proxy = Proxy::start_with("known", config);
     assert_eq!(
@@ -46,7 +45,7 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let mut config = config("older", &discovery);
-    config["known"] = json!({"revision": 7, "complete": true, "members": [endpoint("s-1", backend.address, "active", 0)]});
+    config["known"] = json!({"revision": 7, "complete": true, "members": [active_endpoint("s-1", backend.address)]});
     let proxy = Proxy::start_with("older", config);
     assert_eq!(discovery.next_call(), Some(7));
     discovery.publish(false, &[endpoint("s-1", backend.address, "left", 0)]);
@@ -77,7 +76,7 @@
         config["known"] = known;
         config["settings"]["membershipMode"] = "on_request".into();
         let proxy = Proxy::start_with("asked", config);
-        discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
         assert_eq!(
             proxy.client().exchange(&request("read", "1", "")).status(),
             200
@@ -89,9 +88,9 @@
 fn malformed_endpoints_of_a_list_are_skipped() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
-    let good = endpoint("s-1", backend.address, "active", 0);
+    let good = active_endpoint("s-1", backend.address);
     let odd = |name: &str, value: Value| {
-        let mut entry = endpoint("s-odd", backend.address, "active", 0);
+        let mut entry = active_endpoint("s-odd", backend.address);
         entry[name] = value;
         entry
     };
@@ -119,7 +118,7 @@
         let proxy = Proxy::start(
             phase,
             &discovery,
-            &[endpoint("s-1", backend.address, "active", 0)],
+            &[active_endpoint("s-1", backend.address)],
         );
         assert_eq!(
             proxy.client().exchange(&request("read", "1", "")).status(),
@@ -130,7 +129,7 @@
         let short = request("read", "2", "").replace("15000", "300");
         assert_eq!(proxy.client().exchange(&short).status(), 503, "{phase}");
         assert_eq!(backend.further_requests(), 0, "{phase}");
-        discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
         assert_eq!(
             proxy.client().exchange(&request("read", "3", "")).status(),
             200
@@ -146,7 +145,7 @@
     let proxy = Proxy::start(
         "slow-connect",
         &discovery,
-        &[endpoint("s-1", address, "active", 0)],
+        &[active_endpoint("s-1", address)],
     );
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
@@ -160,7 +159,7 @@
     let mut sent = Vec::new();
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("a timeout");
     let _ = stream.read_to_end(&mut sent);
     assert!(sent.is_empty(), "{}", String::from_utf8_lossy(&sent));
 }
@@ -168,18 +167,9 @@
 #[test]
 fn at_sighup_it_changes_to_the_new_discovery_and_keeps_serving() {
     let (old, new) = (Discovery::start(), Discovery::start());
-    let (release, signal) = channel();
-    let mut signal = Some(signal);
-    let before = Backend::start(move |_| match signal.take() {
-        Some(signal) => Reply::After(signal, Box::new(ok("taken before"))),
-        None => ok("before"),
-    });
+    let (before, release) = holds_first_request("taken before", "before");
     let after = Backend::start(|_| ok("after"));
-    let mut proxy = Proxy::start(
-        "sighup",
-        &old,
-        &[endpoint("s-1", before.address, "active", 0)],
-    );
+    let mut proxy = Proxy::start("sighup", &old, &[active_endpoint("s-1", before.address)]);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
     before.next_request();
@@ -209,7 +199,7 @@
             proxy.client().exchange(&request("read", "3", "")).status(),
             200
         );
-        to.publish_and_wait(true, &[endpoint(name, after.address, "active", 0)]);
+        to.publish_and_wait(true, &[active_endpoint(name, after.address)]);
         assert_eq!(
             proxy.client().exchange(&request("read", "4", "")).body,
             b"after"
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -13,7 +13,7 @@
     let proxy = Proxy::start(
         "unchanged",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let got = proxy
         .client()
@@ -27,14 +27,14 @@
     assert_eq!(received.header("x-correlation-id"), Some("5c0f"));
     assert_eq!(received.header("idempotency-key"), Some("5c0f"));
     assert_eq!(received.body, b"some body");
-    let left: u64 = received
+    let remaining_ms: u64 = received
         .header("x-time-left-ms")
-        .expect("the time left")
+        .expect("the remaining time")
         .parse()
         .expect("a number");
     assert!(
-        left < 15_000,
-        "the proxy waits for less than the client does, not {left} ms"
+        remaining_ms < 15_000,
+        "the proxy waits for less than the client does, not {remaining_ms} ms"
     );
 }
 
@@ -46,7 +46,7 @@
     let proxy = Proxy::start(
         "kept",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut client = proxy.client();
     for id in ["a", "b", "c"] {
@@ -55,7 +55,7 @@
     }
 }
 
-/// Customers choose names: one is the path of the front's health check, another has letters beyond ASCII.
+/// One name is the path of the health check, another has letters beyond ASCII.
 #[test]
 fn classes_and_tenants_of_any_name_are_served() {
     let discovery = Discovery::start();
@@ -64,12 +64,12 @@
     config["settings"]["classes"][2]["name"] = "up".into();
     config["settings"]["tenants"] = json!([{"name": "plain", "allowancePerS": 9.0}, {"name": "Ñañez-Ltda", "allowancePerS": 9.0}]);
     let proxy = Proxy::start_with("names", config);
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let mut client = proxy.client();
     for (id, account) in [("1", "plain"), ("2", "Ñañez-Ltda")] {
-        let asked = request("up", id, "x");
-        let asked = asked.replace("Host:", &format!("X-Account: {account}\r\nHost:"));
-        assert_eq!(client.exchange(&asked).body, b"run", "{account}");
+        let with_account =
+            request("up", id, "x").replace("Host:", &format!("X-Account: {account}\r\nHost:"));
+        assert_eq!(client.exchange(&with_account).body, b"run", "{account}");
         assert_eq!(
             backend.next_request().first_line(),
             "POST /up?key=7f3a HTTP/1.1"
@@ -85,7 +85,7 @@
     let proxy = Proxy::start(
         "kept-or-closed",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let keep = "Connection: keep-alive\r\nHost";
     let close = "Connection: foo, Close\r\nHost";
@@ -128,7 +128,7 @@
     let proxy = Proxy::start(
         "expect",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut client = proxy.client();
     client.send(&request("submit", "1", "").replace(
@@ -147,14 +147,14 @@
     let proxy = Proxy::start(
         "pieces",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut client = proxy.client();
     client.stream.set_nodelay(true).expect("no delay");
     let text = request("submit", "1", &"x".repeat(3_000));
-    text.as_bytes()
-        .chunks(7)
-        .for_each(|piece| client.stream.write_all(piece).expect("it reads"));
+    for piece in text.as_bytes().chunks(7) {
+        client.stream.write_all(piece).expect("it reads");
+    }
     assert_eq!(client.receive().body, b"3000");
 }
 
@@ -166,7 +166,7 @@
     let proxy = Proxy::start(
         "pipelined",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut client = proxy.client();
     let ambiguous = request("submit", "4", "").replace(
@@ -194,42 +194,44 @@
     assert_eq!(backend.requests.try_iter().count(), 3);
 }
 
-/// More comes behind an open request than is read ahead.
+/// The client sends more behind an open request than the proxy reads ahead.
 #[test]
 fn pipelined_requests_behind_an_open_one_are_served_in_order() {
-    const FURTHER: usize = 60;
-    const BODY: usize = 60_000;
+    const PIPELINED_COUNT: usize = 60;
+    const BODY_LENGTH: usize = 60_000;
     let discovery = Discovery::start();
     let (release, signal) = channel();
     let mut signal = Some(signal);
     let backend = Backend::start(move |received| {
-        let own = ok(&String::from_utf8_lossy(&received.body));
+        let echo = ok(&String::from_utf8_lossy(&received.body));
         match signal.take() {
-            Some(signal) => Reply::After(signal, Box::new(own)),
-            None => own,
+            Some(signal) => Reply::After(signal, Box::new(echo)),
+            None => echo,
         }
     });
     let proxy = Proxy::start(
         "in-order",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut client = proxy.client();
     client.send(&request("charge", "open", "first"));
     backend.next_request();
     let mut stream = client.stream.try_clone().expect("a clone");
-    let body = |i: usize| format!("{i:06}").repeat(BODY / 6);
+    let body = |i: usize| format!("{i:06}").repeat(BODY_LENGTH / 6);
     let sending = thread::spawn(move || {
-        for i in 0..FURTHER {
+        for i in 0..PIPELINED_COUNT {
             stream.write_all(request("charge", &format!("further-{i}"), &body(i)).as_bytes())?;
         }
         Ok::<_, std::io::Error>(())
     });
-    // By then it has read what it reads ahead.
-    (0..20).for_each(|_| _ = proxy.client().exchange(UP));
+    // After these responses the proxy has read what it reads ahead.
+    for _ in 0..20 {
+        proxy.client().exchange(UP);
+    }
     release.send(()).expect("the backend waits");
     assert_eq!(client.receive().body, b"first");
-    for i in 0..FURTHER {
+    for i in 0..PIPELINED_COUNT {
         let got = client.receive();
         assert!(
             got.status() == 200 && got.body == body(i).as_bytes(),
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -20,7 +20,7 @@
         ("EDGE_LOG_FORMAT", "json"),
     ];
     let mut proxy = start_logging("log-events", &discovery, &variables);
-    discovery.publish_and_wait(true, &[endpoint("s-1", failing.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", failing.address)]);
     while proxy.client().exchange(UP).status() != 200 {}
     assert_eq!(
         proxy
@@ -60,7 +60,7 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let mut proxy = start_logging("log-reload", &discovery, &[("EDGE_LOG", "info")]);
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     while proxy.client().exchange(UP).status() != 200 {}
     let plain = config("log-reload", &discovery);
     let mut verbose = plain.clone();
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -18,7 +18,7 @@
     let proxy = Proxy::start_with("calls", config_with_operator("calls", &discovery));
     assert_eq!(proxy.operator_call("GET", READY).status(), 503);
     assert_eq!(proxy.metric("app_known_backends"), 0);
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     assert_eq!(proxy.operator_call("GET", READY).status(), 200);
     let mut head = proxy.operator_client();
     head.send("HEAD /control/ready HTTP/1.1\r\n\r\n");
@@ -28,16 +28,15 @@
         text.starts_with("HTTP/1.1 200 ") && text.ends_with("\r\n\r\n"),
         "a head and no body: {text}"
     );
-    let figures = proxy.operator_call("GET", COUNTERS);
+    let metrics = proxy.operator_call("GET", COUNTERS);
     assert!(
-        figures
+        metrics
             .header("content-type")
             .is_some_and(|form| form.starts_with("text/plain; version=0.0.4"))
     );
     for class in ["read", "submit", "charge"] {
         for outcome in ["passed", "dropped", "bad_gateway"] {
-            let figure = format!("app_handled{{category=\"{class}\",outcome=\"{outcome}\"}}");
-            assert_eq!(proxy.metric(&figure), 0, "{figure}");
+            assert_eq!(proxy.handled(class, outcome), 0, "{class} {outcome}");
         }
     }
 }
@@ -126,7 +125,7 @@
             .reader
             .get_ref()
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("a timeout");
         while !matches!(client.reader.read(&mut [0; 256]), Ok(0) | Err(_)) {}
     }
 }
@@ -139,7 +138,7 @@
     let mut config = config_with_operator("crowded-calls", &discovery);
     config["limits"]["sockets"] = 90.into();
     let proxy = Proxy::start_with("crowded-calls", config);
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let _busy = saturate(&proxy, &backend);
     let _crowd: Vec<Client> = (0..100)
         .map(|i| {
@@ -169,10 +168,7 @@
     });
     let proxy = Proxy::start_with("metrics", config_with_operator("metrics", &discovery));
     let draining = endpoint("s-2", backend.address, "leaving", 0);
-    discovery.publish_and_wait(
-        true,
-        &[endpoint("s-1", backend.address, "active", 0), draining],
-    );
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address), draining]);
     assert_eq!(
         (
             proxy.metric("app_known_backends"),
@@ -207,20 +203,21 @@
         5,
         "an attempt without a response counts too"
     );
-    let handled = |class: &str, outcome: &str| {
-        proxy.metric(&format!(
-            "app_handled{{category=\"{class}\",outcome=\"{outcome}\"}}"
-        ))
-    };
     assert_eq!(
-        (handled("submit", "passed"), handled("charge", "passed")),
+        (
+            proxy.handled("submit", "passed"),
+            proxy.handled("charge", "passed"),
+        ),
         (3, 0)
     );
-    assert_eq!(handled("charge", "bad_gateway"), 1);
+    assert_eq!(proxy.handled("charge", "bad_gateway"), 1);
     release.send(()).expect("the backend waits");
     assert_eq!(waits.receive().status(), 200);
     assert_eq!(
-        (handled("charge", "passed"), proxy.metric("app_in_progress")),
+        (
+            proxy.handled("charge", "passed"),
+            proxy.metric("app_in_progress")
+        ),
         (1, 0)
     );
 }
@@ -232,7 +229,7 @@
     let mut config = config_with_operator("rejected-metric", &discovery);
     config["settings"]["classes"][1]["deadlineUs"] = 10_000_000.into();
     let proxy = Proxy::start_with("rejected-metric", config);
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let clients = saturate(&proxy, &backend);
     let short = request("submit", "1", "x").replace("15000", "300");
     assert_eq!(proxy.client().exchange(&short).status(), 503);
@@ -253,7 +250,7 @@
         _ => ok("fine"),
     });
     let proxy = Proxy::start_with("drained", config_with_operator("drained", &discovery));
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let (mut idle, mut used, mut busy) = (proxy.client(), proxy.client(), proxy.client());
     for (client, id) in [(&mut idle, "i"), (&mut used, "u")] {
         assert_eq!(client.exchange(&request("submit", id, "x")).status(), 200);
@@ -309,7 +306,7 @@
     let discovery = Discovery::start();
     let (backend, releases) = holding_backend();
     let mut proxy = Proxy::start_with("stopping", config_with_operator("stopping", &discovery));
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let clients = saturate(&proxy, &backend);
     assert_eq!(proxy.operator_call("POST", OUT_OF_SERVICE).status(), 200);
     proxy.terminate();
@@ -338,7 +335,7 @@
     let config = config_with_operator("takeover", &discovery);
     let mut old = start_with_listener("takeover-old", &config, &listener);
     assert_eq!(old.address, address);
-    let members = [endpoint("s-1", backend.address, "active", 0)];
+    let members = [active_endpoint("s-1", backend.address)];
     discovery.publish_and_wait(true, &members);
     let mut busy = old.client();
     busy.send(&request("charge", "old", "x"));
--- a/tests/proxy/overload.rs
+++ b/tests/proxy/overload.rs
@@ -55,7 +55,7 @@
     };
     stream
         .set_read_timeout(Some(POLL_INTERVAL))
-        .expect("a time-out");
+        .expect("a timeout");
     let _ = stream.write_all(words.as_bytes());
     while !stop.load(Ordering::Relaxed) {
         match stream.read(&mut [0; 1_024]) {
@@ -100,7 +100,7 @@
         let mut config = config_at(&format!("crowd-{mode}"), discovery);
         config["limits"]["sockets"] = DESCRIPTORS.into();
         config["settings"]["membershipMode"] = mode.into();
-        let known = endpoint("old", unused_address("127.79.0.1"), "active", 0);
+        let known = active_endpoint("old", unused_address("127.79.0.1"));
         config["known"] = json!({"revision": 3, "complete": true, "members": [known]});
         let proxy = Proxy::start_limited(&format!("crowd-{mode}"), &config, DESCRIPTORS);
         let crowd = IdleClients::gather(proxy.address, &words);
@@ -109,7 +109,7 @@
         let discovery = Discovery::start_at(&discovery.to_string());
         let back = Instant::now();
         let backend = Backend::start(|_| ok("there"));
-        discovery.publish_and_wait(true, &[endpoint("new", backend.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[active_endpoint("new", backend.address)]);
         let mut tries = 0;
         while try_request(&proxy, &format!("crowded-{tries}")).is_none_or(|got| got.status() != 200)
         {
@@ -192,7 +192,7 @@
         Start::NothingKnown,
     ] {
         let backend = Backend::start(|_| ok("there"));
-        let members = json!([endpoint("s-1", backend.address, "active", 0)]);
+        let members = json!([active_endpoint("s-1", backend.address)]);
         let discovery = unused_address("127.79.1.1");
         if !matches!(start, Start::NoDiscovery) {
             serve_in_turn(
--- a/tests/proxy/request_forms.rs
+++ b/tests/proxy/request_forms.rs
@@ -2,9 +2,57 @@
 
 use crate::rig::*;
 use std::io::Read;
-use std::sync::mpsc::channel;
 use std::time::Instant;
 
+/// A part of a well-formed request, what makes it malformed in its place, and the status of the response.
+const MALFORMED_PARTS: [(&str, &str, u16); 19] = [
+    ("/submit", "/nothing", 400),
+    ("X-Service-Class: submit", "X-Service-Class: read", 400),
+    ("X-Correlation-Id: 7\r\n", "", 400),
+    ("X-Time-Left-Ms: 15000\r\n", "", 400),
+    ("15000", "-5", 400),
+    ("15000", "99999999999999999999999", 400),
+    ("Idempotency-Key: 7\r\n", "", 400),
+    ("POST", "GET", 405),
+    // Numbers that backends may parse otherwise, and headers of which they may read the other one.
+    ("15000", "+480", 400),
+    ("15000", " ", 400),
+    ("15000", "480, 15000", 400),
+    (
+        "X-Time-Left-Ms: 15000\r\n",
+        "X-Time-Left-Ms: 480\r\nX-Time-Left-Ms: 15000\r\n",
+        400,
+    ),
+    (
+        "X-Correlation-Id: 7\r\n",
+        "X-Correlation-Id: 7\r\nX-Correlation-Id: 8\r\n",
+        400,
+    ),
+    (
+        "Idempotency-Key: 7\r\n",
+        "Idempotency-Key: 7\r\nIdempotency-Key: 7\r\n",
+        400,
+    ),
+    ("Content-Length: 1", "Content-Length: +1", 400),
+    ("Content-Length: 1", "Content-Length: -1", 400),
+    (
+        "Content-Length: 1",
+        "Content-Length: 1\r\nContent-Length: 2",
+        400,
+    ),
+    (
+        "Content-Length: 1",
+        "Content-Length: 99999999999999999999999",
+        400,
+    ),
+    // It is rejected before a byte of its body has come.
+    (
+        "Content-Length: 1\r\n\r\nx",
+        "Content-Length: 60000000\r\n\r\n",
+        413,
+    ),
+];
+
 #[test]
 fn malformed_requests_get_a_plain_4xx_and_do_no_harm() {
     let discovery = Discovery::start();
@@ -12,74 +60,16 @@
     let proxy = Proxy::start(
         "nonsense",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
-    let good = request("submit", "7", "x");
-    let cases = [
-        ("\x01\x02 nonsense\r\n\r\n".to_owned(), 400),
-        (good.replace("/submit", "/nothing"), 400),
-        (
-            good.replace("X-Service-Class: submit", "X-Service-Class: read"),
-            400,
-        ),
-        (good.replace("X-Correlation-Id: 7\r\n", ""), 400),
-        (good.replace("X-Time-Left-Ms: 15000\r\n", ""), 400),
-        (good.replace("15000", "-5"), 400),
-        (good.replace("15000", "99999999999999999999999"), 400),
-        (good.replace("Idempotency-Key: 7\r\n", ""), 400),
-        (good.replace("POST", "GET"), 405),
-        // Numbers that backends may parse otherwise, and headers of which they may read the other one.
-        (good.replace("15000", "+480"), 400),
-        (good.replace("15000", " "), 400),
-        (good.replace("15000", "480, 15000"), 400),
-        (
-            good.replace(
-                "X-Time-Left-Ms: 15000\r\n",
-                "X-Time-Left-Ms: 480\r\nX-Time-Left-Ms: 15000\r\n",
-            ),
-            400,
-        ),
-        (
-            good.replace(
-                "X-Correlation-Id: 7\r\n",
-                "X-Correlation-Id: 7\r\nX-Correlation-Id: 8\r\n",
-            ),
-            400,
-        ),
-        (
-            good.replace(
-                "Idempotency-Key: 7\r\n",
-                "Idempotency-Key: 7\r\nIdempotency-Key: 7\r\n",
-            ),
-            400,
-        ),
-        (good.replace("Content-Length: 1", "Content-Length: +1"), 400),
-        (good.replace("Content-Length: 1", "Content-Length: -1"), 400),
-        (
-            good.replace(
-                "Content-Length: 1",
-                "Content-Length: 1\r\nContent-Length: 2",
-            ),
-            400,
-        ),
-        (
-            good.replace(
-                "Content-Length: 1",
-                "Content-Length: 99999999999999999999999",
-            ),
-            400,
-        ),
-        // It is rejected before a byte of its body has come.
-        (
-            good.replace(
-                "Content-Length: 1\r\n\r\nx",
-                "Content-Length: 60000000\r\n\r\n",
-            ),
-            413,
-        ),
-    ];
+    let well_formed = request("submit", "7", "x");
+    let mut cases = vec![("\x01\x02 nonsense\r\n\r\n".to_owned(), 400)];
+    for (part, malformed, status) in MALFORMED_PARTS {
+        assert!(well_formed.contains(part), "{part}");
+        cases.push((well_formed.replace(part, malformed), status));
+    }
     for (text, status) in cases {
-        let line = text.lines().next().unwrap_or_default().to_owned();
+        let line = text.lines().next().unwrap_or_default();
         let mut client = proxy.client();
         assert_eq!(client.exchange(&text).status(), status, "{line}");
         assert!(
@@ -88,9 +78,106 @@
         );
     }
     assert_eq!(backend.further_requests(), 0);
-    assert_eq!(proxy.client().exchange(&good).status(), 200);
+    assert_eq!(proxy.client().exchange(&well_formed).status(), 200);
+}
+
+/// A form of a request whose body is `body`, and the status of its response.
+struct RequestForm {
+    name: &'static str,
+    /// The header fields that frame the body, and others.
+    fields: &'static str,
+    /// The body as it is sent.
+    encoded_body: &'static str,
+    /// A part of the request, and what is sent in its place.
+    replaced: (&'static str, &'static str),
+    status: u16,
+}
+
+const LENGTH: &str = "Content-Length: 4\r\n";
+const CHUNKED: &str = "Transfer-Encoding: chunked\r\n";
+
+/// A form with these fields and this encoded body.
+const fn framed(
+    name: &'static str,
+    fields: &'static str,
+    encoded_body: &'static str,
+    status: u16,
+) -> RequestForm {
+    RequestForm {
+        name,
+        fields,
+        encoded_body,
+        replaced: ("", ""),
+        status,
+    }
 }
 
+impl RequestForm {
+    /// Sends the replacement in place of this part of the request.
+    const fn replacing(mut self, part: &'static str, replacement: &'static str) -> Self {
+        self.replaced = (part, replacement);
+        self
+    }
+
+    /// Returns the request as it is sent.
+    fn text(&self, id: &str) -> String {
+        let head = request("submit", id, "").replace("Content-Length: 0\r\n", self.fields);
+        let (part, replacement) = self.replaced;
+        (head + self.encoded_body).replace(part, replacement)
+    }
+}
+
+const REQUEST_FORMS: [RequestForm; 13] = [
+    framed("chunked", CHUNKED, "4\r\nbody\r\n0\r\n\r\n", 200),
+    framed(
+        "chunk extensions",
+        CHUNKED,
+        "2;a=b;c=\"d\"\r\nbo\r\n002 \r\ndy\r\n0;z\r\n\r\n",
+        200,
+    ),
+    framed(
+        "trailers",
+        CHUNKED,
+        "4\r\nbody\r\n0\r\nX-Sum: 1\r\nX-More: 2\r\n\r\n",
+        200,
+    ),
+    framed("a bad chunk size", CHUNKED, "zz\r\nbody\r\n0\r\n\r\n", 400),
+    framed("a bad chunk end", CHUNKED, "2\r\nbody\r\n0\r\n\r\n", 400),
+    framed(ABSOLUTE_FORM, LENGTH, "body", 200).replacing("/submit", "http://app.svc/submit"),
+    framed("another case", "content-LENGTH: 4\r\n", "body", 200),
+    framed("empty lines ahead", LENGTH, "body", 200).replacing("POST", "\r\n\r\nPOST"),
+    framed(
+        "obsolete folding",
+        "X-Odd: a\r\n b\r\nContent-Length: 4\r\n",
+        "body",
+        400,
+    ),
+    framed(
+        "a space in a name",
+        "X-Odd : a\r\nContent-Length: 4\r\n",
+        "body",
+        400,
+    ),
+    framed("HTTP/1.0", LENGTH, "body", 200).replacing("HTTP/1.1", "HTTP/1.0"),
+    framed(
+        "an encoding in HTTP/1.0",
+        CHUNKED,
+        "4\r\nbody\r\n0\r\n\r\n",
+        400,
+    )
+    .replacing("HTTP/1.1", "HTTP/1.0"),
+    framed("an unknown version", LENGTH, "body", 400).replacing("HTTP/1.1", "HTTP/2.7"),
+];
+
+/// The name of the form whose request at the backend is checked.
+const ABSOLUTE_FORM: &str = "absolute form";
+
+/// Requests that are for no path of a backend.
+const REQUESTS_WITHOUT_A_PATH: [&str; 2] = [
+    "CONNECT app.svc:80 HTTP/1.1\r\nHost: app.svc\r\n\r\n",
+    "OPTIONS * HTTP/1.1\r\nHost: app.svc\r\n\r\n",
+];
+
 /// Each form that a client may use, and the response.
 #[test]
 fn every_form_of_a_request_is_understood() {
@@ -99,117 +186,30 @@
     let proxy = Proxy::start(
         "forms",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
-    let post = |id: &str, fields: &str, body: &str| {
-        request("submit", id, "").replace("Content-Length: 0\r\n", fields) + body
-    };
-    let encoded = "Transfer-Encoding: chunked\r\n";
-    let cases = [
-        (
-            "chunked",
-            post("1", encoded, "4\r\nbody\r\n0\r\n\r\n"),
-            "200 body",
-        ),
-        (
-            "chunk extensions",
-            post(
-                "2",
-                encoded,
-                "2;a=b;c=\"d\"\r\nbo\r\n002 \r\ndy\r\n0;z\r\n\r\n",
-            ),
-            "200 body",
-        ),
-        (
-            "trailers",
-            post(
-                "3",
-                encoded,
-                "4\r\nbody\r\n0\r\nX-Sum: 1\r\nX-More: 2\r\n\r\n",
-            ),
-            "200 body",
-        ),
-        (
-            "a bad chunk size",
-            post("4", encoded, "zz\r\nbody\r\n0\r\n\r\n"),
-            "400 ",
-        ),
-        (
-            "a bad chunk end",
-            post("5", encoded, "2\r\nbody\r\n0\r\n\r\n"),
-            "400 ",
-        ),
-        (
-            "absolute form",
-            request("submit", "6", "body").replace("/submit", "http://app.svc/submit"),
-            "200 body",
-        ),
-        (
-            "another case",
-            post("7", "content-LENGTH: 4\r\n", "body"),
-            "200 body",
-        ),
-        (
-            "empty lines ahead",
-            format!("\r\n\r\n{}", request("submit", "8", "body")),
-            "200 body",
-        ),
-        (
-            "obsolete folding",
-            post("9", "X-Odd: a\r\n b\r\nContent-Length: 4\r\n", "body"),
-            "400 ",
-        ),
-        (
-            "a space in a name",
-            post("10", "X-Odd : a\r\nContent-Length: 4\r\n", "body"),
-            "400 ",
-        ),
-        (
-            "HTTP/1.0",
-            request("submit", "11", "body").replace("HTTP/1.1", "HTTP/1.0"),
-            "200 body",
-        ),
-        (
-            "an encoding in HTTP/1.0",
-            post("12", encoded, "4\r\nbody\r\n0\r\n\r\n").replace("HTTP/1.1", "HTTP/1.0"),
-            "400 ",
-        ),
-        (
-            "a version to come",
-            request("submit", "13", "body").replace("HTTP/1.1", "HTTP/2.7"),
-            "400 ",
-        ),
-        (
-            "CONNECT",
-            "CONNECT app.svc:80 HTTP/1.1\r\nHost: app.svc\r\n\r\n".to_owned(),
-            "400 ",
-        ),
-        (
-            "OPTIONS *",
-            "OPTIONS * HTTP/1.1\r\nHost: app.svc\r\n\r\n".to_owned(),
-            "400 ",
-        ),
-    ];
-    for (form, text, wanted) in cases {
-        let got = proxy.client().exchange(&text);
-        let got = format!(
-            "{} {}",
-            got.status(),
-            if got.status() == 200 {
-                String::from_utf8_lossy(&got.body).into_owned()
-            } else {
-                String::new()
-            }
-        );
-        assert_eq!(got, wanted, "{form}");
+    let mut absolute_id = String::new();
+    for (i, form) in REQUEST_FORMS.into_iter().enumerate() {
+        let id = (i + 1).to_string();
+        let got = proxy.client().exchange(&form.text(&id));
+        assert_eq!(got.status(), form.status, "{}", form.name);
+        if form.status == 200 {
+            assert_eq!(got.body, b"body", "{}", form.name);
+        }
+        if form.name == ABSOLUTE_FORM {
+            absolute_id = id;
+        }
     }
-    let absolute = backend
+    for text in REQUESTS_WITHOUT_A_PATH {
+        assert_eq!(proxy.client().exchange(text).status(), 400, "{text}");
+    }
+    let received = backend
         .requests
         .try_iter()
-        .find(|received| received.header("x-correlation-id") == Some("6"));
-    let absolute = absolute.expect("it was sent on");
+        .find(|received| received.header("x-correlation-id") == Some(&absolute_id))
+        .expect("it was forwarded");
     assert_eq!(
-        (absolute.first_line(), absolute.header("host")),
+        (received.first_line(), received.header("host")),
         ("POST /submit?key=7f3a HTTP/1.1", Some("app.svc"))
     );
 }
@@ -222,18 +222,18 @@
     let proxy = Proxy::start(
         "smuggled",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let hidden = request("charge", "hidden", "x");
     let body = format!("0\r\n\r\n{hidden}");
     let length = format!("Content-Length: {}\r\n", body.len());
     let encoding = "Transfer-Encoding: chunked\r\n";
-    let hidden_coding = "Transfer-Encoding: gzip, chunked\r\n".to_owned();
+    let hidden_encoding = "Transfer-Encoding: gzip, chunked\r\n".to_owned();
     for fields in [
         format!("{length}{encoding}"),
         format!("{encoding}{length}"),
         length.repeat(2),
-        hidden_coding,
+        hidden_encoding,
     ] {
         let mut client = proxy.client();
         let head = request("charge", "outer", "").replace("Content-Length: 0\r\n", &fields);
@@ -248,16 +248,11 @@
 #[test]
 fn a_second_request_with_the_id_of_an_open_one_is_rejected() {
     let discovery = Discovery::start();
-    let (release, signal) = channel();
-    let mut signal = Some(signal);
-    let backend = Backend::start(move |_| match signal.take() {
-        Some(signal) => Reply::After(signal, Box::new(ok("first"))),
-        None => ok("later"),
-    });
+    let (backend, release) = holds_first_request("first", "later");
     let proxy = Proxy::start(
         "same-id",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut first = proxy.client();
     first.send(&request("charge", "1", "x"));
@@ -286,14 +281,14 @@
     let proxy = Proxy::start("half", &discovery, &[]);
     let good = request("charge", "1", "body");
     let began = Instant::now();
-    let halves = ["", "P", &good[..40], &good[..good.len() - 2]].map(|half| {
+    let partial_requests = ["", "P", &good[..40], &good[..good.len() - 2]].map(|text| {
         let mut client = proxy.client();
-        client.send(half);
+        client.send(text);
         client
     });
-    let mut asked = proxy.client();
-    assert_eq!(asked.exchange(UP).status(), 200);
-    for mut client in halves {
+    let mut idle = proxy.client();
+    assert_eq!(idle.exchange(UP).status(), 200);
+    for mut client in partial_requests {
         let mut rest = Vec::new();
         client.reader.read_to_end(&mut rest).expect("no reset");
         assert!(
@@ -303,7 +298,7 @@
         );
     }
     assert!(
-        asked.ends_cleanly(),
+        idle.ends_cleanly(),
         "a connection that is kept and not used"
     );
     assert!(began.elapsed() < TEST_TIMEOUT / 3, "{:?}", began.elapsed());
--- a/tests/proxy/response_ends.rs
+++ b/tests/proxy/response_ends.rs
@@ -18,11 +18,7 @@
     for (name, bytes, status) in cases {
         let discovery = Discovery::start();
         let backend = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
-        let proxy = Proxy::start(
-            name,
-            &discovery,
-            &[endpoint("s-1", backend.address, "active", 0)],
-        );
+        let proxy = Proxy::start(name, &discovery, &[active_endpoint("s-1", backend.address)]);
         let got = proxy.client().exchange(&request("charge", "1", "x"));
         assert_eq!(got.status(), status, "{name}");
         assert!(status != 200 || got.body == b"body", "{name}");
@@ -118,7 +114,7 @@
             let address = resets_after(bytes, Duration::from_millis(pause_ms));
             let discovery = Discovery::start();
             let name = format!("reset-{length}-{pause_ms}");
-            let proxy = Proxy::start(&name, &discovery, &[endpoint("s-1", address, "active", 0)]);
+            let proxy = Proxy::start(&name, &discovery, &[active_endpoint("s-1", address)]);
             let mut client = proxy.client();
             client
                 .send(&request("charge", "1", "x").replace("Host:", "Connection: close\r\nHost:"));
@@ -143,7 +139,7 @@
     let proxy = Proxy::start(
         "hang",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let mut client = proxy.client();
     let got = client.exchange(&request("charge", "1", "x").replace("15000", "300"));
@@ -155,39 +151,60 @@
     );
 }
 
-/// Responses without an end, as fast as they are read and byte by byte.
-#[test]
-fn endless_responses_time_out_and_take_no_memory() {
-    let ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let (fast, slow) = (Duration::ZERO, Duration::from_millis(20));
+/// A response without an end.
+struct EndlessResponse {
+    start: &'static str,
+    repeated: String,
+    /// The pause before each repetition.
+    pause: Duration,
+}
+
+/// Returns responses without an end, some as fast as they are read, others byte by byte.
+fn endless_responses() -> Vec<EndlessResponse> {
+    const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    const FAST: Duration = Duration::ZERO;
+    const SLOW: Duration = Duration::from_millis(20);
     let large = "x".repeat(64 * 1024);
+    let large_chunk = format!("{:x}\r\n{large}\r\n", large.len());
     let cases = [
-        ("HTTP/1.1 200 OK\r\nX-Long: ", "x", slow),
-        ("HTTP/1.1 200 OK\r\n", "X-Field: value\r\n", fast),
-        ("", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", fast),
+        ("HTTP/1.1 200 OK\r\nX-Long: ", "x", SLOW),
+        ("HTTP/1.1 200 OK\r\n", "X-Field: value\r\n", FAST),
+        ("", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", FAST),
         (
             "HTTP/1.1 500 Oops\r\nTransfer-Encoding: chunked\r\n\r\n",
             "1\r\nx\r\n",
-            slow,
+            SLOW,
         ),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n",
             "x",
-            slow,
+            SLOW,
         ),
-        (ok, "1\r\nx\r\n", slow),
-        (ok, &format!("{:x}\r\n{large}\r\n", large.len()), fast),
-        ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "x", slow),
+        (CHUNKED, "1\r\nx\r\n", SLOW),
+        (CHUNKED, &large_chunk, FAST),
+        ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "x", SLOW),
     ];
-    let (mut proxies, mut clients) = (Vec::new(), Vec::new());
-    for (i, (first, again, pause)) in cases.into_iter().enumerate() {
-        let (first, again) = (first.as_bytes().to_vec(), again.as_bytes().to_vec());
+    let responses = cases.map(|(start, repeated, pause)| EndlessResponse {
+        start,
+        repeated: repeated.to_owned(),
+        pause,
+    });
+    responses.into()
+}
+
+#[test]
+fn endless_responses_time_out_and_take_no_memory() {
+    let mut proxies = Vec::new();
+    let mut clients = Vec::new();
+    for (i, case) in endless_responses().into_iter().enumerate() {
         let discovery = Discovery::start();
-        let backend = Backend::start(move |_| Reply::Endless(first.clone(), again.clone(), pause));
+        let backend = Backend::start(move |_| {
+            Reply::Endless(case.start.into(), case.repeated.clone().into(), case.pause)
+        });
         let proxy = Proxy::start(
             &format!("endless-{i}"),
             &discovery,
-            &[endpoint("s-1", backend.address, "active", 0)],
+            &[active_endpoint("s-1", backend.address)],
         );
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x").replace("15000", "2000"));
--- a/tests/proxy/retries.rs
+++ b/tests/proxy/retries.rs
@@ -19,8 +19,8 @@
             move |_: &Message| Reply::Write(response("503 Service Unavailable", more, b""));
         let (one, two) = (Backend::start(reject), Backend::start(reject));
         let members = [
-            endpoint("s-1", one.address, "active", 0),
-            endpoint("s-2", two.address, "active", 0),
+            active_endpoint("s-1", one.address),
+            active_endpoint("s-2", two.address),
         ];
         let proxy = Proxy::start(
             &format!("mark-{status}-{}", more.len()),
@@ -48,8 +48,8 @@
         .local_addr()
         .expect("an address");
     let members = [
-        endpoint("s-1", nobody, "active", 0),
-        endpoint("s-2", backend.address, "active", 0),
+        active_endpoint("s-1", nobody),
+        active_endpoint("s-2", backend.address),
     ];
     let proxy = Proxy::start("unreachable", &discovery, &members);
     for id in ["1", "2", "3"] {
@@ -77,18 +77,18 @@
             signal,
             Box::new(Reply::WriteAndClose(Vec::new())),
         ));
-        let breaks = Backend::start(move |_| reply.take().expect("asked once"));
+        let closing = Backend::start(move |_| reply.take().expect("asked once"));
         let late = FullBacklog::start();
         let name = format!("window-{group}");
         let mut config = config(&name, &discovery);
         config["settings"]["classes"][1]["keyTtlUs"] = (KEY_TTL.as_micros() as u64).into();
         config["settings"]["classes"][1]["group"] = group.into();
         let proxy = Proxy::start_with(&name, config);
-        discovery.publish_and_wait(true, &[endpoint("s-1", breaks.address, "active", 0)]);
+        discovery.publish_and_wait(true, &[active_endpoint("s-1", closing.address)]);
         let mut client = proxy.client();
         client.send(&request("submit", "keyed", "x"));
-        breaks.next_request();
-        discovery.publish_and_wait(false, &[endpoint("s-2", late.address, "active", 0)]);
+        closing.next_request();
+        discovery.publish_and_wait(false, &[active_endpoint("s-2", late.address)]);
         release.send(()).expect("the backend waits");
         // This test is about the time: the key expires before the second backend accepts a connection.
         thread::sleep(KEY_TTL);
@@ -107,18 +107,18 @@
     const FIRST_TAKES: Duration = Duration::from_millis(400);
     const TIME_LEFT: Duration = Duration::from_millis(15_000);
     let discovery = Discovery::start();
-    let (breaks, release) = closes_on_signal();
+    let (closing, release) = closes_on_signal();
     let late = FullBacklog::start();
     let proxy = Proxy::start(
         "time-left",
         &discovery,
-        &[endpoint("s-1", breaks.address, "active", 0)],
+        &[active_endpoint("s-1", closing.address)],
     );
     let mut client = proxy.client();
     let sent_at = Instant::now();
     client.send(&request("read", "slow", ""));
-    breaks.next_request();
-    discovery.publish_and_wait(true, &[endpoint("s-2", late.address, "active", 0)]);
+    closing.next_request();
+    discovery.publish_and_wait(true, &[active_endpoint("s-2", late.address)]);
     thread::sleep(FIRST_TAKES);
     release.send(()).expect("the backend waits");
     thread::sleep(FIRST_TAKES);
--- a/tests/proxy/rig/backend.rs
+++ b/tests/proxy/rig/backend.rs
@@ -150,7 +150,18 @@
     })
 }
 
-/// A backend that reports its request, and closes the connection without a response at a signal.
+/// Returns a backend that holds its first request until a signal, and answers the later ones at once.
+pub fn holds_first_request(first: &'static str, later: &'static str) -> (Backend, Sender<()>) {
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
+    let backend = Backend::start(move |_| match signal.take() {
+        Some(signal) => Reply::After(signal, Box::new(ok(first))),
+        None => ok(later),
+    });
+    (backend, release)
+}
+
+/// Returns a backend that reports its request, and closes the connection without a response at a signal.
 pub fn closes_on_signal() -> (Backend, Sender<()>) {
     let (release, signal) = channel();
     let mut reply = Some(Reply::After(
@@ -158,7 +169,7 @@
         Box::new(Reply::WriteAndClose(Vec::new())),
     ));
     (
-        Backend::start(move |_| reply.take().expect("asked once")),
+        Backend::start(move |_| reply.take().expect("one request")),
         release,
     )
 }
--- a/tests/proxy/rig/client.rs
+++ b/tests/proxy/rig/client.rs
@@ -20,7 +20,7 @@
         let stream = TcpStream::connect(address).expect("the proxy accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("a timeout");
         Self {
             reader: BufReader::new(stream.try_clone().expect("a clone")),
             stream,
--- a/tests/proxy/rig/discovery.rs
+++ b/tests/proxy/rig/discovery.rs
@@ -9,6 +9,11 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 
+/// An active endpoint as discovery lists it.
+pub fn active_endpoint(id: &str, address: SocketAddr) -> Value {
+    endpoint(id, address, "active", 0)
+}
+
 /// An endpoint as discovery lists it.
 pub fn endpoint(id: &str, address: SocketAddr, phase: &str, up_since_ms: u64) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": "m", "cell": 0,
--- a/tests/proxy/rig/full_backlog.rs
+++ b/tests/proxy/rig/full_backlog.rs
@@ -48,13 +48,13 @@
     let listener = socket2::Socket::from(listener);
     listener
         .set_read_timeout(Some(RECONNECTS_WITHIN))
-        .expect("a time-out");
+        .expect("a timeout");
     let mut ids = Vec::new();
     while let Ok((stream, _)) = listener.accept() {
         let mut stream = TcpStream::from(stream);
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("a timeout");
         let Some(request) = read_message(&mut BufReader::new(&stream)) else {
             continue;
         };
--- a/tests/proxy/rig/mod.rs
+++ b/tests/proxy/rig/mod.rs
@@ -10,10 +10,10 @@
 mod process;
 mod saturated_backend;
 
-pub use backend::{Backend, Reply, closes_on_signal, ok};
+pub use backend::{Backend, Reply, closes_on_signal, holds_first_request, ok};
 pub use client::{Client, UP, request};
 pub use configuration::{config, config_at, config_with_operator};
-pub use discovery::{Discovery, endpoint};
+pub use discovery::{Discovery, active_endpoint, endpoint};
 pub use full_backlog::{FullBacklog, received_ids};
 pub use message::{Message, pattern, read_message, response};
 pub use process::{Proxy, command, launch, start_with_listener, start_with_little_memory};
--- a/tests/proxy/rig/process.rs
+++ b/tests/proxy/rig/process.rs
@@ -3,7 +3,7 @@
 use super::backend::Backend;
 use super::client::Client;
 use super::configuration::{config, config_with_operator};
-use super::discovery::{Discovery, endpoint};
+use super::discovery::{Discovery, active_endpoint};
 use super::message::Message;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read};
@@ -235,6 +235,6 @@
     config["limits"]["memory_mb"] = 32.into();
     config["settings"]["permissions"]["secondCopies"] = false.into();
     let proxy = Proxy::start_with(name, config);
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     proxy
 }
--- a/tests/proxy/shutdown.rs
+++ b/tests/proxy/shutdown.rs
@@ -17,7 +17,7 @@
         ),
         _ => ok("still comes"),
     });
-    let members = [endpoint("s-1", one.address, "active", 0)];
+    let members = [active_endpoint("s-1", one.address)];
     let mut proxy = Proxy::start("sigterm", &discovery, &members);
     let (mut idle, mut before) = (proxy.client(), proxy.client());
     assert_eq!(idle.exchange(UP).status(), 200);
@@ -49,16 +49,11 @@
 #[test]
 fn a_request_that_waits_to_be_accepted_is_served_before_the_process_ends() {
     let discovery = Discovery::start();
-    let (release, signal) = channel();
-    let mut signal = Some(signal);
-    let backend = Backend::start(move |_| match signal.take() {
-        Some(signal) => Reply::After(signal, Box::new(ok("first"))),
-        None => ok("queued"),
-    });
+    let (backend, release) = holds_first_request("first", "queued");
     let mut config = config("queued", &discovery);
     config["limits"]["memory_mb"] = 0.into();
     let mut proxy = Proxy::start_with("queued", config);
-    discovery.publish_and_wait(true, &[endpoint("s-1", backend.address, "active", 0)]);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let mut first = proxy.client();
     first.send(&request("charge", "1", "x"));
     backend.next_request();
@@ -81,7 +76,7 @@
 fn a_request_that_came_while_the_process_was_stopped_is_served_before_it_ends() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
-    let members = [endpoint("s-1", backend.address, "active", 0)];
+    let members = [active_endpoint("s-1", backend.address)];
     let mut proxy = loop {
         let mut proxy = Proxy::start("suspended", &discovery, &members);
         proxy.terminate();
@@ -120,22 +115,22 @@
         let mut proxy = Proxy::start(
             &name,
             &discovery,
-            &[endpoint("s-1", backend.address, "active", 0)],
+            &[active_endpoint("s-1", backend.address)],
         );
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
         backend.next_request();
-        let let_begin = || {
+        let start_response = || {
             release.send(()).expect("the backend waits");
-            assert_eq!(client.stream.peek(&mut [0]).expect("it begins"), 1);
+            assert_eq!(client.stream.peek(&mut [0]).expect("it starts"), 1);
         };
         if !behind {
-            let_begin();
+            start_response();
         }
         proxy.terminate();
         while proxy.client().exchange(UP).status() == 200 {}
         if behind {
-            let_begin();
+            start_response();
         }
         let got = client.receive();
         assert_eq!(
@@ -160,7 +155,7 @@
     let mut proxy = Proxy::start(
         "killed",
         &discovery,
-        &[endpoint("s-1", backend.address, "active", 0)],
+        &[active_endpoint("s-1", backend.address)],
     );
     let (mut unresponsive, mut flowing, mut late) =
         (proxy.client(), proxy.client(), proxy.client());
@@ -200,9 +195,9 @@
     let discovery = Discovery::start();
     let mut proxy = Proxy::start_without_endpoints("unready", &discovery);
     proxy.terminate();
-    let refused = proxy
+    let rejected = proxy
         .client()
         .exchange(&request("read", "1", "").replace("15000", "300"));
-    assert_eq!(refused.status(), 503);
+    assert_eq!(rejected.status(), 503);
     assert_eq!(proxy.wait().code(), Some(0));
 }
