--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -6,6 +6,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::thread;
 
+/// The length of a body that is larger than what the proxy may hold.
 const LARGE: usize = 32 << 20;
 
 #[test]
@@ -55,7 +56,7 @@
             client.send(&request("submit", &format!("l-{i}"), "x"));
             // A response that has started holds no slot any more.
             let mut head = [0; 12];
-            client.reader.read_exact(&mut head).expect("it begins");
+            client.reader.read_exact(&mut head).expect("it starts");
             assert_eq!(&head, b"HTTP/1.1 200");
             client
         })
@@ -74,6 +75,35 @@
     assert_eq!(proxy.handled("submit", "passed"), 12);
 }
 
+/// Sends a request with this body, in chunks with extensions and a trailer or with its length.
+fn send_large_body(address: SocketAddr, id: &str, body: &[u8], is_chunked: bool) -> Message {
+    let mut stream = TcpStream::connect(address).expect("it accepts");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a timeout");
+    let mut write = |bytes: &[u8]| stream.write_all(bytes).expect("it reads");
+    let framing = if is_chunked {
+        "Transfer-Encoding: chunked".to_owned()
+    } else {
+        format!("Content-Length: {}", body.len())
+    };
+    let head = request("charge", id, "").replace("Content-Length: 0", &framing);
+    write(head.as_bytes());
+    for piece in body.chunks(100_000) {
+        if is_chunked {
+            write(format!("{:x};odd=\"ext\"\r\n", piece.len()).as_bytes());
+        }
+        write(piece);
+        if is_chunked {
+            write(b"\r\n");
+        }
+    }
+    if is_chunked {
+        write(b"0\r\nX-Trailer: y\r\n\r\n");
+    }
+    read_message(&mut BufReader::new(stream)).expect("a response")
+}
+
 #[test]
 fn large_bodies_are_streamed_through_little_memory_to_a_backend() {
     let backend = Backend::start(|received| ok(&received.body.len().to_string()));
@@ -83,49 +113,22 @@
     let senders: Vec<_> = (0..4)
         .map(|i| {
             let body = body.clone();
-            thread::spawn(move || {
-                let mut stream = TcpStream::connect(address).expect("it accepts");
-                stream
-                    .set_read_timeout(Some(TEST_TIMEOUT))
-                    .expect("a timeout");
-                let head = request("charge", &format!("u-{i}"), "");
-                // With a length, and in chunks.
-                let fields = if i % 2 == 0 {
-                    format!("Content-Length: {LARGE}")
-                } else {
-                    "Transfer-Encoding: chunked".into()
-                };
-                stream
-                    .write_all(head.replace("Content-Length: 0", &fields).as_bytes())
-                    .expect("it reads");
-                for piece in body.chunks(100_000) {
-                    if i % 2 == 1 {
-                        stream
-                            .write_all(format!("{:x};odd=\"ext\"\r\n", piece.len()).as_bytes())
-                            .expect("it reads");
-                    }
-                    stream.write_all(piece).expect("it reads");
-                    if i % 2 == 1 {
-                        stream.write_all(b"\r\n").expect("it reads");
-                    }
-                }
-                if i % 2 == 1 {
-                    stream
-                        .write_all(b"0\r\nX-Trailer: y\r\n\r\n")
-                        .expect("it reads");
-                }
-                read_message(&mut BufReader::new(stream)).expect("an answer")
-            })
+            thread::spawn(move || send_large_body(address, &format!("u-{i}"), &body, i % 2 == 1))
         })
         .collect();
     for sender in senders {
         let got = sender.join().expect("it is sent");
-        let room = got.status() == 200 && got.body == LARGE.to_string().as_bytes();
-        assert!(room || got.status() == 503, "{} {:?}", got.head, got.body);
+        let is_served = got.status() == 200 && got.body == LARGE.to_string().as_bytes();
+        assert!(
+            is_served || got.status() == 503,
+            "{} {:?}",
+            got.head,
+            got.body
+        );
     }
-    let arrived: Vec<_> = backend.requests.try_iter().collect();
-    assert!(!arrived.is_empty() && arrived.iter().all(|received| received.body == body));
-    assert_eq!(proxy.metric("app_upstream_tries"), arrived.len() as u64);
+    let received: Vec<_> = backend.requests.try_iter().collect();
+    assert!(!received.is_empty() && received.iter().all(|request| request.body == body));
+    assert_eq!(proxy.metric("app_upstream_tries"), received.len() as u64);
     assert!(
         proxy.peak_memory_kb() < 32 << 10,
         "{} kB",
@@ -142,7 +145,8 @@
     ] {
         let (release, signal) = channel();
         let mut signal = Some(signal);
-        let (first, rest) = (body[..100_000].to_vec(), body[100_000..].to_vec());
+        let first = body[..100_000].to_vec();
+        let rest = body[100_000..].to_vec();
         let backend = Backend::start(move |_| {
             let head = format!("HTTP/1.1 200 OK\r\n{fields}\r\n").into_bytes();
             let rest = Reply::WriteAndClose(rest.clone());
@@ -155,9 +159,9 @@
         let proxy = start_with_little_memory(name, &backend);
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
-        let mut begun = [0; 15];
-        client.reader.read_exact(&mut begun).expect("it begins");
-        assert_eq!(&begun, b"HTTP/1.1 200 OK");
+        let mut start = [0; 15];
+        client.reader.read_exact(&mut start).expect("it starts");
+        assert_eq!(&start, b"HTTP/1.1 200 OK");
         release.send(()).expect("the backend waits");
         assert!(client.receive().body == body);
     }
--- a/tests/proxy/client_disconnect.rs
+++ b/tests/proxy/client_disconnect.rs
@@ -77,13 +77,7 @@
         release.send(()).expect("the backend waits");
         assert_eq!(client.receive().status(), 200);
     }
-    assert_eq!(
-        proxy
-            .client()
-            .exchange(&request("charge", "stays", "x"))
-            .status(),
-        200
-    );
+    assert_eq!(proxy.status_of(&request("charge", "stays", "x")), 200);
     assert_eq!(
         backend.next_request().header("x-correlation-id"),
         Some("stays")
@@ -126,7 +120,7 @@
     let mut disconnecting = proxy.client();
     disconnecting.send(&request("charge", "2", "x"));
     // The answer on another connection shows that the proxy has seen what came before it.
-    assert_eq!(proxy.client().exchange(UP).status(), 200);
+    assert_eq!(proxy.status_of(UP), 200);
     disconnecting
         .stream
         .shutdown(Shutdown::Write)
@@ -139,13 +133,7 @@
         release.send(()).expect("the backend waits");
         assert_eq!(client.receive().status(), 200);
     }
-    assert_eq!(
-        proxy
-            .client()
-            .exchange(&request("charge", "3", "x"))
-            .status(),
-        200
-    );
+    assert_eq!(proxy.status_of(&request("charge", "3", "x")), 200);
     assert_eq!(backend.next_request().header("x-correlation-id"), Some("3"));
 }
 
@@ -161,7 +149,7 @@
     let mut disconnecting = proxy.client();
     disconnecting.send(&request("charge", "left", "x"));
     assert_eq!(
-        proxy.client().exchange(UP).status(),
+        proxy.status_of(UP),
         200,
         "the proxy has seen what came before"
     );
@@ -281,13 +269,7 @@
         release.send(()).expect("the backend waits");
         discovery.publish_and_wait(true, &[active_endpoint("s-2", other.address)]);
         for id in ["stays", "comes later"] {
-            assert_eq!(
-                proxy
-                    .client()
-                    .exchange(&request("charge", id, "x"))
-                    .status(),
-                200
-            );
+            assert_eq!(proxy.status_of(&request("charge", id, "x")), 200);
             assert_eq!(
                 other.next_request().header("x-correlation-id"),
                 Some(id),
--- a/tests/proxy/corrupt_responses.rs
+++ b/tests/proxy/corrupt_responses.rs
@@ -1,6 +1,8 @@
 //! Responses that are malformed, or followed by bytes that belong to no response.
 
 use crate::rig::*;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
 
 #[test]
 fn a_broken_response_is_never_a_200_and_a_non_idempotent_request_is_not_retried() {
@@ -24,6 +26,19 @@
     }
 }
 
+/// Returns a backend that sends a corrupt response while the flag is set, and clears the flag.
+fn corrupt_once(corrupt: &[u8], is_corrupt: &Arc<AtomicBool>) -> Backend {
+    let corrupt = corrupt.to_vec();
+    let is_corrupt = Arc::clone(is_corrupt);
+    Backend::start(move |_| {
+        if is_corrupt.swap(false, Ordering::SeqCst) {
+            Reply::Write(corrupt.clone())
+        } else {
+            ok("good")
+        }
+    })
+}
+
 /// Backends send what can't become a response and keep the connection open. Waiting would leave no time for
 /// another attempt; a reset would be counted against a healthy backend.
 #[test]
@@ -43,17 +58,9 @@
     ];
     for (i, bytes) in corrupt.into_iter().enumerate() {
         let discovery = Discovery::start();
-        let shared = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-        let start = |bytes: Vec<u8>| {
-            let first = std::sync::Arc::clone(&shared);
-            Backend::start(
-                move |_| match first.swap(false, std::sync::atomic::Ordering::SeqCst) {
-                    true => Reply::Write(bytes.clone()),
-                    false => ok("good"),
-                },
-            )
-        };
-        let (one, two) = (start(bytes.to_vec()), start(bytes.to_vec()));
+        let is_corrupt = Arc::new(AtomicBool::new(true));
+        let one = corrupt_once(bytes, &is_corrupt);
+        let two = corrupt_once(bytes, &is_corrupt);
         let members = [
             active_endpoint("s-1", one.address),
             active_endpoint("s-2", two.address),
@@ -65,7 +72,7 @@
             (200, b"good".as_slice()),
             "case {i}"
         );
-        shared.store(true, std::sync::atomic::Ordering::SeqCst);
+        is_corrupt.store(true, Ordering::SeqCst);
         let got = proxy.client().exchange(&request("charge", "2", "x"));
         assert_eq!(got.status(), 502, "case {i}: it may have run");
         assert_eq!(
--- a/tests/proxy/discovery.rs
+++ b/tests/proxy/discovery.rs
@@ -11,9 +11,9 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let proxy = Proxy::start_without_endpoints("up", &discovery);
-    assert_eq!(proxy.client().exchange(UP).status(), 503);
+    assert_eq!(proxy.status_of(UP), 503);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
-    assert_eq!(proxy.client().exchange(UP).status(), 200);
+    assert_eq!(proxy.status_of(UP), 200);
 }
 
 #[test]
@@ -29,15 +29,8 @@
         Some(7),
         "one call, for the changes alone"
     );
-    assert_eq!(
-        proxy.client().exchange(UP).status(),
-        200,
-        "discovery has not answered"
-    );
-    assert_eq!(
-        proxy.client().exchange(&request("read", "1", "")).status(),
-        200
-    );
+    assert_eq!(proxy.status_of(UP), 200, "discovery has not answered");
+    assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
 }
 
 #[test]
@@ -77,10 +70,7 @@
         config["settings"]["membershipMode"] = "on_request".into();
         let proxy = Proxy::start_with("asked", config);
         discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
-        assert_eq!(
-            proxy.client().exchange(&request("read", "1", "")).status(),
-            200
-        );
+        assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
     }
 }
 
@@ -104,10 +94,7 @@
         good,
     ];
     let proxy = Proxy::start("odd", &discovery, &members);
-    assert_eq!(
-        proxy.client().exchange(&request("read", "1", "")).status(),
-        200
-    );
+    assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
 }
 
 #[test]
@@ -120,20 +107,14 @@
             &discovery,
             &[active_endpoint("s-1", backend.address)],
         );
-        assert_eq!(
-            proxy.client().exchange(&request("read", "1", "")).status(),
-            200
-        );
+        assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
         backend.next_request();
         discovery.publish_and_wait(false, &[endpoint("s-1", backend.address, phase, 0)]);
         let short = request("read", "2", "").replace("15000", "300");
-        assert_eq!(proxy.client().exchange(&short).status(), 503, "{phase}");
+        assert_eq!(proxy.status_of(&short), 503, "{phase}");
         assert_eq!(backend.further_requests(), 0, "{phase}");
         discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
-        assert_eq!(
-            proxy.client().exchange(&request("read", "3", "")).status(),
-            200
-        );
+        assert_eq!(proxy.status_of(&request("read", "3", "")), 200);
     }
 }
 
@@ -150,7 +131,7 @@
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
     // An answer on another connection shows that the proxy has seen the request.
-    assert_eq!(proxy.client().exchange(UP).status(), 200);
+    assert_eq!(proxy.status_of(UP), 200);
     discovery.publish_and_wait(false, &[endpoint("s-1", address, "leaving", 0)]);
     let listener = full.accept_pending();
     let (mut stream, _) = listener.accept().expect("the proxy's connection");
@@ -195,10 +176,7 @@
             "the version of another service means nothing to this one"
         );
         // Until the new service has sent its list, the old list is used.
-        assert_eq!(
-            proxy.client().exchange(&request("read", "3", "")).status(),
-            200
-        );
+        assert_eq!(proxy.status_of(&request("read", "3", "")), 200);
         to.publish_and_wait(true, &[active_endpoint(name, after.address)]);
         assert_eq!(
             proxy.client().exchange(&request("read", "4", "")).body,
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -21,14 +21,8 @@
     ];
     let mut proxy = start_logging("log-events", &discovery, &variables);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", failing.address)]);
-    while proxy.client().exchange(UP).status() != 200 {}
-    assert_eq!(
-        proxy
-            .client()
-            .exchange(&request("charge", "9b1f03aa", "x"))
-            .status(),
-        502
-    );
+    while proxy.status_of(UP) != 200 {}
+    assert_eq!(proxy.status_of(&request("charge", "9b1f03aa", "x")), 502);
     proxy.terminate();
     let log = proxy.rest_of_log();
     let lines: Vec<Value> = log
@@ -61,7 +55,7 @@
     let backend = Backend::start(|_| ok("fine"));
     let mut proxy = start_logging("log-reload", &discovery, &[("EDGE_LOG", "info")]);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
-    while proxy.client().exchange(UP).status() != 200 {}
+    while proxy.status_of(UP) != 200 {}
     let plain = config("log-reload", &discovery);
     let mut verbose = plain.clone();
     verbose["log"] = serde_json::json!({"filter": "info,tillerproxy::request=debug"});
@@ -74,13 +68,7 @@
             proxy.reload(&configuration.to_string());
             proxy.wait_for_log("configuration reloaded");
         }
-        assert_eq!(
-            proxy
-                .client()
-                .exchange(&request("submit", id, "x"))
-                .status(),
-            200
-        );
+        assert_eq!(proxy.status_of(&request("submit", id, "x")), 200);
         if id == "loud" {
             proxy.wait_for_log("correlation_id=\"loud\"");
         }
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -4,13 +4,28 @@
 
 use std::io::Read;
 use std::net::TcpListener;
-use std::sync::mpsc::channel;
+use std::sync::mpsc::{Sender, channel};
 
 const READY: &str = "/control/ready";
 const COUNTERS: &str = "/control/counters";
 const OUT_OF_SERVICE: &str = "/control/out-of-service";
 const IN_SERVICE: &str = "/control/in-service";
 
+/// Returns a backend that holds the request of this id until a signal, and then answers with the id. It fails the
+/// request of the id `bad`, and answers all others at once.
+fn holds_request(id: &'static str) -> (Backend, Sender<()>) {
+    let (release, signal) = channel();
+    let mut signal = Some(signal);
+    let backend = Backend::start(move |received| match received.header("x-correlation-id") {
+        Some("bad") => Reply::Write(response("500 Internal Server Error", "", b"")),
+        Some(other) if other == id => {
+            Reply::After(signal.take().expect("one request"), Box::new(ok(id)))
+        }
+        _ => ok("fine"),
+    });
+    (backend, release)
+}
+
 #[test]
 fn calls_are_answered_before_the_proxy_is_ready() {
     let discovery = Discovery::start();
@@ -101,17 +116,15 @@
         config_with_operator("silent-calls", &discovery),
     );
     discovery.publish_and_wait(true, &[]);
-    let incomplete = |n: usize| {
-        [
-            "",
-            "GET /contr",
-            "POST /control/out-of-service HTTP/1.1\r\nContent-Length: 4\r\n\r\nab",
-        ][n % 3]
-    };
+    let incomplete_calls = [
+        "",
+        "GET /contr",
+        "POST /control/out-of-service HTTP/1.1\r\nContent-Length: 4\r\n\r\nab",
+    ];
     let mut waiting: Vec<Client> = Vec::new();
     for n in 0..60 {
         let mut client = proxy.operator_client();
-        client.send(incomplete(n));
+        client.send(incomplete_calls[n % incomplete_calls.len()]);
         waiting.push(client);
         assert_eq!(
             proxy.operator_call("GET", READY).status(),
@@ -150,7 +163,7 @@
     assert_eq!(proxy.operator_call("GET", READY).status(), 200);
     assert_eq!(proxy.metric("app_in_progress"), 2);
     assert_eq!(
-        proxy.client().exchange(UP).status(),
+        proxy.status_of(UP),
         200,
         "a client that sends a request is admitted, and an idle one closed"
     );
@@ -159,13 +172,7 @@
 #[test]
 fn metrics_follow_the_requests() {
     let discovery = Discovery::start();
-    let (release, signal) = channel();
-    let mut signal = Some(signal);
-    let backend = Backend::start(move |received| match received.header("x-correlation-id") {
-        Some("bad") => Reply::Write(response("500 Internal Server Error", "", b"")),
-        Some("wait") => Reply::After(signal.take().expect("one"), Box::new(ok("late"))),
-        _ => ok("fine"),
-    });
+    let (backend, release) = holds_request("wait");
     let proxy = Proxy::start_with("metrics", config_with_operator("metrics", &discovery));
     let draining = endpoint("s-2", backend.address, "leaving", 0);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address), draining]);
@@ -185,10 +192,7 @@
         502
     );
     assert_eq!(
-        proxy
-            .client()
-            .exchange(&request("charge", "", "x"))
-            .status(),
+        proxy.status_of(&request("charge", "", "x")),
         400,
         "a malformed request is not counted"
     );
@@ -232,7 +236,7 @@
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let clients = saturate(&proxy, &backend);
     let short = request("submit", "1", "x").replace("15000", "300");
-    assert_eq!(proxy.client().exchange(&short).status(), 503);
+    assert_eq!(proxy.status_of(&short), 503);
     assert_eq!(proxy.handled("submit", "dropped"), 1);
     assert_eq!(proxy.metric("app_in_progress"), clients.len() as u64);
     drop(clients);
@@ -243,12 +247,7 @@
 #[test]
 fn out_of_service_the_proxy_serves_and_closes_every_connection() {
     let discovery = Discovery::start();
-    let (release, signal) = channel();
-    let mut signal = Some(signal);
-    let backend = Backend::start(move |received| match received.header("x-correlation-id") {
-        Some("held") => Reply::After(signal.take().expect("one"), Box::new(ok("held"))),
-        _ => ok("fine"),
-    });
+    let (backend, release) = holds_request("held");
     let proxy = Proxy::start_with("drained", config_with_operator("drained", &discovery));
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let (mut idle, mut used, mut busy) = (proxy.client(), proxy.client(), proxy.client());
@@ -263,14 +262,14 @@
         assert_eq!(proxy.operator_call("POST", OUT_OF_SERVICE).status(), 200);
         assert_eq!(
             (
-                proxy.client().exchange(UP).status(),
+                proxy.status_of(UP),
                 proxy.operator_call("GET", READY).status()
             ),
             (503, 503)
         );
     }
-    let mut newcomer = proxy.client();
-    for (client, id) in [(&mut used, "u2"), (&mut newcomer, "n")] {
+    let mut new_client = proxy.client();
+    for (client, id) in [(&mut used, "u2"), (&mut new_client, "n")] {
         let got = client.exchange(&request("submit", id, "x"));
         assert_eq!(
             (got.status(), got.header("connection")),
@@ -286,7 +285,7 @@
         assert_eq!(proxy.operator_call("POST", IN_SERVICE).status(), 200);
         assert_eq!(
             (
-                proxy.client().exchange(UP).status(),
+                proxy.status_of(UP),
                 proxy.operator_call("GET", READY).status()
             ),
             (200, 200)
@@ -311,7 +310,7 @@
     assert_eq!(proxy.operator_call("POST", OUT_OF_SERVICE).status(), 200);
     proxy.terminate();
     while proxy.operator_call("POST", IN_SERVICE).status() != 409 {}
-    assert_eq!(proxy.client().exchange(UP).status(), 503);
+    assert_eq!(proxy.status_of(UP), 503);
     for release in &releases {
         release.send(()).expect("the backend waits");
     }
@@ -324,12 +323,7 @@
 #[test]
 fn a_new_process_takes_over_the_listener_of_the_platform() {
     let discovery = Discovery::start();
-    let (release, signal) = channel();
-    let mut signal = Some(signal);
-    let backend = Backend::start(move |received| match received.header("x-correlation-id") {
-        Some("old") => Reply::After(signal.take().expect("one"), Box::new(ok("old"))),
-        _ => ok("fine"),
-    });
+    let (backend, release) = holds_request("old");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let config = config_with_operator("takeover", &discovery);
@@ -346,19 +340,13 @@
     while old.operator_call("GET", READY).status() != 503 {}
     // Connections from now on belong to the new process.
     for id in ["a", "b", "c", "d"] {
-        assert_eq!(
-            new.client().exchange(&request("submit", id, "x")).status(),
-            200
-        );
+        assert_eq!(new.status_of(&request("submit", id, "x")), 200);
     }
     assert_eq!(new.handled("submit", "passed"), 4);
     release.send(()).expect("the backend waits");
     assert_eq!(busy.receive().body, b"old");
     assert!(old.wait().success());
-    assert_eq!(
-        new.client().exchange(&request("submit", "e", "x")).status(),
-        200
-    );
+    assert_eq!(new.status_of(&request("submit", "e", "x")), 200);
 }
 
 #[test]
--- a/tests/proxy/overload.rs
+++ b/tests/proxy/overload.rs
@@ -23,13 +23,14 @@
 
 impl IdleClients {
     /// Starts the clients, which send these texts in turn.
-    fn gather(address: SocketAddr, words: &[String]) -> Self {
+    fn start(address: SocketAddr, texts: &[String]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let client = |number: usize| {
-            let (stop, words) = (Arc::clone(&stop), words[number % words.len()].clone());
+            let stop = Arc::clone(&stop);
+            let text = texts[number % texts.len()].clone();
             thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
-                    stay(address, &words, &stop);
+                    hold_connection(address, &text, &stop);
                 }
             })
         };
@@ -40,14 +41,14 @@
     /// Ends the clients.
     fn disconnect(self) {
         self.stop.store(true, Ordering::Relaxed);
-        self.clients
-            .into_iter()
-            .for_each(|client| client.join().expect("a client ends"));
+        for client in self.clients {
+            client.join().expect("a client ends");
+        }
     }
 }
 
 /// One connection of an idle client.
-fn stay(address: SocketAddr, words: &str, stop: &AtomicBool) {
+fn hold_connection(address: SocketAddr, text: &str, stop: &AtomicBool) {
     const POLL_INTERVAL: Duration = Duration::from_millis(50);
     thread::sleep(POLL_INTERVAL);
     let Ok(mut stream) = TcpStream::connect(address) else {
@@ -56,7 +57,7 @@
     stream
         .set_read_timeout(Some(POLL_INTERVAL))
         .expect("a timeout");
-    let _ = stream.write_all(words.as_bytes());
+    let _ = stream.write_all(text.as_bytes());
     while !stop.load(Ordering::Relaxed) {
         match stream.read(&mut [0; 1_024]) {
             Ok(1..) => {}
@@ -89,11 +90,11 @@
 #[test]
 fn idle_clients_leave_descriptors_to_discovery_and_backends() {
     const SERVED_WITHIN: Duration = Duration::from_secs(8);
-    let half = request("read", "half", "");
-    let words = [
+    let partial = request("read", "half", "");
+    let texts = [
         String::new(),
         UP.to_owned(),
-        half[..half.len() / 2].to_owned(),
+        partial[..partial.len() / 2].to_owned(),
     ];
     for mode in ["pushed", "on_request"] {
         let discovery = unused_address(&format!("127.79.0.{}", mode.len()));
@@ -103,25 +104,26 @@
         let known = active_endpoint("old", unused_address("127.79.0.1"));
         config["known"] = json!({"revision": 3, "complete": true, "members": [known]});
         let proxy = Proxy::start_limited(&format!("crowd-{mode}"), &config, DESCRIPTORS);
-        let crowd = IdleClients::gather(proxy.address, &words);
-        // By then it has held as many connections as it accepts for a while.
+        let idle_clients = IdleClients::start(proxy.address, &texts);
+        // The proxy holds as many connections as it accepts for a while.
         thread::sleep(Duration::from_secs(2));
         let discovery = Discovery::start_at(&discovery.to_string());
-        let back = Instant::now();
+        let returned_at = Instant::now();
         let backend = Backend::start(|_| ok("there"));
         discovery.publish_and_wait(true, &[active_endpoint("new", backend.address)]);
-        let mut tries = 0;
-        while try_request(&proxy, &format!("crowded-{tries}")).is_none_or(|got| got.status() != 200)
+        let mut attempts = 0;
+        while try_request(&proxy, &format!("crowded-{attempts}"))
+            .is_none_or(|got| got.status() != 200)
         {
-            tries += 1;
+            attempts += 1;
             assert!(
-                back.elapsed() < SERVED_WITHIN,
+                returned_at.elapsed() < SERVED_WITHIN,
                 "{mode}: not served {:?} after its return",
-                back.elapsed()
+                returned_at.elapsed()
             );
         }
-        crowd.disconnect();
-        let held: Vec<_> = (0..8).map(|_| proxy.client()).collect();
+        idle_clients.disconnect();
+        let open: Vec<_> = (0..8).map(|_| proxy.client()).collect();
         for id in 0..8 {
             let got = try_request(&proxy, &format!("after-{id}")).expect("an answer");
             assert_eq!(
@@ -130,7 +132,7 @@
                 "{mode}"
             );
         }
-        drop(held);
+        drop(open);
     }
 }
 
@@ -143,8 +145,8 @@
     let (calls, queue) = channel::<(Instant, TcpStream)>();
     let newest = format!("after={}&", list["revision"]);
     thread::spawn(move || {
-        for (came, mut stream) in queue {
-            let reply = if came.elapsed() > LONGEST_WAIT {
+        for (received_at, mut stream) in queue {
+            let reply = if received_at.elapsed() > LONGEST_WAIT {
                 response("503 Service Unavailable", "", b"")
             } else {
                 thread::sleep(CALL_DURATION);
@@ -155,9 +157,11 @@
     });
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (Ok(stream), calls, newest) = (stream, calls.clone(), newest.clone()) else {
+            let Ok(stream) = stream else {
                 return;
             };
+            let calls = calls.clone();
+            let newest = newest.clone();
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
                 while let Some(call) = read_message(&mut reader) {
@@ -178,18 +182,39 @@
     /// Discovery is down for longer than a proxy may take to be ready.
     NoDiscovery,
     /// Discovery answers one call after another, and no endpoint is cached.
-    NothingKnown,
+    NothingCached,
+}
+
+const PROXY_COUNT: usize = 16;
+
+/// Returns the configuration of one of the proxies that start together.
+fn config_of_proxy(
+    name: &str,
+    index: usize,
+    start: Start,
+    discovery: SocketAddr,
+    members: &Value,
+) -> Value {
+    let mut config = config_at(name, discovery);
+    config["settings"]["membershipMode"] = "on_request".into();
+    config["settings"]["me"] = index.into();
+    config["settings"]["balancers"] = PROXY_COUNT.into();
+    config["settings"]["safety"]["askWithinUs"] = 10_000_000.into();
+    if !matches!(start, Start::NothingCached) {
+        config["known"] = json!({"revision": 3, "complete": true, "members": members});
+    }
+    config["seed"] = format!("{index:016x}").into();
+    config
 }
 
 /// Many processes start together, as after a common crash: nine in ten are ready in time.
 #[test]
 fn nine_in_ten_of_the_proxies_that_start_together_are_ready_in_time() {
-    const PROXY_COUNT: usize = 16;
     const READY_WITHIN: Duration = Duration::from_secs(10);
     for start in [
         Start::SlowDiscovery,
         Start::NoDiscovery,
-        Start::NothingKnown,
+        Start::NothingCached,
     ] {
         let backend = Backend::start(|_| ok("there"));
         let members = json!([active_endpoint("s-1", backend.address)]);
@@ -201,23 +226,15 @@
             );
         }
         let began = Instant::now();
-        let launch = |me: usize| {
-            let name = format!("fleet-{start:?}-{me}");
-            let mut config = config_at(&name, discovery);
-            config["settings"]["membershipMode"] = "on_request".into();
-            config["settings"]["me"] = me.into();
-            config["settings"]["balancers"] = PROXY_COUNT.into();
-            config["settings"]["safety"]["askWithinUs"] = 10_000_000.into();
-            if !matches!(start, Start::NothingKnown) {
-                config["known"] = json!({"revision": 3, "complete": true, "members": members});
-            }
-            config["seed"] = format!("{me:016x}").into();
+        let launch = |index: usize| {
+            let name = format!("together-{start:?}-{index}");
+            let config = config_of_proxy(&name, index, start, discovery, &members);
             Proxy::start_with(&name, config)
         };
         let proxies: Vec<_> = (0..PROXY_COUNT).map(launch).collect();
         let mut waiting: Vec<_> = proxies.iter().collect();
         while !waiting.is_empty() && began.elapsed() < READY_WITHIN {
-            waiting.retain(|proxy| proxy.client().exchange(UP).status() != 200);
+            waiting.retain(|proxy| proxy.status_of(UP) != 200);
             thread::sleep(Duration::from_millis(20));
         }
         assert!(
@@ -230,10 +247,7 @@
             .filter(|proxy| !waiting.iter().any(|other| std::ptr::eq(*proxy, *other)));
         for (i, proxy) in ready.enumerate() {
             assert_eq!(
-                proxy
-                    .client()
-                    .exchange(&request("read", &i.to_string(), ""))
-                    .status(),
+                proxy.status_of(&request("read", &i.to_string(), "")),
                 200,
                 "{start:?}"
             );
--- a/tests/proxy/request_forms.rs
+++ b/tests/proxy/request_forms.rs
@@ -78,7 +78,7 @@
         );
     }
     assert_eq!(backend.further_requests(), 0);
-    assert_eq!(proxy.client().exchange(&well_formed).status(), 200);
+    assert_eq!(proxy.status_of(&well_formed), 200);
 }
 
 /// A form of a request whose body is `body`, and the status of its response.
@@ -201,7 +201,7 @@
         }
     }
     for text in REQUESTS_WITHOUT_A_PATH {
-        assert_eq!(proxy.client().exchange(text).status(), 400, "{text}");
+        assert_eq!(proxy.status_of(text), 400, "{text}");
     }
     let received = backend
         .requests
@@ -241,7 +241,7 @@
         assert!((400..500).contains(&got.status()), "{}", got.head);
         assert!(client.ends_cleanly());
     }
-    assert_eq!(proxy.client().exchange(UP).status(), 200);
+    assert_eq!(proxy.status_of(UP), 200);
     assert_eq!(backend.further_requests(), 0);
 }
 
@@ -257,13 +257,7 @@
     let mut first = proxy.client();
     first.send(&request("charge", "1", "x"));
     backend.next_request();
-    assert_eq!(
-        proxy
-            .client()
-            .exchange(&request("charge", "1", "x"))
-            .status(),
-        409
-    );
+    assert_eq!(proxy.status_of(&request("charge", "1", "x")), 409);
     assert_eq!(backend.further_requests(), 0);
     release.send(()).expect("the backend waits");
     assert_eq!(first.receive().body, b"first");
--- a/tests/proxy/retries.rs
+++ b/tests/proxy/retries.rs
@@ -53,13 +53,7 @@
     ];
     let proxy = Proxy::start("unreachable", &discovery, &members);
     for id in ["1", "2", "3"] {
-        assert_eq!(
-            proxy
-                .client()
-                .exchange(&request("charge", id, "x"))
-                .status(),
-            200
-        );
+        assert_eq!(proxy.status_of(&request("charge", id, "x")), 200);
     }
 }
 
--- a/tests/proxy/rig/process.rs
+++ b/tests/proxy/rig/process.rs
@@ -122,6 +122,11 @@
         Client::connect(self.address)
     }
 
+    /// Sends a request on its own connection, and returns the status of the response.
+    pub fn status_of(&self, request: &str) -> u16 {
+        self.client().exchange(request).status()
+    }
+
     /// Opens a connection as an operator.
     pub fn operator_client(&self) -> Client {
         Client::connect(self.operator.expect("an operators' address"))
--- a/tests/proxy/shutdown.rs
+++ b/tests/proxy/shutdown.rs
@@ -25,7 +25,7 @@
     one.next_request();
     proxy.terminate();
     // Once /up says so, the signal has arrived; connections are still accepted.
-    while proxy.client().exchange(UP).status() == 200 {}
+    while proxy.status_of(UP) == 200 {}
     let late = proxy.client().exchange(UP);
     assert_eq!(late.header("connection"), Some("close"));
     assert!(
@@ -80,7 +80,7 @@
     let mut proxy = loop {
         let mut proxy = Proxy::start("suspended", &discovery, &members);
         proxy.terminate();
-        while proxy.client().exchange(UP).status() == 200 {}
+        while proxy.status_of(UP) == 200 {}
         proxy.suspend();
         // Where the test itself was delayed for so long that the process has ended, it starts again.
         if proxy.child.try_wait().expect("a child").is_none() {
@@ -128,7 +128,7 @@
             start_response();
         }
         proxy.terminate();
-        while proxy.client().exchange(UP).status() == 200 {}
+        while proxy.status_of(UP) == 200 {}
         if behind {
             start_response();
         }
@@ -163,16 +163,12 @@
     let whole = request("charge", "flowing", "0123456789");
     let (most, last) = whole.split_at(whole.len() - 5);
     flowing.send(most);
-    assert_eq!(
-        proxy.client().exchange(UP).status(),
-        200,
-        "what came before was seen"
-    );
+    assert_eq!(proxy.status_of(UP), 200, "what came before was seen");
     let began = Instant::now();
     proxy.terminate();
     proxy.reload("{");
     proxy.terminate();
-    while proxy.client().exchange(UP).status() == 200 {}
+    while proxy.status_of(UP) == 200 {}
     late.send(&request("charge", "late", "x"));
     thread::sleep(Duration::from_millis(1_000));
     flowing.send(last);
--- a/tests/proxy/startup.rs
+++ b/tests/proxy/startup.rs
@@ -22,7 +22,7 @@
     config["listen"] = address.to_string().into();
     let again = Proxy::start_with("second-life", config);
     assert_eq!(again.address, address);
-    assert_eq!(again.client().exchange(UP).status(), 503);
+    assert_eq!(again.status_of(UP), 503);
 }
 
 #[test]
