--- /dev/null
+++ b/tests/proxy/bodies.rs
@@ -0,0 +1,267 @@
+//! Large bodies of requests and responses: streamed through little memory, and never partly sent twice.
+
+use crate::rig::*;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{Receiver, channel};
+use std::thread;
+
+/// The length of a body that is larger than what the proxy may hold.
+const LARGE: usize = 32 << 20;
+
+#[test]
+fn a_body_at_the_cap_is_forwarded() {
+    let discovery = Discovery::start();
+    let body = "y".repeat(64 * 1024);
+    let answered = body.clone();
+    let backend = Backend::start(move |_| ok(&answered));
+    let proxy = Proxy::start(
+        "cap",
+        &discovery,
+        &[active_endpoint("s-1", backend.address)],
+    );
+    let got = proxy.client().exchange(&request("submit", "1", &body));
+    assert_eq!((got.status(), got.body.len()), (200, body.len()));
+    assert_eq!(backend.next_request().body.len(), body.len());
+}
+
+/// Backends send good responses beyond the cap of the protocol, and each of them is forwarded.
+#[test]
+fn large_responses_are_forwarded() {
+    let discovery = Discovery::start();
+    let large = "z".repeat(400_000);
+    let answered = large.clone();
+    let backend = Backend::start(move |_| ok(&answered));
+    let mut config = config("large", &discovery);
+    config["limits"]["memory_mb"] = 8.into();
+    let proxy = Proxy::start_with("large", config);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
+    for id in 0..20 {
+        let got = proxy
+            .client()
+            .exchange(&request("charge", &id.to_string(), "x"));
+        assert_eq!((got.status(), got.body.len()), (200, large.len()));
+    }
+}
+
+#[test]
+fn large_responses_are_streamed_through_little_memory_to_slow_clients() {
+    let body = pattern(LARGE);
+    let answered = response("200 OK", "", &body);
+    let backend = Backend::start(move |_| Reply::Write(answered.clone()));
+    let proxy = start_with_little_memory("large-answers", &backend);
+    let mut clients: Vec<_> = (0..12)
+        .map(|i| {
+            let mut client = proxy.client();
+            client.send(&request("submit", &format!("l-{i}"), "x"));
+            // A response that has started holds no slot any more.
+            let mut head = [0; 12];
+            client.reader.read_exact(&mut head).expect("it starts");
+            assert_eq!(&head, b"HTTP/1.1 200");
+            client
+        })
+        .collect();
+    assert_eq!(proxy.metric("app_in_progress"), 12, "until the last byte");
+    for client in &mut clients {
+        let got = client.receive();
+        assert!(got.body == body, "{} bytes", got.body.len());
+    }
+    assert!(
+        proxy.peak_memory_kb() < 32 << 10,
+        "{} kB",
+        proxy.peak_memory_kb()
+    );
+    while proxy.metric("app_in_progress") > 0 {}
+    assert_eq!(proxy.handled("submit", "passed"), 12);
+}
+
+/// Sends a request with this body, in chunks with extensions and a trailer or with its length.
+fn send_large_body(address: SocketAddr, id: &str, body: &[u8], is_chunked: bool) -> Message {
+    let mut stream = TcpStream::connect(address).expect("it accepts");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a timeout");
+    let mut write = |bytes: &[u8]| stream.write_all(bytes).expect("it reads");
+    let framing = if is_chunked {
+        "Transfer-Encoding: chunked".to_owned()
+    } else {
+        format!("Content-Length: {}", body.len())
+    };
+    let head = request("charge", id, "").replace("Content-Length: 0", &framing);
+    write(head.as_bytes());
+    for piece in body.chunks(100_000) {
+        if is_chunked {
+            write(format!("{:x};odd=\"ext\"\r\n", piece.len()).as_bytes());
+        }
+        write(piece);
+        if is_chunked {
+            write(b"\r\n");
+        }
+    }
+    if is_chunked {
+        write(b"0\r\nX-Trailer: y\r\n\r\n");
+    }
+    read_message(&mut BufReader::new(stream)).expect("a response")
+}
+
+#[test]
+fn large_bodies_are_streamed_through_little_memory_to_a_backend() {
+    let backend = Backend::start(|received| ok(&received.body.len().to_string()));
+    let proxy = start_with_little_memory("large-bodies", &backend);
+    let body = pattern(LARGE);
+    let address = proxy.address;
+    let senders: Vec<_> = (0..4)
+        .map(|i| {
+            let body = body.clone();
+            thread::spawn(move || send_large_body(address, &format!("u-{i}"), &body, i % 2 == 1))
+        })
+        .collect();
+    for sender in senders {
+        let got = sender.join().expect("it is sent");
+        let is_served = got.status() == 200 && got.body == LARGE.to_string().as_bytes();
+        assert!(
+            is_served || got.status() == 503,
+            "{} {:?}",
+            got.head,
+            got.body
+        );
+    }
+    let received: Vec<_> = backend.requests.try_iter().collect();
+    assert!(!received.is_empty() && received.iter().all(|request| request.body == body));
+    assert_eq!(proxy.metric("app_upstream_tries"), received.len() as u64);
+    assert!(
+        proxy.peak_memory_kb() < 32 << 10,
+        "{} kB",
+        proxy.peak_memory_kb()
+    );
+}
+
+#[test]
+fn the_first_bytes_of_a_large_response_do_not_wait_for_the_last() {
+    let body = pattern(200_000);
+    for (name, fields) in [
+        ("first-length", "Content-Length: 200000\r\n"),
+        ("first-close", "Connection: close\r\n"),
+    ] {
+        let (release, signal) = channel();
+        let mut signal = Some(signal);
+        let first = body[..100_000].to_vec();
+        let rest = body[100_000..].to_vec();
+        let backend = Backend::start(move |_| {
+            let head = format!("HTTP/1.1 200 OK\r\n{fields}\r\n").into_bytes();
+            let rest = Reply::WriteAndClose(rest.clone());
+            Reply::Then(
+                [head, first.clone()].concat(),
+                signal.take().expect("one"),
+                Box::new(rest),
+            )
+        });
+        let proxy = start_with_little_memory(name, &backend);
+        let mut client = proxy.client();
+        client.send(&request("charge", "1", "x"));
+        let mut start = [0; 15];
+        client.reader.read_exact(&mut start).expect("it starts");
+        assert_eq!(&start, b"HTTP/1.1 200 OK");
+        release.send(()).expect("the backend waits");
+        assert!(client.receive().body == body);
+    }
+}
+
+/// The connection breaks before the last byte, so the request has not run, and its class is idempotent; but what
+/// was streamed of its body is not held any more.
+#[test]
+fn a_partly_streamed_body_is_not_sent_again() {
+    let (sender, accepted) = channel();
+    let breaker = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = breaker.local_addr().expect("an address");
+    thread::spawn(move || {
+        for stream in breaker.incoming() {
+            let mut stream = stream.expect("a connection");
+            stream
+                .read_exact(&mut [0; 50_000])
+                .expect("a part of the body");
+            sender.send(()).expect("the test waits");
+        }
+    });
+    let discovery = Discovery::start();
+    let proxy = Proxy::start(
+        "spent",
+        &discovery,
+        &[
+            active_endpoint("s-1", address),
+            active_endpoint("s-2", address),
+        ],
+    );
+    let mut client = proxy.client();
+    let head = request("read", "1", "").replace("Content-Length: 0", "Content-Length: 3000000");
+    client.send(&head);
+    let _ = client.stream.write_all(&pattern(3_000_000));
+    accepted.recv_timeout(TEST_TIMEOUT).expect("it comes once");
+    let got = client.receive();
+    assert!(got.status() == 503 || got.status() == 502, "{}", got.head);
+    assert!(accepted.try_recv().is_err(), "and only once");
+}
+
+/// A backend that responds once the head of a request has come, and reads on at a signal. Sends how many bytes of
+/// the body came.
+fn responds_early(early: Vec<u8>, signal: Receiver<()>) -> (SocketAddr, Receiver<u64>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let (sender, came) = channel();
+    thread::spawn(move || {
+        let (mut stream, _) = listener.accept().expect("a connection");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a timeout");
+        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let mut line = String::new();
+        while line != "\r\n" {
+            line.clear();
+            reader.read_line(&mut line).expect("a head");
+        }
+        stream.write_all(&early).expect("the proxy reads");
+        signal.recv_timeout(TEST_TIMEOUT).expect("a signal");
+        let _ = sender.send(std::io::copy(&mut reader, &mut std::io::sink()).unwrap_or_default());
+    });
+    (address, came)
+}
+
+/// The client has its response, so the backend must not get the rest of the body and run the request. A 200 that
+/// comes before the complete request can't be its response.
+#[test]
+fn a_request_answered_before_its_body_never_arrives_completely() {
+    const LENGTH: usize = 3 << 20;
+    let large = "x".repeat(100_000);
+    let cases = [
+        (
+            response("503 Service Unavailable", "X-Unprocessed: 1\r\n", b""),
+            503,
+        ),
+        (response("500 Oops", "", b""), 502),
+        (response("200 OK", "", b"another's"), 502),
+        (response("200 OK", "", large.as_bytes()), 502),
+    ];
+    for (i, (early, status)) in cases.into_iter().enumerate() {
+        let discovery = Discovery::start();
+        let (release, signal) = channel();
+        let (address, came) = responds_early(early, signal);
+        let name = format!("answered-early-{i}");
+        let proxy = Proxy::start(&name, &discovery, &[active_endpoint("s-1", address)]);
+        let mut client = proxy.client();
+        let whole = request("charge", "1", &"x".repeat(LENGTH));
+        let (most, last) = whole.split_at(whole.len() - 1_000);
+        client.send(most);
+        assert_eq!(client.receive().status(), status, "case {i}");
+        // Where the proxy has ended the request, nobody reads this.
+        let _ = client.stream.write_all(last.as_bytes());
+        drop(client);
+        release.send(()).expect("the backend waits");
+        let came = came
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the connection ends");
+        assert!(
+            came < LENGTH as u64,
+            "case {i}: {came} bytes of the body came"
+        );
+    }
+}
--- /dev/null
+++ b/tests/proxy/discovery.rs
@@ -0,0 +1,188 @@
+//! The endpoint list: its start, its changes, and a change of discovery itself.
+
+use crate::rig::*;
+use serde_json::{Value, json};
+use std::io::Read;
+use std::thread;
+use std::time::Duration;
+
+#[test]
+fn it_is_up_only_with_an_endpoint_list() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| ok("there"));
+    let proxy = Proxy::start_without_endpoints("up", &discovery);
+    assert_eq!(proxy.status_of(UP), 503);
+    discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
+    assert_eq!(proxy.status_of(UP), 200);
+}
+
+#[test]
+fn a_proxy_starts_from_the_cached_endpoint_list_and_watches_for_changes() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| ok("there"));
+    let mut config = config("known", &discovery);
+    config["known"] = json!({"revision": 7, "complete": true, "members": [active_endpoint("s-1", backend.address)]});
+    config["settings"]["membershipMode"] = "on_request".into();
+    let proxy = Proxy::start_with("known", config);
+    assert_eq!(
+        discovery.next_call(),
+        Some(7),
+        "one call, for the changes alone"
+    );
+    assert_eq!(proxy.status_of(UP), 200, "discovery has not answered");
+    assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
+}
+
+#[test]
+fn a_list_older_than_the_cached_one_is_ignored_and_the_complete_list_requested_later() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| ok("there"));
+    let mut config = config("older", &discovery);
+    config["known"] = json!({"revision": 7, "complete": true, "members": [active_endpoint("s-1", backend.address)]});
+    let proxy = Proxy::start_with("older", config);
+    assert_eq!(discovery.next_call(), Some(7));
+    discovery.publish(false, &[endpoint("s-1", backend.address, "left", 0)]);
+    assert_eq!(discovery.next_call(), None);
+    assert_eq!(discovery.next_call(), Some(1), "versions began anew");
+    drop(proxy);
+}
+
+#[test]
+fn a_call_that_waits_in_the_queue_of_discovery_is_not_repeated() {
+    let discovery = Discovery::start();
+    let _proxy = Proxy::start_with("queued-call", config("queued-call", &discovery));
+    assert_eq!(discovery.next_call(), None);
+    thread::sleep(Duration::from_millis(2_500));
+    assert_eq!(
+        discovery.take_calls(),
+        0,
+        "calls made while the first one waits for its turn"
+    );
+}
+
+#[test]
+fn where_discovery_is_polled_the_balancer_begins_the_watch_whatever_is_cached() {
+    for known in [Value::Null, "nonsense".into()] {
+        let discovery = Discovery::start();
+        let backend = Backend::start(|_| ok("there"));
+        let mut config = config("asked", &discovery);
+        config["known"] = known;
+        config["settings"]["membershipMode"] = "on_request".into();
+        let proxy = Proxy::start_with("asked", config);
+        discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
+        assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
+    }
+}
+
+#[test]
+fn malformed_endpoints_of_a_list_are_skipped() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| ok("there"));
+    let good = active_endpoint("s-1", backend.address);
+    let odd = |name: &str, value: Value| {
+        let mut entry = active_endpoint("s-odd", backend.address);
+        entry[name] = value;
+        entry
+    };
+    let members = [
+        Value::Null,
+        odd("host_port", "nowhere".into()),
+        odd("phase", "dancing".into()),
+        odd("locality", "mars".into()),
+        odd("cell", (-1).into()),
+        odd("id", 7.into()),
+        good,
+    ];
+    let proxy = Proxy::start("odd", &discovery, &members);
+    assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
+}
+
+#[test]
+fn no_new_request_is_sent_to_a_draining_or_removed_backend() {
+    for phase in ["leaving", "left"] {
+        let discovery = Discovery::start();
+        let backend = Backend::start(|_| ok("there"));
+        let proxy = Proxy::start(
+            phase,
+            &discovery,
+            &[active_endpoint("s-1", backend.address)],
+        );
+        assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
+        backend.next_request();
+        discovery.publish_and_wait(false, &[endpoint("s-1", backend.address, phase, 0)]);
+        let short = request("read", "2", "").replace("15000", "300");
+        assert_eq!(proxy.status_of(&short), 503, "{phase}");
+        assert_eq!(backend.further_requests(), 0, "{phase}");
+        discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
+        assert_eq!(proxy.status_of(&request("read", "3", "")), 200);
+    }
+}
+
+#[test]
+fn a_backend_that_began_to_drain_during_the_connect_gets_no_request() {
+    let discovery = Discovery::start();
+    let full = FullBacklog::start();
+    let address = full.address;
+    let proxy = Proxy::start(
+        "slow-connect",
+        &discovery,
+        &[active_endpoint("s-1", address)],
+    );
+    let mut client = proxy.client();
+    client.send(&request("charge", "1", "x"));
+    // An answer on another connection shows that the proxy has seen the request.
+    assert_eq!(proxy.status_of(UP), 200);
+    discovery.publish_and_wait(false, &[endpoint("s-1", address, "leaving", 0)]);
+    let listener = full.accept_pending();
+    let (mut stream, _) = listener.accept().expect("the proxy's connection");
+    let got = client.receive();
+    assert_eq!(got.status(), 503, "it never ran, so a repeat is harmless");
+    let mut sent = Vec::new();
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a timeout");
+    let _ = stream.read_to_end(&mut sent);
+    assert!(sent.is_empty(), "{}", String::from_utf8_lossy(&sent));
+}
+
+#[test]
+fn at_sighup_it_changes_to_the_new_discovery_and_keeps_serving() {
+    let (old, new) = (Discovery::start(), Discovery::start());
+    let (before, release) = holds_first_request("taken before", "before");
+    let after = Backend::start(|_| ok("after"));
+    let mut proxy = Proxy::start("sighup", &old, &[active_endpoint("s-1", before.address)]);
+    let mut client = proxy.client();
+    client.send(&request("charge", "1", "x"));
+    before.next_request();
+    // A file that can't be used leaves all as it was.
+    proxy.reload("{");
+    proxy.wait_for_log("configuration not reloaded");
+    assert_eq!(
+        proxy.client().exchange(&request("read", "2", "")).body,
+        b"before"
+    );
+    for turn in 0..2 {
+        let (from, to, name) = if turn == 0 {
+            (&old, &new, "s-2")
+        } else {
+            (&new, &old, "s-3")
+        };
+        from.take_calls();
+        to.take_calls();
+        proxy.reload(&config("sighup", to).to_string());
+        assert_eq!(
+            to.next_call(),
+            None,
+            "the version of another service means nothing to this one"
+        );
+        // Until the new service has sent its list, the old list is used.
+        assert_eq!(proxy.status_of(&request("read", "3", "")), 200);
+        to.publish_and_wait(true, &[active_endpoint(name, after.address)]);
+        assert_eq!(
+            proxy.client().exchange(&request("read", "4", "")).body,
+            b"after"
+        );
+    }
+    release.send(()).expect("the backend waits");
+    assert_eq!(client.receive().body, b"taken before");
+}
--- /dev/null
+++ b/tests/proxy/request_forms.rs
@@ -0,0 +1,299 @@
+//! The forms of a request in HTTP/1.1: which are understood, and which are rejected.
+
+use crate::rig::*;
+use std::io::Read;
+use std::time::Instant;
+
+/// A part of a well-formed request, what makes it malformed in its place, and the status of the response.
+const MALFORMED_PARTS: [(&str, &str, u16); 19] = [
+    ("/submit", "/nothing", 400),
+    ("X-Service-Class: submit", "X-Service-Class: read", 400),
+    ("X-Correlation-Id: 7\r\n", "", 400),
+    ("X-Time-Left-Ms: 15000\r\n", "", 400),
+    ("15000", "-5", 400),
+    ("15000", "99999999999999999999999", 400),
+    ("Idempotency-Key: 7\r\n", "", 400),
+    ("POST", "GET", 405),
+    // Numbers that backends may parse otherwise, and headers of which they may read the other one.
+    ("15000", "+480", 400),
+    ("15000", " ", 400),
+    ("15000", "480, 15000", 400),
+    (
+        "X-Time-Left-Ms: 15000\r\n",
+        "X-Time-Left-Ms: 480\r\nX-Time-Left-Ms: 15000\r\n",
+        400,
+    ),
+    (
+        "X-Correlation-Id: 7\r\n",
+        "X-Correlation-Id: 7\r\nX-Correlation-Id: 8\r\n",
+        400,
+    ),
+    (
+        "Idempotency-Key: 7\r\n",
+        "Idempotency-Key: 7\r\nIdempotency-Key: 7\r\n",
+        400,
+    ),
+    ("Content-Length: 1", "Content-Length: +1", 400),
+    ("Content-Length: 1", "Content-Length: -1", 400),
+    (
+        "Content-Length: 1",
+        "Content-Length: 1\r\nContent-Length: 2",
+        400,
+    ),
+    (
+        "Content-Length: 1",
+        "Content-Length: 99999999999999999999999",
+        400,
+    ),
+    // It is rejected before a byte of its body has come.
+    (
+        "Content-Length: 1\r\n\r\nx",
+        "Content-Length: 60000000\r\n\r\n",
+        413,
+    ),
+];
+
+#[test]
+fn malformed_requests_get_a_plain_4xx_and_do_no_harm() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| ok("fine"));
+    let proxy = Proxy::start(
+        "nonsense",
+        &discovery,
+        &[active_endpoint("s-1", backend.address)],
+    );
+    let well_formed = request("submit", "7", "x");
+    let mut cases = vec![("\x01\x02 nonsense\r\n\r\n".to_owned(), 400)];
+    for (part, malformed, status) in MALFORMED_PARTS {
+        assert!(well_formed.contains(part), "{part}");
+        cases.push((well_formed.replace(part, malformed), status));
+    }
+    for (text, status) in cases {
+        let line = text.lines().next().unwrap_or_default();
+        let mut client = proxy.client();
+        assert_eq!(client.exchange(&text).status(), status, "{line}");
+        assert!(
+            client.ends_cleanly(),
+            "what follows a malformed request may be a part of it: {line}"
+        );
+    }
+    assert_eq!(backend.further_requests(), 0);
+    assert_eq!(proxy.status_of(&well_formed), 200);
+}
+
+/// A form of a request whose body is `body`, and the status of its response.
+struct RequestForm {
+    name: &'static str,
+    /// The header fields that frame the body, and others.
+    fields: &'static str,
+    /// The body as it is sent.
+    encoded_body: &'static str,
+    /// A part of the request, and what is sent in its place.
+    replaced: (&'static str, &'static str),
+    status: u16,
+}
+
+const LENGTH: &str = "Content-Length: 4\r\n";
+const CHUNKED: &str = "Transfer-Encoding: chunked\r\n";
+
+/// A form with these fields and this encoded body.
+const fn framed(
+    name: &'static str,
+    fields: &'static str,
+    encoded_body: &'static str,
+    status: u16,
+) -> RequestForm {
+    RequestForm {
+        name,
+        fields,
+        encoded_body,
+        replaced: ("", ""),
+        status,
+    }
+}
+
+impl RequestForm {
+    /// Sends the replacement in place of this part of the request.
+    const fn replacing(mut self, part: &'static str, replacement: &'static str) -> Self {
+        self.replaced = (part, replacement);
+        self
+    }
+
+    /// Returns the request as it is sent.
+    fn text(&self, id: &str) -> String {
+        let head = request("submit", id, "").replace("Content-Length: 0\r\n", self.fields);
+        let (part, replacement) = self.replaced;
+        (head + self.encoded_body).replace(part, replacement)
+    }
+}
+
+const REQUEST_FORMS: [RequestForm; 13] = [
+    framed("chunked", CHUNKED, "4\r\nbody\r\n0\r\n\r\n", 200),
+    framed(
+        "chunk extensions",
+        CHUNKED,
+        "2;a=b;c=\"d\"\r\nbo\r\n002 \r\ndy\r\n0;z\r\n\r\n",
+        200,
+    ),
+    framed(
+        "trailers",
+        CHUNKED,
+        "4\r\nbody\r\n0\r\nX-Sum: 1\r\nX-More: 2\r\n\r\n",
+        200,
+    ),
+    framed("a bad chunk size", CHUNKED, "zz\r\nbody\r\n0\r\n\r\n", 400),
+    framed("a bad chunk end", CHUNKED, "2\r\nbody\r\n0\r\n\r\n", 400),
+    framed(ABSOLUTE_FORM, LENGTH, "body", 200).replacing("/submit", "http://app.svc/submit"),
+    framed("another case", "content-LENGTH: 4\r\n", "body", 200),
+    framed("empty lines ahead", LENGTH, "body", 200).replacing("POST", "\r\n\r\nPOST"),
+    framed(
+        "obsolete folding",
+        "X-Odd: a\r\n b\r\nContent-Length: 4\r\n",
+        "body",
+        400,
+    ),
+    framed(
+        "a space in a name",
+        "X-Odd : a\r\nContent-Length: 4\r\n",
+        "body",
+        400,
+    ),
+    framed("HTTP/1.0", LENGTH, "body", 200).replacing("HTTP/1.1", "HTTP/1.0"),
+    framed(
+        "an encoding in HTTP/1.0",
+        CHUNKED,
+        "4\r\nbody\r\n0\r\n\r\n",
+        400,
+    )
+    .replacing("HTTP/1.1", "HTTP/1.0"),
+    framed("an unknown version", LENGTH, "body", 400).replacing("HTTP/1.1", "HTTP/2.7"),
+];
+
+/// The name of the form whose request at the backend is checked.
+const ABSOLUTE_FORM: &str = "absolute form";
+
+/// Requests that are for no path of a backend.
+const REQUESTS_WITHOUT_A_PATH: [&str; 2] = [
+    "CONNECT app.svc:80 HTTP/1.1\r\nHost: app.svc\r\n\r\n",
+    "OPTIONS * HTTP/1.1\r\nHost: app.svc\r\n\r\n",
+];
+
+/// Each form that a client may use, and the response.
+#[test]
+fn every_form_of_a_request_is_understood() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|received| ok(&String::from_utf8_lossy(&received.body)));
+    let proxy = Proxy::start(
+        "forms",
+        &discovery,
+        &[active_endpoint("s-1", backend.address)],
+    );
+    let mut absolute_id = String::new();
+    for (i, form) in REQUEST_FORMS.into_iter().enumerate() {
+        let id = (i + 1).to_string();
+        let got = proxy.client().exchange(&form.text(&id));
+        assert_eq!(got.status(), form.status, "{}", form.name);
+        if form.status == 200 {
+            assert_eq!(got.body, b"body", "{}", form.name);
+        }
+        if form.name == ABSOLUTE_FORM {
+            absolute_id = id;
+        }
+    }
+    for text in REQUESTS_WITHOUT_A_PATH {
+        assert_eq!(proxy.status_of(text), 400, "{text}");
+    }
+    let received = backend
+        .requests
+        .try_iter()
+        .find(|received| received.header("x-correlation-id") == Some(&absolute_id))
+        .expect("it was forwarded");
+    assert_eq!(
+        (received.first_line(), received.header("host")),
+        ("POST /submit?key=7f3a HTTP/1.1", Some("app.svc"))
+    );
+}
+
+/// A backend that reads the length finds another request in the body of the first.
+#[test]
+fn a_request_with_a_length_and_an_encoding_is_rejected_with_all_that_follows() {
+    let discovery = Discovery::start();
+    let backend = Backend::start(|_| ok("fine"));
+    let proxy = Proxy::start(
+        "smuggled",
+        &discovery,
+        &[active_endpoint("s-1", backend.address)],
+    );
+    let hidden = request("charge", "hidden", "x");
+    let body = format!("0\r\n\r\n{hidden}");
+    let length = format!("Content-Length: {}\r\n", body.len());
+    let encoding = "Transfer-Encoding: chunked\r\n";
+    let hidden_encoding = "Transfer-Encoding: gzip, chunked\r\n".to_owned();
+    for fields in [
+        format!("{length}{encoding}"),
+        format!("{encoding}{length}"),
+        length.repeat(2),
+        hidden_encoding,
+    ] {
+        let mut client = proxy.client();
+        let head = request("charge", "outer", "").replace("Content-Length: 0\r\n", &fields);
+        let got = client.exchange(&format!("{head}{body}"));
+        assert!((400..500).contains(&got.status()), "{}", got.head);
+        assert!(client.ends_cleanly());
+    }
+    assert_eq!(proxy.status_of(UP), 200);
+    assert_eq!(backend.further_requests(), 0);
+}
+
+#[test]
+fn a_second_request_with_the_id_of_an_open_one_is_rejected() {
+    let discovery = Discovery::start();
+    let (backend, release) = holds_first_request("first", "later");
+    let proxy = Proxy::start(
+        "same-id",
+        &discovery,
+        &[active_endpoint("s-1", backend.address)],
+    );
+    let mut first = proxy.client();
+    first.send(&request("charge", "1", "x"));
+    backend.next_request();
+    assert_eq!(proxy.status_of(&request("charge", "1", "x")), 409);
+    assert_eq!(backend.further_requests(), 0);
+    release.send(()).expect("the backend waits");
+    assert_eq!(first.receive().body, b"first");
+    assert_eq!(
+        proxy.client().exchange(&request("charge", "1", "x")).body,
+        b"later",
+        "the id is free again"
+    );
+}
+
+/// These clients must get an end within 3 s. The time is checked loosely for the sake of busy machines.
+#[test]
+fn silent_and_partial_requests_end_with_an_error_or_a_close() {
+    let discovery = Discovery::start();
+    let proxy = Proxy::start("half", &discovery, &[]);
+    let good = request("charge", "1", "body");
+    let began = Instant::now();
+    let partial_requests = ["", "P", &good[..40], &good[..good.len() - 2]].map(|text| {
+        let mut client = proxy.client();
+        client.send(text);
+        client
+    });
+    let mut idle = proxy.client();
+    assert_eq!(idle.exchange(UP).status(), 200);
+    for mut client in partial_requests {
+        let mut rest = Vec::new();
+        client.reader.read_to_end(&mut rest).expect("no reset");
+        assert!(
+            rest.is_empty() || rest.starts_with(b"HTTP/1.1 408 "),
+            "{}",
+            String::from_utf8_lossy(&rest)
+        );
+    }
+    assert!(
+        idle.ends_cleanly(),
+        "a connection that is kept and not used"
+    );
+    assert!(began.elapsed() < TEST_TIMEOUT / 3, "{:?}", began.elapsed());
+}
