--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::thread;
 
-/// The length of a body that is larger than what the proxy may hold.
+/// The length of a body that is larger than what the proxy may buffer.
 const LARGE: usize = 32 << 20;
 
 #[test]
@@ -167,8 +167,8 @@
     }
 }
 
-/// The connection breaks before the last byte, so the request has not run, and its class is idempotent; but what
-/// was streamed of its body is not held any more.
+/// The connection is closed before the last byte, so the request was not executed, and its class is idempotent; but
+/// the streamed part of its body is no longer buffered.
 #[test]
 fn a_partly_streamed_body_is_not_sent_again() {
     let (sender, accepted) = channel();
@@ -196,18 +196,18 @@
     let head = request("read", "1", "").replace("Content-Length: 0", "Content-Length: 3000000");
     client.send(&head);
     let _ = client.stream.write_all(&pattern(3_000_000));
-    accepted.recv_timeout(TEST_TIMEOUT).expect("it comes once");
+    accepted.recv_timeout(TEST_TIMEOUT).expect("one attempt");
     let got = client.receive();
     assert!(got.status() == 503 || got.status() == 502, "{}", got.head);
     assert!(accepted.try_recv().is_err(), "and only once");
 }
 
-/// A backend that responds once the head of a request has come, and reads on at a signal. Sends how many bytes of
-/// the body came.
+/// Starts a backend that responds to the head of a request, and reads on at a signal. Sends how many bytes of the
+/// body it received.
 fn responds_early(early: Vec<u8>, signal: Receiver<()>) -> (SocketAddr, Receiver<u64>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (sender, came) = channel();
+    let (sender, received_lengths) = channel();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         stream
@@ -223,11 +223,11 @@
         signal.recv_timeout(TEST_TIMEOUT).expect("a signal");
         let _ = sender.send(std::io::copy(&mut reader, &mut std::io::sink()).unwrap_or_default());
     });
-    (address, came)
+    (address, received_lengths)
 }
 
-/// The client has its response, so the backend must not get the rest of the body and run the request. A 200 that
-/// comes before the complete request can't be its response.
+/// The client has its response, so the backend must not get the rest of the body and execute the request. A 200 that
+/// arrives before the complete request can't be its response.
 #[test]
 fn a_request_answered_before_its_body_never_arrives_completely() {
     const LENGTH: usize = 3 << 20;
@@ -244,24 +244,24 @@
     for (i, (early, status)) in cases.into_iter().enumerate() {
         let discovery = Discovery::start();
         let (release, signal) = channel();
-        let (address, came) = responds_early(early, signal);
+        let (address, received_lengths) = responds_early(early, signal);
         let name = format!("answered-early-{i}");
         let proxy = Proxy::start(&name, &discovery, &[active_endpoint("s-1", address)]);
         let mut client = proxy.client();
-        let whole = request("charge", "1", &"x".repeat(LENGTH));
-        let (most, last) = whole.split_at(whole.len() - 1_000);
-        client.send(most);
+        let text = request("charge", "1", &"x".repeat(LENGTH));
+        let (first_part, last_part) = text.split_at(text.len() - 1_000);
+        client.send(first_part);
         assert_eq!(client.receive().status(), status, "case {i}");
         // Where the proxy has ended the request, nobody reads this.
-        let _ = client.stream.write_all(last.as_bytes());
+        let _ = client.stream.write_all(last_part.as_bytes());
         drop(client);
         release.send(()).expect("the backend waits");
-        let came = came
+        let received = received_lengths
             .recv_timeout(TEST_TIMEOUT)
             .expect("the connection ends");
         assert!(
-            came < LENGTH as u64,
-            "case {i}: {came} bytes of the body came"
+            received < LENGTH as u64,
+            "case {i}: {received} bytes of the body were received"
         );
     }
 }
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -73,7 +73,7 @@
     let mut config = config("idle", &discovery);
     config["limits"]["sockets"] = 64.into();
     let proxy = Proxy::start_with("idle", config);
-    // More than the proxy may hold at a time, and none of them sends a byte.
+    // More than the proxy may accept at a time, and none of them sends a byte.
     let clients: Vec<_> = (0..64).map(|_| proxy.client()).collect();
     assert_eq!(proxy.status_of(UP), 503);
     drop(clients);
--- a/tests/proxy/client_disconnect.rs
+++ b/tests/proxy/client_disconnect.rs
@@ -105,7 +105,7 @@
 }
 
 /// No attempt starts later than this after its client has disconnected.
-const DISCONNECT_NOTICED_WITHIN: Duration = Duration::from_millis(100);
+const MAX_DISCONNECT_DETECTION: Duration = Duration::from_millis(100);
 
 #[test]
 fn a_queued_request_whose_client_disconnects_is_dropped() {
@@ -119,7 +119,7 @@
     let mut first = saturate(&proxy, &backend);
     let mut disconnecting = proxy.client();
     disconnecting.send(&request("charge", "2", "x"));
-    // The answer on another connection shows that the proxy has seen what came before it.
+    // The answer on another connection shows that the proxy has read all earlier input.
     assert_eq!(proxy.status_of(UP), 200);
     disconnecting
         .stream
@@ -151,7 +151,7 @@
     assert_eq!(
         proxy.status_of(UP),
         200,
-        "the proxy has seen what came before"
+        "the proxy has read all earlier input"
     );
     disconnecting
         .stream
@@ -175,10 +175,10 @@
     let clients = saturate(&proxy, &backend);
     let mut disconnecting = Vec::new();
     let cases = disconnect_cases(&pipelined_input());
-    for (i, (way, behind)) in cases.into_iter().enumerate() {
+    for (i, (way, input)) in cases.into_iter().enumerate() {
         let mut client = proxy.client();
         client.send(
-            &(request("charge", &format!("left-{i}"), "x").replace("15000", "190000") + &behind),
+            &(request("charge", &format!("left-{i}"), "x").replace("15000", "190000") + &input),
         );
         disconnecting.push((client, way));
     }
@@ -211,7 +211,7 @@
     }
 }
 
-/// The client disconnects during the connect, in each way and whatever it sent behind its request.
+/// The client disconnects during the connect, in each way and whatever it sent after its request.
 #[test]
 fn a_request_is_not_sent_on_a_connection_that_comes_up_after_its_client_disconnected() {
     let discovery = Discovery::start();
@@ -223,18 +223,18 @@
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let mut noticed_after = Vec::new();
     let cases = disconnect_cases(&pipelined_input());
-    for (i, (way, behind)) in cases.into_iter().enumerate() {
+    for (i, (way, input)) in cases.into_iter().enumerate() {
         let mut client = proxy.client();
-        client.send(&(request("charge", &format!("left-{i}"), "x") + &behind));
+        client.send(&(request("charge", &format!("left-{i}"), "x") + &input));
         wait_for_in_progress(&proxy, 1);
         let half_closed = disconnect(client, way);
         noticed_after.push(wait_for_in_progress(&proxy, 0));
         drop(half_closed);
     }
-    // A machine that is busy elsewhere may hold up some of them.
+    // The median tolerates delays of a busy machine in some cases.
     noticed_after.sort_unstable();
     assert!(
-        noticed_after[noticed_after.len() / 2] <= DISCONNECT_NOTICED_WITHIN,
+        noticed_after[noticed_after.len() / 2] <= MAX_DISCONNECT_DETECTION,
         "{noticed_after:?}"
     );
     let mut client = proxy.client();
@@ -247,7 +247,7 @@
 #[test]
 fn a_request_is_not_retried_after_its_client_disconnected() {
     let cases = disconnect_cases(&pipelined_input());
-    for (i, (way, behind)) in cases.into_iter().enumerate() {
+    for (i, (way, input)) in cases.into_iter().enumerate() {
         let discovery = Discovery::start();
         let (closing, release) = closes_on_signal();
         let other = Backend::start(|_| ok("there"));
@@ -255,7 +255,7 @@
         let proxy = Proxy::start_with(&name, config_with_operator(&name, &discovery));
         discovery.publish_and_wait(true, &[active_endpoint("s-1", closing.address)]);
         let mut client = proxy.client();
-        client.send(&(request("read", "left", "") + &behind));
+        client.send(&(request("read", "left", "") + &input));
         closing.next_request();
         discovery.publish_and_wait(
             true,
@@ -268,13 +268,13 @@
         wait_for_in_progress(&proxy, 0);
         release.send(()).expect("the backend waits");
         discovery.publish_and_wait(true, &[active_endpoint("s-2", other.address)]);
-        for id in ["stays", "comes later"] {
+        for id in ["stays", "arrives later"] {
             assert_eq!(proxy.status_of(&request("charge", id, "x")), 200);
             assert_eq!(
                 other.next_request().header("x-correlation-id"),
                 Some(id),
-                "{way:?}, {} behind it",
-                behind.len()
+                "{way:?}, {} bytes after it",
+                input.len()
             );
         }
         drop(half_closed);
@@ -285,14 +285,14 @@
 #[test]
 fn a_queued_retry_is_not_sent_after_its_client_disconnected() {
     let cases = disconnect_cases(&pipelined_input());
-    for (i, (way, behind)) in cases.into_iter().enumerate() {
+    for (i, (way, input)) in cases.into_iter().enumerate() {
         let discovery = Discovery::start();
         let (closing, release) = closes_on_signal();
         let (backend, releases) = holding_backend();
         let proxy =
             start_with_long_timeouts(&format!("left-waiting-{i}"), &discovery, &closing, 192);
         let mut client = proxy.client();
-        client.send(&(request("read", "left", "").replace("15000", "190000") + &behind));
+        client.send(&(request("read", "left", "").replace("15000", "190000") + &input));
         closing.next_request();
         discovery.publish_and_wait(true, &[active_endpoint("s-2", backend.address)]);
         let clients = saturate(&proxy, &backend);
@@ -308,24 +308,24 @@
     }
 }
 
-/// The end comes behind far more bytes than the kernel buffers for a connection that nobody reads.
+/// The client disconnects after far more bytes than the kernel buffers for a connection that is not read.
 #[test]
 fn a_disconnect_behind_more_than_the_kernel_buffers_is_noticed() {
-    const PIPELINED_LENGTH: usize = 1_000_000;
+    const INPUT_LENGTH: usize = 1_000_000;
     let discovery = Discovery::start();
     let (backend, releases) = holding_backend();
     let proxy = start_with_long_timeouts("far-behind", &discovery, &backend, 192);
     let clients = saturate(&proxy, &backend);
-    let further = request("charge", "behind", "x");
-    let behind = [
-        further.repeat(PIPELINED_LENGTH / further.len()),
-        "x".repeat(PIPELINED_LENGTH),
+    let pipelined = request("charge", "behind", "x");
+    let inputs = [
+        pipelined.repeat(INPUT_LENGTH / pipelined.len()),
+        "x".repeat(INPUT_LENGTH),
     ];
-    for (i, (way, behind)) in disconnect_cases(&behind).into_iter().enumerate() {
+    for (i, (way, input)) in disconnect_cases(&inputs).into_iter().enumerate() {
         let mut client = proxy.client();
         client.send(&request("charge", &format!("left-{i}"), "x").replace("15000", "190000"));
         wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
-        client.send(&behind);
+        client.send(&input);
         let half_closed = disconnect(client, way);
         wait_for_in_progress(&proxy, INITIAL_LIMIT);
         drop(half_closed);
--- a/tests/proxy/connection_reuse.rs
+++ b/tests/proxy/connection_reuse.rs
@@ -16,12 +16,12 @@
     for id in ["1", "2", "3", "4"] {
         assert_eq!(client.exchange(&request("charge", id, "x")).status(), 200);
         backend.next_request();
-        // The proxy can't know of a close that is still to come, which would reset the next request.
+        // The proxy can't know of a close that has not arrived, which would reset the next request.
         backend.wait_until_closed();
     }
 }
 
-/// A connection that is closed while the process is stopped looks open to the runtime when the next request comes.
+/// A connection that is closed while the process is stopped looks open to the runtime at the next request.
 #[test]
 fn a_connection_whose_close_the_runtime_has_not_seen_is_not_reused() {
     let discovery = Discovery::start();
@@ -64,10 +64,8 @@
     let mut client = proxy.client();
     assert_eq!(client.exchange(&request("charge", "1", "x")).status(), 200);
     assert_eq!(client.exchange(&request("charge", "2", "x")).status(), 200);
-    let (first, second) = (
-        backend.next_request().connection,
-        backend.next_request().connection,
-    );
+    let first = backend.next_request().connection;
+    let second = backend.next_request().connection;
     assert_eq!(first, second, "a connection is used again");
     discovery.publish_and_wait(false, &[endpoint("s-1", backend.address, "active", 2_000)]);
     assert_eq!(client.exchange(&request("charge", "3", "x")).status(), 200);
@@ -80,21 +78,18 @@
     for complete in [false, true] {
         let discovery = Discovery::start();
         let (backend, release) = holds_first_request("of the old one", "of the new one");
-        let here = |id: &str| active_endpoint(id, backend.address);
-        let proxy = Proxy::start(&format!("gone-{complete}"), &discovery, &[here("s-1")]);
+        let listed = |id: &str| active_endpoint(id, backend.address);
+        let proxy = Proxy::start(&format!("gone-{complete}"), &discovery, &[listed("s-1")]);
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
         assert_eq!(backend.next_request().connection, 0);
-        let left = endpoint("s-1", backend.address, "left", 0);
-        discovery.publish_and_wait(
-            complete,
-            if complete {
-                &[]
-            } else {
-                std::slice::from_ref(&left)
-            },
-        );
-        discovery.publish_and_wait(false, &[here("s-1")]);
+        let changes = if complete {
+            Vec::new()
+        } else {
+            vec![endpoint("s-1", backend.address, "left", 0)]
+        };
+        discovery.publish_and_wait(complete, &changes);
+        discovery.publish_and_wait(false, &[listed("s-1")]);
         release.send(()).expect("the backend waits");
         assert_eq!(client.receive().body, b"of the old one");
         for id in ["2", "3"] {
@@ -104,7 +99,7 @@
             );
             assert_eq!(backend.next_request().connection, 1);
         }
-        discovery.publish_and_wait(true, &[here("s-2")]);
+        discovery.publish_and_wait(true, &[listed("s-2")]);
         assert_eq!(client.exchange(&request("charge", "4", "x")).status(), 200);
         assert_eq!(
             backend.next_request().connection,
--- a/tests/proxy/corrupt_responses.rs
+++ b/tests/proxy/corrupt_responses.rs
@@ -6,12 +6,12 @@
 
 #[test]
 fn a_broken_response_is_never_a_200_and_a_non_idempotent_request_is_not_retried() {
-    let breaks: [&[u8]; 3] = [
+    let broken: [&[u8]; 3] = [
         b"",
         b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
         b"garbage\r\n\r\n",
     ];
-    for (i, bytes) in breaks.into_iter().enumerate() {
+    for (i, bytes) in broken.into_iter().enumerate() {
         let discovery = Discovery::start();
         let one = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
         let two = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
@@ -21,7 +21,7 @@
         ];
         let proxy = Proxy::start(&format!("broken-{i}"), &discovery, &members);
         let got = proxy.client().exchange(&request("charge", "1", "x"));
-        assert_eq!(got.status(), 502, "failed: the request may have run");
+        assert_eq!(got.status(), 502, "the request may have been executed");
         assert_eq!(one.further_requests() + two.further_requests(), 1);
     }
 }
@@ -74,7 +74,7 @@
         );
         is_corrupt.store(true, Ordering::SeqCst);
         let got = proxy.client().exchange(&request("charge", "2", "x"));
-        assert_eq!(got.status(), 502, "case {i}: it may have run");
+        assert_eq!(got.status(), 502, "case {i}: it may have been executed");
         assert_eq!(
             one.further_requests() + two.further_requests(),
             3,
@@ -83,22 +83,22 @@
     }
 }
 
-/// A good response with more bytes behind it is good. Its connection is not reused, and no later request fails.
+/// A good response followed by more bytes is good. Its connection is not reused, and no later request fails.
 #[test]
 fn bytes_behind_a_response_are_served_to_nobody() {
-    let behind: [&[u8]; 3] = [
+    let trailing: [&[u8]; 3] = [
         b"\x00noise",
         b"\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong",
     ];
-    for (i, more) in behind.into_iter().enumerate() {
+    for (i, extra) in trailing.into_iter().enumerate() {
         let discovery = Discovery::start();
         let backend = Backend::start(move |received| {
             let id = received
                 .header("x-correlation-id")
                 .expect("an id")
                 .as_bytes();
-            Reply::Write([response("200 OK", "", id), more.to_vec()].concat())
+            Reply::Write([response("200 OK", "", id), extra.to_vec()].concat())
         });
         let members = [active_endpoint("s-1", backend.address)];
         let proxy = Proxy::start(&format!("behind-{i}"), &discovery, &members);
@@ -116,7 +116,7 @@
     }
 }
 
-/// 1xx responses come before the final one, and a malformed load report is ignored.
+/// 1xx responses precede the final one, and a malformed load report is ignored.
 #[test]
 fn early_hints_and_malformed_load_reports_do_no_harm() {
     let discovery = Discovery::start();
--- a/tests/proxy/discovery.rs
+++ b/tests/proxy/discovery.rs
@@ -43,7 +43,11 @@
     assert_eq!(discovery.next_call(), Some(7));
     discovery.publish(false, &[endpoint("s-1", backend.address, "left", 0)]);
     assert_eq!(discovery.next_call(), None);
-    assert_eq!(discovery.next_call(), Some(1), "versions began anew");
+    assert_eq!(
+        discovery.next_call(),
+        Some(1),
+        "the revisions of discovery restarted"
+    );
     drop(proxy);
 }
 
@@ -79,18 +83,18 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let good = active_endpoint("s-1", backend.address);
-    let odd = |name: &str, value: Value| {
-        let mut entry = active_endpoint("s-odd", backend.address);
-        entry[name] = value;
-        entry
+    let malformed = |name: &str, value: Value| {
+        let mut endpoint = active_endpoint("s-odd", backend.address);
+        endpoint[name] = value;
+        endpoint
     };
     let members = [
         Value::Null,
-        odd("host_port", "nowhere".into()),
-        odd("phase", "dancing".into()),
-        odd("locality", "mars".into()),
-        odd("cell", (-1).into()),
-        odd("id", 7.into()),
+        malformed("host_port", "nowhere".into()),
+        malformed("phase", "dancing".into()),
+        malformed("locality", "mars".into()),
+        malformed("cell", (-1).into()),
+        malformed("id", 7.into()),
         good,
     ];
     let proxy = Proxy::start("odd", &discovery, &members);
@@ -136,7 +140,11 @@
     let listener = full.accept_pending();
     let (mut stream, _) = listener.accept().expect("the proxy's connection");
     let got = client.receive();
-    assert_eq!(got.status(), 503, "it never ran, so a repeat is harmless");
+    assert_eq!(
+        got.status(),
+        503,
+        "it was not executed, so a retry is harmless"
+    );
     let mut sent = Vec::new();
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
@@ -147,7 +155,8 @@
 
 #[test]
 fn at_sighup_it_changes_to_the_new_discovery_and_keeps_serving() {
-    let (old, new) = (Discovery::start(), Discovery::start());
+    let old = Discovery::start();
+    let new = Discovery::start();
     let (before, release) = holds_first_request("taken before", "before");
     let after = Backend::start(|_| ok("after"));
     let mut proxy = Proxy::start("sighup", &old, &[active_endpoint("s-1", before.address)]);
@@ -161,19 +170,14 @@
         proxy.client().exchange(&request("read", "2", "")).body,
         b"before"
     );
-    for turn in 0..2 {
-        let (from, to, name) = if turn == 0 {
-            (&old, &new, "s-2")
-        } else {
-            (&new, &old, "s-3")
-        };
+    for (from, to, name) in [(&old, &new, "s-2"), (&new, &old, "s-3")] {
         from.take_calls();
         to.take_calls();
         proxy.reload(&config("sighup", to).to_string());
         assert_eq!(
             to.next_call(),
             None,
-            "the version of another service means nothing to this one"
+            "revisions of two services are not comparable"
         );
         // Until the new service has sent its list, the old list is used.
         assert_eq!(proxy.status_of(&request("read", "3", "")), 200);
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -62,7 +62,10 @@
     let backend = Backend::start(|_| ok("run"));
     let mut config = config("names", &discovery);
     config["settings"]["classes"][2]["name"] = "up".into();
-    config["settings"]["tenants"] = json!([{"name": "plain", "allowancePerS": 9.0}, {"name": "Ñañez-Ltda", "allowancePerS": 9.0}]);
+    config["settings"]["tenants"] = json!([
+        {"name": "plain", "allowancePerS": 9.0},
+        {"name": "Ñañez-Ltda", "allowancePerS": 9.0},
+    ]);
     let proxy = Proxy::start_with("names", config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let mut client = proxy.client();
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -82,7 +82,7 @@
 fn an_invalid_log_option_ends_the_start_with_one_line() {
     let discovery = Discovery::start();
     let start = |configuration: &Value, variable: Option<(&str, &str)>| {
-        let mut command = command("log-odd", &configuration.to_string());
+        let mut command = command("log-invalid", &configuration.to_string());
         command.envs(variable).stdin(Stdio::null());
         let output = command.output().expect("it ends");
         assert_eq!(output.status.code(), Some(1));
@@ -90,15 +90,15 @@
         assert_eq!(text.lines().count(), 1, "{text}");
         text
     };
-    let plain = config("log-odd", &discovery);
+    let plain = config("log-invalid", &discovery);
     let text = start(&plain, Some(("EDGE_LOG_FORMAT", "xml")));
     assert!(
         text.contains("EDGE_LOG_FORMAT: `xml` must be `text` or `json`"),
         "{text}"
     );
-    let mut odd = plain.clone();
-    odd["log"] = serde_json::json!({"filter": "tillerproxy=loud"});
-    let text = start(&odd, None);
+    let mut invalid = plain.clone();
+    invalid["log"] = serde_json::json!({"filter": "tillerproxy=loud"});
+    let text = start(&invalid, None);
     assert!(
         text.contains("`log.filter`: `tillerproxy=loud` is no filter"),
         "{text}"
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -59,7 +59,10 @@
 #[test]
 fn malformed_calls_are_rejected_and_change_nothing() {
     let discovery = Discovery::start();
-    let proxy = Proxy::start_with("odd-calls", config_with_operator("odd-calls", &discovery));
+    let proxy = Proxy::start_with(
+        "malformed-calls",
+        config_with_operator("malformed-calls", &discovery),
+    );
     discovery.publish_and_wait(true, &[]);
     let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(20_000));
     let body = "POST /control/out-of-service HTTP/1.1\r\nContent-Length: 100000\r\n\r\n";
@@ -143,7 +146,7 @@
     }
 }
 
-/// Clients hold all connections that they may, and more of them wait in the kernel's queue.
+/// Clients use all connections that they may, and more of them wait in the listen backlog.
 #[test]
 fn calls_are_answered_while_clients_hold_every_connection() {
     let discovery = Discovery::start();
@@ -250,7 +253,9 @@
     let (backend, release) = holds_request("held");
     let proxy = Proxy::start_with("drained", config_with_operator("drained", &discovery));
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
-    let (mut idle, mut used, mut busy) = (proxy.client(), proxy.client(), proxy.client());
+    let mut idle = proxy.client();
+    let mut used = proxy.client();
+    let mut busy = proxy.client();
     for (client, id) in [(&mut idle, "i"), (&mut used, "u")] {
         assert_eq!(client.exchange(&request("submit", id, "x")).status(), 200);
     }
--- a/tests/proxy/overload.rs
+++ b/tests/proxy/overload.rs
@@ -10,7 +10,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The descriptors of a small proxy, and more clients than it may hold.
+/// The descriptors of a small proxy, and more clients than it may accept.
 const DESCRIPTORS: usize = 64;
 const IDLE_CLIENT_COUNT: usize = 100;
 
@@ -86,7 +86,7 @@
 }
 
 /// While discovery is down, idle clients take every descriptor that they can get. Discovery and a backend that it
-/// lists at its return still get theirs, and new clients are served at once when the idle ones have left.
+/// lists at its return still get theirs, and new clients are served at once when the idle ones have disconnected.
 #[test]
 fn idle_clients_leave_descriptors_to_discovery_and_backends() {
     const SERVED_WITHIN: Duration = Duration::from_secs(8);
--- a/tests/proxy/request_forms.rs
+++ b/tests/proxy/request_forms.rs
@@ -45,7 +45,7 @@
         "Content-Length: 99999999999999999999999",
         400,
     ),
-    // It is rejected before a byte of its body has come.
+    // It is rejected before a byte of its body has arrived.
     (
         "Content-Length: 1\r\n\r\nx",
         "Content-Length: 60000000\r\n\r\n",
--- a/tests/proxy/response_ends.rs
+++ b/tests/proxy/response_ends.rs
@@ -56,10 +56,13 @@
             client.send(&request("submit", version, "x").replace("HTTP/1.1", version));
             let mut all = Vec::new();
             let ended = client.reader.read_to_end(&mut all);
-            let whole = all.ends_with(b"0\r\n\r\n");
+            let is_complete = all.ends_with(b"0\r\n\r\n");
             let text = String::from_utf8_lossy(&all[..300.min(all.len())]).to_lowercase();
-            let shows = text.contains("content-length: 200000") || text.contains("chunked");
-            assert!(ended.is_err() || (shows && !whole), "{name} {version}");
+            let has_framing = text.contains("content-length: 200000") || text.contains("chunked");
+            assert!(
+                ended.is_err() || (has_framing && !is_complete),
+                "{name} {version}"
+            );
         }
         assert_eq!(
             backend.next_request().header("x-correlation-id"),
@@ -72,7 +75,7 @@
         assert_eq!(
             backend.further_requests(),
             0,
-            "nothing that has begun is sent again"
+            "a request whose response has started is not retried"
         );
         let failed = "app_handled{category=\"submit\",outcome=\"bad_gateway\"}";
         while proxy.metric(failed) < 2 {}
@@ -147,7 +150,7 @@
     assert_eq!(
         client.exchange(UP).status(),
         200,
-        "exactly one answer came, and the connection goes on"
+        "exactly one response arrived, and the connection stays open"
     );
 }
 
--- a/tests/proxy/retries.rs
+++ b/tests/proxy/retries.rs
@@ -3,7 +3,6 @@
 use crate::rig::*;
 use std::io::{BufReader, Write};
 use std::net::TcpListener;
-use std::sync::mpsc::channel;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -17,7 +16,8 @@
         let discovery = Discovery::start();
         let reject =
             move |_: &Message| Reply::Write(response("503 Service Unavailable", more, b""));
-        let (one, two) = (Backend::start(reject), Backend::start(reject));
+        let one = Backend::start(reject);
+        let two = Backend::start(reject);
         let members = [
             active_endpoint("s-1", one.address),
             active_endpoint("s-2", two.address),
@@ -57,21 +57,16 @@
     }
 }
 
-/// How long backends drop a repeated key.
+/// The time for which backends deduplicate a key.
 const KEY_TTL: Duration = Duration::from_millis(600);
 
-/// The time of the key counts from the first attempt that may have run, and ends before the connection of the
-/// second comes up. From then on a rejection, which allows the client to retry, would be wrong as well.
+/// The TTL of the key counts from the first attempt that may have been executed, and ends before the connection of the
+/// second is established. From then on a rejection, which allows the client to retry, would be wrong as well.
 #[test]
 fn a_keyed_request_is_not_retried_after_its_key_may_have_expired() {
     for group in ["cell", "all"] {
         let discovery = Discovery::start();
-        let (release, signal) = channel();
-        let mut reply = Some(Reply::After(
-            signal,
-            Box::new(Reply::WriteAndClose(Vec::new())),
-        ));
-        let closing = Backend::start(move |_| reply.take().expect("asked once"));
+        let (closing, release) = closes_on_signal();
         let late = FullBacklog::start();
         let name = format!("window-{group}");
         let mut config = config(&name, &discovery);
@@ -90,7 +85,7 @@
         assert_eq!(
             client.receive().status(),
             502,
-            "it may have run, and is not repeated"
+            "it may have been executed, and is not retried"
         );
     }
 }
@@ -98,8 +93,8 @@
 /// The first attempt takes some of the client's time, and the second one's connection some more.
 #[test]
 fn a_retry_sends_its_backend_no_more_than_the_remaining_time() {
-    const FIRST_TAKES: Duration = Duration::from_millis(400);
-    const TIME_LEFT: Duration = Duration::from_millis(15_000);
+    const ATTEMPT_DURATION: Duration = Duration::from_millis(400);
+    const CLIENT_TIMEOUT: Duration = Duration::from_millis(15_000);
     let discovery = Discovery::start();
     let (closing, release) = closes_on_signal();
     let late = FullBacklog::start();
@@ -113,29 +108,27 @@
     client.send(&request("read", "slow", ""));
     closing.next_request();
     discovery.publish_and_wait(true, &[active_endpoint("s-2", late.address)]);
-    thread::sleep(FIRST_TAKES);
+    thread::sleep(ATTEMPT_DURATION);
     release.send(()).expect("the backend waits");
-    thread::sleep(FIRST_TAKES);
+    thread::sleep(ATTEMPT_DURATION);
     let listener = late.accept_pending();
     let (mut stream, _) = listener.accept().expect("the second attempt");
     let received = read_message(&mut BufReader::new(&stream)).expect("a request");
-    let left = TIME_LEFT.saturating_sub(sent_at.elapsed());
+    let remaining = CLIENT_TIMEOUT.saturating_sub(sent_at.elapsed());
     stream
         .write_all(&response("200 OK", "", b"there"))
         .expect("the proxy reads");
     assert_eq!(client.receive().body, b"there");
-    let time_left: u64 = received
+    let timeout_ms = received
         .header("x-time-left-ms")
-        .expect("the time left")
-        .parse()
-        .expect("a number");
-    let time_left = Duration::from_millis(time_left);
+        .expect("the remaining time");
+    let sent_timeout = Duration::from_millis(timeout_ms.parse().expect("a number"));
     assert!(
-        time_left <= left + Duration::from_millis(300),
-        "{time_left:?} named, {left:?} left"
+        sent_timeout <= remaining + Duration::from_millis(300),
+        "{sent_timeout:?} sent, {remaining:?} remaining"
     );
     assert!(
-        time_left + Duration::from_secs(4) > left,
-        "{time_left:?} named, {left:?} left"
+        sent_timeout + Duration::from_secs(4) > remaining,
+        "{sent_timeout:?} sent, {remaining:?} remaining"
     );
 }
--- a/tests/proxy/rig/full_backlog.rs
+++ b/tests/proxy/rig/full_backlog.rs
@@ -23,7 +23,7 @@
         socket.listen(0).expect("it listens");
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("an address");
-        let filler = TcpStream::connect(address).expect("the queue takes one");
+        let filler = TcpStream::connect(address).expect("the backlog takes one");
         Self {
             address,
             listener,
@@ -38,16 +38,15 @@
     }
 }
 
-/// The kernel repeats a connect at most this long after the queue of the listener has room.
-const RECONNECTS_WITHIN: Duration = Duration::from_secs(4);
+/// The kernel retries a connect at most this long after the backlog of the listener has space.
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Accepts connections and answers a request on each, until none has come for longer than the kernel takes
-/// to repeat a connect. Returns the ids of
-/// the requests.
+/// Accepts connections and answers a request on each, until none arrives within the time for a retried connect.
+/// Returns the ids of the requests.
 pub fn received_ids(listener: TcpListener) -> Vec<String> {
     let listener = socket2::Socket::from(listener);
     listener
-        .set_read_timeout(Some(RECONNECTS_WITHIN))
+        .set_read_timeout(Some(CONNECT_RETRY_INTERVAL))
         .expect("a timeout");
     let mut ids = Vec::new();
     while let Ok((stream, _)) = listener.accept() {
--- a/tests/proxy/rig/mod.rs
+++ b/tests/proxy/rig/mod.rs
@@ -20,5 +20,5 @@
 pub use saturated_backend::{INITIAL_LIMIT, holding_backend, saturate};
 use std::time::Duration;
 
-/// Ends a test that waits for an event that never comes.
+/// Ends a test whose expected event does not occur.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
--- a/tests/proxy/shutdown.rs
+++ b/tests/proxy/shutdown.rs
@@ -12,14 +12,15 @@
     let mut signal = Some(signal);
     let one = Backend::start(move |received| match received.header("x-correlation-id") {
         Some("1") => Reply::After(
-            signal.take().expect("asked once"),
+            signal.take().expect("one request"),
             Box::new(ok("taken before")),
         ),
-        _ => ok("still comes"),
+        _ => ok("still arrives"),
     });
     let members = [active_endpoint("s-1", one.address)];
     let mut proxy = Proxy::start("sigterm", &discovery, &members);
-    let (mut idle, mut before) = (proxy.client(), proxy.client());
+    let mut idle = proxy.client();
+    let mut before = proxy.client();
     assert_eq!(idle.exchange(UP).status(), 200);
     before.send(&request("read", "1", ""));
     one.next_request();
@@ -44,7 +45,7 @@
     assert_eq!(proxy.wait().code(), Some(0));
 }
 
-/// The proxy may hold a single connection, and another one waits in the kernel's queue with its request. After
+/// The proxy may hold a single connection, and another one waits in the listen backlog with its request. After
 /// SIGTERM, the first connection ends when nothing else keeps the process alive.
 #[test]
 fn a_request_that_waits_to_be_accepted_is_served_before_the_process_ends() {
@@ -60,7 +61,7 @@
     let mut queued = proxy.client();
     queued.send(&request("charge", "2", "x"));
     proxy.terminate();
-    // Connections are accepted for a minimum time; its end cannot be seen from outside.
+    // Connections are accepted for a minimum time; its end cannot be observed from outside.
     thread::sleep(Duration::from_millis(1_200));
     release.send(()).expect("the backend waits");
     assert_eq!(first.receive().body, b"first");
@@ -89,7 +90,7 @@
     };
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
-    // The end of that time cannot be seen from outside.
+    // The end of that time cannot be observed from outside.
     thread::sleep(Duration::from_millis(1_500));
     proxy.resume();
     assert_eq!(client.receive().body, b"there");
@@ -97,21 +98,21 @@
     assert_eq!(proxy.wait().code(), Some(0));
 }
 
-/// The client reads nothing until SIGTERM, so most of the response waits. The response starts before the signal,
-/// or behind it and then closes its connection.
+/// The client reads nothing until SIGTERM, so most of the response is buffered. The response starts before the signal,
+/// or after it and then closes its connection.
 #[test]
 fn a_response_that_is_read_late_is_complete_before_the_process_ends() {
     const LENGTH: usize = 8 << 20;
     let body: Vec<u8> = (0..LENGTH).map(|i| (i / 7) as u8).collect();
-    for behind in [false, true] {
+    for starts_after_signal in [false, true] {
         let discovery = Discovery::start();
         let (release, signal) = channel();
         let mut reply = Some(Reply::After(
             signal,
             Box::new(Reply::Write(response("200 OK", "", &body))),
         ));
-        let backend = Backend::start(move |_| reply.take().expect("asked once"));
-        let name = format!("read-late-{behind}");
+        let backend = Backend::start(move |_| reply.take().expect("one request"));
+        let name = format!("read-late-{starts_after_signal}");
         let mut proxy = Proxy::start(
             &name,
             &discovery,
@@ -124,18 +125,18 @@
             release.send(()).expect("the backend waits");
             assert_eq!(client.stream.peek(&mut [0]).expect("it starts"), 1);
         };
-        if !behind {
+        if !starts_after_signal {
             start_response();
         }
         proxy.terminate();
         while proxy.status_of(UP) == 200 {}
-        if behind {
+        if starts_after_signal {
             start_response();
         }
         let got = client.receive();
         assert_eq!(
             (got.status(), got.header("connection")),
-            (200, behind.then_some("close"))
+            (200, starts_after_signal.then_some("close"))
         );
         assert!(got.body == body, "{} bytes", got.body.len());
         assert!(client.ends_cleanly());
@@ -145,11 +146,11 @@
 }
 
 /// The platform may kill the process 3.7 s after the signal, however long the deadlines are.
-const KILLED_AFTER: Duration = Duration::from_millis(3_700);
+const KILL_TIMEOUT: Duration = Duration::from_millis(3_700);
 
-/// Signals come twice and together, the backend hangs, one connection is silent, one body is still coming.
+/// Signals arrive twice and together, the backend hangs, one connection is idle, one body is incomplete.
 #[test]
-fn requests_behind_sigterm_are_answered_before_the_process_may_be_killed() {
+fn requests_after_sigterm_are_answered_before_the_process_may_be_killed() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| Reply::Hang);
     let mut proxy = Proxy::start(
@@ -157,13 +158,14 @@
         &discovery,
         &[active_endpoint("s-1", backend.address)],
     );
-    let (mut unresponsive, mut flowing, mut late) =
-        (proxy.client(), proxy.client(), proxy.client());
+    let mut idle = proxy.client();
+    let mut incomplete = proxy.client();
+    let mut late = proxy.client();
     assert_eq!(late.exchange(UP).status(), 200);
-    let whole = request("charge", "flowing", "0123456789");
-    let (most, last) = whole.split_at(whole.len() - 5);
-    flowing.send(most);
-    assert_eq!(proxy.status_of(UP), 200, "what came before was seen");
+    let text = request("charge", "incomplete", "0123456789");
+    let (first_part, last_part) = text.split_at(text.len() - 5);
+    incomplete.send(first_part);
+    assert_eq!(proxy.status_of(UP), 200, "earlier input was read");
     let began = Instant::now();
     proxy.terminate();
     proxy.reload("{");
@@ -171,19 +173,19 @@
     while proxy.status_of(UP) == 200 {}
     late.send(&request("charge", "late", "x"));
     thread::sleep(Duration::from_millis(1_000));
-    flowing.send(last);
-    for client in [&mut late, &mut flowing] {
-        assert_eq!(client.receive().status(), 502, "it may have run");
+    incomplete.send(last_part);
+    for client in [&mut late, &mut incomplete] {
+        assert_eq!(client.receive().status(), 502, "it may have been executed");
     }
     assert!(
-        began.elapsed() < KILLED_AFTER,
+        began.elapsed() < KILL_TIMEOUT,
         "after {:?}",
         began.elapsed()
     );
-    assert!(unresponsive.ends_cleanly());
-    drop((unresponsive, flowing, late));
+    assert!(idle.ends_cleanly());
+    drop((idle, incomplete, late));
     assert_eq!(proxy.wait().code(), Some(0));
-    assert!(began.elapsed() < KILLED_AFTER);
+    assert!(began.elapsed() < KILL_TIMEOUT);
 }
 
 #[test]
--- a/tests/watch/proxy.rs
+++ b/tests/watch/proxy.rs
@@ -27,11 +27,18 @@
 
 /// The settings of a proxy that follows discovery in this mode.
 fn settings(proxy_index: u32, proxy_count: u32, mode: &str, poll_interval: Duration) -> Settings {
-    let settings = json!({"me": proxy_index, "balancers": proxy_count, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
-            "membershipMode": mode,
-            "classes": [{"name": "c", "aimUs": 1_000_000, "deadlineUs": 2_000_000, "worth": 1.0, "effect": "fragile"}],
-            "permissions": {"maxAttempts": 1},
-            "safety": {"askWithinUs": poll_interval.as_micros() as u64, "coldFrom": 0.3, "coldUs": 1_000_000, "fallMultiple": 3.0, "fallUs": 2_000_000}});
+    let settings = json!({
+        "me": proxy_index, "balancers": proxy_count, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
+        "membershipMode": mode,
+        "classes": [
+            {"name": "c", "aimUs": 1_000_000, "deadlineUs": 2_000_000, "worth": 1.0, "effect": "fragile"},
+        ],
+        "permissions": {"maxAttempts": 1},
+        "safety": {
+            "askWithinUs": poll_interval.as_micros() as u64, "coldFrom": 0.3, "coldUs": 1_000_000,
+            "fallMultiple": 3.0, "fallUs": 2_000_000,
+        },
+    });
     parse_settings(settings.to_string().as_bytes()).expect("good settings")
 }
 
