--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -40,83 +40,85 @@
     assert_eq!((target.proxy_count(), target.backends.listed), (710, 6_000));
 }
 
+/// A line of the scenario, what it is replaced by, the key that the error names, and what the error says.
+const INVALID_FIGURES: [(&str, &str, &str, &str); 12] = [
+    (
+        "real = 2",
+        "real = 41",
+        "processes.real",
+        "must be 1 to 40 processes",
+    ),
+    (
+        "real = 2",
+        "real = 0",
+        "processes.real",
+        "must be 1 to 40 processes",
+    ),
+    (
+        "hollow = 5",
+        "hollow = 709",
+        "processes.hollow",
+        "must be 0 to 708 beside 2 real ones",
+    ),
+    (
+        "memory_mb = 64",
+        "memory_mb = 6000",
+        "limits.memory_mb",
+        "must be 32 to 4096 MB with 2 real processes",
+    ),
+    (
+        "sockets = 256",
+        "sockets = 16",
+        "limits.sockets",
+        "must be 128 to 16384 descriptors",
+    ),
+    (
+        "listed = 50",
+        "listed = 0",
+        "backends.listed",
+        "must be 1 to 20000 entries",
+    ),
+    (
+        "answering = 4",
+        "answering = 51",
+        "backends.answering",
+        "must be 1 to 50 backends",
+    ),
+    (
+        "calls_per_s = 50.0",
+        "calls_per_s = 0.0",
+        "discovery.calls_per_s",
+        "must be 0.1 to 10000 calls a second",
+    ),
+    (
+        "zone = \"b\"",
+        "zone = \"q\"",
+        "phases[3].zone",
+        "must be a name of `backends.zones`: a, b, c, d, e",
+    ),
+    (
+        "per_s = 10.0",
+        "per_s = nan",
+        "phases[2].per_s",
+        "must be changes a second, above 0 and at most 200",
+    ),
+    (
+        "seconds = 1.0",
+        "seconds = 0.0",
+        "phases[0].seconds",
+        "must be seconds, above 0 and at most 3600",
+    ),
+    (
+        "connections = 40",
+        "connections = 256",
+        "phases[9].connections",
+        "must be 4 or more, and under `limits.sockets`",
+    ),
+];
+
 #[test]
 fn figures_that_make_no_sense_are_named_with_what_is_allowed() {
-    let cases = [
-        (
-            "real = 2",
-            "real = 41",
-            "processes.real",
-            "must be 1 to 40 processes",
-        ),
-        (
-            "real = 2",
-            "real = 0",
-            "processes.real",
-            "must be 1 to 40 processes",
-        ),
-        (
-            "hollow = 5",
-            "hollow = 709",
-            "processes.hollow",
-            "must be 0 to 708 beside 2 real ones",
-        ),
-        (
-            "memory_mb = 64",
-            "memory_mb = 6000",
-            "limits.memory_mb",
-            "must be 32 to 4096 MB with 2 real processes",
-        ),
-        (
-            "sockets = 256",
-            "sockets = 16",
-            "limits.sockets",
-            "must be 128 to 16384 descriptors",
-        ),
-        (
-            "listed = 50",
-            "listed = 0",
-            "backends.listed",
-            "must be 1 to 20000 entries",
-        ),
-        (
-            "answering = 4",
-            "answering = 51",
-            "backends.answering",
-            "must be 1 to 50 backends",
-        ),
-        (
-            "calls_per_s = 50.0",
-            "calls_per_s = 0.0",
-            "discovery.calls_per_s",
-            "must be 0.1 to 10000 calls a second",
-        ),
-        (
-            "zone = \"b\"",
-            "zone = \"q\"",
-            "phases[3].zone",
-            "must be a name of `backends.zones`: a, b, c, d, e",
-        ),
-        (
-            "per_s = 10.0",
-            "per_s = nan",
-            "phases[2].per_s",
-            "must be changes a second, above 0 and at most 200",
-        ),
-        (
-            "seconds = 1.0",
-            "seconds = 0.0",
-            "phases[0].seconds",
-            "must be seconds, above 0 and at most 3600",
-        ),
-        (
-            "connections = 40",
-            "connections = 256",
-            "phases[9].connections",
-            "must be 4 or more, and under `limits.sockets`",
-        ),
-    ];
-    for (line, replacement, key, problem) in cases {
+    for (line, replacement, key, problem) in INVALID_FIGURES {
         assert_eq!(
             error_with(line, replacement),
             (key.to_owned(), problem.to_owned())
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -161,7 +161,7 @@
         let settings = &self.settings;
         let tracked = self
             .requests
-            .get_mut(&request)
+            .get(&request)
             .expect("sent a request never given");
         assert!(!tracked.ended, "rule 1: sent after the end");
         assert!(
@@ -177,6 +177,20 @@
             !is_in_flight || settings.permissions.hedging,
             "rule 2: two attempts in flight"
         );
+        self.check_repeat(request, &backend);
+        let tracked = self.requests.get_mut(&request).expect("it is there");
+        tracked.attempts.push(Attempt {
+            backend: backend_id,
+            sent_at: self.now,
+            deadline,
+            state: AttemptState::InFlight,
+        });
+    }
+
+    /// Rule 2: checks that an attempt on this backend may follow the earlier ones.
+    fn check_repeat(&self, request: RequestId, backend: &Backend) {
+        let tracked = &self.requests[&request];
+        let settings = &self.settings;
         let executed: Vec<&Attempt> = tracked
             .attempts
             .iter()
@@ -205,12 +219,6 @@
                 }
             }
         }
-        tracked.attempts.push(Attempt {
-            backend: backend_id,
-            sent_at: self.now,
-            deadline,
-            state: AttemptState::InFlight,
-        });
     }
 
     fn check_end(&mut self, request: RequestId, is_rejected: bool) {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn settings_of_different_deployments_are_read() {
+fn settings_of_a_pushed_deployment_are_read() {
     let ferries = parse(&config(&ferries())).expect("good settings");
     let idempotency: Vec<_> = ferries
         .settings
@@ -98,7 +98,10 @@
         (Some(0), None)
     );
     assert_eq!(ferries.settings.permissions.max_retry_after, None);
+}
 
+#[test]
+fn settings_of_a_polled_deployment_are_read() {
     let ticketing = parse(&config(&ticketing())).expect("good settings");
     assert!(
         ticketing
@@ -123,9 +126,9 @@
     assert_eq!(ticketing.settings.zone_count, 1);
 }
 
-#[test]
-fn invalid_settings_are_reported_by_the_name_of_their_field() {
-    let wrong: [(&str, Value, &str); 14] = [
+/// Where a setting stands, an invalid value, and the name of the field that the error has to give.
+fn invalid_settings() -> [(&'static str, Value, &'static str); 14] {
+    [
         (
             "/settings/classes/1/deadlineUs",
             "soon".into(),
@@ -168,8 +171,12 @@
         ("/settings/safety/coldFrom", 1.5.into(), "cold_from"),
         ("/settings/balancers", 0.into(), "balancers"),
         ("/limits/sockets", "many".into(), "limits.sockets"),
-    ];
-    for (pointer, value, field) in wrong {
+    ]
+}
+
+#[test]
+fn invalid_settings_are_reported_by_the_name_of_their_field() {
+    for (pointer, value, field) in invalid_settings() {
         let mut config = config(&ferries());
         *config.pointer_mut(pointer).expect("it is there") = value;
         let error = parse(&config).expect_err(pointer);
@@ -178,6 +185,10 @@
             "{pointer}: {error}"
         );
     }
+}
+
+#[test]
+fn missing_settings_are_reported_by_the_name_of_their_field() {
     for field in [
         "me",
         "balancers",
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -324,9 +324,8 @@
     assert_eq!(settings.tenants[0].quota_per_s, 12.5);
 }
 
-#[test]
-fn each_key_of_the_settings_sets_its_own_field() {
-    let json = r#"{"me": 2, "balancers": 5, "zone": 1, "failureDomains": ["a", "b", "c"], "kinds": ["x", "y"],
+/// Settings with another value for each key.
+const DISTINCT_SETTINGS: &str = r#"{"me": 2, "balancers": 5, "zone": 1, "failureDomains": ["a", "b", "c"], "kinds": ["x", "y"],
         "membershipMode": "pushed", "familyInfo": {"warmKeys": true}, "overShareWorth": 0.11,
         "classes": [{"aimUs": 21, "aimStretch": 0.22, "deadlineUs": 23, "worth": 24.0, "lateWorth": 0.25,
                      "effect": "dedup", "group": "zone", "keyTtlUs": 26}],
@@ -335,7 +334,10 @@
         "permissions": {"maxAttempts": 51, "secondCopies": false, "cancel": true, "probes": false, "connIdleUs": 52,
                         "multiplex": 53, "retryAfter": true, "maxRetryAfterUs": 54},
         "safety": {"askWithinUs": 61, "coldFrom": 0.62, "coldUs": 63, "fallMultiple": 64.0, "fallUs": 65}}"#;
-    let expected = Settings {
+
+/// The same settings, read.
+fn distinct_settings() -> Settings {
+    Settings {
         proxy_index: 2,
         proxy_count: 5,
         zone: Zone(1),
@@ -380,11 +382,19 @@
             collapse_load_factor: 64.0,
             collapse_time: 65,
         },
-    };
-    let settings = parse_settings(json.as_bytes()).expect("good settings");
-    assert_eq!(format!("{settings:?}"), format!("{expected:?}"));
+    }
+}
+
+#[test]
+fn each_key_of_the_settings_sets_its_own_field() {
+    let settings = parse_settings(DISTINCT_SETTINGS.as_bytes()).expect("good settings");
+    assert_eq!(
+        format!("{settings:?}"),
+        format!("{:?}", distinct_settings())
+    );
     for (key, field) in [("secondCopies", "hedging"), ("probes", "health_checks")] {
-        let permitted = json.replace(&format!("\"{key}\": false"), &format!("\"{key}\": true"));
+        let permitted =
+            DISTINCT_SETTINGS.replace(&format!("\"{key}\": false"), &format!("\"{key}\": true"));
         let settings = parse_settings(permitted.as_bytes()).expect("good settings");
         let text = format!("{:?}", settings.permissions);
         assert!(text.contains(&format!("{field}: true")), "{text}");
