--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Notes the time of the last byte, once.
+    /// Records the time of the last byte, once.
     fn finish(&self) {
         if self.finished_at().is_none() {
             self.state.set(UploadState::Finished(Instant::now()));
@@ -140,7 +140,7 @@
 
     /// Ends the body after its last byte.
     fn finish(&self) {
-        // One of unknown length is written completely only now.
+        // A body of unknown length is written completely only now.
         if self.length.remaining().is_none() && self.progress.finished_at().is_none() {
             self.counters.record_attempt();
         }
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -70,7 +70,7 @@
     open: Cell<usize>,
     /// Fires when a connection has ended, or may be cheaper to close than before.
     connection_freed: Notify,
-    /// No more connections are accepted until one has ended.
+    /// The accept loop waits until a connection has ended.
     is_full: Cell<bool>,
     connections: RefCell<ClientConnections>,
     /// When a client last connected.
@@ -164,7 +164,7 @@
     }
 
     /// Accepts a connection that waits in the kernel's queue, if one does. The runtime may not have seen it yet,
-    /// so the listener itself is asked. Returns whether others may wait behind it.
+    /// so the listener itself is asked. Returns whether others may be queued after it.
     pub fn accept_waiting(self: &Rc<Self>, listener: &TcpListener) -> bool {
         match socket2::SockRef::from(listener).accept() {
             Ok((socket, _)) => {
@@ -176,7 +176,7 @@
                 }
                 true
             }
-            // That client has closed it already; others may wait behind it.
+            // The client has closed this one already; others may be queued after it.
             Err(error) => error.kind() == io::ErrorKind::ConnectionAborted,
         }
     }
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// A connection that is to be closed and has a request on it is checked again after this time.
+/// A connection that should be closed, but has a request on it, is checked again after this time.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How the HTTP side of a connection ended.
@@ -72,7 +72,7 @@
                     close_at = earlier_of(self.lifecycle.idle_close_at(), close_at);
                 }
                 () = sleep_until(close_at.unwrap_or_else(Instant::now)), if close_at.is_some() => {
-                    // One with a request on it ends with the response.
+                    // A connection with a request on it ends with the response.
                     if connection.is_idle() {
                         return ConnectionEnd::Closed;
                     }
@@ -151,7 +151,7 @@
     }
 }
 
-/// Returns the new time of a close, or the present one if that is sooner; `None` where nothing is to be closed.
+/// Returns the new time of a close, or the present one if that is sooner; `None` where there is no new one.
 fn earlier_of(new: Option<Instant>, present: Option<Instant>) -> Option<Instant> {
     let new = new?;
     Some(present.map_or(new, |present| present.min(new)))
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -4,7 +4,7 @@
 use super::budget::MemoryBudget;
 use super::framing::Framing;
 use super::limits::{CLIENT_IDLE_TIMEOUT, RESPONSE_STALL_TIMEOUT};
-use super::read_ahead::{READ_PIECE, ReadAhead};
+use super::read_ahead::{READ_PIECE_BYTES, ReadAhead};
 use super::socket::{Socket, Unread};
 use super::socket_io::ObservedSocket;
 use rustc_hash::FxHashMap;
@@ -122,7 +122,7 @@
             if !self.ahead.borrow_mut().make_room(memory) {
                 return std::future::pending().await;
             }
-            let mut piece = [0; READ_PIECE];
+            let mut piece = [0; READ_PIECE_BYTES];
             if let Some(read) = self.socket.read_now(&mut piece) {
                 self.ahead.borrow_mut().add(&piece[..read]);
             }
--- a/src/proxy/counters.rs
+++ b/src/proxy/counters.rs
@@ -8,15 +8,15 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served.
+    /// A backend's complete response is the client's.
     Served,
-    /// Rejected.
+    /// The balancer rejected the request to shed load.
     Rejected,
-    /// Failed.
+    /// The request failed, or its response broke off.
     Failed,
 }
 
-/// Labels of the outcomes, in the order of [`RequestOutcome`].
+/// Labels of the outcomes, in the order of [`RequestOutcome`]. The metric names a rejected request `dropped`.
 const OUTCOME_LABELS: [&str; 3] = ["passed", "dropped", "bad_gateway"];
 
 /// Requests of one class that have ended.
--- a/src/proxy/inherited.rs
+++ b/src/proxy/inherited.rs
@@ -28,7 +28,7 @@
     NotListening(RawFd),
 }
 
-/// Returns the client listener that the environment names, if it names one. To be called before the
+/// Returns the client listener that the environment names, if it names one. Must be called before the
 /// process opens anything: a descriptor that it opened itself would be taken for one that it
 /// inherited.
 ///
@@ -78,8 +78,8 @@
 fn duplicate(descriptor: RawFd) -> io::Result<Socket> {
     // SAFETY: the number is not -1 (the caller takes none below 0), and it is borrowed for this one
     // statement only, in which nothing closes it: no other thread runs yet, and no code of this
-    // process owns the number. One that is not open is merely reported as such by the kernel, for
-    // duplicating reads nothing through it.
+    // process owns the number. A descriptor that is not open is merely reported as such by
+    // the kernel: duplicating reads nothing through it.
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     borrowed.try_clone_to_owned().map(Socket::from)
 }
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -20,14 +20,14 @@
 /// Stage of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It cannot serve yet.
+    /// There are no backends yet: the proxy can't serve.
     Starting,
-    /// It serves.
+    /// The proxy serves, and its health check says so.
     InService,
-    /// An operator took it out of service: it serves what comes, and each response closes its
+    /// An operator took the proxy out of service: it still serves requests that arrive, and each response closes its
     /// connection.
     OutOfService,
-    /// It shuts down: as out of service, and for good.
+    /// The process shuts down: as out of service, and it can't return.
     ShuttingDown,
 }
 
--- a/src/proxy/read_ahead.rs
+++ b/src/proxy/read_ahead.rs
@@ -11,9 +11,9 @@
 use tokio::io::ReadBuf;
 
 /// The most bytes that are read ahead on one connection.
-const READ_AHEAD_CAP: usize = 2 << 20;
+const MAX_READ_AHEAD_BYTES: usize = 2 << 20;
 /// The most bytes that one read takes.
-pub const READ_PIECE: usize = 16 * 1024;
+pub const READ_PIECE_BYTES: usize = 16 * 1024;
 
 /// The bytes that were read ahead on one connection; none by default.
 #[derive(Default)]
@@ -32,10 +32,10 @@
         self.bytes.is_empty()
     }
 
-    /// Makes room for [`READ_PIECE`] more bytes. Returns false where the cap is reached or no memory is left.
+    /// Makes room for [`READ_PIECE_BYTES`] more bytes. Returns false where the cap is reached or no memory is left.
     pub fn make_room(&mut self, memory: &MemoryBudget) -> bool {
-        let wanted = self.bytes.len() + READ_PIECE;
-        if wanted > READ_AHEAD_CAP {
+        let wanted = self.bytes.len() + READ_PIECE_BYTES;
+        if wanted > MAX_READ_AHEAD_BYTES {
             return false;
         }
         while self.reserved.len() * BUFFERED_BODY_BYTES < wanted {
--- a/src/proxy/read_ahead/tests.rs
+++ b/src/proxy/read_ahead/tests.rs
@@ -21,10 +21,10 @@
 fn fill(ahead: &mut ReadAhead, memory: &MemoryBudget) -> usize {
     let mut pieces = 0;
     while ahead.make_room(memory) {
-        ahead.add(&[pieces as u8; READ_PIECE]);
+        ahead.add(&[pieces as u8; READ_PIECE_BYTES]);
         pieces += 1;
     }
-    pieces * READ_PIECE
+    pieces * READ_PIECE_BYTES
 }
 
 #[test]
@@ -40,7 +40,7 @@
         ahead.move_into(&mut buffer);
         got.extend_from_slice(buffer.filled());
     }
-    let expected: Vec<u8> = (0..held).map(|at| (at / READ_PIECE) as u8).collect();
+    let expected: Vec<u8> = (0..held).map(|at| (at / READ_PIECE_BYTES) as u8).collect();
     assert!(got == expected);
     assert!(
         memory.reserve(1 << 20).is_some(),
@@ -51,7 +51,7 @@
 #[test]
 fn one_connection_holds_no_more_than_its_cap() {
     let (memory, mut ahead) = (Budget::of(100, 200, 10, 1).bodies, ReadAhead::default());
-    assert_eq!(fill(&mut ahead, &memory), READ_AHEAD_CAP);
+    assert_eq!(fill(&mut ahead, &memory), MAX_READ_AHEAD_BYTES);
 }
 
 #[test]
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -22,15 +22,15 @@
     /// The input ends within a batch.
     #[error("expected {length} bytes behind the batch header")]
     TruncatedBatch {
-        /// Bytes behind the header, by the header.
+        /// Bytes after the header, as the header states them.
         length: usize,
     },
     /// The header states another length than the batch has.
     #[error("expected a length of {actual}, not {stated}")]
     BatchLength {
-        /// Bytes behind the header.
+        /// Bytes after the header.
         actual: usize,
-        /// The same by the header.
+        /// The same, as the header states it.
         stated: usize,
     },
     /// A record ends within a field.
--- a/src/simulator/frames/reader.rs
+++ b/src/simulator/frames/reader.rs
@@ -62,7 +62,7 @@
         self.offset
     }
 
-    /// Reads the next record; `None` behind the last.
+    /// Reads the next record; `None` after the last.
     ///
     /// # Errors
     /// Where a record is cut short or holds a value that the protocol does not have, or where bytes follow the last
--- a/src/simulator/frames/record.rs
+++ b/src/simulator/frames/record.rs
@@ -32,13 +32,13 @@
 /// What a membership update says of its endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// It has the endpoints that changed.
+    /// The list has the endpoints that changed.
     Delta,
-    /// It is complete.
+    /// The list is complete.
     Full,
-    /// It is complete, as last known.
+    /// The list is complete, but cached: it may be out of date.
     Cached,
-    /// There is none: a call to discovery failed, or the watch broke.
+    /// There is no list: a call to discovery failed, or the watch broke.
     WatchFailed,
 }
 
