--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -5,7 +5,7 @@
 use crate::proxy::bodies::RequestBody;
 use crate::proxy::counters::Counters;
 use crate::proxy::dial::connect;
-use crate::proxy::limits::MAX_BACKEND_HEAD_BYTES;
+use crate::proxy::size_limits::MAX_BACKEND_HEAD_BYTES;
 use crate::proxy::socket::{Socket, Unread};
 use crate::proxy::socket_io::{ObservedSocket, SocketIo};
 use hyper::client::conn::http1::{self, SendRequest};
--- a/src/proxy/backends/exchange.rs
+++ b/src/proxy/backends/exchange.rs
@@ -4,7 +4,7 @@
 use super::response::{BackendBody, BackendResponse, PartialBody, ResponseHead};
 use crate::proxy::bodies::{BodyBuffer, RequestBody, next_data};
 use crate::proxy::header_values::connection_options;
-use crate::proxy::limits::{BUFFERED_BODY_BYTES, MAX_FORWARDED_BODY_BYTES};
+use crate::proxy::size_limits::{BUFFERED_BODY_BYTES, MAX_FORWARDED_BODY_BYTES};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::SendRequest;
 use hyper::header::TRANSFER_ENCODING;
--- a/src/proxy/bodies/buffered.rs
+++ b/src/proxy/bodies/buffered.rs
@@ -1,7 +1,7 @@
 //! Bodies that are buffered completely.
 
 use super::stream::{BodyError, FramePoll};
-use crate::proxy::limits::BUFFERED_BODY_BYTES;
+use crate::proxy::size_limits::BUFFERED_BODY_BYTES;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::collections::VecDeque;
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -4,7 +4,7 @@
 use super::{BodyDeadline, BufferedBody};
 use crate::proxy::budget::Reservation;
 use crate::proxy::counters::Counters;
-use crate::proxy::limits::MAX_FORWARDED_BODY_BYTES;
+use crate::proxy::size_limits::MAX_FORWARDED_BODY_BYTES;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
--- a/src/proxy/budget.rs
+++ b/src/proxy/budget.rs
@@ -1,9 +1,11 @@
 //! Division of the limits on memory and descriptors between clients, backends and bodies.
 
-use super::limits::{BUFFERED_BODY_BYTES, MAX_BACKEND_HEAD_BYTES, MAX_CLIENT_HEAD_BYTES};
+use super::size_limits::{BUFFERED_BODY_BYTES, MAX_BACKEND_HEAD_BYTES, MAX_CLIENT_HEAD_BYTES};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+/// The most operators' calls that are open at a time.
+pub const MAX_OPERATOR_CALLS: usize = 12;
 const BYTES_PER_MB: usize = 1 << 20;
 
 /// What one process may take.
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -12,8 +12,8 @@
 use crate::proxy::budget::Reservation;
 use crate::proxy::clock::MICROS_PER_MILLI;
 use crate::proxy::header_values::{REMAINING_TIME_MS, parse_decimal};
-use crate::proxy::limits::{BUFFERED_BODY_BYTES, MAX_FORWARDED_BODY_BYTES};
 use crate::proxy::messages::Inbound;
+use crate::proxy::size_limits::{BUFFERED_BODY_BYTES, MAX_FORWARDED_BODY_BYTES};
 use hyper::Request;
 use hyper::body::{Body, Incoming};
 use hyper::header::HeaderName;
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -1,7 +1,6 @@
 //! Configuration of the proxy: the file that `EDGE_CONFIG` names, completed by the environment.
 
-use super::budget::Budget;
-use super::limits::MAX_OPERATOR_CALLS;
+use super::budget::{Budget, MAX_OPERATOR_CALLS};
 use super::logging::{InvalidLogOption, parse_filter};
 use crate::api::{Micros, Settings, SettingsError};
 use crate::settings_json::{Names, deserialize, deserialize_proxy_settings, parse_settings};
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -3,10 +3,10 @@
 
 use super::budget::MemoryBudget;
 use super::framing::Framing;
-use super::limits::{CLIENT_IDLE_TIMEOUT, RESPONSE_STALL_TIMEOUT};
 use super::read_ahead::{READ_PIECE_BYTES, ReadAhead};
 use super::socket::{Socket, Unread};
 use super::socket_io::ObservedSocket;
+use super::time_limits::{CLIENT_IDLE_TIMEOUT, RESPONSE_STALL_TIMEOUT};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::io;
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -20,7 +20,6 @@
 mod header_values;
 pub mod inherited;
 pub mod lifecycle;
-pub mod limits;
 pub mod listener;
 pub mod logging;
 pub mod messages;
@@ -29,7 +28,9 @@
 mod request_log;
 mod responses;
 pub mod shutdown;
+pub mod size_limits;
 pub mod socket;
 mod socket_io;
+pub mod time_limits;
 
 use dial::connect;
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -4,12 +4,13 @@
 
 use super::backends::Backends;
 use super::bodies::BufferedBody;
+use super::budget::MAX_OPERATOR_CALLS;
 use super::counters::Counters;
 use super::lifecycle::{Lifecycle, ShuttingDown};
-use super::limits::{ACCEPT_BACKOFF, MAX_OPERATOR_CALLS};
 use super::messages::{Handle, Message};
 use super::responses::{ErrorResponse, plain};
 use super::socket::Socket;
+use super::time_limits::ACCEPT_BACKOFF;
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
--- a/src/proxy/read_ahead.rs
+++ b/src/proxy/read_ahead.rs
@@ -5,7 +5,7 @@
 //! noticed.
 
 use super::budget::{MemoryBudget, Reservation};
-use super::limits::BUFFERED_BODY_BYTES;
+use super::size_limits::BUFFERED_BODY_BYTES;
 use bytes::{Buf, BytesMut};
 use std::task::Waker;
 use tokio::io::ReadBuf;
