--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -11,9 +11,9 @@
 /// The id that a client gives a request, and that is forwarded with each attempt.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 
-/// Tells the attempts of a request that it is over: its client disconnected before it had a response, or the
+/// Notifies the attempts of a request that it is over: its client disconnected before it had a response, or the
 /// latest time of its final answer has come, also where a streamed response had begun by then. A complete response
-/// does not set it. An attempt that the balancer cancels is told by a channel of its own.
+/// does not set it. An attempt that the balancer cancels is notified through a channel of its own.
 #[derive(Debug, Default)]
 pub struct RequestOver {
     is_over: Cell<bool>,
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -57,7 +57,7 @@
     async fn serve_requests(self: &Rc<Self>, connection: &Rc<ClientConnection>) -> ConnectionEnd {
         let mut http = RequestService::serve(self, connection);
         let mut stages = self.lifecycle.subscribe();
-        let mut close_at = self.lifecycle.idle_close_at();
+        let mut close_at = self.lifecycle.idle_close_at(Instant::now());
         let mut deadline_check = DeadlineCheck::new(connection);
         let mut check_timer = pin!(sleep_until(
             connection.deadline().unwrap_or_else(Instant::now)
@@ -70,7 +70,7 @@
                 }
                 Ok(()) = stages.changed() => {
                     stages.mark_unchanged();
-                    close_at = earlier_of(self.lifecycle.idle_close_at(), close_at);
+                    close_at = earlier_of(self.lifecycle.idle_close_at(Instant::now()), close_at);
                 }
                 () = sleep_until(close_at.unwrap_or_else(Instant::now)), if close_at.is_some() => {
                     // A connection with a request on it ends with the response.
--- a/src/proxy/driver/membership.rs
+++ b/src/proxy/driver/membership.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashSet;
 
 impl Driver {
-    /// Updates the sockets and tells the balancer, in this order: an attempt that the update starts
+    /// Updates the endpoints of the sockets and notifies the balancer, in this order: an attempt that the update starts
     /// has to find its backend.
     pub(super) fn on_membership(&mut self, now: Micros, update: &MembershipUpdate) {
         let endpoints = update.endpoints();
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -152,14 +152,14 @@
         self.shutdown.get().map(|times| times.process_end)
     }
 
-    /// Returns when a client connection that is idle from this call on is closed: a grace period after now, by the
-    /// runtime's clock. `None` unless the proxy drains.
+    /// Returns when a client connection that is idle from `idle_since` on is closed: after a grace period, and before
+    /// the last answers are due. `None` unless the proxy drains.
     #[must_use]
-    pub fn idle_close_at(&self) -> Option<Instant> {
+    pub fn idle_close_at(&self, idle_since: Instant) -> Option<Instant> {
         if !self.is_draining() {
             return None;
         }
-        let grace_end = Instant::now() + IDLE_GRACE_PERIOD;
+        let grace_end = idle_since + IDLE_GRACE_PERIOD;
         match self.shutdown.get() {
             None => Some(grace_end),
             Some(times) => Some(grace_end.min(times.last_answer_at - IDLE_CLOSE_MARGIN)),
--- a/src/proxy/lifecycle/tests.rs
+++ b/src/proxy/lifecycle/tests.rs
@@ -59,7 +59,10 @@
         process_end: end(5_000),
     });
     assert_eq!(
-        (lifecycle.idle_close_at(), lifecycle.process_end()),
+        (
+            lifecycle.idle_close_at(Instant::now()),
+            lifecycle.process_end()
+        ),
         (Some(end(1_500)), Some(end(5_000)))
     );
     assert_eq!(
@@ -74,7 +77,7 @@
     assert_eq!(lifecycle.remaining_time(), Some(Duration::from_secs(2)));
     tokio::time::advance(Duration::from_secs(1)).await;
     assert_eq!(
-        lifecycle.idle_close_at(),
+        lifecycle.idle_close_at(Instant::now()),
         Some(end(900)),
         "sooner than the last answers"
     );
