--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -3,8 +3,9 @@
 use super::Clients;
 use crate::proxy::bodies::ResponseBody;
 use crate::proxy::connections::ClientConnection;
-use crate::proxy::limits::{CLIENT_IDLE_TIMEOUT, MAX_CLIENT_HEAD_BYTES};
+use crate::proxy::size_limits::MAX_CLIENT_HEAD_BYTES;
 use crate::proxy::socket_io::{ObservedSocket, SocketIo};
+use crate::proxy::time_limits::CLIENT_IDLE_TIMEOUT;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::Service;
@@ -17,7 +18,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// A connection that is to be closed and has a request on it is checked again after this time.
+/// A connection that should be closed, but has a request on it, is checked again after this time.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How the HTTP side of a connection ended.
@@ -56,7 +57,7 @@
     async fn serve_requests(self: &Rc<Self>, connection: &Rc<ClientConnection>) -> ConnectionEnd {
         let mut http = RequestService::serve(self, connection);
         let mut stages = self.lifecycle.subscribe();
-        let mut close_at = self.lifecycle.idle_close_at();
+        let mut close_at = self.lifecycle.idle_close_at(Instant::now());
         let mut deadline_check = DeadlineCheck::new(connection);
         let mut check_timer = pin!(sleep_until(
             connection.deadline().unwrap_or_else(Instant::now)
@@ -69,10 +70,10 @@
                 }
                 Ok(()) = stages.changed() => {
                     stages.mark_unchanged();
-                    close_at = earlier_of(self.lifecycle.idle_close_at(), close_at);
+                    close_at = earlier_of(self.lifecycle.idle_close_at(Instant::now()), close_at);
                 }
                 () = sleep_until(close_at.unwrap_or_else(Instant::now)), if close_at.is_some() => {
-                    // One with a request on it ends with the response.
+                    // A connection with a request on it ends with the response.
                     if connection.is_idle() {
                         return ConnectionEnd::Closed;
                     }
@@ -151,7 +152,7 @@
     }
 }
 
-/// Returns the new time of a close, or the present one if that is sooner; `None` where nothing is to be closed.
+/// Returns the new time of a close, or the present one if that is sooner; `None` where there is no new one.
 fn earlier_of(new: Option<Instant>, present: Option<Instant>) -> Option<Instant> {
     let new = new?;
     Some(present.map_or(new, |present| present.min(new)))
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -20,14 +20,14 @@
 /// Stage of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It cannot serve yet.
+    /// There are no backends yet: the proxy can't serve.
     Starting,
-    /// It serves.
+    /// The proxy serves, and its health check says so.
     InService,
-    /// An operator took it out of service: it serves what comes, and each response closes its
+    /// An operator took the proxy out of service: it still serves requests that arrive, and each response closes its
     /// connection.
     OutOfService,
-    /// It shuts down: as out of service, and for good.
+    /// The process shuts down: as out of service, and it can't return.
     ShuttingDown,
 }
 
@@ -152,14 +152,14 @@
         self.shutdown.get().map(|times| times.process_end)
     }
 
-    /// Returns when a client connection that is idle from this call on is closed: a grace period after now, by the
-    /// runtime's clock. `None` unless the proxy drains.
+    /// Returns when a client connection that is idle from `idle_since` on is closed: after a grace period, and before
+    /// the last answers are due. `None` unless the proxy drains.
     #[must_use]
-    pub fn idle_close_at(&self) -> Option<Instant> {
+    pub fn idle_close_at(&self, idle_since: Instant) -> Option<Instant> {
         if !self.is_draining() {
             return None;
         }
-        let grace_end = Instant::now() + IDLE_GRACE_PERIOD;
+        let grace_end = idle_since + IDLE_GRACE_PERIOD;
         match self.shutdown.get() {
             None => Some(grace_end),
             Some(times) => Some(grace_end.min(times.last_answer_at - IDLE_CLOSE_MARGIN)),
