--- a/lab/src/live/experiment/mod.rs
+++ b/lab/src/live/experiment/mod.rs
@@ -1,9 +1,9 @@
 //! A run: starts everything, plays the phases one after another, and measures each.
 //!
-//! - [`setup`]: checks before the start, and the endpoint list.
-//! - [`actions`]: what each kind of phase does.
-//! - [`client_load`]: the clients of a phase.
-//! - [`measurement`]: the figures of a phase.
+//! - `setup`: checks before the start, and the endpoint list.
+//! - `actions`: what each kind of phase does.
+//! - `client_load`: the clients of a phase.
+//! - `measurement`: the figures of a phase.
 
 mod actions;
 mod client_load;
--- a/lab/src/slopes/analysis/mod.rs
+++ b/lab/src/slopes/analysis/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`curve`]: quantities fitted over a sweep.
 //! - [`assessment`]: a figure at the target, its budget and the verdict.
-//! - [`assessor`]: the assessed figures, made of measured and of fitted quantities.
+//! - `assessor`: the assessed figures, made of measured and of fitted quantities.
 
 pub mod assessment;
 mod assessor;
--- a/lab/src/slopes/measure/mod.rs
+++ b/lab/src/slopes/measure/mod.rs
@@ -1,7 +1,7 @@
 //! The measurements: what is measured at each size, and the sweeps over sizes.
 //!
 //! - [`sweep`]: what is swept, and the sizes of each sweep.
-//! - [`bench`]: makes the measurements.
+//! - `bench`: makes the measurements.
 
 pub mod bench;
 pub mod sweep;
