--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -37,11 +37,11 @@
     Delta(&'a [Backend]),
     /// The complete list: a backend that it lacks is removed.
     Full(&'a [Backend]),
-    /// The complete list as last known, perhaps out of date.
+    /// The list as last known, perhaps out of date. It is taken to be complete.
     Cached(&'a [Backend]),
     /// A call to discovery failed, or the watch broke.
     WatchFailed,
-    /// The watch has sent nothing for longer than it may. (Real sockets only.)
+    /// A call to discovery was not answered in time, within a watch or before one. (Real sockets only.)
     WatchStalled,
 }
 
@@ -78,7 +78,7 @@
     Rejected,
     /// No response in time.
     Timeout,
-    /// No connection could be made.
+    /// The request was not written completely: no connection could be made, or it broke before.
     ConnectFailed,
     /// The connection broke.
     Reset,
@@ -138,7 +138,7 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd<'a>),
-    /// The client disconnected; the request is over.
+    /// The request is over for its client, which disconnected or got its final answer without the balancer.
     ClientDisconnected(RequestId),
     /// A health check ended.
     HealthChecked {
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -3,10 +3,10 @@
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
 
-/// A request, as the proxy numbers it. An id is never used twice while the process runs.
+/// A request, as the proxy numbers it. Ids wrap around after 2^32 requests.
 pub type RequestId = u32;
 
-/// A backend; the same number at every proxy, also after the backend's process restarts.
+/// A backend; the same number after its process restarts, and at every proxy (but for rare names that share a hash).
 pub type BackendId = u32;
 
 /// Declares a number of one kind that cannot be mixed up with another.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -131,7 +131,8 @@
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Priority weight of a request over its tenant's quota, as a part of its class's weight.
+    /// Priority weight of a request over its tenant's quota, as a part of its class's weight. (Not used by the decisions:
+    /// such a request is never queued.)
     pub over_quota_weight: f64,
     /// Cost of an attempt in another zone, as a part of a mean request's priority weight.
     pub cross_zone_cost: f64,
@@ -245,7 +246,8 @@
     }
 }
 
-/// Errors name a setting by its key in the configuration, in snake case and without the unit.
+/// Errors name a setting by the short form of its key in the configuration, such as `cold_from` for `coldFrom` and `aim`
+/// for `aimUs`; `docs/GLOSSARY.md` lists the keys.
 fn check(holds: bool, field: &str, problem: &str) -> Result<(), SettingsError> {
     if holds {
         return Ok(());
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -23,7 +23,7 @@
         }
         let last_class = self.settings.classes.len() - 1;
         let class = ClassIndex(request.class.index().min(last_class) as u8);
-        let over_quota = self.quotas.is_over_quota(now, request.tenant);
+        let over_quota = self.quotas.charge(now, request.tenant);
         let deadline = now + request.timeout;
         let open = OpenRequest::new(request.id, class, over_quota, now, deadline);
         let key = self.requests.insert(open);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Gives a final answer; nothing else does (rule 1). It is a rejection wherever a retry by the client is harmless: an
+    /// Gives the balancer's final answer; nothing else here does (rule 1). It is a rejection wherever a retry by the client is harmless: an
     /// idempotent request is always rejected, however its attempts failed.
     fn answer(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         let open = &self.requests[key];
@@ -201,15 +201,10 @@
         }
     }
 
-    /// Returns a request's priority weight for the work of its class.
+    /// Returns a queued request's priority weight for the work of its class.
     fn priority(&self, key: RequestKey) -> f64 {
         let request = &self.requests[key];
         let class = self.settings.class(request.class);
-        let quota_factor = if request.over_quota {
-            self.settings.over_quota_weight
-        } else {
-            1.0
-        };
-        class.priority_weight * quota_factor / self.latencies.mean(request.class)
+        class.priority_weight / self.latencies.mean(request.class)
     }
 }
--- a/src/balancer/connections.rs
+++ b/src/balancer/connections.rs
@@ -1,5 +1,8 @@
 //! Idle connections: how long one may have been idle and is still used.
 //!
+//! The decisions do not see the sockets. They estimate how long each connection has been idle from the attempts that were
+//! in flight.
+//!
 //! Departure: something between this proxy and a backend may drop an idle connection unnoticed. A connection that was
 //! idle for longer than is trusted is closed before the next attempt. The trusted time starts at the idle timeout and
 //! is cut back at each request that got no response on an idle connection.
@@ -69,7 +72,7 @@
         self.used_at.clear();
     }
 
-    /// Takes the connection of the next attempt and returns how long it has been idle; 0 for a new one and for one that
+    /// Takes the connection of the next attempt and returns how long it has been idle, as estimated; 0 for a new one and for one that
     /// carries other attempts.
     pub(crate) fn take(&mut self, now: Micros, in_flight: u32, per_connection: u32) -> Micros {
         let number = connection_number(in_flight, per_connection);
--- a/src/balancer/in_flight.rs
+++ b/src/balancer/in_flight.rs
@@ -1,4 +1,4 @@
-//! The attempts in flight at one backend, and whether it still answers them.
+//! The attempts in flight at one backend, and whether it still serves them. Errors and rejections do not count as served.
 
 use crate::api::Micros;
 
@@ -11,9 +11,9 @@
     count: u32,
     /// When each of them is overdue.
     overdue_at: Vec<Micros>,
-    /// Send time of the latest attempt that was answered.
+    /// Send time of the latest attempt that was served.
     last_answered_send: Micros,
-    /// Since when the backend has had attempts in flight without a response to any.
+    /// Since when the backend has had attempts in flight without having served any.
     unanswered_since: Micros,
 }
 
@@ -49,23 +49,23 @@
         }
     }
 
-    /// Notes that the backend answered an attempt that was sent at `sent_at`.
+    /// Notes that the backend served an attempt that was sent at `sent_at`.
     pub(crate) fn record_response(&mut self, now: Micros, sent_at: Micros) {
         self.unanswered_since = now;
         self.last_answered_send = self.last_answered_send.max(sent_at);
     }
 
-    /// Whether the backend has had attempts in flight for longer than `timeout` without a response to any.
+    /// Whether the backend has had attempts in flight for longer than `timeout` without having served any.
     pub(crate) fn is_unresponsive(&self, now: Micros, timeout: Micros) -> bool {
         self.count > 0 && now > self.unanswered_since + timeout
     }
 
-    /// Whether the backend has answered an attempt since `time`.
+    /// Whether the backend has served an attempt since `time`, the time at which an attempt was sent that is in flight.
     pub(crate) fn has_answered_since(&self, time: Micros) -> bool {
         self.unanswered_since > time
     }
 
-    /// Counts overtaken attempts: the backend answered one that was sent when they were overdue already.
+    /// Counts overtaken attempts: the backend served one that was sent when they were overdue already.
     pub(crate) fn overtaken(&self) -> usize {
         let is_overtaken = |&&at: &&Micros| at < self.last_answered_send;
         self.overdue_at.iter().filter(is_overtaken).count()
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -4,10 +4,10 @@
 //! | term | meaning |
 //! | --- | --- |
 //! | quick class | its work takes a small part of its latency objective, so a lost attempt can be told from a slow one |
-//! | overdue attempt | no response for several mean latencies |
-//! | overtaken attempt | the backend answered another one that was sent when this one was overdue (`in_flight`) |
+//! | overdue attempt | no response for several mean latencies; in a class that is not quick, none until the class's timeout |
+//! | overtaken attempt | the backend served another one that was sent when this one was overdue (`in_flight`) |
 //! | lost attempt | no response for so long that none is expected; it times out then, if it may be repeated |
-//! | unresponsive backend | it has attempts in flight, and gave no response for the time after which one is overdue |
+//! | unresponsive backend | it has attempts in flight, and served none for several mean latencies of the class that asks |
 
 use super::time::SECOND;
 use crate::api::{Class, ClassIndex, MachineType, Micros, Settings};
@@ -128,7 +128,7 @@
         sum / self.machine_types as f64
     }
 
-    /// Whether the work of a class takes a small part of the time that its clients wait.
+    /// Whether the work of a class takes a small part of its latency objective.
     pub(crate) fn is_quick(&self, index: ClassIndex, class: &Class) -> bool {
         self.mean(index) * QUICK_LOST_OVER_MEAN <= lost_after(class)
     }
--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -6,7 +6,7 @@
 use crate::api::Micros;
 use crate::balancer::time::SECOND;
 
-/// A backend without a slot or a complete window for this long takes the limit of its machine type.
+/// A backend without a slot whose window is older than this takes the limit of its machine type.
 const UNSAMPLED_AFTER: Micros = 2 * SECOND;
 /// The least and the most that a load report scales the limit of the machine type by.
 const MIN_REPORT_FACTOR: f64 = 0.1;
@@ -14,6 +14,10 @@
 /// How long the factor of a load report holds.
 const REPORT_TTL: Micros = 5 * SECOND;
 
+/// A limit counts as nearly reached when three quarters of the slots are taken.
+const NEAR_LIMIT_PART: i64 = 3;
+const NEAR_LIMIT_DIVISOR: i64 = 4;
+
 /// Where a backend's limit comes from.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum LimitSource {
@@ -62,7 +66,7 @@
 
     /// Notes how many of the slots are taken when an attempt starts.
     pub(crate) fn note_in_flight(&mut self, in_flight: u32, slots: i64) {
-        let is_near_limit = i64::from(in_flight) * 4 >= slots * 3;
+        let is_near_limit = i64::from(in_flight) * NEAR_LIMIT_DIVISOR >= slots * NEAR_LIMIT_PART;
         if is_near_limit {
             self.window.mark_near_limit();
         }
--- a/src/balancer/limits/machine_type.rs
+++ b/src/balancer/limits/machine_type.rs
@@ -7,8 +7,8 @@
 use crate::api::Micros;
 use crate::balancer::latency::LATENCY_WEIGHT;
 
-/// Departure: a limit is kept for each machine type as well, by the same AIMD on the samples of all its backends, and
-/// doubling until its first decrease. Backends that gave no sample for a while have this limit: each of many proxies
+/// Departure: a limit is kept for each machine type as well, from the samples of all its backends. It decreases
+/// like theirs, increases by a part of itself, and doubles until its first decrease. Backends that gave no sample for a while have this limit: each of many proxies
 /// holds a slot on few backends, and the limits of the others would never change.
 #[derive(Clone)]
 pub(crate) struct MachineTypeLimit {
--- a/src/balancer/limits/mod.rs
+++ b/src/balancer/limits/mod.rs
@@ -1,7 +1,8 @@
 //! Concurrency limits: additive increase, multiplicative decrease (AIMD) on windowed latency.
 //!
 //! A sample is the latency of one attempt as a multiple of its latency threshold. A [`Window`] collects samples; when it
-//! is complete, a mean above 1 lowers the limit and a mean up to 1 raises it, if the limit was nearly reached. Each proxy
+//! is complete, a mean above 1 lowers the limit, and a mean up to 1 raises it if the limit was nearly reached (a backend's
+//! only once it has been lowered: until then it has that of its machine type). Each proxy
 //! keeps a [`BackendLimit`] for every backend and a [`MachineTypeLimit`] for every machine type, which backends follow
 //! that gave too few samples.
 
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -155,7 +155,7 @@
 fn log_event(backend: BackendId, change: HealthChange) -> Option<LogEvent> {
     match change {
         HealthChange::Ejected { duration } => Some(LogEvent::Ejected { backend, duration }),
-        HealthChange::EjectionProlonged => None,
+        HealthChange::EjectedAnew => None,
         HealthChange::Readmitted => Some(LogEvent::Readmitted { backend }),
     }
 }
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -84,7 +84,7 @@
     pub(crate) limit_evidence: LimitEvidence,
 }
 
-/// Classifies the end of an attempt. `backend_answered` tells whether the backend has answered any attempt since this
+/// Classifies the end of an attempt. `backend_answered` tells whether the backend has served any attempt since this
 /// one was sent.
 pub(crate) fn classify(
     outcome: Outcome,
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -7,8 +7,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Weight of one more outcome in a backend's failure rate.
-const FAILURE_WEIGHT: f64 = 0.25;
+/// Weight of one more outcome, a failure or not, in a backend's failure rate.
+const OUTCOME_WEIGHT: f64 = 0.25;
 /// Failure rate at which a backend is ejected.
 const EJECTION_FAILURE_RATE: f64 = 0.5;
 /// Greatest failure rate of a backend that was just readmitted.
@@ -46,8 +46,8 @@
         /// Time of the ejection.
         duration: Micros,
     },
-    /// A trial request failed: the ejection goes on.
-    EjectionProlonged,
+    /// A trial request failed: the backend is ejected anew, for longer. Not logged.
+    EjectedAnew,
     /// An attempt ended without a failure while the backend was ejected: it takes requests again. A trial request is one
     /// such attempt; others were in flight when the backend was ejected.
     Readmitted,
@@ -124,7 +124,7 @@
         jitter: f64,
     ) -> Option<HealthChange> {
         let target = f64::from(u8::from(sample.failed));
-        self.failure_rate += (target - self.failure_rate) * FAILURE_WEIGHT * sample.weight;
+        self.failure_rate += (target - self.failure_rate) * OUTCOME_WEIGHT * sample.weight;
         if self.failure_rate < RECOVERED_FAILURE_RATE {
             self.consecutive_ejections = 0;
         }
@@ -154,7 +154,7 @@
             return None;
         }
         self.eject(now, jitter);
-        Some(HealthChange::EjectionProlonged)
+        Some(HealthChange::EjectedAnew)
     }
 
     fn eject(&mut self, now: Micros, jitter: f64) -> Micros {
--- a/src/balancer/quotas.rs
+++ b/src/balancer/quotas.rs
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Counts a request and returns whether its tenant is over its quota.
+    /// Charges a request to its tenant's quota; returns whether the tenant is over it.
     ///
     /// A proxy knows only its own part of the traffic, and that is more than its even part where other proxies have
     /// failed: a tenant without a token is over its quota only if it also uses more of it here than the tenants do on
     /// average.
-    pub(crate) fn is_over_quota(&mut self, now: Micros, tenant: TenantIndex) -> bool {
+    pub(crate) fn charge(&mut self, now: Micros, tenant: TenantIndex) -> bool {
         !self.withdraw(now, tenant) && self.is_above_average(now, tenant)
     }
 
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that this proxy took and whose attempts have not all ended.
+//! The requests that this proxy took and that are queued or have attempts in flight.
 
 use super::backends::BackendKey;
 use crate::api::{ClassIndex, Micros, RequestId};
@@ -39,7 +39,7 @@
 pub(crate) struct Attempt {
     pub(crate) backend: BackendKey,
     pub(crate) sent_at: Micros,
-    /// How long its connection had been idle; 0 for a new one.
+    /// How long its connection had been idle, as estimated; 0 for a new one.
     pub(crate) connection_idle: Micros,
     /// It times out so late compared with its work that a timeout means that it was lost.
     pub(crate) timeout_means_lost: bool,
@@ -68,7 +68,7 @@
     }
 }
 
-/// A request that this proxy took and whose attempts have not all ended.
+/// A request that this proxy took and that is queued or has attempts in flight.
 pub(crate) struct OpenRequest {
     pub(crate) id: RequestId,
     pub(crate) class: ClassIndex,
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -1,5 +1,7 @@
 //! When discovery is asked for changes.
 //!
+//! A watch that stalled is opened anew at once (`membership`); this is about all other calls.
+//!
 //! Departure: not at once, but after a random delay. All proxies start together and see the same calls fail; together
 //! their calls would keep discovery overloaded.
 
@@ -18,11 +20,12 @@
 const BASE_BACKOFF: Micros = SECOND / 8;
 /// Most times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Longest delay ahead of a call and longest time of the call together, with a second to spare.
-const CALL_DURATION: Micros = 8 * SECOND;
+/// Longest delay ahead of a call (2.5 s) and longest time of the call (3.5 s) together, with time to spare.
+const DELAY_AND_CALL_DURATION: Micros = 8 * SECOND;
 /// The rules allow a proxy without a watch this many poll intervals after a call that failed.
 const POLL_INTERVALS_AFTER_FAILURE: u64 = 4;
-/// Longest delay: the rules take a change as known 6 s after discovery had it, and a call takes up to 3.5 s.
+/// Longest delay: the rules take a change as known 6 s after discovery had it and could be reached, and a call takes up
+/// to 3.5 s.
 const MAX_DELAY: Micros = 5 * SECOND / 2;
 
 /// The calls to discovery that have failed since the last list came.
@@ -57,7 +60,7 @@
         .safety
         .poll_interval
         .saturating_mul(POLL_INTERVALS_AFTER_FAILURE)
-        .saturating_sub(CALL_DURATION)
+        .saturating_sub(DELAY_AND_CALL_DURATION)
         .max(SECOND);
     let max_delay = allowed.min(MAX_DELAY);
     let backoff = backoff.min(max_delay / 2);
--- a/src/proxy/counters.rs
+++ b/src/proxy/counters.rs
@@ -10,7 +10,7 @@
 pub enum RequestOutcome {
     /// A backend's complete response is the client's.
     Served,
-    /// The balancer rejected the request to shed load.
+    /// The balancer rejected the request: load was shed, or all attempts failed and a retry by the client is harmless.
     Rejected,
     /// The request failed, or its response broke off.
     Failed,
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -79,7 +79,7 @@
     client: DiscoveryClient,
     translator: Translator,
     handle: Handle,
-    /// Notified once there are backends to serve from.
+    /// Notified once the proxy has an endpoint list of discovery, or a cached one with a ready backend.
     lifecycle: Rc<Lifecycle>,
     /// `None` where discovery is an agent on the same machine.
     polling: Option<Polling>,
@@ -112,8 +112,8 @@
     }
 
     /// Starts from the endpoint list that the configuration holds. It may be out of date, but the
-    /// proxy can serve from it, and the first call asks for changes only: cheap for discovery where
-    /// all proxies start at once.
+    /// proxy can serve from it. If it is complete and has a ready backend, the first call asks for
+    /// changes only: cheap for discovery where all proxies start at once.
     pub fn start_from_cache(&mut self, cached: &Value) {
         let mut endpoints = Vec::new();
         match self.translator.parse_value(cached) {
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -20,7 +20,7 @@
 /// Stage of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// There are no backends yet: the proxy can't serve.
+    /// There is no endpoint list yet: the proxy can't serve.
     Starting,
     /// The proxy serves, and its health check says so.
     InService,
@@ -49,7 +49,7 @@
 /// The state machine, which all parts of the proxy share.
 pub struct Lifecycle {
     stage: watch::Sender<Stage>,
-    /// Whether there are backends to serve from.
+    /// Whether there is an endpoint list to serve from. It may be empty.
     is_ready: Cell<bool>,
     /// `None` until the shutdown begins.
     shutdown: Cell<Option<ShutdownTimes>>,
@@ -90,7 +90,7 @@
         matches!(self.stage(), Stage::OutOfService | Stage::ShuttingDown)
     }
 
-    /// Records that there are backends to serve from. This ends the start, but no drain.
+    /// Records that there is an endpoint list to serve from. This ends the start, but no drain.
     pub fn mark_ready(&self) {
         self.is_ready.set(true);
         if self.stage() == Stage::Starting {
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -23,7 +23,7 @@
     Delta(Vec<ListedEndpoint>),
     /// The complete list.
     Full(Vec<ListedEndpoint>),
-    /// The complete list as the configuration holds it, perhaps out of date.
+    /// The list as the configuration holds it, perhaps out of date. It is taken to be complete.
     Cached(Vec<ListedEndpoint>),
     /// A call to discovery failed.
     WatchFailed,
@@ -53,7 +53,7 @@
 pub enum Answer {
     /// A backend's response.
     Served(Served),
-    /// Rejected without an effect: the client may retry.
+    /// Rejected: a retry by the client is harmless. An idempotent request may have run all the same.
     Rejected {
         /// How long the client should wait before it retries; 0: not said.
         retry_after: Micros,
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,5 +1,6 @@
 //! The proxy on real sockets. It executes what the [`Balancer`](crate::balancer::Balancer) decides and reports the
-//! results. It never selects a backend, retries, queues or rejects a request by itself.
+//! results. It never selects a backend, retries, queues or sheds a request by itself; requests that are
+//! invalid, or still open when their time is over, it answers itself.
 //!
 //! A request goes from [`clients`] through [`driver`], which asks the balancer, to [`backends`], and its response
 //! back; [`discovery`] reports the backends to the driver. [`operator`], [`lifecycle`] and [`config`] serve
