--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -1,9 +1,9 @@
 //! One attempt of a request on a backend.
 
 use super::Backends;
+use super::backend_connections::BackendConnections;
 use super::call::{AttemptDeadlines, AttemptResult, Call, Served};
 use super::connection::Connection;
-use super::endpoint::Endpoint;
 use super::error::BackendError;
 use super::exchange::exchange;
 use super::relay::relay_body;
@@ -26,7 +26,7 @@
     /// is streamed is handed to `on_response_start` when it starts; the attempt then ends with it.
     pub async fn attempt(
         self: Rc<Self>,
-        endpoint: Rc<Endpoint>,
+        backend: Rc<BackendConnections>,
         call: Rc<Call>,
         deadlines: AttemptDeadlines,
         cancel: oneshot::Receiver<()>,
@@ -34,7 +34,7 @@
     ) -> AttemptResult {
         let attempt = Attempt {
             backends: &self,
-            endpoint: &endpoint,
+            backend: &backend,
             call: &call,
             deadlines,
         };
@@ -50,7 +50,7 @@
 /// What an attempt refers to.
 struct Attempt<'a> {
     backends: &'a Backends,
-    endpoint: &'a Rc<Endpoint>,
+    backend: &'a Rc<BackendConnections>,
     call: &'a Call,
     deadlines: AttemptDeadlines,
 }
@@ -77,7 +77,7 @@
         };
         // While the connection was established, the backend may have begun to drain or have been replaced; it gets
         // no new request then (rule 3).
-        if !self.endpoint.is_ready() || connection.generation != self.endpoint.generation() {
+        if !self.backend.is_ready() || connection.generation != self.backend.generation() {
             return Outcome::NotSent.into();
         }
         let remaining = self
@@ -85,7 +85,7 @@
             .deadline
             .saturating_duration_since(Instant::now());
         if remaining < MIN_REMAINING {
-            self.backends.pool.keep(self.endpoint, connection);
+            self.backends.pool.keep(self.backend, connection);
             return Outcome::NotSent.into();
         }
         let Some(prepared) = self.prepare(&connection, remaining) else {
@@ -111,7 +111,7 @@
         let pool = &self.backends.pool;
         let connected = tokio::select! {
             biased;
-            connected = pool.connection(self.endpoint, self.deadlines.deadline) => connected,
+            connected = pool.connection(self.backend, self.deadlines.deadline) => connected,
             Ok(()) = cancel => return Err(Outcome::NotSent),
             () = self.must_not_be_sent() => return Err(Outcome::NotSent),
         };
@@ -121,7 +121,7 @@
     /// Builds the request; `None` where another attempt has its body.
     fn prepare(&self, connection: &Connection, remaining: Duration) -> Option<Prepared> {
         let body = self.call.body.for_attempt()?;
-        let request = build_request(self.call, body, self.endpoint.address(), remaining);
+        let request = build_request(self.call, body, self.backend.address(), remaining);
         let length = request.body().size_hint().exact();
         let complete_at =
             length.map(|length| connection.socket.written() + minimum_size(&request, length));
@@ -190,7 +190,7 @@
                     .relay(body, &response.head, cancel, on_response_start)
                     .await;
                 if outcome == Outcome::Ok {
-                    self.backends.pool.keep(self.endpoint, connection);
+                    self.backends.pool.keep(self.backend, connection);
                 }
                 AttemptResult {
                     outcome,
@@ -198,7 +198,7 @@
                 }
             }
             BackendBody::Complete(_) => {
-                self.backends.pool.keep(self.endpoint, connection);
+                self.backends.pool.keep(self.backend, connection);
                 response.into_result(load_reports)
             }
             BackendBody::Unread => response.into_result(load_reports),
@@ -235,7 +235,7 @@
 
     /// Classifies a failed exchange.
     fn failure(&self, error: &BackendError, is_written: bool) -> Outcome {
-        tracing::debug!(backend = %self.endpoint.address(), %error, "attempt failed");
+        tracing::debug!(backend = %self.backend.address(), %error, "attempt failed");
         if !is_written && self.is_broken_by_client() {
             // The backend is not at fault.
             Outcome::NotSent
--- a/src/proxy/backends/endpoint.rs
+++ b/src/proxy/backends/backend_connections.rs
@@ -15,7 +15,7 @@
 }
 
 /// A backend as the sockets know it.
-pub struct Endpoint {
+pub struct BackendConnections {
     address: Cell<SocketAddr>,
     started_at: Cell<Option<Micros>>,
     ready: Cell<bool>,
@@ -25,7 +25,7 @@
     idle: RefCell<Vec<IdleConnection>>,
 }
 
-impl Endpoint {
+impl BackendConnections {
     pub(super) fn new(address: SocketAddr, started_at: Option<Micros>) -> Rc<Self> {
         Rc::new(Self {
             address: Cell::new(address),
--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -184,7 +184,7 @@
     pub(super) sender: SendRequest<RequestBody>,
     pub(super) socket: Rc<BackendSocket>,
     task: JoinHandle<()>,
-    /// The generation of the endpoint that it belongs to.
+    /// The generation of the backend that it belongs to.
     pub(super) generation: u64,
     _count: SocketCount,
 }
--- a/src/proxy/backends/endpoints.rs
+++ b/src/proxy/backends/endpoints.rs
@@ -1,6 +1,6 @@
 //! The backends that discovery lists.
 
-use super::endpoint::Endpoint;
+use super::backend_connections::BackendConnections;
 use crate::api::{BackendId, Micros, Readiness};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
@@ -10,7 +10,7 @@
 /// The listed backends by their ids.
 #[derive(Default)]
 pub(super) struct Endpoints {
-    listed: RefCell<FxHashMap<BackendId, Rc<Endpoint>>>,
+    listed: RefCell<FxHashMap<BackendId, Rc<BackendConnections>>>,
 }
 
 impl Endpoints {
@@ -18,7 +18,7 @@
         self.listed.borrow().len()
     }
 
-    pub(super) fn get(&self, id: BackendId) -> Option<Rc<Endpoint>> {
+    pub(super) fn get(&self, id: BackendId) -> Option<Rc<BackendConnections>> {
         self.listed.borrow().get(&id).cloned()
     }
 
@@ -33,46 +33,46 @@
         let mut listed = self.listed.borrow_mut();
         if readiness == Readiness::Removed {
             // Attempts in flight hold it until they end; a backend of its id later is another one.
-            if let Some(endpoint) = listed.remove(&id) {
-                endpoint.remove();
+            if let Some(backend) = listed.remove(&id) {
+                backend.remove();
             }
             return;
         }
-        let endpoint = listed
+        let backend = listed
             .entry(id)
-            .or_insert_with(|| Endpoint::new(address, started_at));
-        endpoint.update(address, readiness, started_at);
+            .or_insert_with(|| BackendConnections::new(address, started_at));
+        backend.update(address, readiness, started_at);
     }
 
     /// Removes the backends that a complete list does not name.
     pub(super) fn retain(&self, is_listed: impl Fn(BackendId) -> bool) {
-        self.listed.borrow_mut().retain(|&id, endpoint| {
+        self.listed.borrow_mut().retain(|&id, backend| {
             let keep = is_listed(id);
             if !keep {
-                endpoint.remove();
+                backend.remove();
             }
             keep
         });
     }
 
     /// Calls `visit` with each backend.
-    pub(super) fn for_each(&self, visit: impl Fn(&Endpoint)) {
-        for endpoint in self.listed.borrow().values() {
-            visit(endpoint);
+    pub(super) fn for_each(&self, visit: impl Fn(&BackendConnections)) {
+        for backend in self.listed.borrow().values() {
+            visit(backend);
         }
     }
 
     /// Closes the connection of all that has been idle for longest. Returns whether there was one.
     pub(super) fn close_oldest_idle(&self) -> bool {
         let listed = self.listed.borrow();
-        let idle_since = listed.values().filter_map(|endpoint| {
-            let since = endpoint.oldest_idle_since()?;
-            Some((since, endpoint))
+        let idle_since = listed.values().filter_map(|backend| {
+            let since = backend.oldest_idle_since()?;
+            Some((since, backend))
         });
-        let Some((_, endpoint)) = idle_since.min_by_key(|(since, _)| *since) else {
+        let Some((_, backend)) = idle_since.min_by_key(|(since, _)| *since) else {
             return false;
         };
-        endpoint.close_oldest_idle();
+        backend.close_oldest_idle();
         true
     }
 }
--- a/src/proxy/backends/health_check.rs
+++ b/src/proxy/backends/health_check.rs
@@ -1,8 +1,8 @@
 //! A health check of one backend.
 
 use super::Backends;
+use super::backend_connections::BackendConnections;
 use super::call::{AttemptResult, Call, RequestOver};
-use super::endpoint::Endpoint;
 use super::error::BackendError;
 use super::exchange::exchange;
 use super::request::build_request;
@@ -24,11 +24,11 @@
     /// Checks whether a backend is alive, and requests its load report as well if wanted.
     pub async fn health_check(
         self: Rc<Self>,
-        endpoint: Rc<Endpoint>,
+        backend: Rc<BackendConnections>,
         with_load_report: bool,
     ) -> AttemptResult {
         let deadline = Instant::now() + self.pool.connect_timeout() + HEALTH_CHECK_TIMEOUT;
-        let mut connection = match self.pool.connection(&endpoint, deadline).await {
+        let mut connection = match self.pool.connection(&backend, deadline).await {
             Ok(connection) => connection,
             Err(error) => return error.connect_outcome().into(),
         };
@@ -39,18 +39,18 @@
         };
         let body = RequestBody::Buffered(BufferedBody::default());
         let call = health_check_call(path);
-        let request = build_request(&call, body, endpoint.address(), HEALTH_CHECK_TIMEOUT);
+        let request = build_request(&call, body, backend.address(), HEALTH_CHECK_TIMEOUT);
         connection.socket.begin_request(None);
         let exchanged = timeout_at(deadline, exchange(&mut connection.sender, request)).await;
         let response = match exchanged.unwrap_or(Err(BackendError::TimedOut)) {
             Ok(response) => response,
-            Err(error) => return failure(&error, &endpoint).into(),
+            Err(error) => return failure(&error, &backend).into(),
         };
         let BackendBody::Complete(body) = &response.body else {
             return Outcome::CorruptResponse.into();
         };
         let text = String::from_utf8_lossy(&body.joined()).into_owned();
-        self.pool.keep(&endpoint, connection);
+        self.pool.keep(&backend, connection);
         let mut result = response.head.result(&self.load_reports);
         // The load report may stand in the body instead of in a header.
         if with_load_report
@@ -75,8 +75,8 @@
 }
 
 /// Classifies a failed health check.
-fn failure(error: &BackendError, endpoint: &Endpoint) -> Outcome {
-    tracing::debug!(backend = %endpoint.address(), %error, "health check failed");
+fn failure(error: &BackendError, backend: &BackendConnections) -> Outcome {
+    tracing::debug!(backend = %backend.address(), %error, "health check failed");
     if error.is_timeout() {
         Outcome::Timeout
     } else if error.is_malformed() {
--- a/src/proxy/backends/mod.rs
+++ b/src/proxy/backends/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `endpoint`, `endpoints` | one backend and its idle connections; the backends that discovery lists |
+//! | `backend_connections`, `endpoints` | one backend and its idle connections; the backends that discovery lists |
 //! | `pool` | idle connections: kept, reused, closed |
 //! | `connection` | one connection, from connecting on |
 //! | `stray_bytes` | bytes that belong to no request, and the delay before a reuse that they call for |
@@ -17,9 +17,9 @@
 //! | `error` | why there is no response |
 
 mod attempt;
+mod backend_connections;
 mod call;
 mod connection;
-mod endpoint;
 mod endpoints;
 mod error;
 mod exchange;
@@ -31,8 +31,8 @@
 mod response;
 mod stray_bytes;
 
+pub use backend_connections::BackendConnections;
 pub use call::{AttemptDeadlines, AttemptResult, CORRELATION_ID, Call, RequestOver, Served};
-pub use endpoint::Endpoint;
 
 use super::counters::Counters;
 use crate::api::{BackendId, Micros, Readiness};
@@ -82,9 +82,9 @@
         self.len() == 0
     }
 
-    /// Returns the backend of that id, if discovery lists it.
+    /// Returns the connections of a backend, if discovery lists it.
     #[must_use]
-    pub fn endpoint(&self, id: BackendId) -> Option<Rc<Endpoint>> {
+    pub fn connections(&self, id: BackendId) -> Option<Rc<BackendConnections>> {
         self.pool.endpoints.get(id)
     }
 
@@ -108,8 +108,8 @@
 
     /// Closes the idle connections to a backend.
     pub fn close_idle(&self, id: BackendId) {
-        if let Some(endpoint) = self.endpoint(id) {
-            endpoint.close_idle();
+        if let Some(connections) = self.connections(id) {
+            connections.close_idle();
         }
     }
 
--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -1,7 +1,7 @@
 //! The pool of connections: idle ones are kept for the next attempt, and closed when they grow old.
 
+use super::backend_connections::{BackendConnections, IdleConnection};
 use super::connection::{Connection, Connector};
-use super::endpoint::{Endpoint, IdleConnection};
 use super::endpoints::Endpoints;
 use super::error::BackendError;
 use crate::proxy::counters::Counters;
@@ -60,7 +60,7 @@
         loop {
             sleep(SWEEP_INTERVAL).await;
             self.endpoints
-                .for_each(|endpoint| endpoint.retain_idle(|idle| self.is_usable(idle)));
+                .for_each(|backend| backend.retain_idle(|idle| self.is_usable(idle)));
         }
     }
 
@@ -70,10 +70,10 @@
     /// Where no connection is established by the deadline.
     pub(super) async fn connection(
         &self,
-        endpoint: &Endpoint,
+        backend: &BackendConnections,
         deadline: Instant,
     ) -> Result<Connection, BackendError> {
-        while let Some(idle) = self.take_idle(endpoint) {
+        while let Some(idle) = self.take_idle(backend) {
             let reusable_at = idle.since + self.connector.stray_bytes().reuse_delay();
             if Instant::now() >= reusable_at {
                 return Ok(idle.connection);
@@ -83,17 +83,17 @@
                 return Ok(idle.connection);
             }
         }
-        self.connect(endpoint, deadline).await
+        self.connect(backend, deadline).await
     }
 
     /// Keeps a connection for the next attempt once it is ready again.
-    pub(super) fn keep(&self, endpoint: &Rc<Endpoint>, mut connection: Connection) {
+    pub(super) fn keep(&self, backend: &Rc<BackendConnections>, mut connection: Connection) {
         connection.end_request();
-        let endpoint = Rc::clone(endpoint);
+        let backend = Rc::clone(backend);
         tokio::task::spawn_local(async move {
             let ready = timeout(SETTLE_TIMEOUT, connection.ready()).await;
-            if matches!(ready, Ok(Ok(()))) && endpoint.generation() == connection.generation {
-                endpoint.push_idle(IdleConnection {
+            if matches!(ready, Ok(Ok(()))) && backend.generation() == connection.generation {
+                backend.push_idle(IdleConnection {
                     connection,
                     since: Instant::now(),
                 });
@@ -119,8 +119,8 @@
     }
 
     /// Takes the clean connection that was used last. The others may then grow old and be closed.
-    fn take_idle(&self, endpoint: &Endpoint) -> Option<IdleConnection> {
-        while let Some(idle) = endpoint.pop_idle() {
+    fn take_idle(&self, backend: &BackendConnections) -> Option<IdleConnection> {
+        while let Some(idle) = backend.pop_idle() {
             if self.is_clean(&idle) {
                 return Some(idle);
             }
@@ -136,16 +136,16 @@
     /// Connects to a backend, if there is room for another socket.
     async fn connect(
         &self,
-        endpoint: &Endpoint,
+        backend: &BackendConnections,
         deadline: Instant,
     ) -> Result<Connection, BackendError> {
         if !self.make_room() {
             return Err(BackendError::SocketLimit);
         }
         let connect_deadline = deadline.min(Instant::now() + self.connect_timeout);
-        let address = endpoint.address();
+        let address = backend.address();
         self.connector
-            .connect(address, endpoint.generation(), connect_deadline)
+            .connect(address, backend.generation(), connect_deadline)
             .await
             .inspect_err(|error| tracing::debug!(backend = %address, %error, "connecting failed"))
     }
--- a/src/proxy/driver/attempts.rs
+++ b/src/proxy/driver/attempts.rs
@@ -49,8 +49,8 @@
         let may_be_sent =
             open.is_unanswered() && attempt < self.settings.max_attempts && deadline > now;
         let call = Rc::clone(&open.call);
-        let endpoint = self.backends.endpoint(backend).filter(|_| may_be_sent);
-        let Some(endpoint) = endpoint else {
+        let connections = self.backends.connections(backend).filter(|_| may_be_sent);
+        let Some(connections) = connections else {
             self.completions.push_back(Completion::Attempt {
                 request,
                 attempt,
@@ -73,7 +73,7 @@
                 });
             };
             let result = backends
-                .attempt(endpoint, call, deadlines, cancelled, on_response)
+                .attempt(connections, call, deadlines, cancelled, on_response)
                 .await;
             handle.send(Message::AttemptEnded {
                 request,
@@ -92,14 +92,14 @@
 
     /// Sends a backend a health check, if it is listed.
     pub(super) fn start_health_check(&self, backend: BackendId) {
-        let Some(endpoint) = self.backends.endpoint(backend) else {
+        let Some(connections) = self.backends.connections(backend) else {
             return;
         };
         let backends = Rc::clone(&self.backends);
         let handle = self.handle.clone();
         let with_load_report = self.settings.load_report_by_health_check;
         tokio::task::spawn_local(async move {
-            let result = backends.health_check(endpoint, with_load_report).await;
+            let result = backends.health_check(connections, with_load_report).await;
             handle.send(Message::HealthChecked { backend, result });
         });
     }
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// A backend as discovery lists it. The sockets to it are [`backends::Endpoint`](super::backends::Endpoint).
+/// A backend as discovery lists it. The sockets to it are [`backends::BackendConnections`](super::backends::BackendConnections).
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEndpoint {
     /// The backend in the terms of the decisions.
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -84,9 +84,9 @@
 /// Sends a request and returns the body of its response.
 async fn get(backends: &Rc<Backends>, path: &'static str) -> String {
     let (_cancel_sender, cancel) = oneshot::channel();
-    let endpoint = backends.endpoint(BACKEND).expect("it is listed");
+    let connections = backends.connections(BACKEND).expect("it is listed");
     let ended = Rc::clone(backends)
-        .attempt(endpoint, call(path), one_second(), cancel, |_| {})
+        .attempt(connections, call(path), one_second(), cancel, |_| {})
         .await;
     assert_eq!(ended.outcome, Outcome::Ok);
     let ServedBody::Buffered(body) = ended.served.expect("a response").body else {
@@ -166,7 +166,7 @@
     let deadlines = one_second();
     let (_cancel_sender, cancel) = oneshot::channel();
     let (body_sender, body) = oneshot::channel::<ResponseBody>();
-    let endpoint = backends.endpoint(BACKEND).expect("it is listed");
+    let connections = backends.connections(BACKEND).expect("it is listed");
     let timed_out = Rc::clone(&call);
     spawn_local(async move {
         sleep(request_timeout).await;
@@ -176,7 +176,7 @@
     let on_response_start = |served: Served| assert!(body_sender.send(served.body.into()).is_ok());
     let started_at = Instant::now();
     let ended = backends
-        .attempt(endpoint, call, deadlines, cancel, on_response_start)
+        .attempt(connections, call, deadlines, cancel, on_response_start)
         .await;
     ChunkedAttempt {
         outcome: ended.outcome,
