--- a/src/proxy/backends/endpoints.rs
+++ b/src/proxy/backends/listed_backends.rs
@@ -9,17 +9,17 @@
 
 /// The listed backends by their ids.
 #[derive(Default)]
-pub(super) struct Endpoints {
-    listed: RefCell<FxHashMap<BackendId, Rc<BackendConnections>>>,
+pub(super) struct ListedBackends {
+    by_id: RefCell<FxHashMap<BackendId, Rc<BackendConnections>>>,
 }
 
-impl Endpoints {
+impl ListedBackends {
     pub(super) fn len(&self) -> usize {
-        self.listed.borrow().len()
+        self.by_id.borrow().len()
     }
 
     pub(super) fn get(&self, id: BackendId) -> Option<Rc<BackendConnections>> {
-        self.listed.borrow().get(&id).cloned()
+        self.by_id.borrow().get(&id).cloned()
     }
 
     /// Applies what discovery says of one backend.
@@ -30,15 +30,15 @@
         readiness: Readiness,
         started_at: Option<Micros>,
     ) {
-        let mut listed = self.listed.borrow_mut();
+        let mut by_id = self.by_id.borrow_mut();
         if readiness == Readiness::Removed {
             // Attempts in flight hold it until they end; a backend of its id later is another one.
-            if let Some(backend) = listed.remove(&id) {
+            if let Some(backend) = by_id.remove(&id) {
                 backend.remove();
             }
             return;
         }
-        let backend = listed
+        let backend = by_id
             .entry(id)
             .or_insert_with(|| BackendConnections::new(address, started_at));
         backend.update(address, readiness, started_at);
@@ -46,7 +46,7 @@
 
     /// Removes the backends that a complete list does not name.
     pub(super) fn retain(&self, is_listed: impl Fn(BackendId) -> bool) {
-        self.listed.borrow_mut().retain(|&id, backend| {
+        self.by_id.borrow_mut().retain(|&id, backend| {
             let keep = is_listed(id);
             if !keep {
                 backend.remove();
@@ -57,15 +57,15 @@
 
     /// Calls `visit` with each backend.
     pub(super) fn for_each(&self, visit: impl Fn(&BackendConnections)) {
-        for backend in self.listed.borrow().values() {
+        for backend in self.by_id.borrow().values() {
             visit(backend);
         }
     }
 
     /// Closes the connection of all that has been idle for longest. Returns whether there was one.
     pub(super) fn close_oldest_idle(&self) -> bool {
-        let listed = self.listed.borrow();
-        let idle_since = listed.values().filter_map(|backend| {
+        let by_id = self.by_id.borrow();
+        let idle_since = by_id.values().filter_map(|backend| {
             let since = backend.oldest_idle_since()?;
             Some((since, backend))
         });
--- a/src/proxy/backends/mod.rs
+++ b/src/proxy/backends/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `backend_connections`, `endpoints` | one backend and its idle connections; the backends that discovery lists |
+//! | `backend_connections`, `listed_backends` | one backend and its idle connections; the backends that discovery lists |
 //! | `pool` | idle connections: kept, reused, closed |
 //! | `connection` | one connection, from connecting on |
 //! | `stray_bytes` | bytes that belong to no request, and the delay before a reuse that they call for |
@@ -20,10 +20,10 @@
 mod backend_connections;
 mod call;
 mod connection;
-mod endpoints;
 mod error;
 mod exchange;
 mod health_check;
+mod listed_backends;
 mod load_report;
 mod pool;
 mod relay;
@@ -73,7 +73,7 @@
     /// Returns the number of listed backends.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.pool.endpoints.len()
+        self.pool.listed_backends.len()
     }
 
     /// Returns whether none is listed.
@@ -85,7 +85,7 @@
     /// Returns the connections of a backend, if discovery lists it.
     #[must_use]
     pub fn connections(&self, id: BackendId) -> Option<Rc<BackendConnections>> {
-        self.pool.endpoints.get(id)
+        self.pool.listed_backends.get(id)
     }
 
     /// Applies what discovery says of one backend.
@@ -97,13 +97,13 @@
         started_at: Option<Micros>,
     ) {
         self.pool
-            .endpoints
+            .listed_backends
             .update(id, address, readiness, started_at);
     }
 
     /// Removes the backends that a complete list does not name.
     pub fn retain(&self, is_listed: impl Fn(BackendId) -> bool) {
-        self.pool.endpoints.retain(is_listed);
+        self.pool.listed_backends.retain(is_listed);
     }
 
     /// Closes the idle connections to a backend.
--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -2,8 +2,8 @@
 
 use super::backend_connections::{BackendConnections, IdleConnection};
 use super::connection::{Connection, Connector};
-use super::endpoints::Endpoints;
 use super::error::BackendError;
+use super::listed_backends::ListedBackends;
 use crate::proxy::counters::Counters;
 use crate::proxy::socket::Unread;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
 
 /// The connections to all listed backends.
 pub(super) struct ConnectionPool {
-    pub(super) endpoints: Endpoints,
+    pub(super) listed_backends: ListedBackends,
     connector: Connector,
     max_sockets: usize,
     connect_timeout: Duration,
@@ -41,7 +41,7 @@
     pub(super) fn new(limits: PoolLimits, counters: Rc<Counters>) -> Self {
         let idle_timeout = limits.idle_timeout;
         Self {
-            endpoints: Endpoints::default(),
+            listed_backends: ListedBackends::default(),
             connector: Connector::new(counters),
             max_sockets: limits.max_sockets,
             connect_timeout: limits.connect_timeout,
@@ -59,7 +59,7 @@
     pub(super) async fn sweep(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
-            self.endpoints
+            self.listed_backends
                 .for_each(|backend| backend.retain_idle(|idle| self.is_usable(idle)));
         }
     }
@@ -130,7 +130,7 @@
 
     /// Makes room for one more socket. Returns false where every socket is in use.
     fn make_room(&self) -> bool {
-        self.connector.open_sockets() < self.max_sockets || self.endpoints.close_oldest_idle()
+        self.connector.open_sockets() < self.max_sockets || self.listed_backends.close_oldest_idle()
     }
 
     /// Connects to a backend, if there is room for another socket.
