--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tillerproxy::api::{DiscoveryMode, Settings, SettingsError};
 use tillerproxy::balancer::Balancer;
-use tillerproxy::proxy::backends::Backends;
+use tillerproxy::proxy::backends::BackendClient;
 use tillerproxy::proxy::clients::Clients;
 use tillerproxy::proxy::clock::Clock;
 use tillerproxy::proxy::config::Config;
@@ -122,7 +122,7 @@
     driver: Driver,
     watcher: Watcher,
     discovery_address: watch::Sender<SocketAddr>,
-    backends: Rc<Backends>,
+    backend_client: Rc<BackendClient>,
     operator: Rc<Operator>,
     clients: Rc<Clients>,
     lifecycle: Rc<Lifecycle>,
@@ -134,7 +134,7 @@
         let clock = Clock::start();
         let lifecycle = Lifecycle::start();
         let counters = Counters::new(&config.names.classes);
-        let backends = Backends::new(
+        let backend_client = BackendClient::new(
             config.budget.backends,
             config.connect_timeout,
             settings.permissions.idle_timeout,
@@ -146,7 +146,7 @@
         let (driver, handle) = Driver::new(
             balancer,
             clock,
-            Rc::clone(&backends),
+            Rc::clone(&backend_client),
             driver_settings(settings),
             watch_request_sender,
             Rc::clone(&lifecycle),
@@ -154,7 +154,7 @@
         let operator = Operator::new(
             Rc::clone(&lifecycle),
             Rc::clone(&counters),
-            Rc::clone(&backends),
+            Rc::clone(&backend_client),
             handle.clone(),
         );
         let (discovery_address, addresses) = watch::channel(config.discovery);
@@ -178,7 +178,7 @@
             driver,
             watcher,
             discovery_address,
-            backends,
+            backend_client,
             operator,
             clients,
             lifecycle,
@@ -226,7 +226,7 @@
         process_count(listeners.is_shared),
     ));
     let driver = spawn_local(proxy.driver.run());
-    spawn_local(proxy.backends.sweep());
+    spawn_local(proxy.backend_client.sweep());
     let accepting = spawn_local(Rc::clone(&proxy.clients).accept(Rc::clone(&listeners.clients)));
     let mut watcher = proxy.watcher;
     watcher.start_from_cache(&config.cached_endpoints);
--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a request on a backend.
 
-use super::Backends;
+use super::BackendClient;
 use super::backend_connections::BackendConnections;
 use super::call::{AttemptDeadlines, AttemptResult, Call, Served};
 use super::connection::Connection;
@@ -21,7 +21,7 @@
 /// With less time than this until the deadline, nothing is sent any more.
 const MIN_REMAINING: Duration = Duration::from_millis(1);
 
-impl Backends {
+impl BackendClient {
     /// Makes one attempt of a request on a backend, until the deadlines or until `cancel` fires. A response that
     /// is streamed is handed to `on_response_start` when it starts; the attempt then ends with it.
     pub async fn attempt(
@@ -33,7 +33,7 @@
         on_response_start: impl FnOnce(Served),
     ) -> AttemptResult {
         let attempt = Attempt {
-            backends: &self,
+            backend_client: &self,
             backend: &backend,
             call: &call,
             deadlines,
@@ -49,7 +49,7 @@
 
 /// What an attempt refers to.
 struct Attempt<'a> {
-    backends: &'a Backends,
+    backend_client: &'a BackendClient,
     backend: &'a Rc<BackendConnections>,
     call: &'a Call,
     deadlines: AttemptDeadlines,
@@ -85,7 +85,7 @@
             .deadline
             .saturating_duration_since(Instant::now());
         if remaining < MIN_REMAINING {
-            self.backends.pool.keep(self.backend, connection);
+            self.backend_client.pool.keep(self.backend, connection);
             return Outcome::NotSent.into();
         }
         let Some(prepared) = self.prepare(&connection, remaining) else {
@@ -108,7 +108,7 @@
 
     /// Returns a connection, or the outcome of an attempt that gets none.
     async fn connect(&self, cancel: &mut oneshot::Receiver<()>) -> Result<Connection, Outcome> {
-        let pool = &self.backends.pool;
+        let pool = &self.backend_client.pool;
         let connected = tokio::select! {
             biased;
             connected = pool.connection(self.backend, self.deadlines.deadline) => connected,
@@ -183,14 +183,14 @@
         cancel: oneshot::Receiver<()>,
         on_response_start: impl FnOnce(Served),
     ) -> AttemptResult {
-        let load_reports = &self.backends.load_reports;
+        let load_reports = &self.backend_client.load_reports;
         match response.body {
             BackendBody::Partial(body) => {
                 let outcome = self
                     .relay(body, &response.head, cancel, on_response_start)
                     .await;
                 if outcome == Outcome::Ok {
-                    self.backends.pool.keep(self.backend, connection);
+                    self.backend_client.pool.keep(self.backend, connection);
                 }
                 AttemptResult {
                     outcome,
@@ -198,7 +198,7 @@
                 }
             }
             BackendBody::Complete(_) => {
-                self.backends.pool.keep(self.backend, connection);
+                self.backend_client.pool.keep(self.backend, connection);
                 response.into_result(load_reports)
             }
             BackendBody::Unread => response.into_result(load_reports),
@@ -225,7 +225,7 @@
     /// kept: it would take the rest of a request that is over, which would then run (rule 2). A 200 response can't
     /// be the request's own.
     fn early_response(&self, response: BackendResponse) -> AttemptResult {
-        let result = response.into_result(&self.backends.load_reports);
+        let result = response.into_result(&self.backend_client.load_reports);
         if result.outcome == Outcome::Ok {
             Outcome::CorruptResponse.into()
         } else {
--- a/src/proxy/backends/health_check.rs
+++ b/src/proxy/backends/health_check.rs
@@ -1,6 +1,6 @@
 //! A health check of one backend.
 
-use super::Backends;
+use super::BackendClient;
 use super::backend_connections::BackendConnections;
 use super::call::{AttemptResult, Call, RequestOver};
 use super::error::BackendError;
@@ -20,7 +20,7 @@
 const LIVENESS_PATH: &str = "/alive";
 const LOAD_PATH: &str = "/metrics/load";
 
-impl Backends {
+impl BackendClient {
     /// Checks whether a backend is alive, and requests its load report as well if wanted.
     pub async fn health_check(
         self: Rc<Self>,
--- a/src/proxy/backends/mod.rs
+++ b/src/proxy/backends/mod.rs
@@ -43,12 +43,12 @@
 use std::time::Duration;
 
 /// All backends that discovery lists, and the connections to them.
-pub struct Backends {
+pub struct BackendClient {
     pool: ConnectionPool,
     load_reports: LoadReportParser,
 }
 
-impl Backends {
+impl BackendClient {
     /// Creates a set without backends. `idle_timeout` is how long backends keep an idle connection,
     /// `load_report_fields` the fields of a load report in the order that the balancer knows.
     #[must_use]
--- a/src/proxy/backends/tests.rs
+++ b/src/proxy/backends/tests.rs
@@ -1,19 +1,19 @@
-use super::Backends;
+use super::BackendClient;
 use crate::api::Readiness;
 use crate::proxy::counters::Counters;
 use std::net::SocketAddr;
 
 #[test]
 fn removed_backends_are_forgotten() {
-    let backends = Backends::new(10, 1, 1, Vec::new(), Counters::new(&[]));
+    let client = BackendClient::new(10, 1, 1, Vec::new(), Counters::new(&[]));
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     for id in 0..100 {
-        backends.update(id, address, Readiness::Ready, None);
+        client.update(id, address, Readiness::Ready, None);
         if id % 2 == 0 {
-            backends.update(id, address, Readiness::Removed, None);
+            client.update(id, address, Readiness::Removed, None);
         } else {
-            backends.retain(|listed| listed > id);
+            client.retain(|listed| listed > id);
         }
     }
-    assert_eq!(backends.len(), 0);
+    assert_eq!(client.len(), 0);
 }
--- a/src/proxy/driver/actions.rs
+++ b/src/proxy/driver/actions.rs
@@ -49,7 +49,7 @@
                 let _ = self.watch_requests.send(());
             }
             Action::HealthCheck(backend) => self.start_health_check(backend),
-            Action::CloseIdleConnections(backend) => self.backends.close_idle(backend),
+            Action::CloseIdleConnections(backend) => self.backend_client.close_idle(backend),
             Action::Log(event) => log(event),
         }
     }
--- a/src/proxy/driver/attempts.rs
+++ b/src/proxy/driver/attempts.rs
@@ -49,7 +49,10 @@
         let may_be_sent =
             open.is_unanswered() && attempt < self.settings.max_attempts && deadline > now;
         let call = Rc::clone(&open.call);
-        let connections = self.backends.connections(backend).filter(|_| may_be_sent);
+        let connections = self
+            .backend_client
+            .connections(backend)
+            .filter(|_| may_be_sent);
         let Some(connections) = connections else {
             self.completions.push_back(Completion::Attempt {
                 request,
@@ -62,7 +65,7 @@
             deadline: self.clock.instant(deadline),
             write_deadline: write_deadline.map(|at| self.clock.instant(at)),
         };
-        let backends = Rc::clone(&self.backends);
+        let backend_client = Rc::clone(&self.backend_client);
         let handle = self.handle.clone();
         tokio::task::spawn_local(async move {
             let on_response = |response| {
@@ -72,7 +75,7 @@
                     response,
                 });
             };
-            let result = backends
+            let result = backend_client
                 .attempt(connections, call, deadlines, cancelled, on_response)
                 .await;
             handle.send(Message::AttemptEnded {
@@ -92,14 +95,16 @@
 
     /// Sends a backend a health check, if it is listed.
     pub(super) fn start_health_check(&self, backend: BackendId) {
-        let Some(connections) = self.backends.connections(backend) else {
+        let Some(connections) = self.backend_client.connections(backend) else {
             return;
         };
-        let backends = Rc::clone(&self.backends);
+        let backend_client = Rc::clone(&self.backend_client);
         let handle = self.handle.clone();
         let with_load_report = self.settings.load_report_by_health_check;
         tokio::task::spawn_local(async move {
-            let result = backends.health_check(connections, with_load_report).await;
+            let result = backend_client
+                .health_check(connections, with_load_report)
+                .await;
             handle.send(Message::HealthChecked { backend, result });
         });
     }
--- a/src/proxy/driver/membership.rs
+++ b/src/proxy/driver/membership.rs
@@ -30,12 +30,12 @@
             .iter()
             .map(|endpoint| endpoint.backend.id)
             .collect();
-        self.backends.retain(|id| listed.contains(&id));
+        self.backend_client.retain(|id| listed.contains(&id));
     }
 
     fn update_endpoints(&self, endpoints: &[ListedEndpoint]) {
         for ListedEndpoint { backend, address } in endpoints {
-            self.backends
+            self.backend_client
                 .update(backend.id, *address, backend.readiness, backend.started_at);
         }
     }
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -19,7 +19,7 @@
 mod requests;
 mod timers;
 
-use super::backends::Backends;
+use super::backends::BackendClient;
 use super::clock::Clock;
 use super::lifecycle::Lifecycle;
 use super::messages::{Handle, Message};
@@ -47,7 +47,7 @@
     balancer: Balancer,
     clock: Clock,
     settings: DriverSettings,
-    backends: Rc<Backends>,
+    backend_client: Rc<BackendClient>,
     lifecycle: Rc<Lifecycle>,
     handle: Handle,
     messages: mpsc::UnboundedReceiver<Message>,
@@ -68,7 +68,7 @@
     pub fn new(
         balancer: Balancer,
         clock: Clock,
-        backends: Rc<Backends>,
+        backend_client: Rc<BackendClient>,
         settings: DriverSettings,
         watch_requests: mpsc::UnboundedSender<()>,
         lifecycle: Rc<Lifecycle>,
@@ -78,7 +78,7 @@
             balancer,
             clock,
             settings,
-            backends,
+            backend_client,
             lifecycle,
             handle: handle.clone(),
             messages,
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -2,7 +2,7 @@
 //!
 //! Each connection carries one call, which is answered from memory.
 
-use super::backends::Backends;
+use super::backends::BackendClient;
 use super::bodies::BufferedBody;
 use super::budget::MAX_OPERATOR_CALLS;
 use super::counters::Counters;
@@ -75,7 +75,7 @@
 pub struct Operator {
     lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
-    backends: Rc<Backends>,
+    backend_client: Rc<BackendClient>,
     handle: Handle,
 }
 
@@ -85,13 +85,13 @@
     pub fn new(
         lifecycle: Rc<Lifecycle>,
         counters: Rc<Counters>,
-        backends: Rc<Backends>,
+        backend_client: Rc<BackendClient>,
         handle: Handle,
     ) -> Rc<Self> {
         Rc::new(Self {
             lifecycle,
             counters,
-            backends,
+            backend_client,
             handle,
         })
     }
@@ -200,7 +200,9 @@
         let (sender, avoided_backends) = oneshot::channel();
         self.handle.send(Message::CountAvoidedBackends(sender));
         let avoided_backends = avoided_backends.await.unwrap_or_default();
-        let text = self.counters.render(self.backends.len(), avoided_backends);
+        let text = self
+            .counters
+            .render(self.backend_client.len(), avoided_backends);
         let mut response = Response::new(BufferedBody::from(Bytes::from(text)));
         response
             .headers_mut()
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tillerproxy::api::{Outcome, Readiness};
-use tillerproxy::proxy::backends::{AttemptDeadlines, Backends, Call, RequestOver, Served};
+use tillerproxy::proxy::backends::{AttemptDeadlines, BackendClient, Call, RequestOver, Served};
 use tillerproxy::proxy::bodies::{BufferedBody, CallBody, ResponseBody, ServedBody};
 use tillerproxy::proxy::counters::Counters;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -66,9 +66,9 @@
 }
 
 /// Returns one backend, each of whose connections `serve` handles.
-async fn backends<F: Future<Output = ()> + 'static>(
+async fn backend_client<F: Future<Output = ()> + 'static>(
     serve: impl Fn(TcpStream) -> F + 'static,
-) -> Rc<Backends> {
+) -> Rc<BackendClient> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     spawn_local(async move {
@@ -76,16 +76,17 @@
             spawn_local(serve(stream));
         }
     });
-    let backends = Backends::new(10, 250_000, 60_000_000, Vec::new(), Counters::new(&[]));
-    backends.update(BACKEND, address, Readiness::Ready, None);
-    backends
+    let backend_client =
+        BackendClient::new(10, 250_000, 60_000_000, Vec::new(), Counters::new(&[]));
+    backend_client.update(BACKEND, address, Readiness::Ready, None);
+    backend_client
 }
 
 /// Sends a request and returns the body of its response.
-async fn get(backends: &Rc<Backends>, path: &'static str) -> String {
+async fn get(backend_client: &Rc<BackendClient>, path: &'static str) -> String {
     let (_cancel_sender, cancel) = oneshot::channel();
-    let connections = backends.connections(BACKEND).expect("it is listed");
-    let ended = Rc::clone(backends)
+    let connections = backend_client.connections(BACKEND).expect("it is listed");
+    let ended = Rc::clone(backend_client)
         .attempt(connections, call(path), one_second(), cancel, |_| {})
         .await;
     assert_eq!(ended.outcome, Outcome::Ok);
@@ -98,12 +99,12 @@
 #[tokio::test(start_paused = true)]
 async fn once_a_second_response_was_seen_none_is_taken_for_that_of_the_next_request() {
     let test = async {
-        let backends = backends(respond_twice).await;
-        assert_eq!(get(&backends, "/first").await, "/first");
+        let backend_client = backend_client(respond_twice).await;
+        assert_eq!(get(&backend_client, "/first").await, "/first");
         // No request is in flight meanwhile, so the second response is seen for what it is.
         sleep(2 * SECOND_RESPONSE_DELAY).await;
         for path in ["/second", "/third", "/fourth"] {
-            assert_eq!(get(&backends, path).await, path);
+            assert_eq!(get(&backend_client, path).await, path);
         }
     };
     LocalSet::new().run_until(test).await;
@@ -161,12 +162,12 @@
 
 /// Requests the response; the request is over after `request_timeout`.
 async fn attempt_chunked(response: ChunkedResponse, request_timeout: Duration) -> ChunkedAttempt {
-    let backends = backends(move |stream| response.serve(stream)).await;
+    let backend_client = backend_client(move |stream| response.serve(stream)).await;
     let call = call("/long");
     let deadlines = one_second();
     let (_cancel_sender, cancel) = oneshot::channel();
     let (body_sender, body) = oneshot::channel::<ResponseBody>();
-    let connections = backends.connections(BACKEND).expect("it is listed");
+    let connections = backend_client.connections(BACKEND).expect("it is listed");
     let timed_out = Rc::clone(&call);
     spawn_local(async move {
         sleep(request_timeout).await;
@@ -175,7 +176,7 @@
     let client = spawn_local(response.read(body));
     let on_response_start = |served: Served| assert!(body_sender.send(served.body.into()).is_ok());
     let started_at = Instant::now();
-    let ended = backends
+    let ended = backend_client
         .attempt(connections, call, deadlines, cancel, on_response_start)
         .await;
     ChunkedAttempt {
--- a/tests/watch/proxy.rs
+++ b/tests/watch/proxy.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tillerproxy::api::{DiscoveryMode, Settings};
 use tillerproxy::balancer::Balancer;
-use tillerproxy::proxy::backends::Backends;
+use tillerproxy::proxy::backends::BackendClient;
 use tillerproxy::proxy::clock::Clock;
 use tillerproxy::proxy::counters::Counters;
 use tillerproxy::proxy::discovery::{Polling, Translator, Watcher};
@@ -21,7 +21,7 @@
 
 /// The parts of one proxy that follow discovery.
 pub struct Proxy {
-    backends: Rc<Backends>,
+    backend_client: Rc<BackendClient>,
     pub discovery_address: watch::Sender<SocketAddr>,
 }
 
@@ -58,7 +58,8 @@
         let settings = settings(proxy_index, proxy_count, mode, poll_interval);
         let is_polled = settings.discovery_mode == DiscoveryMode::Polled;
         let clock = Clock::start();
-        let backends = Backends::new(10, 250_000, 1_000_000, Vec::new(), Counters::new(&[]));
+        let backend_client =
+            BackendClient::new(10, 250_000, 1_000_000, Vec::new(), Counters::new(&[]));
         let balancer = Balancer::new(settings, u64::from(proxy_index) + 1, clock.now())
             .expect("good settings");
         let (poll_sender, poll_requests) = mpsc::unbounded_channel();
@@ -70,7 +71,7 @@
         let (driver, handle) = Driver::new(
             balancer,
             clock,
-            Rc::clone(&backends),
+            Rc::clone(&backend_client),
             driver_settings,
             poll_sender,
             Rc::clone(&lifecycle),
@@ -88,14 +89,14 @@
         spawn_local(driver.run());
         spawn_local(watcher.run());
         Self {
-            backends,
+            backend_client,
             discovery_address,
         }
     }
 
     /// Waits until this many backends are listed, and returns when that was.
     pub async fn lists(&self, backends: usize) -> Instant {
-        while self.backends.len() != backends {
+        while self.backend_client.len() != backends {
             sleep(Duration::from_millis(1)).await;
         }
         Instant::now()
