--- a/src/proxy/discovery/translator.rs
+++ b/src/proxy/discovery/translator.rs
@@ -6,7 +6,7 @@
 use super::wire::{RawEndpoint, RawEndpointList};
 use crate::api::{Backend, BackendId, Cell, MachineType, Readiness, Zone};
 use crate::proxy::clock::Clock;
-use crate::proxy::messages::ListedEndpoint;
+use crate::proxy::messages::Endpoint;
 use crate::settings_json::Names;
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde_json::Value;
@@ -21,7 +21,7 @@
     /// Whether it has all endpoints; otherwise those that changed.
     pub is_complete: bool,
     /// The endpoints that are well formed.
-    pub endpoints: Vec<ListedEndpoint>,
+    pub endpoints: Vec<Endpoint>,
 }
 
 /// Translates endpoint lists: names of backends, zones and machine types become numbers.
@@ -95,7 +95,7 @@
     fn endpoint<'a>(
         &mut self,
         json: &'a RawValue,
-    ) -> Result<(ListedEndpoint, Cow<'a, str>), EndpointError> {
+    ) -> Result<(Endpoint, Cow<'a, str>), EndpointError> {
         let raw: RawEndpoint<'a> =
             serde_json::from_str(json.get()).map_err(EndpointError::Malformed)?;
         let address = raw
@@ -125,7 +125,7 @@
             readiness: raw.readiness.into(),
             started_at: self.start_times.convert(id, raw.started_at_unix_ms),
         };
-        Ok((ListedEndpoint { backend, address }, raw.name))
+        Ok((Endpoint { backend, address }, raw.name))
     }
 
     /// Forgets backends that are listed no more: names are not used again, and would take memory
--- a/src/proxy/driver/membership.rs
+++ b/src/proxy/driver/membership.rs
@@ -2,7 +2,7 @@
 
 use super::Driver;
 use crate::api::{Backend, BackendId, Event, MembershipEvent, Micros};
-use crate::proxy::messages::{ListedEndpoint, MembershipUpdate};
+use crate::proxy::messages::{Endpoint, MembershipUpdate};
 use rustc_hash::FxHashSet;
 
 impl Driver {
@@ -25,7 +25,7 @@
         self.handle_event(now, Event::Membership(event));
     }
 
-    fn remove_unlisted(&self, endpoints: &[ListedEndpoint]) {
+    fn remove_unlisted(&self, endpoints: &[Endpoint]) {
         let listed: FxHashSet<BackendId> = endpoints
             .iter()
             .map(|endpoint| endpoint.backend.id)
@@ -33,8 +33,8 @@
         self.backend_client.retain(|id| listed.contains(&id));
     }
 
-    fn update_endpoints(&self, endpoints: &[ListedEndpoint]) {
-        for ListedEndpoint { backend, address } in endpoints {
+    fn update_endpoints(&self, endpoints: &[Endpoint]) {
+        for Endpoint { backend, address } in endpoints {
             self.backend_client
                 .update(backend.id, *address, backend.readiness, backend.started_at);
         }
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -7,9 +7,10 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// A backend as discovery lists it. The sockets to it are [`backends::BackendConnections`](super::backends::BackendConnections).
+/// An entry of the endpoint list: a backend and its address. Its sockets are held by
+/// [`BackendConnections`](super::backends::BackendConnections).
 #[derive(Clone, Copy, Debug)]
-pub struct ListedEndpoint {
+pub struct Endpoint {
     /// The backend in the terms of the decisions.
     pub backend: Backend,
     /// Where it listens.
@@ -20,11 +21,11 @@
 #[derive(Debug)]
 pub enum MembershipUpdate {
     /// Endpoints that changed.
-    Delta(Vec<ListedEndpoint>),
+    Delta(Vec<Endpoint>),
     /// The complete list.
-    Full(Vec<ListedEndpoint>),
+    Full(Vec<Endpoint>),
     /// The list as the configuration holds it, perhaps out of date. It is taken to be complete.
-    Cached(Vec<ListedEndpoint>),
+    Cached(Vec<Endpoint>),
     /// A call to discovery failed.
     WatchFailed,
     /// A call to discovery was not answered in time.
@@ -34,7 +35,7 @@
 impl MembershipUpdate {
     /// Returns the endpoints that the update has; none where it is about the watch.
     #[must_use]
-    pub fn endpoints(&self) -> &[ListedEndpoint] {
+    pub fn endpoints(&self) -> &[Endpoint] {
         match self {
             Self::Delta(endpoints) | Self::Full(endpoints) | Self::Cached(endpoints) => endpoints,
             Self::WatchFailed | Self::WatchStalled => &[],
