--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -1,9 +1,9 @@
 //! One attempt of a request on a backend.
 
-use super::Backends;
+use super::BackendClient;
+use super::backend_connections::BackendConnections;
 use super::call::{AttemptDeadlines, AttemptResult, Call, Served};
 use super::connection::Connection;
-use super::endpoint::Endpoint;
 use super::error::BackendError;
 use super::exchange::exchange;
 use super::relay::relay_body;
@@ -21,20 +21,20 @@
 /// With less time than this until the deadline, nothing is sent any more.
 const MIN_REMAINING: Duration = Duration::from_millis(1);
 
-impl Backends {
+impl BackendClient {
     /// Makes one attempt of a request on a backend, until the deadlines or until `cancel` fires. A response that
     /// is streamed is handed to `on_response_start` when it starts; the attempt then ends with it.
     pub async fn attempt(
         self: Rc<Self>,
-        endpoint: Rc<Endpoint>,
+        backend: Rc<BackendConnections>,
         call: Rc<Call>,
         deadlines: AttemptDeadlines,
         cancel: oneshot::Receiver<()>,
         on_response_start: impl FnOnce(Served),
     ) -> AttemptResult {
         let attempt = Attempt {
-            backends: &self,
-            endpoint: &endpoint,
+            backend_client: &self,
+            backend: &backend,
             call: &call,
             deadlines,
         };
@@ -49,8 +49,8 @@
 
 /// What an attempt refers to.
 struct Attempt<'a> {
-    backends: &'a Backends,
-    endpoint: &'a Rc<Endpoint>,
+    backend_client: &'a BackendClient,
+    backend: &'a Rc<BackendConnections>,
     call: &'a Call,
     deadlines: AttemptDeadlines,
 }
@@ -77,7 +77,7 @@
         };
         // While the connection was established, the backend may have begun to drain or have been replaced; it gets
         // no new request then (rule 3).
-        if !self.endpoint.is_ready() || connection.generation != self.endpoint.generation() {
+        if !self.backend.is_ready() || connection.generation != self.backend.generation() {
             return Outcome::NotSent.into();
         }
         let remaining = self
@@ -85,7 +85,7 @@
             .deadline
             .saturating_duration_since(Instant::now());
         if remaining < MIN_REMAINING {
-            self.backends.pool.keep(self.endpoint, connection);
+            self.backend_client.pool.keep(self.backend, connection);
             return Outcome::NotSent.into();
         }
         let Some(prepared) = self.prepare(&connection, remaining) else {
@@ -108,10 +108,10 @@
 
     /// Returns a connection, or the outcome of an attempt that gets none.
     async fn connect(&self, cancel: &mut oneshot::Receiver<()>) -> Result<Connection, Outcome> {
-        let pool = &self.backends.pool;
+        let pool = &self.backend_client.pool;
         let connected = tokio::select! {
             biased;
-            connected = pool.connection(self.endpoint, self.deadlines.deadline) => connected,
+            connected = pool.connection(self.backend, self.deadlines.deadline) => connected,
             Ok(()) = cancel => return Err(Outcome::NotSent),
             () = self.must_not_be_sent() => return Err(Outcome::NotSent),
         };
@@ -121,7 +121,7 @@
     /// Builds the request; `None` where another attempt has its body.
     fn prepare(&self, connection: &Connection, remaining: Duration) -> Option<Prepared> {
         let body = self.call.body.for_attempt()?;
-        let request = build_request(self.call, body, self.endpoint.address(), remaining);
+        let request = build_request(self.call, body, self.backend.address(), remaining);
         let length = request.body().size_hint().exact();
         let complete_at =
             length.map(|length| connection.socket.written() + minimum_size(&request, length));
@@ -183,14 +183,14 @@
         cancel: oneshot::Receiver<()>,
         on_response_start: impl FnOnce(Served),
     ) -> AttemptResult {
-        let load_reports = &self.backends.load_reports;
+        let load_reports = &self.backend_client.load_reports;
         match response.body {
             BackendBody::Partial(body) => {
                 let outcome = self
                     .relay(body, &response.head, cancel, on_response_start)
                     .await;
                 if outcome == Outcome::Ok {
-                    self.backends.pool.keep(self.endpoint, connection);
+                    self.backend_client.pool.keep(self.backend, connection);
                 }
                 AttemptResult {
                     outcome,
@@ -198,7 +198,7 @@
                 }
             }
             BackendBody::Complete(_) => {
-                self.backends.pool.keep(self.endpoint, connection);
+                self.backend_client.pool.keep(self.backend, connection);
                 response.into_result(load_reports)
             }
             BackendBody::Unread => response.into_result(load_reports),
@@ -225,7 +225,7 @@
     /// kept: it would take the rest of a request that is over, which would then run (rule 2). A 200 response can't
     /// be the request's own.
     fn early_response(&self, response: BackendResponse) -> AttemptResult {
-        let result = response.into_result(&self.backends.load_reports);
+        let result = response.into_result(&self.backend_client.load_reports);
         if result.outcome == Outcome::Ok {
             Outcome::CorruptResponse.into()
         } else {
@@ -235,7 +235,7 @@
 
     /// Classifies a failed exchange.
     fn failure(&self, error: &BackendError, is_written: bool) -> Outcome {
-        tracing::debug!(backend = %self.endpoint.address(), %error, "attempt failed");
+        tracing::debug!(backend = %self.backend.address(), %error, "attempt failed");
         if !is_written && self.is_broken_by_client() {
             // The backend is not at fault.
             Outcome::NotSent
--- a/src/proxy/backends/endpoints.rs
+++ b/src/proxy/backends/listed_backends.rs
@@ -1,6 +1,6 @@
 //! The backends that discovery lists.
 
-use super::endpoint::Endpoint;
+use super::backend_connections::BackendConnections;
 use crate::api::{BackendId, Micros, Readiness};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
@@ -9,17 +9,17 @@
 
 /// The listed backends by their ids.
 #[derive(Default)]
-pub(super) struct Endpoints {
-    listed: RefCell<FxHashMap<BackendId, Rc<Endpoint>>>,
+pub(super) struct ListedBackends {
+    by_id: RefCell<FxHashMap<BackendId, Rc<BackendConnections>>>,
 }
 
-impl Endpoints {
+impl ListedBackends {
     pub(super) fn len(&self) -> usize {
-        self.listed.borrow().len()
+        self.by_id.borrow().len()
     }
 
-    pub(super) fn get(&self, id: BackendId) -> Option<Rc<Endpoint>> {
-        self.listed.borrow().get(&id).cloned()
+    pub(super) fn get(&self, id: BackendId) -> Option<Rc<BackendConnections>> {
+        self.by_id.borrow().get(&id).cloned()
     }
 
     /// Applies what discovery says of one backend.
@@ -30,49 +30,49 @@
         readiness: Readiness,
         started_at: Option<Micros>,
     ) {
-        let mut listed = self.listed.borrow_mut();
+        let mut by_id = self.by_id.borrow_mut();
         if readiness == Readiness::Removed {
             // Attempts in flight hold it until they end; a backend of its id later is another one.
-            if let Some(endpoint) = listed.remove(&id) {
-                endpoint.remove();
+            if let Some(backend) = by_id.remove(&id) {
+                backend.remove();
             }
             return;
         }
-        let endpoint = listed
+        let backend = by_id
             .entry(id)
-            .or_insert_with(|| Endpoint::new(address, started_at));
-        endpoint.update(address, readiness, started_at);
+            .or_insert_with(|| BackendConnections::new(address, started_at));
+        backend.update(address, readiness, started_at);
     }
 
     /// Removes the backends that a complete list does not name.
     pub(super) fn retain(&self, is_listed: impl Fn(BackendId) -> bool) {
-        self.listed.borrow_mut().retain(|&id, endpoint| {
+        self.by_id.borrow_mut().retain(|&id, backend| {
             let keep = is_listed(id);
             if !keep {
-                endpoint.remove();
+                backend.remove();
             }
             keep
         });
     }
 
     /// Calls `visit` with each backend.
-    pub(super) fn for_each(&self, visit: impl Fn(&Endpoint)) {
-        for endpoint in self.listed.borrow().values() {
-            visit(endpoint);
+    pub(super) fn for_each(&self, visit: impl Fn(&BackendConnections)) {
+        for backend in self.by_id.borrow().values() {
+            visit(backend);
         }
     }
 
     /// Closes the connection of all that has been idle for longest. Returns whether there was one.
     pub(super) fn close_oldest_idle(&self) -> bool {
-        let listed = self.listed.borrow();
-        let idle_since = listed.values().filter_map(|endpoint| {
-            let since = endpoint.oldest_idle_since()?;
-            Some((since, endpoint))
+        let by_id = self.by_id.borrow();
+        let idle_since = by_id.values().filter_map(|backend| {
+            let since = backend.oldest_idle_since()?;
+            Some((since, backend))
         });
-        let Some((_, endpoint)) = idle_since.min_by_key(|(since, _)| *since) else {
+        let Some((_, backend)) = idle_since.min_by_key(|(since, _)| *since) else {
             return false;
         };
-        endpoint.close_oldest_idle();
+        backend.close_oldest_idle();
         true
     }
 }
--- a/src/proxy/backends/mod.rs
+++ b/src/proxy/backends/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `endpoint`, `endpoints` | one backend and its idle connections; the backends that discovery lists |
+//! | `backend_connections`, `listed_backends` | one backend and its idle connections; the backends that discovery lists |
 //! | `pool` | idle connections: kept, reused, closed |
 //! | `connection` | one connection, from connecting on |
 //! | `stray_bytes` | bytes that belong to no request, and the delay before a reuse that they call for |
@@ -17,13 +17,13 @@
 //! | `error` | why there is no response |
 
 mod attempt;
+mod backend_connections;
 mod call;
 mod connection;
-mod endpoint;
-mod endpoints;
 mod error;
 mod exchange;
 mod health_check;
+mod listed_backends;
 mod load_report;
 mod pool;
 mod relay;
@@ -31,8 +31,8 @@
 mod response;
 mod stray_bytes;
 
+pub use backend_connections::BackendConnections;
 pub use call::{AttemptDeadlines, AttemptResult, CORRELATION_ID, Call, RequestOver, Served};
-pub use endpoint::Endpoint;
 
 use super::counters::Counters;
 use crate::api::{BackendId, Micros, Readiness};
@@ -43,12 +43,12 @@
 use std::time::Duration;
 
 /// All backends that discovery lists, and the connections to them.
-pub struct Backends {
+pub struct BackendClient {
     pool: ConnectionPool,
     load_reports: LoadReportParser,
 }
 
-impl Backends {
+impl BackendClient {
     /// Creates a set without backends. `idle_timeout` is how long backends keep an idle connection,
     /// `load_report_fields` the fields of a load report in the order that the balancer knows.
     #[must_use]
@@ -73,7 +73,7 @@
     /// Returns the number of listed backends.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.pool.endpoints.len()
+        self.pool.listed_backends.len()
     }
 
     /// Returns whether none is listed.
@@ -82,10 +82,10 @@
         self.len() == 0
     }
 
-    /// Returns the backend of that id, if discovery lists it.
+    /// Returns the connections of a backend, if discovery lists it.
     #[must_use]
-    pub fn endpoint(&self, id: BackendId) -> Option<Rc<Endpoint>> {
-        self.pool.endpoints.get(id)
+    pub fn connections(&self, id: BackendId) -> Option<Rc<BackendConnections>> {
+        self.pool.listed_backends.get(id)
     }
 
     /// Applies what discovery says of one backend.
@@ -97,19 +97,19 @@
         started_at: Option<Micros>,
     ) {
         self.pool
-            .endpoints
+            .listed_backends
             .update(id, address, readiness, started_at);
     }
 
     /// Removes the backends that a complete list does not name.
     pub fn retain(&self, is_listed: impl Fn(BackendId) -> bool) {
-        self.pool.endpoints.retain(is_listed);
+        self.pool.listed_backends.retain(is_listed);
     }
 
     /// Closes the idle connections to a backend.
     pub fn close_idle(&self, id: BackendId) {
-        if let Some(endpoint) = self.endpoint(id) {
-            endpoint.close_idle();
+        if let Some(connections) = self.connections(id) {
+            connections.close_idle();
         }
     }
 
