--- a/lab/src/fleet/discovery/endpoint_list.rs
+++ b/lab/src/fleet/discovery/endpoint_list.rs
@@ -56,7 +56,7 @@
     /// Publishes changed endpoints; each one is a revision.
     pub(super) fn publish(&mut self, changed: Vec<Backend>) {
         for endpoint in changed {
-            self.endpoints[endpoint.id as usize] = endpoint;
+            self.endpoints[endpoint.id.index()] = endpoint;
             self.revision += 1;
             self.changes.push_back(endpoint.id);
         }
@@ -93,7 +93,7 @@
         changed.dedup();
         let endpoints: Arc<[Backend]> = changed
             .iter()
-            .map(|&id| self.endpoints[id as usize])
+            .map(|&id| self.endpoints[id.index()])
             .collect();
         self.latest_delta = Some((known_revision, endpoints.clone()));
         endpoints
--- a/lab/src/fleet/faults.rs
+++ b/lab/src/fleet/faults.rs
@@ -132,7 +132,8 @@
 
     /// Draws a part of the backends, in random order.
     fn sample_backends(&mut self, fraction: f64) -> Vec<BackendId> {
-        sample(self.topology.machines.len(), fraction, &mut self.random)
+        let numbers = sample(self.topology.machines.len(), fraction, &mut self.random);
+        numbers.into_iter().map(BackendId).collect()
     }
 
     /// Draws a part of the proxies, in random order.
@@ -176,7 +177,7 @@
         let backends: Vec<BackendId> = self
             .topology
             .backends_of_zone(Zone(event.zone))
-            .filter(|&backend| self.topology.machines[backend as usize].rack == rack)
+            .filter(|&backend| self.topology.machines[backend.index()].rack == rack)
             .collect();
         self.stop_backends(&backends, ProcessState::Unreachable, event.return_after_s);
     }
--- a/lab/src/fleet/policy/baseline.rs
+++ b/lab/src/fleet/policy/baseline.rs
@@ -40,7 +40,7 @@
     }
 
     fn set(&mut self, backend: BackendId, ready: bool) {
-        let index = backend as usize;
+        let index = backend.index();
         if self.positions.len() <= index {
             self.positions.resize(index + 1, None);
         }
@@ -58,7 +58,7 @@
         self.ids.swap_remove(position);
         self.positions[index] = None;
         if let Some(&moved) = self.ids.get(position) {
-            self.positions[moved as usize] = Some(position);
+            self.positions[moved.index()] = Some(position);
         }
     }
 
--- a/lab/src/fleet/policy/mod.rs
+++ b/lab/src/fleet/policy/mod.rs
@@ -39,7 +39,7 @@
 
 impl TrueLoad for Vec<EmulatedBackend> {
     fn in_flight(&self, backend: BackendId) -> u32 {
-        self[backend as usize].in_flight()
+        self[backend.index()].in_flight()
     }
 }
 
--- a/lab/src/fleet/proxy/mod.rs
+++ b/lab/src/fleet/proxy/mod.rs
@@ -72,7 +72,7 @@
             }
         }
         for endpoint in update.endpoints.iter() {
-            let known = &mut self.known_backends[endpoint.id as usize];
+            let known = &mut self.known_backends[endpoint.id.index()];
             known.readiness = endpoint.readiness;
             known.started_at = endpoint.started_at;
             known.update_availability(now);
--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -26,7 +26,7 @@
             return;
         };
         let from = self.proxies[self.attempts[attempt].proxy.index()].zone;
-        let to = self.topology.machines[backend as usize].zone;
+        let to = self.topology.machines[backend.index()].zone;
         self.metrics.attempts.proxy_attempts += 1;
         self.metrics.attempts.cross_zone += u64::from(from != to);
         if self.is_partitioned(from, to) {
@@ -47,11 +47,11 @@
             now,
             request,
             class: &self.settings.classes[request.class.index()],
-            target: &machines[backend as usize],
-            known_backend: &self.proxies[request.proxy.index()].known_backends[backend as usize],
+            target: &machines[backend.index()],
+            known_backend: &self.proxies[request.proxy.index()].known_backends[backend.index()],
         };
         self.checker
-            .on_send(send, |attempt| machines[attempt.backend as usize]);
+            .on_send(send, |attempt| machines[attempt.backend.index()]);
     }
 
     /// Adds an attempt to a request; `None` where it has as many as can be tracked.
@@ -105,7 +105,7 @@
     /// Sends an outcome to the proxy. Takes over a reference.
     fn send_outcome(&mut self, key: AttemptKey, outcome: Outcome) {
         let attempt = &mut self.attempts[key];
-        let backend = attempt.backend as usize;
+        let backend = attempt.backend.index();
         attempt.outcome = outcome;
         attempt.load_report = self.backends[backend].load_report();
         let from = self.topology.machines[backend].zone;
@@ -126,8 +126,8 @@
             proxy,
             ..
         } = self.attempts[key];
-        let known_backend = &self.proxies[proxy.index()].known_backends[backend as usize];
-        let target = &mut self.backends[backend as usize];
+        let known_backend = &self.proxies[proxy.index()].known_backends[backend.index()];
+        let target = &mut self.backends[backend.index()];
         let informed = target.started_at.is_some() && known_backend.started_at == target.started_at;
         let collapse = target.add_slow_start_load(now, work, informed, &self.slow_start);
         match target.admit(now, key, work, &self.slow_start) {
@@ -139,7 +139,7 @@
         }
         if let Some(collapse) = collapse {
             self.checker.on_collapse(&collapse);
-            self.backends[backend as usize].collapsed = true;
+            self.backends[backend.index()].collapsed = true;
             self.stop_backend(now, backend, ProcessState::Crashed);
         }
     }
@@ -159,7 +159,7 @@
             lost,
             ..
         } = self.attempts[key];
-        if !lost && self.backends[backend as usize].finish_work(key, service_time) {
+        if !lost && self.backends[backend.index()].finish_work(key, service_time) {
             self.send_outcome(key, Outcome::Ok);
             self.start_queued(now, backend);
         }
@@ -168,13 +168,13 @@
 
     /// Starts the work on queued attempts of a backend while it has free cores.
     fn start_queued(&mut self, now: Micros, backend: BackendId) {
-        while let Some(key) = self.backends[backend as usize].next_queued() {
+        while let Some(key) = self.backends[backend.index()].next_queued() {
             if self.is_skipped(key) {
                 self.release_attempt(key);
                 continue;
             }
             let work = self.attempts[key].work;
-            let target = &mut self.backends[backend as usize];
+            let target = &mut self.backends[backend.index()];
             let service_time = target.start_work(now, key, work, &self.slow_start);
             self.schedule_end_of_work(key, service_time);
         }
@@ -190,7 +190,7 @@
 
     /// Resumes a hung backend: the responses to what it had finished are sent.
     pub(super) fn resume_backend(&mut self, now: Micros, backend: BackendId) {
-        for key in self.backends[backend as usize].resume() {
+        for key in self.backends[backend.index()].resume() {
             self.send_outcome(key, Outcome::Ok);
         }
         self.start_queued(now, backend);
@@ -215,7 +215,7 @@
             outcome,
             ..
         } = self.attempts[key];
-        let from = self.topology.machines[backend as usize].zone;
+        let from = self.topology.machines[backend.index()].zone;
         let to = self.proxies[proxy.index()].zone;
         // The proxy itself notices that it cannot connect.
         if outcome == Outcome::ConnectFailed || !self.is_partitioned(from, to) {
--- a/lab/src/fleet/simulation/changes.rs
+++ b/lab/src/fleet/simulation/changes.rs
@@ -13,15 +13,15 @@
         match self.schedule.changes[index as usize].change {
             FleetChange::DrainBackend(backend) => self.drain_backend(backend),
             FleetChange::StopBackend(backend, state) => {
-                if self.backends[backend as usize].is_running() {
+                if self.backends[backend.index()].is_running() {
                     self.stop_backend(now, backend, state);
                 }
             }
             FleetChange::StartBackend(backend, state) => self.start_backend(now, backend, state),
             FleetChange::SlowBackend(backend, factor) => {
-                self.backends[backend as usize].slowdown = factor;
+                self.backends[backend.index()].slowdown = factor;
             }
-            FleetChange::HangBackend(backend) => self.backends[backend as usize].hung = true,
+            FleetChange::HangBackend(backend) => self.backends[backend.index()].hung = true,
             FleetChange::ResumeBackend(backend) => self.resume_backend(now, backend),
             FleetChange::RepublishBackend(backend) => self.republish(backend),
             FleetChange::StopProxy(proxy, state) => self.stop_proxy(now, proxy, state),
@@ -40,20 +40,20 @@
     }
 
     fn drain_backend(&mut self, backend: BackendId) {
-        if self.backends[backend as usize].is_running() {
+        if self.backends[backend.index()].is_running() {
             self.change_readiness(backend, Readiness::Draining);
         }
     }
 
     pub(super) fn stop_backend(&mut self, now: Micros, backend: BackendId, state: ProcessState) {
-        tracing::trace!(backend, now, ?state, "backend stopped");
-        let lost = self.backends[backend as usize].stop(state);
+        tracing::trace!(backend = backend.0, now, ?state, "backend stopped");
+        let lost = self.backends[backend.index()].stop(state);
         self.lose_attempts(lost, state);
         self.change_endpoint(backend, Readiness::Removed, None);
     }
 
     fn start_backend(&mut self, now: Micros, backend: BackendId, stopped_state: ProcessState) {
-        let target = &mut self.backends[backend as usize];
+        let target = &mut self.backends[backend.index()];
         if target.state == stopped_state && target.start(now) {
             self.checker.on_backend_start();
             self.change_endpoint(backend, Readiness::Ready, Some(now));
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -122,7 +122,7 @@
     }
 
     fn add_request(&mut self, call: CallKey, proxy: ProxyIndex, deadline: Micros) -> RequestKey {
-        let id = self.request_keys.len() as RequestId;
+        let id = RequestId(self.request_keys.len() as u32);
         let class = self.clients.calls[call].class;
         let request = TrackedRequest::new(id, call, class, proxy, deadline);
         // The events of its way and of its timeout refer to it.
--- a/lab/src/fleet/simulation/discovery.rs
+++ b/lab/src/fleet/simulation/discovery.rs
@@ -42,7 +42,7 @@
             .machines
             .iter()
             .zip(0..)
-            .map(|(machine, id)| ready_endpoint(id, machine))
+            .map(|(machine, id)| ready_endpoint(BackendId(id), machine))
             .collect();
         Self {
             service: Discovery::new(&scenario.discovery, endpoints.clone(), proxies),
@@ -220,7 +220,7 @@
 impl Simulation<'_> {
     /// Changes the readiness of an endpoint.
     pub(super) fn change_readiness(&mut self, backend: BackendId, readiness: Readiness) {
-        let started_at = self.discovery.endpoints[backend as usize].started_at;
+        let started_at = self.discovery.endpoints[backend.index()].started_at;
         self.change_endpoint(backend, readiness, started_at);
     }
 
@@ -231,7 +231,7 @@
         readiness: Readiness,
         started_at: Option<Micros>,
     ) {
-        let endpoint = &mut self.discovery.endpoints[backend as usize];
+        let endpoint = &mut self.discovery.endpoints[backend.index()];
         endpoint.readiness = readiness;
         endpoint.started_at = started_at;
         self.discovery.undetected.push_back(*endpoint);
@@ -242,7 +242,7 @@
 
     /// Publishes an endpoint again without a change.
     pub(super) fn republish(&mut self, backend: BackendId) {
-        let readiness = self.discovery.endpoints[backend as usize].readiness;
+        let readiness = self.discovery.endpoints[backend.index()].readiness;
         self.change_readiness(backend, readiness);
     }
 
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -301,13 +301,13 @@
 
     /// Returns the key of a request that has not ended together with its attempts.
     fn request_key(&self, request: RequestId) -> Option<RequestKey> {
-        self.request_keys.get(request as usize).copied().flatten()
+        self.request_keys.get(request.index()).copied().flatten()
     }
 
     fn release_request(&mut self, request: RequestKey) {
         let TrackedRequest { id, call, .. } = self.requests[request];
         if self.requests.release(request) {
-            self.request_keys[id as usize] = None;
+            self.request_keys[id.index()] = None;
             self.clients.calls.release(call);
         }
     }
--- a/lab/src/fleet/topology.rs
+++ b/lab/src/fleet/topology.rs
@@ -63,7 +63,7 @@
         let mut random = stream(seed, Stream::Topology, 0);
         let fleet = &scenario.fleet;
         let machines = (0..fleet.backends)
-            .map(|id| place_machine(scenario, id, &mut random))
+            .map(|id| place_machine(scenario, BackendId(id), &mut random))
             .collect();
         let skew = LogNormal::new(0.0, scenario.load.proxy_skew).ok();
         let proxies = (0..fleet.proxies)
@@ -100,7 +100,7 @@
             .iter()
             .zip(0..)
             .filter(move |(machine, _)| machine.zone == zone)
-            .map(|(_, id)| id)
+            .map(|(_, id)| BackendId(id))
     }
 
     /// Iterates over the proxies of a zone.
@@ -116,8 +116,8 @@
 fn place_machine(scenario: &FleetScenario, id: BackendId, random: &mut SmallRng) -> Machine {
     let fleet = &scenario.fleet;
     let zones = u32::from(fleet.zones);
-    let zone = id % zones;
-    let rank_in_zone = id / zones;
+    let zone = id.0 % zones;
+    let rank_in_zone = id.0 / zones;
     let type_index = draw_machine_type(scenario, random.random());
     let machine_type = &scenario.machine_types[type_index];
     let speed_deviation = machine_type.speed_spread * (2.0 * random.random::<f64>() - 1.0);
--- a/lab/src/slopes/virtual_proxy/mod.rs
+++ b/lab/src/slopes/virtual_proxy/mod.rs
@@ -37,7 +37,7 @@
     /// Time between two batches.
     step: Micros,
     traffic: Traffic,
-    next_request: RequestId,
+    next_request: u32,
     attempts: BinaryHeap<Reverse<Attempt>>,
     timers: BinaryHeap<Reverse<Timer>>,
     /// Attempts made so far for each open request.
@@ -119,7 +119,7 @@
     /// Lets this number of requests arrive without any of them ending, other than by rejection.
     pub fn open_requests(&mut self, count: u32) {
         for _ in 0..count {
-            let request = self.traffic.request(self.next_request);
+            let request = self.traffic.request(RequestId(self.next_request));
             self.next_request += 1;
             self.balancer
                 .handle(self.now, Event::Request(request), &mut self.actions);
@@ -224,8 +224,10 @@
     fn admit_requests(&mut self, meter: &mut Meter<'_>) {
         let mut events = Vec::new();
         for _ in 0..self.traffic.batch_size() {
-            events.push(Event::Request(self.traffic.request(self.next_request)));
-            self.open.insert(self.next_request, 0);
+            events.push(Event::Request(
+                self.traffic.request(RequestId(self.next_request)),
+            ));
+            self.open.insert(RequestId(self.next_request), 0);
             self.next_request += 1;
         }
         self.counts.requests += events.len() as u64;
--- a/lab/tests/fleet/discovery.rs
+++ b/lab/tests/fleet/discovery.rs
@@ -1,6 +1,6 @@
 //! The emulated discovery and the proxies' watchers.
 
-use tillerproxy::api::{Backend, Cell, MachineType, Readiness, Zone};
+use tillerproxy::api::{Backend, BackendId, Cell, MachineType, Readiness, Zone};
 use tillerproxy_lab::fleet::discovery::{
     Call, CallId, CallStatus, Discovery, Response, ResponseBody,
 };
@@ -10,7 +10,7 @@
 
 fn entry(id: u32, readiness: Readiness) -> Backend {
     Backend {
-        id,
+        id: BackendId(id),
         zone: Zone(0),
         machine_type: MachineType(0),
         cell: Cell(0),
@@ -52,7 +52,7 @@
             update
                 .endpoints
                 .iter()
-                .map(|endpoint| endpoint.id)
+                .map(|endpoint| endpoint.id.0)
                 .collect(),
         ),
         ResponseBody::Failed => panic!("the call failed"),
--- a/lab/tests/fleet/rules.rs
+++ b/lab/tests/fleet/rules.rs
@@ -4,7 +4,7 @@
 use indicatif::ProgressBar;
 use tillerproxy::api::{
     Action, BackendId, Cell, Class, ClassIndex, Event, Idempotency, KeyScope, MachineType,
-    MembershipEvent, Micros, Settings, Zone,
+    MembershipEvent, Micros, RequestId, Settings, Zone,
 };
 use tillerproxy_lab::fleet::backend::Collapse;
 use tillerproxy_lab::fleet::faults::FaultSchedule;
@@ -59,7 +59,7 @@
     simulation.report("scripted")
 }
 
-fn send(request: u32, backend: BackendId, give_up_at: Micros) -> Action {
+fn send(request: RequestId, backend: BackendId, give_up_at: Micros) -> Action {
     Action::Send {
         request,
         backend,
@@ -72,9 +72,11 @@
 fn a_policy_that_sends_once_and_fails_what_fails_keeps_all_rules() {
     let report = simulate(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| match event {
-            Event::Request(request) => {
-                actions.push(send(request.id, request.id % 24, now + request.timeout))
-            }
+            Event::Request(request) => actions.push(send(
+                request.id,
+                BackendId(request.id.0 % 24),
+                now + request.timeout,
+            )),
             Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
                 request: end.request,
             }),
@@ -104,7 +106,7 @@
                 actions.push(Action::Fail {
                     request: request.id,
                 });
-                actions.push(send(request.id, 0, now + request.timeout));
+                actions.push(send(request.id, BackendId(0), now + request.timeout));
                 actions.push(Action::Fail {
                     request: request.id,
                 });
@@ -123,8 +125,8 @@
     let report = simulate(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| match event {
             Event::Request(request) => {
-                actions.push(send(request.id, 0, now + request.timeout));
-                actions.push(send(request.id, 1, now + request.timeout));
+                actions.push(send(request.id, BackendId(0), now + request.timeout));
+                actions.push(send(request.id, BackendId(1), now + request.timeout));
             }
             Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
                 request: end.request,
@@ -148,7 +150,9 @@
     let report = simulate(NOTHING, || {
         |now, event, actions: &mut Vec<Action>| match event {
             // Given up before any answer can come.
-            Event::Request(request) => actions.push(send(request.id, request.id % 24, now + 10)),
+            Event::Request(request) => {
+                actions.push(send(request.id, BackendId(request.id.0 % 24), now + 10))
+            }
             Event::AttemptEnded(end) if !end.request_answered => {
                 actions.push(Action::Reject {
                     request: end.request,
@@ -171,9 +175,11 @@
     let event = RESTART.replace("down_s = 0.2", "down_s = 100.0") + "\n";
     let report = simulate(&event, || {
         |now, event, actions: &mut Vec<Action>| match event {
-            Event::Request(request) => {
-                actions.push(send(request.id, request.id % 24, now + request.timeout))
-            }
+            Event::Request(request) => actions.push(send(
+                request.id,
+                BackendId(request.id.0 % 24),
+                now + request.timeout,
+            )),
             Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
                 request: end.request,
             }),
@@ -200,7 +206,7 @@
                 newest = newest.max(starts.max());
             }
             Event::Request(request) => {
-                let backend = newest.map_or(request.id % 24, |(_, id)| id);
+                let backend = newest.map_or(BackendId(request.id.0 % 24), |(_, id)| id);
                 actions.push(send(request.id, backend, now + request.timeout));
             }
             Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
@@ -280,10 +286,15 @@
 
 /// A request with one attempt that was sent at 0.
 fn request_with_attempt(state: AttemptState) -> TrackedRequest {
-    let mut request =
-        TrackedRequest::new(1, CallKey::default(), ClassIndex(0), ProxyIndex(0), 10_000);
+    let mut request = TrackedRequest::new(
+        RequestId(1),
+        CallKey::default(),
+        ClassIndex(0),
+        ProxyIndex(0),
+        10_000,
+    );
     request.add_attempt(SentAttempt {
-        backend: 0,
+        backend: BackendId(0),
         sent_at: 0,
         state,
         key: AttemptKey::default(),
--- a/src/balancer/backends/tests.rs
+++ b/src/balancer/backends/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn listed(id: BackendId) -> BackendState {
+fn listed(id: u32) -> BackendState {
     BackendState {
-        id,
+        id: BackendId(id),
         listed: true,
         ..BackendState::default()
     }
@@ -19,7 +19,7 @@
 fn new_backends_reuse_the_keys_of_removed_ones() {
     let mut backends = BackendTable::default();
     for id in 0..1_000_u32 {
-        let last = backends.find(id.wrapping_sub(1));
+        let last = backends.find(BackendId(id.wrapping_sub(1)));
         backends.insert(listed(id));
         if let Some(key) = last {
             unlist(&mut backends, key);
@@ -46,6 +46,6 @@
         "one attempt still refers to it"
     );
     backends.release(first);
-    assert_eq!(backends.find(1), None);
+    assert_eq!(backends.find(BackendId(1)), None);
     assert_eq!(backends.insert(listed(3)), first);
 }
--- a/src/balancer/index/group.rs
+++ b/src/balancer/index/group.rs
@@ -1,7 +1,7 @@
 //! Backends that have the same limit, in the order of their slot offsets.
 
 use super::ranked_set::RankedSet;
-use crate::api::{MachineType, Zone};
+use crate::api::{BackendId, MachineType, Zone};
 use crate::balancer::backends::BackendKey;
 use std::ops::Range;
 
@@ -64,7 +64,7 @@
     /// many members.
     pub(super) fn apply(
         &mut self,
-        batch: Vec<(u32, Option<BackendKey>)>,
+        batch: Vec<(BackendId, Option<BackendKey>)>,
         unwrapped_offset: impl Fn(usize, usize) -> f64,
     ) {
         self.members.apply(batch);
--- a/src/balancer/index/tests.rs
+++ b/src/balancer/index/tests.rs
@@ -90,14 +90,14 @@
             } else {
                 rng.usize(0..4)
             };
-            let mut ids: Vec<BackendId> = (0..size).map(|_| rng.u32(0..300)).collect();
+            let mut ids: Vec<BackendId> = (0..size).map(|_| BackendId(rng.u32(0..300))).collect();
             ids.sort_unstable();
             ids.dedup();
             rng.shuffle(&mut ids);
             let change = |id| (id, (rng.u8(0..5) < 3).then(|| rng.usize(0..1_000)));
             modelled.apply(ids.into_iter().map(change).collect());
             for _ in 0..20 {
-                modelled.set_flag(rng.u32(0..300), rng.bool());
+                modelled.set_flag(BackendId(rng.u32(0..300)), rng.bool());
             }
             let start = rng.usize(0..=modelled.model.len());
             let end = rng.usize(start..=modelled.model.len());
@@ -106,9 +106,9 @@
     }
 }
 
-fn ready(id: BackendId, group: GroupKey) -> BackendState {
+fn ready(id: u32, group: GroupKey) -> BackendState {
     BackendState {
-        id,
+        id: BackendId(id),
         index_entry: IndexEntry::new(group),
         ready: true,
         listed: true,
@@ -116,7 +116,8 @@
     }
 }
 
-fn change(backend: BackendKey, group: GroupKey, id: BackendId) -> Change {
+fn change(backend: BackendKey, group: GroupKey, id: u32) -> Change {
+    let id = BackendId(id);
     Change { backend, group, id }
 }
 
--- a/src/balancer/requests/tests.rs
+++ b/src/balancer/requests/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::balancer::backends::{BackendState, BackendTable};
 
-fn open_request(id: RequestId) -> OpenRequest {
-    OpenRequest::new(id, ClassIndex(0), false, 0, 1_000)
+fn open_request(id: u32) -> OpenRequest {
+    OpenRequest::new(RequestId(id), ClassIndex(0), false, 0, 1_000)
 }
 
 fn attempt(sent_at: Micros, state: AttemptState) -> Attempt {
@@ -19,11 +19,11 @@
 fn a_request_is_found_until_it_is_removed() {
     let mut requests = RequestTable::default();
     let key = requests.insert(open_request(7));
-    assert_eq!(requests.find(7), Some(key));
-    assert_eq!(requests[key].id, 7);
-    assert_eq!(requests.find(8), None);
+    assert_eq!(requests.find(RequestId(7)), Some(key));
+    assert_eq!(requests[key].id, RequestId(7));
+    assert_eq!(requests.find(RequestId(8)), None);
     requests.remove(key);
-    assert_eq!(requests.find(7), None);
+    assert_eq!(requests.find(RequestId(7)), None);
 }
 
 #[test]
@@ -39,8 +39,8 @@
     let third = requests.insert(open_request(3));
     assert_eq!(third, first);
     assert!(requests[third].attempts.is_empty());
-    assert_eq!(requests.find(3), Some(third));
-    assert_eq!(requests.find(2), Some(second));
+    assert_eq!(requests.find(RequestId(3)), Some(third));
+    assert_eq!(requests.find(RequestId(2)), Some(second));
 }
 
 #[test]
--- a/src/balancer/retries/tests.rs
+++ b/src/balancer/retries/tests.rs
@@ -1,7 +1,7 @@
 //! Retries by themselves: the budget, and rule 2 over every idempotency and key scope.
 
 use super::*;
-use crate::api::ClassIndex;
+use crate::api::{BackendId, ClassIndex, RequestId};
 use crate::balancer::backends::{BackendKey, BackendState};
 use crate::balancer::requests::{Attempt, AttemptState};
 use crate::balancer::time::SECOND;
@@ -47,7 +47,7 @@
         let mut table = BackendTable::default();
         let mut insert = |id, zone, cell| {
             table.insert(BackendState {
-                id,
+                id: BackendId(id),
                 zone: Zone(zone),
                 cell: Cell(cell),
                 ..BackendState::default()
@@ -71,7 +71,7 @@
     let deadline = 60 * SECOND;
     OpenRequest {
         attempts,
-        ..OpenRequest::new(1, ClassIndex(0), false, 0, deadline)
+        ..OpenRequest::new(RequestId(1), ClassIndex(0), false, 0, deadline)
     }
 }
 
--- a/src/balancer/selection/tests/random_proxy.rs
+++ b/src/balancer/selection/tests/random_proxy.rs
@@ -91,7 +91,7 @@
     pub(super) balancer: Balancer,
     pub(super) now: Micros,
     backend_count: u32,
-    last_request: RequestId,
+    last_request: u32,
     in_flight: Vec<InFlightAttempt>,
     /// The request of each attempt that was sent.
     sent: Vec<RequestId>,
@@ -120,7 +120,7 @@
         proxy
     }
 
-    fn random_backend(&mut self, id: BackendId) -> Backend {
+    fn random_backend(&mut self, id: u32) -> Backend {
         let readiness = match self.rng.u8(0..8) {
             0 => Readiness::Draining,
             1 => Readiness::Removed,
@@ -129,7 +129,7 @@
         let has_restarted = self.rng.u8(0..4) == 0;
         let started_at = has_restarted.then(|| self.now - self.rng.u64(0..SECOND));
         Backend {
-            id,
+            id: BackendId(id),
             zone: Zone((id % 3) as u16),
             machine_type: MachineType((id / 3 % 2) as u8),
             cell: Cell((id % 7) as u16),
@@ -160,7 +160,7 @@
 
     fn change_membership(&mut self) {
         let is_full = self.rng.u8(0..6) == 0;
-        let ids: Vec<BackendId> = if is_full {
+        let ids: Vec<u32> = if is_full {
             (0..self.backend_count).collect()
         } else {
             let count = 1 + self.rng.u32(0..self.backend_count / 3);
@@ -209,7 +209,7 @@
         self.last_request += 1;
         let class = self.rng.u8(0..CLASSES);
         self.handle(Event::Request(Request {
-            id: self.last_request,
+            id: RequestId(self.last_request),
             class: ClassIndex(class),
             tenant: TenantIndex(0),
             key: None,
@@ -243,7 +243,7 @@
             .collect();
         let over_quota = self.rng.u8(0..4) == 0;
         let deadline = self.now + SECOND;
-        let open = OpenRequest::new(RequestId::MAX, class, over_quota, self.now, deadline);
+        let open = OpenRequest::new(RequestId(u32::MAX), class, over_quota, self.now, deadline);
         let request = self.balancer.requests.insert(open);
         self.balancer.requests[request].attempts = attempts;
         request
--- a/src/proxy/backends/tests.rs
+++ b/src/proxy/backends/tests.rs
@@ -1,5 +1,5 @@
 use super::Backends;
-use crate::api::Readiness;
+use crate::api::{BackendId, Readiness};
 use crate::proxy::counters::Counters;
 use std::net::SocketAddr;
 
@@ -7,9 +7,10 @@
 fn removed_backends_are_forgotten() {
     let backends = Backends::new(10, 1, 1, Vec::new(), Counters::new(&[]));
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    for id in 0..100 {
+    for number in 0..100 {
+        let id = BackendId(number);
         backends.update(id, address, Readiness::Ready, None);
-        if id % 2 == 0 {
+        if number % 2 == 0 {
             backends.update(id, address, Readiness::Removed, None);
         } else {
             backends.retain(|listed| listed > id);
--- a/src/proxy/discovery/backend_ids.rs
+++ b/src/proxy/discovery/backend_ids.rs
@@ -23,9 +23,9 @@
         if let Some(&id) = self.by_name.get(name) {
             return id;
         }
-        let mut id = fnv1a(name.as_bytes());
+        let mut id = BackendId(fnv1a(name.as_bytes()));
         while !self.assigned.insert(id) {
-            id = id.wrapping_add(1);
+            id = BackendId(id.0.wrapping_add(1));
         }
         self.by_name.insert(name.to_owned(), id);
         id
--- a/src/proxy/discovery/backend_ids/tests.rs
+++ b/src/proxy/discovery/backend_ids/tests.rs
@@ -8,8 +8,8 @@
     let mut ids = BackendIds::default();
     let first_id = ids.get_or_assign(first);
     let second_id = ids.get_or_assign(second);
-    assert_eq!(first_id, fnv1a(first.as_bytes()));
-    assert_eq!(second_id, first_id.wrapping_add(1));
+    assert_eq!(first_id, BackendId(fnv1a(first.as_bytes())));
+    assert_eq!(second_id, BackendId(first_id.0.wrapping_add(1)));
     assert_eq!(ids.get_or_assign(first), first_id);
     ids.remove(first);
     assert_eq!((ids.get(first), ids.get(second)), (None, Some(second_id)));
@@ -18,5 +18,5 @@
 #[test]
 fn an_id_is_the_same_in_each_process() {
     let mut ids = BackendIds::default();
-    assert_eq!(ids.get_or_assign("foobar"), 0xbf9c_f968);
+    assert_eq!(ids.get_or_assign("foobar"), BackendId(0xbf9c_f968));
 }
--- a/src/proxy/driver/actions.rs
+++ b/src/proxy/driver/actions.rs
@@ -72,10 +72,17 @@
     match event {
         LogEvent::Ejected { backend, duration } => {
             let duration = Duration::from_micros(duration);
-            tracing::info!(backend, ?duration, "backend ejected: its requests fail");
+            tracing::info!(
+                backend = backend.0,
+                ?duration,
+                "backend ejected: its requests fail"
+            );
         }
         LogEvent::Readmitted { backend } => {
-            tracing::info!(backend, "backend readmitted after a trial request");
+            tracing::info!(
+                backend = backend.0,
+                "backend readmitted after a trial request"
+            );
         }
     }
 }
--- a/src/proxy/driver/requests/tests.rs
+++ b/src/proxy/driver/requests/tests.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, Uri};
 use tokio::sync::oneshot::error::TryRecvError;
 
-const REQUEST: RequestId = 1;
+const REQUEST: RequestId = RequestId(1);
 
 fn pending_request() -> (PendingRequest, oneshot::Receiver<Answer>) {
     let call = Call {
@@ -33,14 +33,14 @@
 #[test]
 fn a_cancelled_attempt_is_notified_once_and_still_ends_once() {
     let (mut open, _answer) = pending_request();
-    let (first, mut first_cancelled) = open.start_attempt(5, 10);
-    let (second, mut second_cancelled) = open.start_attempt(6, 20);
+    let (first, mut first_cancelled) = open.start_attempt(BackendId(5), 10);
+    let (second, mut second_cancelled) = open.start_attempt(BackendId(6), 20);
     assert_eq!((first, second), (0, 1));
     open.cancel_attempt(first);
     open.cancel_attempt(first);
     assert_eq!(first_cancelled.try_recv(), Ok(()));
     assert_eq!(second_cancelled.try_recv(), Err(TryRecvError::Empty));
-    assert_eq!(open.end_attempt(first), Some(5));
+    assert_eq!(open.end_attempt(first), Some(BackendId(5)));
     assert_eq!(open.end_attempt(first), None);
     open.cancel_attempt(first);
     assert_eq!(open.end_attempt(first), None, "an ended attempt stays so");
@@ -51,7 +51,7 @@
 #[test]
 fn a_request_stays_until_it_is_answered_and_its_attempts_have_ended() {
     let (mut open, _answer) = pending_request();
-    let (attempt, _cancelled) = open.start_attempt(5, 10);
+    let (attempt, _cancelled) = open.start_attempt(BackendId(5), 10);
     let mut requests = PendingRequests::default();
     requests.insert(REQUEST, open);
     let stays = |requests: &mut PendingRequests| {
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -130,7 +130,7 @@
         let (sender, receiver) = mpsc::unbounded_channel();
         let handle = Self {
             messages: sender,
-            next_request_id: Rc::new(Cell::new(1)),
+            next_request_id: Rc::new(Cell::new(RequestId(1))),
         };
         (handle, receiver)
     }
@@ -144,7 +144,7 @@
     #[must_use]
     pub fn next_request_id(&self) -> RequestId {
         let id = self.next_request_id.get();
-        self.next_request_id.set(id.wrapping_add(1));
+        self.next_request_id.set(RequestId(id.0.wrapping_add(1)));
         id
     }
 }
--- a/src/proxy/request_log.rs
+++ b/src/proxy/request_log.rs
@@ -14,7 +14,7 @@
     let request = &inbound.request;
     debug!(
         target: REQUEST_TARGET,
-        request = request.id,
+        request = request.id.0,
         correlation_id = inbound.call.correlation_id(),
         class = request.class.0,
         tenant = request.tenant.0,
@@ -31,7 +31,14 @@
     timeout: Micros,
 ) {
     let timeout = Duration::from_micros(timeout);
-    debug!(target: REQUEST_TARGET, request, attempt, backend, ?timeout, "attempt started");
+    debug!(
+        target: REQUEST_TARGET,
+        request = request.0,
+        attempt,
+        backend = backend.0,
+        ?timeout,
+        "attempt started",
+    );
 }
 
 /// Logs the end of an attempt, `elapsed` after its start.
@@ -44,7 +51,15 @@
 ) {
     let elapsed = Duration::from_micros(elapsed);
     let outcome = result.outcome;
-    debug!(target: REQUEST_TARGET, request, attempt, backend, ?elapsed, ?outcome, "attempt ended");
+    debug!(
+        target: REQUEST_TARGET,
+        request = request.0,
+        attempt,
+        backend = backend.0,
+        ?elapsed,
+        ?outcome,
+        "attempt ended",
+    );
 }
 
 /// Logs the final answer to a request.
@@ -54,10 +69,10 @@
         Answer::Rejected { .. } => "rejected",
         Answer::Failed => "failed",
     };
-    debug!(target: REQUEST_TARGET, request, answer, "answered");
+    debug!(target: REQUEST_TARGET, request = request.0, answer, "answered");
 }
 
 /// Logs that a client disconnected without an answer.
 pub(super) fn client_disconnected(request: RequestId) {
-    debug!(target: REQUEST_TARGET, request, "client disconnected");
+    debug!(target: REQUEST_TARGET, request = request.0, "client disconnected");
 }
--- a/src/simulator/frames/endpoints.rs
+++ b/src/simulator/frames/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::fields::Fields;
 use super::layout::{endpoint, readiness_code};
-use crate::api::{Backend, Cell, MachineType, Readiness, Zone};
+use crate::api::{Backend, BackendId, Cell, MachineType, Readiness, Zone};
 use crate::simulator::{FrameError, FrameErrorKind};
 
 /// The bytes of a list's endpoints, not yet parsed.
@@ -35,7 +35,7 @@
 
 fn parse_endpoint(fields: &Fields<'_>) -> Result<Backend, FrameError> {
     Ok(Backend {
-        id: fields.u32(endpoint::ID)?,
+        id: BackendId(fields.u32(endpoint::ID)?),
         zone: Zone(fields.u16(endpoint::ZONE)?),
         machine_type: MachineType(fields.u8(endpoint::MACHINE_TYPE)?),
         cell: Cell(fields.u16(endpoint::CELL)?),
--- a/src/simulator/frames/reader.rs
+++ b/src/simulator/frames/reader.rs
@@ -7,7 +7,7 @@
     select_proxy, start_proxy, timer_fired, update_code,
 };
 use super::{EndpointFrames, ListId, ProxyId, Record, UpdateKind};
-use crate::api::{ClassIndex, Micros, TenantIndex};
+use crate::api::{BackendId, ClassIndex, Micros, RequestId, TenantIndex};
 use crate::simulator::{FrameError, FrameErrorKind};
 
 /// Returns the number of bytes that follow a batch's header.
@@ -103,7 +103,7 @@
         }),
         record_code::MEMBERSHIP_UPDATE => parse_membership_update(fields),
         record_code::CLIENT_DISCONNECTED => {
-            let request = fields.u32(client_disconnected::REQUEST)?;
+            let request = RequestId(fields.u32(client_disconnected::REQUEST)?);
             Ok(Record::ClientDisconnected(request))
         }
         record_code::START_PROXY => parse_start_proxy(fields),
@@ -156,7 +156,7 @@
     let expected_work = fields.u32(request_received::EXPECTED_WORK)?;
     let has_expected_work = flags & request_received::HAS_EXPECTED_WORK != 0;
     Ok(Record::RequestReceived {
-        request: fields.u32(request_received::REQUEST)?,
+        request: RequestId(fields.u32(request_received::REQUEST)?),
         class: ClassIndex(fields.u8(request_received::CLASS)?),
         tenant: TenantIndex(fields.u16(request_received::TENANT)?),
         // 0 stands for a request without a key.
@@ -169,7 +169,7 @@
 
 fn parse_response_started<'a>(fields: &Fields<'a>) -> Result<Record<'a>, FrameError> {
     Ok(Record::ResponseStarted {
-        request: fields.u32(response_started::REQUEST)?,
+        request: RequestId(fields.u32(response_started::REQUEST)?),
         attempt: fields.u16(response_started::ATTEMPT)?,
         elapsed: fields.u32(response_started::ELAPSED)?.into(),
     })
@@ -177,8 +177,8 @@
 
 fn parse_attempt_ended<'a>(fields: &Fields<'a>) -> Result<Record<'a>, FrameError> {
     Ok(Record::AttemptEnded {
-        request: fields.u32(attempt_ended::REQUEST)?,
-        backend: fields.u32(attempt_ended::BACKEND)?,
+        request: RequestId(fields.u32(attempt_ended::REQUEST)?),
+        backend: BackendId(fields.u32(attempt_ended::BACKEND)?),
         request_answered: fields.u8(attempt_ended::REQUEST_ANSWERED)? != 0,
         outcome: fields.outcome(attempt_ended::OUTCOME)?,
         attempt: fields.u16(attempt_ended::ATTEMPT)?,
@@ -190,7 +190,7 @@
 fn parse_health_checked<'a>(fields: &Fields<'a>) -> Result<Record<'a>, FrameError> {
     Ok(Record::HealthChecked {
         outcome: fields.outcome(health_checked::OUTCOME)?,
-        backend: fields.u32(health_checked::BACKEND)?,
+        backend: BackendId(fields.u32(health_checked::BACKEND)?),
         load_report: fields.load_report(health_checked::LOAD_REPORT)?,
     })
 }
--- a/src/simulator/frames/writer.rs
+++ b/src/simulator/frames/writer.rs
@@ -35,22 +35,22 @@
                 deadline,
                 ..
             } => {
-                let request = request.to_be_bytes();
+                let request = request.0.to_be_bytes();
                 let deadline = deadline.to_be_bytes();
-                let backend = backend.to_be_bytes();
+                let backend = backend.0.to_be_bytes();
                 self.record(reply_code::SEND, &[&request, &deadline, &backend]);
             }
             Action::Reject {
                 request,
                 retry_after,
             } => {
-                let request = request.to_be_bytes();
+                let request = request.0.to_be_bytes();
                 let retry_after = duration_bytes(*retry_after);
                 self.record(reply_code::REJECT, &[&request, &retry_after]);
             }
-            Action::Fail { request } => self.record(reply_code::FAIL, &[&request.to_be_bytes()]),
+            Action::Fail { request } => self.record(reply_code::FAIL, &[&request.0.to_be_bytes()]),
             Action::Cancel { request, attempt } => {
-                let request = request.to_be_bytes();
+                let request = request.0.to_be_bytes();
                 let attempt = attempt.to_be_bytes();
                 self.record(reply_code::CANCEL, &[&request, &attempt]);
             }
@@ -60,10 +60,10 @@
                 self.record(reply_code::SET_TIMER, &[&after, &token]);
             }
             Action::HealthCheck(backend) => {
-                self.record(reply_code::HEALTH_CHECK, &[&backend.to_be_bytes()]);
+                self.record(reply_code::HEALTH_CHECK, &[&backend.0.to_be_bytes()]);
             }
             Action::CloseIdleConnections(backend) => {
-                let backend = backend.to_be_bytes();
+                let backend = backend.0.to_be_bytes();
                 self.record(reply_code::CLOSE_IDLE_CONNECTIONS, &[&backend]);
             }
             Action::Log(event) => self.text(reply_code::LOG, &event.to_string()),
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -6,7 +6,7 @@
 use hyper::{HeaderMap, Method, Uri};
 use std::rc::Rc;
 use std::time::Duration;
-use tillerproxy::api::{Outcome, Readiness};
+use tillerproxy::api::{BackendId, Outcome, Readiness};
 use tillerproxy::proxy::backends::{AttemptDeadlines, Backends, Call, RequestOver, Served};
 use tillerproxy::proxy::bodies::{BufferedBody, CallBody, ResponseBody, ServedBody};
 use tillerproxy::proxy::counters::Counters;
@@ -16,7 +16,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-const BACKEND: u32 = 7;
+const BACKEND: BackendId = BackendId(7);
 
 /// How long after the first a second response comes.
 const SECOND_RESPONSE_DELAY: Duration = Duration::from_millis(5);
--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -66,9 +66,9 @@
 }
 
 /// A warm backend; even ids in zone 0, odd ones in zone 1, cells of three.
-pub fn backend(id: BackendId) -> Backend {
+pub fn backend(id: u32) -> Backend {
     Backend {
-        id,
+        id: BackendId(id),
         zone: Zone((id % 2) as u16),
         machine_type: MachineType(0),
         cell: Cell((id / 6 * 2 + id % 2) as u16),
@@ -77,9 +77,9 @@
     }
 }
 
-pub fn request(id: RequestId, class: u8) -> Request {
+pub fn request(id: u32, class: u8) -> Request {
     Request {
-        id,
+        id: RequestId(id),
         class: ClassIndex(class),
         tenant: TenantIndex(0),
         key: None,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -290,7 +290,7 @@
     }
 
     /// Gives new requests of one class to the balancer, one for each id.
-    pub fn submit_all(&mut self, ids: Range<RequestId>, class: u8) {
+    pub fn submit_all(&mut self, ids: Range<u32>, class: u8) {
         for id in ids {
             self.submit(request(id, class));
         }
--- a/tests/decisions/connections.rs
+++ b/tests/decisions/connections.rs
@@ -11,23 +11,18 @@
 }
 
 /// Lets the connection be idle, then sends a request that ends so; returns whether idle connections were closed first.
-fn send_after_idle(
-    proxy: &mut SimulatedProxy,
-    id: RequestId,
-    idle: Micros,
-    outcome: Outcome,
-) -> bool {
+fn send_after_idle(proxy: &mut SimulatedProxy, id: u32, idle: Micros, outcome: Outcome) -> bool {
     const TIMEOUT: Micros = 300 * MS;
     proxy.advance(idle);
     let actions = proxy.submit(Request {
         timeout: TIMEOUT,
         ..request(id, 1)
     });
-    assert_eq!(sent_to(&actions), Some(0));
+    assert_eq!(sent_to(&actions), Some(BackendId(0)));
     if outcome == Outcome::Timeout {
         proxy.advance(TIMEOUT);
     } else {
-        proxy.end_attempt(id, 0, outcome);
+        proxy.end_attempt(RequestId(id), 0, outcome);
     }
     closes_idle_connections(&actions)
 }
@@ -60,19 +55,23 @@
         let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(2));
         for id in 0..2 {
             let backend = sent_to(&proxy.submit(request(id, 1))).expect("there is capacity");
-            assert_eq!(backend, 1, "the one with the most available capacity");
+            assert_eq!(
+                backend,
+                BackendId(1),
+                "the one with the most available capacity"
+            );
         }
         for id in 0..2 {
-            proxy.end_attempt(id, 0, Outcome::Ok);
+            proxy.end_attempt(RequestId(id), 0, Outcome::Ok);
         }
         proxy.advance(idle);
         // As many losses in a row as eject a backend; the idle time is to blame for the first one.
         let mut id = 2;
         let mut losses = 0;
         while losses < 6 {
-            let is_lost = sent_to(&proxy.submit(request(id, 1))) == Some(1);
+            let is_lost = sent_to(&proxy.submit(request(id, 1))) == Some(BackendId(1));
             let outcome = if is_lost { Outcome::Reset } else { Outcome::Ok };
-            proxy.end_attempt(id, 0, outcome);
+            proxy.end_attempt(RequestId(id), 0, outcome);
             id += 1;
             losses += u32::from(is_lost);
         }
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -69,7 +69,7 @@
         }
         proxy.advance(if id < 3200 { 10 * MS } else { 17 * MS });
         for attempt in proxy.in_flight() {
-            let is_reset = attempt.request % reset_interval == 0;
+            let is_reset = attempt.request.0 % reset_interval == 0;
             let outcome = if is_reset {
                 Outcome::Reset
             } else {
@@ -103,6 +103,10 @@
     proxy.serve(|_| 0);
     proxy.submit_all(0..4, 0);
     for backend in 0..4 {
-        assert_eq!(proxy.in_flight_at(backend), 1, "backend {backend}");
+        assert_eq!(
+            proxy.in_flight_at(BackendId(backend)),
+            1,
+            "backend {backend}"
+        );
     }
 }
--- a/tests/decisions/load_reports.rs
+++ b/tests/decisions/load_reports.rs
@@ -25,7 +25,7 @@
                 continue;
             }
             for attempt in proxy.in_flight() {
-                let is_even = attempt.backend % 2 == 0;
+                let is_even = attempt.backend.0 % 2 == 0;
                 sends += u32::from(is_even);
                 let service_time_ms = if are_slow && is_even { 900.0 } else { 100.0 };
                 proxy.end_attempt_with_report(
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -17,7 +17,7 @@
 fn a_failing_backend_is_ejected_and_readmitted_by_a_single_trial_of_an_idempotent_request() {
     let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(4));
     let mut id = 0;
-    while !is_ejected_in_log(&proxy, 2) {
+    while !is_ejected_in_log(&proxy, BackendId(2)) {
         id += 1;
         assert!(
             id < 400,
@@ -25,7 +25,7 @@
         );
         proxy.submit(request(id, 0));
         for attempt in proxy.in_flight() {
-            let outcome = if attempt.backend == 2 {
+            let outcome = if attempt.backend == BackendId(2) {
                 Outcome::Error
             } else {
                 Outcome::Ok
@@ -37,22 +37,24 @@
     proxy.advance(1300 * MS);
     proxy.submit_all(1000..1030, 1);
     assert_eq!(
-        proxy.in_flight_at(2),
+        proxy.in_flight_at(BackendId(2)),
         0,
         "no trial with a request that must not run twice"
     );
     proxy.advance(3 * SECOND);
     proxy.submit_all(2000..2030, 0);
-    assert_eq!(proxy.in_flight_at(2), 1, "a single trial");
+    assert_eq!(proxy.in_flight_at(BackendId(2)), 1, "a single trial");
     let in_flight = proxy.in_flight();
     let trial = in_flight
         .iter()
-        .find(|attempt| attempt.backend == 2)
+        .find(|attempt| attempt.backend == BackendId(2))
         .expect("the trial");
     proxy.end_attempt(trial.request, trial.number, Outcome::Ok);
     assert!(proxy.log.iter().any(|logged| matches!(
         logged.action,
-        Action::Log(LogEvent::Readmitted { backend: 2 })
+        Action::Log(LogEvent::Readmitted {
+            backend: BackendId(2)
+        })
     )));
 }
 
@@ -88,7 +90,7 @@
         proxy.submit(request(id, 0));
         proxy.advance(10 * MS);
         for attempt in proxy.in_flight() {
-            let is_first_attempt = attempt.request == id && attempt.number == 0;
+            let is_first_attempt = attempt.request == RequestId(id) && attempt.number == 0;
             let outcome = if id % interval == 0 && is_first_attempt {
                 Outcome::CorruptResponse
             } else {
@@ -154,7 +156,7 @@
             proxy.end_all(Outcome::Ok);
         }
         let failed = sent_to(&proxy.submit(request(first + 500, 1))).expect("there is capacity");
-        proxy.end_attempt(first + 500, 0, Outcome::ConnectFailed);
+        proxy.end_attempt(RequestId(first + 500), 0, Outcome::ConnectFailed);
         assert_eq!(proxy.ejections(), turn as usize + 1);
         proxy.advance(1300 * MS);
         let is_tried = (first + 600..first + 605)
@@ -170,7 +172,7 @@
 fn a_keyed_request_may_be_the_trial_of_an_ejected_backend() {
     let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(3));
     let failed = sent_to(&proxy.submit(request(0, 4))).expect("there is capacity");
-    proxy.end_attempt(0, 0, Outcome::ConnectFailed);
+    proxy.end_attempt(RequestId(0), 0, Outcome::ConnectFailed);
     proxy.advance(3 * SECOND);
     let is_tried = (1..20).any(|id| sent_to(&proxy.submit(request(id, 4))) == Some(failed));
     assert!(is_tried, "the ejection ends with a keyed request");
--- a/tests/decisions/queue_and_rejection.rs
+++ b/tests/decisions/queue_and_rejection.rs
@@ -59,7 +59,16 @@
     proxy.advance(50 * MS);
     let actions = proxy.end_attempt(first.request, first.number, Outcome::Ok);
     assert!(
-        matches!(actions[..], [Action::Send { request: 50, .. }, ..]),
+        matches!(
+            actions[..],
+            [
+                Action::Send {
+                    request: RequestId(50),
+                    ..
+                },
+                ..
+            ]
+        ),
         "{actions:?}"
     );
 }
--- a/tests/decisions/quotas.rs
+++ b/tests/decisions/quotas.rs
@@ -4,7 +4,7 @@
 use crate::support::*;
 use tillerproxy::api::*;
 
-fn of_tenant(tenant: u16, id: RequestId) -> Request {
+fn of_tenant(tenant: u16, id: u32) -> Request {
     Request {
         tenant: TenantIndex(tenant),
         ..request(id, 0)
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -13,10 +13,14 @@
     proxy.serve(|_| 0);
     for id in 0..6 {
         proxy.submit(request(id, 0));
-        proxy.end_attempt(id, 0, Outcome::CorruptResponse);
-        assert_eq!(proxy.requests[&id].attempts.len(), 2, "request {id}");
+        proxy.end_attempt(RequestId(id), 0, Outcome::CorruptResponse);
+        assert_eq!(
+            proxy.requests[&RequestId(id)].attempts.len(),
+            2,
+            "request {id}"
+        );
         proxy.advance(5 * MS);
-        proxy.end_attempt(id, 1, Outcome::Ok);
+        proxy.end_attempt(RequestId(id), 1, Outcome::Ok);
     }
 }
 
@@ -36,7 +40,7 @@
         proxy.serve(|_| 0);
     }
     proxy.submit(request(0, class));
-    let attempt = &proxy.requests[&0].attempts[0];
+    let attempt = &proxy.requests[&RequestId(0)].attempts[0];
     let attempt_timeout = attempt.deadline - attempt.sent_at;
     AfterLoad {
         proxy,
@@ -57,9 +61,13 @@
         (100 * MS..200 * MS).contains(&attempt_timeout),
         "{attempt_timeout} of a latency objective of 500 ms"
     );
-    let silent = proxy.requests[&0].attempts[0].backend;
+    let silent = proxy.requests[&RequestId(0)].attempts[0].backend;
     proxy.advance(attempt_timeout + 5 * MS);
-    assert_eq!(proxy.requests[&0].attempts.len(), 2, "another attempt");
+    assert_eq!(
+        proxy.requests[&RequestId(0)].attempts.len(),
+        2,
+        "another attempt"
+    );
     proxy.serve(|_| 0);
     proxy.submit_all(2000..2004, 0);
     assert!(
@@ -99,7 +107,7 @@
     );
     assert_eq!(
         sent_to(&proxy.submit(request(6001, 0))),
-        Some(0),
+        Some(BackendId(0)),
         "one trial"
     );
     assert_eq!(
@@ -108,13 +116,13 @@
         "and no other meanwhile"
     );
     proxy.advance(5 * MS);
-    proxy.end_attempt(6001, 0, Outcome::Ok);
+    proxy.end_attempt(RequestId(6001), 0, Outcome::Ok);
     let sent_again = (7000..7000 + lost.len() as u32)
         .filter(|&id| sent_to(&proxy.submit(request(id, 1))).is_some())
         .count();
     assert!(sent_again + 2 >= lost.len(), "its slots are free again");
     assert!(
-        lost.iter().all(|id| !proxy.requests[id].ended),
+        lost.iter().all(|&id| !proxy.requests[&RequestId(id)].ended),
         "the lost ones are still waited for"
     );
 }
@@ -127,7 +135,7 @@
         balancer.handle(0, Event::Request(request(1, 0)), &mut actions);
         let backend = sent_to(&actions).expect("it is sent");
         let attempt_end = AttemptEnd {
-            request: 1,
+            request: RequestId(1),
             backend,
             attempt: 0,
             outcome: Outcome::ConnectFailed,
@@ -140,9 +148,13 @@
         balancer.handle(MS, Event::AttemptEnded(attempt_end), &mut actions);
         assert_eq!(sent_to(&actions).is_some(), !body_consumed, "{actions:?}");
         assert_eq!(
-            actions
-                .iter()
-                .any(|action| matches!(action, Action::Reject { request: 1, .. })),
+            actions.iter().any(|action| matches!(
+                action,
+                Action::Reject {
+                    request: RequestId(1),
+                    ..
+                }
+            )),
             body_consumed,
             "{actions:?}"
         );
--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -11,10 +11,11 @@
     let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(5));
     for id in 0..full.in_flight().len() as u32 {
         let available: Vec<usize> = (0..5)
+            .map(BackendId)
             .map(|backend| full.in_flight_at(backend) - proxy.in_flight_at(backend))
             .collect();
         let chosen = sent_to(&proxy.submit(request(id, 0))).expect("there is capacity");
-        assert_eq!(Some(&available[chosen as usize]), available.iter().max());
+        assert_eq!(Some(&available[chosen.index()]), available.iter().max());
     }
 }
 
@@ -23,7 +24,7 @@
     let mut proxy = SimulatedProxy::new(settings(), (0..6).map(backend));
     let zones: Vec<u32> = (0..30)
         .filter_map(|id| sent_to(&proxy.submit(request(id, 0))))
-        .map(|backend| backend % 2)
+        .map(|backend| backend.0 % 2)
         .collect();
     assert!(
         zones.contains(&0) && zones.contains(&1),
@@ -38,7 +39,10 @@
     let mut proxy = SimulatedProxy::new(settings(), [0, 1, 3, 5].map(backend));
     proxy.submit_all(0..10, 0);
     for backend in [0, 1, 3, 5] {
-        assert!(proxy.in_flight_at(backend) >= 1, "backend {backend}");
+        assert!(
+            proxy.in_flight_at(BackendId(backend)) >= 1,
+            "backend {backend}"
+        );
     }
 }
 
@@ -47,7 +51,7 @@
 fn a_rejecting_backend_gets_nothing_for_a_while() {
     let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(3));
     let rejecting = sent_to(&proxy.submit(request(0, 0))).expect("there is capacity");
-    proxy.end_attempt(0, 0, Outcome::Rejected);
+    proxy.end_attempt(RequestId(0), 0, Outcome::Rejected);
     assert_eq!(proxy.in_flight_at(rejecting), 0);
     proxy.submit_all(1..9, 0);
     assert_eq!(
@@ -77,7 +81,7 @@
             }
         }
     }
-    assert_eq!(proxy.requests[&5000].attempts.len(), 1);
+    assert_eq!(proxy.requests[&RequestId(5000)].attempts.len(), 1);
 }
 
 #[test]
@@ -123,11 +127,17 @@
         for id in 0..100 {
             let actions = proxy.submit(request(id, 0));
             if let Some(backend) = sent_to(&actions).filter(|_| id >= 25) {
-                sends[backend as usize] += 1;
+                sends[backend.index()] += 1;
             }
             for _ in 0..20 {
                 proxy.advance(10 * MS);
-                proxy.serve(|backend| if backend == 3 { 400 * MS } else { 40 * MS });
+                proxy.serve(|backend| {
+                    if backend == BackendId(3) {
+                        400 * MS
+                    } else {
+                        40 * MS
+                    }
+                });
             }
         }
     }
--- a/tests/decisions/slots.rs
+++ b/tests/decisions/slots.rs
@@ -15,7 +15,7 @@
             ..single_zone()
         };
         let mut proxy = SimulatedProxy::new(settings, single_zone_backends(1));
-        assert_eq!(sent_to(&proxy.submit(request(1, 0))), Some(0));
+        assert_eq!(sent_to(&proxy.submit(request(1, 0))), Some(BackendId(0)));
     }
 }
 
@@ -88,7 +88,7 @@
         let in_flight = proxy.in_flight();
         by_proxy.push(in_flight.len());
         for attempt in in_flight {
-            by_backend[attempt.backend as usize] += 1;
+            by_backend[attempt.backend.index()] += 1;
         }
     }
     assert!(by_proxy.iter().all(|&n| n >= 2), "{by_proxy:?}");
--- a/tests/decisions/streaming.rs
+++ b/tests/decisions/streaming.rs
@@ -10,7 +10,7 @@
     let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(3));
     proxy.submit(request(1, 0));
     proxy.handle(Event::ResponseStarted {
-        request: 1,
+        request: RequestId(1),
         attempt: 0,
         elapsed: 5,
     });
@@ -25,12 +25,12 @@
 }
 
 /// Sends a request whose streamed response starts at once.
-fn start_stream(balancer: &mut Balancer, now: Micros, id: RequestId) {
+fn start_stream(balancer: &mut Balancer, now: Micros, id: u32) {
     let mut actions = Vec::new();
     balancer.handle(now, Event::Request(request(id, 0)), &mut actions);
-    assert_eq!(sent_to(&actions), Some(0), "request {id}");
+    assert_eq!(sent_to(&actions), Some(BackendId(0)), "request {id}");
     let started = Event::ResponseStarted {
-        request: id,
+        request: RequestId(id),
         attempt: 0,
         elapsed: 5 * MS,
     };
@@ -59,8 +59,8 @@
             Outcome::Ok
         };
         let attempt_end = AttemptEnd {
-            request: id,
-            backend: 0,
+            request: RequestId(id),
+            backend: BackendId(0),
             attempt: 0,
             outcome,
             request_answered: true,
--- a/tests/decisions/support.rs
+++ b/tests/decisions/support.rs
@@ -26,7 +26,7 @@
 /// Submits `per_tick` requests every 10 ms, `ticks` times, each served after `latency`.
 pub fn run_load(
     proxy: &mut SimulatedProxy,
-    first_id: RequestId,
+    first_id: u32,
     ticks: u32,
     per_tick: u32,
     latency: impl Fn(BackendId) -> Micros,
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -37,11 +37,11 @@
     },
     Wait(Micros),
     Change {
-        id: BackendId,
+        id: u32,
         readiness: u8,
         restarted: bool,
     },
-    FullList(Vec<BackendId>),
+    FullList(Vec<u32>),
     WatchFails,
     ClientDisconnects(usize),
     /// An event that no orderly proxy would bring.
@@ -90,14 +90,14 @@
         .copied()
         .nth(number as usize % proxy.requests.len().max(1));
     let request = if kind & 64 == 0 {
-        1_000_000 + number
+        RequestId(1_000_000 + number)
     } else {
-        known.unwrap_or(number)
+        known.unwrap_or(RequestId(number))
     };
     let attempt_ended = |attempt| {
         Event::AttemptEnded(AttemptEnd {
             request,
-            backend: number,
+            backend: BackendId(number),
             attempt,
             outcome: Outcome::Ok,
             request_answered: false,
@@ -109,7 +109,7 @@
     let event = match kind % 4 {
         0 => Event::Timer(number),
         1 => Event::HealthChecked {
-            backend: number,
+            backend: BackendId(number),
             outcome: Outcome::Ok,
             load_report: &[],
         },
@@ -242,7 +242,7 @@
     ] {
         let mut proxy = SimulatedProxy::new(settings(), (0..6).map(backend));
         proxy.submit(request(1, 1));
-        let actions = proxy.end_attempt(1, 0, outcome);
+        let actions = proxy.end_attempt(RequestId(1), 0, outcome);
         assert!(
             is_failed(&actions) && sent_to(&actions).is_none(),
             "{outcome:?}: {actions:?}"
@@ -255,7 +255,7 @@
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut proxy = SimulatedProxy::new(settings(), (0..6).map(backend));
         let first = sent_to(&proxy.submit(request(1, 1)));
-        let second = sent_to(&proxy.end_attempt(1, 0, outcome));
+        let second = sent_to(&proxy.end_attempt(RequestId(1), 0, outcome));
         assert!(second.is_some() && second != first, "{outcome:?}");
     }
 }
@@ -266,13 +266,13 @@
     for (class, modulus) in [(2_u8, 1_u32), (3, 2), (4, 2)] {
         let mut proxy = SimulatedProxy::new(settings(), (0..12).map(backend));
         let first = sent_to(&proxy.submit(request(1, class))).expect("there is capacity");
-        let second =
-            sent_to(&proxy.end_attempt(1, 0, Outcome::Error)).expect("the scope has capacity");
-        assert_eq!(first % modulus, second % modulus);
+        let second = sent_to(&proxy.end_attempt(RequestId(1), 0, Outcome::Error))
+            .expect("the scope has capacity");
+        assert_eq!(first.0 % modulus, second.0 % modulus);
         let mut proxy = SimulatedProxy::new(settings(), (0..12).map(backend));
         proxy.submit(request(1, class));
         proxy.now += 601 * MS;
-        let actions = proxy.end_attempt(1, 0, Outcome::Error);
+        let actions = proxy.end_attempt(RequestId(1), 0, Outcome::Error);
         assert!(
             is_failed(&actions),
             "class {class}: its key's time is over, and a rejection would promise too much"
--- a/tests/rules/slow_start.rs
+++ b/tests/rules/slow_start.rs
@@ -4,14 +4,14 @@
 use tillerproxy::api::*;
 
 /// The backend that restarts, among ten.
-const RESTARTED: BackendId = 3;
+const RESTARTED: u32 = 3;
 const BACKENDS: u32 = 10;
 /// Time passes in steps of this length.
 const STEP: Micros = 50 * MS;
 /// How long after its restart the sends to a backend are counted.
 const COUNTED_TIME: Micros = 4 * SECOND;
 
-fn single_zone_backend(id: BackendId) -> Backend {
+fn single_zone_backend(id: u32) -> Backend {
     Backend {
         zone: Zone(0),
         ..backend(id)
@@ -56,15 +56,15 @@
     for _ in 0..duration / STEP {
         proxy.advance(STEP);
         proxy.serve(|id| {
-            if id == RESTARTED {
+            if id == BackendId(RESTARTED) {
                 restarted_latency
             } else {
                 load.warm_latency
             }
         });
         if (proxy.now + phase) % load.interval == 0 {
-            let id = proxy.requests.len() as RequestId + 1;
-            if sent_to(&proxy.submit(request(id, 0))) == Some(RESTARTED) {
+            let id = proxy.requests.len() as u32 + 1;
+            if sent_to(&proxy.submit(request(id, 0))) == Some(BackendId(RESTARTED)) {
                 sends.push(proxy.now);
             }
         }
@@ -215,7 +215,7 @@
             proxy.change_membership(MembershipEvent::Delta(&[restarted]));
         }
         proxy.serve(|id| {
-            if has_restarted && id == RESTARTED {
+            if has_restarted && id == BackendId(RESTARTED) {
                 400 * MS
             } else {
                 40 * MS
@@ -231,7 +231,7 @@
         matches!(
             action,
             Action::Send {
-                backend: RESTARTED,
+                backend: BackendId(RESTARTED),
                 ..
             }
         )
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -49,7 +49,7 @@
     };
     assert_eq!(
         (request.id, request.class, request.tenant),
-        (0x5d3a_91c4, ClassIndex(0), TenantIndex(0))
+        (RequestId(0x5d3a_91c4), ClassIndex(0), TenantIndex(0))
     );
     assert_eq!(
         (request.key, request.timeout),
@@ -64,7 +64,7 @@
         [
             Record::TimerFired { token: 77 },
             Record::SelectProxy(ProxyId(5)),
-            Record::ClientDisconnected(0x0e6f_2b19)
+            Record::ClientDisconnected(RequestId(0x0e6f_2b19))
         ]
     );
 }
@@ -90,7 +90,7 @@
     let entries = endpoints.parse().expect("good entries");
     assert_eq!(
         (entries[0].id, entries[0].zone, entries[0].started_at),
-        (0x0312_4a07, Zone(0), None)
+        (BackendId(0x0312_4a07), Zone(0), None)
     );
     assert_eq!(entries[1].started_at, Some(0x5d_1420));
     assert_eq!(entries[1].readiness, Readiness::Draining);
@@ -102,8 +102,8 @@
         }
     );
     let expected = Record::AttemptEnded {
-        request: 0x5d3a_91c4,
-        backend: 0x0312_4a07,
+        request: RequestId(0x5d3a_91c4),
+        backend: BackendId(0x0312_4a07),
         attempt: 2,
         outcome: Outcome::Rejected,
         request_answered: true,
@@ -180,13 +180,13 @@
     .expect("a good batch");
     let expected = [
         Event::ResponseStarted {
-            request: 0x11,
+            request: RequestId(0x11),
             attempt: 2,
             elapsed: 0x13,
         },
         Event::AttemptEnded(AttemptEnd {
-            request: 0x21,
-            backend: 0x22,
+            request: RequestId(0x21),
+            backend: BackendId(0x22),
             attempt: 3,
             outcome: Outcome::Reset,
             request_answered: false,
@@ -195,14 +195,14 @@
             body_consumed: false,
         }),
         Event::HealthChecked {
-            backend: 0x31,
+            backend: BackendId(0x31),
             outcome: Outcome::Ok,
             load_report: &[],
         },
-        Event::ClientDisconnected(0x41),
+        Event::ClientDisconnected(RequestId(0x41)),
         Event::Timer(0x51),
         Event::Request(Request {
-            id: 0x61,
+            id: RequestId(0x61),
             class: ClassIndex(2),
             tenant: TenantIndex(3),
             key: None,
@@ -230,8 +230,8 @@
 fn actions_are_written_as_the_protocol_says() {
     let mut reply = ReplyWriter::default();
     let send = Action::Send {
-        request: 0x5d3a_91c4,
-        backend: 0x0312_4a07,
+        request: RequestId(0x5d3a_91c4),
+        backend: BackendId(0x0312_4a07),
         deadline: 0x8194da,
         write_deadline: None,
     };
@@ -245,7 +245,9 @@
     );
     reply.action(
         ProxyId(5),
-        &Action::Log(LogEvent::Readmitted { backend: 9 }),
+        &Action::Log(LogEvent::Readmitted {
+            backend: BackendId(9),
+        }),
     );
     let expected = "00000061
         4c 00000002 0003
@@ -257,21 +259,26 @@
     reply.action(
         ProxyId(1),
         &Action::Reject {
-            request: 1,
+            request: RequestId(1),
             retry_after: 2,
         },
     );
-    reply.action(ProxyId(1), &Action::Fail { request: 1 });
+    reply.action(
+        ProxyId(1),
+        &Action::Fail {
+            request: RequestId(1),
+        },
+    );
     reply.action(
         ProxyId(1),
         &Action::Cancel {
-            request: 1,
+            request: RequestId(1),
             attempt: 3,
         },
     );
-    reply.action(ProxyId(1), &Action::HealthCheck(9));
+    reply.action(ProxyId(1), &Action::HealthCheck(BackendId(9)));
     reply.action(ProxyId(1), &Action::Subscribe);
-    reply.action(ProxyId(1), &Action::CloseIdleConnections(9));
+    reply.action(ProxyId(1), &Action::CloseIdleConnections(BackendId(9)));
     reply.fatal(ProxyId(1), "x");
     let expected = "00000048 4c 00000002 0001
         41 00000008 00000001 00000002
