--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -134,7 +134,7 @@
         backend.health.start_attempt(attempt.is_trial);
         backend.in_flight.start(now, attempt.overdue_at);
         let in_flight = backend.in_flight.count();
-        backend.limit.note_in_flight(in_flight, slots);
+        backend.limit.record_in_flight(in_flight, slots);
         self.in_flight += 1;
     }
 
--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -55,7 +55,7 @@
         } else {
             1.0
         };
-        let max_in_flight = if self.has_few_slots() {
+        let max_in_flight = if self.is_below_min_slots() {
             (limit_sum + limit_sum.sqrt() + golden_ratio_position(proxy_index)) as u32
         } else {
             u32::MAX
@@ -74,7 +74,7 @@
     }
 
     /// Whether the limits add up to so few slots that they are spread over more backends.
-    pub(crate) fn has_few_slots(&self) -> bool {
+    pub(crate) fn is_below_min_slots(&self) -> bool {
         self.limit_factor > 1.0
     }
 
@@ -112,7 +112,7 @@
         let groups = self.index.groups().iter().map(of_group).sum::<f64>();
         let individual = self
             .index
-            .individual()
+            .with_own_limit()
             .iter()
             .map(beyond_group)
             .sum::<f64>();
--- a/src/balancer/capacity/tests.rs
+++ b/src/balancer/capacity/tests.rs
@@ -22,7 +22,7 @@
 fn a_proxy_with_slots_for_three_backends_has_no_bound() {
     for limit_sum in [3.0, 100.0] {
         let capacity = capacity(limit_sum, 0);
-        assert!(!capacity.has_few_slots());
+        assert!(!capacity.is_below_min_slots());
         assert_eq!(capacity.limit_factor(), 1.0);
         assert_eq!(capacity.max_in_flight(), None);
         assert_eq!(capacity.limit_sum(), limit_sum);
@@ -33,7 +33,7 @@
 fn few_slots_are_spread_over_three_backends() {
     for (limit_sum, limit_factor) in [(1.5, 2.0), (0.75, 4.0), (2.4, 1.25)] {
         let capacity = capacity(limit_sum, 0);
-        assert!(capacity.has_few_slots());
+        assert!(capacity.is_below_min_slots());
         assert_close(capacity.limit_factor(), limit_factor);
     }
 }
@@ -57,7 +57,7 @@
 #[test]
 fn a_proxy_without_slots_has_no_bound() {
     let capacity = capacity(0.0, 0);
-    assert!(!capacity.has_few_slots());
+    assert!(!capacity.is_below_min_slots());
     assert_eq!(capacity.max_in_flight(), None);
 }
 
--- a/src/balancer/connections.rs
+++ b/src/balancer/connections.rs
@@ -42,7 +42,7 @@
 
     /// Notes that a request got no response on a connection that had been idle for so long. Returns whether the
     /// connection is to blame rather than the backend.
-    pub(crate) fn blame(&mut self, now: Micros, idle: Micros) -> bool {
+    pub(crate) fn record_lost_request(&mut self, now: Micros, idle: Micros) -> bool {
         if idle <= MIN_SUSPECT_IDLE {
             return false;
         }
--- a/src/balancer/connections/tests.rs
+++ b/src/balancer/connections/tests.rs
@@ -20,7 +20,7 @@
 #[test]
 fn a_lost_request_cuts_the_trusted_time_to_half_the_idle_time() {
     let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
-    assert!(trust.blame(NOW, 2 * SECOND));
+    assert!(trust.record_lost_request(NOW, 2 * SECOND));
     assert_trusted_idle(&trust, NOW, SECOND);
 }
 
@@ -28,25 +28,25 @@
 fn a_connection_that_was_idle_briefly_is_neither_blamed_nor_suspect() {
     let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
     for idle in [0, SECOND / 4, SECOND / 2] {
-        assert!(!trust.blame(NOW, idle));
+        assert!(!trust.record_lost_request(NOW, idle));
     }
     assert_trusted_idle(&trust, NOW, IDLE_TIMEOUT);
-    assert!(trust.blame(NOW, SECOND / 2 + 1));
+    assert!(trust.record_lost_request(NOW, SECOND / 2 + 1));
     assert_trusted_idle(&trust, NOW, SECOND / 2);
 }
 
 #[test]
 fn a_further_loss_never_lengthens_the_trusted_time() {
     let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
-    trust.blame(NOW, 2 * SECOND);
-    assert!(trust.blame(NOW, 10 * SECOND));
+    trust.record_lost_request(NOW, 2 * SECOND);
+    assert!(trust.record_lost_request(NOW, 10 * SECOND));
     assert_trusted_idle(&trust, NOW, SECOND);
 }
 
 #[test]
 fn the_trusted_time_doubles_each_minute() {
     let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
-    trust.blame(NOW, 2 * SECOND);
+    trust.record_lost_request(NOW, 2 * SECOND);
     assert_trusted_idle(&trust, NOW + 60 * SECOND, 2 * SECOND);
     assert_trusted_idle(&trust, NOW + 120 * SECOND, 4 * SECOND);
 }
--- a/src/balancer/in_flight.rs
+++ b/src/balancer/in_flight.rs
@@ -66,13 +66,13 @@
     }
 
     /// Counts overtaken attempts: the backend served one that was sent when they were overdue already.
-    pub(crate) fn overtaken(&self) -> usize {
+    pub(crate) fn overtaken_count(&self) -> usize {
         let is_overtaken = |&&at: &&Micros| at < self.last_answered_send;
         self.overdue_at.iter().filter(is_overtaken).count()
     }
 
     /// Counts the attempts that are not overdue.
-    pub(crate) fn not_overdue(&self, now: Micros) -> u32 {
+    pub(crate) fn not_overdue_count(&self, now: Micros) -> u32 {
         self.overdue_at.iter().filter(|&&at| at >= now).count() as u32
     }
 }
--- a/src/balancer/in_flight/tests.rs
+++ b/src/balancer/in_flight/tests.rs
@@ -28,26 +28,26 @@
 fn attempts_are_overdue_after_their_time() {
     let in_flight = with_attempts_overdue_at(&[100, 200, 300]);
     for (now, not_overdue) in [(100, 3), (101, 2), (200, 2), (300, 1), (301, 0)] {
-        assert_eq!(in_flight.not_overdue(now), not_overdue, "at {now}");
+        assert_eq!(in_flight.not_overdue_count(now), not_overdue, "at {now}");
     }
 }
 
 #[test]
 fn an_attempt_is_overtaken_by_a_response_to_one_sent_when_it_was_overdue() {
     let mut in_flight = with_attempts_overdue_at(&[100, 200, 300]);
-    assert_eq!(in_flight.overtaken(), 0);
+    assert_eq!(in_flight.overtaken_count(), 0);
     in_flight.record_response(400, 100);
-    assert_eq!(in_flight.overtaken(), 0, "sent just before it was overdue");
+    assert_eq!(in_flight.overtaken_count(), 0, "sent just before it was overdue");
     in_flight.record_response(400, 201);
-    assert_eq!(in_flight.overtaken(), 2);
+    assert_eq!(in_flight.overtaken_count(), 2);
     in_flight.record_response(500, 50);
     assert_eq!(
-        in_flight.overtaken(),
+        in_flight.overtaken_count(),
         2,
         "an earlier attempt changes nothing"
     );
     in_flight.end(100);
-    assert_eq!(in_flight.overtaken(), 1);
+    assert_eq!(in_flight.overtaken_count(), 1);
 }
 
 #[test]
--- a/src/balancer/index/mod.rs
+++ b/src/balancer/index/mod.rs
@@ -78,7 +78,7 @@
     groups: Vec<Group>,
     group_keys: FxHashMap<(Zone, MachineType), GroupKey>,
     compared: BackendSet,
-    individual: BackendSet,
+    with_own_limit: BackendSet,
     ejected: BackendSet,
     cells: FxHashMap<Cell, BackendSet>,
     ready: usize,
@@ -118,8 +118,8 @@
     }
 
     /// Returns the backends that have a limit of their own.
-    pub(crate) fn individual(&self) -> &BackendSet {
-        &self.individual
+    pub(crate) fn with_own_limit(&self) -> &BackendSet {
+        &self.with_own_limit
     }
 
     /// Returns the ready backends of a cell.
@@ -196,7 +196,7 @@
     ) {
         let has_own_limit = backend.limit.source() != LimitSource::MachineType;
         let is_ejected = backend.health.is_ejected();
-        set_member(&mut self.individual, key, backend.ready && has_own_limit);
+        set_member(&mut self.with_own_limit, key, backend.ready && has_own_limit);
         set_member(&mut self.ejected, key, backend.ready && is_ejected);
         set_member(&mut self.compared, key, position == Position::Compared);
         self.set_indexed(backend, position == Position::Indexed);
--- a/src/balancer/limit_updates.rs
+++ b/src/balancer/limit_updates.rs
@@ -38,7 +38,7 @@
         let is_of_type = |&key: &BackendKey| self.backends[key].machine_type == machine_type;
         let individual: Vec<BackendKey> = self
             .index
-            .individual()
+            .with_own_limit()
             .iter()
             .copied()
             .filter(is_of_type)
--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -65,7 +65,7 @@
     }
 
     /// Notes how many of the slots are taken when an attempt starts.
-    pub(crate) fn note_in_flight(&mut self, in_flight: u32, slots: i64) {
+    pub(crate) fn record_in_flight(&mut self, in_flight: u32, slots: i64) {
         let is_near_limit = i64::from(in_flight) * NEAR_LIMIT_DIVISOR >= slots * NEAR_LIMIT_PART;
         if is_near_limit {
             self.window.mark_near_limit();
--- a/src/balancer/limits/tests/backend.rs
+++ b/src/balancer/limits/tests/backend.rs
@@ -45,7 +45,7 @@
 
 /// Notes that three quarters of the slots are taken.
 fn come_near(limit: &mut BackendLimit) {
-    limit.note_in_flight(6, 8);
+    limit.record_in_flight(6, 8);
 }
 
 #[test]
@@ -118,7 +118,7 @@
     let end = complete_window(&mut limit, NOW, SLOW, 10.0);
     let end = complete_window(&mut limit, end, QUICK, 10.0);
     assert_close(limit.value(10.0), 7.0);
-    limit.note_in_flight(5, 8);
+    limit.record_in_flight(5, 8);
     let end = complete_window(&mut limit, end, QUICK, 10.0);
     assert_close(limit.value(10.0), 7.0);
     come_near(&mut limit);
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -46,12 +46,16 @@
             Effect::Rejected => self.record_rejection(now, class, key),
             Effect::Ignored | Effect::Slow | Effect::Failed { .. } => {}
         }
-        if classification.is_lost && self.idle_trust.blame(now, attempt.connection_idle) {
+        if classification.is_lost
+            && self
+                .idle_trust
+                .record_lost_request(now, attempt.connection_idle)
+        {
             return;
         }
         self.backends[key].recent_latency.record(now, sample);
         self.record_health(now, attempt, classification, out);
-        let learns_machine_type = is_base_known || self.capacity.has_few_slots();
+        let learns_machine_type = is_base_known || self.capacity.is_below_min_slots();
         self.update_limits(now, key, sample, classification, learns_machine_type);
         if classification.limit_evidence != LimitEvidence::None {
             self.follow_load_report(now, key, end.load_report);
@@ -155,7 +159,7 @@
 fn log_event(backend: BackendId, change: HealthChange) -> Option<LogEvent> {
     match change {
         HealthChange::Ejected { duration } => Some(LogEvent::Ejected { backend, duration }),
-        HealthChange::EjectedAnew => None,
+        HealthChange::EjectedAgain => None,
         HealthChange::Readmitted => Some(LogEvent::Readmitted { backend }),
     }
 }
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -47,7 +47,7 @@
         duration: Micros,
     },
     /// A trial request failed: the backend is ejected anew, for longer. Not logged.
-    EjectedAnew,
+    EjectedAgain,
     /// An attempt ended without a failure while the backend was ejected: it takes requests again. A trial request is one
     /// such attempt; others were in flight when the backend was ejected.
     Readmitted,
@@ -154,7 +154,7 @@
             return None;
         }
         self.eject(now, jitter);
-        Some(HealthChange::EjectedAnew)
+        Some(HealthChange::EjectedAgain)
     }
 
     fn eject(&mut self, now: Micros, jitter: f64) -> Micros {
--- a/src/balancer/outliers/tests.rs
+++ b/src/balancer/outliers/tests.rs
@@ -113,7 +113,7 @@
     for seconds in [2, 4, 8, 16, 16, 16] {
         assert_eq!(health.state(now), HealthState::HalfOpen);
         let change = record(&mut health, now, FAILED_TRIAL);
-        assert_eq!(change, Some(HealthChange::EjectedAnew));
+        assert_eq!(change, Some(HealthChange::EjectedAgain));
         let until = now + seconds * SECOND;
         assert_eq!(health.state(now), HealthState::Ejected(until));
         now = until;
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -108,7 +108,7 @@
         let Some(max_in_flight) = self.capacity.max_in_flight() else {
             return false;
         };
-        let not_overdue = |&key: &BackendKey| self.backends[key].in_flight.not_overdue(now);
+        let not_overdue = |&key: &BackendKey| self.backends[key].in_flight.not_overdue_count(now);
         self.index.compared().iter().map(not_overdue).sum::<u32>() >= max_in_flight
     }
 
@@ -275,7 +275,7 @@
 ///
 /// Departure: a quick attempt that was overtaken was lost on the way; it takes no slot.
 fn taken_slots(backend: &BackendState) -> i64 {
-    i64::from(backend.in_flight.count()) - backend.in_flight.overtaken() as i64
+    i64::from(backend.in_flight.count()) - backend.in_flight.overtaken_count() as i64
 }
 
 /// Returns how a backend compares with others: by its available capacity, then by whether it was quick recently.
--- a/src/balancer/selection/tests.rs
+++ b/src/balancer/selection/tests.rs
@@ -87,7 +87,7 @@
 fn preference(balancer: &Balancer, now: Micros, key: BackendKey, query: &Query) -> Option<i64> {
     let backend = &balancer.backends[key];
     let in_flight = &backend.in_flight;
-    let taken = i64::from(in_flight.count()) - in_flight.overtaken() as i64;
+    let taken = i64::from(in_flight.count()) - in_flight.overtaken_count() as i64;
     let available = if in_flight.is_unresponsive(now, query.overdue_after) {
         1
     } else {
