--- a/src/balancer/index/candidates.rs
+++ b/src/balancer/index/candidates.rs
@@ -1,4 +1,4 @@
-//! Backends that tie in a selection.
+//! Backends with the greatest preference in a selection.
 
 use super::GroupKey;
 use super::group::Runs;
@@ -9,13 +9,13 @@
 pub(crate) enum Candidates {
     /// A single backend.
     One(BackendKey),
-    /// The flagged members of runs of a group.
+    /// The indexed members in runs of a group.
     Members {
-        /// How many they are.
+        /// Number of these members.
         count: usize,
-        /// Their group.
+        /// Group of these members.
         group: GroupKey,
-        /// The runs.
+        /// Runs of ranks that include them.
         runs: Runs,
     },
 }
@@ -29,18 +29,20 @@
     }
 }
 
-/// The candidates with the greatest preference so far.
+/// Keeps candidates with the greatest preference offered so far.
 ///
-/// Of candidates that tie, some are kept with the chance that they have in a uniform sample (reservoir sampling).
+/// If several offers tie, one of them is kept, with a probability proportional to its number of backends (reservoir
+/// sampling). Sampling a backend from it uniformly then gives every tied backend the same chance.
 #[derive(Default)]
 pub(crate) struct TiedCandidates {
     preference: i64,
+    /// Number of backends in all offers that tie.
     count: usize,
     best: Option<Candidates>,
 }
 
 impl TiedCandidates {
-    /// Offers candidates of a preference.
+    /// Offers candidates that have the given preference.
     pub(crate) fn offer(&mut self, preference: i64, candidates: Candidates, rng: &mut Rng) {
         let is_first = self.best.is_none();
         if !is_first && preference < self.preference {
@@ -55,12 +57,12 @@
         }
     }
 
-    /// Whether there were no candidates.
+    /// Reports whether no candidates were offered.
     pub(crate) fn is_empty(&self) -> bool {
         self.best.is_none()
     }
 
-    /// Returns the candidates that were kept.
+    /// Returns the candidates that were kept, or `None` if none were offered.
     pub(crate) fn into_best(self) -> Option<Candidates> {
         self.best
     }
--- a/src/balancer/index/group.rs
+++ b/src/balancer/index/group.rs
@@ -1,25 +1,28 @@
-//! Backends that have the same limit, in the order of their slot offsets.
+//! Groups: the ready backends of one zone and machine type, which share a limit and differ in their slot offsets.
 
 use super::ranked_set::RankedSet;
 use crate::api::{MachineType, Zone};
 use crate::balancer::backends::BackendKey;
 use std::ops::Range;
 
-/// Two runs of ranks.
+/// Two ranges of ranks in a group, each with ascending slot offsets.
 pub(crate) type Runs = [Range<usize>; 2];
 
 /// The ready backends of one zone and machine type, in the order of their ids.
 ///
-/// Each has a slot offset that grows with its rank and wraps around 1 once, so there are two runs in which it grows: with
-/// the offsets 0.618, 0.868, 0.118 and 0.368 the ranks 0 to 1 and 2 to 3. At a limit of 1.2 the backends with an offset of
-/// 0.8 and more, the end of a run, have two slots and the others one.
+/// A member's slot offset increases with its rank and wraps from 1 to 0 once. The ranks therefore form two runs with
+/// ascending offsets, and the members with the highest offsets are at the ends of these runs.
+///
+/// For example, four members with the offsets 0.618, 0.868, 0.118 and 0.368 form the runs of ranks 0 to 1 and 2 to 3. At
+/// a limit of 1.2, members with an offset of at least 0.8 have two slots (here the end of the first run) and the others
+/// have one.
 pub(crate) struct Group {
     zone: Zone,
     machine_type: MachineType,
-    /// Flagged: those that selection finds by their rank alone.
+    /// Members in the order of their ids. The flag marks indexed members, which selection finds by rank.
     members: RankedSet<BackendKey>,
     version: u32,
-    /// The first rank of the second run.
+    /// First rank of the second run: the first whose slot offset has wrapped.
     wrap_rank: usize,
 }
 
@@ -50,18 +53,19 @@
         &self.members
     }
 
-    /// Returns the members, to set their flags.
+    /// Returns the members for changes of their flags.
     pub(super) fn members_mut(&mut self) -> &mut RankedSet<BackendKey> {
         &mut self.members
     }
 
-    /// Returns a number that grows with each change of the members; ranks of another version are out of date.
+    /// Returns a number that increases with each batch of changes. Ranks and slot offsets of an earlier version are out
+    /// of date.
     pub(crate) fn version(&self) -> u32 {
         self.version
     }
 
-    /// Takes a batch of changes. `unwrapped_offset` is the slot offset, with the whole turns before it, of a rank among so
-    /// many members.
+    /// Applies a batch of membership changes and determines the runs anew. `unwrapped_offset` returns the slot offset
+    /// before it is wrapped to 0..1, given a rank and the number of members.
     pub(super) fn apply(
         &mut self,
         batch: Vec<(u32, Option<BackendKey>)>,
@@ -75,36 +79,43 @@
         } else {
             0.0
         };
-        let next_turn = first_offset.floor() + 1.0;
-        let guess = ((next_turn - first_offset) * count as f64) as usize;
+        // The offsets of all members span less than 1, so they pass at most one whole number.
+        let wraps_at = first_offset.floor() + 1.0;
+        let guess = ((wraps_at - first_offset) * count as f64) as usize;
         self.wrap_rank = first_rank(0..count, guess, |rank| {
-            unwrapped_offset(rank, count) >= next_turn
+            unwrapped_offset(rank, count) >= wraps_at
         });
     }
 
-    /// Returns the runs of all members.
+    /// Returns the two runs that hold all members.
     pub(crate) fn runs(&self) -> Runs {
         [0..self.wrap_rank, self.wrap_rank..self.members.len()]
     }
 
-    /// Returns the members for which `holds`, which it does for those of the highest offsets; about `expected` are
-    /// expected.
-    pub(crate) fn highest(&self, expected: usize, holds: impl Fn(usize) -> bool) -> Runs {
+    /// Returns the part of each run whose ranks satisfy `is_high`.
+    ///
+    /// `is_high` must hold for all offsets from some bound on, so the ranks are at the ends of the runs. The search starts
+    /// from a guess based on `expected_count`, about how many ranks there are.
+    pub(crate) fn highest_offsets(
+        &self,
+        expected_count: usize,
+        is_high: impl Fn(usize) -> bool,
+    ) -> Runs {
         let wrap = self.wrap_rank;
         let end = self.members.len();
-        let first_guess = wrap.saturating_sub(expected);
-        let second_guess = end.saturating_sub(expected.saturating_sub(wrap));
-        let first = first_rank(0..wrap, first_guess, &holds);
-        let second = first_rank(wrap..end, second_guess, &holds);
+        let first_guess = wrap.saturating_sub(expected_count);
+        let second_guess = end.saturating_sub(expected_count.saturating_sub(wrap));
+        let first = first_rank(0..wrap, first_guess, &is_high);
+        let second = first_rank(wrap..end, second_guess, &is_high);
         [first..wrap, second..end]
     }
 
-    /// Counts the flagged members of these runs.
+    /// Returns the number of indexed members in these runs.
     pub(crate) fn count(&self, runs: &Runs) -> usize {
         runs.iter().map(|run| self.members.count(run.clone())).sum()
     }
 
-    /// Returns the `nth` flagged member of these runs.
+    /// Returns the `nth` indexed member of these runs, counted from 0.
     pub(super) fn nth(&self, runs: &Runs, nth: usize) -> Option<BackendKey> {
         let [first, second] = runs;
         let rank = match nth.checked_sub(self.members.count(first.clone())) {
@@ -114,7 +125,7 @@
         rank.map(|rank| self.members.value(rank))
     }
 
-    /// Returns the flagged member with the highest offset of each run.
+    /// Returns the indexed member with the highest slot offset in each run.
     pub(crate) fn highest_of_runs(&self) -> impl Iterator<Item = BackendKey> {
         self.runs().into_iter().filter_map(|run| {
             let last = self.members.count(run.clone()).checked_sub(1)?;
@@ -124,14 +135,16 @@
     }
 }
 
-/// Returns the first of these ranks for which `holds`, which it does for all that follow; the end if for none. The search
-/// goes on from a guess that is off by a few at the most.
-fn first_rank(ranks: Range<usize>, guess: usize, holds: impl Fn(usize) -> bool) -> usize {
+/// Returns the first of these ranks that satisfies `predicate`, or the end of the range if none does. If the predicate
+/// holds for a rank, it must hold for all later ones.
+///
+/// The search moves one rank a step from `guess`, so it is fast only if the guess is off by a few ranks.
+fn first_rank(ranks: Range<usize>, guess: usize, predicate: impl Fn(usize) -> bool) -> usize {
     let mut first = guess.clamp(ranks.start, ranks.end);
-    while first > ranks.start && holds(first - 1) {
+    while first > ranks.start && predicate(first - 1) {
         first -= 1;
     }
-    while first < ranks.end && !holds(first) {
+    while first < ranks.end && !predicate(first) {
         first += 1;
     }
     first
--- a/src/balancer/index/mod.rs
+++ b/src/balancer/index/mod.rs
@@ -1,8 +1,12 @@
-//! The index of selection: it answers a choice among thousands of backends without a look at each.
+//! The selection index: it selects among thousands of backends without comparing each of them.
 //!
-//! An idle backend with the limit of its machine type and nothing against it is found by its rank in its [`Group`]; one
-//! that is busy, slow or has a limit of its own is compared one by one; one that gets nothing for a time is left out
-//! until that time is over. Which of the three holds is decided in `indexing`.
+//! Each ready backend has one of three positions, which `indexing` determines:
+//!
+//! | position | backends | how selection treats them |
+//! | --- | --- | --- |
+//! | indexed | idle, healthy, with the limit of their machine type | found by rank in their [`Group`] |
+//! | compared | with attempts in flight, slow recently, half open, or with a limit of their own | compared one by one |
+//! | excluded | that may not receive a request until some time | left out until that time |
 
 mod candidates;
 mod group;
@@ -27,19 +31,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GroupKey(usize);
 
-/// What the index keeps of one backend.
+/// State that the index keeps of one backend.
 #[derive(Default)]
 pub(crate) struct IndexEntry {
     pub(crate) group: GroupKey,
-    /// The slot offset that its rank in the group gives it, and the version of the group that this is of.
+    /// Slot offset that follows from the backend's rank in its group, from 0 to 1.
     pub(crate) slot_offset: f64,
+    /// Version of the group for which `slot_offset` was computed.
     pub(crate) slot_offset_version: u32,
-    /// When its position is evaluated again.
+    /// Time at which the backend's position is evaluated again; `None` if no recheck is due.
     recheck_at: Option<Micros>,
 }
 
 impl IndexEntry {
-    /// Returns the entry of a new member of a group.
+    /// Returns the entry of a backend that was just assigned to a group.
     pub(crate) fn new(group: GroupKey) -> Self {
         Self {
             group,
@@ -48,18 +53,18 @@
     }
 }
 
-/// How selection finds a backend.
+/// Position of a backend in the index, which says how selection finds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Position {
-    /// By its rank in its group.
+    /// Selection finds the backend by its rank in its group.
     Indexed,
-    /// By comparing it with others.
+    /// Selection compares the backend with others one by one.
     Compared,
-    /// Not at all.
+    /// Selection does not consider the backend.
     Excluded,
 }
 
-/// A backend that was added, removed or restarted.
+/// A change of one backend: it became ready, stopped being ready, or restarted.
 #[derive(Clone, Copy)]
 pub(crate) struct Change {
     pub(crate) backend: BackendKey,
@@ -67,27 +72,33 @@
     pub(crate) id: BackendId,
 }
 
-/// A set of backends with a fixed order for the same history.
+/// A set of backends whose order of iteration depends only on the history of insertions and removals.
 pub(crate) type BackendSet = IndexSet<BackendKey, FxBuildHasher>;
 
-/// All ready backends, sorted by how selection finds them.
+/// The ready backends by their position.
 ///
-/// Rule 3: a draining or removed backend is not in here.
+/// Rule 3 (draining): the index contains no backend that is draining or removed.
 #[derive(Default)]
 pub(crate) struct SelectionIndex {
     groups: Vec<Group>,
     group_keys: FxHashMap<(Zone, MachineType), GroupKey>,
+    /// Backends whose position is [`Position::Compared`].
     compared: BackendSet,
+    /// Ready backends whose limit is not simply that of their machine type.
     with_own_limit: BackendSet,
+    /// Ready backends that are ejected and not readmitted yet.
     ejected: BackendSet,
+    /// Ready backends of each cell.
     cells: FxHashMap<Cell, BackendSet>,
+    /// Number of ready backends.
     ready: usize,
+    /// Backends by the time at which their position is evaluated again, the earliest first.
     rechecks: BinaryHeap<Reverse<(Micros, BackendKey)>>,
 }
 
 impl SelectionIndex {
-    /// Returns the group of a zone and machine type, made where it is new.
-    pub(crate) fn group_of(&mut self, zone: Zone, machine_type: MachineType) -> GroupKey {
+    /// Returns the key of the group of a zone and machine type, and adds the group if there is none yet.
+    pub(crate) fn find_or_add_group(&mut self, zone: Zone, machine_type: MachineType) -> GroupKey {
         let next = GroupKey(self.groups.len());
         let key = *self.group_keys.entry((zone, machine_type)).or_insert(next);
         if key == next {
@@ -107,43 +118,44 @@
         numbered.map(|(number, group)| (GroupKey(number), group))
     }
 
-    /// Returns the group of a backend, if there is one.
+    /// Returns a group, or `None` if no group has this key.
     pub(crate) fn group(&self, key: GroupKey) -> Option<&Group> {
         self.groups.get(key.0)
     }
 
-    /// Returns the backends that selection compares one by one.
+    /// Returns the backends that selection compares one by one. Every ready backend with attempts in flight is among them.
     pub(crate) fn compared(&self) -> &BackendSet {
         &self.compared
     }
 
-    /// Returns the backends that have a limit of their own.
+    /// Returns the ready backends that have a limit of their own, from their windows or a load report.
     pub(crate) fn with_own_limit(&self) -> &BackendSet {
         &self.with_own_limit
     }
 
-    /// Returns the ready backends of a cell.
+    /// Returns the ready backends of a cell, or `None` if the cell never had any.
     pub(crate) fn cell(&self, cell: Cell) -> Option<&BackendSet> {
         self.cells.get(&cell)
     }
 
-    /// Counts the backends that are ejected.
+    /// Returns the number of ready backends that are ejected and not readmitted yet.
     pub(crate) fn ejected_count(&self) -> usize {
         self.ejected.len()
     }
 
-    /// Counts the ready backends.
+    /// Returns the number of ready backends.
     pub(crate) fn ready_count(&self) -> usize {
         self.ready
     }
 
-    /// Adds a backend to its cell or removes it.
+    /// Adds a backend to the set of its cell, or removes it from the set.
     pub(crate) fn set_cell_member(&mut self, cell: Cell, backend: BackendKey, is_member: bool) {
         set_member(self.cells.entry(cell).or_default(), backend, is_member);
     }
 
-    /// Brings the groups up to a batch of changes. `unwrapped_offset` is the slot offset, with the whole turns before it,
-    /// of a rank among so many members. Returns the backends whose position has to be evaluated again.
+    /// Applies a batch of changes to the groups and returns the backends whose position must be evaluated again.
+    ///
+    /// `unwrapped_offset` returns the slot offset before it is wrapped to 0..1, given a rank and the number of members.
     pub(crate) fn apply(
         &mut self,
         mut batch: Vec<Change>,
@@ -186,8 +198,8 @@
         self.ready += group.members().len();
     }
 
-    /// Sets the position of a backend, which holds until `valid_until`.
-    pub(crate) fn set(
+    /// Sets the position of a backend. With `valid_until`, the position is evaluated again at that time.
+    pub(crate) fn set_position(
         &mut self,
         key: BackendKey,
         backend: &mut BackendState,
@@ -209,7 +221,7 @@
         }
     }
 
-    /// Sets whether selection finds a backend by its rank.
+    /// Sets whether selection finds a backend by its rank. Has no effect on a backend that is not ready.
     pub(crate) fn set_indexed(&mut self, backend: &BackendState, is_indexed: bool) {
         if !backend.ready {
             return;
@@ -222,8 +234,9 @@
         }
     }
 
-    /// Returns a backend whose position held until now or before; each is returned once.
-    pub(crate) fn next_due(
+    /// Removes the earliest recheck that is due and returns its backend, or `None` if none is due. A recheck that was
+    /// replaced by an earlier one is dropped.
+    pub(crate) fn pop_due_recheck(
         &mut self,
         now: Micros,
         backends: &mut BackendTable,
@@ -242,7 +255,7 @@
         None
     }
 
-    /// Samples one of the candidates.
+    /// Returns one of the candidates at random, each with the same probability.
     pub(crate) fn sample(&self, candidates: &Candidates, rng: &mut Rng) -> Option<BackendKey> {
         match candidates {
             Candidates::One(backend) => Some(*backend),
@@ -254,7 +267,7 @@
     }
 }
 
-/// Adds a backend to a set or removes it.
+/// Adds a backend to a set, or removes it from the set.
 fn set_member(set: &mut BackendSet, backend: BackendKey, is_member: bool) {
     if is_member {
         set.insert(backend);
--- a/src/balancer/index/ranked_set.rs
+++ b/src/balancer/index/ranked_set.rs
@@ -1,18 +1,19 @@
-//! An ordered set with a flag for each member.
+//! An ordered set of backends with a value and a flag for each member.
 
 use crate::api::BackendId;
 use std::ops::Range;
 
 const WORD_BITS: usize = u64::BITS as usize;
-/// A batch of at least this many changes ...
+/// Fewest changes of a batch that is merged in one pass over the set. The batch must also have at least one change for
+/// every [`MAX_MEMBERS_PER_MERGED_CHANGE`] members.
 const MIN_MERGED_BATCH: usize = 8;
-/// ... and of this part of the set is merged in one pass over the set.
-const MERGED_PART_DIVISOR: usize = 64;
+/// Most members of the set for each change of a batch that is merged.
+const MAX_MEMBERS_PER_MERGED_CHANGE: usize = 64;
 
 /// A set of backends in the order of their ids, each with a value and a flag.
 ///
-/// The position of a member in that order is its rank. A flag is set or read in constant time once the rank is known;
-/// counting flags looks at one word for 64 members.
+/// The rank of a member is its position in that order. Finding a rank takes logarithmic time; reading or setting a flag by
+/// rank takes constant time. Counting flags and finding the nth flagged member read one 64-bit word for 64 members.
 pub(crate) struct RankedSet<V> {
     ids: Vec<BackendId>,
     values: Vec<V>,
@@ -35,22 +36,22 @@
         self.ids.len()
     }
 
-    /// Returns the rank of a member.
+    /// Returns the rank of a member, or `None` if the id is not in the set.
     pub(crate) fn rank(&self, id: BackendId) -> Option<usize> {
         self.ids.binary_search(&id).ok()
     }
 
-    /// Returns the value that the member of that rank was inserted with.
+    /// Returns the value of the member of this rank.
     pub(crate) fn value(&self, rank: usize) -> V {
         self.values[rank]
     }
 
-    /// Returns the flag of a member.
+    /// Returns the flag of the member of this rank.
     pub(crate) fn flag(&self, rank: usize) -> bool {
         self.flags[rank / WORD_BITS] >> (rank % WORD_BITS) & 1 == 1
     }
 
-    /// Sets the flag of a member.
+    /// Sets the flag of the member of this rank.
     pub(crate) fn set_flag(&mut self, rank: usize, flag: bool) {
         let bit = 1 << (rank % WORD_BITS);
         let word = &mut self.flags[rank / WORD_BITS];
@@ -61,11 +62,13 @@
         }
     }
 
-    /// Makes each id of the batch a member with the given value, or none where the value is `None`. An id must not stand
-    /// in the batch twice. Flags of members that stay are kept, new members have none.
+    /// Applies a batch of changes: an id with a value becomes a member or has its value replaced, an id with `None` is
+    /// removed. The batch must not contain an id twice.
+    ///
+    /// Members that stay keep their flags; the flag of a new member is not set.
     pub(crate) fn apply(&mut self, mut batch: Vec<(BackendId, Option<V>)>) {
         let is_large =
-            batch.len() >= MIN_MERGED_BATCH && batch.len() >= self.len() / MERGED_PART_DIVISOR;
+            batch.len() >= MIN_MERGED_BATCH && batch.len() >= self.len() / MAX_MEMBERS_PER_MERGED_CHANGE;
         if is_large {
             batch.sort_unstable_by_key(|&(id, _)| id);
             self.merge(&batch);
@@ -81,6 +84,7 @@
         }
     }
 
+    /// Inserts a member, and shifts the flags of all later ranks up by one.
     fn insert(&mut self, rank: usize, id: BackendId, value: V) {
         self.ids.insert(rank, id);
         self.values.insert(rank, value);
@@ -96,6 +100,7 @@
         }
     }
 
+    /// Removes a member, and shifts the flags of all later ranks down by one.
     fn remove(&mut self, rank: usize) {
         self.ids.remove(rank);
         self.values.remove(rank);
@@ -111,6 +116,7 @@
         self.flags.truncate(self.ids.len().div_ceil(WORD_BITS));
     }
 
+    /// Applies a batch in the order of its ids in one pass over the set.
     fn merge(&mut self, batch: &[(BackendId, Option<V>)]) {
         let old = std::mem::take(self);
         let mut changes = batch.iter().peekable();
@@ -129,6 +135,7 @@
         }
     }
 
+    /// Appends a member after all others, unless its value is `None`.
     fn push(&mut self, id: BackendId, value: Option<V>, flag: bool) {
         let Some(value) = value else {
             return;
@@ -139,14 +146,14 @@
         self.set_flag(self.len() - 1, flag);
     }
 
-    /// Counts the members of these ranks that have the flag.
+    /// Returns the number of flagged members among these ranks.
     pub(crate) fn count(&self, ranks: Range<usize>) -> usize {
         self.words(ranks)
             .map(|(_, word)| word.count_ones() as usize)
             .sum()
     }
 
-    /// Returns the rank of the `nth` member, from 0, that has the flag among these ranks.
+    /// Returns the rank of the `nth` flagged member among these ranks, counted from 0, or `None` if there are fewer.
     pub(crate) fn select(&self, ranks: Range<usize>, nth: usize) -> Option<usize> {
         let mut to_skip = nth;
         for (position, mut word) in self.words(ranks) {
@@ -164,7 +171,8 @@
         None
     }
 
-    /// Returns the words of flags that cover these ranks, with their positions; the flags of other ranks are cleared.
+    /// Returns the words of flags that cover these ranks, with their positions in `flags`. The bits of other ranks are
+    /// cleared.
     fn words(&self, ranks: Range<usize>) -> impl Iterator<Item = (usize, u64)> {
         let first = ranks.start / WORD_BITS;
         let end = if ranks.is_empty() {
@@ -180,7 +188,7 @@
     }
 }
 
-/// Returns the bits of the word at `position` whose ranks are among `ranks`.
+/// Returns a mask of the bits in the word at `position` whose ranks are in `ranks`.
 fn mask(ranks: &Range<usize>, position: usize) -> u64 {
     let from_start = if position == ranks.start / WORD_BITS {
         u64::MAX << (ranks.start % WORD_BITS)
--- a/src/balancer/index/tests.rs
+++ b/src/balancer/index/tests.rs
@@ -1,18 +1,18 @@
-//! The selection index: its ranked sets compared with an ordered map, its groups, and the order of rechecks.
+//! Tests of the ranked set (compared with an ordered map), of groups, and of the order of rechecks.
 
 use super::ranked_set::RankedSet;
 use super::*;
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// What a ranked set holds of one backend.
+/// Value and flag of one member of a ranked set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Member {
     value: usize,
     is_flagged: bool,
 }
 
-/// A ranked set beside an ordered map that has to hold the same.
+/// A ranked set and an ordered map to which the same changes are applied.
 #[derive(Default)]
 struct ModelledSet {
     set: RankedSet<usize>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Compares the members, and the flagged ones among these ranks.
+    /// Asserts that set and model have the same members, and the same flagged ones among these ranks.
     fn check(&self, ranks: Range<usize>) {
         assert_eq!(self.set.len(), self.model.len());
         for (rank, (&id, &expected)) in self.model.iter().enumerate() {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_ranked_set_holds_what_an_ordered_map_holds() {
+fn a_ranked_set_equals_an_ordered_map_after_random_batches() {
     for seed in 0..40 {
         let mut rng = Rng::with_seed(seed);
         let mut modelled = ModelledSet::default();
@@ -121,12 +121,12 @@
 }
 
 #[test]
-fn groups_hold_each_member_once_and_the_index_counts_the_ready_ones() {
+fn membership_changes_update_the_members_versions_and_ready_count() {
     let mut index = SelectionIndex::default();
     let mut backends = BackendTable::default();
-    let own = index.group_of(Zone(0), MachineType(0));
-    let other = index.group_of(Zone(1), MachineType(0));
-    assert_eq!(index.group_of(Zone(0), MachineType(0)), own);
+    let own = index.find_or_add_group(Zone(0), MachineType(0));
+    let other = index.find_or_add_group(Zone(1), MachineType(0));
+    assert_eq!(index.find_or_add_group(Zone(0), MachineType(0)), own);
     let keys =
         [(5, own), (3, own), (4, other)].map(|(id, group)| backends.insert(ready(id, group)));
     let offset = |rank: usize, members: usize| rank as f64 / members as f64;
@@ -148,12 +148,12 @@
 }
 
 #[test]
-fn the_members_of_the_highest_offsets_are_found_from_any_guess() {
+fn highest_offsets_returns_the_same_ranks_for_any_expected_count() {
     for members in [0, 1, 2, 7, 64, 65] {
         for shift in [0.0, 0.3, 5.99] {
             let mut index = SelectionIndex::default();
             let mut backends = BackendTable::default();
-            let group = index.group_of(Zone(0), MachineType(0));
+            let group = index.find_or_add_group(Zone(0), MachineType(0));
             let batch = (0..members)
                 .map(|id| change(backends.insert(ready(id, group)), group, id))
                 .collect();
@@ -161,16 +161,19 @@
                 |rank: usize, members: usize| rank as f64 / members as f64 + shift;
             index.apply(batch, &backends, unwrapped_offset);
             let offset = |rank: usize| unwrapped_offset(rank, members as usize).fract();
-            for (least, guess) in [(0.0, 0), (0.2, 3), (0.5, 99), (0.97, 1), (2.0, 5)] {
-                let found = index.groups[group.0].highest(guess, |rank| offset(rank) >= least);
+            for (min_offset, expected_count) in
+                [(0.0, 0), (0.2, 3), (0.5, 99), (0.97, 1), (2.0, 5)]
+            {
+                let is_high = |rank| offset(rank) >= min_offset;
+                let found = index.groups[group.0].highest_offsets(expected_count, is_high);
                 let mut found: Vec<usize> = found.into_iter().flatten().collect();
                 found.sort_unstable();
                 let expected: Vec<usize> = (0..members as usize)
-                    .filter(|&rank| offset(rank) >= least)
+                    .filter(|&rank| offset(rank) >= min_offset)
                     .collect();
                 assert_eq!(
                     found, expected,
-                    "{members} members, shifted by {shift}, at least {least}"
+                    "{members} members, shifted by {shift}, offsets of at least {min_offset}"
                 );
             }
         }
@@ -178,15 +181,15 @@
 }
 
 #[test]
-fn rechecks_are_due_in_the_order_of_their_times_and_not_before() {
+fn due_rechecks_are_returned_in_the_order_of_their_times() {
     let mut index = SelectionIndex::default();
     let mut backends = BackendTable::default();
-    let group = index.group_of(Zone(0), MachineType(0));
+    let group = index.find_or_add_group(Zone(0), MachineType(0));
     let keys = [0, 1, 2].map(|id| backends.insert(ready(id, group)));
     for (at, key) in [(30, keys[0]), (10, keys[1]), (20, keys[2])] {
-        index.set(key, &mut backends[key], Position::Excluded, Some(at));
+        index.set_position(key, &mut backends[key], Position::Excluded, Some(at));
     }
-    assert_eq!(index.next_due(9, &mut backends), None);
-    let due = [20, 20, 20].map(|now| index.next_due(now, &mut backends));
+    assert_eq!(index.pop_due_recheck(9, &mut backends), None);
+    let due = [20, 20, 20].map(|now| index.pop_due_recheck(now, &mut backends));
     assert_eq!(due, [Some(keys[1]), Some(keys[2]), None]);
 }
--- a/src/balancer/indexing.rs
+++ b/src/balancer/indexing.rs
@@ -1,4 +1,4 @@
-//! How selection finds each backend: its position in the index, and its slot offset.
+//! Evaluation of each backend's position in the selection index and of its slot offset.
 
 use super::Balancer;
 use super::backends::{BackendKey, BackendState};
@@ -9,7 +9,8 @@
 use crate::spread::GOLDEN_RATIO_FRACTION;
 
 impl Balancer {
-    /// Evaluates a backend's position anew. Called after whatever changes something that [`position`] reads.
+    /// Evaluates a backend's position and slot offset again. Must be called after every change of state that [`position`]
+    /// reads.
     pub(super) fn reindex(&mut self, now: Micros, key: BackendKey) {
         if self.backends[key].in_flight.count() == 0 {
             self.refill_slow_start(now, key);
@@ -20,17 +21,17 @@
         let group = self.index.group(backend.index_entry.group);
         backend.index_entry.slot_offset = slot_offset;
         backend.index_entry.slot_offset_version = group.map_or(0, Group::version);
-        self.index.set(key, backend, position, valid_until);
+        self.index.set_position(key, backend, position, valid_until);
     }
 
-    /// Evaluates the positions that held until now.
+    /// Evaluates the positions whose recheck is due.
     pub(super) fn reindex_due(&mut self, now: Micros) {
-        while let Some(key) = self.index.next_due(now, &mut self.backends) {
+        while let Some(key) = self.index.pop_due_recheck(now, &mut self.backends) {
             self.reindex(now, key);
         }
     }
 
-    /// Takes the backends that were added, removed or restarted into the index.
+    /// Applies a batch of membership changes to the index and evaluates the positions that may have changed.
     pub(super) fn apply_changes(&mut self, now: Micros, changes: Vec<Change>) {
         let proxy_index = self.settings.proxy_index;
         let offset = |rank, members| unwrapped_slot_offset(proxy_index, rank, members);
@@ -40,13 +41,16 @@
         }
     }
 
-    /// Returns the slot offset of a rank in a group, from 0 to 1.
+    /// Returns the slot offset of the member of a rank in a group, from 0 to 1.
     pub(super) fn slot_offset_of_rank(&self, group: &Group, rank: usize) -> f64 {
         let members = group.members().len();
         unwrapped_slot_offset(self.settings.proxy_index, rank, members).fract()
     }
 
-    /// Returns a backend's slot offset as of the present members of its group, from 0 to 1.
+    /// Returns a backend's slot offset, from 0 to 1.
+    ///
+    /// The offset is computed from the present members of the backend's group. A backend that is not a member keeps the
+    /// offset that it had last.
     pub(super) fn slot_offset(&self, key: BackendKey) -> f64 {
         let backend = &self.backends[key];
         let entry = &backend.index_entry;
@@ -63,8 +67,8 @@
     }
 }
 
-/// Returns how selection finds a backend, and until when that holds. What depends on the request is left to
-/// `selection`.
+/// Returns a backend's position, and the time at which it must be evaluated again if it expires. Conditions that depend on
+/// the request are checked in `selection`.
 fn position(now: Micros, backend: &BackendState) -> (Position, Option<Micros>) {
     if !backend.ready {
         return (Position::Excluded, None);
@@ -95,11 +99,13 @@
     (Position::Compared, None)
 }
 
-/// Returns a slot offset with the whole turns before it. It spaces a proxy's offsets evenly over the backends of a group,
-/// and the proxies' over each backend; random offsets would leave some proxies without a slot.
+/// Returns a slot offset before it is wrapped to 0..1.
 ///
-/// With proxy index 0, four backends have the offsets 0, 0.25, 0.5 and 0.75; with index 1 each is 0.618 higher: 0.618,
-/// 0.868, 1.118 and 1.368, which wrap to 0.618, 0.868, 0.118 and 0.368.
+/// The offsets of one proxy are spaced evenly over the backends of a group, and those of all proxies evenly over each
+/// backend. Random offsets would leave some proxies without a slot.
+///
+/// With proxy index 0, four backends have the offsets 0, 0.25, 0.5 and 0.75. With index 1 each offset is 0.618 higher:
+/// 0.618, 0.868, 1.118 and 1.368, which wrap to 0.618, 0.868, 0.118 and 0.368.
 fn unwrapped_slot_offset(proxy_index: u32, rank: usize, members: usize) -> f64 {
     rank as f64 / members as f64 + f64::from(proxy_index) * GOLDEN_RATIO_FRACTION
 }
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -87,7 +87,7 @@
     fn insert_backend(&mut self, now: Micros, update: &Backend) -> BackendKey {
         let last_machine_type = MachineType(self.settings.machine_type_count.saturating_sub(1));
         let machine_type = update.machine_type.min(last_machine_type);
-        let group = self.index.group_of(update.zone, machine_type);
+        let group = self.index.find_or_add_group(update.zone, machine_type);
         let key = self.backends.insert(BackendState {
             id: update.id,
             zone: update.zone,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,6 +1,7 @@
-//! Selection of a backend: the greatest available capacity, near zones first, ties at random.
+//! Selection of a backend: the greatest available capacity, near zones first, ties broken at random.
 //!
-//! Zones are near if attempts there cost nothing extra: the proxy's own zone, or all zones where crossing them is cheap.
+//! A zone is near if attempts to its backends cost nothing extra: the proxy's own zone, or every zone if the cost of
+//! crossing zones is negligible.
 
 use super::Balancer;
 use super::backends::{BackendKey, BackendState};
@@ -14,27 +15,30 @@
 #[cfg(test)]
 mod tests;
 
-/// Part of a backend's limit that requests over their tenant's quota may fill.
+/// Share of a backend's limit that requests over their tenant's quota may use.
 const OVER_QUOTA_LIMIT_FACTOR: f64 = 0.6;
-/// A request that crosses zones at less than this part of its priority weight is not kept in its zone.
-const FREE_CROSSING_COST: f64 = 0.01;
-/// Available capacity of a backend that gets a single trial request.
+/// Greatest cost of crossing zones, as a fraction of a request's priority weight, at which every zone counts as near.
+const MAX_NEGLIGIBLE_CROSSING_COST: f64 = 0.01;
+/// Available capacity, in slots, that an unresponsive backend counts with: room for its single trial request.
 const TRIAL_CAPACITY: i64 = 1;
 
-/// What a request asks of a backend.
-struct Query {
+/// Conditions that a request sets for the backend of its next attempt.
+struct Criteria {
+    /// Backends to which the request's idempotency allows the attempt.
     scope: RetryScope,
+    /// Whether the request may be sent again after an attempt that failed.
     is_repeatable: bool,
-    /// An attempt that is lost would time out soon.
+    /// Whether an attempt that is lost would time out long before the request's deadline.
     detects_loss_early: bool,
-    /// The time after which an attempt of its class is overdue.
+    /// Time after which an attempt of the request's class is overdue.
     overdue_after: Micros,
-    /// Factor on limits.
+    /// Factor on the limit of each backend before it is rounded to slots.
     limit_factor: f64,
 }
 
-impl Query {
-    /// Whether the backends of a zone, and of a cell where it is known, are in scope.
+impl Criteria {
+    /// Reports whether backends of this zone and cell are in scope. Without a cell, only a scope that is not limited to
+    /// one cell can include them.
     fn covers(&self, zone: Zone, cell: Option<Cell>) -> bool {
         match self.scope {
             RetryScope::Zone(only) => zone == only,
@@ -45,26 +49,29 @@
 }
 
 impl Balancer {
-    /// Selects the backend of a request's next attempt, if one has available capacity.
+    /// Selects the backend of a request's next attempt. Returns `None` if no eligible backend has available capacity,
+    /// unless this proxy has nothing in flight at all.
     pub(super) fn select_backend(
         &mut self,
         now: Micros,
         request: RequestKey,
     ) -> Option<BackendKey> {
-        let query = self.query(now, request)?;
+        let criteria = self.criteria(now, request)?;
         let attempts = &self.requests[request].attempts;
         let tried: Vec<BackendKey> = attempts.iter().map(|attempt| attempt.backend).collect();
         for &backend in &tried {
             self.index.set_indexed(&self.backends[backend], false);
         }
+        // The methods below borrow `self`, so they draw from a copy that replaces the generator afterwards.
         let mut rng = self.rng.clone();
         let best = self
-            .most_available(now, &query, &tried, &mut rng)
+            .most_available(now, &criteria, &tried, &mut rng)
             .and_then(|candidates| self.index.sample(&candidates, &mut rng));
         self.rng = rng;
-        // Departure: a proxy without a slot on any backend would serve nobody. It may have one request in flight.
+        // Deviation: a proxy that has no slot on any backend would never serve a request, so it sends one if it has
+        // nothing in flight.
         let selected = if best.is_none() && self.in_flight == 0 {
-            self.greatest_limit(now, &query, &tried)
+            self.backend_with_greatest_limit(now, &criteria, &tried)
         } else {
             best
         };
@@ -74,13 +81,13 @@
         selected
     }
 
-    /// Whether attempts to a zone's backends cost nothing extra.
+    /// Reports whether attempts to a zone's backends cost nothing extra.
     fn is_near(&self, zone: Zone) -> bool {
-        zone == self.settings.zone || self.settings.cross_zone_cost <= FREE_CROSSING_COST
+        zone == self.settings.zone || self.settings.cross_zone_cost <= MAX_NEGLIGIBLE_CROSSING_COST
     }
 
-    /// Returns what a request asks of a backend; `None` where no attempt may start now.
-    fn query(&self, now: Micros, request: RequestKey) -> Option<Query> {
+    /// Returns the criteria for the backend of a request's next attempt, or `None` if no attempt may start now.
+    fn criteria(&self, now: Micros, request: RequestKey) -> Option<Criteria> {
         let scope = self.next_attempt_scope(now, request);
         if scope == RetryScope::Nowhere || self.is_in_flight_bound_reached(now) {
             return None;
@@ -94,7 +101,7 @@
         } else {
             1.0
         };
-        Some(Query {
+        Some(Criteria {
             scope,
             is_repeatable,
             detects_loss_early: is_repeatable && is_quick,
@@ -103,29 +110,32 @@
         })
     }
 
-    /// Whether this proxy has as much in flight as it may. What is overdue was lost, or its backend gets nothing for it.
+    /// Reports whether this proxy has reached its bound on attempts in flight. Overdue attempts are not counted: either
+    /// they were lost, or their backend receives nothing more because of them.
     fn is_in_flight_bound_reached(&self, now: Micros) -> bool {
         let Some(max_in_flight) = self.capacity.max_in_flight() else {
             return false;
         };
+        // Every ready backend with attempts in flight is among the compared ones.
         let not_overdue = |&key: &BackendKey| self.backends[key].in_flight.not_overdue_count(now);
         self.index.compared().iter().map(not_overdue).sum::<u32>() >= max_in_flight
     }
 
-    /// Returns the backends of the greatest preference, near ones first.
+    /// Returns the backends with the greatest preference, those of near zones first.
     ///
-    /// Departure: where crossing zones has a cost, other zones are used when the own one has no available capacity.
+    /// Deviation from comparison of capacity: if crossing zones has a cost, backends of other zones are selected only
+    /// when none of the proxy's own zone has available capacity.
     fn most_available(
         &self,
         now: Micros,
-        query: &Query,
+        criteria: &Criteria,
         tried: &[BackendKey],
         rng: &mut Rng,
     ) -> Option<Candidates> {
         let mut near = TiedCandidates::default();
         let mut far = TiedCandidates::default();
-        for key in self.compared(query, tried) {
-            let Some(preference) = self.preference(now, query, key) else {
+        for key in self.compared_backends(criteria, tried) {
+            let Some(preference) = self.preference(now, criteria, key) else {
                 continue;
             };
             let tied = if self.is_near(self.backends[key].zone) {
@@ -135,31 +145,41 @@
             };
             tied.offer(preference, Candidates::One(key), rng);
         }
-        self.offer_groups(query, true, &mut near, rng);
+        self.offer_groups(criteria, true, &mut near, rng);
         if !near.is_empty() {
             return near.into_best();
         }
-        self.offer_groups(query, false, &mut far, rng);
+        self.offer_groups(criteria, false, &mut far, rng);
         far.into_best()
     }
 
-    /// Offers the indexed backends of all near, or all far, groups.
-    fn offer_groups(&self, query: &Query, near: bool, tied: &mut TiedCandidates, rng: &mut Rng) {
+    /// Offers the indexed backends of the groups in near zones, or of those in all other zones.
+    fn offer_groups(
+        &self,
+        criteria: &Criteria,
+        in_near_zones: bool,
+        tied: &mut TiedCandidates,
+        rng: &mut Rng,
+    ) {
         for (key, group) in self.index.keyed_groups() {
             let is_eligible =
-                self.is_near(group.zone()) == near && query.covers(group.zone(), None);
+                self.is_near(group.zone()) == in_near_zones && criteria.covers(group.zone(), None);
             if is_eligible
                 && let Some((available, candidates)) =
-                    self.most_available_of_group(key, group, query)
+                    self.most_available_of_group(key, group, criteria)
             {
                 tied.offer(preference_of(available, true), candidates, rng);
             }
         }
     }
 
-    /// Returns the backends that are compared one by one.
-    fn compared(&self, query: &Query, tried: &[BackendKey]) -> impl Iterator<Item = BackendKey> {
-        let backends = match query.scope {
+    /// Returns the backends in scope that are compared one by one and that the request has not tried.
+    fn compared_backends(
+        &self,
+        criteria: &Criteria,
+        tried: &[BackendKey],
+    ) -> impl Iterator<Item = BackendKey> {
+        let backends = match criteria.scope {
             RetryScope::Cell(cell) => self.index.cell(cell),
             _ => Some(self.index.compared()),
         };
@@ -170,42 +190,47 @@
             .filter(|key| !tried.contains(key));
         untried.filter(move |&key| {
             let backend = &self.backends[key];
-            query.covers(backend.zone, Some(backend.cell))
+            criteria.covers(backend.zone, Some(backend.cell))
         })
     }
 
-    /// Returns a backend's preference if it may have the request. Of the same available capacity, a backend that was slow
-    /// recently comes last: a request there holds its slot for long, and its window may take many seconds to complete.
-    fn preference(&self, now: Micros, query: &Query, key: BackendKey) -> Option<i64> {
+    /// Returns a backend's preference, or `None` if it is not eligible or has no available capacity.
+    ///
+    /// Among backends with the same available capacity, one that was slow recently comes last: a request there holds its
+    /// slot for long, and the backend's window may take many seconds to complete and lower its limit.
+    fn preference(&self, now: Micros, criteria: &Criteria, key: BackendKey) -> Option<i64> {
         let backend = &self.backends[key];
-        if !self.is_eligible(now, backend, query) {
+        if !self.is_eligible(now, backend, criteria) {
             return None;
         }
-        let is_trial = backend.in_flight.is_unresponsive(now, query.overdue_after);
+        let is_trial = backend.in_flight.is_unresponsive(now, criteria.overdue_after);
         let available = if is_trial {
             TRIAL_CAPACITY
         } else {
-            self.slots(key, query.limit_factor) - taken_slots(backend)
+            self.slots(key, criteria.limit_factor) - taken_slots(backend)
         };
         let is_quick = backend.recent_latency.value(now) <= 1.0;
         (available > 0).then(|| preference_of(available, is_quick))
     }
 
-    /// Returns the greatest available capacity among the indexed backends of a group, and those that have it. All have
-    /// the same limit, so those of the highest slot offsets have a slot more than the others.
+    /// Returns the greatest available capacity among the indexed backends of a group, and the backends that have it.
+    ///
+    /// Indexed backends are idle and have the same limit. Those with the highest slot offsets have one slot more than the
+    /// others, since limit and offset are added and rounded down. If none of those
+    /// with more slots is indexed, the available capacity is that of the others.
     fn most_available_of_group(
         &self,
         key: GroupKey,
         group: &Group,
-        query: &Query,
+        criteria: &Criteria,
     ) -> Option<(i64, Candidates)> {
         let machine_type_limit = self.machine_type_limit(group.zone(), group.machine_type());
-        let limit = machine_type_limit * query.limit_factor;
+        let limit = machine_type_limit * criteria.limit_factor;
         let fewer_slots = limit.floor();
         let more_slots = limit.floor() + 1.0;
-        let expected = (limit - fewer_slots) * group.members().len() as f64;
+        let expected_count = (limit - fewer_slots) * group.members().len() as f64;
         let has_more_slots = |rank| limit + self.slot_offset_of_rank(group, rank) >= more_slots;
-        let with_more_slots = group.highest(expected as usize, has_more_slots);
+        let with_more_slots = group.highest_offsets(expected_count as usize, has_more_slots);
         let by_slots = [
             (more_slots as i64, with_more_slots),
             (fewer_slots as i64, group.runs()),
@@ -220,47 +245,50 @@
         None
     }
 
-    /// Returns the backend with the greatest limit although no whole slot, for a proxy that has nothing in flight.
-    fn greatest_limit(
+    /// Returns the eligible backend with the greatest limit, for a proxy that has nothing in flight and no slot.
+    fn backend_with_greatest_limit(
         &self,
         now: Micros,
-        query: &Query,
+        criteria: &Criteria,
         tried: &[BackendKey],
     ) -> Option<BackendKey> {
-        let limit = |key| self.limit(key) * query.limit_factor + self.slot_offset(key);
+        let unrounded_slots = |key| self.limit(key) * criteria.limit_factor + self.slot_offset(key);
         let compared = self
-            .compared(query, tried)
-            .filter(|&key| self.is_eligible(now, &self.backends[key], query));
+            .compared_backends(criteria, tried)
+            .filter(|&key| self.is_eligible(now, &self.backends[key], criteria));
         let indexed = self
             .index
             .groups()
             .iter()
-            .filter(|group| query.covers(group.zone(), None))
+            .filter(|group| criteria.covers(group.zone(), None))
             .flat_map(Group::highest_of_runs);
         compared
             .chain(indexed)
-            .max_by(|&a, &b| limit(a).total_cmp(&limit(b)))
+            .max_by(|&a, &b| unrounded_slots(a).total_cmp(&unrounded_slots(b)))
     }
 
-    /// Whether a backend may be selected for a request at all, apart from its available capacity. Backends that no request
-    /// could go to are left out of the index before (`indexing`); this is about the rest.
-    fn is_eligible(&self, now: Micros, backend: &BackendState, query: &Query) -> bool {
+    /// Reports whether a backend may be selected for a request, apart from its available capacity.
+    ///
+    /// Backends that may not receive any request are already left out of the index (see `indexing`), but not out of the
+    /// set of a cell's backends.
+    fn is_eligible(&self, now: Micros, backend: &BackendState, criteria: &Criteria) -> bool {
         let is_trial_in_flight = backend.health.is_trial_in_flight();
         match backend.health.state(now) {
             HealthState::Healthy => {}
             HealthState::Ejected(_) => return false,
-            // Departure: a backend whose ejection is over gets one trial, of a request that can be repeated.
-            HealthState::HalfOpen => return !is_trial_in_flight && query.is_repeatable,
+            // Deviation: a backend whose ejection time is over receives a single trial request, which must be
+            // repeatable.
+            HealthState::HalfOpen => return !is_trial_in_flight && criteria.is_repeatable,
         }
-        // Departure: a backend with attempts in flight that gave no response for long may hang and gets nothing more. Where the requests may
-        // have been lost on the way, it gets one trial, of a request that times out soon.
-        if backend.in_flight.is_unresponsive(now, query.overdue_after)
-            && (is_trial_in_flight || !query.detects_loss_early)
+        // Deviation: an unresponsive backend may hang and receives nothing more, except a single trial request if the
+        // loss of that request would be detected early: the attempts in flight may have been lost on the way.
+        if backend.in_flight.is_unresponsive(now, criteria.overdue_after)
+            && (is_trial_in_flight || !criteria.detects_loss_early)
         {
             return false;
         }
-        // Departure: a backend that rejects requests answers at once and so looks the least loaded of all. It gets nothing
-        // for about the time in which one of its requests ends.
+        // Deviation: a backend that rejected a request receives nothing for about the time that one request takes. It
+        // responds at once and would otherwise look like the least loaded backend.
         if now < backend.rejecting_until {
             return false;
         }
@@ -273,12 +301,12 @@
 
 /// Returns how many slots of a backend are taken.
 ///
-/// Departure: a quick attempt that was overtaken was lost on the way; it takes no slot.
+/// Deviation: an overtaken attempt of a quick class takes no slot, because it was lost on the way.
 fn taken_slots(backend: &BackendState) -> i64 {
     i64::from(backend.in_flight.count()) - backend.in_flight.overtaken_count() as i64
 }
 
-/// Returns how a backend compares with others: by its available capacity, then by whether it was quick recently.
+/// Returns a backend's preference over others: by available capacity, then by whether it was quick recently.
 fn preference_of(available: i64, is_quick: bool) -> i64 {
     2 * available + i64::from(is_quick)
 }
--- a/src/balancer/selection/tests.rs
+++ b/src/balancer/selection/tests.rs
@@ -1,4 +1,4 @@
-//! The indexed selection compared with a plain scan of every backend, on random events.
+//! Compares the indexed selection with a plain scan of every backend, on random events.
 
 mod random_proxy;
 
@@ -6,31 +6,34 @@
 use random_proxy::RandomProxy;
 use std::collections::BTreeSet;
 
-/// What a scan finds: the backends that tie, or those of which an idle proxy may use one without a slot.
+/// Backends that a scan found for one request.
 #[derive(Debug, PartialEq)]
 enum Found {
+    /// The backends that tie for the greatest preference.
     Tied(BTreeSet<BackendKey>),
+    /// Backends without a slot that tie for the greatest limit; a proxy with nothing in flight may use one of them.
     WithoutSlot(BTreeSet<BackendKey>),
+    /// No backend may be selected.
     Nothing,
 }
 
-/// A choice on which the scan and the indexed selection disagree.
-struct Disagreement {
+/// Results of the scan and of the indexed selection that differ for the same request.
+struct Mismatch {
     scanned: Found,
     selected: BTreeSet<BackendKey>,
 }
 
-/// Returns the choice as the design states it, with a look at every backend.
+/// Selects backends for a request by comparing every backend in the table.
 fn scan(balancer: &Balancer, now: Micros, request: RequestKey) -> Found {
-    let Some(query) = balancer.query(now, request) else {
+    let Some(criteria) = balancer.criteria(now, request) else {
         return Found::Nothing;
     };
-    let eligible = eligible_backends(balancer, now, request, &query);
+    let eligible = eligible_backends(balancer, now, request, &criteria);
     for is_near in [true, false] {
         let preferences: Vec<(i64, BackendKey)> = eligible
             .iter()
             .filter(|&&key| balancer.is_near(balancer.backends[key].zone) == is_near)
-            .filter_map(|&key| Some((preference(balancer, now, key, &query)?, key)))
+            .filter_map(|&key| Some((preference(balancer, now, key, &criteria)?, key)))
             .collect();
         let Some(&(greatest, _)) = preferences.iter().max() else {
             continue;
@@ -42,29 +45,29 @@
             .collect();
         return Found::Tied(tied);
     }
-    let limit_left =
-        |key: BackendKey| balancer.limit(key) * query.limit_factor + balancer.slot_offset(key);
+    let unrounded_slots =
+        |key: BackendKey| balancer.limit(key) * criteria.limit_factor + balancer.slot_offset(key);
     let greatest = eligible
         .iter()
-        .map(|&key| limit_left(key))
+        .map(|&key| unrounded_slots(key))
         .max_by(f64::total_cmp);
     match greatest {
         Some(greatest) if balancer.in_flight == 0 => Found::WithoutSlot(
             eligible
                 .into_iter()
-                .filter(|&key| limit_left(key) == greatest)
+                .filter(|&key| unrounded_slots(key) == greatest)
                 .collect(),
         ),
         _ => Found::Nothing,
     }
 }
 
-/// Returns the backends that the request has not tried and may be sent to.
+/// Returns the backends that are eligible for a request and that it has not tried.
 fn eligible_backends(
     balancer: &Balancer,
     now: Micros,
     request: RequestKey,
-    query: &Query,
+    criteria: &Criteria,
 ) -> Vec<BackendKey> {
     let tried: Vec<BackendKey> = balancer.requests[request]
         .attempts
@@ -77,28 +80,28 @@
         .filter(|&key| balancer.backends[key].ready && !tried.contains(&key))
         .filter(|&key| {
             let backend = &balancer.backends[key];
-            query.covers(backend.zone, Some(backend.cell))
+            criteria.covers(backend.zone, Some(backend.cell))
         })
-        .filter(|&key| balancer.is_eligible(now, &balancer.backends[key], query))
+        .filter(|&key| balancer.is_eligible(now, &balancer.backends[key], criteria))
         .collect()
 }
 
-/// Returns how much a backend is preferred; `None` without available capacity.
-fn preference(balancer: &Balancer, now: Micros, key: BackendKey, query: &Query) -> Option<i64> {
+/// Returns a backend's preference, or `None` if it has no available capacity.
+fn preference(balancer: &Balancer, now: Micros, key: BackendKey, criteria: &Criteria) -> Option<i64> {
     let backend = &balancer.backends[key];
     let in_flight = &backend.in_flight;
     let taken = i64::from(in_flight.count()) - in_flight.overtaken_count() as i64;
-    let available = if in_flight.is_unresponsive(now, query.overdue_after) {
+    let available = if in_flight.is_unresponsive(now, criteria.overdue_after) {
         1
     } else {
-        balancer.slots(key, query.limit_factor) - taken
+        balancer.slots(key, criteria.limit_factor) - taken
     };
     let is_quick = backend.recent_latency.value(now) <= 1.0;
     (available > 0).then_some(2 * available + i64::from(is_quick))
 }
 
-/// Returns the backends of so many draws of the indexed selection that each of `ties` tied ones is most likely among
-/// them.
+/// Returns the backends that repeated indexed selections yield. There are enough repetitions for each of `ties` tied
+/// backends to be drawn almost certainly.
 fn selected_backends(
     balancer: &mut Balancer,
     now: Micros,
@@ -111,12 +114,12 @@
         .collect()
 }
 
-/// Compares the choice with a scan; returns how many backends tied.
+/// Compares the indexed selection with a scan. Returns the number of backends that tied.
 fn compare(
     balancer: &mut Balancer,
     now: Micros,
     request: RequestKey,
-) -> Result<usize, Disagreement> {
+) -> Result<usize, Mismatch> {
     let scanned = scan(balancer, now, request);
     let ties = match &scanned {
         Found::Tied(tied) => tied.len(),
@@ -125,19 +128,19 @@
     let selected = selected_backends(balancer, now, request, ties);
     let agree = match &scanned {
         Found::Tied(tied) => selected == *tied,
-        // No draw: any of those with the same limit left will do.
+        // Selected without a random draw: any of the backends that tie is correct.
         Found::WithoutSlot(equal) => selected.len() == 1 && selected.is_subset(equal),
         Found::Nothing => selected.is_empty(),
     };
     if agree {
         Ok(ties)
     } else {
-        Err(Disagreement { scanned, selected })
+        Err(Mismatch { scanned, selected })
     }
 }
 
 #[test]
-fn the_indexed_selection_samples_from_the_backends_that_a_plain_scan_finds() {
+fn indexed_selection_returns_exactly_the_tied_backends_that_a_plain_scan_finds() {
     let mut compared = 0;
     let mut with_ties = 0;
     for seed in 0..60 {
@@ -151,7 +154,7 @@
             proxy.balancer.reindex_due(now);
             let request = proxy.open_request();
             let ties = compare(&mut proxy.balancer, now, request).unwrap_or_else(
-                |Disagreement { scanned, selected }| {
+                |Mismatch { scanned, selected }| {
                     panic!("seed {seed}, step {step}: {scanned:?}, selected {selected:?}")
                 },
             );
@@ -162,12 +165,12 @@
     }
     assert!(
         compared == 6_000 && with_ties > 1_000,
-        "{with_ties} of {compared} with a draw"
+        "{with_ties} of {compared} selections had ties"
     );
 }
 
 #[test]
-fn backends_that_tie_are_sampled_equally_often() {
+fn tied_backends_are_selected_equally_often() {
     const DRAWS: usize = 400;
     let mut proxy = RandomProxy::new(11);
     let mut evaluated = 0;
@@ -181,13 +184,13 @@
                 .filter_map(|_| proxy.balancer.select_backend(now, request))
                 .collect();
             drawn.sort_unstable();
-            for of_one in drawn.chunk_by(|one, next| one == next) {
-                // Six standard deviations of a count with this mean.
-                let deviation = of_one.len().abs_diff(DRAWS);
+            for draws_of_one in drawn.chunk_by(|one, next| one == next) {
+                // At most six standard deviations from the expected count.
+                let deviation = draws_of_one.len().abs_diff(DRAWS);
                 assert!(
                     deviation * deviation <= 36 * DRAWS,
-                    "{} of {DRAWS} draws among {}",
-                    of_one.len(),
+                    "drawn {} times instead of {DRAWS}, {} backends tied",
+                    draws_of_one.len(),
                     tied.len()
                 );
             }
@@ -195,5 +198,5 @@
         }
         proxy.balancer.requests.remove(request);
     }
-    assert!(evaluated > 50, "{evaluated} choices were evaluated");
+    assert!(evaluated > 50, "only {evaluated} selections had a tie to evaluate");
 }
--- a/src/balancer/selection/tests/random_proxy.rs
+++ b/src/balancer/selection/tests/random_proxy.rs
@@ -1,4 +1,4 @@
-//! A balancer under random events.
+//! A balancer that receives random events.
 
 use crate::api::{
     Action, AttemptEnd, Backend, BackendId, Cell, Class, ClassIndex, DiscoveryMode, Event,
@@ -85,7 +85,7 @@
     sent_at: Micros,
 }
 
-/// A balancer under random events.
+/// A balancer that receives random events, with the state needed to make them consistent.
 pub(super) struct RandomProxy {
     rng: Rng,
     pub(super) balancer: Balancer,
@@ -93,16 +93,16 @@
     backend_count: u32,
     last_request: RequestId,
     in_flight: Vec<InFlightAttempt>,
-    /// The request of each attempt that was sent.
+    /// The request of every attempt sent so far.
     sent: Vec<RequestId>,
 }
 
 impl RandomProxy {
-    /// Returns one whose settings and list of backends are random.
+    /// Returns a balancer with random settings and a random list of backends.
     pub(super) fn new(seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
         let settings = random_settings(&mut rng);
-        let balancer = Balancer::new(settings, seed, SECOND).expect("good settings");
+        let balancer = Balancer::new(settings, seed, SECOND).expect("random settings are within the allowed ranges");
         let backend_count = [4, 30, 200][rng.usize(0..3)];
         let mut proxy = Self {
             rng,
@@ -219,7 +219,7 @@
         }));
     }
 
-    /// Lets some time pass and something happen.
+    /// Advances the time by a random span and sends one random event.
     pub(super) fn step(&mut self) {
         self.now += self.rng.u64(0..60) * self.rng.u64(0..2 * MS);
         match self.rng.u8(0..40) {
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Adds a request that has failed up to twice, of any class, for which a choice is due.
+    /// Opens a request of a random class with up to two failed attempts, for which a backend can be selected.
     pub(super) fn open_request(&mut self) -> RequestKey {
         let class = ClassIndex(self.rng.usize(0..usize::from(CLASSES)) as u8);
         let keys: Vec<BackendKey> = self.balancer.backends.keys().collect();
