--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -1,5 +1,5 @@
-//! The capacity that this proxy may use: its part of each backend, its limits and slots, and how many requests it may
-//! have in flight in all.
+//! The capacity that this proxy may use: its share of each backend, its limits and slots, and its bound on attempts in
+//! flight at all backends together.
 
 use super::Balancer;
 use super::backends::BackendKey;
@@ -13,25 +13,30 @@
 #[cfg(test)]
 mod tests;
 
-/// Backends that a proxy spreads its requests over, at the least, where its limits add up to fewer slots.
-const MIN_BACKENDS: f64 = 3.0;
+/// Least sum of the limits on which slots are based. A proxy whose limits add up to less has them scaled up to this sum,
+/// so that its slots are spread over about as many backends.
+const MIN_SLOTS: f64 = 3.0;
 
-/// What a proxy may have in flight in all.
+/// The sum of this proxy's limits, and what follows from it if the sum is small.
 ///
-/// Departure: where a proxy's limits add up to few slots (many proxies with little traffic each), its slots spread over
-/// more backends, and the sum of its limits, with the square root of it for the chance that requests come together,
-/// bounds what it has in flight in all.
+/// Deviation from plain AIMD: with many proxies that have little traffic each, the limits of a proxy may add up to fewer
+/// than [`MIN_SLOTS`]. Two rules then apply:
+/// - Each limit is scaled up before it is rounded to slots, which spreads the slots over more backends.
+/// - The attempts in flight at all backends are bounded by the sum of the unscaled limits plus its square root. The
+///   square root leaves room for requests that arrive at the same time by chance.
 pub(crate) struct ProxyCapacity {
     /// Sum of the limits of all ready backends, before they are rounded to slots.
     limit_sum: f64,
-    /// Factor on every limit when it is rounded to slots.
+    /// Factor on every limit before it is rounded to slots.
     limit_factor: f64,
+    /// Most attempts in flight at all backends; `u32::MAX` if there is no bound.
     max_in_flight: u32,
+    /// Time of the last evaluation; `None` if there was none yet.
     evaluated_at: Option<Micros>,
 }
 
 impl ProxyCapacity {
-    /// Returns a capacity without a bound, to be evaluated once backends are known.
+    /// Returns a capacity without a bound that has not been evaluated yet.
     pub(crate) fn unbounded() -> Self {
         Self {
             limit_sum: 0.0,
@@ -41,17 +46,20 @@
         }
     }
 
-    /// Whether the capacity was not evaluated for so long.
+    /// Reports whether the last evaluation was at least `age` ago, or there was none yet.
     pub(crate) fn is_older_than(&self, now: Micros, age: Micros) -> bool {
         self.evaluated_at.is_none_or(|at| now >= at + age)
     }
 
-    /// Takes the sum of the limits of all ready backends.
+    /// Updates the factor on limits and the bound on attempts in flight from the sum of the limits of all ready backends.
+    ///
+    /// The bound is rounded up or down by the proxy's index, so that on average over all proxies it is
+    /// about the unrounded bound.
     pub(crate) fn evaluate(&mut self, now: Micros, limit_sum: f64, proxy_index: u32) {
         self.evaluated_at = Some(now);
         self.limit_sum = limit_sum;
         self.limit_factor = if limit_sum > 0.0 {
-            (MIN_BACKENDS / limit_sum).max(1.0)
+            (MIN_SLOTS / limit_sum).max(1.0)
         } else {
             1.0
         };
@@ -68,26 +76,26 @@
         self.limit_sum
     }
 
-    /// Returns the factor on every limit when it is rounded to slots.
+    /// Returns the factor on every limit before it is rounded to slots.
     pub(crate) fn limit_factor(&self) -> f64 {
         self.limit_factor
     }
 
-    /// Whether the limits add up to so few slots that they are spread over more backends.
+    /// Reports whether the limits add up to fewer than [`MIN_SLOTS`] and are therefore scaled up.
     pub(crate) fn is_below_min_slots(&self) -> bool {
         self.limit_factor > 1.0
     }
 
-    /// Returns the most requests in flight, where there is a bound.
+    /// Returns the bound on attempts in flight at all backends, or `None` if there is none.
     pub(crate) fn max_in_flight(&self) -> Option<u32> {
         (self.max_in_flight < u32::MAX).then_some(self.max_in_flight)
     }
 }
 
-/// Returns this proxy's part of a backend: the inverse of how many proxies use it.
+/// Returns this proxy's share of a backend in a zone: 1 divided by the number of proxies that use the backend.
 ///
-/// Departure: bounds and steps of a limit are the backend's, so that what all proxies admit does not grow with their
-/// number.
+/// Deviation from plain AIMD: the bounds and steps of a limit apply to the backend as a whole and each proxy has its share
+/// of them. Otherwise the load that all proxies admit would grow with their number.
 pub(crate) fn proxy_fraction(settings: &Settings, zone: Zone) -> f64 {
     let proxies = f64::from(settings.proxy_count);
     let proxies_of_zone = (proxies / f64::from(settings.zone_count)).max(1.0);
@@ -100,28 +108,31 @@
 
 impl Balancer {
     /// Evaluates the capacity from the present limits.
+    ///
+    /// All members of a group are first counted with the limit of their machine type; for backends with a limit of their
+    /// own, the difference from it is then added.
     pub(super) fn evaluate_capacity(&mut self, now: Micros) {
-        let of_group = |group: &Group| {
+        let limit_of_group = |group: &Group| {
             let limit = self.machine_type_limit(group.zone(), group.machine_type());
             group.members().len() as f64 * limit
         };
-        let beyond_group = |&key: &BackendKey| {
+        let difference = |&key: &BackendKey| {
             let backend = &self.backends[key];
             self.limit(key) - self.machine_type_limit(backend.zone, backend.machine_type)
         };
-        let groups = self.index.groups().iter().map(of_group).sum::<f64>();
-        let individual = self
+        let of_groups = self.index.groups().iter().map(limit_of_group).sum::<f64>();
+        let differences = self
             .index
             .with_own_limit()
             .iter()
-            .map(beyond_group)
+            .map(difference)
             .sum::<f64>();
-        let limit_sum = groups + individual;
+        let limit_sum = of_groups + differences;
         self.capacity
             .evaluate(now, limit_sum, self.settings.proxy_index);
     }
 
-    /// Returns the limit that the backends of a machine type in a zone have at this proxy.
+    /// Returns this proxy's share of the limit that backends of a machine type in a zone have.
     pub(super) fn machine_type_limit(&self, zone: Zone, machine_type: MachineType) -> f64 {
         let limit = self.machine_type_limits[machine_type.index()].limit();
         limit * proxy_fraction(&self.settings, zone)
@@ -134,12 +145,12 @@
         backend.limit.value(machine_type_limit)
     }
 
-    /// Returns a backend's slots at this proxy, `factor` being a factor on its limit.
+    /// Returns a backend's slots at this proxy, where its limit is multiplied by `factor` before it is rounded.
     pub(super) fn slots(&self, key: BackendKey, factor: f64) -> i64 {
         whole_slots(self.limit(key) * factor, self.slot_offset(key))
     }
 
-    /// Brings the budget of a backend that warms up to now.
+    /// Refills the slow-start budget of a backend up to now. Does nothing if the backend is not in slow start.
     pub(super) fn refill_slow_start(&mut self, now: Micros, key: BackendKey) {
         let Some(mut budget) = self.backends[key].slow_start else {
             return;
@@ -149,25 +160,27 @@
         self.backends[key].slow_start = Some(budget);
     }
 
-    /// Returns what the budget of a backend that warms up follows from. Its full capacity is taken to be that of a warm
-    /// backend: what this proxy got served in its best seconds, for all proxies, over all backends. Before anything is
-    /// measured, the first class stands for all.
+    /// Returns the capacity from which the slow-start budget of a backend is computed.
+    ///
+    /// A warm backend is estimated to serve the peak rate of this proxy, multiplied by the number of proxies and divided by
+    /// the number of ready backends. The estimate is at least one request at a time with the mean latency of the first
+    /// class, which stands for all classes before a rate has been measured.
     fn warm_capacity(&self, key: BackendKey) -> WarmCapacity {
         let proxies = f64::from(self.settings.proxy_count);
         let ready = self.index.ready_count().max(1) as f64;
-        let measured = self.throughput.per_second() * proxies / ready;
-        let one_at_a_time = MICROS_PER_SECOND / self.latencies.mean(ClassIndex(0));
+        let measured_per_s = self.throughput.per_second() * proxies / ready;
+        let one_at_a_time_per_s = MICROS_PER_SECOND / self.latencies.mean(ClassIndex(0));
         WarmCapacity {
-            requests_per_s: measured.max(one_at_a_time),
+            requests_per_s: measured_per_s.max(one_at_a_time_per_s),
             proxy_fraction: self.proxy_fraction(key),
             rounding_gain: self.rounding_gain(key),
         }
     }
 
-    /// Returns what rounding a backend's limit to whole slots multiplies this proxy's part by.
+    /// Returns the factor on this proxy's share of a slow-start budget that makes up for rounding the limit to whole slots.
     ///
-    /// Departure: where the limit is below one slot, only some proxies hold a slot on the backend; the others can't spend
-    /// their part of its budget, so those that do get it.
+    /// Deviation: if the limit is below one slot, only some proxies have a slot on the backend. Proxies without a slot
+    /// cannot use their share of its budget, so proxies with a slot receive a greater one.
     fn rounding_gain(&self, key: BackendKey) -> f64 {
         let limit_factor = self.capacity.limit_factor();
         let limit = self.limit(key) * limit_factor;
--- a/src/balancer/capacity/tests.rs
+++ b/src/balancer/capacity/tests.rs
@@ -1,17 +1,17 @@
-//! The capacity of one proxy by itself: its part of a backend, and its bound where it has few slots.
+//! Tests of a proxy's capacity: its share of a backend, and its bound if its limits add up to few slots.
 
 use super::*;
 use crate::balancer::tests::{assert_close, settings};
 
-/// Returns the capacity of a proxy whose limits add up to this.
-fn capacity(slots: f64, proxy_index: u32) -> ProxyCapacity {
+/// Returns the capacity of a proxy whose limits add up to `limit_sum`.
+fn capacity(limit_sum: f64, proxy_index: u32) -> ProxyCapacity {
     let mut capacity = ProxyCapacity::unbounded();
-    capacity.evaluate(0, slots, proxy_index);
+    capacity.evaluate(0, limit_sum, proxy_index);
     capacity
 }
 
 #[test]
-fn a_capacity_has_no_bound_before_it_is_evaluated() {
+fn capacity_is_unbounded_before_its_first_evaluation() {
     let capacity = ProxyCapacity::unbounded();
     assert_eq!(capacity.max_in_flight(), None);
     assert_eq!(capacity.limit_factor(), 1.0);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_proxy_with_slots_for_three_backends_has_no_bound() {
+fn limits_that_add_up_to_at_least_three_are_neither_scaled_nor_bounded() {
     for limit_sum in [3.0, 100.0] {
         let capacity = capacity(limit_sum, 0);
         assert!(!capacity.is_below_min_slots());
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn few_slots_are_spread_over_three_backends() {
+fn limits_that_add_up_to_less_than_three_are_scaled_to_three() {
     for (limit_sum, limit_factor) in [(1.5, 2.0), (0.75, 4.0), (2.4, 1.25)] {
         let capacity = capacity(limit_sum, 0);
         assert!(capacity.is_below_min_slots());
@@ -39,9 +39,9 @@
 }
 
 #[test]
-fn few_slots_and_their_square_root_bound_what_is_in_flight() {
-    // The position of the proxy, 0 and 0.62, decides on how the sum is rounded.
-    for (slots, proxy_index, bound) in [
+fn attempts_in_flight_are_bounded_by_a_small_limit_sum_plus_its_square_root() {
+    // The golden-ratio position of the proxy, 0 or 0.62, is added before the bound is rounded down.
+    for (limit_sum, proxy_index, bound) in [
         (2.25, 0, 3),
         (2.25, 1, 4),
         (1.0, 0, 2),
@@ -49,20 +49,21 @@
         (0.01, 0, 1),
         (0.01, 1, 1),
     ] {
-        let capacity = capacity(slots, proxy_index);
-        assert_eq!(capacity.max_in_flight(), Some(bound), "{slots} slots");
+        let capacity = capacity(limit_sum, proxy_index);
+        let max_in_flight = capacity.max_in_flight();
+        assert_eq!(max_in_flight, Some(bound), "a limit sum of {limit_sum}");
     }
 }
 
 #[test]
-fn a_proxy_without_slots_has_no_bound() {
+fn a_limit_sum_of_zero_is_neither_scaled_nor_bounded() {
     let capacity = capacity(0.0, 0);
     assert!(!capacity.is_below_min_slots());
     assert_eq!(capacity.max_in_flight(), None);
 }
 
 #[test]
-fn a_capacity_gets_old() {
+fn capacity_is_older_than_an_age_once_that_time_has_passed() {
     let mut capacity = ProxyCapacity::unbounded();
     capacity.evaluate(100, 1.0, 0);
     assert!(!capacity.is_older_than(109, 10));
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_proxy_has_its_part_of_the_backends_that_proxies_of_their_zone_or_all_use() {
+fn backends_are_shared_by_the_proxies_of_the_own_zone_and_by_all_proxies_in_other_zones() {
     for (proxy_count, zone_count, own_zone, other_zone) in [
         (1, 1, 1.0, 1.0),
         (12, 3, 0.25, 1.0 / 12.0),
--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -1,32 +1,35 @@
-//! The limit of one backend at this proxy.
+//! Limit of one backend at this proxy.
 
 use super::{
-    DECREASE_FACTOR, MAX_LIMIT, MAX_WINDOW_AGE, MIN_INCREASE, MIN_LIMIT, MIN_WINDOW, Window,
+    DECREASE_FACTOR, MAX_LIMIT, MAX_WINDOW_AGE, MIN_INCREASE_FRACTION, MIN_LIMIT, MIN_WINDOW, Window,
 };
 use crate::api::Micros;
 use crate::balancer::time::SECOND;
 
-/// A backend without a slot whose window is older than this takes the limit of its machine type.
+/// Age of a window after which a backend without a slot returns to the limit of its machine type.
 const UNSAMPLED_AFTER: Micros = 2 * SECOND;
-/// The least and the most that a load report scales the limit of the machine type by.
+/// Least factor of a load report on the limit of the machine type, for a backend much slower than the mean.
 const MIN_REPORT_FACTOR: f64 = 0.1;
+/// Greatest factor of a load report on the limit of the machine type. However short a service time a backend reports, it
+/// receives at most half as much again as the mean of its machine type.
 const MAX_REPORT_FACTOR: f64 = 1.5;
-/// How long the factor of a load report holds.
+/// Time for which the factor of a load report holds.
 const REPORT_TTL: Micros = 5 * SECOND;
 
-/// A limit counts as nearly reached when three quarters of the slots are taken.
-const NEAR_LIMIT_PART: i64 = 3;
-const NEAR_LIMIT_DIVISOR: i64 = 4;
+/// Numerator of the fraction of taken slots, three quarters, from which a limit counts as nearly reached.
+const NEAR_LIMIT_NUMERATOR: i64 = 3;
+/// Denominator of that fraction.
+const NEAR_LIMIT_DENOMINATOR: i64 = 4;
 
-/// Where a backend's limit comes from.
+/// Source of a backend's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum LimitSource {
-    /// The limit of its machine type; its own windows have not been evaluated recently.
+    /// The limit of the backend's machine type. The backend's own windows have not lowered it recently.
     #[default]
     MachineType,
-    /// The limit of its machine type, scaled by its load report.
+    /// The limit of the backend's machine type, scaled by the backend's load report.
     LoadReport,
-    /// Its own windows.
+    /// The backend's own windows.
     Windows,
 }
 
@@ -34,16 +37,16 @@
 #[derive(Default)]
 pub(crate) struct BackendLimit {
     source: LimitSource,
-    /// The limit of its own, where it has one.
+    /// Limit from the backend's windows or load report. Not used while `source` is the machine type.
     own_limit: f64,
     window: Window,
-    /// The factor of its last load report.
+    /// Factor of the last load report on the limit of the machine type.
     report_factor: f64,
     reported_at: Micros,
 }
 
 impl BackendLimit {
-    /// Forgets the windows and load reports of the backend's previous process.
+    /// Returns to the limit of the machine type, without the windows and load reports of the backend's previous process.
     pub(crate) fn reset(&mut self, now: Micros) {
         self.source = LimitSource::MachineType;
         self.window = Window::new(now);
@@ -51,12 +54,12 @@
         self.reported_at = now;
     }
 
-    /// Returns where the limit comes from.
+    /// Returns the source of the limit.
     pub(crate) fn source(&self) -> LimitSource {
         self.source
     }
 
-    /// Returns the limit. `machine_type_limit` is this proxy's part of the limit of the machine type.
+    /// Returns the limit. `machine_type_limit` is this proxy's share of the limit of the machine type.
     pub(crate) fn value(&self, machine_type_limit: f64) -> f64 {
         match self.source {
             LimitSource::MachineType => machine_type_limit,
@@ -64,18 +67,19 @@
         }
     }
 
-    /// Notes how many of the slots are taken when an attempt starts.
+    /// Records the attempts in flight when another one starts, and marks the window if the limit is nearly reached.
     pub(crate) fn record_in_flight(&mut self, in_flight: u32, slots: i64) {
-        let is_near_limit = i64::from(in_flight) * NEAR_LIMIT_DIVISOR >= slots * NEAR_LIMIT_PART;
+        let is_near_limit = i64::from(in_flight) * NEAR_LIMIT_DENOMINATOR >= slots * NEAR_LIMIT_NUMERATOR;
         if is_near_limit {
             self.window.mark_near_limit();
         }
     }
 
-    /// Adds a sample, and takes the AIMD step if the window is complete. `proxy_fraction` is this proxy's part of the
+    /// Adds a sample, and evaluates the limit if the window is complete. `proxy_fraction` is this proxy's share of the
     /// backend.
     ///
-    /// Departure: a window stays open until it has enough samples, up to an age.
+    /// Deviation from plain AIMD: a window stays open until it has [`MIN_WINDOW_SAMPLES`](super::MIN_WINDOW_SAMPLES)
+    /// samples, up to an age of [`MAX_WINDOW_AGE`].
     pub(crate) fn record(
         &mut self,
         now: Micros,
@@ -99,20 +103,23 @@
         self.window = Window::new(now);
     }
 
+    /// Lowers or raises the limit as the samples of the window require. A limit that still follows the machine type is
+    /// only lowered.
     fn evaluate(&mut self, limit: f64, proxy_fraction: f64) {
         if self.window.mean() > 1.0 {
             self.own_limit = limit * DECREASE_FACTOR;
             self.source = LimitSource::Windows;
         } else if self.window.was_near_limit() && self.source == LimitSource::Windows {
-            self.own_limit = limit + proxy_fraction.max(limit * MIN_INCREASE);
+            self.own_limit = limit + proxy_fraction.max(limit * MIN_INCREASE_FRACTION);
         }
     }
 
-    /// Takes the service time of a load report beside the mean of the machine type, both in milliseconds.
+    /// Records the service time of a load report, given the mean service time of the machine type, both in milliseconds.
     ///
-    /// Departure: a proxy with few slots meets a backend once in many seconds, too seldom for windows. The limit is then
-    /// at once that of the machine type, scaled by how the backend compares with others of its type: a backend that is
-    /// slower, for whatever cause, gets less from all proxies alike. The factor expires when no response came for a while.
+    /// Deviation from plain AIMD: a proxy whose share of the machine type's limit is below one slot sends to a backend once
+    /// in many seconds, too seldom for windows. The backend's limit is then set at once to that of the machine type, scaled
+    /// by how the backend compares with others of its type. A slower backend, whatever the cause, thus receives less
+    /// from all proxies alike. The factor expires [`REPORT_TTL`] after the last report.
     pub(crate) fn record_service_time(
         &mut self,
         now: Micros,
@@ -129,7 +136,11 @@
         }
     }
 
-    /// Returns to the limit of the machine type, where there was no sample for a while; returns whether it did.
+    /// Returns to the limit of the machine type, scaled by a recent load report, unless the backend's own windows still
+    /// determine the limit. Reports whether the limit was changed.
+    ///
+    /// Windows still determine it while the backend has a slot, or has had none for at most [`UNSAMPLED_AFTER`] since its
+    /// window started.
     pub(crate) fn follow_machine_type(
         &mut self,
         now: Micros,
--- a/src/balancer/limits/machine_type.rs
+++ b/src/balancer/limits/machine_type.rs
@@ -1,27 +1,31 @@
-//! The limit that one backend of a machine type has for all proxies together.
+//! Limit that all backends of one machine type share.
 
 use super::{
-    DECREASE_FACTOR, INITIAL_LIMIT, MAX_LIMIT, MAX_SAMPLE, MIN_INCREASE, MIN_LIMIT, MIN_WINDOW,
+    DECREASE_FACTOR, INITIAL_LIMIT, MAX_LIMIT, MAX_SAMPLE, MIN_INCREASE_FRACTION, MIN_LIMIT, MIN_WINDOW,
     Window,
 };
 use crate::api::Micros;
 use crate::balancer::latency::LATENCY_WEIGHT;
 
-/// Departure: a limit is kept for each machine type as well, from the samples of all its backends. It decreases
-/// like theirs, increases by a part of itself, and doubles until its first decrease. Backends that gave no sample for a while have this limit: each of many proxies
-/// holds a slot on few backends, and the limits of the others would never change.
+/// Limit of one backend of a machine type, for all proxies together.
+///
+/// Deviation from plain AIMD: a limit is also kept for each machine type, from the samples of all its backends. Backends
+/// without recent samples have this limit: with many proxies, each has a slot on few backends only, and the limits of the
+/// other backends would never change.
+///
+/// The limit decreases like that of a backend, increases by a fraction of itself, and doubles until its first decrease.
 #[derive(Clone)]
 pub(crate) struct MachineTypeLimit {
     limit: f64,
-    /// Whether there was no decrease yet.
+    /// Whether the limit has not decreased yet, so that an increase doubles it.
     doubling: bool,
-    /// The mean service time in the load reports of its backends, milliseconds.
+    /// Mean service time in the load reports of the backends, milliseconds; `None` before the first report.
     service_time_ms: Option<f64>,
     window: Window,
 }
 
 impl MachineTypeLimit {
-    /// Returns the first limit.
+    /// Returns the initial limit of a machine type.
     pub(crate) fn new(now: Micros) -> Self {
         Self {
             limit: INITIAL_LIMIT,
@@ -31,17 +35,17 @@
         }
     }
 
-    /// Returns the limit of one backend for all proxies together.
+    /// Returns the limit of one backend, for all proxies together.
     pub(crate) fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Notes that a request found no available capacity.
+    /// Records that a request found no available capacity, so the limit counts as nearly reached.
     pub(crate) fn mark_near_limit(&mut self) {
         self.window.mark_near_limit();
     }
 
-    /// Adds a sample; returns whether the window was complete and the limit was evaluated.
+    /// Adds a sample. Reports whether it completed the window, so that the limit was evaluated.
     pub(crate) fn record(&mut self, now: Micros, sample: f64) -> bool {
         self.window.add(sample);
         let is_long_enough = self.doubling || self.window.age(now) >= MIN_WINDOW;
@@ -53,6 +57,7 @@
         true
     }
 
+    /// Lowers or raises the limit as the samples of the window require.
     fn evaluate(&mut self) {
         if self.window.mean() > 1.0 {
             self.doubling = false;
@@ -61,14 +66,15 @@
             let increase = if self.doubling {
                 2.0
             } else {
-                1.0 + MIN_INCREASE
+                1.0 + MIN_INCREASE_FRACTION
             };
             self.limit *= increase;
         }
         self.limit = self.limit.clamp(MIN_LIMIT, MAX_LIMIT);
     }
 
-    /// Adds the service time of a backend's load report; returns the mean before it.
+    /// Adds the service time of a backend's load report to the mean. Returns the mean before this report, or the reported
+    /// time itself for the first report. Both are in milliseconds.
     pub(crate) fn record_service_time(&mut self, reported_ms: f64) -> f64 {
         let mean = self.service_time_ms.unwrap_or(reported_ms);
         let capped = reported_ms.min(mean * MAX_SAMPLE);
--- a/src/balancer/limits/mod.rs
+++ b/src/balancer/limits/mod.rs
@@ -1,10 +1,10 @@
 //! Concurrency limits: additive increase, multiplicative decrease (AIMD) on windowed latency.
 //!
-//! A sample is the latency of one attempt as a multiple of its latency threshold. A [`Window`] collects samples; when it
-//! is complete, a mean above 1 lowers the limit, and a mean up to 1 raises it if the limit was nearly reached (a backend's
-//! only once it has been lowered: until then it has that of its machine type). Each proxy
-//! keeps a [`BackendLimit`] for every backend and a [`MachineTypeLimit`] for every machine type, which backends follow
-//! that gave too few samples.
+//! A sample is the latency of one attempt as a multiple of its latency threshold. A [`Window`] collects samples. When it
+//! is complete, a mean above 1 lowers the limit, and a mean of at most 1 raises the limit if it was nearly reached.
+//!
+//! Each proxy keeps a [`MachineTypeLimit`] for every machine type and a [`BackendLimit`] for every backend. A backend has
+//! the limit of its machine type until a window lowers its own limit, and again once it has too few samples.
 
 mod backend;
 mod machine_type;
@@ -20,30 +20,33 @@
 #[cfg(test)]
 mod tests;
 
-/// The shortest window: limits follow a load that changes within seconds.
+/// Shortest duration of a window; short enough for limits to follow a load that changes within seconds.
 pub(crate) const MIN_WINDOW: Micros = SECOND / 4;
-/// The most that a sample counts, as a multiple of the latency threshold.
+/// Greatest value of a sample, as a multiple of the latency threshold; greater samples are reduced to it.
 pub(crate) const MAX_SAMPLE: f64 = 3.0;
 
-/// Samples that a window needs; fewer say too little where work varies as much as its mean.
+/// Fewest samples for which a window is evaluated. The mean of fewer samples says too little if the work of requests has
+/// a standard deviation as great as its mean.
 const MIN_WINDOW_SAMPLES: u32 = 6;
-/// A window without enough samples for this many times the shortest one starts anew.
+/// Age at which a window without enough samples is discarded and a new one starts.
 const MAX_WINDOW_AGE: Micros = 40 * MIN_WINDOW;
-/// Factor on a limit whose window was too slow.
+/// Factor on a limit whose window had a mean above 1.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Departure: the least increase, as a part of the limit; on a large backend 1 would be lost beside a decrease.
-const MIN_INCREASE: f64 = 0.15;
-/// First limit of one backend for all proxies together; it must not starve large backends.
+/// Least increase as a fraction of the limit.
+///
+/// Deviation from plain AIMD: on a large backend, an increase by 1 would be negligible beside a decrease.
+const MIN_INCREASE_FRACTION: f64 = 0.15;
+/// Initial limit of one backend for all proxies together; it must not starve large backends.
 const INITIAL_LIMIT: f64 = 1.5;
-/// Least limit of one backend for all proxies together, which keeps samples coming.
+/// Least limit of one backend for all proxies together. A lower one could leave the backend without samples.
 const MIN_LIMIT: f64 = 1.0;
 /// Greatest limit of one backend for all proxies together.
 const MAX_LIMIT: f64 = 64.0;
 
-/// Rounds a limit to slots, the attempts that may be in flight.
+/// Rounds a limit to slots, the number of attempts that may be in flight.
 ///
-/// Departure: the slot offset decides which proxies hold a slot where limits are below 1 (many proxies, small backends),
-/// so that what all proxies admit does not grow with their number.
+/// Deviation from plain AIMD: with many proxies and small backends, limits are below 1. The slot offset then decides which
+/// proxies have a slot, so that the load that all proxies admit does not grow with their number.
 pub(crate) fn whole_slots(limit: f64, slot_offset: f64) -> i64 {
     (limit + slot_offset).floor() as i64
 }
--- a/src/balancer/limits/tests.rs
+++ b/src/balancer/limits/tests.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits by themselves: windows, decreases, increases and their bounds.
+//! Tests of concurrency limits: windows, decreases, increases and their bounds.
 
 mod backend;
 mod machine_type;
@@ -14,7 +14,7 @@
 const QUICK: f64 = 0.5;
 
 #[test]
-fn a_limit_and_its_offset_are_rounded_down_to_slots() {
+fn the_sum_of_limit_and_slot_offset_is_rounded_down_to_slots() {
     for (limit, slot_offset, slots) in [
         (1.5, 0.25, 1),
         (1.5, 0.5, 2),
--- a/src/balancer/limits/tests/backend.rs
+++ b/src/balancer/limits/tests/backend.rs
@@ -1,9 +1,9 @@
-//! The limit of one backend.
+//! Tests of the limit of one backend.
 
 use super::*;
 
-/// This proxy's part of a backend that it has for itself.
-const WHOLE: f64 = 1.0;
+/// Share of a backend that only this proxy uses.
+const WHOLE_BACKEND: f64 = 1.0;
 
 /// Returns the limit of a backend that has just been listed.
 fn new_backend_limit(now: Micros) -> BackendLimit {
@@ -12,23 +12,23 @@
     limit
 }
 
-/// Adds a sample to the limit of a backend that this proxy has for itself.
+/// Adds a sample to the limit of a backend that only this proxy uses.
 fn record(limit: &mut BackendLimit, now: Micros, sample: f64, machine_type_limit: f64) {
-    limit.record(now, sample, machine_type_limit, WHOLE);
+    limit.record(now, sample, machine_type_limit, WHOLE_BACKEND);
 }
 
-/// Completes a window that began at `start` with six samples; returns the time of its end.
+/// Completes a window that started at `start` with six samples. Returns the time at which it ends.
 fn complete_window(
     limit: &mut BackendLimit,
     start: Micros,
     sample: f64,
     machine_type_limit: f64,
 ) -> Micros {
-    complete_window_of_part(limit, start, sample, machine_type_limit, WHOLE)
+    complete_window_of_share(limit, start, sample, machine_type_limit, WHOLE_BACKEND)
 }
 
-/// As [`complete_window`], where this proxy has a part of the backend.
-fn complete_window_of_part(
+/// Completes a window like [`complete_window`], of a backend of which this proxy has a share.
+fn complete_window_of_share(
     limit: &mut BackendLimit,
     start: Micros,
     sample: f64,
@@ -43,8 +43,8 @@
     end
 }
 
-/// Notes that three quarters of the slots are taken.
-fn come_near(limit: &mut BackendLimit) {
+/// Records that three quarters of the slots are taken.
+fn nearly_reach(limit: &mut BackendLimit) {
     limit.record_in_flight(6, 8);
 }
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_slow_window_lowers_the_limit_by_three_tenths() {
+fn a_slow_window_lowers_the_limit_by_30_percent() {
     let mut limit = new_backend_limit(NOW);
     complete_window(&mut limit, NOW, SLOW, 10.0);
     assert_eq!(limit.source(), LimitSource::Windows);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_window_with_a_mean_of_one_does_not_lower_the_limit() {
+fn a_window_mean_of_one_does_not_lower_the_limit_and_a_higher_mean_does() {
     let mut limit = new_backend_limit(NOW);
     let end = complete_window(&mut limit, NOW, 1.0, 10.0);
     assert_eq!(limit.source(), LimitSource::MachineType);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_window_is_not_evaluated_before_its_shortest_time() {
+fn a_window_is_not_evaluated_before_the_shortest_duration() {
     let mut limit = new_backend_limit(NOW);
     for _ in 0..100 {
         record(&mut limit, NOW + MIN_WINDOW - 1, SLOW, 10.0);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_window_without_enough_samples_starts_anew_after_forty_times_its_shortest_time() {
+fn a_window_without_enough_samples_is_discarded_after_10_seconds() {
     let mut limit = new_backend_limit(NOW);
     for _ in 0..4 {
         record(&mut limit, NOW, SLOW, 10.0);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_quick_window_raises_a_limit_of_its_own_only_if_it_was_nearly_reached() {
+fn a_quick_window_raises_an_own_limit_only_if_it_was_nearly_reached() {
     let mut limit = new_backend_limit(NOW);
     let end = complete_window(&mut limit, NOW, SLOW, 10.0);
     let end = complete_window(&mut limit, end, QUICK, 10.0);
@@ -121,61 +121,61 @@
     limit.record_in_flight(5, 8);
     let end = complete_window(&mut limit, end, QUICK, 10.0);
     assert_close(limit.value(10.0), 7.0);
-    come_near(&mut limit);
+    nearly_reach(&mut limit);
     let end = complete_window(&mut limit, end, QUICK, 10.0);
-    // 15 % of 7 are more than one.
+    // An increase by 15 % of 7 is greater than 1.
     assert_close(limit.value(10.0), 8.05);
     complete_window(&mut limit, end, QUICK, 10.0);
     assert_close(limit.value(10.0), 8.05);
 }
 
 #[test]
-fn a_small_limit_rises_by_one_slot_of_this_proxys_part() {
+fn a_small_limit_increases_by_the_proxys_share_of_one_slot() {
     for (fraction, raised) in [(1.0, 2.4), (0.5, 1.9)] {
         let mut limit = new_backend_limit(NOW);
-        let end = complete_window_of_part(&mut limit, NOW, SLOW, 2.0, fraction);
+        let end = complete_window_of_share(&mut limit, NOW, SLOW, 2.0, fraction);
         assert_close(limit.value(2.0), 1.4);
-        come_near(&mut limit);
-        complete_window_of_part(&mut limit, end, QUICK, 2.0, fraction);
+        nearly_reach(&mut limit);
+        complete_window_of_share(&mut limit, end, QUICK, 2.0, fraction);
         assert_close(limit.value(2.0), raised);
     }
 }
 
 #[test]
-fn quick_windows_do_not_raise_the_limit_of_the_machine_type() {
+fn a_quick_window_does_not_raise_a_limit_that_follows_the_machine_type() {
     let mut limit = new_backend_limit(NOW);
-    come_near(&mut limit);
+    nearly_reach(&mut limit);
     complete_window(&mut limit, NOW, QUICK, 10.0);
     assert_eq!(limit.source(), LimitSource::MachineType);
     assert_eq!(limit.value(10.0), 10.0);
 }
 
 #[test]
-fn quick_windows_do_not_raise_the_limit_of_a_load_report() {
+fn a_quick_window_does_not_raise_a_limit_from_a_load_report() {
     let mut limit = new_backend_limit(NOW);
     limit.record_service_time(NOW, 80.0, 100.0, 0.5);
-    come_near(&mut limit);
-    complete_window_of_part(&mut limit, NOW, QUICK, 0.5, 0.25);
+    nearly_reach(&mut limit);
+    complete_window_of_share(&mut limit, NOW, QUICK, 0.5, 0.25);
     assert_eq!(limit.source(), LimitSource::LoadReport);
     assert_close(limit.value(0.5), 0.625);
 }
 
 #[test]
-fn a_limit_of_its_own_stays_within_bounds() {
+fn an_own_limit_stays_between_1_and_64() {
     let mut low = new_backend_limit(NOW);
     complete_window(&mut low, NOW, SLOW, 1.2);
     assert_close(low.value(1.2), 1.0);
     let mut high = new_backend_limit(NOW);
     let mut end = complete_window(&mut high, NOW, SLOW, 64.0);
     for _ in 0..5 {
-        come_near(&mut high);
+        nearly_reach(&mut high);
         end = complete_window(&mut high, end, QUICK, 64.0);
     }
     assert_close(high.value(64.0), 64.0);
 }
 
 #[test]
-fn the_bounds_are_those_of_this_proxys_part() {
+fn bounds_of_a_limit_are_scaled_by_the_proxys_share() {
     let mut limit = new_backend_limit(NOW);
     for _ in 0..6 {
         limit.record(NOW + MIN_WINDOW, SLOW, 0.3, 0.25);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_load_report_scales_a_machine_type_limit_below_one_within_bounds() {
+fn a_load_report_scales_a_machine_type_limit_below_one_by_0_1_to_1_5() {
     for (reported_ms, mean_ms, expected) in [
         (200.0, 100.0, 0.25),
         (80.0, 100.0, 0.625),
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_load_report_does_not_change_other_limits() {
+fn a_load_report_changes_neither_a_machine_type_limit_of_one_nor_an_own_limit() {
     let mut shared = new_backend_limit(NOW);
     shared.record_service_time(NOW, 200.0, 100.0, 1.0);
     assert_eq!(shared.source(), LimitSource::MachineType);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_limit_of_its_own_is_kept_while_there_are_slots_or_recent_windows() {
+fn an_own_limit_is_kept_with_a_slot_or_for_2_seconds_after_its_last_window() {
     let mut limit = new_backend_limit(NOW);
     let end = complete_window(&mut limit, NOW, SLOW, 10.0);
     assert!(!limit.follow_machine_type(end + 60 * SECOND, 1, 10.0));
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_backend_follows_its_machine_type_by_a_load_report_of_the_last_five_seconds() {
+fn a_load_report_scales_the_followed_machine_type_limit_for_5_seconds() {
     let mut limit = new_backend_limit(NOW);
     limit.record_service_time(NOW, 200.0, 100.0, 0.5);
     assert!(limit.follow_machine_type(NOW + 5 * SECOND - 1, 0, 0.8));
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_reset_returns_to_the_limit_of_the_machine_type() {
+fn a_reset_restores_the_machine_type_limit_and_starts_a_new_window() {
     let mut limit = new_backend_limit(NOW);
     let end = complete_window(&mut limit, NOW, SLOW, 10.0);
     for _ in 0..5 {
@@ -243,5 +243,5 @@
     limit.reset(end);
     assert_eq!(limit.source(), LimitSource::MachineType);
     record(&mut limit, end + MIN_WINDOW, SLOW, 10.0);
-    assert_eq!(limit.source(), LimitSource::MachineType, "a new window");
+    assert_eq!(limit.source(), LimitSource::MachineType, "the new window has one sample");
 }
--- a/src/balancer/limits/tests/machine_type.rs
+++ b/src/balancer/limits/tests/machine_type.rs
@@ -1,8 +1,9 @@
-//! The limit of a machine type.
+//! Tests of the limit of a machine type.
 
 use super::*;
 
-/// Adds six samples at one time; returns whether the limit was evaluated with the last one, and not before.
+/// Adds six equal samples at one time. Asserts that the first five do not complete the window and reports whether the
+/// sixth does.
 fn record_six(limit: &mut MachineTypeLimit, now: Micros, sample: f64) -> bool {
     for _ in 0..5 {
         assert!(!limit.record(now, sample), "a window has six samples");
@@ -10,7 +11,7 @@
     limit.record(now, sample)
 }
 
-/// Returns a limit after its first decrease, from 1.5, at `NOW`.
+/// Returns a limit that decreased from 1.5 to 1.05 at `NOW`.
 fn decreased_limit() -> MachineTypeLimit {
     let mut limit = MachineTypeLimit::new(NOW);
     assert!(record_six(&mut limit, NOW, SLOW));
@@ -18,12 +19,12 @@
 }
 
 #[test]
-fn the_first_limit_is_one_and_a_half() {
+fn the_initial_limit_is_one_and_a_half() {
     assert_eq!(MachineTypeLimit::new(NOW).limit(), 1.5);
 }
 
 #[test]
-fn the_limit_doubles_until_its_first_decrease_without_waiting_for_the_window() {
+fn the_limit_doubles_without_a_shortest_window_until_its_first_decrease() {
     let mut limit = MachineTypeLimit::new(NOW);
     for expected in [3.0, 6.0, 12.0] {
         limit.mark_near_limit();
@@ -35,14 +36,14 @@
     limit.mark_near_limit();
     assert!(
         !record_six(&mut limit, NOW, QUICK),
-        "the window is too short"
+        "the window is shorter than the shortest one"
     );
     assert!(limit.record(NOW + MIN_WINDOW, QUICK));
     assert_close(limit.limit(), 9.66);
 }
 
 #[test]
-fn a_limit_that_was_not_nearly_reached_does_not_rise() {
+fn quick_windows_do_not_raise_a_limit_that_was_not_nearly_reached() {
     let mut doubling = MachineTypeLimit::new(NOW);
     assert!(record_six(&mut doubling, NOW, QUICK));
     assert_eq!(doubling.limit(), 1.5);
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn coming_near_the_limit_counts_for_one_window_only() {
+fn a_nearly_reached_limit_is_raised_by_one_window_only() {
     let mut limit = MachineTypeLimit::new(NOW);
     limit.mark_near_limit();
     record_six(&mut limit, NOW, QUICK);
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_window_with_a_mean_of_one_raises_the_limit_and_a_slower_one_lowers_it() {
+fn a_window_mean_of_one_raises_the_limit_and_a_higher_mean_lowers_it() {
     let mut limit = MachineTypeLimit::new(NOW);
     limit.mark_near_limit();
     record_six(&mut limit, NOW, 1.0);
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn the_limit_stays_within_bounds() {
+fn the_limit_stays_between_1_and_64() {
     let mut low = MachineTypeLimit::new(NOW);
     for window in 0..10 {
         record_six(&mut low, NOW + window * MIN_WINDOW, SLOW);
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn the_mean_service_time_moves_by_a_sixteenth_of_each_report() {
+fn a_load_report_moves_the_mean_service_time_by_a_sixteenth_of_the_difference() {
     let mut limit = MachineTypeLimit::new(NOW);
     assert_close(limit.record_service_time(100.0), 100.0);
     assert_close(limit.record_service_time(260.0), 100.0);
--- a/src/balancer/limits/tests/window.rs
+++ b/src/balancer/limits/tests/window.rs
@@ -1,9 +1,9 @@
-//! Windows of samples.
+//! Tests of windows of samples.
 
 use super::*;
 
 #[test]
-fn a_window_has_enough_samples_with_the_sixth() {
+fn a_window_has_enough_samples_from_the_sixth_on() {
     let mut window = Window::new(NOW);
     for _ in 0..5 {
         window.add(QUICK);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_window_knows_its_mean_and_its_age() {
+fn a_window_returns_the_mean_of_its_samples_and_its_age() {
     let mut window = Window::new(NOW);
     assert_eq!(window.mean(), 0.0);
     for sample in [0.5, 1.0, 3.0] {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_window_remembers_that_the_limit_was_nearly_reached() {
+fn a_window_stays_marked_once_the_limit_was_nearly_reached() {
     let mut window = Window::new(NOW);
     assert!(!window.was_near_limit());
     window.mark_near_limit();
--- a/src/balancer/limits/window.rs
+++ b/src/balancer/limits/window.rs
@@ -1,8 +1,8 @@
-//! A window of samples.
+//! Windows of samples.
 
 use crate::api::Micros;
 
-/// The samples since a limit was last evaluated.
+/// Sum of the samples since a limit was last evaluated or its window discarded.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Window {
     started_at: Micros,
@@ -12,7 +12,7 @@
 }
 
 impl Window {
-    /// Returns an empty window that starts now.
+    /// Returns an empty window that starts at `now`.
     pub(crate) fn new(now: Micros) -> Self {
         Self {
             started_at: now,
@@ -20,39 +20,39 @@
         }
     }
 
-    /// Adds a sample, a multiple of the latency threshold.
+    /// Adds a sample, the latency of an attempt as a multiple of its latency threshold.
     pub(crate) fn add(&mut self, sample: f64) {
         self.count += 1;
         self.sum += sample;
     }
 
-    /// Notes that the requests in flight came near the limit. A limit that was not nearly reached is not known to be too
-    /// low.
+    /// Records that the attempts in flight nearly reached the limit. Only then may quick samples raise the limit: otherwise
+    /// they do not show that it is too low.
     pub(crate) fn mark_near_limit(&mut self) {
         self.near_limit = true;
     }
 
-    /// Whether the limit was nearly reached.
+    /// Reports whether the limit was nearly reached during the window.
     pub(crate) fn was_near_limit(&self) -> bool {
         self.near_limit
     }
 
-    /// Returns when the window started.
+    /// Returns the time at which the window started.
     pub(crate) fn started_at(&self) -> Micros {
         self.started_at
     }
 
-    /// Returns how long the window has been open.
+    /// Returns the time since the window started.
     pub(crate) fn age(&self, now: Micros) -> Micros {
         now - self.started_at
     }
 
-    /// Whether the window has samples enough for an evaluation.
+    /// Reports whether the window has enough samples for an evaluation.
     pub(crate) fn has_enough_samples(&self) -> bool {
         self.count >= super::MIN_WINDOW_SAMPLES
     }
 
-    /// Returns the mean of the samples; 0 without any.
+    /// Returns the mean of the samples, or 0 if there are none.
     pub(crate) fn mean(&self) -> f64 {
         self.sum / f64::from(self.count.max(1))
     }
