--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -1,13 +1,13 @@
-//! Latencies of the request classes, and what follows from them: the threshold above which limits back off, and what an
-//! attempt without a response is taken for.
+//! Latency estimates of the request classes. Two things are derived from them: the latency threshold above which limits
+//! decrease, and the times after which an attempt without a response is overdue or lost.
 //!
 //! | term | meaning |
 //! | --- | --- |
-//! | quick class | its work takes a small part of its latency objective, so a lost attempt can be told from a slow one |
-//! | overdue attempt | no response for several mean latencies; in a class that is not quick, none until the class's timeout |
-//! | overtaken attempt | the backend served another one that was sent when this one was overdue (`in_flight`) |
-//! | lost attempt | no response for so long that none is expected; it times out then, if it may be repeated |
-//! | unresponsive backend | it has attempts in flight, and served none for several mean latencies of the class that asks |
+//! | quick class | its work takes a small part of its latency objective, so lost attempts differ from slow ones |
+//! | overdue attempt | had no response for several mean latencies; if its class is not quick, for the class's timeout |
+//! | overtaken attempt | was overdue already when the backend was sent an attempt that it has served (`in_flight`) |
+//! | lost attempt | had no response for so long that none is expected; times out then if it may be repeated |
+//! | unresponsive backend | has attempts in flight, and served none for several mean latencies of the request's class |
 
 use super::time::SECOND;
 use crate::api::{Class, ClassIndex, MachineType, Micros, Settings};
@@ -15,34 +15,39 @@
 #[cfg(test)]
 mod tests;
 
-/// The threshold as a multiple of the base latency: above it requests queue at the backend.
+/// Latency threshold as a multiple of the base latency. Above it, requests queue at the backend.
 const THRESHOLD_OVER_BASE: f64 = 1.8;
-/// The threshold as a part of the latency objective, at most: limits have to fall before objectives are missed.
+/// Greatest latency threshold as a fraction of the latency objective. Limits must decrease before objectives are
+/// missed.
 const MAX_THRESHOLD_OVER_OBJECTIVE: f64 = 0.4;
-/// An attempt is overdue at this multiple of its class's mean latency ...
+/// Time after which an attempt is overdue, as a multiple of its class's mean latency.
 const OVERDUE_OVER_MEAN: f64 = 4.0;
-/// ... between these parts of the latency objective.
+/// Shortest time after which an attempt is overdue, as a fraction of the latency objective.
 const MIN_OVERDUE_OVER_OBJECTIVE: f64 = 0.25;
+/// Longest time after which an attempt is overdue, as a fraction of the latency objective.
 const MAX_OVERDUE_OVER_OBJECTIVE: f64 = 0.8;
-/// An attempt of a quick class counts as lost after this part of the latency objective.
+/// Time after which an attempt of a quick class counts as lost, as a fraction of the latency objective.
 const LOST_OVER_OBJECTIVE: f64 = 0.25;
-/// A class is quick if an attempt counts as lost only after this multiple of its mean latency.
+/// Least ratio, in a quick class, of the time after which an attempt counts as lost to the mean latency.
 const QUICK_LOST_OVER_MEAN: f64 = 5.0;
-/// First estimate of a class's mean latency, as a part of its latency objective.
+/// Initial estimate of a class's mean latency, as a fraction of its latency objective.
 const INITIAL_MEAN_OVER_OBJECTIVE: f64 = 1.0 / 4.0;
-/// Weight of one more latency in a mean.
+/// Weight of a new value in an exponentially weighted mean.
 pub(crate) const LATENCY_WEIGHT: f64 = 1.0 / 16.0;
-/// Growth of the base latency a second, so that it follows backends that all got slower.
+/// Growth of the base latency per second, as a fraction of it. The growth lets the base follow if all backends become
+/// slower.
 const BASE_GROWTH_PER_SECOND: f64 = 0.01;
-/// How long a backend that was slow is less preferred than others with the same available capacity.
+/// Time for which a backend that was slow is preferred less than others with the same available capacity.
 const RECENT_LATENCY_TTL: Micros = 5 * SECOND;
 
-/// Latencies of a class on one machine type, microseconds.
+/// Latency estimate of a class on one machine type.
 #[derive(Clone, Copy)]
 pub(crate) struct LatencyEstimate {
     samples: u32,
+    /// Mean latency, microseconds.
     mean: f64,
-    /// The lowest that the mean has been, growing slowly: the latency without queueing. `f64::MAX`: not known yet.
+    /// Base latency, microseconds: the latency without queueing, estimated as the lowest value of the mean, which grows
+    /// slowly. `f64::MAX` while it is not known.
     base: f64,
     base_updated_at: Micros,
 }
@@ -57,23 +62,23 @@
         }
     }
 
-    /// Returns the mean latency, microseconds.
+    /// Returns the mean latency in microseconds.
     pub(crate) fn mean(&self) -> f64 {
         self.mean
     }
 
-    /// Whether there were enough samples for a base latency.
+    /// Reports whether there were enough samples for a base latency.
     pub(crate) fn is_base_known(&self) -> bool {
         self.base < f64::MAX
     }
 
-    /// Returns the latency threshold, microseconds: a limit backs off when the mean of its window is above it.
+    /// Returns the latency threshold in microseconds. Latencies divided by it are the samples of limits.
     pub(crate) fn threshold(&self, latency_objective: Micros) -> f64 {
         let from_base = self.base * THRESHOLD_OVER_BASE;
         from_base.min(latency_objective as f64 * MAX_THRESHOLD_OVER_OBJECTIVE)
     }
 
-    /// Adds the latency of one response, microseconds.
+    /// Adds the latency of one response, in microseconds.
     pub(crate) fn record(&mut self, now: Micros, latency: f64) {
         self.samples += 1;
         let samples = f64::from(self.samples);
@@ -88,14 +93,14 @@
     }
 }
 
-/// The latency estimates of all classes on all machine types.
+/// Latency estimates of all classes on all machine types.
 pub(crate) struct LatencyTable {
     estimates: Vec<LatencyEstimate>,
     machine_types: usize,
 }
 
 impl LatencyTable {
-    /// Returns first estimates from the latency objectives.
+    /// Returns initial estimates based on the latency objectives.
     pub(crate) fn new(settings: &Settings, now: Micros) -> Self {
         let machine_types = usize::from(settings.machine_type_count).max(1);
         let of_class =
@@ -111,7 +116,7 @@
         &self.estimates[class.index() * self.machine_types + machine.index()]
     }
 
-    /// Returns the estimate of a class on a machine type, to be updated.
+    /// Returns the estimate of a class on a machine type for an update.
     pub(crate) fn estimate_mut(
         &mut self,
         class: ClassIndex,
@@ -120,7 +125,7 @@
         &mut self.estimates[class.index() * self.machine_types + machine.index()]
     }
 
-    /// Returns the mean latency of a class over the machine types, microseconds.
+    /// Returns the average over all machine types of a class's mean latency, in microseconds.
     pub(crate) fn mean(&self, class: ClassIndex) -> f64 {
         let first = class.index() * self.machine_types;
         let of_class = &self.estimates[first..first + self.machine_types];
@@ -128,12 +133,13 @@
         sum / self.machine_types as f64
     }
 
-    /// Whether the work of a class takes a small part of its latency objective.
+    /// Reports whether a class is quick: its work takes a small part of its latency objective.
     pub(crate) fn is_quick(&self, index: ClassIndex, class: &Class) -> bool {
         self.mean(index) * QUICK_LOST_OVER_MEAN <= lost_after(class)
     }
 
-    /// Returns the time after which an attempt of a class is overdue.
+    /// Returns the time after which an attempt of a quick class is overdue. For requests of any class, a backend that
+    /// has not served an attempt for this time is unresponsive.
     pub(crate) fn overdue_after(&self, index: ClassIndex, class: &Class) -> Micros {
         let objective = class.latency_objective as f64;
         let after = (self.mean(index) * OVERDUE_OVER_MEAN).clamp(
@@ -144,12 +150,12 @@
     }
 }
 
-/// Returns the time after which an attempt of a quick class counts as lost, microseconds.
+/// Returns the time, in microseconds, after which an attempt of a quick class counts as lost.
 pub(crate) fn lost_after(class: &Class) -> f64 {
     class.latency_objective as f64 * LOST_OVER_OBJECTIVE
 }
 
-/// The mean of a backend's latest samples, as multiples of the latency threshold.
+/// Mean of a backend's latest samples, each a latency as a multiple of its latency threshold.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RecentLatency {
     mean: f64,
@@ -157,13 +163,13 @@
 }
 
 impl RecentLatency {
-    /// Adds a sample.
+    /// Adds a sample, which has half of the weight in the new mean.
     pub(crate) fn record(&mut self, now: Micros, sample: f64) {
         self.mean = (self.value(now) + sample) / 2.0;
         self.updated_at = now;
     }
 
-    /// Returns the mean; 0 where there was no sample recently.
+    /// Returns the mean, or 0 if it has expired.
     pub(crate) fn value(&self, now: Micros) -> f64 {
         if now < self.expires_at() {
             self.mean
@@ -172,7 +178,7 @@
         }
     }
 
-    /// Returns when the mean counts no more.
+    /// Returns the time at which the mean expires, unless another sample comes before.
     pub(crate) fn expires_at(&self) -> Micros {
         self.updated_at + RECENT_LATENCY_TTL
     }
--- a/src/balancer/latency/tests.rs
+++ b/src/balancer/latency/tests.rs
@@ -1,4 +1,4 @@
-//! Latency estimates by themselves: the threshold, and when an attempt is overdue.
+//! Tests of latency estimates, of the latency threshold, and of the time after which an attempt is overdue.
 
 use super::*;
 use crate::balancer::tests::{MS, assert_close, class, settings};
@@ -6,10 +6,10 @@
 const OBJECTIVE: Micros = 500 * MS;
 const CLASS: ClassIndex = ClassIndex(0);
 const MACHINE_TYPE: MachineType = MachineType(0);
-/// Samples that a base latency needs: one more then weighs a sixteenth.
+/// Samples needed for a base latency; each further one has a weight of a sixteenth.
 const SAMPLES_FOR_BASE: u32 = 16;
 
-/// Returns the estimate of a class after so many equal latencies, all of them at time 0.
+/// Returns the estimate of a class after `samples` equal latencies, all recorded at time 0.
 fn estimate_after(samples: u32, latency: Micros) -> LatencyEstimate {
     let mut estimate = LatencyEstimate::new(OBJECTIVE, 0);
     for _ in 0..samples {
@@ -18,7 +18,7 @@
     estimate
 }
 
-/// Returns a table of one class whose mean latency is this.
+/// Returns a table with one class, whose mean latency is `mean`.
 fn table_with_mean(mean: Micros) -> LatencyTable {
     let mut table = LatencyTable::new(&settings(), 0);
     table
@@ -28,19 +28,19 @@
 }
 
 #[test]
-fn the_first_estimate_of_the_mean_is_a_quarter_of_the_objective() {
+fn the_initial_mean_is_a_quarter_of_the_objective() {
     let table = LatencyTable::new(&settings(), 0);
     assert_close(table.mean(CLASS), (125 * MS) as f64);
 }
 
 #[test]
-fn the_first_sample_replaces_the_first_estimate() {
+fn the_first_sample_replaces_the_initial_mean() {
     let estimate = estimate_after(1, 40 * MS);
     assert_close(estimate.mean(), (40 * MS) as f64);
 }
 
 #[test]
-fn a_mean_of_few_samples_is_their_average_and_later_ones_weigh_a_sixteenth() {
+fn early_samples_are_averaged_and_later_ones_have_a_weight_of_a_sixteenth() {
     let mut estimate = estimate_after(1, 40 * MS);
     estimate.record(0, (80 * MS) as f64);
     assert_close(estimate.mean(), (60 * MS) as f64);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_base_latency_is_known_after_sixteen_samples() {
+fn the_base_latency_is_known_after_sixteen_samples() {
     let before = estimate_after(SAMPLES_FOR_BASE - 1, 100 * MS);
     assert!(!before.is_base_known());
     let after = estimate_after(SAMPLES_FOR_BASE, 100 * MS);
@@ -58,13 +58,13 @@
 }
 
 #[test]
-fn the_threshold_without_a_base_latency_is_two_fifths_of_the_objective() {
+fn the_threshold_without_a_base_latency_is_40_percent_of_the_objective() {
     let estimate = estimate_after(SAMPLES_FOR_BASE - 1, MS);
     assert_close(estimate.threshold(OBJECTIVE), (200 * MS) as f64);
 }
 
 #[test]
-fn the_threshold_is_nine_fifths_of_the_base_latency_within_two_fifths_of_the_objective() {
+fn the_threshold_is_1_8_times_the_base_latency_and_at_most_40_percent_of_the_objective() {
     for (base_ms, threshold_ms) in [(10, 18), (100, 180), (110, 198), (112, 200), (400, 200)] {
         let estimate = estimate_after(SAMPLES_FOR_BASE, base_ms * MS);
         assert_close(estimate.threshold(OBJECTIVE), (threshold_ms * MS) as f64);
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn the_base_latency_follows_a_lower_mean_at_once_and_a_higher_one_slowly() {
+fn the_base_latency_drops_to_a_lower_mean_and_grows_by_1_percent_per_second() {
     let mut slower = estimate_after(SAMPLES_FOR_BASE, 100 * MS);
     slower.record(10 * SECOND, (450 * MS) as f64);
-    // A hundredth more a second.
+    // The base latency grew by 1 % of 100 ms for each of 10 seconds.
     assert_close(slower.threshold(OBJECTIVE), 1.8 * (110 * MS) as f64);
     let mut quicker = estimate_after(SAMPLES_FOR_BASE, 100 * MS);
     quicker.record(0, (20 * MS) as f64);
@@ -83,8 +83,7 @@
 }
 
 #[test]
-fn an_attempt_is_overdue_after_four_times_the_mean_within_bounds() {
-    // A quarter of the objective at the least, four fifths of it at the most.
+fn an_attempt_is_overdue_after_four_times_the_mean_clamped_to_25_to_80_percent_of_the_objective() {
     for (mean_ms, overdue_ms) in [
         (0, 125),
         (5, 125),
@@ -102,7 +101,7 @@
 }
 
 #[test]
-fn a_class_is_quick_whose_mean_is_a_fifth_of_the_time_after_which_an_attempt_is_lost() {
+fn a_class_is_quick_if_its_mean_is_at_most_a_fifth_of_the_lost_attempt_time() {
     let class = class(OBJECTIVE);
     assert_close(lost_after(&class), (125 * MS) as f64);
     assert!(table_with_mean(25 * MS).is_quick(CLASS, &class));
@@ -110,7 +109,7 @@
 }
 
 #[test]
-fn classes_and_machine_types_have_estimates_of_their_own() {
+fn each_class_and_machine_type_has_its_own_estimate() {
     let mut settings = settings();
     settings.machine_type_count = 2;
     settings.classes.push(class(OBJECTIVE));
@@ -136,7 +135,7 @@
 }
 
 #[test]
-fn the_recent_latency_averages_each_sample_with_those_before() {
+fn a_new_sample_has_half_of_the_weight_in_the_recent_latency() {
     let mut recent = RecentLatency::default();
     assert_eq!(recent.value(0), 0.0);
     recent.record(0, 2.0);
@@ -153,5 +152,5 @@
     assert_eq!(recent.value(6 * SECOND - 1), 1.0);
     assert_eq!(recent.value(6 * SECOND), 0.0);
     recent.record(7 * SECOND, 3.0);
-    assert_eq!(recent.value(7 * SECOND), 1.5, "the expired one has no part");
+    assert_eq!(recent.value(7 * SECOND), 1.5, "the expired mean must not count");
 }
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -1,5 +1,5 @@
 //! Outlier detection: a backend whose requests fail is ejected, and readmitted when an attempt on it ends without a
-//! failure. Once the time of its ejection is over, it gets a single trial request for that (half open).
+//! failure. After the ejection time the backend is half open: it receives a single trial request.
 
 use super::time::SECOND;
 use crate::api::Micros;
@@ -7,82 +7,85 @@
 #[cfg(test)]
 mod tests;
 
-/// Weight of one more outcome, a failure or not, in a backend's failure rate.
+/// Weight of a new outcome, a failure or a success, in a backend's failure rate.
 const OUTCOME_WEIGHT: f64 = 0.25;
-/// Failure rate at which a backend is ejected.
+/// Failure rate from which a backend is ejected.
 const EJECTION_FAILURE_RATE: f64 = 0.5;
-/// Greatest failure rate of a backend that was just readmitted.
+/// Greatest failure rate of a backend that was just readmitted. It is low enough for one more ordinary failure not to
+/// eject the backend again.
 const READMISSION_FAILURE_RATE: f64 = 0.6 * EJECTION_FAILURE_RATE;
-/// Failure rate below which earlier ejections are forgotten.
+/// Failure rate below which earlier ejections no longer count as consecutive.
 const RECOVERED_FAILURE_RATE: f64 = 0.1;
-/// Time of a first ejection; each consecutive one takes twice as long.
-const BASE_EJECTION_TIME: Micros = SECOND;
-/// Most times that the time of an ejection is doubled.
+/// Duration of a first ejection; each consecutive one lasts twice as long.
+const BASE_EJECTION_DURATION: Micros = SECOND;
+/// Greatest number of times that the duration of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Part of the ready backends that may be ejected at once.
+/// Greatest fraction of the ready backends that may be ejected at the same time.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
 
-/// Whether one more backend may be ejected.
+/// Reports whether one more backend may be ejected, given the numbers of ejected and of ready backends.
 pub(crate) fn may_eject_another(ejected: usize, ready: usize) -> bool {
     ejected < (ready as f64 * MAX_EJECTED_FRACTION) as usize
 }
 
-/// The end of an attempt, as outlier detection sees it.
+/// Outcome of an attempt as input of outlier detection.
 #[derive(Clone, Copy)]
 pub(crate) struct HealthSample {
     /// Whether the backend failed.
     pub(crate) failed: bool,
-    /// Weight of this outcome beside that of an ordinary one.
+    /// Weight of this outcome relative to that of an ordinary one.
     pub(crate) weight: f64,
     /// Whether the attempt was a trial request.
     pub(crate) is_trial: bool,
 }
 
-/// What an outcome changed.
+/// Change of a backend's ejection that an outcome caused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum HealthChange {
-    /// The backend is ejected for this long.
+    /// The backend was ejected.
     Ejected {
-        /// Time of the ejection.
+        /// Duration of the ejection.
         duration: Micros,
     },
-    /// A trial request failed: the backend is ejected anew, for longer. Not logged.
+    /// A trial request failed and the backend was ejected again, for a longer time. Not logged.
     EjectedAgain,
-    /// An attempt ended without a failure while the backend was ejected: it takes requests again. A trial request is one
-    /// such attempt; others were in flight when the backend was ejected.
+    /// The backend was readmitted because an attempt on it ended without a failure: a trial request, or an attempt that
+    /// was in flight when the backend was ejected.
     Readmitted,
 }
 
-/// Whether a backend may be sent a request.
+/// State of a backend in outlier detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum HealthState {
-    /// It takes requests.
+    /// The backend may receive requests.
     Healthy,
-    /// It gets no request until then.
+    /// The backend receives no request until this time.
     Ejected(Micros),
-    /// Its ejection is over: it gets a single trial request (half open).
+    /// The ejection time is over and the backend may receive a single trial request.
     HalfOpen,
 }
 
-/// What outlier detection keeps of one backend.
+/// Failures and ejections of one backend.
 #[derive(Default)]
 pub(crate) struct Health {
-    /// Share of failures among the latest outcomes.
+    /// Exponentially weighted share of failures among the latest outcomes.
     failure_rate: f64,
+    /// End of the ejection time; `None` if the backend is not ejected. Stays set until the backend is readmitted.
     ejected_until: Option<Micros>,
+    /// Ejections since the failure rate was last below [`RECOVERED_FAILURE_RATE`].
     consecutive_ejections: u32,
     trial_in_flight: bool,
 }
 
 impl Health {
-    /// Forgets the outcomes of the backend's previous process.
+    /// Clears the failures and ejections of the backend's previous process.
     pub(crate) fn reset(&mut self) {
         self.failure_rate = 0.0;
         self.ejected_until = None;
         self.consecutive_ejections = 0;
     }
 
-    /// Returns whether the backend may be sent a request.
+    /// Returns whether the backend is healthy, ejected or half open.
     pub(crate) fn state(&self, now: Micros) -> HealthState {
         match self.ejected_until {
             None => HealthState::Healthy,
@@ -91,31 +94,33 @@
         }
     }
 
-    /// Whether the backend is ejected and not readmitted yet; so it is while it is half open, too.
+    /// Reports whether the backend is ejected and not readmitted yet. That includes the half-open state.
     pub(crate) fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
 
-    /// Whether a trial request is in flight.
+    /// Reports whether a trial request is in flight.
     pub(crate) fn is_trial_in_flight(&self) -> bool {
         self.trial_in_flight
     }
 
-    /// Notes that an attempt starts.
+    /// Records the start of an attempt.
     pub(crate) fn start_attempt(&mut self, is_trial: bool) {
         self.trial_in_flight |= is_trial;
     }
 
-    /// Notes that an attempt has ended.
+    /// Records the end of an attempt.
     pub(crate) fn end_attempt(&mut self, is_trial: bool) {
         if is_trial {
             self.trial_in_flight = false;
         }
     }
 
-    /// Takes an outcome into account. `jitter`, a factor around 1, spreads the ends of ejections.
+    /// Records an outcome and returns the change of the backend's ejection, if any. `may_eject` is false if too many
+    /// other backends are ejected. `jitter` is a factor around 1 on the duration of an ejection, so that ejections do
+    /// not all end together.
     ///
-    /// Departure: a backend whose requests fail is ejected, unless too many others are.
+    /// Deviation: a backend whose requests fail is ejected, unless too many others are.
     pub(crate) fn record(
         &mut self,
         now: Micros,
@@ -139,6 +144,7 @@
         None
     }
 
+    /// Readmits the backend after a success, and ejects it again after a failed trial request.
     fn record_while_ejected(
         &mut self,
         now: Micros,
@@ -157,10 +163,10 @@
         Some(HealthChange::EjectedAgain)
     }
 
+    /// Ejects the backend and returns the duration of the ejection.
     fn eject(&mut self, now: Micros, jitter: f64) -> Micros {
         let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
-        let time = (BASE_EJECTION_TIME << doublings) as f64 * jitter;
-        let duration = time as Micros;
+        let duration = ((BASE_EJECTION_DURATION << doublings) as f64 * jitter) as Micros;
         self.ejected_until = Some(now + duration);
         self.consecutive_ejections += 1;
         duration
--- a/src/balancer/outliers/tests.rs
+++ b/src/balancer/outliers/tests.rs
@@ -1,4 +1,4 @@
-//! Outlier detection by itself: ejection, its time, trial requests and readmission.
+//! Tests of outlier detection: ejections and their durations, trial requests and readmission.
 
 use super::*;
 
@@ -31,13 +31,13 @@
     Some(HealthChange::Ejected { duration })
 }
 
-/// Records failures at one time until the backend is ejected; returns how many it took.
+/// Records failures at one time until the backend is ejected. Returns the number of failures.
 fn fail_until_ejected(health: &mut Health, now: Micros, weight: f64) -> u32 {
     let failure = HealthSample { weight, ..FAILURE };
     let mut failures = 0;
     while !health.is_ejected() {
         failures += 1;
-        assert!(failures < 100, "it must be ejected");
+        assert!(failures < 100, "100 failures must eject the backend");
         record(health, now, failure);
     }
     failures
@@ -55,14 +55,15 @@
 }
 
 #[test]
-fn the_weight_of_a_failure_scales_its_part_in_the_failure_rate() {
-    // With a weight w the rate is 1 - (1 - w/4)^n: 0.5 after one of weight 2, 0.49 after five of weight 1/2.
+fn the_weight_of_a_failure_scales_its_effect_on_the_failure_rate() {
+    // After n failures of weight w the rate is 1 - (1 - w/4)^n: 0.5 after one of weight 2, 0.49 after five of weight
+    // 1/2.
     assert_eq!(fail_until_ejected(&mut Health::default(), 0, 2.0), 1);
     assert_eq!(fail_until_ejected(&mut Health::default(), 0, 0.5), 6);
 }
 
 #[test]
-fn a_success_does_not_eject_however_high_the_failure_rate_is() {
+fn a_success_does_not_eject_a_backend_with_a_high_failure_rate() {
     let mut health = Health::default();
     for _ in 0..10 {
         health.record(0, FAILURE, false, NO_JITTER);
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn a_backend_is_not_ejected_when_too_many_are() {
+fn a_backend_is_not_ejected_while_too_many_others_are() {
     let mut health = Health::default();
     for _ in 0..100 {
         assert_eq!(health.record(0, FAILURE, false, NO_JITTER), None);
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn jitter_scales_the_time_of_an_ejection() {
+fn jitter_scales_the_duration_of_an_ejection() {
     for (jitter, duration) in [(0.75, 3 * SECOND / 4), (1.25, 5 * SECOND / 4)] {
         let refused_connection = HealthSample {
             weight: 2.0,
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn each_consecutive_ejection_takes_twice_as_long_up_to_a_cap() {
+fn consecutive_ejections_double_in_duration_up_to_16_seconds() {
     let mut health = Health::default();
     fail_until_ejected(&mut health, 0, 1.0);
     let mut now = SECOND;
@@ -121,12 +122,12 @@
 }
 
 #[test]
-fn an_ejected_backend_is_half_open_once_its_time_is_over() {
+fn an_ejected_backend_is_half_open_after_its_ejection_time() {
     let mut health = Health::default();
     fail_until_ejected(&mut health, 0, 1.0);
     assert_eq!(health.state(SECOND - 1), HealthState::Ejected(SECOND));
     assert_eq!(health.state(SECOND), HealthState::HalfOpen);
-    assert!(health.is_ejected(), "until it is readmitted");
+    assert!(health.is_ejected(), "ejected until it is readmitted");
 }
 
 #[test]
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn a_failure_that_is_no_trial_does_not_prolong_an_ejection() {
+fn a_failed_attempt_other_than_a_trial_does_not_prolong_an_ejection() {
     let mut health = Health::default();
     fail_until_ejected(&mut health, 0, 1.0);
     assert_eq!(record(&mut health, SECOND / 2, FAILURE), None);
@@ -169,14 +170,14 @@
         record(&mut health, 0, FAILURE);
     }
     record(&mut health, SECOND, SUCCESSFUL_TRIAL);
-    // The rate is 0.3 then, 0.48 after one failure and 0.61 after two.
+    // After the readmission the rate is 0.3, then 0.48 after one failure and 0.61 after two.
     assert_eq!(record(&mut health, SECOND, FAILURE), None);
     assert_eq!(record(&mut health, SECOND, FAILURE), ejected_for(2));
 }
 
 #[test]
-fn earlier_ejections_are_forgotten_once_the_failure_rate_is_low() {
-    // From 0.3 on, the rate is 0.13 after three successes and 0.09 after four.
+fn a_low_failure_rate_resets_the_ejection_duration() {
+    // After the readmission the rate is 0.3, then 0.13 after three successes and 0.09 after four.
     for (successes, seconds) in [(3, 2), (4, 1)] {
         let mut health = Health::default();
         for _ in 0..20 {
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn a_reset_forgets_ejections_and_failures() {
+fn a_reset_clears_ejections_and_failures() {
     let mut health = Health::default();
     fail_until_ejected(&mut health, 0, 1.0);
     health.reset();
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,8 +1,8 @@
-//! Slow start: what a backend that has just started may be sent (rule 4).
+//! Slow start: a limit on the rate of attempts to a backend that has just started (rule 4, slow start).
 //!
-//! A backend that warms up looks the least loaded of all to every proxy at once. Each proxy therefore sends it only its
-//! own part of what the backend can take, from a token bucket that starts at a random fill level, so that the proxies'
-//! requests do not come together.
+//! A backend that has just started looks like the least loaded one to all proxies at the same time. Each proxy
+//! therefore sends it only its own share of the load that the backend can serve. The share is enforced by a token
+//! bucket, whose random initial fill level keeps the requests of the proxies from arriving together.
 
 use super::limits::MIN_WINDOW;
 use super::time::{MICROS_PER_SECOND, SECOND};
@@ -11,34 +11,38 @@
 #[cfg(test)]
 mod tests;
 
-/// Part of the load at which a backend collapses that all proxies together may send it; the rest is for estimates that
-/// are too high and for requests that come together.
-const MAX_PART_OF_COLLAPSE_LOAD: f64 = 0.3;
-/// The bucket holds what comes in this part of a second, and one token at the least.
+/// Fraction of the load at which a backend collapses that all proxies together may send it. The rest is a margin for
+/// estimates that are too high and for requests that arrive together.
+const MAX_FRACTION_OF_COLLAPSE_LOAD: f64 = 0.3;
+/// Divisor of the rate that gives the capacity of the bucket: it holds the tokens of a quarter of a second, and at
+/// least one token.
 const BURST_DIVISOR: f64 = 4.0;
 
-/// What a [`SlowStartBudget`]'s rate follows from.
+/// Capacity of a backend after slow start, from which the rate of a [`SlowStartBudget`] is computed.
 pub(crate) struct WarmCapacity {
-    /// What a warm backend serves, requests a second.
+    /// Requests per second that a warm backend serves.
     pub(crate) requests_per_s: f64,
-    /// This proxy's part of the backend.
+    /// This proxy's share of the backend.
     pub(crate) proxy_fraction: f64,
-    /// What rounding the limit to whole slots multiplies this proxy's part by.
+    /// Factor on this proxy's share that makes up for rounding the limit to whole slots.
     pub(crate) rounding_gain: f64,
 }
 
-/// What this proxy may send a backend that warms up: one token an attempt.
+/// Token bucket for the attempts of this proxy to a backend in slow start. Each attempt takes one token.
 #[derive(Clone, Copy)]
 pub(crate) struct SlowStartBudget {
+    /// Start of the backend's process.
     started_at: Micros,
+    /// Tokens at `refilled_at`.
     tokens: f64,
     refilled_at: Micros,
+    /// Tokens per second since `refilled_at`.
     rate_per_s: f64,
 }
 
 impl SlowStartBudget {
-    /// Returns the budget of a backend that started at `started_at`. It begins with `tokens`, from 0 to 1, and grows once
-    /// it is refilled.
+    /// Returns the budget of a backend whose process started at `started_at`, with `tokens` from 0 to 1. The budget
+    /// does not grow before its first refill, which sets the rate.
     pub(crate) fn new(now: Micros, started_at: Micros, tokens: f64) -> Self {
         Self {
             started_at,
@@ -48,22 +52,22 @@
         }
     }
 
-    /// Returns when the backend's process started.
+    /// Returns the time at which the backend's process started.
     pub(crate) fn started_at(&self) -> Micros {
         self.started_at
     }
 
-    /// Whether the backend has its full capacity.
+    /// Reports whether slow start is over, so that the backend has its full capacity.
     pub(crate) fn is_over(&self, now: Micros, safety: &SafetyLimits) -> bool {
         now >= self.started_at.saturating_add(safety.slow_start_duration)
     }
 
-    /// Whether an attempt may be sent.
+    /// Reports whether the budget holds a token now, so that an attempt may be sent.
     pub(crate) fn has_token(&self, now: Micros) -> bool {
         self.available(now) >= 1.0
     }
 
-    /// Whether the budget held a token when it was last refilled.
+    /// Reports whether the budget held a token at its last refill, after the withdrawals and deposits since then.
     pub(crate) fn had_token(&self) -> bool {
         self.tokens >= 1.0
     }
@@ -73,25 +77,28 @@
         self.tokens -= 1.0;
     }
 
-    /// Returns the token of an attempt that the backend answered in good time: it can take as much again.
+    /// Adds a token for an attempt that the backend served within the latency threshold, which shows that it can serve
+    /// another one.
     pub(crate) fn deposit(&mut self) {
         self.tokens += 1.0;
     }
 
-    /// Brings the budget up to now; from now on it grows at the rate that follows from `capacity`.
+    /// Adds the tokens that have accrued until now, and sets the rate from `capacity` and the age of the backend.
     pub(crate) fn refill(&mut self, now: Micros, safety: &SafetyLimits, capacity: &WarmCapacity) {
         self.tokens = self.available(now);
         self.rate_per_s = self.rate(now, safety, capacity);
         self.refilled_at = now;
     }
 
-    /// Returns when to look at the budget again: once it holds a token, or when its rate may have changed.
+    /// Returns the time at which to check the budget again: when it will hold a token, or after [`MIN_WINDOW`] if that
+    /// is earlier, since the rate may have changed by then.
     pub(crate) fn next_check_at(&self) -> Micros {
         let rate = self.rate_per_s.max(f64::MIN_POSITIVE);
         let wait = ((1.0 - self.tokens) / rate * SECOND as f64).ceil() as Micros;
         self.refilled_at + wait.clamp(1, MIN_WINDOW)
     }
 
+    /// Returns the tokens that the budget holds now.
     fn available(&self, now: Micros) -> f64 {
         let elapsed = (now - self.refilled_at) as f64;
         let tokens = self.tokens + self.rate_per_s * elapsed / MICROS_PER_SECOND;
@@ -99,12 +106,14 @@
         tokens.min(burst)
     }
 
+    /// Returns the rate in tokens per second: this proxy's share of the load that is safe at the backend's present
+    /// capacity. The capacity grows linearly with the backend's age over the duration of slow start.
     fn rate(&self, now: Micros, safety: &SafetyLimits, capacity: &WarmCapacity) -> f64 {
         let duration = safety.slow_start_duration.max(1) as f64;
         let age = now.saturating_sub(self.started_at) as f64 / duration;
         let initial = safety.slow_start_initial_capacity;
         let capacity_part = initial + (1.0 - initial) * age.min(1.0);
-        let safe_load = (safety.collapse_load_factor * MAX_PART_OF_COLLAPSE_LOAD).min(1.0);
+        let safe_load = (safety.collapse_load_factor * MAX_FRACTION_OF_COLLAPSE_LOAD).min(1.0);
         safe_load
             * capacity_part
             * capacity.requests_per_s
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -1,4 +1,4 @@
-//! The slow-start budget by itself: its rate, its burst, withdrawals and deposits.
+//! Tests of the slow-start budget: its rate and capacity, withdrawals and deposits.
 
 use super::*;
 
@@ -7,7 +7,8 @@
 const DURATION: Micros = 10 * SECOND;
 const HOUR: Micros = 3_600 * SECOND;
 
-/// A quarter of the capacity at first; the load factor is so high that all of the present capacity is safe.
+/// Limits with an initial capacity of a quarter. The collapse load factor is high enough for a load up to the whole
+/// present capacity to be safe.
 const SAFETY: SafetyLimits = SafetyLimits {
     poll_interval: SECOND,
     slow_start_initial_capacity: 0.25,
@@ -16,7 +17,7 @@
     collapse_time: SECOND,
 };
 
-/// This proxy's part of a warm backend is 8 requests a second.
+/// Capacity of a warm backend of which this proxy has a share of 8 requests per second.
 const CAPACITY: WarmCapacity = WarmCapacity {
     requests_per_s: 64.0,
     proxy_fraction: 0.125,
@@ -30,7 +31,7 @@
     budget
 }
 
-/// Asserts that an empty budget of `now` has its first token after exactly this time.
+/// Asserts that a budget which is empty at `now` has its first token after exactly `wait`.
 fn assert_first_token_after(now: Micros, safety: &SafetyLimits, wait: Micros) {
     let budget = empty_budget(now, safety);
     assert!(!budget.has_token(now + wait - 1), "before {wait} us");
@@ -38,8 +39,8 @@
 }
 
 #[test]
-fn tokens_come_at_the_rate_of_the_present_capacity() {
-    // A quarter of 8 requests a second at first, five eighths of them halfway, all in the end and later.
+fn tokens_accrue_at_a_rate_that_grows_with_the_backends_age() {
+    // A quarter of 8 requests per second at the start, five eighths of them halfway, all of them from the end on.
     assert_first_token_after(STARTED_AT, &SAFETY, 500 * MS);
     assert_first_token_after(STARTED_AT + DURATION / 2, &SAFETY, 200 * MS);
     assert_first_token_after(STARTED_AT + DURATION, &SAFETY, 125 * MS);
@@ -47,13 +48,13 @@
 }
 
 #[test]
-fn a_backend_that_starts_in_the_future_has_its_initial_capacity() {
+fn a_backend_with_a_start_time_in_the_future_has_the_initial_capacity() {
     assert_first_token_after(STARTED_AT - 5 * SECOND, &SAFETY, 500 * MS);
 }
 
 #[test]
-fn only_a_safe_part_of_the_load_at_which_a_backend_collapses_is_sent() {
-    // 0.3 of 1.25 times the capacity: 0.375 of 2 requests a second.
+fn the_rate_is_at_most_30_percent_of_the_collapse_load() {
+    // 0.3 * 1.25 = 0.375 of the initial 2 requests per second.
     let fragile = SafetyLimits {
         collapse_load_factor: 1.25,
         ..SAFETY
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn a_proxy_with_more_slots_than_its_part_of_the_limit_may_send_more() {
+fn the_rounding_gain_multiplies_the_rate() {
     let capacity = WarmCapacity {
         rounding_gain: 2.0,
         ..CAPACITY
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn a_token_is_withdrawn_and_deposited() {
+fn withdraw_removes_one_token_and_deposit_adds_one() {
     let mut budget = SlowStartBudget::new(STARTED_AT, STARTED_AT, 1.0);
     assert!(budget.had_token() && budget.has_token(STARTED_AT));
     budget.withdraw();
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn a_refill_keeps_what_came_at_the_rate_before_it() {
+fn a_refill_adds_the_tokens_accrued_at_the_previous_rate() {
     let mut budget = empty_budget(STARTED_AT, &SAFETY);
     budget.refill(STARTED_AT + 250 * MS, &SAFETY, &CAPACITY);
     assert!(!budget.had_token(), "half a token");
@@ -99,8 +100,8 @@
     assert!(budget.had_token());
 }
 
-/// Returns how many tokens a budget holds an hour after its refill, when this proxy's part of the warm backend is so many
-/// requests a second.
+/// Returns the whole tokens that a budget holds an hour after its refill, if this proxy's share of the warm backend is
+/// `requests_per_s`.
 fn tokens_after_an_hour(requests_per_s: f64) -> u32 {
     let warm = STARTED_AT + DURATION;
     let capacity = WarmCapacity {
@@ -120,12 +121,12 @@
 }
 
 #[test]
-fn a_budget_holds_the_tokens_of_a_quarter_of_a_second_and_one_at_least() {
+fn a_budget_holds_at_most_the_tokens_of_250_ms_and_at_least_one() {
     for (requests_per_s, tokens) in [(1.0, 1), (2.0, 1), (7.9, 1), (8.0, 2), (40.0, 10)] {
         assert_eq!(
             tokens_after_an_hour(requests_per_s),
             tokens,
-            "{requests_per_s} requests a second"
+            "{requests_per_s} requests per second"
         );
     }
 }
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn a_budget_is_checked_when_it_holds_a_token_and_at_least_once_a_window() {
+fn the_next_check_is_when_a_token_is_due_and_within_one_window() {
     let check_after = |tokens| {
         let mut budget = SlowStartBudget::new(STARTED_AT, STARTED_AT, tokens);
         budget.refill(STARTED_AT, &SAFETY, &CAPACITY);
@@ -148,7 +149,7 @@
     };
     assert_eq!(check_after(0.0), MIN_WINDOW, "the token is due later");
     assert_eq!(check_after(0.75), 125 * MS);
-    assert_eq!(check_after(1.0), 1, "at once, but not in the same moment");
+    assert_eq!(check_after(1.0), 1, "the earliest later time");
     let without_rate = SlowStartBudget::new(STARTED_AT, STARTED_AT, 0.0);
     assert_eq!(without_rate.next_check_at(), STARTED_AT + MIN_WINDOW);
 }
