--- a/src/balancer/backends.rs
+++ b/src/balancer/backends.rs
@@ -1,4 +1,4 @@
-//! The table of backends, and what each policy keeps of one backend.
+//! The table of backends, and the state that the policies keep of each backend.
 
 use super::connections::ConnectionUse;
 use super::in_flight::InFlight;
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Key of a backend in the [`BackendTable`]. It stays the same as long as the backend is in the table.
+/// Key of a backend in the [`BackendTable`], valid while the backend is in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct BackendKey(u32);
 
@@ -28,39 +28,41 @@
     }
 }
 
-/// One backend: who it is, and the state of each policy about it.
+/// Identity of one backend and the state that each policy keeps of it.
 #[derive(Default)]
 pub(crate) struct BackendState {
     pub(crate) id: BackendId,
     pub(crate) zone: Zone,
     pub(crate) machine_type: MachineType,
     pub(crate) cell: Cell,
-    /// When its process last started; `None`: long ago.
+    /// Last start of the backend's process; `None` if it is too long ago to matter.
     pub(crate) started_at: Option<Micros>,
-    /// Discovery lists it. A backend that is not listed is forgotten once no request refers to it.
+    /// Whether discovery lists the backend. A backend that is not listed is removed once no request refers to it.
     pub(crate) listed: bool,
-    /// It may be sent to.
+    /// Whether the backend may receive requests: listed and neither draining nor removed.
     pub(crate) ready: bool,
-    /// The last complete list that had it.
+    /// Number of complete lists received when a list last contained the backend.
     pub(crate) last_seen_generation: u32,
-    /// Attempts of open requests that refer to its key.
+    /// Number of attempts of open requests that refer to the backend's key.
     pub(crate) references: u32,
     pub(crate) in_flight: InFlight,
     pub(crate) limit: BackendLimit,
     pub(crate) recent_latency: RecentLatency,
     pub(crate) health: Health,
-    /// It rejected a request and until then counts as having no capacity.
+    /// Time until which the backend counts as having no capacity because it rejected a request.
     pub(crate) rejecting_until: Micros,
-    /// While it warms up: what this proxy may send it.
+    /// Budget of this proxy for the backend; `None` if the backend is not in slow start.
     pub(crate) slow_start: Option<SlowStartBudget>,
     pub(crate) connections: ConnectionUse,
     pub(crate) index_entry: IndexEntry,
 }
 
 impl BackendState {
-    /// Forgets the limit, connections, failures and ejection of the backend's previous process. Attempts that are still in
-    /// flight stay counted until they end, and so do a trial request among them, the time of its last rejection and its
-    /// recent latency.
+    /// Clears the limit, connections, failures and ejection of the backend's previous process, and sets its slow-start
+    /// budget.
+    ///
+    /// Attempts in flight stay counted until they end, also as a trial request. The time of the last rejection and the
+    /// recent latency are kept.
     pub(crate) fn restart(&mut self, now: Micros, slow_start: Option<SlowStartBudget>) {
         self.limit.reset(now);
         self.connections.clear();
@@ -69,9 +71,10 @@
     }
 }
 
-/// The backends that are listed or that an open request refers to.
+/// Table of the backends that are listed or that an open request refers to.
 ///
-/// A key is used again only when no attempt refers to it: the attempt's outcome would be credited to the new backend.
+/// A key is reused only when no attempt refers to it. Otherwise the attempt's outcome would be recorded for the new
+/// backend.
 #[derive(Default)]
 pub(crate) struct BackendTable {
     entries: Vec<BackendState>,
@@ -80,12 +83,12 @@
 }
 
 impl BackendTable {
-    /// Finds the key of a backend.
+    /// Returns the key of a backend, or `None` if it is not in the table.
     pub(crate) fn find(&self, id: BackendId) -> Option<BackendKey> {
         self.by_id.get(&id).copied()
     }
 
-    /// Adds a backend that is not in the table.
+    /// Adds a backend that is not in the table yet and returns its key.
     pub(crate) fn insert(&mut self, backend: BackendState) -> BackendKey {
         let key = self
             .free
@@ -99,23 +102,23 @@
         key
     }
 
-    /// Returns all keys, those of unused entries included; an unused entry is neither listed nor ready.
+    /// Returns all keys, including those of unused entries, which are neither listed nor ready.
     pub(crate) fn keys(&self) -> impl Iterator<Item = BackendKey> + use<> {
         (0..self.entries.len()).map(BackendKey::new)
     }
 
-    /// Returns all entries, the unused ones included.
+    /// Returns all entries, including unused ones, which are neither listed nor ready.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &BackendState> {
         self.entries.iter()
     }
 
-    /// Notes that an attempt of an open request no longer refers to a backend.
+    /// Removes the reference of one attempt to a backend, and then the backend itself if it is no longer used.
     pub(crate) fn release(&mut self, key: BackendKey) {
         self[key].references -= 1;
         self.remove_if_unused(key);
     }
 
-    /// Removes a backend that is not listed and that no open request refers to.
+    /// Removes a backend if it is not listed and no open request refers to it.
     pub(crate) fn remove_if_unused(&mut self, key: BackendKey) {
         let backend = &self[key];
         let is_used = backend.listed || backend.references > 0;
--- a/src/balancer/backends/tests.rs
+++ b/src/balancer/backends/tests.rs
@@ -1,4 +1,4 @@
-//! The table of backends: when a key is used again.
+//! Tests of the table of backends: conditions under which a key is reused.
 
 use super::*;
 
@@ -43,7 +43,7 @@
     assert_ne!(
         backends.insert(listed(2)),
         first,
-        "one attempt still refers to it"
+        "one attempt still refers to the first backend"
     );
     backends.release(first);
     assert_eq!(backends.find(1), None);
--- a/src/balancer/in_flight/tests.rs
+++ b/src/balancer/in_flight/tests.rs
@@ -1,10 +1,10 @@
-//! The attempts in flight at one backend: overdue and overtaken ones, and whether the backend responds.
+//! Tests of the attempts in flight at one backend: overdue and overtaken attempts, and unresponsive backends.
 
 use super::*;
 
 const TIMEOUT: Micros = 50;
 
-/// Returns the state of a backend with attempts sent at 0 that are overdue at these times.
+/// Returns the state of a backend with one attempt for each of `times`, sent at 0 and overdue at that time.
 fn with_attempts_overdue_at(times: &[Micros]) -> InFlight {
     let mut in_flight = InFlight::new(0);
     for &overdue_at in times {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn attempts_are_counted_from_their_start_to_their_end() {
+fn attempts_are_counted_until_they_end_and_the_count_does_not_drop_below_zero() {
     let mut in_flight = with_attempts_overdue_at(&[100, 200]);
     assert_eq!(in_flight.count(), 2);
     in_flight.end(100);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn attempts_are_overdue_after_their_time() {
+fn not_overdue_count_includes_attempts_up_to_their_overdue_time() {
     let in_flight = with_attempts_overdue_at(&[100, 200, 300]);
     for (now, not_overdue) in [(100, 3), (101, 2), (200, 2), (300, 1), (301, 0)] {
         assert_eq!(in_flight.not_overdue_count(now), not_overdue, "at {now}");
@@ -33,25 +33,25 @@
 }
 
 #[test]
-fn an_attempt_is_overtaken_by_a_response_to_one_sent_when_it_was_overdue() {
+fn an_attempt_is_overtaken_when_one_sent_after_its_overdue_time_is_served() {
     let mut in_flight = with_attempts_overdue_at(&[100, 200, 300]);
     assert_eq!(in_flight.overtaken_count(), 0);
     in_flight.record_response(400, 100);
-    assert_eq!(in_flight.overtaken_count(), 0, "sent just before it was overdue");
+    assert_eq!(in_flight.overtaken_count(), 0, "sent at the overdue time of the first one");
     in_flight.record_response(400, 201);
     assert_eq!(in_flight.overtaken_count(), 2);
     in_flight.record_response(500, 50);
     assert_eq!(
         in_flight.overtaken_count(),
         2,
-        "an earlier attempt changes nothing"
+        "a response to an earlier attempt changes nothing"
     );
     in_flight.end(100);
     assert_eq!(in_flight.overtaken_count(), 1);
 }
 
 #[test]
-fn a_backend_is_unresponsive_that_owes_responses_for_longer_than_the_timeout() {
+fn a_backend_is_unresponsive_if_it_serves_no_attempt_for_longer_than_the_timeout() {
     let mut in_flight = InFlight::new(0);
     in_flight.start(100, 1_000);
     in_flight.start(120, 1_000);
@@ -63,17 +63,17 @@
 }
 
 #[test]
-fn a_backend_that_owes_no_response_is_not_unresponsive() {
+fn an_idle_backend_is_not_unresponsive() {
     let mut in_flight = InFlight::new(0);
     assert!(!in_flight.is_unresponsive(1_000, TIMEOUT));
     in_flight.start(1_000, 2_000);
-    assert!(!in_flight.is_unresponsive(1_050, TIMEOUT), "idle before");
+    assert!(!in_flight.is_unresponsive(1_050, TIMEOUT), "the time before its first attempt does not count");
     in_flight.end(2_000);
     assert!(!in_flight.is_unresponsive(9_000, TIMEOUT));
 }
 
 #[test]
-fn a_response_counts_as_given_since_any_earlier_time() {
+fn a_response_counts_as_an_answer_since_every_earlier_time() {
     let mut in_flight = InFlight::new(0);
     in_flight.start(100, 1_000);
     in_flight.start(110, 1_000);
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: changes of the backends, and the calls to discovery that bring them.
+//! Membership: updates of the backends from discovery, and the calls to discovery that request them.
 
 use super::Balancer;
 use super::backends::{BackendKey, BackendState};
@@ -9,6 +9,7 @@
 use crate::api::{Action, Backend, DiscoveryMode, MachineType, MembershipEvent, Micros, Readiness};
 
 impl Balancer {
+    /// Applies a membership update, or starts the next call to discovery after one that failed.
     pub(super) fn on_membership(
         &mut self,
         now: Micros,
@@ -16,25 +17,27 @@
         out: &mut Vec<Action>,
     ) {
         match event {
-            MembershipEvent::Delta(backends) => self.take_list(now, backends, false, out),
-            MembershipEvent::Full(backends) => self.take_list(now, backends, true, out),
+            MembershipEvent::Delta(backends) => self.apply_list(now, backends, false, out),
+            MembershipEvent::Full(backends) => self.apply_list(now, backends, true, out),
             MembershipEvent::Cached(backends) => {
                 if self.settings.discovery_mode == DiscoveryMode::Polled {
                     let delay = self.subscription.first_delay(&self.settings, &mut self.rng);
                     subscribe_after(delay, out);
                 }
-                self.take_list(now, backends, true, out);
+                self.apply_list(now, backends, true, out);
             }
             MembershipEvent::WatchFailed => {
                 let delay = self.subscription.next_delay(&self.settings, &mut self.rng);
                 subscribe_after(delay, out);
             }
-            // Departure: a change that a stalled watch misses counts as known soon, so there is no backoff.
+            // Deviation: there is no backoff after a stalled watch, because a change that it misses counts as known to
+            // this proxy soon.
             MembershipEvent::WatchStalled => out.push(Action::Subscribe),
         }
     }
 
-    fn take_list(
+    /// Applies a list of backends. With `is_complete`, backends that the list lacks are removed.
+    fn apply_list(
         &mut self,
         now: Micros,
         backends: &[Backend],
@@ -54,7 +57,7 @@
         self.serve_queue(now, out);
     }
 
-    /// Removes the backends that the last complete list lacks.
+    /// Marks the listed backends that the last complete list lacks as removed.
     fn remove_unlisted(&mut self, changes: &mut Vec<Change>) {
         let generation = self.list_generation;
         for key in self.backends.keys() {
@@ -65,7 +68,8 @@
         }
     }
 
-    /// Takes one backend of a list; if its position in the index changes with it, it is added to `changes`.
+    /// Adds or updates one backend of a list. The backend is added to `changes` if its position in the index may
+    /// change.
     fn update_backend(&mut self, now: Micros, update: &Backend, changes: &mut Vec<Change>) {
         let is_listed = update.readiness != Readiness::Removed;
         let is_ready = update.readiness == Readiness::Ready;
@@ -84,6 +88,7 @@
         self.set_listed(key, is_listed, is_ready, changes);
     }
 
+    /// Adds a backend that is not in the table yet. An unknown machine type is replaced by the last known one.
     fn insert_backend(&mut self, now: Micros, update: &Backend) -> BackendKey {
         let last_machine_type = MachineType(self.settings.machine_type_count.saturating_sub(1));
         let machine_type = update.machine_type.min(last_machine_type);
@@ -102,7 +107,7 @@
         key
     }
 
-    /// Sets whether a backend is listed and ready.
+    /// Sets whether a backend is listed and ready, and removes it if it is no longer needed.
     fn set_listed(
         &mut self,
         key: BackendKey,
@@ -120,7 +125,8 @@
         self.backends.remove_if_unused(key);
     }
 
-    /// Takes note that a backend's process is new. It warms up if it started within the slow start's duration.
+    /// Resets the state of a backend whose process is new. The backend is in slow start if the process started within
+    /// the duration of slow start.
     fn restart_backend(&mut self, now: Micros, key: BackendKey) {
         let tokens = self.rng.f64();
         let backend = &mut self.backends[key];
@@ -140,6 +146,7 @@
     }
 }
 
+/// Requests the next call to discovery after a delay, or at once if the delay is 0.
 fn subscribe_after(delay: Micros, out: &mut Vec<Action>) {
     let action = if delay > 0 {
         Action::SetTimer {
