--- a/src/balancer/connections.rs
+++ b/src/balancer/connections.rs
@@ -1,11 +1,10 @@
-//! Idle connections: how long one may have been idle and is still used.
+//! Idle connections: the time for which a connection may have been idle and is still used.
 //!
-//! The decisions do not see the sockets. They estimate how long each connection has been idle from the attempts that were
-//! in flight.
+//! The balancer does not see the sockets. It estimates the idle time of each connection from the attempts in flight.
 //!
-//! Departure: something between this proxy and a backend may drop an idle connection unnoticed. A connection that was
-//! idle for longer than is trusted is closed before the next attempt. The trusted time starts at the idle timeout and
-//! is cut back at each request that got no response on an idle connection.
+//! Deviation: a middlebox between this proxy and a backend may drop an idle connection without notice. A connection
+//! that has been idle for longer than the trusted idle time is therefore closed before the next attempt. The trusted
+//! idle time starts at the idle timeout, and is reduced whenever a request gets no response on an idle connection.
 
 use super::time::SECOND;
 use crate::api::Micros;
@@ -13,21 +12,23 @@
 #[cfg(test)]
 mod tests;
 
-/// A connection that was idle for less is not to blame for a lost request: nothing drops idle connections so soon.
+/// Idle time up to which a connection is not suspected to have caused the loss of a request: nothing drops idle
+/// connections so soon.
 const MIN_SUSPECT_IDLE: Micros = SECOND / 2;
-/// The trusted idle time after a lost request, as a part of the time that its connection had been idle.
+/// Trusted idle time after a lost request, as a fraction of the time for which its connection had been idle.
 const TRUSTED_IDLE_BACKOFF: f64 = 0.5;
-/// The trusted idle time doubles in this time.
-const TRUSTED_IDLE_DOUBLING: Micros = 60 * SECOND;
+/// Time in which the trusted idle time doubles.
+const TRUSTED_IDLE_DOUBLING_TIME: Micros = 60 * SECOND;
 
-/// How long a connection may have been idle and is still trusted.
+/// Time for which a connection may have been idle and is still trusted to deliver a request.
 pub(crate) struct IdleTrust {
+    /// Trusted idle time at `updated_at`, microseconds.
     trusted_idle: f64,
     updated_at: Micros,
 }
 
 impl IdleTrust {
-    /// Trusts connections for their whole idle timeout.
+    /// Returns a trusted idle time equal to the idle timeout of connections.
     pub(crate) fn new(idle_timeout: Micros, now: Micros) -> Self {
         Self {
             trusted_idle: idle_timeout as f64,
@@ -35,13 +36,13 @@
         }
     }
 
-    /// Whether a connection that has been idle for so long is to be closed rather than used.
+    /// Reports whether a connection that has been idle for the time `idle` should be closed instead of used.
     pub(crate) fn is_suspect(&self, now: Micros, idle: Micros) -> bool {
         idle > MIN_SUSPECT_IDLE && idle as f64 > self.trusted_idle(now)
     }
 
-    /// Notes that a request got no response on a connection that had been idle for so long. Returns whether the
-    /// connection is to blame rather than the backend.
+    /// Records that a request got no response on a connection that had been idle for the time `idle`. Reports whether
+    /// the loss is attributed to the connection instead of the backend.
     pub(crate) fn record_lost_request(&mut self, now: Micros, idle: Micros) -> bool {
         if idle <= MIN_SUSPECT_IDLE {
             return false;
@@ -52,28 +53,32 @@
         true
     }
 
+    /// Returns the trusted idle time at `now`, in microseconds.
     fn trusted_idle(&self, now: Micros) -> f64 {
-        let doublings = (now - self.updated_at) as f64 / TRUSTED_IDLE_DOUBLING as f64;
+        let doublings = (now - self.updated_at) as f64 / TRUSTED_IDLE_DOUBLING_TIME as f64;
         self.trusted_idle * doublings.exp2()
     }
 }
 
-/// When each of this proxy's connections to one backend was last in use.
+/// Estimated time of the last use of each connection from this proxy to one backend.
 ///
-/// Attempts take a backend's connections from the first on, so the last ones are idle longest.
+/// Attempts use the connections of a backend from the first one on, so the last connections are idle longest. In all
+/// methods, `in_flight` is the number of attempts in flight at the backend and `per_connection` the number of requests
+/// that one connection carries at the same time.
 #[derive(Default)]
 pub(crate) struct ConnectionUse {
+    /// Time of the last use of each connection, by connection number.
     used_at: Vec<Micros>,
 }
 
 impl ConnectionUse {
-    /// Forgets all connections.
+    /// Removes all connections.
     pub(crate) fn clear(&mut self) {
         self.used_at.clear();
     }
 
-    /// Takes the connection of the next attempt and returns how long it has been idle, as estimated; 0 for a new one and for one that
-    /// carries other attempts.
+    /// Assigns a connection to the next attempt and returns the time for which the connection has been idle, which is 0
+    /// for a new connection and for one that carries other attempts.
     pub(crate) fn take(&mut self, now: Micros, in_flight: u32, per_connection: u32) -> Micros {
         let number = connection_number(in_flight, per_connection);
         let used_at = self.used_at.get(number).copied().unwrap_or(now);
@@ -84,13 +89,13 @@
         if is_unused { now - used_at } else { 0 }
     }
 
-    /// Forgets the connections that are idle while so many attempts are in flight, except the next one.
+    /// Removes the connections that are idle, except the one that the next attempt uses.
     pub(crate) fn close_idle(&mut self, in_flight: u32, per_connection: u32) {
         let number = connection_number(in_flight, per_connection);
         self.used_at.truncate(number + 1);
     }
 
-    /// Notes that an attempt has ended, after which so many are in flight.
+    /// Records the end of an attempt. `in_flight` does not include it any more.
     pub(crate) fn release(&mut self, now: Micros, in_flight: u32, per_connection: u32) {
         let number = connection_number(in_flight, per_connection);
         if let Some(used_at) = self.used_at.get_mut(number) {
@@ -99,6 +104,7 @@
     }
 }
 
+/// Returns the number of the connection, counted from 0, that the next attempt uses.
 fn connection_number(in_flight: u32, per_connection: u32) -> usize {
     (in_flight / per_connection) as usize
 }
--- a/src/balancer/connections/tests.rs
+++ b/src/balancer/connections/tests.rs
@@ -1,31 +1,31 @@
-//! Idle connections by themselves: how long one is trusted, and which one an attempt takes.
+//! Tests of idle connections: their trusted idle time, and the connection that an attempt uses.
 
 use super::*;
 
 const IDLE_TIMEOUT: Micros = 5 * SECOND;
 const NOW: Micros = 1_000 * SECOND;
 
-/// Asserts that connections are trusted that were idle for up to exactly this time.
+/// Asserts that the trusted idle time is exactly `idle`.
 fn assert_trusted_idle(trust: &IdleTrust, now: Micros, idle: Micros) {
-    assert!(!trust.is_suspect(now, idle), "{idle} us are trusted");
-    assert!(trust.is_suspect(now, idle + 1), "more than {idle} us");
+    assert!(!trust.is_suspect(now, idle), "{idle} us must be trusted");
+    assert!(trust.is_suspect(now, idle + 1), "more than {idle} us must be suspect");
 }
 
 #[test]
-fn connections_are_trusted_for_their_idle_timeout_at_first() {
+fn the_initial_trusted_idle_time_is_the_idle_timeout() {
     let trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
     assert_trusted_idle(&trust, NOW, IDLE_TIMEOUT);
 }
 
 #[test]
-fn a_lost_request_cuts_the_trusted_time_to_half_the_idle_time() {
+fn a_lost_request_reduces_the_trusted_idle_time_to_half_of_the_connections_idle_time() {
     let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
     assert!(trust.record_lost_request(NOW, 2 * SECOND));
     assert_trusted_idle(&trust, NOW, SECOND);
 }
 
 #[test]
-fn a_connection_that_was_idle_briefly_is_neither_blamed_nor_suspect() {
+fn a_loss_on_a_connection_idle_for_up_to_500_ms_is_not_attributed_to_it() {
     let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
     for idle in [0, SECOND / 4, SECOND / 2] {
         assert!(!trust.record_lost_request(NOW, idle));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_further_loss_never_lengthens_the_trusted_time() {
+fn a_loss_after_a_longer_idle_time_does_not_raise_the_trusted_idle_time() {
     let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
     trust.record_lost_request(NOW, 2 * SECOND);
     assert!(trust.record_lost_request(NOW, 10 * SECOND));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_trusted_time_doubles_each_minute() {
+fn the_trusted_idle_time_doubles_each_minute() {
     let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
     trust.record_lost_request(NOW, 2 * SECOND);
     assert_trusted_idle(&trust, NOW + 60 * SECOND, 2 * SECOND);
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn a_new_connection_has_not_been_idle() {
+fn the_idle_time_of_a_new_connection_is_zero() {
     let mut connections = ConnectionUse::default();
     assert_eq!(connections.take(10, 0, 1), 0);
     assert_eq!(connections.take(20, 1, 1), 0);
 }
 
 #[test]
-fn a_connection_is_idle_from_the_end_of_its_last_attempt() {
+fn the_idle_time_is_measured_from_the_end_of_the_last_attempt() {
     let mut connections = ConnectionUse::default();
     connections.take(10, 0, 1);
     connections.release(40, 0, 1);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn the_last_connections_are_idle_longest() {
+fn attempts_use_connections_from_the_first_one_on() {
     let mut connections = ConnectionUse::default();
     connections.take(10, 0, 1);
     connections.take(10, 1, 1);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn closed_connections_are_forgotten_except_the_next_one() {
+fn close_idle_removes_all_idle_connections_except_the_next_one() {
     let mut connections = ConnectionUse::default();
     for in_flight in 0..3 {
         connections.take(10, in_flight, 1);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn after_a_restart_all_connections_are_new() {
+fn all_connections_are_new_after_clear() {
     let mut connections = ConnectionUse::default();
     connections.take(10, 0, 1);
     connections.release(20, 0, 1);
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -1,9 +1,9 @@
-//! When discovery is asked for changes.
+//! Delays before calls to discovery.
 //!
-//! A watch that stalled is opened anew at once (`membership`); this is about all other calls.
+//! These apply to all calls except those after a stalled watch, which `membership` starts at once.
 //!
-//! Departure: not at once, but after a random delay. All proxies start together and see the same calls fail; together
-//! their calls would keep discovery overloaded.
+//! Deviation: a call is made after a random delay instead of at once. All proxies may start at the same time and see
+//! the same calls fail; calls of all of them at once would keep discovery overloaded.
 
 use super::time::SECOND;
 use crate::api::{Micros, Settings};
@@ -12,40 +12,41 @@
 #[cfg(test)]
 mod tests;
 
-/// All proxies together make a first call this often.
+/// Average interval between the first calls of all proxies together.
 const FIRST_CALL_INTERVAL: Micros = SECOND / 50;
-/// All proxies together repeat failed calls this often.
+/// Average interval between the repeated calls of all proxies together.
 const RETRY_INTERVAL: Micros = SECOND / 5;
-/// First backoff after a failed call; each further one doubles it.
+/// Backoff after a first failed call; each further failure doubles it.
 const BASE_BACKOFF: Micros = SECOND / 8;
-/// Most times that the backoff is doubled.
+/// Greatest number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Longest delay ahead of a call (2.5 s) and longest time of the call (3.5 s) together, with time to spare.
+/// Sum of the longest delay before a call (2.5 s) and the longest duration of a call (3.5 s), with a margin.
 const DELAY_AND_CALL_DURATION: Micros = 8 * SECOND;
-/// The rules allow a proxy without a watch this many poll intervals after a call that failed.
+/// Number of poll intervals that a proxy without a watch is allowed to take after a failed call.
 const POLL_INTERVALS_AFTER_FAILURE: u64 = 4;
-/// Longest delay: the rules take a change as known 6 s after discovery had it and could be reached, and a call takes up
-/// to 3.5 s.
+/// Longest delay before a call. A change counts as known to a proxy 6 s after discovery had it and could be reached,
+/// and a call takes up to 3.5 s of that time.
 const MAX_DELAY: Micros = 5 * SECOND / 2;
 
-/// The calls to discovery that have failed since the last list came.
+/// Backoff of calls to discovery, which grows with the failures since the last list.
 #[derive(Default)]
 pub(crate) struct SubscriptionBackoff {
+    /// Calls that have failed, or watches that broke, since the last list was received.
     failures: u32,
 }
 
 impl SubscriptionBackoff {
-    /// Notes that a list came.
+    /// Resets the backoff after a list was received.
     pub(crate) fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Returns the delay of a proxy's first call.
+    /// Returns the delay before a proxy's first call.
     pub(crate) fn first_delay(&self, settings: &Settings, rng: &mut Rng) -> Micros {
         random_delay(0, FIRST_CALL_INTERVAL, settings, rng)
     }
 
-    /// Notes that a call failed or the watch broke; returns the delay of the next call.
+    /// Records that a call failed or the watch broke, and returns the delay before the next call.
     pub(crate) fn next_delay(&mut self, settings: &Settings, rng: &mut Rng) -> Micros {
         let backoff = BASE_BACKOFF << self.failures.min(MAX_BACKOFF_DOUBLINGS);
         self.failures += 1;
@@ -53,8 +54,11 @@
     }
 }
 
-/// Returns a delay of at least `backoff`, spread over the time that all proxies take at one call an `interval`, within
-/// what the rules allow.
+/// Returns a random delay of at least `backoff` and at most the longest allowed one.
+///
+/// Beyond the backoff, delays are spread over the time that the calls of all proxies take at one call per `interval`,
+/// or over a span as long as the backoff if that is longer. Discovery thus receives the calls about evenly. A backoff
+/// above half of the longest allowed delay is reduced to that half.
 fn random_delay(backoff: Micros, interval: Micros, settings: &Settings, rng: &mut Rng) -> Micros {
     let allowed = settings
         .safety
--- a/src/balancer/subscription/tests.rs
+++ b/src/balancer/subscription/tests.rs
@@ -1,4 +1,4 @@
-//! The bounds of the delays of calls to discovery.
+//! Tests of the bounds of the delays before calls to discovery.
 
 use super::*;
 use crate::balancer::tests::{MS, settings};
@@ -13,18 +13,18 @@
     settings
 }
 
-/// Asserts that the delays lie within bounds, and that they are spread over them.
+/// Asserts that all delays are within `bounds` and that the least and the greatest are close to its ends.
 fn assert_spread(delays: &[Micros], bounds: RangeInclusive<Micros>) {
     for delay in delays {
-        assert!(bounds.contains(delay), "{delay} us, not in {bounds:?}");
+        assert!(bounds.contains(delay), "a delay of {delay} us is not in {bounds:?}");
     }
     let width = bounds.end() - bounds.start();
-    let least = delays.iter().min().expect("delays");
-    let greatest = delays.iter().max().expect("delays");
-    assert!(*least <= bounds.start() + width / 10, "{least} us at least");
+    let least = delays.iter().min().expect("there is a delay for each seed");
+    let greatest = delays.iter().max().expect("there is a delay for each seed");
+    assert!(*least <= bounds.start() + width / 10, "the least delay is {least} us, bounds {bounds:?}");
     assert!(
         *greatest >= bounds.end() - width / 10,
-        "{greatest} us at most"
+        "the greatest delay is {greatest} us, bounds {bounds:?}"
     );
 }
 
@@ -35,7 +35,7 @@
         .collect()
 }
 
-/// Returns the delay after so many failures before, for each seed.
+/// Returns, for each seed, the delay after a failure that `failures` others precede.
 fn next_delays(settings: &Settings, failures: u32) -> Vec<Micros> {
     let next_delay = |seed| {
         let mut rng = Rng::with_seed(seed);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_first_call_waits_no_longer_than_the_longest_delay() {
+fn first_calls_of_very_many_proxies_are_made_within_the_longest_delay() {
     let delays = first_delays(&settings_of(10_000, 10 * SECOND));
     assert_spread(&delays, 0..=2_500 * MS);
 }
@@ -81,7 +81,7 @@
 
 #[test]
 fn all_proxies_together_repeat_five_failed_calls_a_second() {
-    // Six proxies take a second, beyond the first backoff.
+    // Six proxies: the delays are spread over one second, which is longer than the first backoff.
     let delays = next_delays(&settings_of(6, 10 * SECOND), 0);
     assert_spread(&delays, 125 * MS..=1_125 * MS);
 }
@@ -93,8 +93,7 @@
 }
 
 #[test]
-fn delays_leave_a_call_its_time_within_four_poll_intervals() {
-    // Four intervals less 8 s for the call, but a second at the least.
+fn delays_are_at_most_four_poll_intervals_less_8_seconds_and_at_least_one_second() {
     for (poll_interval, longest) in [
         (2_500 * MS, 2 * SECOND),
         (2_250 * MS, SECOND),
@@ -108,7 +107,7 @@
 }
 
 #[test]
-fn after_a_list_the_backoff_starts_anew() {
+fn a_received_list_resets_the_backoff() {
     let settings = settings_of(1, 10 * SECOND);
     let delays_after_reset: Vec<Micros> = (0..SEEDS)
         .map(|seed| {
--- a/src/balancer/throughput/tests.rs
+++ b/src/balancer/throughput/tests.rs
@@ -1,10 +1,10 @@
-//! The peak rate.
+//! Tests of the peak rate.
 
 use super::*;
 use crate::balancer::tests::assert_close;
 use crate::balancer::time::SECOND;
 
-/// Counts so many events in a span, all at its start but the last one, which ends it.
+/// Counts `events` events in a span: the last one at its end, all others at its start.
 fn record_span(rate: &mut PeakRate, start: Micros, end: Micros, events: u32) {
     for _ in 1..events {
         rate.record(start);
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn a_rate_is_not_known_before_the_shortest_span() {
+fn the_peak_is_zero_before_the_end_of_the_first_span() {
     let mut rate = PeakRate::new(0);
     record_span(&mut rate, 0, 4 * SECOND - 1, 100);
     assert_eq!(rate.per_second(), 0.0);
 }
 
 #[test]
-fn a_rate_is_the_events_of_a_span_over_its_seconds() {
+fn the_rate_of_a_span_is_its_events_divided_by_its_seconds() {
     let mut rate = PeakRate::new(0);
     record_span(&mut rate, 0, 4 * SECOND, 40);
     assert_close(rate.per_second(), 10.0);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_peak_fades_by_a_twentieth_with_each_lower_span() {
+fn the_peak_decays_by_5_percent_with_each_slower_span() {
     let mut rate = PeakRate::new(0);
     record_span(&mut rate, 0, 4 * SECOND, 40);
     record_span(&mut rate, 4 * SECOND, 8 * SECOND, 4);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_higher_rate_is_the_new_peak_at_once() {
+fn a_span_with_a_higher_rate_sets_the_peak() {
     let mut rate = PeakRate::new(0);
     record_span(&mut rate, 0, 4 * SECOND, 40);
     record_span(&mut rate, 4 * SECOND, 8 * SECOND, 80);
