--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -13,14 +13,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Least sum of the limits on which slots are based. A proxy whose limits add up to less has them scaled up to this sum,
-/// so that its slots are spread over about as many backends.
+/// Least sum of the limits on which slots are based. A proxy whose limits add up to less has them scaled up to this
+/// sum, so that its slots are spread over about as many backends.
 const MIN_SLOTS: f64 = 3.0;
 
 /// The sum of this proxy's limits, and what follows from it if the sum is small.
 ///
-/// Deviation from plain AIMD: with many proxies that have little traffic each, the limits of a proxy may add up to fewer
-/// than [`MIN_SLOTS`]. Two rules then apply:
+/// Deviation from plain AIMD: with many proxies that have little traffic each, the limits of a proxy may add up to
+/// fewer than [`MIN_SLOTS`]. Two rules then apply:
 /// - Each limit is scaled up before it is rounded to slots, which spreads the slots over more backends.
 /// - The attempts in flight at all backends are bounded by the sum of the unscaled limits plus its square root. The
 ///   square root leaves room for requests that arrive at the same time by chance.
@@ -51,7 +51,8 @@
         self.evaluated_at.is_none_or(|at| now >= at + age)
     }
 
-    /// Updates the factor on limits and the bound on attempts in flight from the sum of the limits of all ready backends.
+    /// Updates the factor on limits and the bound on attempts in flight from the sum of the limits of all ready
+    /// backends.
     ///
     /// The bound is rounded up or down by the proxy's index, so that on average over all proxies it is
     /// about the unrounded bound.
@@ -94,8 +95,8 @@
 
 /// Returns this proxy's share of a backend in a zone: 1 divided by the number of proxies that use the backend.
 ///
-/// Deviation from plain AIMD: the bounds and steps of a limit apply to the backend as a whole and each proxy has its share
-/// of them. Otherwise the load that all proxies admit would grow with their number.
+/// Deviation from plain AIMD: the bounds and steps of a limit apply to the backend as a whole and each proxy has its
+/// share of them. Otherwise the load that all proxies admit would grow with their number.
 pub(crate) fn proxy_fraction(settings: &Settings, zone: Zone) -> f64 {
     let proxies = f64::from(settings.proxy_count);
     let proxies_of_zone = (proxies / f64::from(settings.zone_count)).max(1.0);
@@ -109,8 +110,8 @@
 impl Balancer {
     /// Evaluates the capacity from the present limits.
     ///
-    /// All members of a group are first counted with the limit of their machine type; for backends with a limit of their
-    /// own, the difference from it is then added.
+    /// All members of a group are first counted with the limit of their machine type; for backends with a limit of
+    /// their own, the difference from it is then added.
     pub(super) fn evaluate_capacity(&mut self, now: Micros) {
         let limit_of_group = |group: &Group| {
             let limit = self.machine_type_limit(group.zone(), group.machine_type());
@@ -162,9 +163,9 @@
 
     /// Returns the capacity from which the slow-start budget of a backend is computed.
     ///
-    /// A warm backend is estimated to serve the peak rate of this proxy, multiplied by the number of proxies and divided by
-    /// the number of ready backends. The estimate is at least one request at a time with the mean latency of the first
-    /// class, which stands for all classes before a rate has been measured.
+    /// A warm backend is estimated to serve the peak rate of this proxy, multiplied by the number of proxies and
+    /// divided by the number of ready backends. The estimate is at least one request at a time with the mean latency of
+    /// the first class, which stands for all classes before a rate has been measured.
     fn warm_capacity(&self, key: BackendKey) -> WarmCapacity {
         let proxies = f64::from(self.settings.proxy_count);
         let ready = self.index.ready_count().max(1) as f64;
@@ -177,7 +178,8 @@
         }
     }
 
-    /// Returns the factor on this proxy's share of a slow-start budget that makes up for rounding the limit to whole slots.
+    /// Returns the factor on this proxy's share of a slow-start budget that makes up for rounding the limit to whole
+    /// slots.
     ///
     /// Deviation: if the limit is below one slot, only some proxies have a slot on the backend. Proxies without a slot
     /// cannot use their share of its budget, so proxies with a slot receive a greater one.
--- a/src/balancer/index/group.rs
+++ b/src/balancer/index/group.rs
@@ -13,9 +13,9 @@
 /// A member's slot offset increases with its rank and wraps from 1 to 0 once. The ranks therefore form two runs with
 /// ascending offsets, and the members with the highest offsets are at the ends of these runs.
 ///
-/// For example, four members with the offsets 0.618, 0.868, 0.118 and 0.368 form the runs of ranks 0 to 1 and 2 to 3. At
-/// a limit of 1.2, members with an offset of at least 0.8 have two slots (here the end of the first run) and the others
-/// have one.
+/// For example, four members with the offsets 0.618, 0.868, 0.118 and 0.368 form the runs of ranks 0 to 1 and 2 to 3.
+/// At a limit of 1.2, members with an offset of at least 0.8 have two slots (here the end of the first run) and the
+/// others have one.
 pub(crate) struct Group {
     zone: Zone,
     machine_type: MachineType,
@@ -64,7 +64,7 @@
         self.version
     }
 
-    /// Applies a batch of membership changes and determines the runs anew. `unwrapped_offset` returns the slot offset
+    /// Applies a batch of membership changes and recomputes the runs. `unwrapped_offset` returns the slot offset
     /// before it is wrapped to 0..1, given a rank and the number of members.
     pub(super) fn apply(
         &mut self,
@@ -94,8 +94,8 @@
 
     /// Returns the part of each run whose ranks satisfy `is_high`.
     ///
-    /// `is_high` must hold for all offsets from some bound on, so the ranks are at the ends of the runs. The search starts
-    /// from a guess based on `expected_count`, about how many ranks there are.
+    /// `is_high` must hold for all offsets from some bound on, so the ranks are at the ends of the runs. The search
+    /// starts from a guess based on `expected_count`, about how many ranks there are.
     pub(crate) fn highest_offsets(
         &self,
         expected_count: usize,
--- a/src/balancer/index/mod.rs
+++ b/src/balancer/index/mod.rs
@@ -123,7 +123,8 @@
         self.groups.get(key.0)
     }
 
-    /// Returns the backends that selection compares one by one. Every ready backend with attempts in flight is among them.
+    /// Returns the backends that selection compares one by one. Every ready backend with attempts in flight is among
+    /// them.
     pub(crate) fn compared(&self) -> &BackendSet {
         &self.compared
     }
--- a/src/balancer/index/ranked_set.rs
+++ b/src/balancer/index/ranked_set.rs
@@ -12,8 +12,8 @@
 
 /// A set of backends in the order of their ids, each with a value and a flag.
 ///
-/// The rank of a member is its position in that order. Finding a rank takes logarithmic time; reading or setting a flag by
-/// rank takes constant time. Counting flags and finding the nth flagged member read one 64-bit word for 64 members.
+/// The rank of a member is its position in that order. Finding a rank takes logarithmic time; reading or setting a flag
+/// by rank takes constant time. Counting flags and finding the nth flagged member read one 64-bit word for 64 members.
 pub(crate) struct RankedSet<V> {
     ids: Vec<BackendId>,
     values: Vec<V>,
--- a/src/balancer/indexing.rs
+++ b/src/balancer/indexing.rs
@@ -9,8 +9,8 @@
 use crate::spread::GOLDEN_RATIO_FRACTION;
 
 impl Balancer {
-    /// Evaluates a backend's position and slot offset again. Must be called after every change of state that [`position`]
-    /// reads.
+    /// Evaluates a backend's position and slot offset again. Must be called after every change of state that
+    /// [`position`] reads.
     pub(super) fn reindex(&mut self, now: Micros, key: BackendKey) {
         if self.backends[key].in_flight.count() == 0 {
             self.refill_slow_start(now, key);
@@ -67,8 +67,8 @@
     }
 }
 
-/// Returns a backend's position, and the time at which it must be evaluated again if it expires. Conditions that depend on
-/// the request are checked in `selection`.
+/// Returns a backend's position, and the time at which it must be evaluated again if it expires. Conditions that depend
+/// on the request are checked in `selection`.
 fn position(now: Micros, backend: &BackendState) -> (Position, Option<Micros>) {
     if !backend.ready {
         return (Position::Excluded, None);
--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -10,8 +10,8 @@
 const UNSAMPLED_AFTER: Micros = 2 * SECOND;
 /// Least factor of a load report on the limit of the machine type, for a backend much slower than the mean.
 const MIN_REPORT_FACTOR: f64 = 0.1;
-/// Greatest factor of a load report on the limit of the machine type. However short a service time a backend reports, it
-/// receives at most half as much again as the mean of its machine type.
+/// Greatest factor of a load report on the limit of the machine type. However short a service time a backend reports,
+/// its limit is at most half as much again as that of its machine type.
 const MAX_REPORT_FACTOR: f64 = 1.5;
 /// Time for which the factor of a load report holds.
 const REPORT_TTL: Micros = 5 * SECOND;
@@ -46,7 +46,8 @@
 }
 
 impl BackendLimit {
-    /// Returns to the limit of the machine type, without the windows and load reports of the backend's previous process.
+    /// Returns to the limit of the machine type, without the windows and load reports of the backend's previous
+    /// process.
     pub(crate) fn reset(&mut self, now: Micros) {
         self.source = LimitSource::MachineType;
         self.window = Window::new(now);
@@ -114,12 +115,14 @@
         }
     }
 
-    /// Records the service time of a load report, given the mean service time of the machine type, both in milliseconds.
+    /// Records the service time of a load report, given the mean service time of the machine type, both in
+    /// milliseconds.
     ///
-    /// Deviation from plain AIMD: a proxy whose share of the machine type's limit is below one slot sends to a backend once
-    /// in many seconds, too seldom for windows. The backend's limit is then set at once to that of the machine type, scaled
-    /// by how the backend compares with others of its type. A slower backend, whatever the cause, thus receives less
-    /// from all proxies alike. The factor expires [`REPORT_TTL`] after the last report.
+    /// Deviation from plain AIMD: a proxy whose share of the machine type's limit is below one slot sends to a backend
+    /// once in many seconds, too seldom for windows. The backend's limit is then set at once to that of the machine
+    /// type, scaled by how the backend compares with others of its type. A slower backend, whatever the cause, thus
+    /// receives less from all proxies alike. A factor older than [`REPORT_TTL`] is dropped when the limit of
+    /// the machine type is next evaluated.
     pub(crate) fn record_service_time(
         &mut self,
         now: Micros,
@@ -139,8 +142,7 @@
     /// Returns to the limit of the machine type, scaled by a recent load report, unless the backend's own windows still
     /// determine the limit. Reports whether the limit was changed.
     ///
-    /// Windows still determine it while the backend has a slot, or has had none for at most [`UNSAMPLED_AFTER`] since its
-    /// window started.
+    /// Windows still determine it while the backend has a slot, or while its window is at most [`UNSAMPLED_AFTER`] old.
     pub(crate) fn follow_machine_type(
         &mut self,
         now: Micros,
--- a/src/balancer/limits/machine_type.rs
+++ b/src/balancer/limits/machine_type.rs
@@ -9,9 +9,9 @@
 
 /// Limit of one backend of a machine type, for all proxies together.
 ///
-/// Deviation from plain AIMD: a limit is also kept for each machine type, from the samples of all its backends. Backends
-/// without recent samples have this limit: with many proxies, each has a slot on few backends only, and the limits of the
-/// other backends would never change.
+/// Deviation from plain AIMD: a limit is also kept for each machine type, from the samples of all its backends.
+/// Backends without recent samples have this limit: with many proxies, each has a slot on few backends only, and the
+/// limits of the other backends would never change.
 ///
 /// The limit decreases like that of a backend, increases by a fraction of itself, and doubles until its first decrease.
 #[derive(Clone)]
@@ -73,8 +73,8 @@
         self.limit = self.limit.clamp(MIN_LIMIT, MAX_LIMIT);
     }
 
-    /// Adds the service time of a backend's load report to the mean. Returns the mean before this report, or the reported
-    /// time itself for the first report. Both are in milliseconds.
+    /// Adds the service time of a backend's load report to the mean. Returns the mean before this report, or the
+    /// reported time itself for the first report. Both are in milliseconds.
     pub(crate) fn record_service_time(&mut self, reported_ms: f64) -> f64 {
         let mean = self.service_time_ms.unwrap_or(reported_ms);
         let capped = reported_ms.min(mean * MAX_SAMPLE);
--- a/src/balancer/limits/mod.rs
+++ b/src/balancer/limits/mod.rs
@@ -1,10 +1,10 @@
 //! Concurrency limits: additive increase, multiplicative decrease (AIMD) on windowed latency.
 //!
-//! A sample is the latency of one attempt as a multiple of its latency threshold. A [`Window`] collects samples. When it
-//! is complete, a mean above 1 lowers the limit, and a mean of at most 1 raises the limit if it was nearly reached.
+//! A sample is the latency of one attempt as a multiple of its latency threshold. A [`Window`] collects samples. When
+//! it is complete, a mean above 1 lowers the limit, and a mean of at most 1 raises the limit if it was nearly reached.
 //!
-//! Each proxy keeps a [`MachineTypeLimit`] for every machine type and a [`BackendLimit`] for every backend. A backend has
-//! the limit of its machine type until a window lowers its own limit, and again once it has too few samples.
+//! Each proxy keeps a [`MachineTypeLimit`] for every machine type and a [`BackendLimit`] for every backend. A backend
+//! has the limit of its machine type until a window lowers its own limit, and again once it has too few samples.
 
 mod backend;
 mod machine_type;
@@ -25,8 +25,8 @@
 /// Greatest value of a sample, as a multiple of the latency threshold; greater samples are reduced to it.
 pub(crate) const MAX_SAMPLE: f64 = 3.0;
 
-/// Fewest samples for which a window is evaluated. The mean of fewer samples says too little if the work of requests has
-/// a standard deviation as great as its mean.
+/// Fewest samples for which a window is evaluated. The mean of fewer samples says too little if the work of requests
+/// has a standard deviation as great as its mean.
 const MIN_WINDOW_SAMPLES: u32 = 6;
 /// Age at which a window without enough samples is discarded and a new one starts.
 const MAX_WINDOW_AGE: Micros = 40 * MIN_WINDOW;
@@ -45,8 +45,8 @@
 
 /// Rounds a limit to slots, the number of attempts that may be in flight.
 ///
-/// Deviation from plain AIMD: with many proxies and small backends, limits are below 1. The slot offset then decides which
-/// proxies have a slot, so that the load that all proxies admit does not grow with their number.
+/// Deviation from plain AIMD: with many proxies and small backends, limits are below 1. The slot offset then decides
+/// which proxies have a slot, so that the load that all proxies admit does not grow with their number.
 pub(crate) fn whole_slots(limit: f64, slot_offset: f64) -> i64 {
     (limit + slot_offset).floor() as i64
 }
--- a/src/balancer/limits/window.rs
+++ b/src/balancer/limits/window.rs
@@ -26,8 +26,8 @@
         self.sum += sample;
     }
 
-    /// Records that the attempts in flight nearly reached the limit. Only then may quick samples raise the limit: otherwise
-    /// they do not show that it is too low.
+    /// Records that the attempts in flight nearly reached the limit. Only then may quick samples raise the limit:
+    /// otherwise they do not show that it is too low.
     pub(crate) fn mark_near_limit(&mut self) {
         self.near_limit = true;
     }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -196,8 +196,8 @@
 
     /// Returns a backend's preference, or `None` if it is not eligible or has no available capacity.
     ///
-    /// Among backends with the same available capacity, one that was slow recently comes last: a request there holds its
-    /// slot for long, and the backend's window may take many seconds to complete and lower its limit.
+    /// Among backends with the same available capacity, one that was slow recently comes last: a request there holds
+    /// its slot for long, and the backend's window may take many seconds to complete and lower its limit.
     fn preference(&self, now: Micros, criteria: &Criteria, key: BackendKey) -> Option<i64> {
         let backend = &self.backends[key];
         if !self.is_eligible(now, backend, criteria) {
@@ -215,9 +215,9 @@
 
     /// Returns the greatest available capacity among the indexed backends of a group, and the backends that have it.
     ///
-    /// Indexed backends are idle and have the same limit. Those with the highest slot offsets have one slot more than the
-    /// others, since limit and offset are added and rounded down. If none of those
-    /// with more slots is indexed, the available capacity is that of the others.
+    /// Indexed backends are idle and have the same limit. Those with the highest slot offsets have one slot more than
+    /// the others, since limit and offset are added and rounded down. If none of those with more slots is indexed, the
+    /// available capacity is that of the others.
     fn most_available_of_group(
         &self,
         key: GroupKey,
@@ -280,8 +280,8 @@
             // repeatable.
             HealthState::HalfOpen => return !is_trial_in_flight && criteria.is_repeatable,
         }
-        // Deviation: an unresponsive backend may hang and receives nothing more, except a single trial request if the
-        // loss of that request would be detected early: the attempts in flight may have been lost on the way.
+        // Deviation: an unresponsive backend may be hanging and receives nothing more, except a single trial request if
+        // the loss of that request would be detected early: the attempts in flight may have been lost on the way.
         if backend.in_flight.is_unresponsive(now, criteria.overdue_after)
             && (is_trial_in_flight || !criteria.detects_loss_early)
         {
