--- a/src/balancer/connections/tests.rs
+++ b/src/balancer/connections/tests.rs
@@ -8,7 +8,10 @@
 /// Asserts that the trusted idle time is exactly `idle`.
 fn assert_trusted_idle(trust: &IdleTrust, now: Micros, idle: Micros) {
     assert!(!trust.is_suspect(now, idle), "{idle} us must be trusted");
-    assert!(trust.is_suspect(now, idle + 1), "more than {idle} us must be suspect");
+    assert!(
+        trust.is_suspect(now, idle + 1),
+        "more than {idle} us must be suspect"
+    );
 }
 
 #[test]
--- a/src/balancer/in_flight/tests.rs
+++ b/src/balancer/in_flight/tests.rs
@@ -37,7 +37,11 @@
     let mut in_flight = with_attempts_overdue_at(&[100, 200, 300]);
     assert_eq!(in_flight.overtaken_count(), 0);
     in_flight.record_response(400, 100);
-    assert_eq!(in_flight.overtaken_count(), 0, "sent at the overdue time of the first one");
+    assert_eq!(
+        in_flight.overtaken_count(),
+        0,
+        "sent at the overdue time of the first one"
+    );
     in_flight.record_response(400, 201);
     assert_eq!(in_flight.overtaken_count(), 2);
     in_flight.record_response(500, 50);
@@ -67,7 +71,10 @@
     let mut in_flight = InFlight::new(0);
     assert!(!in_flight.is_unresponsive(1_000, TIMEOUT));
     in_flight.start(1_000, 2_000);
-    assert!(!in_flight.is_unresponsive(1_050, TIMEOUT), "the time before its first attempt does not count");
+    assert!(
+        !in_flight.is_unresponsive(1_050, TIMEOUT),
+        "the time before its first attempt does not count"
+    );
     in_flight.end(2_000);
     assert!(!in_flight.is_unresponsive(9_000, TIMEOUT));
 }
--- a/src/balancer/index/mod.rs
+++ b/src/balancer/index/mod.rs
@@ -209,7 +209,11 @@
     ) {
         let has_own_limit = backend.limit.source() != LimitSource::MachineType;
         let is_ejected = backend.health.is_ejected();
-        set_member(&mut self.with_own_limit, key, backend.ready && has_own_limit);
+        set_member(
+            &mut self.with_own_limit,
+            key,
+            backend.ready && has_own_limit,
+        );
         set_member(&mut self.ejected, key, backend.ready && is_ejected);
         set_member(&mut self.compared, key, position == Position::Compared);
         self.set_indexed(backend, position == Position::Indexed);
--- a/src/balancer/index/ranked_set.rs
+++ b/src/balancer/index/ranked_set.rs
@@ -67,8 +67,8 @@
     ///
     /// Members that stay keep their flags; the flag of a new member is not set.
     pub(crate) fn apply(&mut self, mut batch: Vec<(BackendId, Option<V>)>) {
-        let is_large =
-            batch.len() >= MIN_MERGED_BATCH && batch.len() >= self.len() / MAX_MEMBERS_PER_MERGED_CHANGE;
+        let is_large = batch.len() >= MIN_MERGED_BATCH
+            && batch.len() >= self.len() / MAX_MEMBERS_PER_MERGED_CHANGE;
         if is_large {
             batch.sort_unstable_by_key(|&(id, _)| id);
             self.merge(&batch);
--- a/src/balancer/index/tests.rs
+++ b/src/balancer/index/tests.rs
@@ -161,8 +161,7 @@
                 |rank: usize, members: usize| rank as f64 / members as f64 + shift;
             index.apply(batch, &backends, unwrapped_offset);
             let offset = |rank: usize| unwrapped_offset(rank, members as usize).fract();
-            for (min_offset, expected_count) in
-                [(0.0, 0), (0.2, 3), (0.5, 99), (0.97, 1), (2.0, 5)]
+            for (min_offset, expected_count) in [(0.0, 0), (0.2, 3), (0.5, 99), (0.97, 1), (2.0, 5)]
             {
                 let is_high = |rank| offset(rank) >= min_offset;
                 let found = index.groups[group.0].highest_offsets(expected_count, is_high);
--- a/src/balancer/latency/tests.rs
+++ b/src/balancer/latency/tests.rs
@@ -152,5 +152,9 @@
     assert_eq!(recent.value(6 * SECOND - 1), 1.0);
     assert_eq!(recent.value(6 * SECOND), 0.0);
     recent.record(7 * SECOND, 3.0);
-    assert_eq!(recent.value(7 * SECOND), 1.5, "the expired mean must not count");
+    assert_eq!(
+        recent.value(7 * SECOND),
+        1.5,
+        "the expired mean must not count"
+    );
 }
--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -1,7 +1,8 @@
 //! Limit of one backend at this proxy.
 
 use super::{
-    DECREASE_FACTOR, MAX_LIMIT, MAX_WINDOW_AGE, MIN_INCREASE_FRACTION, MIN_LIMIT, MIN_WINDOW, Window,
+    DECREASE_FACTOR, MAX_LIMIT, MAX_WINDOW_AGE, MIN_INCREASE_FRACTION, MIN_LIMIT, MIN_WINDOW,
+    Window,
 };
 use crate::api::Micros;
 use crate::balancer::time::SECOND;
@@ -70,7 +71,8 @@
 
     /// Records the attempts in flight when another one starts, and marks the window if the limit is nearly reached.
     pub(crate) fn record_in_flight(&mut self, in_flight: u32, slots: i64) {
-        let is_near_limit = i64::from(in_flight) * NEAR_LIMIT_DENOMINATOR >= slots * NEAR_LIMIT_NUMERATOR;
+        let is_near_limit =
+            i64::from(in_flight) * NEAR_LIMIT_DENOMINATOR >= slots * NEAR_LIMIT_NUMERATOR;
         if is_near_limit {
             self.window.mark_near_limit();
         }
--- a/src/balancer/limits/machine_type.rs
+++ b/src/balancer/limits/machine_type.rs
@@ -1,8 +1,8 @@
 //! Limit that all backends of one machine type share.
 
 use super::{
-    DECREASE_FACTOR, INITIAL_LIMIT, MAX_LIMIT, MAX_SAMPLE, MIN_INCREASE_FRACTION, MIN_LIMIT, MIN_WINDOW,
-    Window,
+    DECREASE_FACTOR, INITIAL_LIMIT, MAX_LIMIT, MAX_SAMPLE, MIN_INCREASE_FRACTION, MIN_LIMIT,
+    MIN_WINDOW, Window,
 };
 use crate::api::Micros;
 use crate::balancer::latency::LATENCY_WEIGHT;
--- a/src/balancer/limits/tests/backend.rs
+++ b/src/balancer/limits/tests/backend.rs
@@ -243,5 +243,9 @@
     limit.reset(end);
     assert_eq!(limit.source(), LimitSource::MachineType);
     record(&mut limit, end + MIN_WINDOW, SLOW, 10.0);
-    assert_eq!(limit.source(), LimitSource::MachineType, "the new window has one sample");
+    assert_eq!(
+        limit.source(),
+        LimitSource::MachineType,
+        "the new window has one sample"
+    );
 }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -203,7 +203,9 @@
         if !self.is_eligible(now, backend, criteria) {
             return None;
         }
-        let is_trial = backend.in_flight.is_unresponsive(now, criteria.overdue_after);
+        let is_trial = backend
+            .in_flight
+            .is_unresponsive(now, criteria.overdue_after);
         let available = if is_trial {
             TRIAL_CAPACITY
         } else {
@@ -282,7 +284,9 @@
         }
         // Deviation: an unresponsive backend may be hanging and receives nothing more, except a single trial request if
         // the loss of that request would be detected early: the attempts in flight may have been lost on the way.
-        if backend.in_flight.is_unresponsive(now, criteria.overdue_after)
+        if backend
+            .in_flight
+            .is_unresponsive(now, criteria.overdue_after)
             && (is_trial_in_flight || !criteria.detects_loss_early)
         {
             return false;
--- a/src/balancer/selection/tests.rs
+++ b/src/balancer/selection/tests.rs
@@ -87,7 +87,12 @@
 }
 
 /// Returns a backend's preference, or `None` if it has no available capacity.
-fn preference(balancer: &Balancer, now: Micros, key: BackendKey, criteria: &Criteria) -> Option<i64> {
+fn preference(
+    balancer: &Balancer,
+    now: Micros,
+    key: BackendKey,
+    criteria: &Criteria,
+) -> Option<i64> {
     let backend = &balancer.backends[key];
     let in_flight = &backend.in_flight;
     let taken = i64::from(in_flight.count()) - in_flight.overtaken_count() as i64;
@@ -115,11 +120,7 @@
 }
 
 /// Compares the indexed selection with a scan. Returns the number of backends that tied.
-fn compare(
-    balancer: &mut Balancer,
-    now: Micros,
-    request: RequestKey,
-) -> Result<usize, Mismatch> {
+fn compare(balancer: &mut Balancer, now: Micros, request: RequestKey) -> Result<usize, Mismatch> {
     let scanned = scan(balancer, now, request);
     let ties = match &scanned {
         Found::Tied(tied) => tied.len(),
@@ -198,5 +199,8 @@
         }
         proxy.balancer.requests.remove(request);
     }
-    assert!(evaluated > 50, "only {evaluated} selections had a tie to evaluate");
+    assert!(
+        evaluated > 50,
+        "only {evaluated} selections had a tie to evaluate"
+    );
 }
--- a/src/balancer/selection/tests/random_proxy.rs
+++ b/src/balancer/selection/tests/random_proxy.rs
@@ -102,7 +102,8 @@
     pub(super) fn new(seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
         let settings = random_settings(&mut rng);
-        let balancer = Balancer::new(settings, seed, SECOND).expect("random settings are within the allowed ranges");
+        let balancer = Balancer::new(settings, seed, SECOND)
+            .expect("random settings are within the allowed ranges");
         let backend_count = [4, 30, 200][rng.usize(0..3)];
         let mut proxy = Self {
             rng,
--- a/src/balancer/subscription/tests.rs
+++ b/src/balancer/subscription/tests.rs
@@ -16,12 +16,18 @@
 /// Asserts that all delays are within `bounds` and that the least and the greatest are close to its ends.
 fn assert_spread(delays: &[Micros], bounds: RangeInclusive<Micros>) {
     for delay in delays {
-        assert!(bounds.contains(delay), "a delay of {delay} us is not in {bounds:?}");
+        assert!(
+            bounds.contains(delay),
+            "a delay of {delay} us is not in {bounds:?}"
+        );
     }
     let width = bounds.end() - bounds.start();
     let least = delays.iter().min().expect("there is a delay for each seed");
     let greatest = delays.iter().max().expect("there is a delay for each seed");
-    assert!(*least <= bounds.start() + width / 10, "the least delay is {least} us, bounds {bounds:?}");
+    assert!(
+        *least <= bounds.start() + width / 10,
+        "the least delay is {least} us, bounds {bounds:?}"
+    );
     assert!(
         *greatest >= bounds.end() - width / 10,
         "the greatest delay is {greatest} us, bounds {bounds:?}"
