--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -64,7 +64,7 @@
         } else {
             1.0
         };
-        let max_in_flight = if self.is_below_min_slots() {
+        let max_in_flight = if self.has_scaled_limits() {
             (limit_sum + limit_sum.sqrt() + golden_ratio_position(proxy_index)) as u32
         } else {
             u32::MAX
@@ -82,8 +82,8 @@
         self.limit_factor
     }
 
-    /// Reports whether the limits add up to fewer than [`MIN_SLOTS`] and are therefore scaled up.
-    pub(crate) fn is_below_min_slots(&self) -> bool {
+    /// Reports whether limits are scaled up, because their sum is positive and below [`MIN_SLOTS`].
+    pub(crate) fn has_scaled_limits(&self) -> bool {
         self.limit_factor > 1.0
     }
 
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -55,7 +55,7 @@
         }
         self.backends[key].recent_latency.record(now, sample);
         self.record_health(now, attempt, classification, out);
-        let learns_machine_type = is_base_known || self.capacity.is_below_min_slots();
+        let learns_machine_type = is_base_known || self.capacity.has_scaled_limits();
         self.update_limits(now, key, sample, classification, learns_machine_type);
         if classification.limit_evidence != LimitEvidence::None {
             self.follow_load_report(now, key, end.load_report);
