--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -29,8 +29,8 @@
     limit_sum: f64,
     /// Factor on every limit before it is rounded to slots.
     limit_factor: f64,
-    /// Most attempts in flight at all backends; `u32::MAX` if there is no bound.
-    max_in_flight: u32,
+    /// Most attempts in flight at all backends; `None` if there is no bound.
+    max_in_flight: Option<u32>,
     /// Time of the last evaluation; `None` if there was none yet.
     evaluated_at: Option<Micros>,
 }
@@ -41,7 +41,7 @@
         Self {
             limit_sum: 0.0,
             limit_factor: 1.0,
-            max_in_flight: u32::MAX,
+            max_in_flight: None,
             evaluated_at: None,
         }
     }
@@ -64,12 +64,10 @@
         } else {
             1.0
         };
-        let max_in_flight = if self.has_scaled_limits() {
-            (limit_sum + limit_sum.sqrt() + golden_ratio_position(proxy_index)) as u32
-        } else {
-            u32::MAX
-        };
-        self.max_in_flight = max_in_flight.max(1);
+        self.max_in_flight = self.has_scaled_limits().then(|| {
+            let bound = limit_sum + limit_sum.sqrt() + golden_ratio_position(proxy_index);
+            (bound as u32).max(1)
+        });
     }
 
     /// Returns the sum of the limits of all ready backends, before they are rounded to slots.
@@ -89,7 +87,7 @@
 
     /// Returns the bound on attempts in flight at all backends, or `None` if there is none.
     pub(crate) fn max_in_flight(&self) -> Option<u32> {
-        (self.max_in_flight < u32::MAX).then_some(self.max_in_flight)
+        self.max_in_flight
     }
 }
 
