--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -63,7 +63,7 @@
         for key in self.backends.keys() {
             let backend = &self.backends[key];
             if backend.listed && backend.last_seen_generation != generation {
-                self.set_listed(key, false, false, changes);
+                self.set_readiness(key, Readiness::Removed, changes);
             }
         }
     }
@@ -71,11 +71,9 @@
     /// Adds or updates one backend of a list. The backend is added to `changes` if its position in the index may
     /// change.
     fn update_backend(&mut self, now: Micros, update: &Backend, changes: &mut Vec<Change>) {
-        let is_listed = update.readiness != Readiness::Removed;
-        let is_ready = update.readiness == Readiness::Ready;
         let key = match self.backends.find(update.id) {
             Some(key) => key,
-            None if !is_listed => return,
+            None if update.readiness == Readiness::Removed => return,
             None => self.insert_backend(now, update),
         };
         let backend = &mut self.backends[key];
@@ -85,7 +83,7 @@
             changes.push(change_of(key, backend));
             self.restart_backend(now, key);
         }
-        self.set_listed(key, is_listed, is_ready, changes);
+        self.set_readiness(key, update.readiness, changes);
     }
 
     /// Adds a backend that is not in the table yet. An unknown machine type is replaced by the last known one.
@@ -107,20 +105,15 @@
         key
     }
 
-    /// Sets whether a backend is listed and ready, and removes it if it is no longer needed.
-    fn set_listed(
-        &mut self,
-        key: BackendKey,
-        is_listed: bool,
-        is_ready: bool,
-        changes: &mut Vec<Change>,
-    ) {
+    /// Sets whether a backend is listed and ready, and removes it from the table if it is no longer used.
+    fn set_readiness(&mut self, key: BackendKey, readiness: Readiness, changes: &mut Vec<Change>) {
+        let is_ready = readiness == Readiness::Ready;
         let backend = &mut self.backends[key];
         if backend.ready != is_ready {
             changes.push(change_of(key, backend));
             self.index.set_cell_member(backend.cell, key, is_ready);
         }
-        backend.listed = is_listed;
+        backend.listed = readiness != Readiness::Removed;
         backend.ready = is_ready;
         self.backends.remove_if_unused(key);
     }
