--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -54,7 +54,7 @@
     /// Updates the factor on limits and the bound on attempts in flight from the sum of the limits of all ready
     /// backends.
     ///
-    /// The bound is rounded up or down by the proxy's index, so that on average over all proxies it is
+    /// Whether the bound is rounded up or down depends on the proxy's index, so that its average over all proxies is
     /// about the unrounded bound.
     pub(crate) fn evaluate(&mut self, now: Micros, limit_sum: f64, proxy_index: u32) {
         self.evaluated_at = Some(now);
