--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -18,12 +18,13 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until};
 
-/// With less time than this until the deadline, nothing is sent any more.
+/// The least time until the deadline with which a request is still sent.
 const MIN_REMAINING: Duration = Duration::from_millis(1);
 
 impl BackendClient {
-    /// Makes one attempt of a request on a backend, until the deadlines or until `cancel` fires. A response that
-    /// is streamed is handed to `on_response_start` when it starts; the attempt then ends with it.
+    /// Makes one attempt of a request on a backend. The attempt ends early at its deadlines or when `cancel`
+    /// receives a message. A streamed response is passed to `on_response_start` when it starts, and the attempt ends
+    /// together with the response.
     pub async fn attempt(
         self: Rc<Self>,
         backend: Rc<BackendConnections>,
@@ -47,7 +48,7 @@
     }
 }
 
-/// What an attempt refers to.
+/// The inputs of one attempt.
 struct Attempt<'a> {
     backend_client: &'a BackendClient,
     backend: &'a Rc<BackendConnections>,
@@ -55,12 +56,13 @@
     deadlines: AttemptDeadlines,
 }
 
-/// A request that is ready to be written.
-struct Prepared {
+/// A request that is built for one connection and not yet written.
+struct PreparedRequest {
     request: Request<RequestBody>,
-    /// The time until the deadline, which the backend is sent.
+    /// The time until the deadline, which is also sent to the backend.
     remaining: Duration,
-    /// The count of written bytes at which the request is complete; `None` for a body without a length.
+    /// The number of bytes written on the connection, earlier requests included, at which this request is complete;
+    /// `None` for a body of unknown length.
     complete_at: Option<u64>,
 }
 
@@ -75,8 +77,8 @@
             Ok(connection) => connection,
             Err(outcome) => return outcome.into(),
         };
-        // While the connection was established, the backend may have begun to drain or have been replaced; it gets
-        // no new request then (rule 3).
+        // Rule 3 (draining): nothing is sent to a backend that began to drain, or was removed or replaced, while the
+        // connection was established.
         if !self.backend.is_ready() || connection.generation != self.backend.generation() {
             return Outcome::NotSent.into();
         }
@@ -93,78 +95,87 @@
         };
         let complete_at = prepared.complete_at;
         let exchanged = self.exchange(&mut connection, prepared, &mut cancel).await;
-        // A request that the socket did not take completely cannot run, and any other may have run (rule 2). Reading
-        // the count and dropping the connection happen in one step, so nothing more is written in between.
-        let is_written = self.is_written(connection.socket.written(), complete_at);
+        // Rule 2 (idempotency): a request that was written only in part cannot run, a complete one may have run. There
+        // is no await between this check and the drop of the connection of an incomplete request, so no further bytes
+        // are written.
+        let is_completely_written =
+            self.is_completely_written(connection.socket.written(), complete_at);
         match exchanged {
-            Ok(response) if is_written => {
+            Ok(response) if is_completely_written => {
                 self.on_response(response, connection, cancel, on_response_start)
                     .await
             }
             Ok(response) => self.early_response(response),
-            Err(error) => self.failure(&error, is_written).into(),
+            Err(error) => self.failure_outcome(&error, is_completely_written).into(),
         }
     }
 
-    /// Returns a connection, or the outcome of an attempt that gets none.
+    /// Returns a connection to the backend.
+    ///
+    /// # Errors
+    /// The outcome of the attempt if no connection is established, or if the attempt is cancelled or must no longer
+    /// be sent.
     async fn connect(&self, cancel: &mut oneshot::Receiver<()>) -> Result<Connection, Outcome> {
         let pool = &self.backend_client.pool;
         let connected = tokio::select! {
             biased;
             connected = pool.connection(self.backend, self.deadlines.deadline) => connected,
             Ok(()) = cancel => return Err(Outcome::NotSent),
-            () = self.must_not_be_sent() => return Err(Outcome::NotSent),
+            () = self.wait_for_write_cutoff() => return Err(Outcome::NotSent),
         };
         connected.map_err(|error| error.connect_outcome())
     }
 
-    /// Builds the request; `None` where another attempt has its body.
-    fn prepare(&self, connection: &Connection, remaining: Duration) -> Option<Prepared> {
+    /// Builds the request. Returns `None` if another attempt has taken its streamed body.
+    fn prepare(&self, connection: &Connection, remaining: Duration) -> Option<PreparedRequest> {
         let body = self.call.body.for_attempt()?;
         let request = build_request(self.call, body, self.backend.address(), remaining);
         let length = request.body().size_hint().exact();
         let complete_at =
             length.map(|length| connection.socket.written() + minimum_size(&request, length));
-        Some(Prepared {
+        Some(PreparedRequest {
             request,
             remaining,
             complete_at,
         })
     }
 
-    /// Writes the request and reads its response, unless it times out or is cancelled before.
+    /// Writes the request and reads its response.
+    ///
+    /// # Errors
+    /// [`BackendError`] if the exchange fails, times out or is cancelled.
     async fn exchange(
         &self,
         connection: &mut Connection,
-        prepared: Prepared,
+        prepared: PreparedRequest,
         cancel: &mut oneshot::Receiver<()>,
     ) -> Result<BackendResponse, BackendError> {
-        let Prepared {
+        let PreparedRequest {
             request,
             remaining,
             complete_at,
         } = prepared;
         let socket = Rc::clone(&connection.socket);
         socket.begin_request(complete_at);
-        let must_not_be_sent = async {
-            self.must_not_be_sent().await;
-            // A request that is written completely may run: its response is still of use to the balancer.
-            if self.is_written(socket.written(), complete_at) {
+        let cutoff_before_complete = async {
+            self.wait_for_write_cutoff().await;
+            // A complete request may run, and the balancer needs its outcome: wait for the response.
+            if self.is_completely_written(socket.written(), complete_at) {
                 std::future::pending::<()>().await;
             }
         };
         tokio::select! {
             biased;
-            () = must_not_be_sent => Err(BackendError::Cancelled),
+            () = cutoff_before_complete => Err(BackendError::Cancelled),
             exchanged = exchange(&mut connection.sender, request) => exchanged,
             Ok(()) = cancel => Err(BackendError::Cancelled),
-            () = self.timed_out(remaining) => Err(BackendError::TimedOut),
+            () = self.wait_for_timeout(remaining) => Err(BackendError::TimedOut),
         }
     }
 
-    /// Returns whether the request is complete on a connection that took this many bytes. A request that is streamed
-    /// without a length is complete at the end of its body.
-    fn is_written(&self, written: u64, complete_at: Option<u64>) -> bool {
+    /// Returns whether the request is completely written on a connection that took `written` bytes. A request of
+    /// unknown length is complete at the end of its body.
+    fn is_completely_written(&self, written: u64, complete_at: Option<u64>) -> bool {
         match complete_at {
             Some(complete_at) => written >= complete_at,
             None => self
@@ -175,7 +186,7 @@
         }
     }
 
-    /// Returns the result of a response that came after the request was written completely.
+    /// Returns the result of an attempt whose response arrived after the request was completely written.
     async fn on_response(
         &self,
         response: BackendResponse,
@@ -205,7 +216,7 @@
         }
     }
 
-    /// Relays a response that has started, and returns its outcome.
+    /// Relays a response to the client and returns the outcome of the attempt.
     async fn relay(
         &self,
         body: PartialBody,
@@ -221,9 +232,11 @@
         relay_body(sender, body, cancel, &self.call.over).await
     }
 
-    /// Returns the result of a response that came before the request was written completely. The connection is not
-    /// kept: it would take the rest of a request that is over, which would then run (rule 2). A 200 response can't
-    /// be the request's own.
+    /// Returns the result of an attempt whose response arrived before the request was completely written. A 200
+    /// response cannot belong to such a request and counts as corrupt.
+    ///
+    /// The caller drops the connection instead of keeping it: the rest of the request would still be written, and
+    /// the backend would run a request that is over (rule 2).
     fn early_response(&self, response: BackendResponse) -> AttemptResult {
         let result = response.into_result(&self.backend_client.load_reports);
         if result.outcome == Outcome::Ok {
@@ -233,20 +246,20 @@
         }
     }
 
-    /// Classifies a failed exchange.
-    fn failure(&self, error: &BackendError, is_written: bool) -> Outcome {
+    /// Logs a failed exchange and returns the outcome of the attempt.
+    fn failure_outcome(&self, error: &BackendError, is_completely_written: bool) -> Outcome {
         tracing::debug!(backend = %self.backend.address(), %error, "attempt failed");
-        if !is_written && self.is_broken_by_client() {
-            // The backend is not at fault.
+        if !is_completely_written && self.has_body_failed() {
+            // The fault is the client's and must not count against the backend.
             Outcome::NotSent
         } else if error.is_malformed() {
-            // Also before the request was written completely: the meaning of such a response is unknown.
+            // This holds for an incomplete request as well: the meaning of such a response is unknown.
             Outcome::CorruptResponse
-        } else if error.is_cancelled() && is_written {
+        } else if error.is_cancelled() && is_completely_written {
             Outcome::Cancelled
         } else if error.is_cancelled() {
             Outcome::NotSent
-        } else if !is_written {
+        } else if !is_completely_written {
             Outcome::ConnectFailed
         } else if error.is_timeout() {
             Outcome::Timeout
@@ -255,17 +268,17 @@
         }
     }
 
-    /// Returns whether the client did not send the body as it should have.
-    fn is_broken_by_client(&self) -> bool {
+    /// Returns whether the streamed body failed: the client broke it off, or sent it too slowly or too much of it.
+    fn has_body_failed(&self) -> bool {
         self.call
             .body
             .progress()
-            .is_some_and(|progress| progress.is_broken())
+            .is_some_and(|progress| progress.has_failed())
     }
 
-    /// Waits until a request that is not written completely must not be sent any more: because it is over, or
-    /// because its write deadline has passed.
-    async fn must_not_be_sent(&self) {
+    /// Waits until an incompletely written request must no longer be sent, because the request is over or its write
+    /// deadline has passed.
+    async fn wait_for_write_cutoff(&self) {
         let write_deadline = self.deadlines.write_deadline;
         tokio::select! {
             () = self.call.over.wait() => {}
@@ -273,9 +286,9 @@
         }
     }
 
-    /// Waits until the attempt has timed out. The time of a request counts from its last byte, so where that is
-    /// still to come the remaining time begins with it.
-    async fn timed_out(&self, remaining: Duration) {
+    /// Waits until the attempt times out. The time of a request counts from its last byte, so an attempt with a
+    /// streamed body times out `remaining` after the end of the body instead of at its deadline.
+    async fn wait_for_timeout(&self, remaining: Duration) {
         match self.call.body.progress() {
             None => sleep_until(self.deadlines.deadline).await,
             Some(progress) => sleep_until(progress.finished().await + remaining).await,
--- a/src/proxy/backends/backend_connections.rs
+++ b/src/proxy/backends/backend_connections.rs
@@ -1,4 +1,4 @@
-//! One backend as the sockets know it: its address and its idle connections.
+//! The connections of one backend.
 
 use super::connection::Connection;
 use crate::api::{Micros, Readiness};
@@ -7,21 +7,22 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// A connection that no attempt uses.
+/// A connection that no attempt or health check uses.
 pub(super) struct IdleConnection {
     pub(super) connection: Connection,
-    /// When its last response was complete.
+    /// When the connection became idle.
     pub(super) since: Instant,
 }
 
-/// A backend as the sockets know it.
+/// The address, the readiness and the idle connections of one backend.
 pub struct BackendConnections {
     address: Cell<SocketAddr>,
     started_at: Cell<Option<Micros>>,
     ready: Cell<bool>,
-    /// Counts its restarts and moves: a connection of an earlier generation is not used again.
+    /// Number of times that the backend restarted, moved or was removed. A connection of an earlier generation is not
+    /// used again.
     generation: Cell<u64>,
-    /// Its idle connections, the one that was used last at the end.
+    /// The idle connections, the most recently used one last.
     idle: RefCell<Vec<IdleConnection>>,
 }
 
@@ -44,12 +45,12 @@
         self.generation.get()
     }
 
-    /// Returns whether it takes new requests.
+    /// Returns whether the backend may be sent new requests.
     pub(super) fn is_ready(&self) -> bool {
         self.ready.get()
     }
 
-    /// Applies what discovery says of it.
+    /// Applies the backend's entry of the endpoint list.
     pub(super) fn update(
         &self,
         address: SocketAddr,
@@ -58,34 +59,36 @@
     ) {
         self.ready.set(readiness == Readiness::Ready);
         let has_restarted = self.started_at.replace(started_at) != started_at;
-        // The connections of the old process are dead, or will end as resets.
+        // Connections to the previous process are dead or will be reset.
         if has_restarted || self.address.replace(address) != address {
             self.begin_generation();
         }
     }
 
-    /// Removes it: nothing new is sent there, and no connection is kept, not even those that are in use.
+    /// Marks the backend as removed: it is sent no new requests, and none of its connections is kept, not even those
+    /// in use.
     pub(super) fn remove(&self) {
         self.ready.set(false);
         self.begin_generation();
     }
 
+    /// Begins a new generation and closes the idle connections of the previous one.
     fn begin_generation(&self) {
         self.generation.set(self.generation.get() + 1);
         self.close_idle();
     }
 
-    /// Adds an idle connection, as the one that was used last.
+    /// Adds an idle connection as the most recently used one.
     pub(super) fn push_idle(&self, idle: IdleConnection) {
         self.idle.borrow_mut().push(idle);
     }
 
-    /// Takes the idle connection that was used last.
+    /// Removes and returns the most recently used idle connection.
     pub(super) fn pop_idle(&self) -> Option<IdleConnection> {
         self.idle.borrow_mut().pop()
     }
 
-    /// Closes the idle connections that are not to be kept.
+    /// Closes the idle connections for which `keep` returns false.
     pub(super) fn retain_idle(&self, keep: impl Fn(&IdleConnection) -> bool) {
         self.idle.borrow_mut().retain(keep);
     }
@@ -95,7 +98,7 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Returns since when its oldest idle connection is idle.
+    /// Returns when the connection that has been idle for longest became idle.
     pub(super) fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|idle| idle.since)
     }
@@ -103,7 +106,7 @@
     /// Closes the connection that has been idle for longest.
     ///
     /// # Panics
-    /// Where there is none.
+    /// If there is no idle connection.
     pub(super) fn close_oldest_idle(&self) {
         self.idle.borrow_mut().remove(0);
     }
--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -1,4 +1,4 @@
-//! What an attempt takes and returns.
+//! The inputs and the result of an attempt.
 
 use crate::api::Outcome;
 use crate::proxy::bodies::{CallBody, ServedBody};
@@ -8,12 +8,12 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The id that a client gives a request, and that is forwarded with each attempt.
+/// The header with the client's id of a request. Each attempt forwards it.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 
-/// Notifies the attempts of a request that it is over: its client disconnected before it had a response, or the
-/// latest time of its final answer has come, also where a streamed response had begun by then. A complete response
-/// does not set it. An attempt that the balancer cancels is notified through a channel of its own.
+/// Notifies the attempts of a request that the request is over: the client disconnected before it had a response, or
+/// the latest time of the final answer has passed, even if a streamed response has begun. A complete response does
+/// not set it. The balancer cancels a single attempt through a separate channel.
 #[derive(Debug, Default)]
 pub struct RequestOver {
     is_over: Cell<bool>,
@@ -21,7 +21,7 @@
 }
 
 impl RequestOver {
-    /// Marks the request as over. Repeated, it changes nothing.
+    /// Marks the request as over. Repeated calls have no effect.
     pub fn set(&self) {
         self.is_over.set(true);
         self.changed.notify_waiters();
@@ -35,23 +35,23 @@
     }
 }
 
-/// What is sent to a backend, the same at every attempt.
+/// A request as it is sent to a backend. All attempts send the same.
 #[derive(Debug)]
 pub struct Call {
     /// The client's method.
     pub method: Method,
-    /// Path and query, unchanged.
+    /// The client's path and query, unchanged.
     pub target: Uri,
-    /// The client's headers that a proxy forwards.
+    /// The client's end-to-end headers.
     pub headers: HeaderMap,
-    /// The body, unchanged.
+    /// The client's body, unchanged.
     pub body: CallBody,
-    /// An attempt that is not written completely when the request is over is not sent any more.
+    /// Set when the request is over. An attempt that is not completely written by then is abandoned.
     pub over: RequestOver,
 }
 
 impl Call {
-    /// Returns the client's id of the request; empty where it is no text.
+    /// Returns the client's id of the request, or an empty string if it is not visible ASCII.
     #[must_use]
     pub fn correlation_id(&self) -> &str {
         self.headers
@@ -64,31 +64,31 @@
 /// A backend's 200 response.
 #[derive(Debug)]
 pub struct Served {
-    /// Its body, unchanged.
+    /// The body, unchanged.
     pub body: ServedBody,
-    /// Its media type.
+    /// The value of its `Content-Type` header.
     pub content_type: Option<HeaderValue>,
 }
 
-/// When an attempt ends at the latest.
+/// The latest times of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadlines {
-    /// The attempt times out.
+    /// When the attempt times out.
     pub deadline: Instant,
-    /// An attempt that is not written completely by then is not sent any more.
+    /// When the attempt is abandoned unless its request is completely written; `None`: only at `deadline`.
     pub write_deadline: Option<Instant>,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// The outcome in the balancer's terms.
+    /// The outcome that is reported to the balancer.
     pub outcome: Outcome,
-    /// The response, where the outcome is [`Outcome::Ok`] and it was not streamed.
+    /// The response if the outcome is [`Outcome::Ok`] and the response was not streamed.
     pub served: Option<Served>,
-    /// The load report that came along, in the order of the settings; empty: none.
+    /// The load report of the response, with its fields in the order of the settings; empty if there was none.
     pub load_report: Vec<f32>,
-    /// Some of the request's body was forwarded and is not held any more, so it can't be sent again.
+    /// Whether a part of the request's body was forwarded and is no longer held, so that the body cannot be sent again.
     pub body_consumed: bool,
 }
 
--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend: connecting, and the count of the bytes that its socket took.
+//! One connection to a backend: connecting, and the number of bytes written to its socket.
 
 use super::error::BackendError;
 use super::stray_bytes::StrayBytes;
@@ -18,21 +18,22 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout_at};
 
-/// How far the exchange on a connection is.
+/// The state of the exchange on a connection.
 #[derive(Clone, Copy)]
 enum ExchangeState {
-    /// No request is on it: what comes belongs to none.
+    /// No request is in flight; bytes that arrive belong to no request.
     Idle,
-    /// A request is being written. It is complete once the socket took this many bytes, of all requests.
+    /// A request is being written. It is complete once `complete_at` bytes were written on the connection, those of
+    /// earlier requests included.
     Writing { complete_at: u64 },
-    /// A request is complete, or its end is not known. What comes may be its response.
+    /// A request is completely written or has an unknown length. Bytes that arrive may belong to its response.
     AwaitingResponse,
 }
 
-/// The socket of a connection to a backend, and how much was written to it.
+/// The socket of a connection to a backend, with the number of bytes written to it and the state of its exchange.
 pub(super) struct BackendSocket {
     socket: Socket,
-    /// Bytes that the socket took, of all requests.
+    /// Number of bytes written for all requests.
     written: Cell<u64>,
     state: Cell<ExchangeState>,
     stray_bytes: Rc<StrayBytes>,
@@ -50,12 +51,13 @@
         }
     }
 
-    /// Returns the number of bytes that the socket took so far.
+    /// Returns the number of bytes written for all requests.
     pub(super) fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Begins a request, which is complete at that count of written bytes, where its size is known.
+    /// Begins a request. It is complete once `complete_at` bytes were written on the connection; `None` for a request
+    /// of unknown length.
     pub(super) fn begin_request(&self, complete_at: Option<u64>) {
         self.state.set(match complete_at {
             Some(complete_at) => ExchangeState::Writing { complete_at },
@@ -63,11 +65,12 @@
         });
     }
 
-    /// Ends the exchange: what comes from now on belongs to no request.
+    /// Ends the exchange: bytes that arrive from now on belong to no request.
     fn end_request(&self) {
         self.state.set(ExchangeState::Idle);
     }
 
+    /// Counts written bytes, and the attempt once its request is completely written.
     fn record_written(&self, bytes: u64) {
         self.written.set(self.written.get() + bytes);
         if let ExchangeState::Writing { complete_at } = self.state.get()
@@ -113,7 +116,7 @@
     }
 }
 
-/// Establishes connections, and counts those that are open.
+/// Establishes connections to backends and counts the open sockets.
 pub(super) struct Connector {
     open_sockets: Rc<Cell<usize>>,
     stray_bytes: Rc<StrayBytes>,
@@ -129,20 +132,20 @@
         }
     }
 
-    /// Returns the number of open sockets to backends, idle ones too.
+    /// Returns the number of open sockets to backends, idle ones included.
     pub(super) fn open_sockets(&self) -> usize {
         self.open_sockets.get()
     }
 
-    /// Returns when bytes last came that belong to no request.
+    /// Returns the record of stray bytes, which all connections share.
     pub(super) fn stray_bytes(&self) -> &StrayBytes {
         &self.stray_bytes
     }
 
-    /// Connects to a backend, whose present generation this is.
+    /// Connects to a backend. `generation` is the present generation of its connections.
     ///
     /// # Errors
-    /// Where no connection is established by the deadline.
+    /// [`BackendError`] if no connection is established by the deadline.
     pub(super) async fn connect(
         &self,
         address: SocketAddr,
@@ -166,7 +169,7 @@
             .await
             .map_err(BackendError::Handshake)?;
         let task = tokio::task::spawn_local(async move {
-            // How it ended shows in the exchange that was on it.
+            // The exchange that is in flight on the connection returns the error.
             let _ = connection.await;
         });
         Ok(Connection {
@@ -179,12 +182,12 @@
     }
 }
 
-/// One connection to a backend. Dropping it closes it, whatever is in flight on it.
+/// A connection to a backend. Dropping it closes the socket, even with an exchange in flight.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<RequestBody>,
     pub(super) socket: Rc<BackendSocket>,
     task: JoinHandle<()>,
-    /// The generation of the backend that it belongs to.
+    /// The generation of the backend's connections to which this one belongs.
     pub(super) generation: u64,
     _count: SocketCount,
 }
@@ -193,27 +196,27 @@
     /// Waits until the connection can take another request.
     ///
     /// # Errors
-    /// Where it cannot: the backend has closed it, or closes it after this response.
+    /// [`hyper::Error`] if the backend has closed the connection or closes it after the present response.
     pub(super) async fn ready(&mut self) -> Result<(), hyper::Error> {
         self.sender.ready().await
     }
 
-    /// Ends the exchange: what comes from now on belongs to no request.
+    /// Ends the exchange: bytes that arrive from now on belong to no request.
     pub(super) fn end_request(&self) {
         self.socket.end_request();
     }
 
-    /// Returns whether the connection can take a request, as far as the runtime knows.
+    /// Returns whether the connection can take a request, as last seen by the runtime.
     pub(super) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Returns whether the connection has ended, as far as the runtime knows.
+    /// Returns whether the connection has ended, as last seen by the runtime.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Returns what has come in on the socket and was not read.
+    /// Returns what has arrived on the socket and was not read yet.
     pub(super) fn unread(&self) -> Unread {
         self.socket.socket.unread()
     }
--- a/src/proxy/backends/error.rs
+++ b/src/proxy/backends/error.rs
@@ -1,52 +1,52 @@
-//! Why an attempt or a health check got no usable response.
+//! The failures of an exchange with a backend.
 
 use crate::api::Outcome;
 use std::error::Error;
 use std::io;
 
-/// A failed exchange with a backend.
+/// Why an attempt or a health check has no usable response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum BackendError {
     /// Every socket that this proxy may hold to backends is in use.
-    #[error("every socket for backends is in use")]
+    #[error("all sockets for backends are in use")]
     SocketLimit,
     /// This proxy is out of descriptors, ports or memory.
-    #[error("no local resources for a connection")]
+    #[error("out of local resources for a connection")]
     LocalResources(#[source] io::Error),
-    /// The backend did not accept the connection.
-    #[error("connecting failed")]
+    /// The backend refused the connection or could not be reached.
+    #[error("failed to connect")]
     Connect(#[source] io::Error),
     /// The connection was not established in time.
-    #[error("connecting timed out")]
+    #[error("connect timed out")]
     ConnectTimeout,
-    /// The connection ended before it took a request.
-    #[error("the connection was not ready for requests")]
+    /// The connection ended before it could take a request.
+    #[error("connection ended before it was ready for a request")]
     Handshake(#[source] hyper::Error),
     /// The connection broke during the exchange.
-    #[error("the connection broke")]
+    #[error("connection broke during the exchange")]
     Connection(#[source] hyper::Error),
     /// The response cannot be parsed.
-    #[error("the response is malformed")]
+    #[error("malformed response")]
     Malformed(#[source] hyper::Error),
     /// The head of the response announces a body that cannot become a complete response.
-    #[error("the response cannot become complete")]
+    #[error("response cannot become complete")]
     UnusableHead,
     /// The deadline passed.
     #[error("timed out")]
     TimedOut,
-    /// The attempt was cancelled.
+    /// The attempt was cancelled or its request is over.
     #[error("cancelled")]
     Cancelled,
 }
 
 impl BackendError {
-    /// Returns whether the fault is this proxy's. It is reported of no backend: healthy ones would be ejected
-    /// for it.
+    /// Returns whether the fault is this proxy's. Such a fault does not count against the backend, because healthy
+    /// backends would be ejected for it.
     fn is_local(&self) -> bool {
         matches!(self, Self::SocketLimit | Self::LocalResources(_))
     }
 
-    /// Returns whether what came is not a response, and cannot become one.
+    /// Returns whether the received bytes are not a usable response and cannot become one.
     pub(super) fn is_malformed(&self) -> bool {
         matches!(self, Self::Malformed(_) | Self::UnusableHead)
     }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Classifies the failure of a connect.
+    /// Classifies an error of a connect as the backend's or this proxy's.
     pub(super) fn from_connect(error: io::Error) -> Self {
         use io::ErrorKind::*;
         match error.kind() {
@@ -82,7 +82,7 @@
 }
 
 impl From<hyper::Error> for BackendError {
-    /// Classifies the failure of an exchange.
+    /// Classifies an error of the HTTP library during an exchange.
     fn from(error: hyper::Error) -> Self {
         if error.is_parse() || has_unreadable_body(&error) {
             Self::Malformed(error)
@@ -92,7 +92,8 @@
     }
 }
 
-/// Returns whether a body cannot be decoded. For a chunked one, only the kind of the cause shows it.
+/// Returns whether the error is a body that cannot be decoded. For a chunked body, only the kind of its source shows
+/// this.
 fn has_unreadable_body(error: &hyper::Error) -> bool {
     let cause = error
         .source()
--- a/src/proxy/backends/exchange.rs
+++ b/src/proxy/backends/exchange.rs
@@ -1,4 +1,4 @@
-//! One request written and its response read.
+//! The exchange of one request and its response.
 
 use super::error::BackendError;
 use super::response::{BackendBody, BackendResponse, PartialBody, ResponseHead};
@@ -12,14 +12,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// A response of unknown length is streamed from this long after its head, if it is not complete by then.
+/// A 200 response of unknown length that is not complete this long after its head is streamed.
 const STREAM_AFTER: Duration = Duration::from_millis(250);
 
-/// Writes a request and reads the response. A body that fits is read completely, so that one that breaks off
-/// never becomes a response to a client.
+/// Writes a request and reads the response. A body that fits in the buffer is read completely, so that a client never
+/// receives a part of one that breaks off.
 ///
 /// # Errors
-/// Where the connection breaks, or what comes is malformed or cannot become a complete response.
+/// [`BackendError`] if the connection breaks, or if the response is malformed or cannot become complete.
 pub(super) async fn exchange(
     sender: &mut SendRequest<RequestBody>,
     request: Request<RequestBody>,
@@ -43,7 +43,8 @@
     })
 }
 
-/// Reads the body of a 200 response as far as it fits, and waits only so long for one without a length.
+/// Reads the body of a 200 response as far as it fits in the buffer. A body of unknown length is read for at most
+/// [`STREAM_AFTER`].
 async fn read_ok_body(mut incoming: Incoming) -> Result<BackendBody, BackendError> {
     let length = incoming.size_hint().exact();
     let stream_at = Instant::now() + STREAM_AFTER;
@@ -51,7 +52,7 @@
     while may_fit(length, &buffer) {
         let data = match timeout_at(stream_at, next_data(&mut incoming)).await {
             Ok(data) => data,
-            // A body of known length this short is of use only when it is complete.
+            // A body of known length that fits in the buffer is useful only if it is complete.
             Err(_) if length.is_some() => next_data(&mut incoming).await,
             Err(_) => break,
         };
@@ -67,7 +68,8 @@
     }))
 }
 
-/// Reads the body of any other response as far as it fits, for the sake of its connection.
+/// Reads the body of a response other than 200 as far as it fits in the buffer, so that the connection can be used
+/// again.
 async fn read_error_body(mut incoming: Incoming) -> Result<BackendBody, BackendError> {
     let length = incoming.size_hint().exact();
     let mut buffer = BodyBuffer::default();
@@ -80,15 +82,15 @@
     Ok(BackendBody::Unread)
 }
 
-/// Returns whether a body may still fit into what is buffered of one.
+/// Returns whether the complete body may still fit in the buffer.
 fn may_fit(length: Option<u64>, buffer: &BodyBuffer) -> bool {
     length.is_none_or(|length| length <= BUFFERED_BODY_BYTES as u64)
         && buffer.len() <= BUFFERED_BODY_BYTES
 }
 
-/// Returns whether the response may become complete. Where it may not, failing at once leaves time for another
-/// attempt: the rest of a response of gigabytes would be read for nothing. A response that ends with its connection
-/// has to announce that, or it could not be distinguished from a response whose length was lost.
+/// Returns whether the response can become complete. If it cannot, failing at once leaves time for another attempt:
+/// otherwise gigabytes might be read in vain. A response that ends with its connection must announce the close,
+/// because it could not be distinguished from a response whose length was lost.
 fn can_become_complete(response: &Response<Incoming>) -> bool {
     let length = response.body().size_hint();
     let has_end = length.exact().is_some()
@@ -99,6 +101,7 @@
         && response.status() != StatusCode::SWITCHING_PROTOCOLS
 }
 
+/// Returns whether the backend closes the connection after the response.
 fn closes_connection(response: &Response<Incoming>) -> bool {
     let mut options = connection_options(response.headers());
     response.version() == Version::HTTP_10
--- a/src/proxy/backends/health_check.rs
+++ b/src/proxy/backends/health_check.rs
@@ -1,4 +1,4 @@
-//! A health check of one backend.
+//! Health checks of backends.
 
 use super::BackendClient;
 use super::backend_connections::BackendConnections;
@@ -15,13 +15,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a health check may take once its connection is up.
+/// The time limit of a health check, in addition to the connect timeout.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 const LIVENESS_PATH: &str = "/alive";
 const LOAD_PATH: &str = "/metrics/load";
 
 impl BackendClient {
-    /// Checks whether a backend is alive, and requests its load report as well if wanted.
+    /// Checks whether a backend is alive, and requests its load report if `with_load_report` is set.
     pub async fn health_check(
         self: Rc<Self>,
         backend: Rc<BackendConnections>,
@@ -44,7 +44,7 @@
         let exchanged = timeout_at(deadline, exchange(&mut connection.sender, request)).await;
         let response = match exchanged.unwrap_or(Err(BackendError::TimedOut)) {
             Ok(response) => response,
-            Err(error) => return failure(&error, &backend).into(),
+            Err(error) => return failure_outcome(&error, &backend).into(),
         };
         let BackendBody::Complete(body) = &response.body else {
             return Outcome::CorruptResponse.into();
@@ -52,7 +52,7 @@
         let text = String::from_utf8_lossy(&body.joined()).into_owned();
         self.pool.keep(&backend, connection);
         let mut result = response.head.result(&self.load_reports);
-        // The load report may stand in the body instead of in a header.
+        // A backend may send its load report in the body instead of in a header.
         if with_load_report
             && !text.is_empty()
             && result.outcome == Outcome::Ok
@@ -64,6 +64,7 @@
     }
 }
 
+/// Returns the request of a health check.
 fn health_check_call(path: &'static str) -> Call {
     Call {
         method: Method::GET,
@@ -74,8 +75,8 @@
     }
 }
 
-/// Classifies a failed health check.
-fn failure(error: &BackendError, backend: &BackendConnections) -> Outcome {
+/// Logs a failed health check and returns its outcome.
+fn failure_outcome(error: &BackendError, backend: &BackendConnections) -> Outcome {
     tracing::debug!(backend = %backend.address(), %error, "health check failed");
     if error.is_timeout() {
         Outcome::Timeout
--- a/src/proxy/backends/listed_backends.rs
+++ b/src/proxy/backends/listed_backends.rs
@@ -1,4 +1,4 @@
-//! The backends that discovery lists.
+//! The table of the backends that discovery lists.
 
 use super::backend_connections::BackendConnections;
 use crate::api::{BackendId, Micros, Readiness};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The listed backends by their ids.
+/// The connections of each listed backend.
 #[derive(Default)]
 pub(super) struct ListedBackends {
     by_id: RefCell<FxHashMap<BackendId, Rc<BackendConnections>>>,
@@ -22,7 +22,7 @@
         self.by_id.borrow().get(&id).cloned()
     }
 
-    /// Applies what discovery says of one backend.
+    /// Applies the entry of the endpoint list for one backend.
     pub(super) fn update(
         &self,
         id: BackendId,
@@ -32,7 +32,8 @@
     ) {
         let mut by_id = self.by_id.borrow_mut();
         if readiness == Readiness::Removed {
-            // Attempts in flight hold it until they end; a backend of its id later is another one.
+            // Attempts in flight keep the value until they end. A backend that is listed with the same id later gets a
+            // new one.
             if let Some(backend) = by_id.remove(&id) {
                 backend.remove();
             }
@@ -44,7 +45,7 @@
         backend.update(address, readiness, started_at);
     }
 
-    /// Removes the backends that a complete list does not name.
+    /// Removes the backends for which `is_listed` returns false.
     pub(super) fn retain(&self, is_listed: impl Fn(BackendId) -> bool) {
         self.by_id.borrow_mut().retain(|&id, backend| {
             let keep = is_listed(id);
@@ -55,14 +56,15 @@
         });
     }
 
-    /// Calls `visit` with each backend.
+    /// Calls `visit` with the connections of each backend.
     pub(super) fn for_each(&self, visit: impl Fn(&BackendConnections)) {
         for backend in self.by_id.borrow().values() {
             visit(backend);
         }
     }
 
-    /// Closes the connection of all that has been idle for longest. Returns whether there was one.
+    /// Closes the connection that has been idle for longest among those of all backends. Returns whether there was an
+    /// idle connection.
     pub(super) fn close_oldest_idle(&self) -> bool {
         let by_id = self.by_id.borrow();
         let idle_since = by_id.values().filter_map(|backend| {
--- a/src/proxy/backends/load_report.rs
+++ b/src/proxy/backends/load_report.rs
@@ -1,8 +1,8 @@
-//! Load reports of backends.
+//! Parsing of the load reports of backends.
 
-/// Reads load reports (`name=value,...`).
+/// Parses load reports of the form `name=value,...`.
 pub(super) struct LoadReportParser {
-    /// The names of the fields, in the order that the balancer knows.
+    /// Names of the fields, in the order in which the balancer expects their values.
     fields: Vec<String>,
 }
 
@@ -11,7 +11,7 @@
         Self { fields }
     }
 
-    /// Returns the values in the order of the fields; a field that the report lacks is NaN.
+    /// Returns the values in the order of the fields. A field that is missing or not a number is NaN.
     pub(super) fn parse(&self, report: &str) -> Vec<f32> {
         self.fields
             .iter()
@@ -20,6 +20,7 @@
     }
 }
 
+/// Returns the value of one field, if the report has it as a number.
 fn value_of(field: &str, report: &str) -> Option<f32> {
     let mut pairs = report.split(',').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(name, _)| name.trim() == field)?;
--- a/src/proxy/backends/mod.rs
+++ b/src/proxy/backends/mod.rs
@@ -1,20 +1,19 @@
-//! Connections to the backends, and the attempts and health checks that go out on them.
+//! Connections to the backends, and the attempts and health checks that are sent on them.
 //!
-//! A request is written to a connection once and never again by this side: whether it may be repeated is the
-//! balancer's to decide, and it can only decide that if it knows whether the last byte was written, so every
-//! connection counts what its socket took.
+//! An attempt writes its request once. Retries are decided by the balancer, which must know whether the last byte of a
+//! request was written, so each connection counts the bytes that are written to its socket.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `backend_connections`, `listed_backends` | one backend and its idle connections; the backends that discovery lists |
-//! | `pool` | idle connections: kept, reused, closed |
-//! | `connection` | one connection, from connecting on |
-//! | `stray_bytes` | bytes that belong to no request, and the delay before a reuse that they call for |
-//! | `call` | what an attempt takes and returns |
+//! | `backend_connections`, `listed_backends` | the connections of one backend; the table of the listed backends |
+//! | `pool` | reuse, keeping and closing of idle connections |
+//! | `connection` | connecting; one connection and its socket |
+//! | `stray_bytes` | bytes that belong to no request, and the reuse delay that follows them |
+//! | `call` | the inputs and the result of an attempt |
 //! | `attempt`, `health_check` | one attempt of a request; one health check |
-//! | `request`, `exchange`, `relay` | the HTTP request as written, its response as read, a response relayed |
-//! | `response`, `load_report` | a response in the balancer's terms |
-//! | `error` | why there is no response |
+//! | `request`, `exchange`, `relay` | building a request; its exchange for a response; relaying a streamed response |
+//! | `response`, `load_report` | converting a response into the result of an attempt |
+//! | `error` | the failures of an exchange |
 
 mod attempt;
 mod backend_connections;
@@ -42,15 +41,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// All backends that discovery lists, and the connections to them.
+/// Sends attempts and health checks to the listed backends, and owns the connections to them.
 pub struct BackendClient {
     pool: ConnectionPool,
     load_reports: LoadReportParser,
 }
 
 impl BackendClient {
-    /// Creates a set without backends. `idle_timeout` is how long backends keep an idle connection,
-    /// `load_report_fields` the fields of a load report in the order that the balancer knows.
+    /// Creates a client without listed backends. At most `max_sockets` sockets to backends are open at a time, idle
+    /// ones included. `idle_timeout` is how long backends keep an idle connection, `load_report_fields` are the fields
+    /// of a load report in the order in which the balancer expects their values.
     #[must_use]
     pub fn new(
         max_sockets: usize,
@@ -76,19 +76,19 @@
         self.pool.listed_backends.len()
     }
 
-    /// Returns whether none is listed.
+    /// Returns whether no backend is listed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns the connections of a backend, if discovery lists it.
+    /// Returns the connections of a backend, or `None` if it is not listed.
     #[must_use]
     pub fn connections(&self, id: BackendId) -> Option<Rc<BackendConnections>> {
         self.pool.listed_backends.get(id)
     }
 
-    /// Applies what discovery says of one backend.
+    /// Applies the entry of the endpoint list for one backend.
     pub fn update(
         &self,
         id: BackendId,
@@ -101,7 +101,7 @@
             .update(id, address, readiness, started_at);
     }
 
-    /// Removes the backends that a complete list does not name.
+    /// Removes the backends for which `is_listed` returns false.
     pub fn retain(&self, is_listed: impl Fn(BackendId) -> bool) {
         self.pool.listed_backends.retain(is_listed);
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, for as long as the proxy runs.
+    /// Closes connections that have been idle for too long. Never returns.
     pub async fn sweep(self: Rc<Self>) {
         self.pool.sweep().await;
     }
--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections: idle ones are kept for the next attempt, and closed when they grow old.
+//! The pool of connections: keeps idle ones for later attempts and closes those that have been idle for too long.
 
 use super::backend_connections::{BackendConnections, IdleConnection};
 use super::connection::{Connection, Connector};
@@ -10,18 +10,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How often idle connections are checked for their age.
+/// Interval between two sweeps for connections that have been idle for too long.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a connection may take to become ready again after its response.
-const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long before its idle timeout a connection is no longer used: the backend's clock started earlier.
+/// A connection is closed unless it is ready for another request this long after its response: until it is, it takes
+/// one of the sockets but can be neither used nor closed to make room.
+const READY_TIMEOUT: Duration = Duration::from_secs(1);
+/// An idle connection is not used in this time before the backend's idle timeout ends: the backend started to count
+/// earlier than the proxy.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
 /// The limits of a [`ConnectionPool`].
 pub(super) struct PoolLimits {
-    /// The most sockets to backends that are open at a time, idle ones too.
+    /// The most sockets to backends that may be open at a time, idle ones included.
     pub(super) max_sockets: usize,
-    /// How long a connect may take.
+    /// The time limit of a connect.
     pub(super) connect_timeout: Duration,
     /// How long backends keep an idle connection.
     pub(super) idle_timeout: Duration,
@@ -33,7 +35,7 @@
     connector: Connector,
     max_sockets: usize,
     connect_timeout: Duration,
-    /// How long a connection may be idle and still be used.
+    /// How long a connection may be idle before it is no longer used.
     max_idle: Duration,
 }
 
@@ -55,7 +57,7 @@
         self.connect_timeout
     }
 
-    /// Closes connections that have been idle for too long, for as long as the proxy runs.
+    /// Closes connections that have been idle for too long. Never returns.
     pub(super) async fn sweep(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -64,10 +66,10 @@
         }
     }
 
-    /// Returns a clean connection that is past its delay for reuse, or a new one.
+    /// Returns a clean idle connection after its reuse delay, or a new connection.
     ///
     /// # Errors
-    /// Where no connection is established by the deadline.
+    /// [`BackendError`] if no connection is established by the deadline.
     pub(super) async fn connection(
         &self,
         backend: &BackendConnections,
@@ -86,12 +88,13 @@
         self.connect(backend, deadline).await
     }
 
-    /// Keeps a connection for the next attempt once it is ready again.
+    /// Keeps a connection as idle once it is ready for another request. A connection of an earlier generation is
+    /// closed instead.
     pub(super) fn keep(&self, backend: &Rc<BackendConnections>, mut connection: Connection) {
         connection.end_request();
         let backend = Rc::clone(backend);
         tokio::task::spawn_local(async move {
-            let ready = timeout(SETTLE_TIMEOUT, connection.ready()).await;
+            let ready = timeout(READY_TIMEOUT, connection.ready()).await;
             if matches!(ready, Ok(Ok(()))) && backend.generation() == connection.generation {
                 backend.push_idle(IdleConnection {
                     connection,
@@ -101,12 +104,13 @@
         });
     }
 
-    /// Returns whether a connection is open and was not idle for too long.
+    /// Returns whether a connection is open and has not been idle for too long.
     fn is_usable(&self, idle: &IdleConnection) -> bool {
         !idle.connection.is_closed() && idle.since.elapsed() < self.max_idle
     }
 
-    /// Returns whether nothing has come in since its response: neither the backend's close nor stray bytes.
+    /// Returns whether a connection is usable and nothing has arrived on it since its last response, neither the
+    /// backend's close nor stray bytes. Stray bytes are recorded.
     fn is_clean(&self, idle: &IdleConnection) -> bool {
         if !self.is_usable(idle) || !idle.connection.is_ready() {
             return false;
@@ -118,7 +122,7 @@
         unread == Unread::Nothing
     }
 
-    /// Takes the clean connection that was used last. The others may then grow old and be closed.
+    /// Takes the most recently used clean connection, so that surplus connections stay idle and are closed.
     fn take_idle(&self, backend: &BackendConnections) -> Option<IdleConnection> {
         while let Some(idle) = backend.pop_idle() {
             if self.is_clean(&idle) {
@@ -128,12 +132,16 @@
         None
     }
 
-    /// Makes room for one more socket. Returns false where every socket is in use.
+    /// Makes room for one more socket by closing an idle connection if the limit is reached. Returns false if every
+    /// socket is in use.
     fn make_room(&self) -> bool {
         self.connector.open_sockets() < self.max_sockets || self.listed_backends.close_oldest_idle()
     }
 
-    /// Connects to a backend, if there is room for another socket.
+    /// Connects to a backend.
+    ///
+    /// # Errors
+    /// [`BackendError::SocketLimit`] if every socket is in use; otherwise the error of the connect.
     async fn connect(
         &self,
         backend: &BackendConnections,
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -1,4 +1,4 @@
-//! A response that is relayed to its client while it comes.
+//! Relaying of a streamed response to its client.
 
 use super::call::RequestOver;
 use super::error::BackendError;
@@ -13,11 +13,13 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// How long a relayed response may come too slowly at first. A response may be half a second late.
+/// Time at the start of a relayed response in which its rate is not checked. A response may be half a second late.
 const GRACE: Duration = Duration::from_millis(250);
 
-/// Relays a body as fast as its client takes it, and returns the outcome of its attempt. One of unknown length
-/// that has a usual size so far and comes too slowly once its request is over is taken for one without an end.
+/// Relays a body at the rate at which the client reads it, and returns the outcome of the attempt.
+///
+/// A body of unknown length counts as endless and is cut off if it arrives too slowly after its request is over, as
+/// long as no more than [`BUFFERED_BODY_BYTES`] of it were forwarded.
 pub(super) async fn relay_body(
     sender: ResponseSender,
     body: PartialBody,
@@ -49,7 +51,7 @@
     sender: ResponseSender,
     rest: Incoming,
     length: Option<u64>,
-    /// Bytes that the client's side has taken.
+    /// Number of bytes passed to the client's side.
     forwarded: u64,
     deadline: BodyDeadline,
     cancel: oneshot::Receiver<()>,
@@ -57,7 +59,7 @@
 }
 
 impl Relay<'_> {
-    /// Forwards `first` and then what comes.
+    /// Forwards `first` and then the rest of the body.
     async fn run(&mut self, first: BufferedBody) -> Result<(), Outcome> {
         for piece in first.into_pieces() {
             self.forward(piece).await?;
@@ -68,11 +70,14 @@
         Ok(())
     }
 
-    /// Returns the next data of the body; `None` at its end.
+    /// Returns the next data of the body, or `None` at its end.
+    ///
+    /// # Errors
+    /// The outcome of the attempt if the body fails, is cut off, or is no longer wanted.
     async fn receive(&mut self) -> Result<Option<Bytes>, Outcome> {
         let request_over = self.request_over;
         let late_at = self.deadline.after(self.forwarded);
-        // While this waits, all that has come was forwarded, however slowly its client reads.
+        // All received data is forwarded before this waits, so a slow client does not count against the backend.
         let too_slow = async {
             request_over.wait().await;
             sleep_until(late_at).await;
@@ -82,7 +87,7 @@
             biased;
             received = timeout(RESPONSE_STALL_TIMEOUT, next_data(&mut self.rest)) => match received {
                 Ok(Ok(data)) => Ok(data),
-                Ok(Err(error)) => Err(failure(error)),
+                Ok(Err(error)) => Err(failure_outcome(error)),
                 Err(_) => Err(Outcome::Timeout),
             },
             () = self.sender.closed() => Err(Outcome::Cancelled),
@@ -91,7 +96,10 @@
         }
     }
 
-    /// Forwards data once the client's side takes it.
+    /// Forwards data to the client's side and waits until it is accepted.
+    ///
+    /// # Errors
+    /// The outcome of the attempt if the body is too large or the client does not read it.
     async fn forward(&mut self, data: Bytes) -> Result<(), Outcome> {
         self.forwarded += data.len() as u64;
         if self.forwarded > MAX_FORWARDED_BODY_BYTES {
@@ -104,8 +112,8 @@
     }
 }
 
-/// Classifies a body that broke off.
-fn failure(error: hyper::Error) -> Outcome {
+/// Returns the outcome of an attempt whose body failed.
+fn failure_outcome(error: hyper::Error) -> Outcome {
     if BackendError::from(error).is_malformed() {
         Outcome::CorruptResponse
     } else {
--- a/src/proxy/backends/request.rs
+++ b/src/proxy/backends/request.rs
@@ -1,4 +1,4 @@
-//! An attempt's HTTP request as it is written.
+//! Building of the HTTP request of an attempt or a health check.
 
 use super::call::Call;
 use crate::proxy::bodies::RequestBody;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Builds the request of a call to the backend at `address`, which has `remaining` to respond.
+/// Builds the request of a call to the backend at `address`, and tells the backend that it has `remaining` to respond.
 pub(super) fn build_request(
     call: &Call,
     body: RequestBody,
@@ -37,8 +37,8 @@
     request
 }
 
-/// Returns the least number of bytes that a request takes on the wire. If fewer were written, the backend can't
-/// have begun it.
+/// Returns the least number of bytes that a request takes on the wire. If fewer were written, the backend cannot have
+/// begun to run it.
 pub(super) fn minimum_size(request: &Request<RequestBody>, body_size: u64) -> u64 {
     let target_size = request
         .uri()
--- a/src/proxy/backends/response.rs
+++ b/src/proxy/backends/response.rs
@@ -1,4 +1,4 @@
-//! A backend's response, and what it means in the balancer's terms.
+//! A backend's response and its conversion into the result of an attempt.
 
 use super::call::{AttemptResult, Served};
 use super::load_report::LoadReportParser;
@@ -8,10 +8,12 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName, HeaderValue};
 
+/// The header by which a backend says that it did not run the request.
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
+/// The header with a backend's load report.
 const LOAD: HeaderName = HeaderName::from_static("x-backend-load");
 
-/// A backend's response as far as it was read.
+/// A backend's response, read as far as its body fits in the buffer.
 pub(super) struct BackendResponse {
     pub(super) head: ResponseHead,
     pub(super) body: BackendBody,
@@ -23,28 +25,29 @@
     pub(super) headers: HeaderMap,
 }
 
-/// The body of a response as far as it was read.
+/// The body of a response, read as far as it fits in the buffer.
 pub(super) enum BackendBody {
-    /// All of it.
+    /// The complete body.
     Complete(BufferedBody),
-    /// The beginning of a 200 response, which is relayed.
+    /// The body of a 200 response of which the beginning was read; it is relayed to the client.
     Partial(PartialBody),
-    /// Not read: it is of no use, and too large to be read for the sake of its connection.
+    /// The body of a response other than 200 that does not fit in the buffer. It is not forwarded, and its connection
+    /// is not kept.
     Unread,
 }
 
-/// A body of which some has come.
+/// A body of which the beginning has arrived.
 pub(super) struct PartialBody {
-    /// What has come.
+    /// The part that was read.
     pub(super) first: BufferedBody,
-    /// What is still to come.
+    /// The rest of the body.
     pub(super) rest: Incoming,
-    /// The length of all of it, where the backend announced it.
+    /// The length of the complete body in bytes; `None` if the backend does not announce it.
     pub(super) length: Option<u64>,
 }
 
 impl BackendResponse {
-    /// Translates the response into the result of its attempt.
+    /// Converts the response into the result of its attempt.
     pub(super) fn into_result(self, load_reports: &LoadReportParser) -> AttemptResult {
         let mut result = self.head.result(load_reports);
         if result.outcome == Outcome::Ok
@@ -75,10 +78,12 @@
         }
     }
 
+    /// Returns the value of the `Content-Type` header.
     pub(super) fn content_type(&self) -> Option<HeaderValue> {
         self.headers.get(CONTENT_TYPE).cloned()
     }
 
+    /// Returns the outcome by the status, and by whether the backend says that it did not run the request.
     fn outcome(&self) -> Outcome {
         match self.status {
             StatusCode::OK => Outcome::Ok,
--- a/src/proxy/backends/tests.rs
+++ b/src/proxy/backends/tests.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 #[test]
-fn removed_backends_are_forgotten() {
+fn removed_and_unlisted_backends_leave_the_table() {
     let client = BackendClient::new(10, 1, 1, Vec::new(), Counters::new(&[]));
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     for id in 0..100 {
--- a/src/proxy/bodies/buffered.rs
+++ b/src/proxy/bodies/buffered.rs
@@ -1,4 +1,4 @@
-//! Bodies that are buffered completely.
+//! Bodies that are held completely in memory.
 
 use super::stream::{BodyError, FramePoll};
 use crate::proxy::size_limits::BUFFERED_BODY_BYTES;
@@ -8,11 +8,11 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A body that is held completely, in pieces.
+/// A body that is held completely in memory, in pieces.
 #[derive(Clone, Debug, Default)]
 pub struct BufferedBody {
     pub(super) pieces: VecDeque<Bytes>,
-    /// The bytes of the pieces together.
+    /// The total length of the pieces in bytes.
     pub(super) remaining: u64,
 }
 
@@ -28,12 +28,12 @@
 }
 
 impl BufferedBody {
-    /// Returns its pieces, in order.
+    /// Returns the pieces in order.
     pub fn into_pieces(self) -> impl Iterator<Item = Bytes> {
         self.pieces.into_iter()
     }
 
-    /// Returns its bytes in one piece.
+    /// Returns a copy of the body in one piece.
     #[must_use]
     pub fn joined(&self) -> Vec<u8> {
         let mut joined = Vec::new();
@@ -65,18 +65,18 @@
     }
 }
 
-/// Collects a body as it comes. A single piece is held without a copy; several are copied to pieces of
-/// [`BUFFERED_BODY_BYTES`] bytes: a buffer that grows in place leaves as much memory unused as a large body takes.
+/// Collects the pieces of a body as they arrive. A single piece is held without a copy. Several are copied to pieces of
+/// [`BUFFERED_BODY_BYTES`] bytes, because one growing buffer could leave as much memory unused as a large body takes.
 #[derive(Default)]
 pub struct BodyBuffer {
-    /// The pieces that are full.
+    /// The completed pieces.
     full: BufferedBody,
     /// The piece that is being filled.
     last: Vec<u8>,
 }
 
 impl BodyBuffer {
-    /// Adds a piece.
+    /// Appends data to the body.
     pub fn add(&mut self, data: Bytes) {
         if self.is_empty() {
             self.full = data.into();
@@ -86,7 +86,7 @@
             && self.full.pieces.len() == 1
             && self.full.remaining < BUFFERED_BODY_BYTES as u64
         {
-            // The first one was not copied.
+            // The first piece was held without a copy.
             let first = std::mem::take(&mut self.full);
             for piece in &first.pieces {
                 self.copy(piece);
@@ -95,9 +95,10 @@
         self.copy(&data);
     }
 
+    /// Copies data to the piece that is being filled, and to new pieces as it becomes full.
     fn copy(&mut self, mut data: &[u8]) {
         while !data.is_empty() {
-            // Most bodies are small; what is larger than one piece takes whole ones.
+            // The first piece grows as needed because most bodies are small. Later ones are allocated whole.
             if self.last.is_empty() && !self.full.pieces.is_empty() {
                 self.last.reserve_exact(BUFFERED_BODY_BYTES);
             }
@@ -111,6 +112,7 @@
         }
     }
 
+    /// Completes the piece that is being filled.
     fn finish_piece(&mut self) {
         let last = std::mem::take(&mut self.last);
         self.full.remaining += last.len() as u64;
@@ -123,7 +125,7 @@
         self.full.remaining as usize + self.last.len()
     }
 
-    /// Returns whether there are none.
+    /// Returns whether no bytes were collected.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
--- a/src/proxy/bodies/deadline.rs
+++ b/src/proxy/bodies/deadline.rs
@@ -1,21 +1,22 @@
-//! How long a body may take.
+//! The deadline of a body that is received.
 
 use crate::proxy::clock::MICROS_PER_SECOND;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A sender that is slower than this, beyond the time that any body may take, is cut off.
+/// The least average rate of a body after its grace period. A slower body is cut off.
 const MIN_BYTES_PER_SECOND: u64 = 32 * 1024;
 
-/// How long a body may take: a grace, and longer the more bytes of it have come.
+/// The deadline of a body: the end of a grace period, extended by the time that the received bytes take at the least
+/// rate.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyDeadline {
-    /// When a body is late of which nothing has come.
+    /// The end of the grace period: the deadline of a body of which nothing was received.
     pub grace_ends: Instant,
 }
 
 impl BodyDeadline {
-    /// Returns when a body is late of which this many bytes have come.
+    /// Returns the deadline of a body of which `bytes` bytes were received.
     #[must_use]
     pub fn after(&self, bytes: u64) -> Instant {
         let transfer_micros = bytes.saturating_mul(MICROS_PER_SECOND) / MIN_BYTES_PER_SECOND;
--- a/src/proxy/bodies/message_bodies.rs
+++ b/src/proxy/bodies/message_bodies.rs
@@ -1,7 +1,7 @@
 //! The bodies of requests, of their attempts and of responses: each is buffered completely or streamed.
 
 use super::stream::{BodyError, FramePoll};
-use super::{BufferedBody, Progress, StreamedResponse, Upload};
+use super::{BufferedBody, StreamedResponse, Upload, UploadProgress};
 use crate::proxy::budget::Reservation;
 use bytes::Bytes;
 use hyper::body::{Body, SizeHint};
@@ -11,15 +11,15 @@
 use std::rc::Rc;
 use std::task::Context;
 
-/// A body that is streamed, until an attempt takes it.
+/// A streamed body that the first attempt takes; `None` from then on.
 pub type PendingUpload = Rc<RefCell<Option<Upload>>>;
 
-/// A request's body, for its attempts.
+/// The body of a client's request, from which attempts take theirs.
 pub enum CallBody {
-    /// It can be sent any number of times. The memory is reserved until this is dropped.
+    /// A buffered body, which can be sent any number of times. The reservations hold the memory that it takes.
     Buffered(BufferedBody, Vec<Reservation>),
-    /// The first attempt that has a connection takes it.
-    Streamed(PendingUpload, Rc<Progress>),
+    /// A streamed body. The first attempt that has a connection takes it.
+    Streamed(PendingUpload, Rc<UploadProgress>),
 }
 
 impl fmt::Debug for CallBody {
@@ -45,16 +45,16 @@
 }
 
 impl CallBody {
-    /// Returns its progress, if it is streamed.
+    /// Returns the progress of a streamed body; `None` for a buffered one.
     #[must_use]
-    pub fn progress(&self) -> Option<&Rc<Progress>> {
+    pub fn progress(&self) -> Option<&Rc<UploadProgress>> {
         match self {
             Self::Buffered(..) => None,
             Self::Streamed(_, progress) => Some(progress),
         }
     }
 
-    /// Returns where an attempt takes it from, if it is streamed.
+    /// Returns the slot from which an attempt takes a streamed body; `None` for a buffered one.
     #[must_use]
     pub fn pending_upload(&self) -> Option<PendingUpload> {
         match self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns what an attempt sends; `None` where another one has taken it.
+    /// Returns the body for an attempt, or `None` if another attempt has taken the streamed body.
     #[must_use]
     pub fn for_attempt(&self) -> Option<RequestBody> {
         match self {
@@ -75,15 +75,15 @@
     }
 }
 
-/// A body that is written.
+/// A body that is sent to a backend or a client.
 pub enum OutgoingBody<P> {
-    /// Buffered completely.
+    /// A body that is held completely.
     Buffered(BufferedBody),
-    /// Streamed piece by piece.
+    /// A body that is streamed piece by piece.
     Streamed(P),
 }
 
-/// The body of an attempt.
+/// The body of a request to a backend.
 pub type RequestBody = OutgoingBody<Box<Upload>>;
 /// The body of a response to a client.
 pub type ResponseBody = OutgoingBody<StreamedResponse>;
@@ -117,9 +117,9 @@
 /// The body of a backend's response.
 #[derive(Debug)]
 pub enum ServedBody {
-    /// Buffered completely.
+    /// A body that was received completely.
     Buffered(BufferedBody),
-    /// Its beginning has come.
+    /// A body of which only the beginning has arrived.
     Streamed(StreamedResponse),
 }
 
--- a/src/proxy/bodies/mod.rs
+++ b/src/proxy/bodies/mod.rs
@@ -1,13 +1,13 @@
-//! Bodies: buffered completely, or streamed piece by piece. Whoever reads a streamed one holds back its sender,
-//! so that it takes the memory of a few pieces whatever its size.
+//! Bodies of requests and responses: buffered completely or streamed piece by piece. A streamed body is read only as
+//! fast as it is forwarded, so it takes the memory of a few pieces whatever its size.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | `buffered` | bodies that are held completely |
-//! | `upload`, `streamed` | a request's and a response's body that is streamed |
-//! | `stream` | what both share: the length, the error |
+//! | `upload`, `streamed` | streamed bodies of requests; of responses |
+//! | `stream` | length and errors of streamed bodies |
 //! | `message_bodies` | the bodies of requests, attempts and responses, each buffered or streamed |
-//! | `deadline` | how long a body may take |
+//! | `deadline` | the deadline of a body that is received |
 
 mod buffered;
 mod deadline;
@@ -23,16 +23,16 @@
 };
 pub use stream::BodyError;
 pub use streamed::{ReceiverClosed, ResponseSender, StreamedResponse};
-pub use upload::{Progress, Upload};
+pub use upload::{Upload, UploadProgress};
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// Reads the next data of a body. Returns `None` at its end.
+/// Returns the next data of a body, or `None` at its end.
 ///
 /// # Errors
-/// Where the body breaks off or can't be parsed.
+/// [`hyper::Error`] if the body breaks off or cannot be parsed.
 pub async fn next_data(body: &mut Incoming) -> Result<Option<Bytes>, hyper::Error> {
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame?.into_data() {
--- a/src/proxy/bodies/stream.rs
+++ b/src/proxy/bodies/stream.rs
@@ -1,38 +1,39 @@
-//! What the bodies that are streamed share: how much of them is still to come, and how they fail.
+//! The length and the errors of streamed bodies.
 
+use crate::proxy::size_limits::MAX_FORWARDED_BODY_BYTES;
 use bytes::Bytes;
 use hyper::body::{Frame, SizeHint};
 use std::task::Poll;
 
-/// What a poll of a body returns.
+/// The result of polling a body for its next frame.
 pub(super) type FramePoll = Poll<Option<Result<Frame<Bytes>, BodyError>>>;
 
 /// Why a body ended early.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// Its sender ended it before its last byte.
-    #[error("the body is incomplete")]
+    /// The sender ended the body before its last byte.
+    #[error("body ended before its last byte")]
     Incomplete(#[source] Option<hyper::Error>),
-    /// It is larger than any body that is forwarded.
-    #[error("the body is too large")]
+    /// The body is larger than [`MAX_FORWARDED_BODY_BYTES`].
+    #[error("body exceeds {max} bytes", max = MAX_FORWARDED_BODY_BYTES)]
     TooLarge,
-    /// It came too slowly.
-    #[error("the body is late")]
+    /// The body arrived too slowly.
+    #[error("body arrived too slowly")]
     TimedOut,
 }
 
 impl BodyError {
-    /// Returns whether the body came too slowly.
+    /// Returns whether the body arrived too slowly.
     #[must_use]
     pub fn is_timeout(&self) -> bool {
         matches!(self, Self::TimedOut)
     }
 }
 
-/// The length of a streamed body, and how many bytes of it were forwarded.
+/// The length of a streamed body, and the number of its bytes that were forwarded.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StreamLength {
-    /// `None` where the sender does not announce it.
+    /// Length in bytes; `None` if the sender does not announce it.
     total: Option<u64>,
     forwarded: u64,
 }
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Counts forwarded bytes.
+    /// Adds to the number of forwarded bytes.
     pub(super) fn forward(&mut self, bytes: usize) {
         self.forwarded += bytes as u64;
     }
@@ -54,12 +55,12 @@
         self.forwarded
     }
 
-    /// Returns the number of bytes that are still to come, where the length is known.
+    /// Returns the number of bytes that are not forwarded yet; `None` for a body of unknown length.
     pub(super) fn remaining(&self) -> Option<u64> {
         self.total.map(|total| total.saturating_sub(self.forwarded))
     }
 
-    /// Returns whether a body of known length is complete.
+    /// Returns whether the length is known and all bytes were forwarded.
     pub(super) fn is_complete(&self) -> bool {
         self.remaining() == Some(0)
     }
--- a/src/proxy/bodies/streamed.rs
+++ b/src/proxy/bodies/streamed.rs
@@ -1,4 +1,4 @@
-//! A response that is streamed from its backend to its client.
+//! Responses that are streamed from a backend to a client.
 
 use super::stream::{BodyError, FramePoll, StreamLength};
 use crate::proxy::connections::ClientConnection;
@@ -12,26 +12,26 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// What goes through the channel of a response.
+/// An item of the channel between the two ends of a response.
 enum Piece {
     Data(Bytes),
-    /// It is complete.
+    /// The end of a complete response.
     End,
 }
 
-/// A streamed response at the side of the backend.
+/// The backend's end of a streamed response.
 pub struct ResponseSender(mpsc::Sender<Piece>);
 
-/// The client has disconnected, or reads no more.
+/// The client has disconnected, or has read nothing for the timeout.
 #[derive(Debug, thiserror::Error)]
-#[error("the client reads no more of the response")]
+#[error("client no longer reads the response")]
 pub struct ReceiverClosed;
 
 impl ResponseSender {
-    /// Forwards a piece once there is room for it, within `timeout`.
+    /// Forwards data as soon as the client has read the data before.
     ///
     /// # Errors
-    /// Where the client does not read it.
+    /// [`ReceiverClosed`] if the client has disconnected, or does not read within `timeout`.
     pub async fn send(&self, data: Bytes, timeout: Duration) -> Result<(), ReceiverClosed> {
         self.0
             .send_timeout(Piece::Data(data), timeout)
@@ -39,24 +39,24 @@
             .map_err(|_| ReceiverClosed)
     }
 
-    /// Marks the response as complete. A response whose sender is dropped before has broken off.
+    /// Marks the response as complete. If the sender is dropped without this call, the response breaks off.
     pub async fn finish(self) {
         let _ = self.0.send(Piece::End).await;
     }
 
-    /// Waits until the client reads no more of the response.
+    /// Waits until the client's end is dropped.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
-/// A streamed response at the side of the client.
+/// The client's end of a streamed response.
 pub struct StreamedResponse {
     pieces: mpsc::Receiver<Piece>,
     length: StreamLength,
-    /// Counted as passed with the last byte.
+    /// The ticket of the request, which is counted as served with the last byte.
     ticket: Option<RequestTicket>,
-    /// The connection that it goes out on, whose request is answered when this is dropped.
+    /// The client's connection, whose present request ends when the response is dropped.
     connection: Option<Rc<ClientConnection>>,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl StreamedResponse {
-    /// Creates the two ends of a response whose body has that length.
+    /// Creates both ends of a response with a body of `length` bytes; `None` if the length is unknown.
     #[must_use]
     pub fn channel(length: Option<u64>) -> (ResponseSender, Self) {
         let (sender, pieces) = mpsc::channel(1);
@@ -88,12 +88,12 @@
         (ResponseSender(sender), streamed)
     }
 
-    /// Sets the request that it answers, which is counted when it ends.
+    /// Sets the ticket that counts the request when the response ends.
     pub fn set_ticket(&mut self, ticket: RequestTicket) {
         self.ticket = Some(ticket);
     }
 
-    /// Sets the connection that it goes out on.
+    /// Sets the client's connection on which the response is sent.
     pub fn set_connection(&mut self, connection: Rc<ClientConnection>) {
         self.connection = Some(connection);
     }
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -1,4 +1,4 @@
-//! A request's body that is streamed to a backend, and its progress.
+//! Bodies of requests that are streamed from a client to a backend.
 
 use super::stream::{BodyError, FramePoll, StreamLength};
 use super::{BodyDeadline, BufferedBody};
@@ -15,50 +15,50 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// How far an upload is.
+/// The state of an upload.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum UploadState {
-    /// Its last byte was not forwarded yet.
+    /// The last byte was not forwarded yet.
     #[default]
     Sending,
-    /// Its last byte was forwarded at that time.
+    /// The last byte was forwarded at this time.
     Finished(Instant),
-    /// The client did not send it as it should have.
-    Broken,
+    /// The client broke the body off, or sent it too slowly or too much of it.
+    Failed,
 }
 
-/// The progress of a body that is streamed to a backend.
+/// The progress of an upload, shared by the upload and the attempts of its request.
 #[derive(Debug, Default)]
-pub struct Progress {
+pub struct UploadProgress {
     state: Cell<UploadState>,
-    /// Some of it was forwarded, and is not held any more.
+    /// Whether a part of the body was forwarded and is no longer held.
     consumed: Cell<bool>,
     finished: Notify,
 }
 
-impl Progress {
-    /// Returns when its last byte was forwarded.
+impl UploadProgress {
+    /// Returns when the last byte was forwarded; `None` if it was not.
     #[must_use]
     pub fn finished_at(&self) -> Option<Instant> {
         match self.state.get() {
             UploadState::Finished(at) => Some(at),
-            UploadState::Sending | UploadState::Broken => None,
+            UploadState::Sending | UploadState::Failed => None,
         }
     }
 
-    /// Returns whether some of it was forwarded, so that it can't be sent again.
+    /// Returns whether a part of the body was forwarded, so that the body cannot be sent again.
     #[must_use]
     pub fn is_consumed(&self) -> bool {
         self.consumed.get()
     }
 
-    /// Returns whether the client did not send it as it should have.
+    /// Returns whether the client broke the body off, or sent it too slowly or too much of it.
     #[must_use]
-    pub fn is_broken(&self) -> bool {
-        self.state.get() == UploadState::Broken
+    pub fn has_failed(&self) -> bool {
+        self.state.get() == UploadState::Failed
     }
 
-    /// Waits until its last byte was forwarded, and returns when that was.
+    /// Waits until the last byte is forwarded, and returns when it was.
     pub async fn finished(&self) -> Instant {
         loop {
             if let Some(at) = self.finished_at() {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Records the time of the last byte, once.
+    /// Records that the last byte was forwarded now. Later calls have no effect.
     fn finish(&self) {
         if self.finished_at().is_none() {
             self.state.set(UploadState::Finished(Instant::now()));
@@ -77,21 +77,21 @@
     }
 }
 
-/// A request's body that is streamed: what has come of it, and the rest.
+/// A streamed body of a request: the part that was received before the upload began, and the rest.
 pub struct Upload {
     first: BufferedBody,
-    /// Memory for `first`, a reservation a piece.
+    /// Memory for `first`, one reservation for each piece.
     reserved: Vec<Reservation>,
     rest: Incoming,
     deadline: BodyDeadline,
     sleep: Pin<Box<Sleep>>,
     length: StreamLength,
-    pub(super) progress: Rc<Progress>,
+    pub(super) progress: Rc<UploadProgress>,
     counters: Rc<Counters>,
 }
 
 impl Upload {
-    /// Creates an upload, of which `first` has come.
+    /// Creates an upload of which `first` was received. `reserved` is the memory of `first`.
     #[must_use]
     pub fn new(
         first: BufferedBody,
@@ -114,12 +114,12 @@
         }
     }
 
-    /// Reads what is still to come and drops it, within its time.
+    /// Reads and discards the rest of the body, until its end or its deadline.
     pub async fn drain(mut self) {
         while let Some(Ok(_)) = self.frame().await {}
     }
 
-    /// Hands data to the writer, and counts it.
+    /// Passes data to the writer and counts it.
     fn forward(&mut self, data: Bytes) -> FramePoll {
         self.progress.consumed.set(true);
         self.length.forward(data.len());
@@ -132,23 +132,23 @@
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
-    /// Ends the body early.
+    /// Ends the body with an error.
     fn fail(&self, error: BodyError) -> FramePoll {
-        self.progress.state.set(UploadState::Broken);
+        self.progress.state.set(UploadState::Failed);
         Poll::Ready(Some(Err(error)))
     }
 
     /// Ends the body after its last byte.
     fn finish(&self) {
-        // A body of unknown length is written completely only now.
+        // For a body of unknown length, the request is complete only now.
         if self.length.remaining().is_none() && self.progress.finished_at().is_none() {
             self.counters.record_attempt();
         }
         self.progress.finish();
     }
 
-    /// Fails once the body is late.
-    fn poll_late(&mut self, cx: &mut Context<'_>) -> FramePoll {
+    /// Ends the body with an error once its deadline has passed.
+    fn poll_deadline(&mut self, cx: &mut Context<'_>) -> FramePoll {
         let deadline = self.deadline.after(self.length.forwarded());
         if self.sleep.deadline() < deadline {
             self.sleep.as_mut().reset(deadline);
@@ -164,7 +164,7 @@
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
         if let Some(piece) = self.first.pieces.pop_front() {
-            // Whoever wants a further one has written the one before.
+            // The writer polls for a piece only after it has written the previous one, whose memory is released.
             self.reserved.pop();
             return self.forward(piece);
         }
@@ -172,7 +172,7 @@
         loop {
             match Pin::new(&mut self.rest).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    // Trailers say nothing that a backend needs.
+                    // Trailers are not forwarded: backends do not need them.
                     if let Ok(data) = frame.into_data() {
                         return self.forward(data);
                     }
@@ -184,7 +184,7 @@
                     self.finish();
                     return Poll::Ready(None);
                 }
-                Poll::Pending => return self.poll_late(cx),
+                Poll::Pending => return self.poll_deadline(cx),
             }
         }
     }
