--- a/src/proxy/budget.rs
+++ b/src/proxy/budget.rs
@@ -1,38 +1,37 @@
-//! Division of the limits on memory and descriptors between clients, backends and bodies.
+//! Division of the limits on memory and descriptors among clients, backends and bodies.
 
 use super::size_limits::{BUFFERED_BODY_BYTES, MAX_BACKEND_HEAD_BYTES, MAX_CLIENT_HEAD_BYTES};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The most operators' calls that are open at a time.
+/// The largest number of operators' calls that are open at a time.
 pub const MAX_OPERATOR_CALLS: usize = 12;
 const BYTES_PER_MB: usize = 1 << 20;
 
-/// What one process may take.
+/// The limits of one process.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    /// The most client connections that are open at a time.
+    /// The largest number of client connections that are open at a time.
     pub clients: usize,
-    /// The most backend connections that are open at a time, idle ones included.
+    /// The largest number of backend connections that are open at a time, idle ones included.
     pub backends: usize,
-    /// Memory for bodies that are larger than what each connection may hold.
+    /// Memory for the parts of bodies beyond the [`BUFFERED_BODY_BYTES`] that each connection may hold.
     pub bodies: MemoryBudget,
 }
 
 impl Budget {
-    /// Divides limits that hold for `processes` processes together. Each process sets `reserved`
-    /// descriptors aside.
+    /// Returns the budget of one of `processes` processes that share the limits `descriptors` and `memory_mb`. Each
+    /// process sets `reserved` descriptors aside for other uses.
     ///
-    /// The memory has to suffice for all connections at once: two fifths of it are for heads and
-    /// bodies from clients, a fifth for those from backends, a fifth for larger bodies, and a fifth
-    /// for everything else.
+    /// The memory must suffice for all connections at once: two fifths of it are for heads and bodies from clients, one
+    /// fifth for heads and bodies from backends, one fifth for larger bodies, and one fifth for everything else.
     #[must_use]
     pub fn of(descriptors: usize, memory_mb: usize, reserved: usize, processes: usize) -> Self {
         let own_descriptors = (descriptors / processes).max(2 * reserved);
         let sockets = own_descriptors - reserved;
         let fifth_bytes = memory_mb.saturating_mul(BYTES_PER_MB) / processes / 5;
-        // Clients get the larger part: a request that waits for a backend connection holds a client
-        // connection.
+        // Clients get more sockets than backends, because a request that waits for a backend connection already holds
+        // a client connection.
         let client_sockets = sockets * 3 / 5;
         let backend_sockets = sockets - client_sockets;
         let clients =
@@ -47,7 +46,7 @@
     }
 }
 
-/// A number of bytes of which parts can be reserved. Clones share it.
+/// An amount of memory in bytes of which parts can be reserved. Clones share the amount.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
     available: Arc<AtomicUsize>,
@@ -60,7 +59,7 @@
         }
     }
 
-    /// Reserves bytes until the reservation is dropped; `None` where fewer are available.
+    /// Reserves bytes until the returned reservation is dropped. Returns `None` if fewer are available.
     #[must_use]
     pub fn reserve(&self, bytes: usize) -> Option<Reservation> {
         let subtract = |available: usize| available.checked_sub(bytes);
@@ -74,7 +73,7 @@
     }
 }
 
-/// Reserved bytes. Dropped, they are available again.
+/// Reserved memory of a [`MemoryBudget`], which is released on drop.
 #[derive(Debug)]
 pub struct Reservation {
     bytes: usize,
--- a/src/proxy/budget/tests.rs
+++ b/src/proxy/budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_memory_suffices_for_all_connections() {
+fn all_connections_together_stay_within_the_limits() {
     for (descriptors, memory_mb, processes) in [
         (256, 32, 1),
         (1_024, 32, 2),
@@ -22,9 +22,9 @@
 }
 
 #[test]
-fn dropped_reservations_are_available_again() {
+fn memory_of_a_dropped_reservation_can_be_reserved_again() {
     let memory = MemoryBudget::new(10);
-    let first = memory.reserve(7).expect("7 of 10");
+    let first = memory.reserve(7).expect("7 of 10 bytes are available");
     assert!(memory.reserve(4).is_none());
     drop(first);
     assert!(memory.reserve(10).is_some());
--- a/src/proxy/dial.rs
+++ b/src/proxy/dial.rs
@@ -1,16 +1,16 @@
-//! Connecting to a backend or to discovery.
+//! Outgoing connections, to backends and to discovery.
 
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Connects to a backend or to discovery, and turns Nagle's algorithm off.
+/// Connects to a backend or to discovery and disables Nagle's algorithm.
 ///
-/// The socket is created before it is connected, in two calls: under an emulated clock, a connect that creates its
-/// own socket may fail with `EBADF`.
+/// The socket is created and connected in two calls: under an emulated clock, [`TcpStream::connect`], which does both,
+/// may fail with `EBADF`.
 ///
 /// # Errors
-/// Where there is no socket, or the peer cannot be reached.
+/// [`io::Error`] if no socket can be created or the peer cannot be reached.
 pub(super) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
--- a/src/proxy/read_ahead.rs
+++ b/src/proxy/read_ahead.rs
@@ -1,8 +1,7 @@
-//! Bytes that were read from a client's connection before the HTTP library asked for them, in their order.
+//! Bytes that are read from a client's connection before the HTTP library asks for them.
 //!
-//! The end of a connection is seen only once all that came before it has left the kernel, and the HTTP library
-//! reads nothing after an open request. What a client sends there is held here, so that its disconnect is
-//! noticed.
+//! The end of a connection is only seen after all bytes before it were read, and the HTTP library reads nothing after
+//! an open request. The bytes that a client sends then are held here, so that its disconnect is noticed.
 
 use super::budget::{MemoryBudget, Reservation};
 use super::size_limits::BUFFERED_BODY_BYTES;
@@ -10,29 +9,30 @@
 use std::task::Waker;
 use tokio::io::ReadBuf;
 
-/// The most bytes that are read ahead on one connection.
+/// The largest number of bytes that are read ahead on one connection.
 const MAX_READ_AHEAD_BYTES: usize = 2 << 20;
-/// The most bytes that one read takes.
+/// The largest number of bytes of one read.
 pub const READ_PIECE_BYTES: usize = 16 * 1024;
 
-/// The bytes that were read ahead on one connection; none by default.
+/// The bytes that were read ahead on one connection, in order.
 #[derive(Default)]
 pub struct ReadAhead {
     bytes: BytesMut,
     /// Memory for the bytes, in units of [`BUFFERED_BODY_BYTES`].
     reserved: Vec<Reservation>,
-    /// The HTTP library, where it waits for bytes.
+    /// The waker of the HTTP library, if it waits for bytes.
     reader: Option<Waker>,
 }
 
 impl ReadAhead {
-    /// Returns whether nothing is held.
+    /// Returns whether no bytes are held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Makes room for [`READ_PIECE_BYTES`] more bytes. Returns false where the cap is reached or no memory is left.
+    /// Reserves memory for [`READ_PIECE_BYTES`] more bytes. Returns false if the connection would hold too many bytes or
+    /// `memory` is exhausted.
     pub fn make_room(&mut self, memory: &MemoryBudget) -> bool {
         let wanted = self.bytes.len() + READ_PIECE_BYTES;
         if wanted > MAX_READ_AHEAD_BYTES {
@@ -47,7 +47,7 @@
         true
     }
 
-    /// Adds bytes that were read, and wakes the HTTP library if it waits for some.
+    /// Appends bytes that were read, and wakes the HTTP library if it waits for bytes.
     pub fn add(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
         if let Some(reader) = self.reader.take() {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Moves as many bytes to `buffer` as it has room for, and releases their memory.
+    /// Moves bytes to `buffer` as far as it has room, and releases their memory.
     pub fn move_into(&mut self, buffer: &mut ReadBuf<'_>) {
         let moved = self.bytes.len().min(buffer.remaining());
         buffer.put_slice(&self.bytes[..moved]);
@@ -67,7 +67,7 @@
             .truncate(self.bytes.len().div_ceil(BUFFERED_BODY_BYTES));
     }
 
-    /// Registers the HTTP library, which has found nothing to read, to be woken by the next bytes.
+    /// Registers the HTTP library's waker to be called when bytes are added. Used when a read finds no bytes.
     pub fn register_reader(&mut self, reader: &Waker) {
         self.reader = Some(reader.clone());
     }
--- a/src/proxy/read_ahead/tests.rs
+++ b/src/proxy/read_ahead/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::task::Wake;
 
-/// Tells whether it was woken.
+/// A waker that records whether it was called.
 struct Woken(AtomicBool);
 
 impl Wake for Woken {
@@ -13,11 +13,12 @@
     }
 }
 
-/// The memory of a process that has 5 MB, a fifth of which may hold bodies.
+/// Returns the memory for bodies of a process with 5 MB in all: a fifth, 1 MB.
 fn memory() -> MemoryBudget {
     Budget::of(100, 5, 10, 1).bodies
 }
 
+/// Adds pieces until no more memory can be reserved, and returns the number of added bytes.
 fn fill(ahead: &mut ReadAhead, memory: &MemoryBudget) -> usize {
     let mut pieces = 0;
     while ahead.make_room(memory) {
@@ -28,10 +29,10 @@
 }
 
 #[test]
-fn bytes_come_out_in_their_order_and_their_memory_is_released() {
+fn bytes_are_returned_in_order_and_their_memory_is_released() {
     let (memory, mut ahead) = (memory(), ReadAhead::default());
     let held = fill(&mut ahead, &memory);
-    assert_eq!(held, 1 << 20, "as much as there is memory for");
+    assert_eq!(held, 1 << 20, "all memory for bodies is used");
     assert!(memory.reserve(1).is_none());
     let mut got = Vec::new();
     while !ahead.is_empty() {
@@ -42,20 +43,17 @@
     }
     let expected: Vec<u8> = (0..held).map(|at| (at / READ_PIECE_BYTES) as u8).collect();
     assert!(got == expected);
-    assert!(
-        memory.reserve(1 << 20).is_some(),
-        "nothing is reserved any more"
-    );
+    assert!(memory.reserve(1 << 20).is_some(), "all memory is released");
 }
 
 #[test]
-fn one_connection_holds_no_more_than_its_cap() {
+fn one_connection_holds_at_most_the_maximum() {
     let (memory, mut ahead) = (Budget::of(100, 200, 10, 1).bodies, ReadAhead::default());
     assert_eq!(fill(&mut ahead, &memory), MAX_READ_AHEAD_BYTES);
 }
 
 #[test]
-fn a_reader_that_found_nothing_is_woken_by_what_is_added() {
+fn a_waiting_reader_is_woken_when_bytes_are_added() {
     let mut ahead = ReadAhead::default();
     let woken = Arc::new(Woken(AtomicBool::new(false)));
     ahead.register_reader(&Arc::clone(&woken).into());
--- a/src/proxy/size_limits.rs
+++ b/src/proxy/size_limits.rs
@@ -1,14 +1,14 @@
-//! Sizes of heads and bodies that the clients' and the backends' side share, in bytes. [`Budget`](super::budget::Budget)
-//! divides the memory by them.
+//! Limits on the sizes of heads and bodies of clients and backends, in bytes. [`Budget`](super::budget::Budget) derives
+//! the numbers of connections from them.
 
-/// The largest body of a response that is buffered completely, and the part of a request's body that needs no
-/// reservation of memory: each connection is budgeted for it.
-/// Memory for larger bodies is reserved in units of this size.
+/// The largest body of a response that is buffered completely, and the part of a request's body that is buffered
+/// without a reservation of memory. The budget of each connection includes it. Memory for larger bodies is reserved in
+/// units of this size.
 pub const BUFFERED_BODY_BYTES: usize = 64 * 1024;
-/// The largest body that is forwarded either way: clients send up to 32 MB.
+/// The largest body that is forwarded, of a request or a response. Clients send up to 32 MB.
 pub const MAX_FORWARDED_BODY_BYTES: u64 = 40 << 20;
-/// The largest head of a request. Each client connection is budgeted for it.
+/// The largest head of a request. The budget of each client connection includes it.
 pub const MAX_CLIENT_HEAD_BYTES: usize = 16 * 1024;
-/// The largest head of a response, and what a connection to a backend reads ahead: an
-/// endless head must not take memory until the request times out.
+/// The largest head of a response, and the size of the read buffer of a backend connection. Without a limit, an endless
+/// head would take memory until the request times out.
 pub const MAX_BACKEND_HEAD_BYTES: usize = 16 * 1024;
--- a/src/proxy/socket.rs
+++ b/src/proxy/socket.rs
@@ -1,4 +1,4 @@
-//! The socket of a connection. Besides the HTTP library, the connection reads and closes it.
+//! The socket of a connection, which is read and closed by the HTTP library and by the connection itself.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -10,36 +10,37 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A closing connection is still read until nothing has come for this long: the kernel would answer late bytes with a
-/// reset, which destroys a response on its way.
+/// A closing connection is read until nothing has arrived for this long: the kernel would answer late bytes with a
+/// reset, which destroys a response that the peer has not read yet.
 const LINGER_QUIET_TIME: Duration = Duration::from_millis(500);
-/// How long a closing connection is read at the most.
+/// How long a closing connection is read at most.
 const MAX_LINGER_TIME: Duration = Duration::from_secs(2);
+/// Size of the buffer with which a closing connection is read.
 const LINGER_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What has come in and was not read yet.
+/// What has arrived on a socket and was not read yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
-    /// Nothing.
+    /// Nothing, and the connection is open.
     Nothing,
-    /// Some bytes.
+    /// At least one byte.
     Bytes,
-    /// The peer has closed the connection, or it broke.
+    /// The end: the peer has closed the connection, or it broke.
     End,
 }
 
-/// The socket; clones share it.
+/// A shared TCP socket. Clones refer to the same socket.
 #[derive(Clone)]
 pub struct Socket(Rc<TcpStream>);
 
 impl Socket {
-    /// Shares this stream.
+    /// Creates a socket of a connected stream.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
         Self(Rc::new(stream))
     }
 
-    /// Returns what waits to be read, as the kernel knows it: the runtime may not have seen it yet.
+    /// Returns what can be read, by a system call: the runtime may not have been notified of it yet.
     #[must_use]
     pub fn unread(&self) -> Unread {
         let mut byte = [MaybeUninit::uninit()];
@@ -50,9 +51,9 @@
         }
     }
 
-    /// Waits until the peer has closed its sending side or the connection broke, whatever is still unread.
+    /// Waits until the peer has closed its sending side or the connection broke, even if there are unread bytes.
     pub async fn closed_by_peer(&self) {
-        // The kernel reports no urgent data, so nothing else wakes this.
+        // Peers send no urgent data, so only the close makes the socket ready for this interest.
         while self
             .0
             .ready(Interest::PRIORITY)
@@ -61,12 +62,12 @@
         {}
     }
 
-    /// Waits until something can be read, without taking it. Returns false at the end.
+    /// Waits until bytes can be read, without reading them. Returns false at the end of the connection.
     pub async fn has_bytes(&self) -> bool {
         matches!(self.0.peek(&mut [0]).await, Ok(1..))
     }
 
-    /// Reads what has come. Returns `None` where nothing has, and at the end.
+    /// Reads without waiting. Returns the number of bytes, or `None` if there are none or the connection has ended.
     pub fn read_now(&self, buffer: &mut [u8]) -> Option<usize> {
         self.0.try_read(buffer).ok().filter(|&read| read > 0)
     }
@@ -74,17 +75,17 @@
     /// Closes the sending side.
     ///
     /// # Errors
-    /// Where the connection has ended already.
+    /// [`io::Error`] if the connection has already ended.
     pub fn end_sending(&self) -> io::Result<()> {
         socket2::SockRef::from(&*self.0).shutdown(Shutdown::Write)
     }
 
-    /// Makes the close a reset, so that the peer sees the connection break.
+    /// Makes the close of the socket send a reset, so that the peer sees the connection break.
     pub fn reset_on_close(&self) {
         let _ = socket2::SockRef::from(&*self.0).set_linger(Some(Duration::ZERO));
     }
 
-    /// Reads what has come, once something has. Returns `None` at the end.
+    /// Waits for bytes and reads them. Returns the number of bytes, or `None` at the end of the connection.
     pub async fn read(&self, buffer: &mut [u8]) -> Option<usize> {
         loop {
             self.0.readable().await.ok()?;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Closes the sending side and reads what still comes, until nothing does for a while.
+    /// Closes the sending side, then reads and discards bytes until none arrive for `LINGER_QUIET_TIME`.
     pub async fn linger(&self) {
         if self.end_sending().is_err() {
             return;
@@ -108,7 +109,7 @@
         .await;
     }
 
-    /// Reads as [`tokio::io::AsyncRead::poll_read`] does.
+    /// Reads like [`tokio::io::AsyncRead::poll_read`].
     pub fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Writes as `write` does, once the kernel has room.
+    /// Calls `write` when the socket is writable, until it does not return [`io::ErrorKind::WouldBlock`].
     pub fn poll_write(
         &self,
         cx: &mut Context<'_>,
--- a/src/proxy/socket_io.rs
+++ b/src/proxy/socket_io.rs
@@ -1,5 +1,5 @@
-//! The side of a connection that the HTTP library drives: reads and writes of a [`Socket`], which the connection
-//! observes.
+//! The reader and writer that the HTTP library is given for a [`Socket`]. The connection observes what is read and
+//! written.
 
 use super::socket::Socket;
 use std::io;
@@ -8,9 +8,9 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A connection that sees what the HTTP library reads from its socket and writes to it.
+/// A connection that observes what the HTTP library reads from its socket and writes to it.
 pub(super) trait ObservedSocket {
-    /// Returns the socket.
+    /// Returns the connection's socket.
     fn socket(&self) -> &Socket;
 
     /// Reads for the HTTP library, by default from the socket.
@@ -18,14 +18,14 @@
         self.socket().poll_read(cx, buf)
     }
 
-    /// Notes bytes that the HTTP library has read.
+    /// Observes bytes that the HTTP library has read.
     fn on_read(&self, bytes: &[u8]);
 
-    /// Notes the result of a write: the number of bytes that the socket took.
+    /// Observes the result of a write of the HTTP library: the number of bytes that were written.
     fn on_write(&self, written: &Poll<io::Result<usize>>);
 }
 
-/// The reader and writer that the HTTP library gets.
+/// Reads and writes the socket of a connection for the HTTP library.
 pub(super) struct SocketIo<C>(Rc<C>);
 
 impl<C: ObservedSocket> SocketIo<C> {
--- a/src/proxy/time_limits.rs
+++ b/src/proxy/time_limits.rs
@@ -1,15 +1,16 @@
-//! Times that several modules of the proxy share.
+//! Time limits that several modules of the proxy share.
 
 use std::time::Duration;
 
-/// How long a streamed response may make no progress, because the backend sends nothing or the
-/// client reads nothing.
+/// How long a streamed response may make no progress, because the backend sends nothing or the client reads nothing.
 pub const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time in which a client has to send a request with its body, to which the time is added that its bytes need at the
-/// least rate. For the first request of a connection it counts from connecting, for others from their head.
+/// Time in which a client must send a complete request, extended by the time that the received bytes of its body take
+/// at the least rate (see [`BodyDeadline`](super::bodies::BodyDeadline)). It bounds how long an incomplete request may
+/// occupy a connection. The time counts from the accept for the first request of a connection, and from the head for
+/// later ones.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a client connection may bring no byte between requests, or before the first one. As long as a request
-/// may take.
+/// How long a client connection may receive no bytes between requests or before the first one: as long as a request may
+/// take.
 pub const CLIENT_IDLE_TIMEOUT: Duration = REQUEST_TIMEOUT;
-/// Pause after an accept that failed.
+/// Pause after a failed accept.
 pub const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
