--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -118,7 +118,7 @@
 
     /// Reads ahead until the client has closed the connection.
     async fn read_ahead(&self, memory: &MemoryBudget) {
-        while self.socket.has_bytes().await {
+        while self.socket.wait_for_bytes().await {
             if !self.ahead.borrow_mut().make_room(memory) {
                 return std::future::pending().await;
             }
--- a/src/proxy/socket.rs
+++ b/src/proxy/socket.rs
@@ -63,7 +63,7 @@
     }
 
     /// Waits until bytes can be read, without reading them. Returns false at the end of the connection.
-    pub async fn has_bytes(&self) -> bool {
+    pub async fn wait_for_bytes(&self) -> bool {
         matches!(self.0.peek(&mut [0]).await, Ok(1..))
     }
 
