--- a/src/proxy/backends/exchange.rs
+++ b/src/proxy/backends/exchange.rs
@@ -89,8 +89,8 @@
 }
 
 /// Returns whether the response can become complete. If it cannot, failing at once leaves time for another attempt:
-/// otherwise gigabytes might be read in vain. A response that ends with its connection must announce the close,
-/// because it could not be distinguished from a response whose length was lost.
+/// otherwise gigabytes might be read in vain. A response that ends with its connection must announce the close, as it
+/// could otherwise not be distinguished from a response whose length was lost.
 fn can_become_complete(response: &Response<Incoming>) -> bool {
     let length = response.body().size_hint();
     let has_end = length.exact().is_some()
