--- a/src/proxy/socket.rs
+++ b/src/proxy/socket.rs
@@ -53,7 +53,7 @@
 
     /// Waits until the peer has closed its sending side or the connection broke, even if there are unread bytes.
     pub async fn closed_by_peer(&self) {
-        // Peers send no urgent data, so only the close makes the socket ready for this interest.
+        // The kernel reports no urgent data, so only the close makes the socket ready for this interest.
         while self
             .0
             .ready(Interest::PRIORITY)
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Closes the sending side, then reads and discards bytes until none arrive for `LINGER_QUIET_TIME`.
+    /// Closes the sending side, then reads and discards bytes until none arrive for `LINGER_QUIET_TIME`
+    /// or `MAX_LINGER_TIME` has passed.
     pub async fn linger(&self) {
         if self.end_sending().is_err() {
             return;
