--- a/src/proxy/backends/health_check.rs
+++ b/src/proxy/backends/health_check.rs
@@ -3,14 +3,16 @@
 use super::BackendClient;
 use super::backend_connections::BackendConnections;
 use super::call::{AttemptResult, Call, RequestOver};
+use super::connection::Connection;
 use super::error::BackendError;
 use super::exchange::exchange;
 use super::request::build_request;
-use super::response::BackendBody;
+use super::response::{BackendBody, BackendResponse};
 use crate::api::Outcome;
 use crate::proxy::bodies::{BufferedBody, RequestBody};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
@@ -37,12 +39,8 @@
         } else {
             LIVENESS_PATH
         };
-        let body = RequestBody::Buffered(BufferedBody::default());
-        let call = health_check_call(path);
-        let request = build_request(&call, body, backend.address(), HEALTH_CHECK_TIMEOUT);
-        connection.socket.begin_request(None);
-        let exchanged = timeout_at(deadline, exchange(&mut connection.sender, request)).await;
-        let response = match exchanged.unwrap_or(Err(BackendError::TimedOut)) {
+        let exchanged = send_health_check(&mut connection, backend.address(), path, deadline).await;
+        let response = match exchanged {
             Ok(response) => response,
             Err(error) => return failure_outcome(&error, &backend).into(),
         };
@@ -64,6 +62,25 @@
     }
 }
 
+/// Sends a health check on a connection and reads the response.
+///
+/// # Errors
+/// [`BackendError`] if the exchange fails or is not complete at the deadline.
+async fn send_health_check(
+    connection: &mut Connection,
+    address: SocketAddr,
+    path: &'static str,
+    deadline: Instant,
+) -> Result<BackendResponse, BackendError> {
+    let body = RequestBody::Buffered(BufferedBody::default());
+    let call = health_check_call(path);
+    let request = build_request(&call, body, address, HEALTH_CHECK_TIMEOUT);
+    connection.socket.begin_request(None);
+    timeout_at(deadline, exchange(&mut connection.sender, request))
+        .await
+        .unwrap_or(Err(BackendError::TimedOut))
+}
+
 /// Returns the request of a health check.
 fn health_check_call(path: &'static str) -> Call {
     Call {
