--- a/src/proxy/backends/health_check.rs
+++ b/src/proxy/backends/health_check.rs
@@ -1,27 +1,29 @@
-//! A health check of one backend.
+//! Health checks of backends.
 
 use super::BackendClient;
 use super::backend_connections::BackendConnections;
 use super::call::{AttemptResult, Call, RequestOver};
+use super::connection::Connection;
 use super::error::BackendError;
 use super::exchange::exchange;
 use super::request::build_request;
-use super::response::BackendBody;
+use super::response::{BackendBody, BackendResponse};
 use crate::api::Outcome;
 use crate::proxy::bodies::{BufferedBody, RequestBody};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a health check may take once its connection is up.
+/// The time limit of a health check, in addition to the connect timeout.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 const LIVENESS_PATH: &str = "/alive";
 const LOAD_PATH: &str = "/metrics/load";
 
 impl BackendClient {
-    /// Checks whether a backend is alive, and requests its load report as well if wanted.
+    /// Checks whether a backend is alive, and requests its load report if `with_load_report` is set.
     pub async fn health_check(
         self: Rc<Self>,
         backend: Rc<BackendConnections>,
@@ -37,14 +39,10 @@
         } else {
             LIVENESS_PATH
         };
-        let body = RequestBody::Buffered(BufferedBody::default());
-        let call = health_check_call(path);
-        let request = build_request(&call, body, backend.address(), HEALTH_CHECK_TIMEOUT);
-        connection.socket.begin_request(None);
-        let exchanged = timeout_at(deadline, exchange(&mut connection.sender, request)).await;
-        let response = match exchanged.unwrap_or(Err(BackendError::TimedOut)) {
+        let exchanged = send_health_check(&mut connection, backend.address(), path, deadline).await;
+        let response = match exchanged {
             Ok(response) => response,
-            Err(error) => return failure(&error, &backend).into(),
+            Err(error) => return failure_outcome(&error, &backend).into(),
         };
         let BackendBody::Complete(body) = &response.body else {
             return Outcome::CorruptResponse.into();
@@ -52,7 +50,7 @@
         let text = String::from_utf8_lossy(&body.joined()).into_owned();
         self.pool.keep(&backend, connection);
         let mut result = response.head.result(&self.load_reports);
-        // The load report may stand in the body instead of in a header.
+        // A backend may send its load report in the body instead of in a header.
         if with_load_report
             && !text.is_empty()
             && result.outcome == Outcome::Ok
@@ -64,6 +62,26 @@
     }
 }
 
+/// Sends a health check on a connection and reads the response.
+///
+/// # Errors
+/// [`BackendError`] if the exchange fails or is not complete at the deadline.
+async fn send_health_check(
+    connection: &mut Connection,
+    address: SocketAddr,
+    path: &'static str,
+    deadline: Instant,
+) -> Result<BackendResponse, BackendError> {
+    let body = RequestBody::Buffered(BufferedBody::default());
+    let call = health_check_call(path);
+    let request = build_request(&call, body, address, HEALTH_CHECK_TIMEOUT);
+    connection.socket.begin_request(None);
+    timeout_at(deadline, exchange(&mut connection.sender, request))
+        .await
+        .unwrap_or(Err(BackendError::TimedOut))
+}
+
+/// Returns the request of a health check.
 fn health_check_call(path: &'static str) -> Call {
     Call {
         method: Method::GET,
@@ -74,8 +92,8 @@
     }
 }
 
-/// Classifies a failed health check.
-fn failure(error: &BackendError, backend: &BackendConnections) -> Outcome {
+/// Logs a failed health check and returns its outcome.
+fn failure_outcome(error: &BackendError, backend: &BackendConnections) -> Outcome {
     tracing::debug!(backend = %backend.address(), %error, "health check failed");
     if error.is_timeout() {
         Outcome::Timeout
