--- a/lab/src/live/error.rs
+++ b/lab/src/live/error.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::PathBuf;
 use std::time::Duration;
-use tillerproxy::api::SettingsError;
+use tillerproxy::simulator::ParseSettingsError;
 use tokio::task::JoinError;
 
 /// Why a run of `live` could not start or did not finish.
@@ -52,8 +52,8 @@
     Settings {
         /// Index of the proxy among all of them.
         proxy_index: u32,
-        /// The setting that makes no sense.
-        source: SettingsError,
+        /// The invalid setting.
+        source: ParseSettingsError,
     },
     /// The endpoint list can't be serialized.
     #[error("cannot serialize the endpoint list: {0}")]
--- a/lab/src/live/proxies/simulated.rs
+++ b/lab/src/live/proxies/simulated.rs
@@ -9,7 +9,7 @@
 use crate::live::traffic::{TrafficCounters, TrafficTotals};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tillerproxy::simulator::parse_settings;
+use tillerproxy::simulator::{ParseSettingsError, parse_settings};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
@@ -37,7 +37,7 @@
         let mut tasks = JoinSet::new();
         let mut traffic = Vec::new();
         for proxy_index in scenario.processes.real..scenario.proxy_count() {
-            let rejected = |source| LiveError::Settings {
+            let rejected = |source: ParseSettingsError| LiveError::Settings {
                 proxy_index,
                 source,
             };
@@ -50,7 +50,7 @@
             let counters = Arc::<TrafficCounters>::default();
             traffic.push(Arc::clone(&counters));
             let proxy = SimulatedProxy::new(start, address.clone(), counters, Arc::clone(tracker))
-                .map_err(rejected)?;
+                .map_err(|source| rejected(source.into()))?;
             tasks.spawn(proxy.run());
         }
         Ok(Self {
--- a/lab/src/slopes/setup.rs
+++ b/lab/src/slopes/setup.rs
@@ -3,8 +3,8 @@
 use super::scenario::{FleetShape, Load};
 use serde::Serialize;
 use serde_json::{Value, json};
-use tillerproxy::api::{Settings, SettingsError};
-use tillerproxy::simulator::parse_settings;
+use tillerproxy::api::Settings;
+use tillerproxy::simulator::{ParseSettingsError, parse_settings};
 
 /// Sum of the tenants' quotas, as a multiple of the requests that all proxies get.
 const QUOTA_HEADROOM: f64 = 1.2;
@@ -32,7 +32,11 @@
     ///
     /// # Errors
     /// The setting that the parser rejects.
-    pub fn settings(&self, fleet: &FleetShape, load: &Load) -> Result<Settings, SettingsError> {
+    pub fn settings(
+        &self,
+        fleet: &FleetShape,
+        load: &Load,
+    ) -> Result<Settings, ParseSettingsError> {
         let json = self.settings_json(fleet, load).to_string();
         parse_settings(json.as_bytes())
     }
--- a/lab/src/slopes/virtual_proxy/mod.rs
+++ b/lab/src/slopes/virtual_proxy/mod.rs
@@ -10,6 +10,7 @@
 pub use counts::Counts;
 
 use super::costs::{DecisionCosts, EventKind, Meter, Timing};
+use super::error::SlopesError;
 use super::scenario::{FleetShape, Load};
 use super::setup::Setup;
 use super::stopwatch::Stopwatch;
@@ -18,9 +19,10 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use tillerproxy::api::{
-    Action, Backend, BackendId, Event, MembershipEvent, Micros, RequestId, Settings, SettingsError,
+    Action, Backend, BackendId, Event, MembershipEvent, Micros, RequestId, Settings,
 };
 use tillerproxy::balancer::Balancer;
+use tillerproxy::simulator::ParseSettingsError;
 use traffic::Traffic;
 
 /// Start of virtual time: 1 January 2025, so that starts of processes lie before the translator's clock.
@@ -54,26 +56,22 @@
     /// `backends`.
     ///
     /// # Errors
-    /// The setting that the balancer rejects.
+    /// The setting that the balancer rejects, or a load without a distribution.
     pub fn new(
         setup: &Setup,
         fleet: &FleetShape,
         load: &Load,
         seed: u64,
         backends: &[Backend],
-    ) -> Result<Self, SettingsError> {
+    ) -> Result<Self, SlopesError> {
         let settings: Settings = setup.settings(fleet, load)?;
-        let no_distribution = || SettingsError {
-            field: "load".into(),
-            problem: "has no distribution".into(),
-        };
         let step = step_between_batches(setup, load);
         let age = (load.proxy_age_seconds * MICROS_PER_SECOND as f64) as Micros;
         let mut proxy = Self {
-            balancer: Balancer::new(settings, seed, EPOCH)?,
+            balancer: Balancer::new(settings, seed, EPOCH).map_err(ParseSettingsError::from)?,
             now: EPOCH + age,
             step,
-            traffic: Traffic::new(setup, load, step, seed).ok_or_else(no_distribution)?,
+            traffic: Traffic::new(setup, load, step, seed).ok_or(SlopesError::LoadDistribution)?,
             next_request: 0,
             attempts: BinaryHeap::new(),
             timers: BinaryHeap::new(),
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -12,6 +12,6 @@
 pub use event::{AttemptEnd, Backend, Event, MembershipEvent, Outcome, Readiness, Request};
 pub use ids::{BackendId, Cell, ClassIndex, MachineType, Micros, RequestId, TenantIndex, Zone};
 pub use settings::{
-    Class, DiscoveryMode, Idempotency, KeyScope, LoadReportFields, Permissions, SafetyLimits,
-    Settings, SettingsError, Tenant,
+    AllowedValues, Class, DiscoveryMode, Idempotency, KeyScope, LoadReportFields, Permissions,
+    SafetyLimits, SettingKind, Settings, SettingsError, Tenant,
 };
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,9 +1,10 @@
 //! Settings of a balancer, fixed while it runs.
 
 use super::{ClassIndex, Micros, Zone};
+use std::fmt;
 use thiserror::Error;
 
-/// Which backends drop a repeated request with the same idempotency key.
+/// The backends that share their idempotency keys: each drops a request if one of them has executed its key before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// Every backend.
@@ -14,99 +15,101 @@
     Cell,
 }
 
-/// What running a request twice would do.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// The request may run any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
-    /// Repeats are dropped by their idempotency key, within a scope and for a time after the first attempt.
+    /// Backends drop a repeated request by its idempotency key, within the key's scope and until the key expires.
     Keyed {
-        /// The backends that know one another's keys.
+        /// The backends that share their keys.
         scope: KeyScope,
-        /// How long they remember a key.
+        /// Time from the first attempt until the key expires.
         ttl: Micros,
     },
-    /// The request must not run twice.
+    /// The request must not be executed twice.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// The latency objective: a response within this span earns the full priority weight.
+    /// The latency objective: a response within this time earns the full priority weight.
     pub latency_objective: Micros,
-    /// The part of a request's own expected work that is added to the latency objective. (Not used by the decisions.)
+    /// Factor by which a request's own expected work extends the latency objective. (Not used by the decisions.)
     pub objective_work_factor: f64,
-    /// How long a client waits in all.
+    /// Total time for which a client waits for its answer.
     pub timeout: Micros,
     /// Priority weight of a response within the latency objective.
     pub priority_weight: f64,
-    /// The part of the priority weight that a response past the latency objective still earns.
+    /// Fraction of the priority weight that a response past the latency objective still earns, 0 to 1.
     pub late_weight_factor: f64,
-    /// What a repeat does.
+    /// Whether a request of the class may be executed more than once.
     pub idempotency: Idempotency,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all proxies.
+    /// The tenant's quota over all proxies, in requests per second.
     pub quota_per_s: f64,
 }
 
-/// The values of a load report that the decisions read, by their position in the report.
+/// The positions, in a load report, of the values that the decisions know. `None`: the reports lack the value.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReportFields {
-    /// Requests in flight at the backend. (Not used by the decisions.)
+    /// Position of the number of requests in flight at the backend. (Not used by the decisions.)
     pub in_flight: Option<usize>,
-    /// Requests in its queue. (Not used by the decisions.)
+    /// Position of the number of requests in the backend's queue. (Not used by the decisions.)
     pub queued: Option<usize>,
-    /// Recent service time, milliseconds.
+    /// Position of the recent service time, in milliseconds.
     pub service_time_ms: Option<usize>,
 }
 
-/// What a proxy may do.
+/// Limits on the actions of a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Permissions {
-    /// Attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u16,
-    /// Whether requests may be hedged: two attempts in flight at once. (The decisions make no use of it.)
+    /// Whether requests may be hedged: two attempts in flight at once. (Not used by the decisions: they hedge none.)
     pub hedging: bool,
     /// Whether attempts may be cancelled. (Not used by the decisions: they cancel none.)
     pub cancellation: bool,
-    /// Whether backends may be sent health checks. (Not used by the decisions: they send none.)
+    /// Whether health checks may be sent to backends. (Not used by the decisions: they send none.)
     pub health_checks: bool,
-    /// An idle connection closes after this time.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Micros,
-    /// Requests that one connection carries at the same time.
+    /// Maximum number of concurrent requests on one connection.
     pub requests_per_connection: u32,
-    /// The longest `Retry-After` that clients follow, where that is known.
+    /// The longest `Retry-After` that clients follow; `None` if it is unknown.
     pub max_retry_after: Option<Micros>,
 }
 
-/// Figures of the safety rules.
+/// Parameters of the safety rules.
 #[derive(Clone, Copy, Debug)]
 pub struct SafetyLimits {
-    /// The rules take a proxy without a watch to know the endpoint list as of this long ago: it has to poll that often.
+    /// Maximum time between two polls of the endpoint list by a proxy without a watch. The rules assume that such a
+    /// proxy knows the list as it was this long ago.
     pub poll_interval: Micros,
-    /// The part of its capacity that a backend has when its slow start begins.
+    /// Fraction of its capacity that a backend has when its slow start begins, 0 to 1.
     pub slow_start_initial_capacity: f64,
-    /// The time after its start at which a backend has its full capacity.
+    /// Time from a backend's start until it has its full capacity.
     pub slow_start_duration: Micros,
-    /// Sent more than this multiple of its present capacity ...
+    /// Multiple of its present capacity above which the load on a backend in slow start makes it collapse, if the load
+    /// lasts for `collapse_time`.
     pub collapse_load_factor: f64,
-    /// ... for this long, a backend that warms up collapses. (Not used by the decisions.)
+    /// Time for which that load must last until the backend collapses. (Not used by the decisions.)
     pub collapse_time: Micros,
 }
 
 /// How the endpoint list reaches the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// The list and each change come by themselves. (On real sockets: discovery is an agent on the same machine, which the
-    /// proxy calls all the time.)
+    /// The balancer receives the list and each change without asking. (On real sockets: discovery is an agent on the
+    /// same machine, and the proxy always holds a watch on it.)
     Pushed,
-    /// The list comes only after [`Action::Subscribe`](super::Action::Subscribe). (On real sockets: discovery is a service
-    /// that all proxies share.)
+    /// The balancer receives the list only after [`Action::Subscribe`](super::Action::Subscribe). (On real sockets:
+    /// discovery is a service that all proxies share.)
     Polled,
 }
 
@@ -123,7 +126,7 @@
     pub zone_count: u16,
     /// Number of machine types.
     pub machine_type_count: u8,
-    /// How the endpoint list comes.
+    /// How the endpoint list reaches the balancer.
     pub discovery_mode: DiscoveryMode,
     /// Whether a backend does less work for a key that it served recently. (Not used by the decisions.)
     pub key_affinity: bool,
@@ -131,31 +134,113 @@
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Priority weight of a request over its tenant's quota, as a part of its class's weight. (Not used by the decisions:
-    /// such a request is never queued.)
+    /// Priority weight of a request over its tenant's quota, as a fraction of its class's weight, 0 to 1. (Not used by
+    /// the decisions: such a request is never queued.)
     pub over_quota_weight: f64,
-    /// Cost of an attempt in another zone, as a part of a mean request's priority weight.
+    /// Cost of an attempt in another zone, as a fraction of a mean request's priority weight.
     pub cross_zone_cost: f64,
-    /// Cost of a health check, in the same unit. (Not used by the decisions.)
+    /// Cost of a health check, as a fraction of a mean request's priority weight. (Not used by the decisions.)
     pub health_check_cost: f64,
-    /// Where the values of a load report stand.
+    /// Positions of the values in a load report.
     pub load_report: LoadReportFields,
-    /// Whether load reports come with health checks alone.
+    /// Whether only responses to health checks carry a load report.
     pub load_report_by_health_check: bool,
-    /// What is allowed.
+    /// Limits on the actions of the proxy.
     pub permissions: Permissions,
-    /// Figures of the safety rules.
+    /// Parameters of the safety rules.
     pub safety: SafetyLimits,
 }
 
-/// A setting that makes no sense.
+/// A setting that [`Settings::validate`] checks.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SettingKind {
+    /// [`Settings::proxy_count`].
+    ProxyCount,
+    /// The number of [`Settings::classes`].
+    ClassCount,
+    /// [`Class::latency_objective`] of the class with this index.
+    LatencyObjective(usize),
+    /// [`Class::timeout`] of the class with this index.
+    Timeout(usize),
+    /// [`Class::priority_weight`] of the class with this index.
+    PriorityWeight(usize),
+    /// [`Class::late_weight_factor`] of the class with this index.
+    LateWeightFactor(usize),
+    /// [`Class::objective_work_factor`] of the class with this index.
+    ObjectiveWorkFactor(usize),
+    /// [`Tenant::quota_per_s`] of the tenant with this index.
+    Quota(usize),
+    /// [`Settings::over_quota_weight`].
+    OverQuotaWeight,
+    /// [`Permissions::max_attempts`].
+    MaxAttempts,
+    /// [`SafetyLimits::slow_start_initial_capacity`].
+    SlowStartInitialCapacity,
+    /// [`SafetyLimits::collapse_load_factor`].
+    CollapseLoadFactor,
+}
+
+impl fmt::Display for SettingKind {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::ProxyCount => f.write_str("number of proxies"),
+            Self::ClassCount => f.write_str("number of classes"),
+            Self::LatencyObjective(class) => write!(f, "latency objective of class {class}"),
+            Self::Timeout(class) => write!(f, "timeout of class {class}"),
+            Self::PriorityWeight(class) => write!(f, "priority weight of class {class}"),
+            Self::LateWeightFactor(class) => write!(f, "late weight factor of class {class}"),
+            Self::ObjectiveWorkFactor(class) => write!(f, "objective work factor of class {class}"),
+            Self::Quota(tenant) => write!(f, "quota of tenant {tenant}"),
+            Self::OverQuotaWeight => f.write_str("over-quota weight"),
+            Self::MaxAttempts => f.write_str("maximum number of attempts"),
+            Self::SlowStartInitialCapacity => f.write_str("initial capacity of slow start"),
+            Self::CollapseLoadFactor => f.write_str("collapse load factor"),
+        }
+    }
+}
+
+/// The values that a setting may have.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AllowedValues {
+    /// At least 1.
+    AtLeastOne,
+    /// Any finite number above 0.
+    AboveZero,
+    /// Any finite number from 0 on.
+    ZeroOrMore,
+    /// 0 to 1, both included.
+    ZeroToOne,
+    /// At least the latency objective of the same class, which has this value.
+    AtLeastLatencyObjective(Micros),
+}
+
+impl fmt::Display for AllowedValues {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::AtLeastOne => f.write_str("at least 1"),
+            Self::AboveZero => f.write_str("above 0"),
+            Self::ZeroOrMore => f.write_str("0 or more"),
+            Self::ZeroToOne => f.write_str("0 to 1"),
+            Self::AtLeastLatencyObjective(objective) => {
+                write!(
+                    f,
+                    "at least {objective}, the latency objective of the class"
+                )
+            }
+        }
+    }
+}
+
+/// A setting whose value is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("setting `{field}`: {problem}")]
+#[error("{setting}: found {found}, allowed {allowed}")]
 pub struct SettingsError {
-    /// Which setting.
-    pub field: String,
-    /// What is wrong with it.
-    pub problem: String,
+    /// The setting.
+    pub setting: SettingKind,
+    /// The value found, as text.
+    pub found: String,
+    /// The values that are allowed in its place.
+    pub allowed: AllowedValues,
 }
 
 impl Settings {
@@ -168,100 +253,97 @@
         &self.classes[index.index()]
     }
 
-    /// Checks that the figures can be worked with.
+    /// Checks that each value lies in the range that the decisions need.
     ///
     /// # Errors
-    /// The first setting that makes no sense.
+    /// The first setting whose value is not allowed.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        check(
-            self.proxy_count > 0,
-            "balancers",
-            "there must be at least one",
-        )?;
-        check(
-            !self.classes.is_empty(),
-            "classes",
-            "there must be at least one",
-        )?;
+        check_count(SettingKind::ProxyCount, self.proxy_count)?;
+        check_count(SettingKind::ClassCount, self.classes.len())?;
         for (index, class) in self.classes.iter().enumerate() {
             class.validate(index)?;
         }
         for (index, tenant) in self.tenants.iter().enumerate() {
-            let field = format!("tenants[{index}].allowance_per_s");
-            check(
-                is_not_negative(tenant.quota_per_s),
-                &field,
-                "must be 0 or more",
-            )?;
+            check_zero_or_more(SettingKind::Quota(index), tenant.quota_per_s)?;
         }
-        check(
-            is_fraction(self.over_quota_weight),
-            "over_share_worth",
-            "must lie in 0..=1",
-        )?;
-        check(
-            self.permissions.max_attempts > 0,
-            "max_attempts",
-            "there must be at least one",
-        )?;
-        let safety = &self.safety;
-        check(
-            is_fraction(safety.slow_start_initial_capacity),
-            "cold_from",
-            "must lie in 0..=1",
-        )?;
-        let factor = safety.collapse_load_factor;
-        check(
-            factor.is_finite() && factor > 0.0,
-            "fall_multiple",
-            "must be above 0",
-        )
+        check_fraction(SettingKind::OverQuotaWeight, self.over_quota_weight)?;
+        check_count(SettingKind::MaxAttempts, self.permissions.max_attempts)?;
+        self.safety.validate()
     }
 }
 
 impl Class {
     fn validate(&self, index: usize) -> Result<(), SettingsError> {
-        let field = |name: &str| format!("classes[{index}].{name}");
-        check(self.latency_objective > 0, &field("aim"), "must be above 0")?;
         check(
-            self.timeout >= self.latency_objective,
-            &field("deadline"),
-            "must not be under the aim",
+            self.latency_objective > 0,
+            SettingKind::LatencyObjective(index),
+            self.latency_objective,
+            AllowedValues::AboveZero,
         )?;
         check(
-            is_not_negative(self.priority_weight),
-            &field("worth"),
-            "must be 0 or more",
+            self.timeout >= self.latency_objective,
+            SettingKind::Timeout(index),
+            self.timeout,
+            AllowedValues::AtLeastLatencyObjective(self.latency_objective),
         )?;
-        check(
-            is_fraction(self.late_weight_factor),
-            &field("late_worth"),
-            "must lie in 0..=1",
+        check_zero_or_more(SettingKind::PriorityWeight(index), self.priority_weight)?;
+        check_fraction(
+            SettingKind::LateWeightFactor(index),
+            self.late_weight_factor,
         )?;
-        check(
-            is_not_negative(self.objective_work_factor),
-            &field("aim_stretch"),
-            "must be 0 or more",
+        check_zero_or_more(
+            SettingKind::ObjectiveWorkFactor(index),
+            self.objective_work_factor,
         )
     }
 }
 
-/// Errors name a setting by the short form of its key in the configuration, such as `cold_from` for `coldFrom` and `aim`
-/// for `aimUs`; `docs/GLOSSARY.md` lists the keys.
-fn check(holds: bool, field: &str, problem: &str) -> Result<(), SettingsError> {
-    if holds {
-        return Ok(());
+impl SafetyLimits {
+    fn validate(&self) -> Result<(), SettingsError> {
+        check_fraction(
+            SettingKind::SlowStartInitialCapacity,
+            self.slow_start_initial_capacity,
+        )?;
+        let factor = self.collapse_load_factor;
+        check(
+            factor.is_finite() && factor > 0.0,
+            SettingKind::CollapseLoadFactor,
+            factor,
+            AllowedValues::AboveZero,
+        )
     }
-    Err(SettingsError {
-        field: field.into(),
-        problem: problem.into(),
-    })
 }
 
-fn is_not_negative(value: f64) -> bool {
-    value.is_finite() && value >= 0.0
+fn check_count<T>(setting: SettingKind, count: T) -> Result<(), SettingsError>
+where
+    T: fmt::Display + Default + PartialEq,
+{
+    let zero = T::default();
+    check(count != zero, setting, count, AllowedValues::AtLeastOne)
 }
 
-fn is_fraction(value: f64) -> bool {
-    (0.0..=1.0).contains(&value)
+fn check_zero_or_more(setting: SettingKind, value: f64) -> Result<(), SettingsError> {
+    let is_allowed = value.is_finite() && value >= 0.0;
+    check(is_allowed, setting, value, AllowedValues::ZeroOrMore)
+}
+
+fn check_fraction(setting: SettingKind, value: f64) -> Result<(), SettingsError> {
+    let is_allowed = (0.0..=1.0).contains(&value);
+    check(is_allowed, setting, value, AllowedValues::ZeroToOne)
+}
+
+fn check(
+    is_allowed: bool,
+    setting: SettingKind,
+    found: impl fmt::Display,
+    allowed: AllowedValues,
+) -> Result<(), SettingsError> {
+    if is_allowed {
+        return Ok(());
+    }
+    Err(SettingsError {
+        setting,
+        found: found.to_string(),
+        allowed,
+    })
 }
--- a/src/bin/tillerproxy-simhost.rs
+++ b/src/bin/tillerproxy-simhost.rs
@@ -14,7 +14,7 @@
     BATCH_HEADER_LENGTH, BatchReader, ListId, ProxyId, Record, ReplyWriter, UPDATE_LIST_OFFSET,
     UpdateKind, batch_length,
 };
-use tillerproxy::simulator::{FrameError, FrameErrorKind, parse_settings};
+use tillerproxy::simulator::{FrameError, FrameErrorKind, ParseSettingsError, parse_settings};
 
 /// Bytes read ahead from standard input.
 const INPUT_BUFFER_LENGTH: usize = 64 * 1024;
@@ -104,9 +104,7 @@
     }
 
     fn start_proxy(&mut self, target: Target, seed: u64, settings: &[u8]) -> Result<(), HostError> {
-        let started =
-            parse_settings(settings).and_then(|settings| Balancer::new(settings, seed, target.now));
-        match started {
+        match create_balancer(settings, seed, target.now) {
             Ok(balancer) => {
                 *entry(&mut self.proxies, target.proxy.index()) = Some(balancer);
                 Ok(())
@@ -180,6 +178,15 @@
     }
 }
 
+fn create_balancer(
+    settings: &[u8],
+    seed: u64,
+    now: Micros,
+) -> Result<Balancer, ParseSettingsError> {
+    let settings = parse_settings(settings)?;
+    Ok(Balancer::new(settings, seed, now)?)
+}
+
 /// Returns entry `index` of a table, which grows to have it.
 fn entry<T>(table: &mut Vec<Option<T>>, index: usize) -> &mut Option<T> {
     if table.len() <= index {
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -2,8 +2,10 @@
 
 use super::budget::{Budget, MAX_OPERATOR_CALLS};
 use super::logging::{InvalidLogOption, parse_filter};
-use crate::api::{Micros, Settings, SettingsError};
-use crate::settings_json::{Names, deserialize, deserialize_proxy_settings, parse_settings};
+use crate::api::{Micros, Settings};
+use crate::settings_json::{
+    Names, ParseSettingsError, deserialize, deserialize_proxy_settings, parse_settings,
+};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::{AddrParseError, SocketAddr};
@@ -59,9 +61,9 @@
         /// What is wrong with it.
         source: InvalidLogOption,
     },
-    /// A setting makes no sense.
+    /// A setting is malformed, or its value is not allowed.
     #[error(transparent)]
-    Settings(#[from] SettingsError),
+    Settings(#[from] ParseSettingsError),
 }
 
 /// A configuration that was checked.
--- a/src/settings_json/mod.rs
+++ b/src/settings_json/mod.rs
@@ -1,9 +1,12 @@
 //! Reads the settings of a proxy from JSON text.
 //!
 //! The simulator sends them when it starts a proxy; the real proxy has them in its configuration. `raw` has the keys of
-//! the decisions' settings as they are written; this module gives them the terms and types of [`crate::api`]. `proxy` has
-//! the keys that only the proxy on real sockets needs. It is deserialized apart because the simulator's settings need
-//! not have names, and because the errors of both parts come in the order in which the configuration is checked.
+//! the decisions' settings as they are written; this module converts them to the terms and types of [`crate::api`].
+//! `proxy` has the keys that only the proxy on real sockets needs. They are deserialized separately because the
+//! simulator's settings need not have names, and because the errors of both parts are reported in the order in which
+//! the configuration is checked.
+//!
+//! Errors name each setting by the path of its key in the JSON text.
 
 mod proxy;
 mod raw;
@@ -11,22 +14,66 @@
 pub use proxy::Names;
 
 use crate::api::{
-    Class, DiscoveryMode, Idempotency, KeyScope, LoadReportFields, Permissions, SafetyLimits,
-    Settings, SettingsError, Tenant, Zone,
+    AllowedValues, Class, DiscoveryMode, Idempotency, KeyScope, LoadReportFields, Permissions,
+    SafetyLimits, SettingKind, Settings, SettingsError, Tenant, Zone,
 };
 use proxy::RawProxySettings;
-use raw::{RawClass, RawLoadReport, RawPermissions, RawSafety, RawSettings};
+use raw::{RawClass, RawLoadReport, RawPermissions, RawSafety, RawSettings, key_path};
 use serde::Deserialize;
+use thiserror::Error;
+
+/// Why settings in JSON cannot be used.
+#[derive(Debug, Error)]
+pub enum ParseSettingsError {
+    /// The text is not JSON, a key is missing, or a value has the wrong type.
+    #[error("malformed settings: {0}")]
+    Malformed(#[source] serde_path_to_error::Error<serde_json::Error>),
+    /// A value is not allowed.
+    #[error("setting `{key}`: found {found}, allowed {allowed}")]
+    InvalidValue {
+        /// Path of the key, such as `classes[1].lateWorth`.
+        key: String,
+        /// The value found. Text is quoted.
+        found: String,
+        /// The values that are allowed in its place.
+        allowed: String,
+    },
+}
+
+impl ParseSettingsError {
+    /// Returns the error for text that is not one of the allowed values.
+    fn unknown_value(key: String, found: &str, allowed: &[&str]) -> Self {
+        Self::InvalidValue {
+            key,
+            found: format!("{found:?}"),
+            allowed: allowed.join(", "),
+        }
+    }
+}
+
+impl From<SettingsError> for ParseSettingsError {
+    fn from(error: SettingsError) -> Self {
+        let allowed = match (error.setting, error.allowed) {
+            (SettingKind::Timeout(class), AllowedValues::AtLeastLatencyObjective(objective)) => {
+                let key = key_path(SettingKind::LatencyObjective(class));
+                format!("at least {objective}, the value of `{key}`")
+            }
+            (_, allowed) => allowed.to_string(),
+        };
+        Self::InvalidValue {
+            key: key_path(error.setting),
+            found: error.found,
+            allowed,
+        }
+    }
+}
 
 /// Reads the settings from JSON text. Unknown keys are ignored.
 ///
 /// # Errors
-/// Names the key that is missing or makes no sense.
-pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsError> {
-    let raw: RawSettings = deserialize(json).map_err(|error| SettingsError {
-        field: error.path().to_string(),
-        problem: error.into_inner().to_string(),
-    })?;
+/// The first key that is missing or has an invalid value.
+pub fn parse_settings(json: &[u8]) -> Result<Settings, ParseSettingsError> {
+    let raw: RawSettings = deserialize(json).map_err(ParseSettingsError::Malformed)?;
     let settings = convert(raw)?;
     settings.validate()?;
     Ok(settings)
@@ -35,17 +82,17 @@
 /// Deserializes the settings that only the proxy on real sockets needs.
 ///
 /// # Errors
-/// Names the field that is malformed.
+/// The key that is malformed, with its path.
 pub(crate) fn deserialize_proxy_settings(
     json: &[u8],
 ) -> Result<RawProxySettings, serde_path_to_error::Error<serde_json::Error>> {
     deserialize(json)
 }
 
-/// Deserializes the value at the beginning of JSON text.
+/// Deserializes the value at the beginning of JSON text. Text after the value is ignored.
 ///
 /// # Errors
-/// Names the path of what is missing or malformed.
+/// The key that is missing or malformed, with its path.
 pub(crate) fn deserialize<'a, T: Deserialize<'a>>(
     json: &'a [u8],
 ) -> Result<T, serde_path_to_error::Error<serde_json::Error>> {
@@ -53,7 +100,7 @@
     serde_path_to_error::deserialize(&mut deserializer)
 }
 
-fn convert(raw: RawSettings) -> Result<Settings, SettingsError> {
+fn convert(raw: RawSettings) -> Result<Settings, ParseSettingsError> {
     let mut classes = Vec::with_capacity(raw.classes.len());
     for (index, class) in raw.classes.iter().enumerate() {
         classes.push(convert_class(index, class)?);
@@ -84,7 +131,7 @@
     })
 }
 
-fn convert_class(index: usize, raw: &RawClass) -> Result<Class, SettingsError> {
+fn convert_class(index: usize, raw: &RawClass) -> Result<Class, ParseSettingsError> {
     Ok(Class {
         latency_objective: raw.latency_objective,
         objective_work_factor: raw.objective_work_factor,
@@ -95,7 +142,7 @@
     })
 }
 
-fn convert_idempotency(index: usize, raw: &RawClass) -> Result<Idempotency, SettingsError> {
+fn convert_idempotency(index: usize, raw: &RawClass) -> Result<Idempotency, ParseSettingsError> {
     match raw.idempotency.as_str() {
         "retryable" => Ok(Idempotency::Idempotent),
         "fragile" => Ok(Idempotency::NonIdempotent),
@@ -103,24 +150,36 @@
             scope: convert_key_scope(index, &raw.key_scope)?,
             ttl: raw.key_ttl,
         }),
-        other => Err(unknown_value(format!("classes[{index}].effect"), other)),
+        other => Err(ParseSettingsError::unknown_value(
+            format!("classes[{index}].effect"),
+            other,
+            &["retryable", "dedup", "fragile"],
+        )),
     }
 }
 
-fn convert_key_scope(index: usize, raw: &str) -> Result<KeyScope, SettingsError> {
+fn convert_key_scope(index: usize, raw: &str) -> Result<KeyScope, ParseSettingsError> {
     match raw {
         "all" => Ok(KeyScope::AllBackends),
         "zone" => Ok(KeyScope::Zone),
         "cell" => Ok(KeyScope::Cell),
-        other => Err(unknown_value(format!("classes[{index}].group"), other)),
+        other => Err(ParseSettingsError::unknown_value(
+            format!("classes[{index}].group"),
+            other,
+            &["all", "zone", "cell"],
+        )),
     }
 }
 
-fn convert_discovery_mode(raw: &str) -> Result<DiscoveryMode, SettingsError> {
+fn convert_discovery_mode(raw: &str) -> Result<DiscoveryMode, ParseSettingsError> {
     match raw {
         "pushed" => Ok(DiscoveryMode::Pushed),
         "on_request" => Ok(DiscoveryMode::Polled),
-        other => Err(unknown_value("membershipMode".into(), other)),
+        other => Err(ParseSettingsError::unknown_value(
+            "membershipMode".into(),
+            other,
+            &["pushed", "on_request"],
+        )),
     }
 }
 
@@ -154,10 +213,3 @@
         collapse_time: raw.collapse_time,
     }
 }
-
-fn unknown_value(field: String, value: &str) -> SettingsError {
-    SettingsError {
-        field,
-        problem: format!("unknown value `{value}`"),
-    }
-}
--- a/src/settings_json/proxy.rs
+++ b/src/settings_json/proxy.rs
@@ -1,13 +1,14 @@
-//! The settings that only the proxy on real sockets needs: the names of what the decisions know by its position, and
-//! the timeout of a connect.
+//! The settings that only the proxy on real sockets needs: the names of classes, tenants, zones, machine types and load
+//! report fields, which the decisions identify by index, and the connect timeout.
 
-use crate::api::{Micros, SettingsError};
+use super::ParseSettingsError;
+use crate::api::Micros;
 use serde::Deserialize;
 
-/// Used where the settings have none.
+/// Connect timeout if the settings have none.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
-/// Names that the protocols use, and that the decisions know by their position.
+/// The names that the protocols use. The decisions identify the same things by their index in these lists.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     /// Request classes.
@@ -66,7 +67,7 @@
 }
 
 impl RawProxySettings {
-    /// Returns the time after which an attempt to connect has failed.
+    /// Returns the connect timeout.
     pub(crate) fn connect_timeout(&self) -> Micros {
         self.permissions.connect_timeout()
     }
@@ -74,8 +75,8 @@
     /// Returns the names that the settings define.
     ///
     /// # Errors
-    /// The first class or tenant without a name of its own.
-    pub(crate) fn into_names(self) -> Result<Names, SettingsError> {
+    /// The first class or tenant whose name is empty or taken.
+    pub(crate) fn into_names(self) -> Result<Names, ParseSettingsError> {
         Ok(Names {
             classes: distinct_names("classes", self.classes)?,
             tenants: distinct_names("tenants", self.tenants)?,
@@ -86,22 +87,18 @@
     }
 }
 
-/// Returns the names of a list of the settings. Requests are told apart by them, so each has one of
-/// its own.
-fn distinct_names(list: &str, entries: Vec<RawNamed>) -> Result<Vec<String>, SettingsError> {
+/// Returns the names of the entries of the list with key `list`. Requests state their class and tenant by name, so
+/// each name must be unique.
+fn distinct_names(list: &str, entries: Vec<RawNamed>) -> Result<Vec<String>, ParseSettingsError> {
     let mut names = Vec::with_capacity(entries.len());
     for (index, RawNamed { name }) in entries.into_iter().enumerate() {
-        let problem = if name.is_empty() {
-            Some("must not be empty")
-        } else if names.contains(&name) {
-            Some("stands there twice")
-        } else {
-            None
-        };
-        if let Some(problem) = problem {
-            return Err(SettingsError {
-                field: format!("{list}[{index}].name"),
-                problem: problem.into(),
+        if name.is_empty() || names.contains(&name) {
+            return Err(ParseSettingsError::InvalidValue {
+                key: format!("{list}[{index}].name"),
+                found: format!("{name:?}"),
+                allowed: format!(
+                    "a name that is not empty and that no other entry of `{list}` has"
+                ),
             });
         }
         names.push(name);
--- a/src/settings_json/raw.rs
+++ b/src/settings_json/raw.rs
@@ -1,6 +1,7 @@
-//! The settings as they are written, each key beside the term that the code uses for it. Durations are microseconds.
+//! The JSON form of the decisions' settings: each key beside the term that the code uses for it. Durations are
+//! microseconds.
 
-use crate::api::Micros;
+use crate::api::{Micros, SettingKind};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -118,3 +119,21 @@
 fn one_request() -> u32 {
     1
 }
+
+/// Returns the path of a setting's key, such as `classes[1].lateWorth`.
+pub(super) fn key_path(setting: SettingKind) -> String {
+    match setting {
+        SettingKind::ProxyCount => "balancers".into(),
+        SettingKind::ClassCount => "classes".into(),
+        SettingKind::LatencyObjective(class) => format!("classes[{class}].aimUs"),
+        SettingKind::Timeout(class) => format!("classes[{class}].deadlineUs"),
+        SettingKind::PriorityWeight(class) => format!("classes[{class}].worth"),
+        SettingKind::LateWeightFactor(class) => format!("classes[{class}].lateWorth"),
+        SettingKind::ObjectiveWorkFactor(class) => format!("classes[{class}].aimStretch"),
+        SettingKind::Quota(tenant) => format!("tenants[{tenant}].allowancePerS"),
+        SettingKind::OverQuotaWeight => "overShareWorth".into(),
+        SettingKind::MaxAttempts => "permissions.maxAttempts".into(),
+        SettingKind::SlowStartInitialCapacity => "safety.coldFrom".into(),
+        SettingKind::CollapseLoadFactor => "safety.fallMultiple".into(),
+    }
+}
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -11,5 +11,5 @@
 mod error;
 pub mod frames;
 
-pub use crate::settings_json::parse_settings;
+pub use crate::settings_json::{ParseSettingsError, parse_settings};
 pub use error::{FrameError, FrameErrorKind};
--- a/tests/host.rs
+++ b/tests/host.rs
@@ -273,7 +273,11 @@
     ));
     let last = replies(&output.stdout).concat().pop().expect("a record");
     assert_eq!((last.0, last.1), (6, 73));
-    assert!(String::from_utf8_lossy(&last.2).contains("classes[0].effect"));
+    assert!(
+        String::from_utf8_lossy(&last.2).contains(
+            r#"setting `classes[0].effect`: found "maybe", allowed retryable, dedup, fragile"#
+        )
+    );
 }
 
 #[test]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of other deployments: everything that distinguishes them comes from the configuration.
+//! Settings of deployments other than the simulator's: all differences between them come from the configuration.
 
 use serde_json::{Value, json};
 use tillerproxy::api::{DiscoveryMode, Idempotency, KeyScope};
@@ -54,7 +54,7 @@
 
 #[test]
 fn settings_of_a_pushed_deployment_are_read() {
-    let ferries = parse(&config(&ferries())).expect("good settings");
+    let ferries = parse(&config(&ferries())).expect("settings are valid");
     let idempotency: Vec<_> = ferries
         .settings
         .classes
@@ -102,7 +102,7 @@
 
 #[test]
 fn settings_of_a_polled_deployment_are_read() {
-    let ticketing = parse(&config(&ticketing())).expect("good settings");
+    let ticketing = parse(&config(&ticketing())).expect("settings are valid");
     assert!(
         ticketing
             .settings
@@ -126,7 +126,7 @@
     assert_eq!(ticketing.settings.zone_count, 1);
 }
 
-/// Where a setting stands, an invalid value, and the name of the field that the error has to give.
+/// The JSON pointer of a setting, an invalid value, and the path of the key that the error must contain.
 fn invalid_settings() -> [(&'static str, Value, &'static str); 14] {
     [
         (
@@ -139,7 +139,7 @@
             (-1).into(),
             "classes[1].deadlineUs",
         ),
-        ("/settings/classes/2/aimUs", 0.into(), "classes[2].aim"),
+        ("/settings/classes/2/aimUs", 0.into(), "classes[2].aimUs"),
         (
             "/settings/classes/0/effect",
             "harmless".into(),
@@ -161,24 +161,26 @@
         (
             "/settings/permissions/maxAttempts",
             0.into(),
-            "max_attempts",
+            "permissions.maxAttempts",
         ),
         (
             "/settings/membershipMode",
             "gossip".into(),
             "membershipMode",
         ),
-        ("/settings/safety/coldFrom", 1.5.into(), "cold_from"),
+        ("/settings/safety/coldFrom", 1.5.into(), "safety.coldFrom"),
         ("/settings/balancers", 0.into(), "balancers"),
         ("/limits/sockets", "many".into(), "limits.sockets"),
     ]
 }
 
 #[test]
-fn invalid_settings_are_reported_by_the_name_of_their_field() {
+fn an_invalid_setting_is_reported_with_the_path_of_its_key() {
     for (pointer, value, field) in invalid_settings() {
         let mut config = config(&ferries());
-        *config.pointer_mut(pointer).expect("it is there") = value;
+        *config
+            .pointer_mut(pointer)
+            .expect("the valid configuration has the key") = value;
         let error = parse(&config).expect_err(pointer);
         assert!(
             error.contains(field) && error.lines().count() == 1,
@@ -188,7 +190,7 @@
 }
 
 #[test]
-fn missing_settings_are_reported_by_the_name_of_their_field() {
+fn a_missing_setting_is_reported_with_its_key() {
     for field in [
         "me",
         "balancers",
@@ -200,7 +202,7 @@
         let mut config = config(&ferries());
         config["settings"]
             .as_object_mut()
-            .expect("an object")
+            .expect("`settings` is an object")
             .remove(field);
         let error = parse(&config).expect_err(field);
         assert!(error.contains(field), "{error}");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -401,43 +401,117 @@
     }
 }
 
+/// A valid setting, an invalid one in its place, and the error.
+const INVALID_SETTINGS: [(&str, &str, &str); 16] = [
+    (
+        r#""balancers": 5"#,
+        r#""balancers": 0"#,
+        "setting `balancers`: found 0, allowed at least 1",
+    ),
+    (
+        r#""aimUs": 500000"#,
+        r#""aimUs": 0"#,
+        "setting `classes[0].aimUs`: found 0, allowed above 0",
+    ),
+    (
+        r#""deadlineUs": 900000"#,
+        r#""deadlineUs": 499999"#,
+        "setting `classes[0].deadlineUs`: found 499999, allowed at least 500000, the value of `classes[0].aimUs`",
+    ),
+    (
+        r#""worth": 2.0"#,
+        r#""worth": -2.5"#,
+        "setting `classes[0].worth`: found -2.5, allowed 0 or more",
+    ),
+    (
+        r#""lateWorth": 0.5"#,
+        r#""lateWorth": 1.5"#,
+        "setting `classes[0].lateWorth`: found 1.5, allowed 0 to 1",
+    ),
+    (
+        r#""lateWorth": 0.5"#,
+        r#""lateWorth": 0.5, "aimStretch": -0.1"#,
+        "setting `classes[0].aimStretch`: found -0.1, allowed 0 or more",
+    ),
+    (
+        r#""effect": "dedup""#,
+        r#""effect": "magic""#,
+        r#"setting `classes[0].effect`: found "magic", allowed retryable, dedup, fragile"#,
+    ),
+    (
+        r#""group": "cell""#,
+        r#""group": "moon""#,
+        r#"setting `classes[0].group`: found "moon", allowed all, zone, cell"#,
+    ),
+    (
+        r#""allowancePerS": 12.5"#,
+        r#""allowancePerS": 1.0}, {"allowancePerS": -1.0"#,
+        "setting `tenants[1].allowancePerS`: found -1, allowed 0 or more",
+    ),
+    (
+        r#""overShareWorth": 0.1"#,
+        r#""overShareWorth": -0.1"#,
+        "setting `overShareWorth`: found -0.1, allowed 0 to 1",
+    ),
+    (
+        r#""maxAttempts": 5"#,
+        r#""maxAttempts": 0"#,
+        "setting `permissions.maxAttempts`: found 0, allowed at least 1",
+    ),
+    (
+        r#""coldFrom": 0.33"#,
+        r#""coldFrom": 7"#,
+        "setting `safety.coldFrom`: found 7, allowed 0 to 1",
+    ),
+    (
+        r#""fallMultiple": 3.0"#,
+        r#""fallMultiple": 0.0"#,
+        "setting `safety.fallMultiple`: found 0, allowed above 0",
+    ),
+    (
+        r#""membershipMode": "on_request""#,
+        r#""membershipMode": "guess""#,
+        r#"setting `membershipMode`: found "guess", allowed pushed, on_request"#,
+    ),
+    (
+        r#""balancers": 5"#,
+        r#""balancers": -5"#,
+        "malformed settings: balancers: invalid value: integer `-5`, expected u32 at line 1 column 16",
+    ),
+    (
+        r#""safety""#,
+        r#""sagety""#,
+        "malformed settings: missing field `safety` at line 9 column 115",
+    ),
+];
+
 #[test]
-fn invalid_settings_are_rejected_by_name() {
-    let swaps = [
-        (r#""balancers": 5"#, r#""balancers": 0"#, "balancers"),
-        (r#""aimUs": 500000"#, r#""aimUs": 0"#, "classes[0].aim"),
-        (
-            r#""effect": "dedup""#,
-            r#""effect": "magic""#,
-            "classes[0].effect",
-        ),
-        (
-            r#""group": "cell""#,
-            r#""group": "moon""#,
-            "classes[0].group",
-        ),
-        (r#""coldFrom": 0.33"#, r#""coldFrom": 7"#, "cold_from"),
-        (
-            r#""membershipMode": "on_request""#,
-            r#""membershipMode": "guess""#,
-            "membershipMode",
-        ),
-    ];
-    for (good, bad, field) in swaps {
-        let json = SETTINGS.replace(good, bad);
-        assert_ne!(json, SETTINGS);
-        assert_eq!(
-            parse_settings(json.as_bytes())
-                .expect_err("it makes no sense")
-                .field,
-            field
-        );
+fn an_invalid_setting_is_reported_with_its_key_the_value_found_and_the_values_allowed() {
+    for (valid, invalid, expected) in INVALID_SETTINGS {
+        let json = SETTINGS.replacen(valid, invalid, 1);
+        assert_ne!(json, SETTINGS, "{valid} is not in the settings");
+        let error = parse_settings(json.as_bytes()).expect_err(invalid);
+        assert_eq!(error.to_string(), expected);
     }
-    let missing = parse_settings(SETTINGS.replace("\"safety\"", "\"sagety\"").as_bytes());
-    assert!(
-        missing
-            .expect_err("a key is missing")
-            .problem
-            .contains("safety")
+    let no_classes = json_without_classes();
+    let error = parse_settings(no_classes.as_bytes()).expect_err("there are no classes");
+    assert_eq!(
+        error.to_string(),
+        "setting `classes`: found 0, allowed at least 1"
     );
 }
+
+/// The settings with an empty list of classes.
+fn json_without_classes() -> String {
+    let start = SETTINGS
+        .find(r#""classes""#)
+        .expect("the settings have classes");
+    let end = SETTINGS
+        .find(r#""tenants""#)
+        .expect("the settings have tenants");
+    format!(
+        r#"{}"classes": [], {}"#,
+        &SETTINGS[..start],
+        &SETTINGS[end..]
+    )
+}
