--- a/src/proxy/driver/actions.rs
+++ b/src/proxy/driver/actions.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 impl Driver {
-    /// Executes all actions of the last event.
+    /// Executes the actions that the balancer decided on for the last event, in order.
     pub(super) fn execute_actions(&mut self, now: Micros) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             self.execute(now, action);
         }
-        // The list keeps its memory.
+        // The empty list is put back so that its allocation is reused.
         self.actions = actions;
     }
 
@@ -45,7 +45,7 @@
                 self.timers.set(due, DriverTimer::Balancer(token));
             }
             Action::Subscribe => {
-                // Nothing receives it where discovery is an agent: the watch on it is always open.
+                // The send fails if discovery is an agent: a watch on an agent is always open, so there is no receiver.
                 let _ = self.watch_requests.send(());
             }
             Action::HealthCheck(backend) => self.start_health_check(backend),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sends a request's final answer, if its client still waits for one. Returns whether it did.
+    /// Sends a request's final answer if its client still waits for one. Returns whether the client did.
     pub(super) fn answer(&mut self, request: RequestId, answer: Answer) -> bool {
         self.requests
             .get_mut(request)
--- a/src/proxy/driver/attempts.rs
+++ b/src/proxy/driver/attempts.rs
@@ -21,19 +21,20 @@
     },
 }
 
-/// What the balancer says of an attempt that it starts.
+/// The parameters of an attempt that the balancer starts ([`Action::Send`](crate::api::Action::Send)).
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptStart {
     pub(super) request: RequestId,
     pub(super) backend: BackendId,
-    /// When the attempt times out.
+    /// Time on the proxy's clock at which the attempt times out.
     pub(super) deadline: Micros,
-    /// When the request must be written completely, if it may not be sent later.
+    /// Time on the proxy's clock by which the request must be written completely; `None` if no such limit applies.
     pub(super) write_deadline: Option<Micros>,
 }
 
 impl Driver {
-    /// Starts an attempt. An attempt that must not be sent any more ends at once.
+    /// Starts an attempt. It ends at once with [`Outcome::NotSent`] if its request is answered, the maximum number of
+    /// attempts is reached, its deadline has passed or its backend is not listed.
     pub(super) fn start_attempt(&mut self, now: Micros, start: AttemptStart) {
         let AttemptStart {
             request,
@@ -83,14 +84,14 @@
         });
     }
 
-    /// Cancels an attempt. Its outcome is still to come.
+    /// Cancels an attempt. Its outcome follows in a [`Message::AttemptEnded`].
     pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: u16) {
         if let Some(open) = self.requests.get_mut(request) {
             open.cancel_attempt(attempt);
         }
     }
 
-    /// Sends a backend a health check, if it is listed.
+    /// Sends a health check to a backend, if the backend is listed.
     pub(super) fn start_health_check(&self, backend: BackendId) {
         let Some(endpoint) = self.backends.endpoint(backend) else {
             return;
@@ -104,8 +105,8 @@
         });
     }
 
-    /// Answers the client with a streamed response that began. Without a client the response is dropped,
-    /// which ends the attempt.
+    /// Answers the client with a streamed response whose head was received. If the client has disconnected or has its
+    /// answer, the response is dropped, which ends the attempt.
     pub(super) fn on_response_started(
         &mut self,
         now: Micros,
@@ -130,12 +131,13 @@
         self.handle_event(now, event);
     }
 
+    /// Notifies the balancer of an attempt or a health check that ended.
     pub(super) fn on_completion(&mut self, now: Micros, completion: Completion) {
         self.completions.push_back(completion);
         self.handle_completions(now);
     }
 
-    /// Gives the balancer all completions, and those that its actions cause at once.
+    /// Notifies the balancer of all completions in the queue, including those that its actions add meanwhile.
     pub(super) fn handle_completions(&mut self, now: Micros) {
         while let Some(completion) = self.completions.pop_front() {
             match completion {
@@ -161,7 +163,7 @@
         self.execute_actions(now);
     }
 
-    /// Reports the end of an attempt to the balancer, once for each attempt.
+    /// Notifies the balancer of the end of an attempt. A second end of the same attempt is ignored.
     fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -179,7 +181,7 @@
             .attempt_elapsed(attempt, &self.clock, now)
             .unwrap_or_default();
         request_log::attempt_ended(request, attempt, backend, elapsed, &result);
-        // The first response of a backend is the answer, without an action of the balancer.
+        // The first response of a backend is the final answer; the balancer does not decide on it.
         if let Some(response) = result.served {
             open.answer(request, Answer::Served(response));
         }
--- a/src/proxy/driver/margins/tests.rs
+++ b/src/proxy/driver/margins/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn margins_take_no_more_than_a_part_of_a_short_remaining_time() {
+fn margins_are_a_fraction_of_a_short_remaining_time() {
     assert_eq!(balancer_timeout(15_000_000), 15_000_000 - BALANCER_MARGIN);
     assert_eq!(
         final_answer_timeout(15_000_000),
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_balancer_decides_before_a_request_fails() {
+fn the_balancer_times_out_no_later_than_the_final_answer() {
     for remaining in [1, 1_000, 10_000, 30_000, 60_000, 15_000_000] {
         assert!(balancer_timeout(remaining) <= final_answer_timeout(remaining));
         assert!(final_answer_timeout(remaining) <= remaining);
--- a/src/proxy/driver/membership.rs
+++ b/src/proxy/driver/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list.
+//! Membership updates: changes of the endpoint list, and failures of the watch on it.
 
 use super::Driver;
 use crate::api::{Backend, BackendId, Event, MembershipEvent, Micros};
@@ -6,8 +6,8 @@
 use rustc_hash::FxHashSet;
 
 impl Driver {
-    /// Updates the endpoints of the sockets and notifies the balancer, in this order: an attempt that the update starts
-    /// has to find its backend.
+    /// Updates the table of listed backends, then notifies the balancer. The table comes first because the balancer may
+    /// start an attempt on a backend that the update adds.
     pub(super) fn on_membership(&mut self, now: Micros, update: &MembershipUpdate) {
         let endpoints = update.endpoints();
         if update.is_complete_list() {
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -1,15 +1,16 @@
-//! The driver: owns the [`Balancer`], gives it events on one clock and executes its actions.
+//! The driver: owns the [`Balancer`], passes events to it with the time of one clock, and executes its actions.
 //!
-//! All other tasks of the proxy talk to it through a [`Handle`].
+//! All other tasks of the proxy send it messages through a [`Handle`].
 //!
 //! | module | job |
 //! | --- | --- |
 //! | `requests` | the table of pending requests and their attempts |
-//! | `timers`, `margins` | timers; how long before a client's timeout a request has to be decided |
+//! | `timers` | timers of the balancer and of final answers |
+//! | `margins` | how long before a client's timeout its request must be answered |
 //! | `request_events` | a request arrives, its final answer is due, its client disconnects |
 //! | `attempts` | attempts and health checks, from their start to their outcome |
-//! | `membership` | changes of the endpoint list |
-//! | `actions` | what the balancer wants done |
+//! | `membership` | membership updates from discovery |
+//! | `actions` | execution of the balancer's actions |
 
 mod actions;
 mod attempts;
@@ -36,13 +37,13 @@
 /// Settings that the driver itself applies.
 #[derive(Clone, Copy, Debug)]
 pub struct DriverSettings {
-    /// The most attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u16,
-    /// Whether load reports come with health checks alone.
+    /// Whether only responses to health checks carry a load report.
     pub load_report_by_health_check: bool,
 }
 
-/// Owns the balancer and carries out its decisions.
+/// Owns the balancer and executes its decisions.
 pub struct Driver {
     balancer: Balancer,
     clock: Clock,
@@ -51,19 +52,20 @@
     lifecycle: Rc<Lifecycle>,
     handle: Handle,
     messages: mpsc::UnboundedReceiver<Message>,
-    /// Tells the discovery watcher to open a watch. Nothing receives it unless discovery is polled.
+    /// Requests to the discovery watcher to open a watch. They have a receiver only if discovery is polled.
     watch_requests: mpsc::UnboundedSender<()>,
     requests: PendingRequests,
     timers: DriverTimers,
-    /// Attempts and health checks that ended, and that the balancer was not notified of yet.
+    /// Attempts and health checks that ended and of which the balancer has not been notified yet.
     completions: VecDeque<Completion>,
-    /// Actions of the balancer that are not executed yet; empty between events.
+    /// Actions of the balancer that have not been executed yet; empty between events.
     actions: Vec<Action>,
 }
 
 impl Driver {
-    /// Creates a driver with no requests, and the handle that other tasks send messages with.
-    /// `watch_requests` is sent a value whenever the balancer wants a watch to be opened on discovery.
+    /// Creates a driver without requests, and the handle through which other tasks send it messages.
+    ///
+    /// The driver sends `watch_requests` a value whenever the balancer wants a watch on discovery to be opened.
     #[must_use]
     pub fn new(
         balancer: Balancer,
@@ -91,7 +93,8 @@
         (driver, handle)
     }
 
-    /// Runs for as long as the proxy does.
+    /// Handles messages and timers until all handles are dropped. The driver holds one itself, so it runs until the
+    /// process ends.
     pub async fn run(mut self) {
         loop {
             let next_due = self.timers.next_due().map(|due| self.clock.instant(due));
@@ -110,7 +113,7 @@
                 return;
             };
             self.on_message(message);
-            // Timers that are due must not wait for a pause in the messages.
+            // A steady stream of messages must not delay timers that are due.
             self.fire_timers();
         }
     }
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Gives the balancer an event, executes its actions, and handles what they completed at once.
+    /// Passes an event to the balancer, executes its actions, and handles the attempts that ended at once in doing so.
     fn handle_event(&mut self, now: Micros, event: Event<'_>) {
         self.balancer.handle(now, event, &mut self.actions);
         self.execute_actions(now);
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -10,6 +10,7 @@
 use tokio::sync::oneshot;
 
 impl Driver {
+    /// Adds a request to the pending ones, sets the timer of its final answer and notifies the balancer.
     pub(super) fn on_request(
         &mut self,
         now: Micros,
@@ -33,7 +34,8 @@
         self.handle_event(now, Event::Request(request));
     }
 
-    /// Fails a request that the balancer left open, so that each client gets an answer before its timeout (rule 1).
+    /// Fails a request that has no answer yet, so that its client gets one before its timeout (rule 1: one final
+    /// answer). The timer is set again if a streamed body has moved the time at which the answer is due.
     pub(super) fn on_final_answer_due(&mut self, now: Micros, request: RequestId) {
         let Some(open) = self.requests.get(request) else {
             return;
@@ -51,8 +53,8 @@
         }
     }
 
-    /// Returns when a request with a streamed body is answered at the latest: its client's timeout
-    /// counts from the last byte of the body. `None` where the body is not streamed.
+    /// Returns the latest time at which a request with a streamed body is answered: its client's timeout starts with the
+    /// last byte of the body. `None` if the body is not streamed.
     fn streamed_answer_due(&self, now: Micros, open: &PendingRequest) -> Option<Micros> {
         let progress = open.call.body.progress()?;
         let complete_at = match progress.finished_at() {
@@ -66,6 +68,7 @@
         }
     }
 
+    /// Records that a client disconnected and notifies the balancer, unless the client has its answer.
     pub(super) fn on_client_disconnected(&mut self, now: Micros, request: RequestId) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
@@ -74,8 +77,8 @@
             return;
         }
         request_log::client_disconnected(request);
-        // Nobody waits for the response: an attempt that still waits for its connection must not be sent any more
-        // (rule 1: nothing is started for a request after its end).
+        // An attempt that still waits for its connection must not be sent any more (rule 1: nothing is started for a
+        // request after its end).
         open.call.over.set();
         self.handle_event(now, Event::ClientDisconnected(request));
         self.requests.remove_if_finished(request);
--- a/src/proxy/driver/requests.rs
+++ b/src/proxy/driver/requests.rs
@@ -9,18 +9,18 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// How far an attempt is on the sockets.
+/// Progress of an attempt on the sockets.
 #[derive(Debug)]
 enum SocketAttemptState {
-    /// It runs; the sender cancels it.
+    /// The attempt is in progress; a value sent here cancels it.
     Running(oneshot::Sender<()>),
-    /// It was cancelled, and its outcome is still to come.
+    /// The attempt was cancelled and has not ended yet.
     Cancelled,
-    /// It ended.
+    /// The attempt has ended.
     Ended,
 }
 
-/// An attempt of a request as the driver follows it; the balancer has its own view.
+/// The driver's record of an attempt. The balancer keeps one of its own.
 #[derive(Debug)]
 struct SocketAttempt {
     backend: BackendId,
@@ -28,13 +28,13 @@
     state: SocketAttemptState,
 }
 
-/// A request that may still get an answer, or has an attempt that did not end.
+/// A request that has no answer yet, or has an attempt that has not ended.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub(super) call: Rc<Call>,
-    /// Receives the final answer; `None` once it was sent or the client disconnected.
+    /// Channel for the final answer; `None` once it was sent or the client disconnected.
     client: Option<oneshot::Sender<Answer>>,
-    /// How long the client still waited when the request was received.
+    /// Time until the client's timeout, counted from the time at which the driver received the request.
     pub(super) remaining: Micros,
     attempts: Vec<SocketAttempt>,
 }
@@ -49,28 +49,28 @@
         }
     }
 
-    /// Whether the client still waits for its answer.
+    /// Reports whether the client still waits for its answer.
     pub(super) fn is_unanswered(&self) -> bool {
         self.client.is_some()
     }
 
-    /// Sends the final answer, if the client still waits for one. Returns whether it did.
+    /// Sends the final answer if the client still waits for one. Returns whether the client did.
     pub(super) fn answer(&mut self, request: RequestId, answer: Answer) -> bool {
         let Some(client) = self.client.take() else {
             return false;
         };
         request_log::answered(request, &answer);
-        // A client that has just disconnected needs none.
+        // The send fails if the client has just disconnected; no answer is needed then.
         let _ = client.send(answer);
         true
     }
 
-    /// Records that the client disconnected. Returns whether it still waited for an answer.
+    /// Records that the client disconnected. Returns whether the client still waited for an answer.
     pub(super) fn disconnect(&mut self) -> bool {
         self.client.take().is_some()
     }
 
-    /// Adds an attempt. Returns its number and the channel that cancels it.
+    /// Adds an attempt that is in progress. Returns its number, and the channel on which it receives its cancellation.
     pub(super) fn start_attempt(
         &mut self,
         backend: BackendId,
@@ -86,7 +86,7 @@
         (number, cancelled)
     }
 
-    /// Cancels an attempt that runs. Its outcome is still to come.
+    /// Cancels an attempt that is in progress. The attempt has an outcome all the same, which arrives later.
     pub(super) fn cancel_attempt(&mut self, number: u16) {
         let Some(attempt) = self.attempts.get_mut(usize::from(number)) else {
             return;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Records the end of an attempt and returns its backend; `None` if it had ended before.
+    /// Records the end of an attempt and returns its backend. `None` if there is no such attempt or it had ended before.
     pub(super) fn end_attempt(&mut self, number: u16) -> Option<BackendId> {
         let attempt = self.attempts.get_mut(usize::from(number))?;
         if matches!(attempt.state, SocketAttemptState::Ended) {
@@ -110,8 +110,8 @@
         Some(attempt.backend)
     }
 
-    /// Returns how long an attempt has taken so far. The time in which the client was still sending
-    /// the request's body is not its backend's.
+    /// Returns how long an attempt has taken so far, without the time in which the client was still sending the request's
+    /// body: the backend is not responsible for it.
     pub(super) fn attempt_elapsed(
         &self,
         number: u16,
@@ -126,15 +126,15 @@
         Some(now.saturating_sub(began))
     }
 
-    /// Returns when the last byte of a streamed body came; `None` if it has not come, or the body
-    /// is not streamed.
+    /// Returns when the last byte of a streamed body was received; `None` if it has not been received yet, or the body is
+    /// not streamed.
     fn body_complete_at(&self, clock: &Clock) -> Option<Micros> {
         let progress = self.call.body.progress()?;
         let complete_at = progress.finished_at()?;
         Some(clock.at(complete_at))
     }
 
-    /// Whether the client needs no answer and all attempts have ended.
+    /// Reports whether the client needs no answer any more and all attempts have ended.
     pub(super) fn is_finished(&self) -> bool {
         let all_ended = self
             .attempts
@@ -144,7 +144,7 @@
     }
 }
 
-/// All pending requests.
+/// All pending requests, by their ids.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests(FxHashMap<RequestId, PendingRequest>);
 
@@ -161,7 +161,7 @@
         self.0.get_mut(&id)
     }
 
-    /// Removes a request for which nothing more can come.
+    /// Removes a request if it is finished.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self.0.get(&id).is_some_and(PendingRequest::is_finished) {
             self.0.remove(&id);
--- a/src/proxy/driver/requests/tests.rs
+++ b/src/proxy/driver/requests/tests.rs
@@ -20,18 +20,18 @@
 }
 
 #[test]
-fn a_request_is_answered_once() {
+fn only_the_first_answer_of_a_request_is_sent() {
     let (mut open, mut answer) = pending_request();
     assert!(open.is_unanswered());
     assert!(open.answer(REQUEST, Answer::Rejected { retry_after: 7 }));
     assert!(!open.answer(REQUEST, Answer::Failed));
     assert!(!open.disconnect() && !open.is_unanswered());
-    let received = answer.try_recv().expect("an answer");
+    let received = answer.try_recv().expect("the first answer was sent");
     assert!(matches!(received, Answer::Rejected { retry_after: 7 }));
 }
 
 #[test]
-fn a_cancelled_attempt_is_notified_once_and_still_ends_once() {
+fn an_attempt_is_cancelled_and_ended_at_most_once() {
     let (mut open, _answer) = pending_request();
     let (first, mut first_cancelled) = open.start_attempt(5, 10);
     let (second, mut second_cancelled) = open.start_attempt(6, 20);
@@ -43,27 +43,34 @@
     assert_eq!(open.end_attempt(first), Some(5));
     assert_eq!(open.end_attempt(first), None);
     open.cancel_attempt(first);
-    assert_eq!(open.end_attempt(first), None, "an ended attempt stays so");
+    assert_eq!(
+        open.end_attempt(first),
+        None,
+        "an ended attempt cannot be cancelled"
+    );
     open.cancel_attempt(9);
     assert_eq!(open.end_attempt(9), None);
 }
 
 #[test]
-fn a_request_stays_until_it_is_answered_and_its_attempts_have_ended() {
+fn a_request_is_removed_once_its_client_needs_no_answer_and_its_attempts_have_ended() {
     let (mut open, _answer) = pending_request();
     let (attempt, _cancelled) = open.start_attempt(5, 10);
     let mut requests = PendingRequests::default();
     requests.insert(REQUEST, open);
-    let stays = |requests: &mut PendingRequests| {
+    let is_kept = |requests: &mut PendingRequests| {
         requests.remove_if_finished(REQUEST);
         requests.get(REQUEST).is_some()
     };
-    assert!(stays(&mut requests));
-    let open = requests.get_mut(REQUEST).expect("a pending request");
+    assert!(is_kept(&mut requests));
+    let open = requests.get_mut(REQUEST).expect("the request is pending");
     assert!(open.disconnect());
     open.cancel_attempt(attempt);
-    assert!(stays(&mut requests), "the attempt's outcome is to come");
-    let open = requests.get_mut(REQUEST).expect("a pending request");
+    assert!(
+        is_kept(&mut requests),
+        "the cancelled attempt has not ended"
+    );
+    let open = requests.get_mut(REQUEST).expect("the request is pending");
     open.end_attempt(attempt);
-    assert!(!stays(&mut requests));
+    assert!(!is_kept(&mut requests));
 }
--- a/src/proxy/driver/timers/tests.rs
+++ b/src/proxy/driver/timers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn timers_come_in_the_order_in_which_they_are_due_and_not_before() {
+fn timers_fire_in_the_order_of_their_due_times_and_not_before() {
     let mut timers = DriverTimers::default();
     assert_eq!((timers.next_due(), timers.pop_due(1_000)), (None, None));
     timers.set(30, DriverTimer::FinalAnswer(1));
