--- a/src/proxy/discovery/backend_ids.rs
+++ b/src/proxy/discovery/backend_ids.rs
@@ -6,11 +6,10 @@
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// Assigns each backend name an id: the hash of the name, so that all proxies number a backend
-/// alike.
+/// Assigns an id to each backend name: the hash of the name, so that all proxies use the same id for a backend.
 ///
-/// Two names with the same hash get different ids, in the order in which they come; only for those
-/// two the proxies may disagree.
+/// Names with the same hash get different ids, in the order in which they are first listed. The proxies may disagree on
+/// the ids of these names only.
 #[derive(Debug, Default)]
 pub(super) struct BackendIds {
     by_name: FxHashMap<String, BackendId>,
@@ -18,7 +17,7 @@
 }
 
 impl BackendIds {
-    /// Returns the id of a name, and assigns one to a new name.
+    /// Returns the id of a name. A new name is assigned one.
     pub(super) fn get_or_assign(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.by_name.get(name) {
             return id;
@@ -31,19 +30,19 @@
         id
     }
 
-    /// Returns the id of a name that has one.
+    /// Returns the id of a name; `None` if it has none.
     pub(super) fn get(&self, name: &str) -> Option<BackendId> {
         self.by_name.get(name).copied()
     }
 
-    /// Forgets a name and frees its id.
+    /// Removes a name and frees its id.
     pub(super) fn remove(&mut self, name: &str) {
         if let Some(id) = self.by_name.remove(name) {
             self.assigned.remove(&id);
         }
     }
 
-    /// Forgets all names but those of the ids given.
+    /// Removes all names except those with an id in `listed`.
     pub(super) fn retain(&mut self, listed: &FxHashSet<BackendId>) {
         self.by_name.retain(|_, id| listed.contains(id));
         self.assigned.retain(|id| listed.contains(id));
@@ -60,7 +59,7 @@
     }
 }
 
-/// Hashes with FNV-1a, 32 bits, which is the same in each build and on each machine.
+/// Returns the 32-bit FNV-1a hash, which is the same in every build and on every machine.
 fn fnv1a(bytes: &[u8]) -> u32 {
     let mut hash = FNV_OFFSET_BASIS;
     for &byte in bytes {
--- a/src/proxy/discovery/client.rs
+++ b/src/proxy/discovery/client.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery over HTTP/1.1.
+//! HTTP/1.1 client for calls to discovery.
 
 use super::error::DiscoveryError;
 use crate::proxy::connect;
@@ -12,18 +12,21 @@
 use std::net::SocketAddr;
 use tokio::task::JoinHandle;
 
-/// The largest response, in bytes: thousands of endpoints fit in.
+/// Maximum size of a response: enough for thousands of endpoints.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Calls discovery, and keeps the connection for the next call.
+/// Calls discovery, and keeps the connection open for the next call.
 #[derive(Default)]
 pub(super) struct DiscoveryClient {
     connection: Option<Connection>,
 }
 
 impl DiscoveryClient {
-    /// Fetches a resource and returns its body. A call that fails or is dropped closes the
+    /// Fetches the resource `target` and returns the body of the response. A call that fails or is dropped closes the
     /// connection.
+    ///
+    /// # Errors
+    /// Any [`DiscoveryError`] of the connection, the request or the response; also a status other than 200.
     pub(super) async fn fetch(
         &mut self,
         address: SocketAddr,
@@ -48,12 +51,12 @@
         Ok(body)
     }
 
-    /// Closes the connection.
+    /// Closes the connection, if one is open.
     pub(super) fn disconnect(&mut self) {
         self.connection = None;
     }
 
-    /// Takes the connection of the last call where it is still open, else opens one.
+    /// Returns the connection of the last call if it is still open, otherwise a new one.
     async fn ready_connection(
         &mut self,
         address: SocketAddr,
@@ -67,7 +70,7 @@
     }
 }
 
-/// An open connection. Dropped, it closes.
+/// An open connection, which is closed when it is dropped.
 struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     task: JoinHandle<()>,
@@ -80,7 +83,7 @@
             .await
             .map_err(DiscoveryError::Connection)?;
         let task = tokio::task::spawn_local(async move {
-            // How it ends is seen by the call that uses it.
+            // The call that uses the connection reports its error.
             let _ = connection.await;
         });
         Ok(Self { sender, task })
--- a/src/proxy/discovery/error.rs
+++ b/src/proxy/discovery/error.rs
@@ -9,31 +9,31 @@
 /// Why a call to discovery returned no endpoint list.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    /// No connection could be made.
-    #[error("connecting failed: {0}")]
+    /// The connection could not be opened.
+    #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
     /// The request could not be built.
     #[error("invalid request: {0}")]
     InvalidRequest(#[source] Box<dyn StdError + Send + Sync>),
-    /// The connection broke, or what came back is no HTTP response.
+    /// The connection was lost, or the response is not valid HTTP.
     #[error("connection failed: {0}")]
     Connection(#[source] hyper::Error),
-    /// The response broke off, or it is too large.
-    #[error("reading the response failed: {0}")]
+    /// The body of the response is incomplete or too large.
+    #[error("cannot read the response body: {0}")]
     ResponseBody(#[source] Box<dyn StdError + Send + Sync>),
-    /// No complete response came in time.
-    #[error("no response in time")]
+    /// The call timeout expired before the response was complete.
+    #[error("no complete response within the call timeout")]
     Timeout,
     /// The response has a status other than 200.
-    #[error("response with status {0}")]
+    #[error("response has status {0}, expected 200 OK")]
     Status(StatusCode),
-    /// The response is no endpoint list.
+    /// The response is not a valid endpoint list.
     #[error("malformed endpoint list: {0}")]
     MalformedList(#[source] serde_json::Error),
-    /// The response is older than the list that the proxy holds.
-    #[error("revision {received} is older than revision {held}, which is held")]
+    /// The list in the response is older than the one that the proxy holds.
+    #[error("endpoint list has revision {received}, expected {held} or later")]
     OutdatedRevision {
-        /// Revision of the response.
+        /// Revision of the list in the response.
         received: u64,
         /// Revision of the list that the proxy holds.
         held: u64,
@@ -43,16 +43,16 @@
 /// Why an endpoint of a list cannot be used.
 #[derive(Debug, Error)]
 pub(super) enum EndpointError {
-    /// It lacks a field, or a field has no valid value.
+    /// A field is missing or has an invalid value.
     #[error("malformed endpoint: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// Its address is none.
-    #[error("malformed address `{address}`: {source}")]
+    /// The address is not an IP address with a port.
+    #[error("`host_port` is {address:?}, expected an IP address and a port: {source}")]
     Address {
         address: String,
         source: AddrParseError,
     },
-    /// The settings do not name its zone.
-    #[error("unknown locality `{0}`")]
+    /// The settings lack the zone.
+    #[error("`locality` is {0:?}, expected a zone of `failureDomains`")]
     UnknownZone(String),
 }
--- a/src/proxy/discovery/intervals/tests.rs
+++ b/src/proxy/discovery/intervals/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn long_poll_timeouts_of_polled_proxies_differ_and_stay_around_their_mean() {
+fn long_poll_timeouts_of_polled_proxies_differ_and_stay_within_their_spread() {
     const PROXY_COUNT: u32 = 710;
     let mut timeouts: Vec<Duration> = (0..PROXY_COUNT)
         .map(|proxy_index| polled_long_poll_timeout(proxy_index, PROXY_COUNT))
--- a/src/proxy/discovery/mod.rs
+++ b/src/proxy/discovery/mod.rs
@@ -1,18 +1,19 @@
 //! Discovery of the backends: keeps the proxy's endpoint list current.
 //!
-//! The [`Watcher`] fetches the complete list once and then follows its changes by long polling:
-//! each call names the revision that the proxy holds, and discovery answers once it has a newer one
-//! or the call's time is over. Discovery is either an agent on the same machine, on which a watch is always
-//! open, or a service that all proxies share, where a watch is opened when the balancer wants one ([`Polling`]).
+//! The [`Watcher`] fetches the complete list once and then follows its changes by long polling: each call states the
+//! revision that the proxy holds, and discovery answers once it has a newer one or the long-poll timeout expires.
+//! Discovery is either an agent on the same machine, on which a watch is always open, or a service that all proxies
+//! share, on which a watch is opened when the balancer requests one ([`Polling`]).
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `watcher` | the watch: when to call, and what each result means |
+//! | `watcher` | the watch: when to call, and how to handle each result |
 //! | `intervals` | long-poll timeouts, call timeouts, delays |
 //! | `client` | one HTTP call |
 //! | `wire` | the JSON form of endpoint lists |
-//! | `translator` | endpoint lists in the terms of the decisions |
-//! | `backend_ids`, `start_times` | ids for backend names; start times on the proxy's clock |
+//! | `translator` | conversion of endpoint lists to the terms of the decisions |
+//! | `backend_ids` | ids for backend names |
+//! | `start_times` | start times of backends on the proxy's clock |
 
 mod backend_ids;
 mod client;
--- a/src/proxy/discovery/start_times.rs
+++ b/src/proxy/discovery/start_times.rs
@@ -4,10 +4,10 @@
 use crate::proxy::clock::Clock;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Converts start times, and remembers each result.
+/// Converts start times to the proxy's clock, and keeps the results.
 ///
-/// A start ahead of the proxy's clock is taken as now. Converted anew from each list, it would look
-/// like a restart.
+/// A start time ahead of the proxy's clock is converted to the present. A second conversion would give a later time,
+/// which would look like a restart of the backend.
 #[derive(Debug)]
 pub(super) struct StartTimes {
     clock: Clock,
@@ -16,9 +16,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct StartTime {
-    /// As discovery lists it.
+    /// Start time as discovery lists it, in Unix milliseconds.
     unix_ms: u64,
-    /// On the proxy's clock; `None`: long ago.
+    /// Start time on the proxy's clock; `None`: long ago.
     started_at: Option<Micros>,
 }
 
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Converts the start time of a backend, which may have restarted since it was last listed.
+    /// Returns the start time of a backend on the proxy's clock; `None`: long ago. It is converted only if discovery lists
+    /// another start time than before, because the backend restarted.
     pub(super) fn convert(&mut self, id: BackendId, unix_ms: u64) -> Option<Micros> {
         if let Some(known) = self.converted.get(&id)
             && known.unix_ms == unix_ms
@@ -46,12 +47,12 @@
         started_at
     }
 
-    /// Forgets a backend.
+    /// Removes the start time of a backend.
     pub(super) fn remove(&mut self, id: BackendId) {
         self.converted.remove(&id);
     }
 
-    /// Forgets all backends but those given.
+    /// Removes the start times of all backends that are not in `listed`.
     pub(super) fn retain(&mut self, listed: &FxHashSet<BackendId>) {
         self.converted.retain(|id, _| listed.contains(id));
     }
--- a/src/proxy/discovery/tests.rs
+++ b/src/proxy/discovery/tests.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 
 #[test]
-fn names_of_removed_backends_are_forgotten_and_the_others_keep_their_ids() {
+fn names_of_removed_backends_are_dropped_and_the_others_keep_their_ids() {
     let names = Names {
         zones: vec!["a".into()],
         ..Names::default()
@@ -15,7 +15,7 @@
         let list = translator
             .parse_value(&json!({"revision": 1, "complete": complete, "members": members}));
         let ids = list
-            .expect("a list")
+            .expect("the endpoint list is valid")
             .endpoints
             .iter()
             .map(|e| e.backend.id)
@@ -28,9 +28,9 @@
         )
     };
     let (first, ..) = list(true, vec![entry("stays".into(), "active")]);
-    for turn in 0..100 {
-        list(false, vec![entry(format!("s-{turn}"), "active")]);
-        list(false, vec![entry(format!("s-{turn}"), "left")]);
+    for n in 0..100 {
+        list(false, vec![entry(format!("s-{n}"), "active")]);
+        list(false, vec![entry(format!("s-{n}"), "left")]);
     }
     let delta = list(false, vec![entry("stays".into(), "leaving")]);
     assert_eq!(delta, (first, 1, 1, 1));
@@ -61,7 +61,9 @@
         member(r#""s-\u0031""#),
         member(r#""s-2""#)
     );
-    let list = translator.parse(text.as_bytes()).expect("a list");
+    let list = translator
+        .parse(text.as_bytes())
+        .expect("the endpoint list is valid");
     assert_eq!(
         (list.revision, list.is_complete, list.endpoints.len()),
         (3, true, 2)
@@ -77,11 +79,11 @@
         .map(|entry| entry.backend.id)
         .collect();
     listed.sort_unstable();
-    assert_eq!(listed, ids, "the names are as they were written");
+    assert_eq!(listed, ids, "escape sequences in names are decoded");
 }
 
 #[test]
-fn a_backend_that_one_list_has_as_removed_and_then_as_ready_keeps_its_id() {
+fn a_backend_listed_as_removed_and_then_as_ready_keeps_its_id() {
     let names = Names {
         zones: vec!["a".into()],
         ..Names::default()
@@ -89,7 +91,9 @@
     let mut translator = Translator::new(Clock::start(), &names);
     let entry = |phase: &str| json!({"id": "s-1", "host_port": "127.0.0.1:9", "locality": "a", "phase": phase});
     let both = json!({"revision": 1, "members": [entry("left"), entry("active")]});
-    let list = translator.parse_value(&both).expect("a list");
+    let list = translator
+        .parse_value(&both)
+        .expect("the endpoint list is valid");
     assert_eq!(list.endpoints.len(), 2);
     assert_eq!(
         (
@@ -101,7 +105,7 @@
 }
 
 #[test]
-fn an_endpoint_whose_phase_is_unknown_or_no_text_is_skipped() {
+fn an_endpoint_whose_phase_is_unknown_or_not_text_is_skipped() {
     let names = Names {
         zones: vec!["a".into()],
         ..Names::default()
@@ -116,5 +120,5 @@
     let member = |phase: &Value| json!({"id": "s-1", "host_port": "127.0.0.1:9", "locality": "a", "phase": phase});
     let members: Vec<Value> = phases.iter().map(member).collect();
     let list = translator.parse_value(&json!({"revision": 1, "members": members}));
-    assert_eq!(list.expect("a list").endpoints.len(), 1);
+    assert_eq!(list.expect("the endpoint list is valid").endpoints.len(), 1);
 }
--- a/src/proxy/discovery/translator.rs
+++ b/src/proxy/discovery/translator.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists in the terms of the decisions.
+//! Conversion of endpoint lists to the terms of the decisions.
 
 use super::backend_ids::BackendIds;
 use super::error::{DiscoveryError, EndpointError};
@@ -13,18 +13,18 @@
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// An endpoint list, complete or of changes.
+/// An endpoint list: all endpoints, or those that changed.
 #[derive(Debug)]
 pub struct EndpointList {
-    /// Its revision.
+    /// Revision of the list.
     pub revision: u64,
-    /// Whether it has all endpoints; otherwise those that changed.
+    /// Whether the list has all endpoints; otherwise it has those that changed.
     pub is_complete: bool,
-    /// The endpoints that are well formed.
+    /// The endpoints, without malformed ones.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// Translates endpoint lists: names of backends, zones and machine types become numbers.
+/// Converts endpoint lists: replaces the names of backends, zones and machine types with numbers.
 #[derive(Debug)]
 pub struct Translator {
     zones: FxHashMap<String, Zone>,
@@ -34,8 +34,7 @@
 }
 
 impl Translator {
-    /// Creates a translator that knows no backends yet. `names` has the zones and machine types in
-    /// the order of their numbers.
+    /// Creates a translator without backends. `names` has the zones and machine types in the order of their numbers.
     #[must_use]
     pub fn new(clock: Clock, names: &Names) -> Self {
         let zones = (0..).map(Zone);
@@ -56,7 +55,7 @@
     /// Parses the JSON text of an endpoint list. Malformed endpoints are logged and skipped.
     ///
     /// # Errors
-    /// [`DiscoveryError::MalformedList`] where the text is no JSON or the list as a whole is
+    /// [`DiscoveryError::MalformedList`] if the text is not JSON, or `revision` or the list itself is missing or
     /// malformed.
     pub fn parse(&mut self, json: &[u8]) -> Result<EndpointList, DiscoveryError> {
         let raw: RawEndpointList =
@@ -83,15 +82,15 @@
         Ok(list)
     }
 
-    /// Converts an endpoint list that was parsed as JSON already.
+    /// Converts an endpoint list that has already been parsed as JSON. Malformed endpoints are logged and skipped.
     ///
     /// # Errors
-    /// As [`Translator::parse`].
+    /// The same as [`Translator::parse`].
     pub fn parse_value(&mut self, json: &Value) -> Result<EndpointList, DiscoveryError> {
         self.parse(json.to_string().as_bytes())
     }
 
-    /// Converts an endpoint; its name comes along.
+    /// Converts an endpoint. Returns it with the name of its backend.
     fn endpoint<'a>(
         &mut self,
         json: &'a RawValue,
@@ -110,7 +109,7 @@
             .get(raw.zone.as_ref())
             .copied()
             .ok_or_else(|| EndpointError::UnknownZone(raw.zone.to_string()))?;
-        // A backend of a machine type that the settings lack can serve all the same.
+        // A backend whose machine type is not in the settings can serve requests too; it gets the default type.
         let machine_type = self
             .machine_types
             .get(raw.machine_type.as_ref())
@@ -128,8 +127,8 @@
         Ok((ListedEndpoint { backend, address }, raw.name))
     }
 
-    /// Forgets backends that are listed no more: names are not used again, and would take memory
-    /// for good. The work for a list of changes is proportional to the list.
+    /// Removes the names and start times of backends that are no longer listed. Backend names are not reused, so these
+    /// would take memory forever. The work is proportional to the length of the list, also for a list of changes.
     fn forget_removed(&mut self, list: &EndpointList, removed_names: &[Cow<'_, str>]) {
         if !list.is_complete && removed_names.is_empty() {
             return;
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery.
+//! The watch on discovery, which follows the endpoint list by long polling.
 
 use super::client::DiscoveryClient;
 use super::error::DiscoveryError;
@@ -14,24 +14,25 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
-/// The resource that has the endpoint list.
+/// Path of the endpoint list at discovery.
 const ENDPOINT_LIST_PATH: &str = "/discovery/hosts";
 
-/// Opens a watch only when the balancer wants one
-/// ([`DiscoveryMode::Polled`](crate::api::DiscoveryMode::Polled)): discovery is a service that all proxies share, so
-/// the balancers limit how often all of them together open watches. Without it
-/// ([`DiscoveryMode::Pushed`](crate::api::DiscoveryMode::Pushed)) discovery is an agent on the same machine, on which
-/// the watcher always holds a watch. In both modes a watch is a sequence of long polls.
+/// Settings and input of a watcher that opens a watch only when the balancer requests one
+/// ([`DiscoveryMode::Polled`](crate::api::DiscoveryMode::Polled)).
+///
+/// Discovery is a service that all proxies share in this mode, so the balancers limit how often all of them together
+/// open watches. A watcher without a `Polling` ([`DiscoveryMode::Pushed`](crate::api::DiscoveryMode::Pushed)) calls an
+/// agent on the same machine and always holds a watch on it. In both modes a watch is a sequence of long polls.
 #[derive(Debug)]
 pub struct Polling {
-    /// Receives a value whenever the balancer wants a watch to be opened.
+    /// Receives a value whenever the balancer requests that a watch be opened.
     watch_requests: mpsc::UnboundedReceiver<()>,
-    /// Long-poll timeout of a watch that is continued.
+    /// Long-poll timeout of a call that continues a watch.
     long_poll_timeout: Duration,
 }
 
 impl Polling {
-    /// Creates the polling of one proxy.
+    /// Creates the polling of the proxy with index `proxy_index` among `proxy_count` proxies.
     #[must_use]
     pub fn new(
         watch_requests: mpsc::UnboundedReceiver<()>,
@@ -44,53 +45,52 @@
         }
     }
 
-    /// Waits until the balancer wants a watch to be opened.
+    /// Waits until the balancer requests that a watch be opened.
     async fn watch_requested(&mut self) {
-        // The driver, which holds the sender, ends only with the process.
+        // The sender is dropped only when the driver ends, at the end of the process.
         if self.watch_requests.recv().await.is_none() {
             std::future::pending::<()>().await;
         }
         self.discard_requests();
     }
 
-    /// Discards the requests that came before the last call ended: it was made for them too.
+    /// Discards the queued requests: one call serves all requests that were made before its end.
     fn discard_requests(&mut self) {
         while self.watch_requests.try_recv().is_ok() {}
     }
 }
 
-/// How far the watch is.
+/// State of the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchState {
-    /// No call was made yet.
+    /// No call has been made yet.
     Starting,
-    /// The last call was answered: the next one continues the watch.
+    /// The last call succeeded; the next one continues the watch.
     Watching,
     /// The last call failed.
     Failed,
-    /// Discovery has a new address: a watch is opened there at once, also where it is polled.
+    /// Discovery has a new address. The next call is made at once, also if discovery is polled.
     AddressChanged,
 }
 
-/// Follows discovery and sends the driver each change of the endpoint list.
+/// Watches discovery and sends each change of the endpoint list to the driver.
 pub struct Watcher {
-    /// Where discovery is; a new configuration may change it while the proxy runs.
+    /// Address of discovery, which a new configuration may change while the proxy runs.
     addresses: watch::Receiver<SocketAddr>,
     client: DiscoveryClient,
     translator: Translator,
     handle: Handle,
-    /// Notified once the proxy has an endpoint list of discovery, or a cached one with a ready backend.
+    /// Marked ready once the proxy has an endpoint list from discovery, or a cached one with a ready backend.
     lifecycle: Rc<Lifecycle>,
-    /// `None` where discovery is an agent on the same machine.
+    /// `None` if discovery is an agent on the same machine.
     polling: Option<Polling>,
-    /// Revision of the list that the proxy holds; a watch asks for newer ones.
+    /// Revision of the list that the proxy holds. `None`: the next call asks for the complete list.
     revision: Option<u64>,
     state: WatchState,
 }
 
 impl Watcher {
-    /// Creates a watcher that has made no call. With `polling` it opens a watch only when the
-    /// balancer wants one.
+    /// Creates a watcher that has not made a call. With `polling` it opens a watch only when the balancer requests one.
     #[must_use]
     pub fn new(
         addresses: watch::Receiver<SocketAddr>,
@@ -111,9 +111,9 @@
         }
     }
 
-    /// Starts from the endpoint list that the configuration holds. It may be out of date, but the
-    /// proxy can serve from it. If it is complete and has a ready backend, the first call asks for
-    /// changes only: cheap for discovery where all proxies start at once.
+    /// Starts with the endpoint list that the configuration contains. It may be out of date, but a list with a ready
+    /// backend is enough to serve requests. If such a list is complete, the first call asks for changes only, which
+    /// saves discovery work when all proxies start at once.
     pub fn start_from_cache(&mut self, cached: &Value) {
         let mut endpoints = Vec::new();
         match self.translator.parse_value(cached) {
@@ -130,11 +130,11 @@
             }
             Err(error) => tracing::warn!(%error, "no cached endpoint list"),
         }
-        // An empty one is sent too: it makes the balancer open a watch.
+        // An empty list is sent too: it makes the balancer request a watch.
         self.send(MembershipUpdate::Cached(endpoints));
     }
 
-    /// Follows discovery for as long as the proxy runs, at whatever address it is.
+    /// Watches discovery until the process ends, and moves to its new address whenever the address changes.
     pub async fn run(mut self) {
         let mut addresses = self.addresses.clone();
         addresses.mark_unchanged();
@@ -146,16 +146,15 @@
         }
     }
 
-    /// Leaves the old address at once. Revisions are not comparable between two services, so the
-    /// new one is asked for the complete list; until that comes, the proxy serves from the old
-    /// list.
+    /// Disconnects from the old address at once. Revisions of two services are not comparable, so the next call asks the
+    /// new one for the complete list; the proxy uses the old list until the new one arrives.
     fn on_address_changed(&mut self) {
         self.client.disconnect();
         self.revision = None;
         self.state = WatchState::AddressChanged;
     }
 
-    /// Makes one call after another. Never returns.
+    /// Makes one call after another and sends the results to the driver. Never returns.
     async fn follow(&mut self) {
         loop {
             self.wait_for_next_call().await;
@@ -165,13 +164,15 @@
                     self.publish(list);
                 }
                 Err(error) => {
-                    self.on_failure(&error);
-                    self.after_failure(&error).await;
+                    self.record_failure(&error);
+                    self.prepare_retry(&error).await;
                 }
             }
         }
     }
 
+    /// Waits until the next call is due: at once if a watch is continued or discovery is an agent, otherwise when the
+    /// balancer requests a watch.
     async fn wait_for_next_call(&mut self) {
         match self.state {
             WatchState::Watching | WatchState::AddressChanged => {}
@@ -183,6 +184,7 @@
         }
     }
 
+    /// Records the revision of a list and sends its endpoints to the driver.
     fn publish(&mut self, list: EndpointList) {
         self.revision = Some(list.revision);
         self.lifecycle.mark_ready();
@@ -193,8 +195,8 @@
         }
     }
 
-    /// Records a failed call: logs the first of consecutive failures, and drops the connection.
-    fn on_failure(&mut self, error: &DiscoveryError) {
+    /// Records a failed call: logs the first of consecutive failures, and closes the connection.
+    fn record_failure(&mut self, error: &DiscoveryError) {
         if self.state != WatchState::Failed {
             tracing::warn!(%error, "call to discovery failed");
         }
@@ -202,9 +204,9 @@
         self.state = WatchState::Failed;
     }
 
-    /// Prepares the next call. The balancer decides when a watch is opened again on a shared discovery, so it is
-    /// notified; a watch on an agent is opened again after a short delay.
-    async fn after_failure(&mut self, error: &DiscoveryError) {
+    /// Prepares the call after a failed one. On a shared discovery the balancer decides when a watch is opened again, so
+    /// it is notified of the failure; on an agent the call is repeated after a short delay.
+    async fn prepare_retry(&mut self, error: &DiscoveryError) {
         match &mut self.polling {
             None => sleep(PUSHED_RETRY_DELAY).await,
             Some(polling) => {
@@ -226,8 +228,7 @@
         self.handle.send(Message::Membership(update));
     }
 
-    /// Calls discovery once, for the complete list or for what is newer than the list that the
-    /// proxy holds.
+    /// Calls discovery once, for the complete list or for the changes since the revision that the proxy holds.
     async fn call(&mut self) -> Result<EndpointList, DiscoveryError> {
         let timing = self.next_timing();
         let target = self.next_target(timing);
@@ -239,7 +240,7 @@
         if let Some(held) = self.revision
             && list.revision < held
         {
-            // Another service answers at the same address. The next call asks it for the complete
+            // Another service, with revisions of its own, answers at this address. The next call asks it for the complete
             // list.
             self.revision = None;
             return Err(DiscoveryError::OutdatedRevision {
--- a/src/proxy/discovery/wire.rs
+++ b/src/proxy/discovery/wire.rs
@@ -8,8 +8,7 @@
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// An endpoint list. Its endpoints are still text: a malformed one must not make the others
-/// unusable.
+/// An endpoint list whose endpoints are not parsed yet, so that a malformed one does not make the others unusable.
 #[derive(Deserialize)]
 pub(super) struct RawEndpointList<'a> {
     pub(super) revision: u64,
@@ -34,12 +33,12 @@
     pub(super) cell: u16,
     #[serde(rename = "phase")]
     pub(super) readiness: RawReadiness,
-    /// Start of the backend's process, Unix milliseconds; 0: long ago.
+    /// Start time of the backend's process in Unix milliseconds; 0: long ago.
     #[serde(default, rename = "up_since_ms")]
     pub(super) started_at_unix_ms: u64,
 }
 
-/// The phases of an endpoint.
+/// Readiness of an endpoint, which the protocol calls its phase.
 #[derive(Clone, Copy)]
 pub(super) enum RawReadiness {
     Ready,
@@ -49,7 +48,7 @@
 
 const PHASES: &[&str] = &["active", "leaving", "left"];
 
-/// Accepts a phase as text only; a derived implementation would also accept `{"active": null}`.
+/// Accepts a phase only as text. A derived implementation would also accept `{"active": null}`.
 impl<'de> Deserialize<'de> for RawReadiness {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let phase = Cow::<str>::deserialize(deserializer)?;
