--- a/src/bin/tillerproxy-simhost.rs
+++ b/src/bin/tillerproxy-simhost.rs
@@ -1,4 +1,5 @@
-//! Hosts the decisions of many proxies for the simulator: batches on standard input, replies on standard output.
+//! Runs the decisions of many proxies for the simulator: reads batches on standard input and writes replies to standard
+//! output.
 #![forbid(unsafe_code)]
 
 use std::any::Any;
@@ -16,38 +17,38 @@
 };
 use tillerproxy::simulator::{FrameError, FrameErrorKind, ParseSettingsError, parse_settings};
 
-/// Bytes read ahead from standard input.
+/// Size in bytes of the buffer for standard input.
 const INPUT_BUFFER_LENGTH: usize = 64 * 1024;
 
-/// What ends the program early.
+/// Why the program ends before the end of its input.
 #[derive(Debug, Error)]
 enum HostError {
     /// The input does not follow the protocol.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// A pipe failed.
-    #[error("the wire broke: {0}")]
+    /// Reading standard input or writing standard output failed.
+    #[error("cannot read standard input or write standard output: {0}")]
     Io(#[from] io::Error),
-    /// A proxy could not start, or its decisions panicked. The reply says so to the simulator.
-    #[error("a balancer failed; the last reply says how")]
-    ProxyFailed,
+    /// The settings of a proxy are invalid, or its decisions panicked. The reply has a record with the reason.
+    #[error("proxy {} failed: {reason}", proxy.0)]
+    ProxyFailed { proxy: ProxyId, reason: String },
 }
 
 /// The proxies of a simulation.
 #[derive(Default)]
 struct Host {
-    /// By their ids; `None` where a proxy does not run.
+    /// Balancers by the ids of their proxies; `None` if a proxy is not running.
     proxies: Vec<Option<Balancer>>,
-    /// By their ids; `None` where no list has come.
+    /// Endpoint lists by their ids; `None` if a list has not been received.
     endpoint_lists: Vec<Option<Rc<[Backend]>>>,
-    /// What the last event brought about; kept so that its memory is used again.
+    /// Actions of the last event; kept so that the allocation is reused.
     actions: Vec<Action>,
     reply: ReplyWriter,
-    /// Unknown record codes that were reported; each is reported once.
+    /// Unknown record codes that have been reported; each is reported once.
     reported_codes: BTreeSet<u8>,
 }
 
-/// A record for the selected proxy.
+/// The selected proxy, and the record that is handled for it.
 #[derive(Clone, Copy)]
 struct Target {
     proxy: ProxyId,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Handles a record that is for one proxy.
+    /// Handles a record that is for the selected proxy.
     fn handle_record(&mut self, target: Target, record: &Record<'_>) -> Result<(), HostError> {
         match *record {
             Record::StartProxy { seed, settings } => self.start_proxy(target, seed, settings),
@@ -109,14 +110,11 @@
                 *entry(&mut self.proxies, target.proxy.index()) = Some(balancer);
                 Ok(())
             }
-            Err(error) => {
-                self.reply.fatal(target.proxy, &error.to_string());
-                Err(HostError::ProxyFailed)
-            }
+            Err(error) => Err(self.fail(target.proxy, error.to_string())),
         }
     }
 
-    /// Returns the endpoints that a membership update refers to; none where it reports a failure.
+    /// Returns the endpoints that a membership update refers to; none if it reports a failure of the watch.
     fn endpoints_of_update(
         &mut self,
         kind: UpdateKind,
@@ -148,8 +146,8 @@
         self.handle_event(target, Event::Membership(event))
     }
 
-    /// Passes an event on to a proxy's decisions and writes their actions. A panic of theirs becomes a record of the
-    /// reply.
+    /// Passes an event to the decisions of a proxy and writes their actions to the reply. A panic of the decisions is
+    /// reported in the reply.
     fn handle_event(&mut self, target: Target, event: Event<'_>) -> Result<(), HostError> {
         let Target { proxy, offset, now } = target;
         let Some(balancer) = entry(&mut self.proxies, proxy.index()) else {
@@ -158,12 +156,11 @@
         };
         let actions = &mut self.actions;
         actions.clear();
-        // After a panic the program ends, so that nobody sees what the decisions left half done.
+        // The assertion holds because the program ends after a panic: state that is half updated is never used.
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
         if let Err(panic) = handled {
-            let text = format!("the decision module panicked: {}", panic_text(&*panic));
-            self.reply.fatal(proxy, &text);
-            return Err(HostError::ProxyFailed);
+            let reason = format!("the decision module panicked: {}", panic_text(&*panic));
+            return Err(self.fail(proxy, reason));
         }
         for action in &self.actions {
             self.reply.action(proxy, action);
@@ -171,9 +168,15 @@
         Ok(())
     }
 
+    /// Reports the failure of a proxy in the reply, and returns the error that ends the program.
+    fn fail(&mut self, proxy: ProxyId, reason: String) -> HostError {
+        self.reply.fatal(proxy, &reason);
+        HostError::ProxyFailed { proxy, reason }
+    }
+
     fn report_unknown(&mut self, code: u8) {
         if self.reported_codes.insert(code) {
-            eprintln!("passing over records of the unknown code {code}");
+            eprintln!("ignoring records with the unknown code {code}");
         }
     }
 }
@@ -187,7 +190,7 @@
     Ok(Balancer::new(settings, seed, now)?)
 }
 
-/// Returns entry `index` of a table, which grows to have it.
+/// Returns the entry at `index` of a table, which is extended if it is too short.
 fn entry<T>(table: &mut Vec<Option<T>>, index: usize) -> &mut Option<T> {
     if table.len() <= index {
         table.resize_with(index + 1, || None);
@@ -214,7 +217,7 @@
     panic.downcast_ref::<&str>().copied().unwrap_or("no text")
 }
 
-/// Reads one batch into `bytes`. Returns false at the end of the input.
+/// Reads one batch into `bytes`. Returns whether there was one; `false` means the end of the input.
 fn read_batch(input: &mut impl Read, bytes: &mut Vec<u8>) -> Result<bool, HostError> {
     bytes.clear();
     input.take(BATCH_HEADER_LENGTH as u64).read_to_end(bytes)?;
@@ -232,18 +235,18 @@
     Ok(true)
 }
 
-/// Returns the error of an input that ends after `bytes`.
+/// Returns the error for input that ends after `bytes`.
 fn truncated(bytes: &[u8], kind: FrameErrorKind) -> HostError {
     let offset = bytes.len();
     FrameError { offset, kind }.into()
 }
 
-/// Answers each batch of the input until it ends.
+/// Handles the batches of the input until its end and writes a reply to each.
 fn run(host: &mut Host, input: &mut impl Read, output: &mut impl Write) -> Result<(), HostError> {
     let mut bytes = Vec::new();
     while read_batch(input, &mut bytes)? {
         let handled = host.handle_batch(&bytes);
-        if matches!(handled, Ok(()) | Err(HostError::ProxyFailed)) {
+        if matches!(handled, Ok(()) | Err(HostError::ProxyFailed { .. })) {
             output.write_all(&host.reply.finish())?;
             output.flush()?;
         }
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,65 +1,66 @@
-//! What can be wrong with the simulator's input.
+//! Errors in the simulator's input.
 
 use super::frames::{BATCH_HEADER_LENGTH, ListId, ProxyId};
 use thiserror::Error;
 
 /// Input that does not follow the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("bad input at byte {offset} of the batch: {kind}")]
+#[error("invalid input at byte {offset} of the batch: {kind}")]
 pub struct FrameError {
     /// Offset from the first byte of the batch.
     pub offset: usize,
-    /// What is wrong there.
+    /// The kind of error.
     pub kind: FrameErrorKind,
 }
 
-/// What is wrong with the input. The texts say what was expected in its place.
+/// The kinds of errors in the input, with the value found and the values expected. The texts use the protocol's own
+/// names.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameErrorKind {
     /// The input ends within a batch's header.
-    #[error("expected a batch header of {BATCH_HEADER_LENGTH} bytes")]
+    #[error("the input ends within a batch header, expected {BATCH_HEADER_LENGTH} bytes")]
     TruncatedBatchHeader,
     /// The input ends within a batch.
-    #[error("expected {length} bytes behind the batch header")]
+    #[error("the input ends within a batch, expected {length} bytes after the batch header")]
     TruncatedBatch {
-        /// Bytes after the header, as the header states them.
+        /// Number of bytes after the header, as the header states it.
         length: usize,
     },
     /// The header states another length than the batch has.
-    #[error("expected a length of {actual}, not {stated}")]
+    #[error("the batch header states {stated} bytes, expected {actual}")]
     BatchLength {
-        /// Bytes after the header.
+        /// Number of bytes after the header.
         actual: usize,
-        /// The same, as the header states it.
+        /// Number of bytes after the header, as the header states it.
         stated: usize,
     },
-    /// A record ends within a field.
-    #[error("expected {needed} more bytes in a record of {available} bytes")]
+    /// A record ends before the end of a field.
+    #[error("a record of {available} bytes ends before the end of a field of {needed} bytes")]
     TruncatedRecord {
-        /// Bytes that the field takes.
+        /// Length of the field in bytes.
         needed: usize,
-        /// Bytes that the record has in all.
+        /// Length of the whole record in bytes.
         available: usize,
     },
-    /// The batch has more bytes than the records that its header counts.
-    #[error("expected the end of the batch")]
+    /// The batch has more bytes than the number of records in its header accounts for.
+    #[error("bytes after the last record, expected the end of the batch")]
     TrailingBytes,
-    /// A code that is no outcome.
-    #[error("expected an outcome of 100 or 301 to 307, not {0}")]
+    /// An unknown code of an outcome.
+    #[error("outcome is {0}, expected 100 or 301 to 307")]
     UnknownOutcome(u16),
-    /// A code that is no kind of membership update.
-    #[error("expected a scope of 0 to 3, not {0}")]
+    /// An unknown code of a kind of membership update.
+    #[error("scope of a `membership` record is {0}, expected 0 to 3")]
     UnknownUpdateKind(u8),
-    /// A code that is no readiness.
-    #[error("expected a readiness of 0 to 2, not {0}")]
+    /// An unknown code of a readiness.
+    #[error("readiness of an endpoint is {0}, expected 0 to 2")]
     UnknownReadiness(u8),
-    /// A record for a proxy before any proxy was selected.
-    #[error("expected a `switch_to` before the first event of an instance")]
+    /// A record for a proxy, but no record has selected one.
+    #[error("record for a proxy, expected a `switch_to` record before it")]
     NoProxySelected,
-    /// An event for a proxy that does not run.
-    #[error("expected an event for a running instance; {} does not run", .0.0)]
+    /// An event for a proxy that is not running.
+    #[error("event for proxy {}, expected a proxy that is running", .0.0)]
     ProxyNotRunning(ProxyId),
-    /// A membership update with an endpoint list that was not sent.
-    #[error("expected a list that a `page` has brought; {} was not", .0.0)]
+    /// A membership update that refers to an endpoint list that has not been sent.
+    #[error("`membership` record refers to list {}, expected a list of an earlier `page` record", .0.0)]
     UnknownList(ListId),
 }
--- a/src/simulator/frames/endpoints.rs
+++ b/src/simulator/frames/endpoints.rs
@@ -1,11 +1,11 @@
-//! The endpoints of a list.
+//! Reads the endpoints of a list.
 
 use super::fields::Fields;
 use super::layout::{endpoint, readiness_code};
 use crate::api::{Backend, Cell, MachineType, Readiness, Zone};
 use crate::simulator::{FrameError, FrameErrorKind};
 
-/// The bytes of a list's endpoints, not yet parsed.
+/// The endpoints of a list, as bytes that have not been parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointFrames<'a> {
     bytes: &'a [u8],
@@ -18,10 +18,10 @@
         Self { bytes, start }
     }
 
-    /// Reads the endpoints.
+    /// Parses the endpoints.
     ///
     /// # Errors
-    /// [`FrameErrorKind::UnknownReadiness`] at the first endpoint with a code that is no readiness.
+    /// [`FrameErrorKind::UnknownReadiness`] at the first endpoint with an unknown code of its readiness.
     pub fn parse(&self) -> Result<Vec<Backend>, FrameError> {
         let mut backends = Vec::with_capacity(self.bytes.len() / endpoint::LENGTH);
         let mut start = self.start;
@@ -40,7 +40,7 @@
         machine_type: MachineType(fields.u8(endpoint::MACHINE_TYPE)?),
         cell: Cell(fields.u16(endpoint::CELL)?),
         readiness: parse_readiness(fields)?,
-        // 0 stands for a start before the simulation.
+        // 0: the backend started before the simulation.
         started_at: Some(fields.u64(endpoint::STARTED_AT)?).filter(|&time| time != 0),
     })
 }
--- a/src/simulator/frames/fields.rs
+++ b/src/simulator/frames/fields.rs
@@ -7,7 +7,7 @@
 /// The bytes of one record, its header included.
 pub(super) struct Fields<'a> {
     bytes: &'a [u8],
-    /// Offset of the record in the batch, for errors.
+    /// Offset of the record in the batch, which errors report.
     start: usize,
 }
 
@@ -16,10 +16,10 @@
         Self { bytes, start }
     }
 
-    /// Returns `length` bytes from `offset` on.
+    /// Returns the `length` bytes that begin at `offset`.
     ///
     /// # Errors
-    /// [`FrameErrorKind::TruncatedRecord`] where the record ends before.
+    /// [`FrameErrorKind::TruncatedRecord`] if the record ends before the last of them.
     pub(super) fn slice(&self, offset: usize, length: usize) -> Result<&'a [u8], FrameError> {
         let end = offset.saturating_add(length);
         self.bytes.get(offset..end).ok_or_else(|| {
@@ -54,13 +54,13 @@
         let values = self.slice(values_offset, value_count * size_of::<f32>())?;
         let mut report = Vec::with_capacity(value_count);
         for value in values.chunks_exact(size_of::<f32>()) {
-            let value = value.try_into().expect("chunks have the length of a value");
+            let value = value.try_into().expect("each chunk is as long as a value");
             report.push(f32::from_be_bytes(value));
         }
         Ok(report)
     }
 
-    /// Reads how an attempt or a health check ended.
+    /// Reads the outcome of an attempt or a health check.
     pub(super) fn outcome(&self, offset: usize) -> Result<Outcome, FrameError> {
         match self.u16(offset)? {
             outcome_code::OK => Ok(Outcome::Ok),
@@ -85,6 +85,6 @@
 
     fn array<const N: usize>(&self, offset: usize) -> Result<[u8; N], FrameError> {
         let bytes = self.slice(offset, N)?;
-        Ok(bytes.try_into().expect("a slice has the length asked for"))
+        Ok(bytes.try_into().expect("`slice` returned N bytes"))
     }
 }
--- a/src/simulator/frames/layout.rs
+++ b/src/simulator/frames/layout.rs
@@ -1,6 +1,6 @@
-//! Codes, and where the fields of each record stand: offsets in bytes from the first byte of the record.
+//! Codes of the protocol, and the offset of each field in its record, in bytes from the record's first byte.
 
-/// Bytes of a batch's header.
+/// Length of a batch's header in bytes.
 pub const BATCH_HEADER_LENGTH: usize = 8;
 
 pub(super) mod batch {
@@ -13,7 +13,7 @@
 pub(super) mod record {
     pub const CODE: usize = 0;
     pub const LENGTH: usize = 1;
-    /// Length of a record's header, which is also where its first field stands.
+    /// Length of a record's header in bytes, which is also the offset of the first field.
     pub const FIELDS: usize = 5;
 }
 
@@ -78,7 +78,7 @@
     pub const ENDPOINTS: usize = 11;
 }
 
-/// Offsets from the first byte of an endpoint.
+/// Offsets of an endpoint's fields, from the endpoint's first byte.
 pub(super) mod endpoint {
     pub const ID: usize = 0;
     pub const ZONE: usize = 4;
@@ -86,7 +86,7 @@
     pub const CELL: usize = 7;
     pub const READINESS: usize = 9;
     pub const STARTED_AT: usize = 14;
-    /// Bytes of one endpoint.
+    /// Length of one endpoint in bytes.
     pub const LENGTH: usize = 22;
 }
 
@@ -120,10 +120,10 @@
     pub const TOKEN: usize = 5;
 }
 
-/// Offsets of a membership update.
+/// Offsets of the fields of a membership update.
 pub mod membership_update {
     pub(in super::super) const KIND: usize = 5;
-    /// Number of the endpoint list.
+    /// Offset of the endpoint list's number.
     pub const LIST: usize = 10;
 }
 
@@ -145,8 +145,8 @@
     pub const TIMEOUT: usize = 20;
     pub const EXPECTED_WORK: usize = 24;
     pub const FLAGS: usize = 28;
-    /// The flag that the expected work is stated.
+    /// Flag: the record states the expected work.
     pub const HAS_EXPECTED_WORK: u8 = 1;
-    /// The flag that the client marked the request as a retry.
+    /// Flag: the client marked the request as a retry.
     pub const IS_RETRY: u8 = 2;
 }
--- a/src/simulator/frames/reader.rs
+++ b/src/simulator/frames/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a batch record by record.
+//! Reads the records of a batch.
 
 use super::fields::Fields;
 use super::layout::{
@@ -22,7 +22,7 @@
 pub struct BatchReader<'a> {
     bytes: &'a [u8],
     clock: Micros,
-    /// Offset of the next record.
+    /// Offset of the next record from the first byte of the batch.
     offset: usize,
     records_left: u32,
 }
@@ -31,7 +31,8 @@
     /// Reads the header and the clock of a batch; `bytes` begins with the header.
     ///
     /// # Errors
-    /// Where the batch is too short for its clock, or its length is not what the header says.
+    /// [`FrameErrorKind::TruncatedRecord`] if the batch is too short for its header and clock;
+    /// [`FrameErrorKind::BatchLength`] if its length differs from the one in the header.
     pub fn new(bytes: &'a [u8]) -> Result<Self, FrameError> {
         let header = Fields::new(bytes, 0);
         let records_left = header.u32(batch::RECORD_COUNT)?;
@@ -50,7 +51,7 @@
         })
     }
 
-    /// Returns the time at which the records of the batch happen.
+    /// Returns the time at which the events of the batch occur.
     #[must_use]
     pub fn clock(&self) -> Micros {
         self.clock
@@ -62,11 +63,11 @@
         self.offset
     }
 
-    /// Reads the next record; `None` after the last.
+    /// Reads the next record. Returns `None` after the last one.
     ///
     /// # Errors
-    /// Where a record is cut short or holds a value that the protocol does not have, or where bytes follow the last
-    /// record.
+    /// A record that is truncated or contains an unknown code of an outcome or of a kind of update, or bytes after the
+    /// last record.
     pub fn next_record(&mut self) -> Result<Option<Record<'a>>, FrameError> {
         let remaining_bytes = &self.bytes[self.offset..];
         let remaining = Fields::new(remaining_bytes, self.offset);
@@ -86,7 +87,7 @@
     }
 }
 
-/// Reads the record that begins at byte `start` of the batch.
+/// Parses the record that begins at byte `start` of the batch.
 fn parse_record<'a>(fields: &Fields<'a>, start: usize) -> Result<Record<'a>, FrameError> {
     match fields.u8(record::CODE)? {
         record_code::ENDPOINT_LIST => parse_endpoint_list(fields, start),
@@ -159,7 +160,7 @@
         request: fields.u32(request_received::REQUEST)?,
         class: ClassIndex(fields.u8(request_received::CLASS)?),
         tenant: TenantIndex(fields.u16(request_received::TENANT)?),
-        // 0 stands for a request without a key.
+        // 0: the request has no key.
         key: (key != 0).then_some(key),
         timeout: fields.u32(request_received::TIMEOUT)?.into(),
         expected_work: has_expected_work.then_some(expected_work.into()),
--- a/src/simulator/frames/record.rs
+++ b/src/simulator/frames/record.rs
@@ -1,4 +1,4 @@
-//! The records of a batch, and what they report to the decisions.
+//! The records of a batch, and their events for the decisions.
 
 use super::EndpointFrames;
 use crate::api::{
@@ -10,134 +10,134 @@
 pub struct ProxyId(pub u16);
 
 impl ProxyId {
-    /// Returns the number as an index of a list.
+    /// Returns the number as an index into a table of proxies.
     #[must_use]
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
 }
 
-/// Number of an endpoint list. A later list with the same number takes its place.
+/// Number of an endpoint list. A later list with the same number replaces it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListId(pub u16);
 
 impl ListId {
-    /// Returns the number as an index of a list.
+    /// Returns the number as an index into a table of endpoint lists.
     #[must_use]
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
 }
 
-/// What a membership update says of its endpoint list.
+/// The kind of a membership update: which endpoints its list has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
     /// The list has the endpoints that changed.
     Delta,
     /// The list is complete.
     Full,
-    /// The list is complete, but cached: it may be out of date.
+    /// The list is complete, but comes from a cache and may be out of date.
     Cached,
-    /// There is no list: a call to discovery failed, or the watch broke.
+    /// There is no list: a call to discovery failed, or the watch was lost.
     WatchFailed,
 }
 
-/// One record of a batch. The protocol's own name of each stands in brackets.
+/// One record of a batch. The protocol's own name of the record is in brackets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
-    /// The following records are for this proxy (`switch_to`).
+    /// Selects the proxy that the following records are for (`switch_to`).
     SelectProxy(ProxyId),
     /// The selected proxy starts (`power_on`).
     StartProxy {
-        /// Seed of its random generator.
+        /// Seed of the proxy's random number generator.
         seed: u64,
-        /// Its settings, as JSON text.
+        /// The proxy's settings, as JSON text.
         settings: &'a [u8],
     },
     /// The selected proxy crashes and loses its state (`crash_now`).
     CrashProxy,
-    /// An endpoint list that later updates refer to (`page`).
+    /// An endpoint list that later membership updates refer to (`page`).
     EndpointList {
-        /// Its number.
+        /// Number of the list.
         list: ListId,
-        /// Its endpoints.
+        /// Endpoints of the list.
         endpoints: EndpointFrames<'a>,
     },
-    /// Discovery reports to the selected proxy (`membership`).
+    /// The selected proxy receives an update from discovery (`membership`).
     MembershipUpdate {
-        /// What it says of the list.
+        /// Kind of the update.
         kind: UpdateKind,
-        /// The list.
+        /// Number of the list.
         list: ListId,
     },
     /// A client sent a request (`inbound`).
     RequestReceived {
-        /// Its id.
+        /// Id of the request.
         request: RequestId,
-        /// Its class.
+        /// Class of the request.
         class: ClassIndex,
-        /// Its tenant.
+        /// Tenant of the request.
         tenant: TenantIndex,
-        /// The key of the data that it is about.
+        /// Key of the data that the request reads or writes.
         key: Option<u64>,
-        /// Time until the client gives it up.
+        /// Time until the client gives up.
         timeout: Micros,
-        /// Expected work on a standard core.
+        /// Expected work of the request on a core of standard speed.
         expected_work: Option<Micros>,
-        /// Whether the client marked it as a retry.
+        /// Whether the client marked the request as a retry.
         is_retry: bool,
     },
     /// A streamed response began (`first_byte`).
     ResponseStarted {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u16,
-        /// Time since the send.
+        /// Time since the attempt was sent.
         elapsed: Micros,
     },
     /// An attempt ended (`settled`).
     AttemptEnded {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The backend of the attempt.
+        /// Id of the backend.
         backend: BackendId,
         /// Number of the attempt.
         attempt: u16,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
         /// Whether the client has its final answer.
         request_answered: bool,
-        /// Time since the send.
+        /// Time since the attempt was sent.
         elapsed: Micros,
-        /// The backend's load report, empty if none came along.
+        /// Load report of the backend; empty if the response had none.
         load_report: Vec<f32>,
     },
     /// A health check ended (`probed`).
     HealthChecked {
-        /// The backend.
+        /// Id of the backend.
         backend: BackendId,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// The load report that came with it.
+        /// Load report of the backend; empty if the response had none.
         load_report: Vec<f32>,
     },
     /// The client of a request disconnected (`vanished`).
     ClientDisconnected(RequestId),
     /// A timer is due (`wakeup`).
     TimerFired {
-        /// The token it was set with.
+        /// Token with which the timer was set.
         token: u32,
     },
-    /// A message of another proxy, which this one does not read (`peer`).
+    /// A message from another proxy, which is ignored (`peer`).
     Gossip,
-    /// A record with a code that the protocol did not have yet.
+    /// A record with an unknown code, which is ignored.
     Unknown(u8),
 }
 
 impl Record<'_> {
-    /// Returns the event that the record is for the selected proxy. A membership update gives none, for its event
-    /// needs the endpoint list.
+    /// Returns the event that the record reports to the selected proxy; `None` if it reports none. A membership update
+    /// returns `None` too: its event needs the endpoint list, which the record does not contain.
     #[must_use]
     pub fn event(&self) -> Option<Event<'_>> {
         match *self {
--- a/src/simulator/frames/writer.rs
+++ b/src/simulator/frames/writer.rs
@@ -1,17 +1,17 @@
-//! Writes replies.
+//! Writes the replies to batches.
 
 use super::ProxyId;
 use super::layout::reply_code;
 use crate::api::{Action, Micros};
 
-/// Bytes of the reply's length, which stands before its records.
+/// Length in bytes of the field that states the reply's length, which precedes the records.
 const LENGTH_FIELD: usize = size_of::<u32>();
 
-/// Collects the records of one reply.
+/// Writes the records of one reply.
 #[derive(Debug)]
 pub struct ReplyWriter {
     bytes: Vec<u8>,
-    /// The proxy that the records written last are from.
+    /// The proxy of the last record, as the reply states it.
     selected: Option<ProxyId>,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl ReplyWriter {
-    /// Adds an action of a proxy.
+    /// Appends an action of a proxy.
     pub fn action(&mut self, proxy: ProxyId, action: &Action) {
         self.select(proxy);
         match action {
@@ -71,13 +71,13 @@
         }
     }
 
-    /// Adds that the decisions of a proxy failed and can't go on.
+    /// Appends a record that the decisions of a proxy failed and cannot continue, with the reason.
     pub fn fatal(&mut self, proxy: ProxyId, text: &str) {
         self.select(proxy);
         self.text(reply_code::FATAL, text);
     }
 
-    /// Returns the reply's bytes. The writer is then ready for the next reply.
+    /// Returns the bytes of the reply and resets the writer for the next one.
     pub fn finish(&mut self) -> Vec<u8> {
         let mut reply = std::mem::take(self).bytes;
         let length = (reply.len() - LENGTH_FIELD) as u32;
@@ -85,7 +85,7 @@
         reply
     }
 
-    /// Says whose the following records are, unless the last ones were from the same proxy.
+    /// Appends a record that selects the proxy of the following records, unless it is selected already.
     fn select(&mut self, proxy: ProxyId) {
         if self.selected != Some(proxy) {
             self.selected = Some(proxy);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Adds a record with a text, which is cut where its length does not fit the field.
+    /// Appends a record with a text. A text that is too long for its length field is truncated.
     fn text(&mut self, code: u8, text: &str) {
         let length = u16::try_from(text.len()).unwrap_or(u16::MAX);
         let text = &text.as_bytes()[..usize::from(length)];
@@ -110,7 +110,7 @@
     }
 }
 
-/// Returns a duration as the protocol has it: microseconds, and the longest that fits for a longer one.
+/// Encodes a duration in microseconds. A duration that does not fit is encoded as the longest one that does.
 fn duration_bytes(duration: Micros) -> [u8; 4] {
     u32::try_from(duration).unwrap_or(u32::MAX).to_be_bytes()
 }
--- a/tests/host.rs
+++ b/tests/host.rs
@@ -237,20 +237,26 @@
     for (input, says) in [
         (
             &cut[..cut.len() - 1],
-            "expected 15 bytes behind the batch header",
+            "the input ends within a batch, expected 15 bytes after the batch header",
+        ),
+        (
+            &cut[..5],
+            "the input ends within a batch header, expected 8 bytes",
         ),
-        (&cut[..5], "expected a batch header"),
         (
             &batch(5, &[select_proxy(9), request(1)])[..],
-            "9 does not run",
+            "event for proxy 9, expected a proxy that is running",
+        ),
+        (
+            &batch(5, &[request(1)])[..],
+            "record for a proxy, expected a `switch_to` record before it",
         ),
-        (&batch(5, &[request(1)])[..], "expected a `switch_to`"),
         (
             &batch(
                 5,
                 &[select_proxy(0), start_proxy(SETTINGS), membership(1, 7)],
             )[..],
-            "7 was not",
+            "refers to list 7, expected a list of an earlier `page` record",
         ),
     ] {
         let output = run(input);
@@ -274,10 +280,12 @@
     let last = replies(&output.stdout).concat().pop().expect("a record");
     assert_eq!((last.0, last.1), (6, 73));
     assert!(
-        String::from_utf8_lossy(&last.2).contains(
-            r#"setting `classes[0].effect`: found "maybe", allowed retryable, dedup, fragile"#
-        )
+        String::from_utf8_lossy(&output.stderr)
+            .starts_with("proxy 6 failed: setting `classes[0].effect`")
     );
+    assert!(String::from_utf8_lossy(&last.2).contains(
+        r#"setting `classes[0].effect`: found "maybe", allowed retryable, dedup, fragile"#
+    ));
 }
 
 #[test]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of deployments other than the simulator's: all differences between them come from the configuration.
+//! Settings of other deployments: everything that distinguishes them comes from the configuration.
 
 use serde_json::{Value, json};
 use tillerproxy::api::{DiscoveryMode, Idempotency, KeyScope};
@@ -54,7 +54,7 @@
 
 #[test]
 fn settings_of_a_pushed_deployment_are_read() {
-    let ferries = parse(&config(&ferries())).expect("settings are valid");
+    let ferries = parse(&config(&ferries())).expect("good settings");
     let idempotency: Vec<_> = ferries
         .settings
         .classes
@@ -102,7 +102,7 @@
 
 #[test]
 fn settings_of_a_polled_deployment_are_read() {
-    let ticketing = parse(&config(&ticketing())).expect("settings are valid");
+    let ticketing = parse(&config(&ticketing())).expect("good settings");
     assert!(
         ticketing
             .settings
@@ -126,7 +126,7 @@
     assert_eq!(ticketing.settings.zone_count, 1);
 }
 
-/// The JSON pointer of a setting, an invalid value, and the path of the key that the error must contain.
+/// Where a setting stands, an invalid value, and the name of the field that the error has to give.
 fn invalid_settings() -> [(&'static str, Value, &'static str); 14] {
     [
         (
@@ -175,12 +175,10 @@
 }
 
 #[test]
-fn an_invalid_setting_is_reported_with_the_path_of_its_key() {
+fn invalid_settings_are_reported_by_the_name_of_their_field() {
     for (pointer, value, field) in invalid_settings() {
         let mut config = config(&ferries());
-        *config
-            .pointer_mut(pointer)
-            .expect("the valid configuration has the key") = value;
+        *config.pointer_mut(pointer).expect("it is there") = value;
         let error = parse(&config).expect_err(pointer);
         assert!(
             error.contains(field) && error.lines().count() == 1,
@@ -190,7 +188,7 @@
 }
 
 #[test]
-fn a_missing_setting_is_reported_with_its_key() {
+fn missing_settings_are_reported_by_the_name_of_their_field() {
     for field in [
         "me",
         "balancers",
@@ -202,7 +200,7 @@
         let mut config = config(&ferries());
         config["settings"]
             .as_object_mut()
-            .expect("`settings` is an object")
+            .expect("an object")
             .remove(field);
         let error = parse(&config).expect_err(field);
         assert!(error.contains(field), "{error}");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -125,7 +125,10 @@
         .expect_err("more than counted");
     assert_eq!(
         (count.offset, count.kind.to_string().as_str()),
-        (16, "expected the end of the batch")
+        (
+            16,
+            "bytes after the last record, expected the end of the batch"
+        )
     );
     let length = records("00000000 00000009 0000000000805c5a").expect_err("a byte is missing");
     assert_eq!(length.offset, 4);
@@ -152,7 +155,7 @@
     let error = endpoints.parse().expect_err("3 is no readiness");
     assert_eq!(
         error.to_string(),
-        "bad input at byte 58 of the batch: expected a readiness of 0 to 2, not 3"
+        "invalid input at byte 58 of the batch: readiness of an endpoint is 3, expected 0 to 2"
     );
 }
 
@@ -162,7 +165,7 @@
         .expect_err("4 is no kind of update");
     assert_eq!(
         error.to_string(),
-        "bad input at byte 21 of the batch: expected a scope of 0 to 3, not 4"
+        "invalid input at byte 21 of the batch: scope of a `membership` record is 4, expected 0 to 3"
     );
 }
 
