--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -44,7 +44,7 @@
     #[error("malformed configuration: {0}")]
     Malformed(#[source] serde_path_to_error::Error<serde_json::Error>),
     /// An address is missing or malformed.
-    #[error("`{field}` is no address: `{given}`")]
+    #[error("`{field}`: found {given:?}, expected an IP address and a port")]
     Address {
         /// The field of the configuration.
         field: &'static str,
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -376,7 +376,8 @@
     };
     let busy = taken.local_addr().expect("an address").to_string();
     assert!(
-        start("op-odd", "nowhere".into(), None).contains("`operator` is no address: `nowhere`")
+        start("op-odd", "nowhere".into(), None)
+            .contains(r#"`operator`: found "nowhere", expected an IP address and a port"#)
     );
     assert!(start("op-taken", busy.clone(), None).contains(&format!("cannot listen on {busy}")));
     for (fd, words) in [
