--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -139,7 +139,7 @@
             (-1).into(),
             "classes[1].deadlineUs",
         ),
-        ("/settings/classes/2/aimUs", 0.into(), "classes[2].aim"),
+        ("/settings/classes/2/aimUs", 0.into(), "classes[2].aimUs"),
         (
             "/settings/classes/0/effect",
             "harmless".into(),
@@ -161,14 +161,14 @@
         (
             "/settings/permissions/maxAttempts",
             0.into(),
-            "max_attempts",
+            "permissions.maxAttempts",
         ),
         (
             "/settings/membershipMode",
             "gossip".into(),
             "membershipMode",
         ),
-        ("/settings/safety/coldFrom", 1.5.into(), "cold_from"),
+        ("/settings/safety/coldFrom", 1.5.into(), "safety.coldFrom"),
         ("/settings/balancers", 0.into(), "balancers"),
         ("/limits/sockets", "many".into(), "limits.sockets"),
     ]
