--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -12,7 +12,7 @@
 use crate::proxy::budget::Reservation;
 use crate::proxy::clock::MICROS_PER_MILLI;
 use crate::proxy::header_values::{REMAINING_TIME_MS, parse_decimal};
-use crate::proxy::messages::Inbound;
+use crate::proxy::messages::InboundRequest;
 use crate::proxy::size_limits::{BUFFERED_BODY_BYTES, MAX_FORWARDED_BODY_BYTES};
 use hyper::Request;
 use hyper::body::{Body, Incoming};
@@ -34,7 +34,7 @@
         &self,
         request: Request<Incoming>,
         deadline: BodyDeadline,
-    ) -> Result<Inbound, InvalidRequest> {
+    ) -> Result<InboundRequest, InvalidRequest> {
         let (head, body) = request.into_parts();
         if body.size_hint().lower() > MAX_FORWARDED_BODY_BYTES {
             return Err(InvalidRequest::BodyTooLarge);
@@ -55,7 +55,7 @@
             let remaining = remaining.as_micros().try_into().unwrap_or(Micros::MAX);
             request.timeout = request.timeout.min(remaining);
         }
-        Ok(Inbound {
+        Ok(InboundRequest {
             request,
             arrived,
             call,
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -18,7 +18,7 @@
 use super::connections::{ClientConnection, ClientConnections};
 use super::counters::Counters;
 use super::lifecycle::Lifecycle;
-use super::messages::Handle;
+use super::messages::DriverHandle;
 use super::size_limits::MAX_CLIENT_HEAD_BYTES;
 use super::time_limits::ACCEPT_BACKOFF;
 use crate::api::{ClassIndex, Idempotency, Micros, Settings, TenantIndex};
@@ -60,7 +60,7 @@
 
 /// What all client connections share.
 pub struct Clients {
-    handle: Handle,
+    handle: DriverHandle,
     clock: Clock,
     classes: FxHashMap<String, (ClassIndex, Class)>,
     tenants: FxHashMap<String, TenantIndex>,
@@ -84,7 +84,7 @@
     /// Creates the clients' side, without connections.
     #[must_use]
     pub fn new(
-        handle: Handle,
+        handle: DriverHandle,
         clock: Clock,
         settings: &Settings,
         names: &Names,
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -8,7 +8,7 @@
 use crate::proxy::bodies::{BodyDeadline, BufferedBody, ResponseBody, ServedBody};
 use crate::proxy::connections::ClientConnection;
 use crate::proxy::counters::{RequestOutcome, RequestTicket};
-use crate::proxy::messages::{Answer, Handle, Inbound, Message};
+use crate::proxy::messages::{Answer, DriverHandle, InboundRequest, Message};
 use crate::proxy::responses::{close, plain, rejected};
 use crate::proxy::socket_io::ObservedSocket;
 use crate::proxy::time_limits::REQUEST_TIMEOUT;
@@ -91,7 +91,7 @@
     /// Hands a request to the driver and returns the response to its client.
     async fn forward(
         &self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         connection: &ClientConnection,
     ) -> Result<Response<ResponseBody>, InvalidRequest> {
         // The client may have disconnected while its connection waited to be accepted.
@@ -129,7 +129,7 @@
     /// the driver gives none.
     async fn wait_for_answer(
         &self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         connection: &ClientConnection,
         is_upload: bool,
     ) -> Result<Option<Answer>, InvalidRequest> {
@@ -189,7 +189,7 @@
 /// Notifies the driver when a client disconnects while its request is open: its connection then drops the future of
 /// the response.
 struct DisconnectGuard<'a> {
-    handle: &'a Handle,
+    handle: &'a DriverHandle,
     request: RequestId,
     /// The request has no answer yet.
     is_armed: bool,
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -6,7 +6,7 @@
 use super::translator::{EndpointList, Translator};
 use crate::api::Readiness;
 use crate::proxy::lifecycle::Lifecycle;
-use crate::proxy::messages::{Handle, MembershipUpdate, Message};
+use crate::proxy::messages::{DriverHandle, MembershipUpdate, Message};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -78,7 +78,7 @@
     addresses: watch::Receiver<SocketAddr>,
     client: DiscoveryClient,
     translator: Translator,
-    handle: Handle,
+    handle: DriverHandle,
     /// Notified once the proxy has an endpoint list of discovery, or a cached one with a ready backend.
     lifecycle: Rc<Lifecycle>,
     /// `None` where discovery is an agent on the same machine.
@@ -95,7 +95,7 @@
     pub fn new(
         addresses: watch::Receiver<SocketAddr>,
         translator: Translator,
-        handle: Handle,
+        handle: DriverHandle,
         lifecycle: Rc<Lifecycle>,
         polling: Option<Polling>,
     ) -> Self {
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -1,6 +1,6 @@
 //! The driver: owns the [`Balancer`], gives it events on one clock and executes its actions.
 //!
-//! All other tasks of the proxy talk to it through a [`Handle`].
+//! All other tasks of the proxy talk to it through a [`DriverHandle`].
 //!
 //! | module | job |
 //! | --- | --- |
@@ -22,7 +22,7 @@
 use super::backends::Backends;
 use super::clock::Clock;
 use super::lifecycle::Lifecycle;
-use super::messages::{Handle, Message};
+use super::messages::{DriverHandle, Message};
 use crate::api::{Action, Event, Micros};
 use crate::balancer::Balancer;
 use attempts::Completion;
@@ -49,7 +49,7 @@
     settings: DriverSettings,
     backends: Rc<Backends>,
     lifecycle: Rc<Lifecycle>,
-    handle: Handle,
+    handle: DriverHandle,
     messages: mpsc::UnboundedReceiver<Message>,
     /// Tells the discovery watcher to open a watch. Nothing receives it unless discovery is polled.
     watch_requests: mpsc::UnboundedSender<()>,
@@ -72,8 +72,8 @@
         settings: DriverSettings,
         watch_requests: mpsc::UnboundedSender<()>,
         lifecycle: Rc<Lifecycle>,
-    ) -> (Self, Handle) {
-        let (handle, messages) = Handle::channel();
+    ) -> (Self, DriverHandle) {
+        let (handle, messages) = DriverHandle::channel();
         let driver = Self {
             balancer,
             clock,
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -5,7 +5,7 @@
 use super::requests::PendingRequest;
 use super::timers::DriverTimer;
 use crate::api::{Event, Micros, RequestId};
-use crate::proxy::messages::{Answer, Inbound};
+use crate::proxy::messages::{Answer, InboundRequest};
 use crate::proxy::request_log;
 use tokio::sync::oneshot;
 
@@ -13,11 +13,11 @@
     pub(super) fn on_request(
         &mut self,
         now: Micros,
-        inbound: Inbound,
+        inbound: InboundRequest,
         client: oneshot::Sender<Answer>,
     ) {
         request_log::received(&inbound);
-        let Inbound {
+        let InboundRequest {
             mut request,
             arrived,
             call,
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -64,7 +64,7 @@
 
 /// A request as a client sent it.
 #[derive(Debug)]
-pub struct Inbound {
+pub struct InboundRequest {
     /// The request in the terms of the decisions. Its timeout counts from its arrival.
     pub request: Request,
     /// When it arrived.
@@ -79,7 +79,7 @@
     /// A request arrived.
     Request {
         /// As the client sent it; boxed because the other messages are small.
-        inbound: Box<Inbound>,
+        inbound: Box<InboundRequest>,
         /// Receives its final answer.
         client: oneshot::Sender<Answer>,
     },
@@ -118,12 +118,12 @@
 
 /// Sends messages to the driver. Clones send to the same driver.
 #[derive(Clone, Debug)]
-pub struct Handle {
+pub struct DriverHandle {
     messages: mpsc::UnboundedSender<Message>,
     next_request_id: Rc<Cell<RequestId>>,
 }
 
-impl Handle {
+impl DriverHandle {
     /// Creates a handle, and the receiver of what it and its clones send.
     #[must_use]
     pub fn channel() -> (Self, mpsc::UnboundedReceiver<Message>) {
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -7,7 +7,7 @@
 use super::budget::MAX_OPERATOR_CALLS;
 use super::counters::Counters;
 use super::lifecycle::{Lifecycle, ShuttingDown};
-use super::messages::{Handle, Message};
+use super::messages::{DriverHandle, Message};
 use super::responses::{ErrorResponse, plain};
 use super::socket::Socket;
 use super::time_limits::ACCEPT_BACKOFF;
@@ -76,7 +76,7 @@
     lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
     backends: Rc<Backends>,
-    handle: Handle,
+    handle: DriverHandle,
 }
 
 impl Operator {
@@ -86,7 +86,7 @@
         lifecycle: Rc<Lifecycle>,
         counters: Rc<Counters>,
         backends: Rc<Backends>,
-        handle: Handle,
+        handle: DriverHandle,
     ) -> Rc<Self> {
         Rc::new(Self {
             lifecycle,
--- a/src/proxy/request_log.rs
+++ b/src/proxy/request_log.rs
@@ -4,13 +4,13 @@
 
 use super::backends::AttemptResult;
 use super::logging::REQUEST_TARGET;
-use super::messages::{Answer, Inbound};
+use super::messages::{Answer, InboundRequest};
 use crate::api::{BackendId, Micros, RequestId};
 use std::time::Duration;
 use tracing::debug;
 
 /// Logs that a request was received completely, or that its streamed body began.
-pub(super) fn received(inbound: &Inbound) {
+pub(super) fn received(inbound: &InboundRequest) {
     let request = &inbound.request;
     debug!(
         target: REQUEST_TARGET,
