--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -1,4 +1,4 @@
-//! Configuration of the proxy: the file that `EDGE_CONFIG` names, completed by the environment.
+//! Configuration of the proxy: the file that `EDGE_CONFIG` names, and environment variables for fields that it lacks.
 
 use super::budget::{Budget, MAX_OPERATOR_CALLS};
 use super::logging::{InvalidLogOption, parse_filter};
@@ -18,76 +18,76 @@
 const OPERATOR_VARIABLE: &str = "EDGE_OPERATOR";
 const DISCOVERY_VARIABLE: &str = "EDGE_DISCOVERY";
 
-/// Descriptors that are neither clients nor backends: standard streams, the runtime, the listener,
+/// Descriptors for other purposes than client and backend connections: standard streams, the runtime, the listener and
 /// discovery.
 const RESERVED_DESCRIPTORS: usize = 24;
 const DEFAULT_DESCRIPTORS: usize = 1_024;
 const DEFAULT_MEMORY_MB: usize = 192;
 
-/// Why the configuration cannot be used.
+/// The reason why the configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A variable of the environment is missing.
+    /// A required environment variable is missing.
     #[error("{0} is not set")]
     MissingVariable(&'static str),
     /// The file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// The error of the read.
         source: io::Error,
     },
-    /// The file is no JSON, or a field is missing or malformed.
+    /// The file is not valid JSON, or a field is missing or malformed.
     #[error("malformed configuration: {0}")]
     Malformed(#[source] serde_path_to_error::Error<serde_json::Error>),
     /// An address is missing or malformed.
-    #[error("`{field}` is no address: `{given}`")]
+    #[error("`{field}` is `{value}`, but must be an IP address with a port")]
     Address {
         /// The field of the configuration.
         field: &'static str,
-        /// Its value.
-        given: String,
-        /// What is wrong with it.
+        /// The value of the field; empty if it is missing.
+        value: String,
+        /// The error of the parser.
         source: AddrParseError,
     },
-    /// The filter of the log is malformed.
-    #[error("`log.filter`: `{given}` {source}")]
+    /// The log filter is malformed.
+    #[error("`log.filter`: `{value}` {source}")]
     LogFilter {
-        /// The filter.
-        given: String,
-        /// What is wrong with it.
+        /// The value of the field.
+        value: String,
+        /// The reason why the value is invalid.
         source: InvalidLogOption,
     },
-    /// A setting makes no sense.
+    /// A setting is outside its allowed range.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// A configuration that was checked.
+/// A validated configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// The proxy's name.
+    /// The name of the proxy.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where operators connect, if they can.
+    /// The address that operators connect to, if there is one.
     pub operator: Option<SocketAddr>,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of the random numbers.
+    /// The seed of the balancer's random numbers.
     pub seed: u64,
-    /// The endpoint list as last known, in the JSON form of discovery.
+    /// The last known endpoint list, in the JSON format of discovery.
     pub cached_endpoints: Value,
-    /// Settings of the decisions.
+    /// The settings of the balancer.
     pub settings: Settings,
-    /// Names that the settings define.
+    /// The names that the settings define.
     pub names: Names,
-    /// When an attempt to connect has failed.
+    /// The timeout for connecting to a backend.
     pub connect_timeout: Micros,
-    /// Memory and descriptors that the process may take.
+    /// The memory and the descriptors that the process may use.
     pub budget: Budget,
-    /// What is logged; `None`: what the environment says.
+    /// The log filter; `None` if the filter of the environment applies.
     pub log_filter: Option<Targets>,
 }
 
@@ -127,11 +127,11 @@
 }
 
 impl Config {
-    /// Reads the file that the environment names. `process_count` is the number of processes that
-    /// its limits hold for: two during an upgrade.
+    /// Reads the file that the environment names. `process_count` is the number of processes that share the limits of
+    /// the file: two during an upgrade.
     ///
     /// # Errors
-    /// The first field or variable that is missing or malformed.
+    /// The file cannot be read, or a field or variable is missing or malformed. Only the first problem is reported.
     pub fn from_env(process_count: usize) -> Result<Self, ConfigError> {
         let path = env::var_os(FILE_VARIABLE).ok_or(ConfigError::MissingVariable(FILE_VARIABLE))?;
         let path = PathBuf::from(path);
@@ -139,11 +139,11 @@
         Self::parse(&json, |name| env::var(name).ok(), process_count)
     }
 
-    /// Parses the JSON text of a configuration; `variable` returns variables of the environment,
-    /// which complete it.
+    /// Parses the JSON text of a configuration. `variable` looks up the environment variables that supply fields that
+    /// the text lacks.
     ///
     /// # Errors
-    /// The first field that is missing or malformed.
+    /// A field is missing or malformed. Only the first problem is reported.
     pub fn parse(
         json: &[u8],
         variable: impl Fn(&str) -> Option<String>,
@@ -155,12 +155,12 @@
             deserialize_proxy_settings(settings_json.as_bytes()).map_err(ConfigError::Malformed)?;
         let connect_timeout = proxy_settings.connect_timeout();
         let names = proxy_settings.into_names()?;
-        let raw = raw.completed_by(variable);
+        let raw = raw.with_environment(variable);
         let listen = parse_address("listen", raw.listen.unwrap_or_default())?;
         let operator = raw
             .operator
-            .filter(|given| !given.is_empty())
-            .map(|given| parse_address("operator", given))
+            .filter(|value| !value.is_empty())
+            .map(|value| parse_address("operator", value))
             .transpose()?;
         let discovery = parse_address("discovery", raw.discovery.unwrap_or_default())?;
         let settings = parse_settings(settings_json.as_bytes())?;
@@ -170,7 +170,7 @@
             listen,
             operator,
             discovery,
-            seed: seed(&raw.seed),
+            seed: parse_seed(&raw.seed),
             cached_endpoints: raw.cached_endpoints,
             settings,
             names,
@@ -182,8 +182,8 @@
 }
 
 impl RawConfig {
-    /// Takes fields that the file lacks from the environment.
-    fn completed_by(self, variable: impl Fn(&str) -> Option<String>) -> Self {
+    /// Fills in fields that the file lacks from the environment.
+    fn with_environment(self, variable: impl Fn(&str) -> Option<String>) -> Self {
         Self {
             name: self.name.or_else(|| variable(NAME_VARIABLE)),
             listen: self.listen.or_else(|| variable(LISTEN_VARIABLE)),
@@ -210,20 +210,20 @@
     }
 }
 
-fn parse_address(field: &'static str, given: String) -> Result<SocketAddr, ConfigError> {
-    given.parse().map_err(|source| ConfigError::Address {
+fn parse_address(field: &'static str, value: String) -> Result<SocketAddr, ConfigError> {
+    value.parse().map_err(|source| ConfigError::Address {
         field,
-        given,
+        value,
         source,
     })
 }
 
-fn parse_log_filter(given: String) -> Result<Targets, ConfigError> {
-    parse_filter(&given).map_err(|source| ConfigError::LogFilter { given, source })
+fn parse_log_filter(value: String) -> Result<Targets, ConfigError> {
+    parse_filter(&value).map_err(|source| ConfigError::LogFilter { value, source })
 }
 
-/// Reads the seed: hexadecimal text, or a number. Without one it is random.
-fn seed(value: &Value) -> u64 {
+/// Returns the seed that the field holds as hexadecimal text or as a number, or a random seed if it holds neither.
+fn parse_seed(value: &Value) -> u64 {
     value
         .as_str()
         .and_then(|text| u64::from_str_radix(text, 16).ok())
--- a/src/proxy/inherited.rs
+++ b/src/proxy/inherited.rs
@@ -1,4 +1,4 @@
-//! The client listener that the platform passes to the process, where it does.
+//! The client listener that the process may inherit from the platform.
 
 use socket2::{Socket, Type};
 use std::net::TcpListener;
@@ -6,34 +6,35 @@
 use std::{env, io};
 use thiserror::Error;
 
-/// Names the listener's descriptor.
+/// The environment variable with the number of the listener's descriptor.
 const DESCRIPTOR_VARIABLE: &str = "EDGE_FD";
 
-/// Why the descriptor cannot be used.
+/// The reason why the descriptor of the environment cannot be used.
 #[derive(Debug, Error)]
 pub enum InheritedError {
-    /// The variable has no descriptor's number.
-    #[error("{DESCRIPTOR_VARIABLE} is no descriptor: `{0}`")]
+    /// The value of the variable is not the number of a descriptor.
+    #[error("{DESCRIPTOR_VARIABLE} is `{0}`, but must be a descriptor number of 0 or more")]
     NotANumber(String),
     /// The descriptor cannot be used, most likely because it is not open.
-    #[error("{DESCRIPTOR_VARIABLE} names descriptor {descriptor}, which fails: {source}")]
+    #[error("{DESCRIPTOR_VARIABLE} names descriptor {descriptor}, which cannot be used: {source}")]
     Unusable {
-        /// Its number.
+        /// The number of the descriptor.
         descriptor: RawFd,
-        /// What the kernel says.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// The descriptor is open and no listening TCP socket.
-    #[error("{DESCRIPTOR_VARIABLE} names descriptor {0}, which does not listen")]
+    /// The descriptor is open, but is not a listening TCP socket.
+    #[error("{DESCRIPTOR_VARIABLE} names descriptor {0}, which is not a listening TCP socket")]
     NotListening(RawFd),
 }
 
-/// Returns the client listener that the environment names, if it names one. Must be called before the
-/// process opens anything: a descriptor that it opened itself would be taken for one that it
-/// inherited.
+/// Returns the client listener that the environment names, or `None` if it names none.
+///
+/// Must be called before the process opens any descriptor, because one that it opened itself could be mistaken for the
+/// inherited one.
 ///
 /// # Errors
-/// The environment names anything but a listening socket.
+/// The environment names something other than a listening TCP socket.
 pub fn from_env() -> Result<Option<TcpListener>, InheritedError> {
     let Some(descriptor) = descriptor_from_env()? else {
         return Ok(None);
@@ -48,18 +49,18 @@
 }
 
 fn descriptor_from_env() -> Result<Option<RawFd>, InheritedError> {
-    let given = env::var_os(DESCRIPTOR_VARIABLE).filter(|given| !given.is_empty());
-    let Some(given) = given else {
+    let value = env::var_os(DESCRIPTOR_VARIABLE).filter(|value| !value.is_empty());
+    let Some(value) = value else {
         return Ok(None);
     };
-    let descriptor = given
+    let descriptor = value
         .to_str()
         .and_then(|text| text.parse::<RawFd>().ok())
         .filter(|descriptor| *descriptor >= 0);
     match descriptor {
         Some(descriptor) => Ok(Some(descriptor)),
         None => Err(InheritedError::NotANumber(
-            given.to_string_lossy().into_owned(),
+            value.to_string_lossy().into_owned(),
         )),
     }
 }
@@ -72,14 +73,13 @@
     is_stream && has_ip_address && socket.is_listener().unwrap_or(false)
 }
 
-/// Duplicates an inherited descriptor. Closing the duplicate, unlike shutting it down, leaves the
-/// socket to the other processes that hold it.
+/// Duplicates an inherited descriptor. Closing the duplicate leaves the socket open for the other processes that hold
+/// it; shutting it down would not.
 #[allow(unsafe_code)]
 fn duplicate(descriptor: RawFd) -> io::Result<Socket> {
-    // SAFETY: the number is not -1 (the caller takes none below 0), and it is borrowed for this one
-    // statement only, in which nothing closes it: no other thread runs yet, and no code of this
-    // process owns the number. A descriptor that is not open is merely reported as such by
-    // the kernel: duplicating reads nothing through it.
+    // SAFETY: the number is not -1, because the caller rejects negative numbers. It is borrowed only until the end of
+    // this function, and nothing closes it in that time: no other thread runs yet, and no code of this process owns the
+    // number. If the descriptor is not open, the kernel reports an error; duplicating reads nothing through it.
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     borrowed.try_clone_to_owned().map(Socket::from)
 }
--- a/src/proxy/logging/options.rs
+++ b/src/proxy/logging/options.rs
@@ -1,4 +1,4 @@
-//! Options of the log, taken from the environment.
+//! Options of the log, read from environment variables.
 
 use std::num::ParseIntError;
 use std::str::FromStr;
@@ -6,22 +6,22 @@
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::filter::{ParseError, Targets};
 
-/// Names what is logged: a level, or `TARGET=LEVEL` pairs between commas.
+/// The variable with the filter: a level, or `TARGET=LEVEL` pairs separated by commas.
 const FILTER_VARIABLE: &str = "EDGE_LOG";
-/// Names the format of the lines: `text` or `json`.
+/// The variable with the format of the lines: `text` or `json`.
 const FORMAT_VARIABLE: &str = "EDGE_LOG_FORMAT";
-/// Names how many lines a second are written at the most.
+/// The variable with the maximum number of lines per second.
 const LINES_VARIABLE: &str = "EDGE_LOG_LINES_PER_SECOND";
 
 const DEFAULT_LINES_PER_SECOND: u32 = 100;
 
-/// Format of a line of the log.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Time, level, target, message and fields, for people.
+    /// Time, level, target, message and fields as text for people.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -37,14 +37,14 @@
     }
 }
 
-/// What is logged, and how.
+/// Options of the log.
 #[derive(Clone, Debug)]
 pub struct LogOptions {
-    /// What is logged.
+    /// The targets and levels that are logged.
     pub filter: Targets,
-    /// Format of a line.
+    /// The format of the lines.
     pub format: LogFormat,
-    /// The most lines in a second: no peer can make the log grow faster.
+    /// The maximum number of lines per second, so that no peer can make the log grow faster.
     pub lines_per_second: u32,
 }
 
@@ -58,43 +58,43 @@
     }
 }
 
-/// What is wrong with the value of an option.
+/// The reason why the value of an option is invalid. The message completes a sentence that starts with the value.
 #[derive(Debug, Error)]
 pub enum InvalidLogOption {
     /// The filter is malformed.
-    #[error("is no filter: {0}")]
+    #[error("must be a level or `TARGET=LEVEL` pairs separated by commas: {0}")]
     Filter(#[from] ParseError),
-    /// There is no such format.
+    /// The format does not exist.
     #[error("must be `text` or `json`")]
     Format,
     /// The number is malformed or out of range.
-    #[error("must be a whole number")]
+    #[error("must be a whole number from 1 to {}", u32::MAX)]
     Number(#[from] ParseIntError),
     /// The number is 0.
     #[error("must be above 0")]
     Zero,
 }
 
-/// A variable of the environment that has an invalid value.
+/// An environment variable has an invalid value.
 #[derive(Debug, Error)]
-#[error("{variable}: `{given}` {source}")]
+#[error("{variable}: `{value}` {source}")]
 pub struct LogOptionsError {
     variable: &'static str,
-    given: String,
+    value: String,
     source: InvalidLogOption,
 }
 
 impl LogOptions {
-    /// Reads the options from variables of the environment. An option keeps its default where its
-    /// variable is not set or empty.
+    /// Reads the options from environment variables, which `variable` looks up. An option whose variable is not set or
+    /// empty keeps its default.
     ///
     /// # Errors
-    /// The first variable with an invalid value.
+    /// A variable has an invalid value. Only the first one is reported.
     pub fn from_env(variable: impl Fn(&str) -> Option<String>) -> Result<Self, LogOptionsError> {
         let defaults = Self::default();
-        let filter = option(FILTER_VARIABLE, &variable, parse_filter)?;
-        let format = option(FORMAT_VARIABLE, &variable, str::parse)?;
-        let lines_per_second = option(LINES_VARIABLE, &variable, parse_lines_per_second)?;
+        let filter = parse_variable(FILTER_VARIABLE, &variable, parse_filter)?;
+        let format = parse_variable(FORMAT_VARIABLE, &variable, str::parse)?;
+        let lines_per_second = parse_variable(LINES_VARIABLE, &variable, parse_lines_per_second)?;
         Ok(Self {
             filter: filter.unwrap_or(defaults.filter),
             format: format.unwrap_or(defaults.format),
@@ -106,7 +106,7 @@
 /// Parses a filter such as `info` or `warn,tillerproxy::request=debug`.
 ///
 /// # Errors
-/// [`InvalidLogOption::Filter`].
+/// [`InvalidLogOption::Filter`] if the text is not a filter.
 pub fn parse_filter(text: &str) -> Result<Targets, InvalidLogOption> {
     let filter = text.parse()?;
     Ok(filter)
@@ -119,20 +119,20 @@
     }
 }
 
-/// Parses one variable, if it is set.
-fn option<T>(
+/// Looks up and parses one variable. Returns `None` if the variable is not set or empty.
+fn parse_variable<T>(
     name: &'static str,
     variable: impl Fn(&str) -> Option<String>,
     parse: impl Fn(&str) -> Result<T, InvalidLogOption>,
 ) -> Result<Option<T>, LogOptionsError> {
-    let Some(given) = variable(name).filter(|value| !value.is_empty()) else {
+    let Some(value) = variable(name).filter(|value| !value.is_empty()) else {
         return Ok(None);
     };
-    match parse(&given) {
-        Ok(value) => Ok(Some(value)),
+    match parse(&value) {
+        Ok(parsed) => Ok(Some(parsed)),
         Err(source) => Err(LogOptionsError {
             variable: name,
-            given,
+            value,
             source,
         }),
     }
