--- a/src/proxy/clients/error.rs
+++ b/src/proxy/clients/error.rs
@@ -1,12 +1,13 @@
-//! Why a request is not passed to the balancer.
+//! The reasons for which a request is not forwarded.
 
 use crate::proxy::bodies::BufferedBody;
 use crate::proxy::responses::{METHOD_NOT_ALLOWED_TEXT, plain, set_allowed_methods};
 use hyper::header::HeaderValue;
 use hyper::{Method, Response, StatusCode};
 
-/// A request that is not passed to the balancer because it is invalid or incomplete. The message is the body of the
-/// response. A valid request that the balancer sheds is rejected instead:
+/// The reason for which a request is not passed to the balancer. The message is the body of the response.
+///
+/// A valid request that the balancer sheds is rejected instead:
 /// [`Answer::Rejected`](crate::proxy::messages::Answer::Rejected).
 #[derive(Debug, thiserror::Error)]
 pub(super) enum InvalidRequest {
@@ -36,7 +37,7 @@
     BodyIncomplete(#[from] hyper::Error),
     #[error("a request of this id is open")]
     DuplicateRequest,
-    /// Nobody reads this response.
+    /// The client has disconnected, so nobody reads this response.
     #[error("the client has left")]
     ClientDisconnected,
 }
--- a/src/proxy/clients/headers.rs
+++ b/src/proxy/clients/headers.rs
@@ -1,4 +1,4 @@
-//! The headers of requests: those that decide what a request is, and those that are forwarded to a backend.
+//! Request headers: the names that the proxy interprets, and the selection of those that are forwarded to a backend.
 
 use crate::proxy::backends::CORRELATION_ID;
 use crate::proxy::header_values::{REMAINING_TIME_MS, connection_options};
@@ -11,7 +11,7 @@
 pub(super) const RETRY: HeaderName = HeaderName::from_static("x-repeat");
 pub(super) const WEIGHT_HINT: HeaderName = HeaderName::from_static("x-weight-hint");
 
-/// The headers that decide what a request is, and may come only once.
+/// Headers that identify or classify a request. A request must not repeat any of them.
 pub(super) const SINGLE_HEADERS: [HeaderName; 5] = [
     CORRELATION_ID,
     SERVICE_CLASS,
@@ -20,7 +20,7 @@
     IDEMPOTENCY_KEY,
 ];
 
-/// The headers that speak of one connection or of the framing of a message.
+/// Headers that apply to one connection or to the framing of one message, and are not forwarded.
 const HOP_BY_HOP_HEADERS: [HeaderName; 10] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -34,13 +34,13 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Removes the headers that are not forwarded, with those that `Connection` names.
+/// Removes the hop-by-hop headers, including those that `Connection` names, and returns the rest.
 pub(super) fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     let named_by_connection: Vec<HeaderName> = connection_options(&headers)
         .filter_map(|name| name.parse().ok())
         .collect();
     for name in named_by_connection {
-        // A request never loses its identity.
+        // A client must not be able to remove the headers that identify its request.
         if name != CORRELATION_ID && name != IDEMPOTENCY_KEY {
             headers.remove(name);
         }
@@ -51,7 +51,7 @@
     headers
 }
 
-/// Makes a target name no host: one that the client named there becomes the `Host` header.
+/// Converts a request target to origin form. A host that the target names replaces the `Host` header.
 pub(super) fn origin_form(target: Uri, mut headers: HeaderMap) -> (Uri, HeaderMap) {
     let parts = target.into_parts();
     if let Some(authority) = parts.authority
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -1,4 +1,4 @@
-//! A client's request: checked, described for the balancer, and its body read as far as it is buffered.
+//! Reads a client's request: checks it, describes it for the balancer, and reads the buffered part of its body.
 
 use super::error::InvalidRequest;
 use super::headers::{
@@ -6,7 +6,7 @@
     end_to_end_headers, origin_form,
 };
 use super::{Class, Clients};
-use crate::api::{ClassIndex, Micros, TenantIndex};
+use crate::api::{Micros, TenantIndex};
 use crate::proxy::backends::{CORRELATION_ID, Call, RequestOver};
 use crate::proxy::bodies::{BodyBuffer, BodyDeadline, CallBody, Upload, next_data};
 use crate::proxy::budget::Reservation;
@@ -23,13 +23,17 @@
 use std::rc::Rc;
 use tokio::time::timeout_at;
 
-/// A request's body beyond the usual size is buffered up to this many bytes, while there is memory for it.
+/// The largest request body that is buffered completely. The part beyond [`BUFFERED_BODY_BYTES`] is buffered only
+/// while the memory budget has room.
 const MAX_BUFFERED_BYTES: usize = 2 << 20;
-/// The longest timeout that is understood: an hour.
+/// The longest timeout that a request may state: an hour.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
 impl Clients {
-    /// Reads a request completely, or as far as it is buffered.
+    /// Reads and checks a request. A body that is too large to buffer is read as it is forwarded.
+    ///
+    /// # Errors
+    /// The request is invalid, or its body is too large, late or incomplete.
     pub(super) async fn read_request(
         &self,
         request: Request<Incoming>,
@@ -49,7 +53,7 @@
             body,
             over: RequestOver::default(),
         };
-        // The time of a request counts from its last byte.
+        // A request arrives with the last byte that is buffered; its timeout counts from then.
         let arrived = self.clock.now();
         if let Some(remaining) = self.lifecycle.remaining_time() {
             let remaining = remaining.as_micros().try_into().unwrap_or(Micros::MAX);
@@ -62,7 +66,8 @@
         })
     }
 
-    /// Reads a request's body as far as it is buffered. The rest is streamed.
+    /// Reads the buffered part of a request's body. A body that is too large for the buffer or the memory budget is
+    /// streamed from there on.
     async fn read_body(
         &self,
         mut body: Incoming,
@@ -91,8 +96,8 @@
         Ok(Upload::new(buffer.take(), reserved, body, deadline, counters).into())
     }
 
-    /// Reserves memory for what is buffered of a body. Returns false where none is left. It is reserved as the
-    /// bytes come: a slow client takes no more than it has sent.
+    /// Reserves memory for `buffered` bytes of a body, and returns `false` if none is left. The memory is reserved as
+    /// the bytes arrive, so that a slow client takes no more than it has sent.
     fn reserve_memory(&self, buffered: usize, reserved: &mut Vec<Reservation>) -> bool {
         while buffered > (reserved.len() + 1) * BUFFERED_BODY_BYTES {
             let Some(memory) = self.budget.bodies.reserve(BUFFERED_BODY_BYTES) else {
@@ -103,20 +108,20 @@
         true
     }
 
-    /// Describes a request with that head for the balancer.
+    /// Checks the head of a request and describes the request for the balancer.
     fn describe(&self, head: &Parts) -> Result<crate::api::Request, InvalidRequest> {
-        // A backend may read the other one of two and take the request for something else.
+        // Of two headers with the same name, a backend may use the one that the proxy ignores.
         let is_duplicate = |name| head.headers.get_all(name).iter().nth(1).is_some();
         if SINGLE_HEADERS.iter().any(is_duplicate) {
             return Err(InvalidRequest::DuplicateHeader);
         }
-        let (class, settings) = self.class(head)?;
-        check_method_and_ids(head, settings)?;
+        let class = self.class(head)?;
+        check_method_and_ids(head, class)?;
         Ok(crate::api::Request {
             tenant: self.tenant(head)?,
-            timeout: timeout(head)?.min(settings.timeout),
+            timeout: timeout(head)?.min(class.timeout),
             id: self.handle.next_request_id(),
-            class,
+            class: class.index,
             key: head.uri.query().and_then(affinity_key),
             expected_work: ascii_header(head, &WEIGHT_HINT)
                 .and_then(|value| value.trim().parse().ok()),
@@ -124,10 +129,10 @@
         })
     }
 
-    /// Returns the class that the path names, which the header has to name as well where it is there.
-    fn class(&self, head: &Parts) -> Result<(ClassIndex, &Class), InvalidRequest> {
+    /// Returns the class that the path names. The class header, if present, must name the same class.
+    fn class(&self, head: &Parts) -> Result<&Class, InvalidRequest> {
         let in_path = head.uri.path().split('/').nth(1).unwrap_or_default();
-        let (class, settings) = self
+        let class = self
             .classes
             .get(in_path)
             .ok_or(InvalidRequest::UnknownClass)?;
@@ -136,10 +141,10 @@
         {
             return Err(InvalidRequest::ClassMismatch);
         }
-        Ok((*class, settings))
+        Ok(class)
     }
 
-    /// Returns the tenant whose account the header names, or the first one where the settings name none.
+    /// Returns the tenant whose account the header names, or the first tenant if the settings name none.
     fn tenant(&self, head: &Parts) -> Result<TenantIndex, InvalidRequest> {
         if self.tenants.is_empty() {
             return Ok(TenantIndex(0));
@@ -151,26 +156,26 @@
     }
 }
 
-/// Returns the value of a header of visible ASCII characters.
+/// Returns the value of a header, if it consists of visible ASCII characters.
 fn ascii_header<'a>(head: &'a Parts, name: &HeaderName) -> Option<&'a str> {
     head.headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Returns the value of a header that holds a customer's own name, which may have letters beyond ASCII.
+/// Returns the value of a header, if it is UTF-8. Names that customers choose may contain letters beyond ASCII.
 fn utf8_header<'a>(head: &'a Parts, name: &HeaderName) -> Option<&'a str> {
     head.headers
         .get(name)
         .and_then(|value| std::str::from_utf8(value.as_bytes()).ok())
 }
 
-/// Checks the method and the headers that identify a request.
+/// Checks that a request uses the method of its class and has the headers that identify it.
 fn check_method_and_ids(head: &Parts, class: &Class) -> Result<(), InvalidRequest> {
     if head.method != class.method {
         return Err(InvalidRequest::MethodNotAllowed {
             allowed: class.method.clone(),
         });
     }
-    // Without its key a backend would not drop a repeat.
+    // Without the key, a backend would execute a repeated request again (rule 2, idempotency).
     if class.needs_key && ascii_header(head, &IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
         return Err(InvalidRequest::MissingIdempotencyKey);
     }
@@ -180,7 +185,7 @@
     Ok(())
 }
 
-/// Returns how long the client waits.
+/// Returns the time for which the client waits for a response.
 fn timeout(head: &Parts) -> Result<Micros, InvalidRequest> {
     ascii_header(head, &REMAINING_TIME_MS)
         .and_then(|value| parse_decimal(value.as_bytes()))
@@ -189,8 +194,8 @@
         .ok_or(InvalidRequest::InvalidTimeout)
 }
 
-/// Returns the key of a request's query: its hexadecimal number, or a hash of it. The balancer is given it, but its
-/// decisions do not use it.
+/// Returns the `key` parameter of a query as a number: the value itself if it is hexadecimal, otherwise a hash of it.
+/// The request description carries the number, but no decision of the balancer uses it.
 fn affinity_key(query: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(name, _)| *name == "key")?;
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -1,11 +1,11 @@
-//! The clients' side: the listener, requests in, responses out.
+//! Serves clients: accepts their connections, reads their requests and writes the responses.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `serve` | one connection, until it ends |
-//! | `inbound`, `headers` | a request read, checked and described for the balancer |
-//! | `respond` | the response to a request |
-//! | `error` | why a request is not forwarded |
+//! | `serve` | serves one connection until it ends |
+//! | `inbound`, `headers` | read and check a request, and describe it for the balancer |
+//! | `respond` | produces the response to a request |
+//! | `error` | the reasons for which a request is not forwarded |
 
 mod error;
 mod headers;
@@ -34,19 +34,22 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// What the settings say of a class of requests.
+/// The settings of a class of requests that are checked when a request arrives.
 struct Class {
-    /// How long a client waits at the most.
+    index: ClassIndex,
+    /// The longest time that a client waits for a response.
     timeout: Micros,
-    /// Whether a request must have an idempotency key.
+    /// Whether a request must carry an idempotency key.
     needs_key: bool,
+    /// The only method that requests of the class may use.
     method: Method,
 }
 
 impl Class {
-    fn new(settings: &crate::api::Class) -> Self {
+    fn new(index: ClassIndex, settings: &crate::api::Class) -> Self {
         let is_idempotent = settings.idempotency == Idempotency::Idempotent;
         Self {
+            index,
             timeout: settings.timeout,
             needs_key: matches!(settings.idempotency, Idempotency::Keyed { .. }),
             method: if is_idempotent {
@@ -58,30 +61,32 @@
     }
 }
 
-/// What all client connections share.
+/// The state that all client connections share.
 pub struct Clients {
     handle: DriverHandle,
     clock: Clock,
-    classes: FxHashMap<String, (ClassIndex, Class)>,
+    /// The classes by name, which is the first segment of a request's path.
+    classes: FxHashMap<String, Class>,
+    /// The tenants by account name.
     tenants: FxHashMap<String, TenantIndex>,
     lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
     budget: Budget,
     /// The number of open connections.
     open: Cell<usize>,
-    /// Fires when a connection has ended, or may be cheaper to close than before.
+    /// Notified when a connection has ended, or may have become cheaper to close.
     connection_freed: Notify,
-    /// The accept loop waits until a connection has ended.
+    /// Whether the accept loop waits for a connection to end, because the maximum number is open.
     is_full: Cell<bool>,
     connections: RefCell<ClientConnections>,
-    /// When a client last connected.
+    /// When a connection was last accepted.
     accepted_at: Cell<Instant>,
-    /// The ids of the requests that have no response yet.
+    /// The correlation ids of the requests that have no response yet.
     ids: RefCell<FxHashSet<HeaderValue>>,
 }
 
 impl Clients {
-    /// Creates the clients' side, without connections.
+    /// Creates the shared state, with no open connection.
     #[must_use]
     pub fn new(
         handle: DriverHandle,
@@ -95,7 +100,7 @@
         let mut classes = FxHashMap::default();
         for (index, (name, class)) in (0..=u8::MAX).zip(names.classes.iter().zip(&settings.classes))
         {
-            classes.insert(name.clone(), (ClassIndex(index), Class::new(class)));
+            classes.insert(name.clone(), Class::new(ClassIndex(index), class));
         }
         let mut tenants = FxHashMap::default();
         for (index, name) in (0..=u16::MAX).zip(&names.tenants) {
@@ -124,14 +129,14 @@
         self.open.get()
     }
 
-    /// Returns the time since a client last connected.
+    /// Returns the time since a connection was last accepted.
     #[must_use]
     pub fn since_last_accept(&self) -> Duration {
         self.accepted_at.get().elapsed()
     }
 
-    /// Waits until a client connection has ended, or may be cheaper to close than before: that no connection has ended
-    /// when this returns is possible, so the caller checks again.
+    /// Waits until a client connection has ended, or may have become cheaper to close. The caller must check the
+    /// number of open connections again: it may be unchanged.
     pub async fn connection_freed(&self) {
         self.connection_freed.notified().await;
     }
@@ -139,8 +144,9 @@
     /// Accepts connections for as long as the proxy runs.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
-            // Beyond the cap clients wait in the kernel's queue instead of taking the backends' descriptors.
-            // Connections without a request would keep them waiting, so the cheapest one is closed.
+            // While the maximum number of connections is open, further clients wait in the kernel's queue: they must
+            // not take the descriptors that are reserved for backends. Connections without a request would keep them
+            // waiting, so the one that is cheapest to close is closed.
             while self.open.get() >= self.budget.clients {
                 self.connections.borrow().evict_one();
                 self.is_full.set(true);
@@ -149,9 +155,10 @@
             self.is_full.set(false);
             match listener.accept().await {
                 Ok((stream, _)) => self.spawn_connection(stream),
-                // Neither a lack of descriptors nor a client that has closed it already ends the proxy.
+                // The proxy continues after a failure to accept, such as a lack of descriptors or a connection that
+                // its client has already closed.
                 Err(error) => {
-                    tracing::warn!(%error, "accepting a client failed");
+                    tracing::warn!(%error, "cannot accept a client connection");
                     sleep(ACCEPT_BACKOFF).await;
                 }
             }
@@ -161,11 +168,12 @@
     fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
         self.accepted_at.set(Instant::now());
         self.open.set(self.open.get() + 1);
-        tokio::task::spawn_local(Rc::clone(self).connection(stream));
+        tokio::task::spawn_local(Rc::clone(self).serve_connection(stream));
     }
 
-    /// Accepts a connection that waits in the kernel's queue, if one does. The runtime may not have seen it yet,
-    /// so the listener itself is asked. Returns whether others may be queued after it.
+    /// Accepts one connection from the kernel's queue, if it has any, and returns whether more may be queued.
+    ///
+    /// The accept is made on the listener itself: the runtime may not have been notified of the connection yet.
     pub fn accept_waiting(self: &Rc<Self>, listener: &TcpListener) -> bool {
         match socket2::SockRef::from(listener).accept() {
             Ok((socket, _)) => {
@@ -177,20 +185,20 @@
                 }
                 true
             }
-            // The client has closed this one already; others may be queued after it.
+            // The client has already closed the connection; more may be queued after it.
             Err(error) => error.kind() == io::ErrorKind::ConnectionAborted,
         }
     }
 
-    /// Notifies the listener that a connection may be cheaper to close than before.
+    /// Notifies the accept loop, if it waits, that a connection may have become cheaper to close.
     fn notify_if_full(&self) {
         if self.is_full.get() {
             self.connection_freed.notify_waiters();
         }
     }
 
-    /// Serves a connection, which can be evicted meanwhile.
-    async fn connection(self: Rc<Self>, stream: TcpStream) {
+    /// Serves a connection until it ends. The connection can be evicted in the meantime.
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let connection = Rc::new(ClientConnection::new(stream, MAX_CLIENT_HEAD_BYTES));
         let number = self.connections.borrow_mut().add(&connection);
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -1,4 +1,4 @@
-//! The response to one request of a client.
+//! Produces the response to one request of a client.
 
 use super::Clients;
 use super::error::InvalidRequest;
@@ -21,11 +21,12 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// How long a body has at the least, however late its head came. It has longer the more of it has come.
+/// The shortest time that a body has to arrive after its head, however late the head was. [`BodyDeadline`] extends it
+/// by the bytes that have arrived.
 const MIN_BODY_TIME: Duration = Duration::from_millis(300);
 
 impl Clients {
-    /// Responds to the request of that number on a connection.
+    /// Responds to request `number` of a connection, counted from 1.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
@@ -54,7 +55,7 @@
         response
     }
 
-    /// Reads a request of a class, and forwards it.
+    /// Reads a request that belongs to a class and forwards it.
     async fn serve_class_request(
         &self,
         request: Request<Incoming>,
@@ -62,8 +63,8 @@
         number: u64,
         deadline: BodyDeadline,
     ) -> Result<Response<ResponseBody>, InvalidRequest> {
-        // A backend that reads the other end of the body would run a part of it as a request, which no client sent
-        // (rule 2).
+        // A backend that finds another end of the body would execute a part of the body as a request that no client
+        // sent (rule 2, idempotency).
         if connection.is_ambiguous(number) {
             return Err(InvalidRequest::AmbiguousBody);
         }
@@ -71,8 +72,9 @@
         self.forward(inbound, connection).await
     }
 
-    /// Returns whether this is the health check that the load balancer in front of the proxies makes. A class may have
-    /// the name of its path; requests of the class name it in a header.
+    /// Returns whether this is the health check of the load balancer in front of the proxies.
+    ///
+    /// A class may be named `up` like the path of the health check. Its requests are told apart by the class header.
     fn is_health_check(&self, request: &Request<Incoming>) -> bool {
         let names_a_class =
             self.classes.contains_key("up") && request.headers().contains_key(SERVICE_CLASS);
@@ -94,11 +96,11 @@
         inbound: InboundRequest,
         connection: &ClientConnection,
     ) -> Result<Response<ResponseBody>, InvalidRequest> {
-        // The client may have disconnected while its connection waited to be accepted.
+        // The client may have disconnected while its connection waited in the kernel's queue.
         if connection.is_closed_by_client() {
             return Err(InvalidRequest::ClientDisconnected);
         }
-        // A second request of the same id could run as a second copy of the first (rule 2).
+        // A second request with the id of an open one could be executed as a copy of it (rule 2).
         let Some(_id) = OpenId::claim(&self.ids, &inbound.call.headers) else {
             return Err(InvalidRequest::DuplicateRequest);
         };
@@ -118,15 +120,15 @@
             ),
         };
         ticket.set_outcome(outcome);
-        // Responded to before its last byte has come, a client that still sends would be cut off.
+        // A response before the last byte of the body would cut off a client that is still sending.
         if let Some(upload) = upload.and_then(|upload| upload.take()) {
             upload.drain().await;
         }
         Ok(response.map(ResponseBody::Buffered))
     }
 
-    /// Hands a request to the driver and waits for its answer, as long as its client does. Returns `None` where
-    /// the driver gives none.
+    /// Sends a request to the driver and waits for its answer until the client disconnects. Returns `None` if the
+    /// driver drops the request without an answer.
     async fn wait_for_answer(
         &self,
         inbound: InboundRequest,
@@ -150,7 +152,7 @@
                 connection.closed_by_client(&self.budget.bodies).await;
             }
         };
-        // The library notices a disconnect only once it has read all that came before it.
+        // hyper notices a disconnect only after it has read all earlier bytes, so the connection is watched here.
         let answer = tokio::select! {
             biased;
             answer = answer => answer,
@@ -161,8 +163,8 @@
     }
 }
 
-/// Returns the response to a request that is not forwarded. What follows a malformed one may be a part of it, so
-/// the connection ends with it.
+/// Returns the response to a request that is not forwarded. The response closes the connection, because the bytes
+/// after a malformed request may be a part of it.
 fn error_response(error: InvalidRequest) -> Response<ResponseBody> {
     tracing::debug!(%error, "request not forwarded");
     let mut response = error.into_response().map(ResponseBody::Buffered);
@@ -186,17 +188,18 @@
     response
 }
 
-/// Notifies the driver when a client disconnects while its request is open: its connection then drops the future of
-/// the response.
+/// Notifies the driver when a client disconnects while its request is open.
+///
+/// A disconnect drops the future of the response, and with it this guard.
 struct DisconnectGuard<'a> {
     handle: &'a DriverHandle,
     request: RequestId,
-    /// The request has no answer yet.
+    /// Whether the request has no answer yet.
     is_armed: bool,
 }
 
 impl DisconnectGuard<'_> {
-    /// Makes the guard send nothing, because the request has its answer.
+    /// Disarms the guard, because the request has its answer.
     fn disarm(mut self) {
         self.is_armed = false;
     }
@@ -210,14 +213,14 @@
     }
 }
 
-/// The id of an open request; free again when this is dropped.
+/// The correlation id of an open request. It can be claimed again after this is dropped.
 struct OpenId<'a> {
     ids: &'a RefCell<FxHashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
 impl<'a> OpenId<'a> {
-    /// Claims the id of a request. Returns `None` where a request of this id is open.
+    /// Claims the correlation id of a request. Returns `None` if the id is missing or another open request has it.
     fn claim(ids: &'a RefCell<FxHashSet<HeaderValue>>, headers: &HeaderMap) -> Option<Self> {
         let id = headers.get(CORRELATION_ID)?.clone();
         let is_new = ids.borrow_mut().insert(id.clone());
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -1,4 +1,4 @@
-//! One client connection, from its first byte to its end.
+//! Serves one client connection until it ends.
 
 use super::Clients;
 use crate::proxy::bodies::ResponseBody;
@@ -18,16 +18,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// A connection that should be closed, but has a request on it, is checked again after this time.
+/// How often a connection that is due to be closed is checked again while it may still have a request.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How the HTTP side of a connection ended.
+/// How the HTTP exchange on a connection ended.
 enum ConnectionEnd {
-    /// The proxy closes it: nothing is in flight on it.
+    /// The proxy closes the connection, which has no request in flight.
     Closed,
-    /// The library has ended it: its client has closed it, or it closes with its last response.
+    /// hyper has ended the exchange: the client has closed the connection, or the last response closes it.
     Finished,
-    /// A response broke off.
+    /// A response ended before it was complete.
     ResponseFailed,
 }
 
@@ -35,25 +35,25 @@
     fn from(result: hyper::Result<()>) -> Self {
         match result {
             Err(error) if error.is_user() => Self::ResponseFailed,
-            // Any other error is the client's. A disconnect was reported by the guard of its request.
+            // The client caused any other error. The `DisconnectGuard` of its request reports a disconnect.
             Ok(()) | Err(_) => Self::Finished,
         }
     }
 }
 
 impl Clients {
-    /// Serves one connection to its end.
+    /// Serves one connection until it ends, and closes it as the way in which it ended requires.
     pub(super) async fn serve(self: &Rc<Self>, connection: &Rc<ClientConnection>) {
         match self.serve_requests(connection).await {
             ConnectionEnd::Closed => {}
             ConnectionEnd::Finished => connection.socket().linger().await,
-            // A response whose length the client does not know would look complete at a plain end.
+            // After an ordinary close, a response whose length the client does not know would seem complete.
             ConnectionEnd::ResponseFailed => connection.socket().reset_on_close(),
         }
     }
 
-    /// Serves requests until the connection ends. What the library holds of it, an unanswered request too, is
-    /// dropped by then.
+    /// Serves requests until the connection ends. Everything that hyper holds for the connection, including a request
+    /// without a response, is dropped before this returns.
     async fn serve_requests(self: &Rc<Self>, connection: &Rc<ClientConnection>) -> ConnectionEnd {
         let mut http = RequestService::serve(self, connection);
         let mut stages = self.lifecycle.subscribe();
@@ -73,7 +73,7 @@
                     close_at = earlier_of(self.lifecycle.idle_close_at(Instant::now()), close_at);
                 }
                 () = sleep_until(close_at.unwrap_or_else(Instant::now)), if close_at.is_some() => {
-                    // A connection with a request on it ends with the response.
+                    // A connection with a request is closed by the response to it.
                     if connection.is_idle() {
                         return ConnectionEnd::Closed;
                     }
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Responds to the request of that number. Its response ends it, at once or with its last byte.
+    /// Responds to request `number` of the connection. A buffered response ends the request at once, a streamed one
+    /// with its last byte.
     async fn serve_request(
         &self,
         request: Request<Incoming>,
@@ -118,11 +119,11 @@
     connection: Rc<ClientConnection>,
 }
 
-/// The HTTP side of a connection.
+/// The hyper connection that parses the requests of one client connection and writes its responses.
 type HttpConnection = http1::Connection<TokioIo<SocketIo<ClientConnection>>, RequestService>;
 
 impl RequestService {
-    /// Returns the HTTP side of a connection. It does nothing unless it is polled.
+    /// Creates the hyper connection of a client connection. The caller must poll it.
     fn serve(clients: &Rc<Clients>, connection: &Rc<ClientConnection>) -> HttpConnection {
         let service = Self {
             clients: Rc::clone(clients),
@@ -152,24 +153,24 @@
     }
 }
 
-/// Returns the new time of a close, or the present one if that is sooner; `None` where there is no new one.
-fn earlier_of(new: Option<Instant>, present: Option<Instant>) -> Option<Instant> {
+/// Returns the earlier of two times at which a connection is to be closed, or `None` if there is no `new` time.
+fn earlier_of(new: Option<Instant>, current: Option<Instant>) -> Option<Instant> {
     let new = new?;
-    Some(present.map_or(new, |present| present.min(new)))
+    Some(current.map_or(new, |current| current.min(new)))
 }
 
-/// The result of a check of a connection's deadline.
+/// The result of a deadline check.
 enum DeadlineState {
-    /// The client has taken too long.
+    /// The deadline has passed, and the connection must be closed.
     Passed,
-    /// The deadline is checked again then.
+    /// The deadline must be checked again at this time.
     CheckAgainAt(Instant),
 }
 
-/// Checks whether a client takes too long.
+/// Repeated check of a client connection's deadline.
 struct DeadlineCheck<'a> {
     connection: &'a ClientConnection,
-    /// The last check found the deadline passed.
+    /// Whether the deadline had passed at the previous check.
     was_late: bool,
 }
 
@@ -181,12 +182,13 @@
         }
     }
 
-    /// Checks the deadline.
+    /// Checks the deadline once.
     fn run(&mut self) -> DeadlineState {
         let now = Instant::now();
         let deadline = self.connection.deadline();
         let is_late = deadline.is_some_and(|deadline| deadline <= now);
-        // What has come and was not read yet may be a request: it is read until the next check, or never.
+        // Unread bytes may be a request, so hyper gets until the next check to read them. Bytes that are still unread
+        // then are not going to be read.
         if is_late && (self.was_late || !self.connection.has_unread()) {
             return DeadlineState::Passed;
         }
