--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -1,5 +1,5 @@
-//! The state of each client connection, as its deadline and its eviction need it: what the client and the proxy do
-//! on it, since when, and what it would cost to close it.
+//! Client connections: their state, the deadlines that follow from it, and the choice of the connection to close
+//! when another client needs its place.
 
 use super::budget::MemoryBudget;
 use super::framing::Framing;
@@ -19,74 +19,81 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time in which a client has to send a head, and for which bytes that belong to no open request are read. For the
-/// first head on a connection it counts from the accept, for others from their first byte.
+/// The longest time that a request head may take, or that bytes that belong to no open request are read.
+///
+/// The time counts from the accept for the first head of a connection, and from the first byte for later heads. It
+/// exceeds [`CLIENT_IDLE_TIMEOUT`], which also counts from the accept on a new connection: a first head that begins
+/// just before that timeout still has 250 ms to complete.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_750);
 
-/// A connection that has brought no complete request yet is closed last to make room for another client while its last
-/// activity is more recent than this: the request may still be on its way.
+/// The time since its last activity during which a connection that is new or has received a partial head counts as
+/// active. An active connection is evicted after all others, because a request may still be arriving.
 const ACTIVE_WINDOW: Duration = Duration::from_millis(500);
 
-/// The state of a connection, as its deadline and its eviction need it.
+/// The state of a connection, which determines its deadline and its eviction cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// The client reads more slowly than its response comes.
+    /// The kernel takes no more bytes of the response, because the client reads it too slowly.
     WriteBlocked,
-    /// It has a request without a complete response.
+    /// A request has no complete response yet.
     Serving,
-    /// No byte of a request has come yet.
+    /// No byte of a request has been received yet.
     Unused,
-    /// It had requests and has none now.
+    /// All requests have their responses, and no byte of a next one has been received.
     Idle,
-    /// A part of a head has come.
+    /// A part of a head has been received.
     ReadingHead,
-    /// What comes is the rest of a body whose request is answered, or malformed.
+    /// The bytes received are malformed, or the rest of a body whose request already has its response.
     Discarding,
 }
 
-/// What it costs to close a connection, the cheapest first.
+/// The cost of closing a connection that has no complete request, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionCost {
-    /// It never brought a byte, and had time for some.
+    /// No byte has been received, and the connection is not active.
     Unused,
-    /// It had requests and has none now.
+    /// All requests have their responses.
     Idle,
-    /// A part of a head has come, and nothing more for a while.
+    /// A part of a head has been received, and the connection is not active.
     PartialHead,
-    /// A request may come at any moment: the connection is new, or a head is coming.
+    /// A request may still be arriving: the last activity is within [`ACTIVE_WINDOW`], and the connection is new or has
+    /// received a part of a head.
     Active,
 }
 
 /// A connection of a client.
 pub struct ClientConnection {
     socket: Socket,
-    ahead: RefCell<ReadAhead>,
+    /// Bytes that were read before hyper asked for them.
+    read_ahead: RefCell<ReadAhead>,
     framing: RefCell<Framing>,
     connected_at: Instant,
-    /// When bytes last went either way.
+    /// When bytes were last read or written.
     last_activity: Cell<Instant>,
-    /// When the present head began.
+    /// When the first byte of the current head was read.
     head_started_at: Cell<Instant>,
-    /// Requests that have come, and those of them that have their responses.
+    /// The number of requests received so far.
     requests: Cell<u64>,
+    /// The number of requests that have their responses.
     responses: Cell<u64>,
-    /// Its client reads more slowly than its response comes.
+    /// Whether the last write had to wait until the client reads.
     write_blocked: Cell<bool>,
-    /// Tells the connection's task to close it, so that another client can be accepted.
+    /// Notifies the connection's task that it should close the connection, so that another client can be accepted.
     eviction: Notify,
-    /// The task was notified, and has not checked yet.
+    /// Whether the task has been notified and has not yet checked whether it may close the connection.
     eviction_pending: Cell<bool>,
 }
 
 impl ClientConnection {
-    /// Creates a connection that was accepted now. `head_cap` is the largest head, in bytes.
+    /// Creates the state of a connection that has just been accepted. `max_head_bytes` is the size of the largest
+    /// request head.
     #[must_use]
-    pub fn new(stream: TcpStream, head_cap: usize) -> Self {
+    pub fn new(stream: TcpStream, max_head_bytes: usize) -> Self {
         let now = Instant::now();
         Self {
             socket: Socket::new(stream),
-            ahead: RefCell::default(),
-            framing: RefCell::new(Framing::new(head_cap)),
+            read_ahead: RefCell::default(),
+            framing: RefCell::new(Framing::new(max_head_bytes)),
             connected_at: now,
             last_activity: Cell::new(now),
             head_started_at: Cell::new(now),
@@ -98,7 +105,7 @@
         }
     }
 
-    /// Returns whether the client has closed the connection, as far as the runtime knows, whatever is still unread.
+    /// Returns whether the runtime has seen the client close the connection. Bytes may still be unread.
     #[must_use]
     pub fn is_closed_by_client(&self) -> bool {
         pin!(self.socket.closed_by_peer())
@@ -106,25 +113,28 @@
             .is_ready()
     }
 
-    /// Waits until the client has closed the connection. What the client sends meanwhile is read ahead, as far as
-    /// there is `memory` for it: the end would not be seen after more bytes than the kernel buffers. The present
-    /// request must be complete, because the rest of it would be read ahead as well.
+    /// Waits until the client has closed the connection.
+    ///
+    /// Bytes that the client sends in the meantime are read ahead while `memory` has room: behind more bytes than the
+    /// kernel buffers, the end would not be seen. The current request must have been read completely, because the rest
+    /// of it would be read ahead as well.
     pub async fn closed_by_client(&self, memory: &MemoryBudget) {
         tokio::select! {
             () = self.socket.closed_by_peer() => {}
-            () = self.read_ahead(memory) => {}
+            () = self.read_ahead_until_closed(memory) => {}
         }
     }
 
-    /// Reads ahead until the client has closed the connection.
-    async fn read_ahead(&self, memory: &MemoryBudget) {
+    /// Reads ahead until the client has closed the connection. Never returns once the memory or the read-ahead limit
+    /// is exhausted.
+    async fn read_ahead_until_closed(&self, memory: &MemoryBudget) {
         while self.socket.has_bytes().await {
-            if !self.ahead.borrow_mut().make_room(memory) {
+            if !self.read_ahead.borrow_mut().make_room(memory) {
                 return std::future::pending().await;
             }
             let mut piece = [0; READ_PIECE_BYTES];
             if let Some(read) = self.socket.read_now(&mut piece) {
-                self.ahead.borrow_mut().add(&piece[..read]);
+                self.read_ahead.borrow_mut().add(&piece[..read]);
             }
         }
     }
@@ -135,25 +145,26 @@
         self.connected_at
     }
 
-    /// Begins a request, and returns its number, from 1 on.
+    /// Records the start of a request and returns its number, counted from 1.
     #[must_use]
     pub fn begin_request(&self) -> u64 {
         self.requests.set(self.requests.get() + 1);
         self.requests.get()
     }
 
-    /// Ends the present request: its response is complete, or ready to be written completely.
+    /// Records the end of the current request: its response has been written, or is completely in memory.
     pub fn end_request(&self) {
         self.responses.set(self.responses.get() + 1);
     }
 
-    /// Returns whether the end of the body of the request of that number is ambiguous.
+    /// Returns whether the end of the body of request `number` is ambiguous.
     #[must_use]
     pub fn is_ambiguous(&self, number: u64) -> bool {
         self.framing.borrow().is_ambiguous(number)
     }
 
-    /// Returns whether the connection has no request and no part of one, not even unread bytes in the kernel.
+    /// Returns whether the connection has neither an open request nor a part of one, including unread bytes in the
+    /// kernel.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let is_idle = matches!(
@@ -163,20 +174,21 @@
         is_idle && !self.has_unread()
     }
 
-    /// Returns whether the connection may be closed to make room: it has no complete request, and no unread bytes
-    /// that may be one.
+    /// Returns whether the connection may be closed so that another client can be accepted: it has no complete
+    /// request, and no unread bytes that may be one.
     #[must_use]
     pub fn is_evictable(&self) -> bool {
         self.eviction_cost().is_some() && !self.has_unread()
     }
 
-    /// Returns whether bytes have come that were not read yet.
+    /// Returns whether bytes have been received that hyper has not read yet. Unless bytes were read ahead, this takes a
+    /// system call.
     #[must_use]
     pub fn has_unread(&self) -> bool {
-        !self.ahead.borrow().is_empty() || self.socket.unread() == Unread::Bytes
+        !self.read_ahead.borrow().is_empty() || self.socket.unread() == Unread::Bytes
     }
 
-    /// Returns when the client will have taken too long; `None` while the proxy has to respond.
+    /// Returns the time by which the client must send or read more, or `None` while the proxy has to respond.
     #[must_use]
     pub fn deadline(&self) -> Option<Instant> {
         match self.state() {
@@ -187,7 +199,8 @@
             ConnectionState::Unused | ConnectionState::Idle => {
                 Some(self.last_activity.get() + CLIENT_IDLE_TIMEOUT)
             }
-            // The library rejects what is malformed. It has as long as a head, or it could stay open for ever.
+            // hyper rejects malformed bytes. The time for discarding is limited like that for a head, because the
+            // connection could otherwise stay open forever.
             ConnectionState::ReadingHead | ConnectionState::Discarding => {
                 let started_at = if self.requests.get() == 0 {
                     self.connected_at
@@ -205,13 +218,13 @@
         self.eviction_pending.set(false);
     }
 
-    /// Tells the connection's task to close it, if it still may be closed then.
+    /// Asks the connection's task to close the connection. The task closes it only if it is still evictable.
     fn request_eviction(&self) {
         self.eviction_pending.set(true);
         self.eviction.notify_one();
     }
 
-    /// Derives the state from what was read, answered and written.
+    /// Derives the state from the bytes read, the requests with responses and the last write.
     fn state(&self) -> ConnectionState {
         let framing = self.framing.borrow();
         if self.write_blocked.get() {
@@ -229,7 +242,7 @@
         }
     }
 
-    /// Returns what it costs to close the connection; `None` where it must not be closed for another client.
+    /// Returns the cost of closing the connection, or `None` if it must not be closed for another client.
     fn eviction_cost(&self) -> Option<EvictionCost> {
         let is_active = self.last_activity.get().elapsed() < ACTIVE_WINDOW;
         match self.state() {
@@ -245,6 +258,7 @@
         }
     }
 
+    /// Updates the framing and the times with bytes that hyper has read.
     fn record_read(&self, bytes: &[u8]) {
         let mut framing = self.framing.borrow_mut();
         let was_in_head = framing.is_in_head();
@@ -256,19 +270,28 @@
     }
 }
 
-/// The clients' connections that are open.
+/// The open client connections.
 #[derive(Default)]
 pub struct ClientConnections {
+    /// The connections by number.
     open: FxHashMap<u64, Rc<ClientConnection>>,
-    next: u64,
+    /// The number that was last given to a connection.
+    last_number: u64,
+}
+
+/// A connection that may be closed so that another client can be accepted.
+struct EvictionCandidate<'a> {
+    cost: EvictionCost,
+    last_activity: Instant,
+    connection: &'a ClientConnection,
 }
 
 impl ClientConnections {
-    /// Adds a connection, and returns its number.
+    /// Adds a connection and returns its number.
     pub fn add(&mut self, connection: &Rc<ClientConnection>) -> u64 {
-        self.next += 1;
-        self.open.insert(self.next, Rc::clone(connection));
-        self.next
+        self.last_number += 1;
+        self.open.insert(self.last_number, Rc::clone(connection));
+        self.last_number
     }
 
     /// Removes a connection that has ended.
@@ -276,28 +299,38 @@
         self.open.remove(&number);
     }
 
-    /// Closes the connection that is cheapest to close, of several the one without activity for longest. One with a
-    /// request is never closed.
+    /// Requests the eviction of the connection that is cheapest to close; among equally cheap ones, of the one that
+    /// has been without activity for longest. A connection with a request is never evicted.
     ///
-    /// The task of the connection is notified, and closes it unless a request has come by then.
+    /// The task of the connection is notified and closes the connection, unless a request has arrived in the meantime.
     pub fn evict_one(&self) {
-        let mut candidates = Vec::new();
-        for connection in self.open.values() {
-            if connection.eviction_pending.get() {
-                continue;
-            }
-            if let Some(cost) = connection.eviction_cost() {
-                candidates.push(((cost, connection.last_activity.get()), connection));
-            }
-        }
-        candidates.sort_unstable_by_key(|(order, _)| *order);
-        // Whether bytes are unread costs a system call, so it is looked up for few of them.
+        let mut candidates: Vec<EvictionCandidate<'_>> = self
+            .open
+            .values()
+            .filter_map(|connection| EvictionCandidate::new(connection))
+            .collect();
+        candidates.sort_unstable_by_key(|candidate| (candidate.cost, candidate.last_activity));
+        // The check for unread bytes takes a system call, so it is made in order and ends at the first match.
         let evicted = candidates
             .into_iter()
-            .find(|(_, connection)| !connection.has_unread());
-        if let Some((_, connection)) = evicted {
-            connection.request_eviction();
+            .find(|candidate| !candidate.connection.has_unread());
+        if let Some(evicted) = evicted {
+            evicted.connection.request_eviction();
+        }
+    }
+}
+
+impl<'a> EvictionCandidate<'a> {
+    /// Returns the connection as a candidate, or `None` if its eviction is pending or it must not be closed.
+    fn new(connection: &'a ClientConnection) -> Option<Self> {
+        if connection.eviction_pending.get() {
+            return None;
         }
+        Some(Self {
+            cost: connection.eviction_cost()?,
+            last_activity: connection.last_activity.get(),
+            connection,
+        })
     }
 }
 
@@ -306,16 +339,16 @@
         &self.socket
     }
 
-    /// Reads what was read ahead before anything else.
+    /// Reads the bytes that were read ahead before it reads from the socket.
     fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let mut ahead = self.ahead.borrow_mut();
-        if !ahead.is_empty() {
-            ahead.move_into(buf);
+        let mut read_ahead = self.read_ahead.borrow_mut();
+        if !read_ahead.is_empty() {
+            read_ahead.move_into(buf);
             return Poll::Ready(Ok(()));
         }
         let read = self.socket.poll_read(cx, buf);
         if read.is_pending() {
-            ahead.register_reader(cx.waker());
+            read_ahead.register_reader(cx.waker());
         }
         read
     }
--- a/src/proxy/connections/tests.rs
+++ b/src/proxy/connections/tests.rs
@@ -3,33 +3,36 @@
 
 const HEAD: &[u8] = b"GET /up HTTP/1.1\r\n\r\n";
 
-/// Open connections whose clients send nothing.
+/// Returns `N` open connections whose clients send nothing.
 async fn connections<const N: usize>() -> (ClientConnections, [Rc<ClientConnection>; N]) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
-        .expect("a port");
-    let address = listener.local_addr().expect("an address");
+        .expect("loopback has free ports");
+    let address = listener.local_addr().expect("the listener is bound");
     let mut connections = ClientConnections::default();
     let mut all = Vec::new();
     for _ in 0..N {
-        let stream = TcpStream::connect(address).await.expect("a connection");
+        let stream = TcpStream::connect(address)
+            .await
+            .expect("the listener is open");
         all.push(Rc::new(ClientConnection::new(stream, 1_000)));
     }
     let all: [_; N] = all
         .try_into()
-        .unwrap_or_else(|_| unreachable!("as many as asked for"));
+        .unwrap_or_else(|_| unreachable!("the loop pushes N connections"));
     for connection in &all {
         connections.add(connection);
     }
     (connections, all)
 }
 
-fn evicting<const N: usize>(all: &[Rc<ClientConnection>; N]) -> Vec<usize> {
+/// Returns the indices of the connections whose eviction is pending.
+fn pending_evictions<const N: usize>(all: &[Rc<ClientConnection>; N]) -> Vec<usize> {
     (0..N).filter(|&i| all[i].eviction_pending.get()).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_cheapest_connection_is_evicted_first_and_one_with_a_request_never() {
+async fn connections_are_evicted_in_order_of_cost_and_never_with_a_request() {
     let (connections, all) = connections::<9>().await;
     let step = || tokio::time::advance(Duration::from_millis(10));
     let [
@@ -59,32 +62,39 @@
     just_connected.last_activity.set(Instant::now());
     just_reading.record_read(&HEAD[..5]);
     assert!(unused.is_idle() && idle.is_idle() && !partial.is_idle() && partial.is_evictable());
-    for most in 1..=4 {
+    for evicted in 1..=4 {
         connections.evict_one();
-        let mut order = [4, 3, 1, 2][..most].to_vec();
-        order.sort_unstable();
-        assert_eq!(evicting(&all), order);
+        let mut expected = [4, 3, 1, 2][..evicted].to_vec();
+        expected.sort_unstable();
+        assert_eq!(pending_evictions(&all), expected);
     }
     for _ in 0..3 {
         connections.evict_one();
     }
-    assert_eq!(evicting(&all), [1, 2, 3, 4, 7, 8], "active ones come last");
+    assert_eq!(
+        pending_evictions(&all),
+        [1, 2, 3, 4, 7, 8],
+        "active connections are evicted last"
+    );
 }
 
 #[tokio::test]
 async fn a_connection_with_unread_bytes_is_neither_idle_nor_evicted() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
-        .expect("a port");
-    let stream = TcpStream::connect(listener.local_addr().expect("an address"))
+        .expect("loopback has free ports");
+    let stream = TcpStream::connect(listener.local_addr().expect("the listener is bound"))
         .await
-        .expect("a connection");
-    let (mut client, _) = listener.accept().await.expect("a connection");
+        .expect("the listener is open");
+    let (mut client, _) = listener.accept().await.expect("a connection is queued");
     let connection = Rc::new(ClientConnection::new(stream, 1_000));
     let mut connections = ClientConnections::default();
     connections.add(&connection);
     assert!(connection.is_idle() && connection.is_evictable());
-    client.write_all(HEAD).await.expect("it is open");
+    client
+        .write_all(HEAD)
+        .await
+        .expect("the connection is open");
     assert!(!connection.is_idle() && !connection.is_evictable());
     connections.evict_one();
     assert!(
@@ -104,38 +114,38 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_has_a_deadline_for_a_head_and_for_staying_idle() {
+async fn a_connection_has_a_deadline_while_it_reads_a_head_or_is_idle() {
     let (_, [connection]) = connections::<1>().await;
     let start = Instant::now();
     assert_eq!(
         connection.deadline(),
         Some(start + CLIENT_IDLE_TIMEOUT),
-        "it is silent"
+        "the connection is unused"
     );
     tokio::time::advance(Duration::from_secs(1)).await;
     connection.record_read(&HEAD[..5]);
     assert_eq!(
         connection.deadline(),
         Some(start + HEAD_TIMEOUT),
-        "the first head counts from connecting"
+        "the timeout of the first head counts from the accept"
     );
     connection.record_read(&HEAD[5..]);
     let _ = connection.begin_request();
-    assert_eq!(connection.deadline(), None, "it is the proxy's turn");
+    assert_eq!(connection.deadline(), None, "the proxy has to respond");
     connection.end_request();
     tokio::time::advance(Duration::from_secs(2)).await;
     connection.record_read(&HEAD[..5]);
-    let begun = Instant::now();
+    let head_started_at = Instant::now();
     tokio::time::advance(Duration::from_secs(1)).await;
     connection.record_read(&HEAD[5..9]);
     assert_eq!(
         connection.deadline(),
-        Some(begun + HEAD_TIMEOUT),
-        "a later one counts from its first byte"
+        Some(head_started_at + HEAD_TIMEOUT),
+        "the timeout of a later head counts from its first byte"
     );
     connection.write_blocked.set(true);
     assert!(
-        connection.deadline() > Some(begun + HEAD_TIMEOUT),
-        "an answer is not cut off while its client reads"
+        connection.deadline() > Some(head_started_at + HEAD_TIMEOUT),
+        "a response that the client reads slowly is not cut off by the head timeout"
     );
 }
--- a/src/proxy/framing.rs
+++ b/src/proxy/framing.rs
@@ -1,62 +1,68 @@
-//! Follows where the messages on a client's connection begin and end.
+//! Tracks where the messages on a client connection begin and end.
 //!
-//! The HTTP library parses them too, but it ignores a length beside an encoding and merges repeated lengths,
-//! which a backend may read otherwise (request smuggling). Nor does it tell whether a head has begun,
-//! which decides what it costs to close the connection.
+//! hyper parses the same bytes, but it ignores a `Content-Length` beside a `Transfer-Encoding` and merges repeated
+//! lengths, which a backend may read otherwise (request smuggling). It also does not report whether a head has begun,
+//! which determines the cost of closing the connection.
 
 use super::header_values::parse_decimal;
 
-/// The largest line, in bytes, of a chunk's size with its extensions, or of a trailer.
-const MAX_LINE: usize = 4 * 1024;
+/// The largest line of a chunked body: a chunk size with its extensions, or a trailer.
+const MAX_LINE_BYTES: usize = 4 * 1024;
 
-/// What follows the data of a chunk.
+/// The line break after the data of a chunk.
 const CHUNK_END: &[u8] = b"\r\n";
 
-/// How a body ends.
+/// The length of a body, as its head states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyLength {
+    /// The message has no body.
     None,
+    /// The body has this many bytes.
     Known(u64),
+    /// The body is chunked.
     Chunked,
 }
 
-/// What comes next on the connection.
+/// The part of a message that the next byte belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reading {
+    /// A head, or the start of one.
     Head,
-    /// This many bytes of a body of known length.
+    /// A body of known length, of which this many bytes remain.
     Body(u64),
-    /// The line with a chunk's size.
+    /// The line with the size of a chunk.
     ChunkSize,
-    /// This many bytes of a chunk, the end of its line included.
+    /// A chunk, of which this many bytes remain, including the line break after its data.
     Chunk(u64),
+    /// The trailers of a chunked body.
     Trailers,
-    /// Nothing that can be read; the library rejects it.
+    /// None: the bytes cannot be parsed, and hyper rejects them.
     Malformed,
 }
 
-/// Follows the bytes of one connection.
+/// Tracks the messages in the bytes of one connection.
 #[derive(Debug)]
 pub struct Framing {
     reading: Reading,
-    /// The present head, or line, as far as it has come.
+    /// The received part of the current head or line.
     partial: Vec<u8>,
-    /// The largest head, in bytes.
-    head_cap: usize,
-    /// Heads that are complete.
+    /// The size of the largest head.
+    max_head_bytes: usize,
+    /// The number of complete heads.
     heads: u64,
-    /// The number of the head whose body may end in two places. Nothing is read after it.
+    /// The number of the head whose body may end in two places. Nothing is parsed after it.
     ambiguous_head: Option<u64>,
 }
 
 impl Framing {
-    /// Follows a connection from its first byte. Heads beyond `head_cap` bytes are the library's to reject.
+    /// Creates the framing of a connection that has received nothing yet. A head of more than `max_head_bytes` counts
+    /// as malformed, because hyper rejects it.
     #[must_use]
-    pub fn new(head_cap: usize) -> Self {
+    pub fn new(max_head_bytes: usize) -> Self {
         Self {
             reading: Reading::Head,
             partial: Vec::new(),
-            head_cap,
+            max_head_bytes,
             heads: 0,
             ambiguous_head: None,
         }
@@ -68,26 +74,26 @@
         self.heads
     }
 
-    /// Returns whether the head of that number, from 1 on, says in two ways, or in a way of its own, where its
-    /// body ends.
+    /// Returns whether head number `head`, counted from 1, states the length of its body more than once or in a form
+    /// that is not understood.
     #[must_use]
     pub fn is_ambiguous(&self, head: u64) -> bool {
         self.ambiguous_head == Some(head)
     }
 
-    /// Returns whether the last message is complete and no byte of a next one has come.
+    /// Returns whether the last message is complete and no byte of a next one has been received.
     #[must_use]
     pub fn is_between_messages(&self) -> bool {
         self.reading == Reading::Head && self.partial.is_empty()
     }
 
-    /// Returns whether a part of a head has come.
+    /// Returns whether a part of a head has been received.
     #[must_use]
     pub fn is_in_head(&self) -> bool {
         self.reading == Reading::Head && !self.partial.is_empty()
     }
 
-    /// Reads the next bytes.
+    /// Parses the next bytes of the connection.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             bytes = match self.reading {
@@ -104,8 +110,8 @@
         }
     }
 
-    /// Skips `remaining` bytes, as far as they have come: `unfinished` then holds the rest, or `next` follows.
-    /// Returns the bytes after them.
+    /// Skips up to `remaining` bytes and returns the bytes after them. Continues with `next` if all of them were
+    /// received, and otherwise with `unfinished` and the number that remains.
     fn skip<'a>(
         &mut self,
         bytes: &'a [u8],
@@ -125,18 +131,18 @@
         &bytes[skipped..]
     }
 
-    /// Reads a head, as far as it has come. Returns the bytes after it.
+    /// Reads the received part of a head and returns the bytes after it.
     fn read_head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
-        // Empty lines ahead of a request are no part of it.
+        // Empty lines before a request are not part of it.
         if self.partial.is_empty() && matches!(bytes[0], b'\r' | b'\n') {
             return &bytes[1..];
         }
         let already_read = self.partial.len();
-        let taken = bytes.len().min(self.head_cap);
+        let taken = bytes.len().min(self.max_head_bytes);
         self.partial.extend_from_slice(&bytes[..taken]);
-        // The end may have begun with up to three bytes that came before.
+        // Up to three bytes of the end may have been received before.
         let Some(end) = head_end(&self.partial, already_read.saturating_sub(3)) else {
-            if self.partial.len() >= self.head_cap {
+            if self.partial.len() >= self.max_head_bytes {
                 self.reading = Reading::Malformed;
             }
             return &bytes[taken..];
@@ -155,11 +161,11 @@
         &bytes[end - already_read..]
     }
 
-    /// Reads a line of a chunked body, as far as it has come. Returns the bytes after it.
+    /// Reads the received part of a line of a chunked body and returns the bytes after it.
     fn read_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let end = bytes.iter().position(|&byte| byte == b'\n');
         let taken = end.map_or(bytes.len(), |end| end + 1);
-        if self.partial.len() + taken > MAX_LINE {
+        if self.partial.len() + taken > MAX_LINE_BYTES {
             self.reading = Reading::Malformed;
             self.partial = Vec::new();
             return &[];
@@ -178,7 +184,7 @@
     }
 }
 
-/// Returns what follows the line of a chunk's size.
+/// Returns the state after the line with the size of a chunk.
 fn after_chunk_size(line: &[u8]) -> Reading {
     match chunk_size(line) {
         Some(0) => Reading::Trailers,
@@ -187,8 +193,8 @@
     }
 }
 
-/// Returns the length of a head, up to and with its empty line, if that line's break is found at `from` or
-/// later.
+/// Returns the length of a head including its empty line, or `None` if the head is incomplete. The search for the line
+/// break before the empty line starts at `from`.
 fn head_end(bytes: &[u8], from: usize) -> Option<usize> {
     let rest = |at: usize| &bytes[at + 1..];
     (from..bytes.len())
@@ -200,7 +206,7 @@
         })
 }
 
-/// Returns how the body after a head ends; `None` where that can be read in two ways.
+/// Returns the length of the body after a head, or `None` if the head is ambiguous about it.
 fn body_length(head: &[u8]) -> Option<BodyLength> {
     let mut length = BodyLength::None;
     for line in head.split(|&byte| byte == b'\n').skip(1) {
@@ -212,7 +218,8 @@
         let found = if name.eq_ignore_ascii_case(b"content-length") {
             BodyLength::Known(parse_decimal(value)?)
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            // No other coding is undone here, and none may be hidden from the backend.
+            // Any other coding is ambiguous: the proxy does not decode it, and `Transfer-Encoding` is not forwarded, so
+            // the backend would not know of it.
             value
                 .eq_ignore_ascii_case(b"chunked")
                 .then_some(BodyLength::Chunked)?
@@ -227,7 +234,7 @@
     Some(length)
 }
 
-/// Returns the size in a chunk's line, whatever extensions follow.
+/// Returns the size that the line of a chunk states, without regard to extensions.
 fn chunk_size(line: &[u8]) -> Option<u64> {
     let digit_count = line
         .iter()
--- a/src/proxy/framing/tests.rs
+++ b/src/proxy/framing/tests.rs
@@ -2,7 +2,7 @@
 
 const POST: &str = "POST /submit HTTP/1.1\r\n";
 
-/// Fed at once and byte by byte.
+/// Returns the framing after `text`, and checks that it is the same for the whole text and for single bytes.
 fn after(text: &str) -> Framing {
     let mut whole = Framing::new(1_000);
     whole.feed(text.as_bytes());
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn messages_end_where_their_heads_say() {
+fn messages_end_at_the_length_that_their_heads_state() {
     let whole = [
         "GET /up HTTP/1.1\r\nHost: x\r\n\r\n".to_owned(),
         "\r\n\r\nGET /up HTTP/1.1\nHost: x\n\n".to_owned(),
@@ -48,12 +48,12 @@
     let framing = after(&whole.concat());
     assert!(
         framing.is_between_messages() && framing.heads() == 6,
-        "one behind another"
+        "all messages in a row"
     );
 }
 
 #[test]
-fn what_has_come_of_a_message_shows() {
+fn the_framing_reports_which_part_of_a_message_was_received() {
     assert!(after("GET /up HTT").is_in_head());
     assert!(after(&format!("{POST}Content-Length: 3\r\n\r\nab\r")).is_between_messages());
     for text in [
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_body_with_two_ends_is_known_by_the_number_of_its_head() {
+fn a_head_with_an_ambiguous_body_length_is_reported_by_its_number() {
     for fields in [
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n",
@@ -88,12 +88,12 @@
             framing.is_ambiguous(2) && !framing.is_ambiguous(1),
             "{fields}"
         );
-        assert_eq!(framing.heads(), 2, "nothing is read behind it: {fields}");
+        assert_eq!(framing.heads(), 2, "nothing is parsed after it: {fields}");
     }
 }
 
 #[test]
-fn what_does_not_end_takes_no_memory() {
+fn endless_heads_and_lines_take_a_bounded_amount_of_memory() {
     let head = after(&format!("GET /{}", "x".repeat(5_000)));
     let size = after(&format!(
         "{POST}Transfer-Encoding: chunked\r\n\r\n1;{}",
