--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -1,4 +1,4 @@
-//! The proxy: reads its configuration, wires its parts together, runs until SIGTERM.
+//! The proxy process: reads the configuration, connects the parts of the proxy, and runs until SIGTERM.
 #![forbid(unsafe_code)]
 
 use std::error::Error;
@@ -28,15 +28,15 @@
 use tokio::task::{LocalSet, spawn_local};
 
 fn main() -> ExitCode {
-    let log = match start_log() {
+    let log = match init_log() {
         Ok(log) => log,
         Err(error) => {
-            // Standard error may be closed.
+            // A failure to write is ignored, because standard error may be closed.
             let _ = writeln!(io::stderr(), "tillerproxy: {error}");
             return ExitCode::FAILURE;
         }
     };
-    match start(log) {
+    match run(log) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!(%error, "stopped by an error");
@@ -45,12 +45,16 @@
     }
 }
 
-fn start_log() -> Result<LogControl, Box<dyn Error>> {
+fn init_log() -> Result<LogControl, Box<dyn Error>> {
     let options = LogOptions::from_env(|name| std::env::var(name).ok())?;
     Ok(logging::init(options)?)
 }
 
-fn start(log: LogControl) -> Result<(), Box<dyn Error>> {
+/// Runs the proxy on a single-threaded runtime until SIGTERM.
+///
+/// # Errors
+/// The proxy cannot start, or its driver has ended.
+fn run(log: LogControl) -> Result<(), Box<dyn Error>> {
     let inherited = inherited::from_env()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -60,12 +64,12 @@
         let config = Config::from_env(process_count(inherited.is_some()))?;
         log.set_filter(config.log_filter.clone());
         let listeners = Listeners::open(&config, inherited)?;
-        run(config, listeners, log, signals).await
+        serve(config, listeners, log, signals).await
     })
 }
 
-/// Returns the number of processes that share the limits of the configuration: where the client
-/// listener is inherited, an upgrade runs the old process and the new one side by side.
+/// Returns the number of processes that share the limits of the configuration. With an inherited client listener it is
+/// two, because an upgrade runs the old and the new process side by side.
 fn process_count(has_inherited_listener: bool) -> usize {
     if has_inherited_listener { 2 } else { 1 }
 }
@@ -77,7 +81,7 @@
 }
 
 impl Signals {
-    /// Installs the handlers. Before that, either signal ends the process.
+    /// Installs the signal handlers. Until then, either signal kills the process.
     fn install() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -90,7 +94,7 @@
 struct Listeners {
     operators: Option<TcpListener>,
     clients: Rc<TcpListener>,
-    /// Whether other processes may hold the client listener too.
+    /// Whether other processes may also hold the client listener.
     is_shared: bool,
 }
 
@@ -117,7 +121,7 @@
     }
 }
 
-/// The parts of the proxy, which know one another and do not run yet.
+/// The connected parts of a proxy that does not run yet.
 struct Proxy {
     driver: Driver,
     watcher: Watcher,
@@ -204,8 +208,11 @@
     }
 }
 
-/// Runs the proxy until SIGTERM, and then drains it.
-async fn run(
+/// Serves until SIGTERM, and then drains the proxy.
+///
+/// # Errors
+/// The settings are invalid, or the driver has ended.
+async fn serve(
     config: Config,
     listeners: Listeners,
     log: LogControl,
@@ -219,7 +226,7 @@
     if let Some(listener) = listeners.operators {
         spawn_local(proxy.operator.serve(listener));
     }
-    spawn_local(follow_configuration(
+    spawn_local(reload_configuration_on_signal(
         reload,
         proxy.discovery_address,
         log,
@@ -252,15 +259,15 @@
     Ok(())
 }
 
-/// Returns the longest time that a client waits.
+/// Returns the longest time that a client waits for a response.
 fn longest_timeout(settings: &Settings) -> Duration {
     let timeouts = settings.classes.iter().map(|class| class.timeout);
     Duration::from_micros(timeouts.max().unwrap_or_default())
 }
 
-/// Reads the configuration again at each SIGHUP: the address of discovery and the filter of the log
-/// may change while the proxy serves. A file that cannot be used changes nothing.
-async fn follow_configuration(
+/// Reads the configuration again at each SIGHUP, and applies the address of discovery and the log filter. Other fields
+/// take effect only at the next start. A configuration that cannot be used has no effect.
+async fn reload_configuration_on_signal(
     mut reload: Signal,
     discovery_address: watch::Sender<SocketAddr>,
     log: LogControl,
--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of all events: monotonic, in microseconds since the Unix epoch.
+//! The clock for all event times: monotonic, in microseconds since the Unix epoch.
 
 use crate::api::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -9,18 +9,19 @@
 /// Microseconds in a millisecond.
 pub const MICROS_PER_MILLI: Micros = 1_000;
 
-/// Begins at the system's time and then follows the monotonic clock, so that no step of the
-/// system's clock moves it.
+/// A clock that starts at the system time and then follows the monotonic clock, so that steps of the system time do not
+/// affect it.
 ///
-/// It counts from the Unix epoch because backends may have started before this process.
+/// Its times count from the Unix epoch because backends may have started before this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
+    /// The Unix time at `origin`.
     origin_unix: Micros,
 }
 
 impl Clock {
-    /// Creates a clock that shows the system's time.
+    /// Creates a clock that starts at the system time.
     #[must_use]
     pub fn start() -> Self {
         let unix_time = SystemTime::now()
@@ -32,26 +33,27 @@
         }
     }
 
-    /// Returns the time now.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Micros {
         self.origin_unix + micros(self.origin.elapsed())
     }
 
-    /// Converts a point in time of the runtime to this clock.
+    /// Converts an instant of the runtime to a time of this clock.
     #[must_use]
     pub fn at(&self, instant: Instant) -> Micros {
         self.origin_unix + micros(instant.saturating_duration_since(self.origin))
     }
 
-    /// Converts a point in time of this clock to the runtime's.
+    /// Converts a time of this clock to an instant of the runtime.
     #[must_use]
     pub fn instant(&self, at: Micros) -> Instant {
         self.origin + Duration::from_micros(at.saturating_sub(self.origin_unix))
     }
 
-    /// Converts the start of a backend's process from Unix milliseconds; `None` for 0, which means
-    /// long ago. A start ahead of this clock is taken as now: another machine's clock may be ahead.
+    /// Converts the start time of a backend from Unix milliseconds, or returns `None` for 0, which means long ago.
+    ///
+    /// A start time in the future is replaced by the current time, because the clock of another machine may be ahead.
     #[must_use]
     pub fn start_time(&self, unix_ms: u64) -> Option<Micros> {
         if unix_ms == 0 {
--- a/src/proxy/counters.rs
+++ b/src/proxy/counters.rs
@@ -1,4 +1,4 @@
-//! Counters since the start of the process, and their text form (Prometheus).
+//! Counters since the start of the process, and their Prometheus text format.
 
 use crate::api::ClassIndex;
 use std::cell::Cell;
@@ -8,25 +8,25 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A backend's complete response is the client's.
+    /// A backend's response was forwarded completely.
     Served,
-    /// The balancer rejected the request: load was shed, or all attempts failed and a retry by the client is harmless.
+    /// The balancer rejected the request: it shed load, or all attempts failed and a retry by the client is harmless.
     Rejected,
-    /// The request failed, or its response broke off.
+    /// The request failed, or its response ended before it was complete.
     Failed,
 }
 
-/// Labels of the outcomes, in the order of [`RequestOutcome`]. The metric names a rejected request `dropped`.
+/// The values of the label `outcome`, in the order of [`RequestOutcome`]. A rejected request has the value `dropped`.
 const OUTCOME_LABELS: [&str; 3] = ["passed", "dropped", "bad_gateway"];
 
-/// Requests of one class that have ended.
+/// The counters of the requests of one class.
 struct ClassCounters {
     class: String,
-    /// By outcome.
+    /// The number of requests that have ended, by outcome.
     ended: [Cell<u64>; OUTCOME_LABELS.len()],
 }
 
-/// The counters of one process.
+/// All counters of the process.
 pub struct Counters {
     classes: Vec<ClassCounters>,
     attempts: Cell<u64>,
@@ -34,7 +34,7 @@
 }
 
 impl Counters {
-    /// Creates counters at 0 for requests of these classes.
+    /// Creates counters for requests of these classes, all at 0.
     #[must_use]
     pub fn new(classes: &[String]) -> Rc<Self> {
         let classes = classes
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Counts a request of a class as in progress until the ticket is dropped.
+    /// Counts a request of a class as in progress until the returned ticket is dropped.
     #[must_use]
     pub fn begin_request(self: &Rc<Self>, class: ClassIndex) -> RequestTicket {
         increment(&self.in_progress);
@@ -67,12 +67,12 @@
         increment(&self.attempts);
     }
 
-    /// Returns the text form of all metrics. `listed_backends` and `avoided_backends` are gauges
-    /// that others keep.
+    /// Returns all metrics in the Prometheus text format. The caller supplies the values of the gauges
+    /// `listed_backends` and `avoided_backends`.
     #[must_use]
     pub fn render(&self, listed_backends: usize, avoided_backends: usize) -> String {
         let mut text = String::new();
-        // Writing to a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = self.write(&mut text, listed_backends, avoided_backends);
         text
     }
@@ -109,8 +109,9 @@
     }
 }
 
-/// Name and description of a metric.
+/// The name, type and description of a metric.
 struct Metric {
+    /// The name without the prefix `app_`.
     name: &'static str,
     kind: &'static str,
     help: &'static str,
@@ -155,7 +156,7 @@
     }
 }
 
-/// Escapes a label's value for the text form.
+/// Escapes a label value for the text format.
 fn escape_label(value: &str) -> String {
     value
         .replace('\\', "\\\\")
@@ -167,8 +168,8 @@
     counter.set(counter.get() + 1);
 }
 
-/// A request in progress. Dropped, the request has ended: with the outcome that was set, or, if
-/// none was, because its client disconnected.
+/// A request in progress, which ends when the ticket is dropped. It is then counted by the outcome that was set, or not
+/// at all if none was set, because its client has disconnected.
 pub struct RequestTicket {
     counters: Rc<Counters>,
     class: ClassIndex,
@@ -176,7 +177,7 @@
 }
 
 impl RequestTicket {
-    /// Sets how the request ends. The last outcome that was set counts.
+    /// Sets the outcome of the request, replacing any earlier one.
     pub fn set_outcome(&self, outcome: RequestOutcome) {
         self.outcome.set(Some(outcome));
     }
--- a/src/proxy/counters/tests.rs
+++ b/src/proxy/counters/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-fn lines(counters: &Counters) -> Vec<String> {
+/// Returns the lines of the text format that hold values.
+fn value_lines(counters: &Counters) -> Vec<String> {
     let text = counters.render(4, 1);
     text.lines()
         .filter(|line| !line.starts_with('#'))
@@ -12,7 +13,7 @@
 fn every_metric_is_present_from_the_start() {
     let counters = Counters::new(&["read".into(), "odd\"\\name".into()]);
     assert_eq!(
-        lines(&counters),
+        value_lines(&counters),
         [
             r#"app_handled{category="read",outcome="passed"} 0"#,
             r#"app_handled{category="read",outcome="dropped"} 0"#,
@@ -44,26 +45,30 @@
 }
 
 #[test]
-fn a_request_counts_once_when_it_ends_and_is_in_progress_until_then() {
+fn a_request_is_in_progress_until_it_ends_and_is_then_counted_once() {
     let counters = Counters::new(&["read".into()]);
-    let figures = || {
-        let all = lines(&counters);
-        let of = |i: usize| all[i].rsplit_once(' ').expect("a value").1.to_owned();
-        [of(0), of(1), of(2), of(4)].map(|n| n.parse::<u64>().expect("a number"))
+    let passed_dropped_failed_in_progress = || {
+        let lines = value_lines(&counters);
+        [0, 1, 2, 4].map(|index: usize| {
+            let (_, value) = lines[index]
+                .rsplit_once(' ')
+                .expect("each line ends with its value");
+            value.parse::<u64>().expect("all values are whole numbers")
+        })
     };
     let tickets: Vec<_> = (0..4)
         .map(|_| counters.begin_request(ClassIndex(0)))
         .collect();
-    assert_eq!(figures(), [0, 0, 0, 4]);
+    assert_eq!(passed_dropped_failed_in_progress(), [0, 0, 0, 4]);
     tickets[0].set_outcome(RequestOutcome::Served);
     tickets[0].set_outcome(RequestOutcome::Failed);
     tickets[1].set_outcome(RequestOutcome::Rejected);
     tickets[2].set_outcome(RequestOutcome::Served);
-    assert_eq!(figures(), [0, 0, 0, 4]);
+    assert_eq!(passed_dropped_failed_in_progress(), [0, 0, 0, 4]);
     drop(tickets);
     assert_eq!(
-        figures(),
+        passed_dropped_failed_in_progress(),
         [1, 1, 1, 0],
-        "the client of the fourth disconnected"
+        "the fourth request has no outcome, because its client disconnected"
     );
 }
--- a/src/proxy/header_values.rs
+++ b/src/proxy/header_values.rs
@@ -1,8 +1,8 @@
-//! Names and values of headers that the clients' and the backends' side both read or write.
+//! Header names and parsers that both `clients` and `backends` use.
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// The time that a request has left, in milliseconds: what the client sends a proxy, and the proxy a backend.
+/// The remaining time of a request, in milliseconds. Clients send it to the proxy, and the proxy to backends.
 pub(super) const REMAINING_TIME_MS: HeaderName = HeaderName::from_static("x-time-left-ms");
 
 /// Returns the options of all `Connection` headers.
@@ -15,7 +15,7 @@
         .map(str::trim)
 }
 
-/// Parses a number of decimal digits alone. The standard parser would take a sign as well.
+/// Parses a number that consists of decimal digits only. The standard parser would also accept a sign.
 pub(super) fn parse_decimal(value: &[u8]) -> Option<u64> {
     if !value.iter().all(u8::is_ascii_digit) {
         return None;
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -1,7 +1,6 @@
 //! The lifecycle of the process: starting, in service, out of service, shutting down.
 //!
-//! One state machine answers all who need to know: the health check `/up`, the operators' calls,
-//! the client connections and the shutdown itself.
+//! The health check `/up`, the operators' calls, the client connections and the shutdown share one state machine.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,53 +9,52 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long an idle client connection stays open while the proxy drains. Closed sooner, it would often cross a
-/// request that is on its way.
+/// The time for which an idle client connection stays open while the proxy drains. With a shorter time, the close would
+/// often cross a request that is on its way.
 const IDLE_GRACE_PERIOD: Duration = Duration::from_millis(1_500);
-/// Idle client connections close this long before the last answers are due, so that a request that
-/// comes on one until then is still answered.
+/// The time between the close of idle client connections and the last answer of a shutdown. A request that arrives on
+/// such a connection just before the close is still answered.
 const IDLE_CLOSE_MARGIN: Duration = Duration::from_millis(100);
 
-/// Stage of the process.
+/// A stage in the lifecycle of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// There is no endpoint list yet: the proxy can't serve.
+    /// The proxy has no endpoint list yet and cannot serve requests.
     Starting,
-    /// The proxy serves, and its health check says so.
+    /// The proxy serves requests, and its health check succeeds.
     InService,
-    /// An operator took the proxy out of service: it still serves requests that arrive, and each response closes its
+    /// An operator took the proxy out of service. It still serves requests that arrive, and each response closes its
     /// connection.
     OutOfService,
-    /// The process shuts down: as out of service, and it can't return.
+    /// The process is shutting down. It behaves as out of service and cannot return to service.
     ShuttingDown,
 }
 
-/// The process shuts down, and can no longer be taken in or out of service.
+/// The error of a stage change that is refused because the process is shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the process is shutting down")]
 pub struct ShuttingDown;
 
-/// The times of a shutdown.
+/// The deadlines of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownTimes {
-    /// When requests that arrive from now on are answered at the latest: the process may be killed
-    /// later.
+    /// The time by which requests that arrive during the shutdown must be answered: the process may be killed later.
     pub last_answer_at: Instant,
-    /// When the process ends, whatever is still open.
+    /// The time at which the process ends, even if connections are still open.
     pub process_end: Instant,
 }
 
-/// The state machine, which all parts of the proxy share.
+/// The state machine of the process, shared by all parts of the proxy.
 pub struct Lifecycle {
     stage: watch::Sender<Stage>,
-    /// Whether there is an endpoint list to serve from. It may be empty.
+    /// Whether the proxy has an endpoint list, which may be empty.
     is_ready: Cell<bool>,
-    /// `None` until the shutdown begins.
+    /// The deadlines of the shutdown, or `None` before it begins.
     shutdown: Cell<Option<ShutdownTimes>>,
 }
 
 impl Lifecycle {
-    /// Creates the lifecycle of a process that starts.
+    /// Creates the lifecycle of a process in the stage [`Stage::Starting`].
     #[must_use]
     pub fn start() -> Rc<Self> {
         Rc::new(Self {
@@ -66,31 +64,32 @@
         })
     }
 
-    /// Returns the present stage.
+    /// Returns the current stage.
     #[must_use]
     pub fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// Returns a receiver of all changes of the stage.
+    /// Returns a receiver that is notified of stage changes.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Stage> {
         self.stage.subscribe()
     }
 
-    /// Whether the health check reports that new requests should be sent here. They are served in any stage.
+    /// Returns whether the health check succeeds, so that new requests are sent to this proxy. Requests are served in
+    /// every stage.
     #[must_use]
     pub fn is_in_service(&self) -> bool {
         self.stage() == Stage::InService
     }
 
-    /// Whether the proxy drains: responses close their connections, and idle ones are closed.
+    /// Returns whether the proxy drains: responses close their connections, and idle connections are closed.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         matches!(self.stage(), Stage::OutOfService | Stage::ShuttingDown)
     }
 
-    /// Records that there is an endpoint list to serve from. This ends the start, but no drain.
+    /// Records that the proxy has an endpoint list. This ends the stage [`Stage::Starting`], but not a drain.
     pub fn mark_ready(&self) {
         self.is_ready.set(true);
         if self.stage() == Stage::Starting {
@@ -98,10 +97,10 @@
         }
     }
 
-    /// Takes the process out of service. Repeated, it changes nothing.
+    /// Takes the process out of service. A repeated call has no effect.
     ///
     /// # Errors
-    /// [`ShuttingDown`], and the stage stays.
+    /// [`ShuttingDown`] if the process is shutting down; the stage stays unchanged.
     pub fn take_out_of_service(&self) -> Result<(), ShuttingDown> {
         if self.stage() == Stage::ShuttingDown {
             return Err(ShuttingDown);
@@ -110,10 +109,11 @@
         Ok(())
     }
 
-    /// Takes the process back into service. Repeated, it changes nothing.
+    /// Returns the process to service, or to [`Stage::Starting`] if it has no endpoint list yet. A repeated call has no
+    /// effect.
     ///
     /// # Errors
-    /// [`ShuttingDown`], and the stage stays.
+    /// [`ShuttingDown`] if the process is shutting down; the stage stays unchanged.
     pub fn return_to_service(&self) -> Result<(), ShuttingDown> {
         match self.stage() {
             Stage::ShuttingDown => Err(ShuttingDown),
@@ -129,14 +129,14 @@
         }
     }
 
-    /// Begins the shutdown.
+    /// Begins the shutdown, with these deadlines.
     pub fn shut_down(&self, times: ShutdownTimes) {
         self.shutdown.set(Some(times));
         self.enter(Stage::ShuttingDown);
     }
 
-    /// Returns the time until the last answer is due, which no request may outlast; `None` before
-    /// the shutdown.
+    /// Returns the time until the last answer is due, by which every request must be answered, or `None` before the
+    /// shutdown.
     #[must_use]
     pub fn remaining_time(&self) -> Option<Duration> {
         let shutdown = self.shutdown.get()?;
@@ -146,14 +146,14 @@
         Some(remaining)
     }
 
-    /// Returns when the process ends; `None` before the shutdown.
+    /// Returns the time at which the process ends, or `None` before the shutdown.
     #[must_use]
     pub fn process_end(&self) -> Option<Instant> {
         self.shutdown.get().map(|times| times.process_end)
     }
 
-    /// Returns when a client connection that is idle from `idle_since` on is closed: after a grace period, and before
-    /// the last answers are due. `None` unless the proxy drains.
+    /// Returns the time at which a client connection that has been idle since `idle_since` is closed: after a grace
+    /// period, but before the last answer is due. Returns `None` unless the proxy drains.
     #[must_use]
     pub fn idle_close_at(&self, idle_since: Instant) -> Option<Instant> {
         if !self.is_draining() {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Changes the stage and notifies the subscribers, unless it stays the same.
+    /// Changes the stage, and notifies the subscribers if it differs from the current one.
     fn enter(&self, next: Stage) {
         self.stage.send_if_modified(|stage| {
             let is_change = *stage != next;
--- a/src/proxy/lifecycle/tests.rs
+++ b/src/proxy/lifecycle/tests.rs
@@ -1,10 +1,14 @@
 use super::*;
 
 #[test]
-fn repeated_calls_to_leave_and_to_return_to_service_change_nothing_more() {
+fn repeated_calls_to_leave_or_return_to_service_have_no_further_effect() {
     let lifecycle = Lifecycle::start();
     assert_eq!(lifecycle.return_to_service(), Ok(()));
-    assert_eq!(lifecycle.stage(), Stage::Starting, "it is not ready");
+    assert_eq!(
+        lifecycle.stage(),
+        Stage::Starting,
+        "the process has no endpoint list yet"
+    );
     lifecycle.mark_ready();
     for _ in 0..2 {
         assert_eq!(
@@ -35,7 +39,7 @@
 }
 
 #[test]
-fn a_drain_before_the_first_endpoint_list_lasts_until_an_operator_ends_it() {
+fn an_operator_can_start_and_end_a_drain_before_the_first_endpoint_list() {
     let lifecycle = Lifecycle::start();
     assert_eq!(lifecycle.take_out_of_service(), Ok(()));
     assert_eq!(lifecycle.return_to_service(), Ok(()));
@@ -49,7 +53,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_shutdown_cannot_be_revoked_and_bounds_the_time_of_requests_and_idle_connections() {
+async fn a_shutdown_is_final_and_limits_the_time_of_requests_and_idle_connections() {
     let lifecycle = Lifecycle::start();
     lifecycle.mark_ready();
     assert_eq!(lifecycle.remaining_time(), None);
@@ -79,7 +83,7 @@
     assert_eq!(
         lifecycle.idle_close_at(Instant::now()),
         Some(end(900)),
-        "sooner than the last answers"
+        "idle connections close before the last answer is due"
     );
     tokio::time::advance(Duration::from_secs(5)).await;
     assert_eq!(lifecycle.remaining_time(), Some(Duration::ZERO));
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -5,10 +5,10 @@
 use thiserror::Error;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that the kernel queues until they are accepted.
-const BACKLOG: u32 = 1_024;
+/// The largest number of connections that the kernel queues until they are accepted.
+const MAX_QUEUED_CONNECTIONS: u32 = 1_024;
 
-/// An address cannot be listened on.
+/// The process cannot listen on an address.
 #[derive(Debug, Error)]
 #[error("cannot listen on {address}: {source}")]
 pub struct ListenError {
@@ -16,10 +16,10 @@
     source: io::Error,
 }
 
-/// Listens on an address.
+/// Creates a socket that listens on an address.
 ///
 /// # Errors
-/// The kernel does not permit it, for example because the address is taken.
+/// The kernel refuses the address, for example because another process listens on it.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
     try_listen(address).map_err(|source| ListenError { address, source })
 }
@@ -30,8 +30,8 @@
     } else {
         TcpSocket::new_v6()?
     };
-    // A restarted proxy takes its old address although connections of the old process linger.
+    // Allows a restarted proxy to bind its address while connections of the old process linger.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(MAX_QUEUED_CONNECTIONS)
 }
--- a/src/proxy/logging/mod.rs
+++ b/src/proxy/logging/mod.rs
@@ -1,8 +1,7 @@
-//! The log: structured lines on standard error, at most so many a second.
+//! The log: structured lines on standard error, limited to a number of lines per second.
 //!
-//! Events are written with the macros of `tracing`. Those of single requests have the target
-//! [`REQUEST_TARGET`] and the level `debug`, so that they cost next to nothing unless the filter
-//! asks for them.
+//! Events are emitted with the macros of `tracing`. Events of single requests have the target [`REQUEST_TARGET`] and
+//! the level `debug`, so that they cost almost nothing unless the filter enables them.
 
 mod options;
 mod rate_limit;
@@ -17,21 +16,21 @@
 use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 use tracing_subscriber::{Layer, fmt as lines, reload};
 
-/// The target of events that belong to one request.
+/// The target of log events of single requests.
 pub const REQUEST_TARGET: &str = "tillerproxy::request";
 
-/// Changes the log of a running process.
+/// Handle that changes the log filter of a running process.
 pub struct LogControl {
     filter: reload::Handle<Targets, Registry>,
-    /// Applies while the configuration names no filter.
+    /// The filter that applies while the configuration names none.
     default_filter: Targets,
 }
 
 impl LogControl {
-    /// Logs only what passes `filter` from now on; `None` restores the filter of the start.
+    /// Replaces the filter; `None` restores the filter of the start.
     pub fn set_filter(&self, filter: Option<Targets>) {
         let filter = filter.unwrap_or_else(|| self.default_filter.clone());
-        // This fails only without a subscriber, and that lives as long as the process.
+        // This fails only if the subscriber has been dropped, and the subscriber lives as long as the process.
         let _ = self.filter.reload(filter);
     }
 }
@@ -44,10 +43,10 @@
     }
 }
 
-/// Starts the log: all events of the process go to standard error, as the options say.
+/// Initializes the log: installs a subscriber that writes the events of the process to standard error.
 ///
 /// # Errors
-/// The process has a subscriber already.
+/// The process already has a subscriber.
 pub fn init(options: LogOptions) -> Result<LogControl, TryInitError> {
     let writer = RateLimitedWriter::new(options.lines_per_second);
     let layer = match options.format {
--- a/src/proxy/logging/rate_limit.rs
+++ b/src/proxy/logging/rate_limit.rs
@@ -1,4 +1,4 @@
-//! A writer to standard error that writes so many lines a second and counts the others.
+//! A writer to standard error that writes a limited number of lines per second and counts the lines beyond the limit.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,20 +7,22 @@
 
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Counts the lines of the present period.
+/// The limit of lines per [`PERIOD`], with the lines of the current period.
 #[derive(Debug)]
 struct LineLimit {
     lines_per_period: u32,
+    /// The start of the current period, or `None` before the first line.
     period_start: Option<Instant>,
+    /// The number of lines in the current period, including suppressed ones.
     lines: u32,
 }
 
-/// Whether a line is written.
+/// The decision about one line.
 #[derive(Debug, PartialEq, Eq)]
 enum Admission {
-    /// It is written; `suppressed` lines before it were not.
+    /// The line is written; `suppressed` lines directly before it were not.
     Admitted { suppressed: u32 },
-    /// It is not.
+    /// The line is not written.
     Suppressed,
 }
 
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Counts one more line at `now`.
+    /// Counts a line at `now`, and decides whether it is written.
     fn admit(&mut self, now: Instant) -> Admission {
         if self.is_period_over(now) {
             let suppressed = self.lines.saturating_sub(self.lines_per_period);
@@ -57,7 +59,7 @@
     }
 }
 
-/// Makes a writer for each line.
+/// Creates a writer for each line, under one limit.
 #[derive(Clone, Debug)]
 pub(super) struct RateLimitedWriter(Arc<Mutex<LineLimit>>);
 
@@ -76,8 +78,7 @@
     }
 }
 
-/// Writes one line. A standard error that cannot be written to is ignored: the proxy serves on
-/// without its log.
+/// Writer for one line. Failures to write to standard error are ignored: the proxy continues without a log.
 pub(super) struct LineWriter(Admission);
 
 impl Write for LineWriter {
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -1,4 +1,4 @@
-//! Messages to the driver and its answers: the types that the tasks of the proxy share.
+//! The messages that other tasks of the proxy send to the driver, and the answers that the driver sends back.
 
 use super::backends::{AttemptResult, Call, Served};
 use crate::api::{Backend, BackendId, Micros, Request, RequestId};
@@ -10,20 +10,20 @@
 /// A backend as discovery lists it. The sockets to it are [`backends::Endpoint`](super::backends::Endpoint).
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEndpoint {
-    /// The backend in the terms of the decisions.
+    /// The backend as the balancer knows it.
     pub backend: Backend,
-    /// Where it listens.
+    /// The address on which the backend listens.
     pub address: SocketAddr,
 }
 
-/// A change of the endpoint list, or of the watch that reports it.
+/// A change of the endpoint list, or of the state of the watch that reports it.
 #[derive(Debug)]
 pub enum MembershipUpdate {
-    /// Endpoints that changed.
+    /// The endpoints that changed.
     Delta(Vec<ListedEndpoint>),
     /// The complete list.
     Full(Vec<ListedEndpoint>),
-    /// The list as the configuration holds it, perhaps out of date. It is taken to be complete.
+    /// The list that the configuration caches. It may be out of date, and is treated as complete.
     Cached(Vec<ListedEndpoint>),
     /// A call to discovery failed.
     WatchFailed,
@@ -32,7 +32,7 @@
 }
 
 impl MembershipUpdate {
-    /// Returns the endpoints that the update has; none where it is about the watch.
+    /// Returns the endpoints of the update. An update about the watch has none.
     #[must_use]
     pub fn endpoints(&self) -> &[ListedEndpoint] {
         match self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether backends that the update lacks are removed.
+    /// Returns whether backends that the update does not name are to be removed.
     #[must_use]
     pub fn is_complete_list(&self) -> bool {
         matches!(self, Self::Full(_) | Self::Cached(_))
@@ -51,25 +51,25 @@
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// A backend's response.
+    /// A backend served the request; this is its response.
     Served(Served),
-    /// Rejected: a retry by the client is harmless. An idempotent request may have run all the same.
+    /// The request was rejected, and a retry by the client is harmless. An idempotent request may have been executed.
     Rejected {
-        /// How long the client should wait before it retries; 0: not said.
+        /// The time for which the client should wait before it retries; 0 if none is stated.
         retry_after: Micros,
     },
-    /// Failed; the request may have run.
+    /// The request failed, and may have been executed.
     Failed,
 }
 
-/// A request as a client sent it.
+/// A request that was received from a client.
 #[derive(Debug)]
 pub struct InboundRequest {
-    /// The request in the terms of the decisions. Its timeout counts from its arrival.
+    /// The description of the request for the balancer. Its timeout counts from `arrived`.
     pub request: Request,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Micros,
-    /// What is sent to a backend.
+    /// The request to send to a backend.
     pub call: Call,
 }
 
@@ -78,41 +78,41 @@
 pub enum Message {
     /// A request arrived.
     Request {
-        /// As the client sent it; boxed because the other messages are small.
+        /// The request; boxed because the other messages are small.
         inbound: Box<InboundRequest>,
-        /// Receives its final answer.
+        /// Receives the final answer.
         client: oneshot::Sender<Answer>,
     },
-    /// A client disconnected before it had its answer.
+    /// A client disconnected before its request was answered.
     ClientDisconnected(RequestId),
     /// A streamed response began.
     ResponseStarted {
-        /// The request whose attempt has it.
+        /// The request whose attempt received the response.
         request: RequestId,
-        /// The attempt's number within the request, from 0 on.
+        /// The number of the attempt within the request, counted from 0.
         attempt: u16,
-        /// Its body goes on while the client takes it.
+        /// The response. Its body is still being streamed.
         response: Served,
     },
     /// An attempt ended.
     AttemptEnded {
         /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number within the request, from 0 on.
+        /// The number of the attempt within the request, counted from 0.
         attempt: u16,
-        /// Its outcome, and its response unless that was streamed.
+        /// The outcome of the attempt, and its response unless that was streamed.
         result: AttemptResult,
     },
     /// A health check ended.
     HealthChecked {
         /// The backend that was checked.
         backend: BackendId,
-        /// Its outcome, and the load report if one came.
+        /// The outcome of the health check, and the load report if the response had one.
         result: AttemptResult,
     },
-    /// The endpoint list changed, or the watch on it did.
+    /// The endpoint list or the state of its watch changed.
     Membership(MembershipUpdate),
-    /// Asks how many listed backends the balancer avoids now.
+    /// Requests the number of listed backends that the balancer currently avoids.
     CountAvoidedBackends(oneshot::Sender<usize>),
 }
 
@@ -124,7 +124,7 @@
 }
 
 impl DriverHandle {
-    /// Creates a handle, and the receiver of what it and its clones send.
+    /// Creates a handle and the receiver of the messages that the handle and its clones send.
     #[must_use]
     pub fn channel() -> (Self, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
@@ -135,12 +135,12 @@
         (handle, receiver)
     }
 
-    /// Sends a message. It is lost if the driver has ended, which ends the process.
+    /// Sends a message to the driver. If the driver has ended, the message is lost, and the process ends too.
     pub fn send(&self, message: Message) {
         let _ = self.messages.send(message);
     }
 
-    /// Returns the id of a new request.
+    /// Allocates the id of a new request.
     #[must_use]
     pub fn next_request_id(&self) -> RequestId {
         let id = self.next_request_id.get();
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,10 +1,12 @@
-//! The proxy on real sockets. It executes what the [`Balancer`](crate::balancer::Balancer) decides and reports the
-//! results. It never selects a backend, retries, queues or sheds a request by itself; requests that are
-//! invalid, or still open when their time is over, it answers itself.
+//! The proxy on real sockets. It executes the decisions of the [`Balancer`](crate::balancer::Balancer) and reports the
+//! results to it.
 //!
-//! A request goes from [`clients`] through [`driver`], which asks the balancer, to [`backends`], and its response
-//! back; [`discovery`] reports the backends to the driver. [`operator`], [`lifecycle`] and [`config`] serve
-//! those who run the proxy.
+//! Only the balancer selects backends and retries, queues or sheds requests. The proxy itself answers requests that are
+//! invalid or still open at their timeout.
+//!
+//! A request passes from [`clients`] through [`driver`], which consults the balancer, to [`backends`], and its response
+//! passes back. [`discovery`] reports the endpoint list to the driver. [`operator`], [`lifecycle`] and [`config`] are
+//! for the operation of the process.
 
 pub mod backends;
 pub mod bodies;
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' address: health, counters, and taking the proxy out of service.
+//! Serves operators: readiness, counters, and taking the proxy out of service.
 //!
 //! Each connection carries one call, which is answered from memory.
 
@@ -30,19 +30,19 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Time in which a call has to arrive.
+/// The time within which a call must arrive completely.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The largest head of a call, in bytes; hyper takes no smaller limit.
+/// The largest head of a call. hyper accepts no smaller limit.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The largest body of a call, in bytes; no call needs one.
+/// The largest body of a call. No call needs a body.
 const MAX_BODY_BYTES: usize = 4 * 1024;
-/// Content type of the Prometheus text form.
+/// The content type of the Prometheus text format.
 const METRICS_CONTENT_TYPE: HeaderValue =
     HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
 
 type OperatorResponse = Response<BufferedBody>;
 
-/// The calls that operators can make.
+/// A call that operators can make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OperatorCall {
     Ready,
@@ -51,8 +51,16 @@
     InService,
 }
 
+/// The methods that a call accepts.
+struct CallMethods {
+    accepted: &'static [Method],
+    /// The value of the `Allow` header in the response to another method.
+    allow_header: &'static str,
+}
+
 impl OperatorCall {
-    fn of_path(path: &str) -> Option<Self> {
+    /// Returns the call that a path names.
+    fn from_path(path: &str) -> Option<Self> {
         match path {
             "/control/ready" => Some(Self::Ready),
             "/control/counters" => Some(Self::Counters),
@@ -62,16 +70,21 @@
         }
     }
 
-    /// Returns the methods of the call, and their names as the `Allow` header has them.
-    fn methods(self) -> (&'static [Method], &'static str) {
+    fn methods(self) -> CallMethods {
         match self {
-            Self::Ready | Self::Counters => (&[Method::GET, Method::HEAD], "GET, HEAD"),
-            Self::OutOfService | Self::InService => (&[Method::POST], "POST"),
+            Self::Ready | Self::Counters => CallMethods {
+                accepted: &[Method::GET, Method::HEAD],
+                allow_header: "GET, HEAD",
+            },
+            Self::OutOfService | Self::InService => CallMethods {
+                accepted: &[Method::POST],
+                allow_header: "POST",
+            },
         }
     }
 }
 
-/// Serves the operators' address.
+/// Server for the calls of operators.
 pub struct Operator {
     lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
@@ -96,15 +109,15 @@
         })
     }
 
-    /// Serves calls for as long as the proxy runs. Where too many are open, the oldest one is
-    /// ended: it has had the most time to arrive.
+    /// Accepts and serves calls while the proxy runs. At most [`MAX_OPERATOR_CALLS`] are open: a further one ends the
+    /// oldest, which has had the most time to arrive.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut open_calls: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    tracing::warn!(%error, "accepting an operator's connection failed");
+                    tracing::warn!(%error, "cannot accept an operator connection");
                     sleep(ACCEPT_BACKOFF).await;
                     continue;
                 }
@@ -147,12 +160,12 @@
         deadline: Instant,
     ) -> Result<OperatorResponse, ErrorResponse> {
         let (head, body) = request.into_parts();
-        let Some(call) = OperatorCall::of_path(head.uri.path()) else {
+        let Some(call) = OperatorCall::from_path(head.uri.path()) else {
             return Err(ErrorResponse::new(StatusCode::NOT_FOUND, "no such call\n"));
         };
-        let (methods, method_names) = call.methods();
-        if !methods.contains(&head.method) {
-            return Err(ErrorResponse::method_not_allowed(method_names));
+        let methods = call.methods();
+        if !methods.accepted.contains(&head.method) {
+            return Err(ErrorResponse::method_not_allowed(methods.allow_header));
         }
         receive_body(body, deadline).await?;
         self.execute(call).await
@@ -163,9 +176,11 @@
             OperatorCall::Ready => self.readiness(),
             OperatorCall::Counters => Ok(self.counters().await),
             OperatorCall::OutOfService => {
-                self.stage_changed(call, self.lifecycle.take_out_of_service())
+                self.stage_change_response(call, self.lifecycle.take_out_of_service())
+            }
+            OperatorCall::InService => {
+                self.stage_change_response(call, self.lifecycle.return_to_service())
             }
-            OperatorCall::InService => self.stage_changed(call, self.lifecycle.return_to_service()),
         }
     }
 
@@ -180,7 +195,8 @@
         }
     }
 
-    fn stage_changed(
+    /// Logs a call that changes the stage, and returns the response to it.
+    fn stage_change_response(
         &self,
         call: OperatorCall,
         result: Result<(), ShuttingDown>,
@@ -209,8 +225,10 @@
     }
 }
 
-/// Receives a call's body, which means nothing: a call is executed only once it has arrived
-/// completely.
+/// Receives and discards the body of a call, because a call is executed only after it has arrived completely.
+///
+/// # Errors
+/// The body is too large, incomplete or late.
 async fn receive_body(body: Incoming, deadline: Instant) -> Result<(), ErrorResponse> {
     let too_large = || ErrorResponse::new(StatusCode::PAYLOAD_TOO_LARGE, "the call is too large\n");
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
--- a/src/proxy/request_log.rs
+++ b/src/proxy/request_log.rs
@@ -1,6 +1,7 @@
-//! Log events of single requests, from their arrival to their final answer.
+//! Log events of single requests, from arrival to final answer.
 //!
-//! Each has the request's id in this process; the first one also has its correlation id.
+//! Each event has the request id, which is local to this process. The first event of a request also has its
+//! correlation id.
 
 use super::backends::AttemptResult;
 use super::logging::REQUEST_TARGET;
@@ -9,7 +10,7 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// Logs that a request was received completely, or that its streamed body began.
+/// Logs that a request was received, completely or up to the streamed part of its body.
 pub(super) fn received(inbound: &InboundRequest) {
     let request = &inbound.request;
     debug!(
@@ -34,7 +35,7 @@
     debug!(target: REQUEST_TARGET, request, attempt, backend, ?timeout, "attempt started");
 }
 
-/// Logs the end of an attempt, `elapsed` after its start.
+/// Logs the end of an attempt that took `elapsed`.
 pub(super) fn attempt_ended(
     request: RequestId,
     attempt: u16,
@@ -57,7 +58,7 @@
     debug!(target: REQUEST_TARGET, request, answer, "answered");
 }
 
-/// Logs that a client disconnected without an answer.
+/// Logs that a client disconnected before its request was answered.
 pub(super) fn client_disconnected(request: RequestId) {
     debug!(target: REQUEST_TARGET, request, "client disconnected");
 }
--- a/src/proxy/responses.rs
+++ b/src/proxy/responses.rs
@@ -1,4 +1,4 @@
-//! Responses that the proxy itself makes.
+//! Responses that the proxy generates itself.
 
 use super::bodies::BufferedBody;
 use super::clock::MICROS_PER_SECOND;
@@ -7,50 +7,52 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// The text of a response with status 405.
+/// The body of a response with status 405.
 pub(super) const METHOD_NOT_ALLOWED_TEXT: &str = "not the method for this\n";
 
 /// The response to an operator's call that is invalid or cannot be executed.
 pub(super) struct ErrorResponse {
     status: StatusCode,
-    reason: &'static str,
-    /// Methods for the `Allow` header.
-    allow: Option<&'static str>,
+    /// The body of the response.
+    text: &'static str,
+    /// The value of the `Allow` header.
+    allowed_methods: Option<&'static str>,
 }
 
 impl ErrorResponse {
-    pub(super) const fn new(status: StatusCode, reason: &'static str) -> Self {
+    pub(super) const fn new(status: StatusCode, text: &'static str) -> Self {
         Self {
             status,
-            reason,
-            allow: None,
+            text,
+            allowed_methods: None,
         }
     }
 
-    /// Makes the response to a method that the path does not have; `allowed` are those that it has.
+    /// Creates the response to a request whose method the path does not support. `allowed` lists the methods that it
+    /// supports, as the `Allow` header names them.
     pub(super) const fn method_not_allowed(allowed: &'static str) -> Self {
         Self {
             status: StatusCode::METHOD_NOT_ALLOWED,
-            reason: METHOD_NOT_ALLOWED_TEXT,
-            allow: Some(allowed),
+            text: METHOD_NOT_ALLOWED_TEXT,
+            allowed_methods: Some(allowed),
         }
     }
 
     pub(super) fn into_response(self) -> Response<BufferedBody> {
-        let mut response = plain(self.status, self.reason);
-        if let Some(allowed) = self.allow {
+        let mut response = plain(self.status, self.text);
+        if let Some(allowed) = self.allowed_methods {
             set_allowed_methods(&mut response, HeaderValue::from_static(allowed));
         }
         response
     }
 }
 
-/// Names the methods that a path has, in a response to another one.
+/// Sets the `Allow` header of a response with status 405.
 pub(super) fn set_allowed_methods<B>(response: &mut Response<B>, allowed: HeaderValue) {
     response.headers_mut().insert(header::ALLOW, allowed);
 }
 
-/// Makes a response of plain text.
+/// Creates a response with a plain text body.
 pub(super) fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<BufferedBody> {
     let mut response = Response::new(BufferedBody::from(text.into()));
     *response.status_mut() = status;
@@ -60,8 +62,9 @@
     response
 }
 
-/// Makes the response to a request that the balancer rejected. Its cause is not part of the response. `retry_after` is how long the client should wait before it retries; 0: not
-/// said.
+/// Creates the response to a request that the balancer rejected. It does not state why.
+///
+/// `retry_after` is the time for which the client should wait before it retries; 0 omits the header.
 pub(super) fn rejected(retry_after: Micros) -> Response<BufferedBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
     let seconds = retry_after as f64 / MICROS_PER_SECOND as f64;
@@ -73,7 +76,7 @@
     response
 }
 
-/// Makes a response the last one on its connection.
+/// Marks a response as the last one on its connection.
 pub(super) fn close<B>(response: &mut Response<B>) {
     response
         .headers_mut()
--- a/src/proxy/shutdown.rs
+++ b/src/proxy/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: the proxy finishes the requests that it has, and those that still arrive.
+//! Graceful shutdown: the proxy finishes its open requests and those that still arrive.
 
 use super::clients::Clients;
 use super::lifecycle::{Lifecycle, ShutdownTimes};
@@ -7,23 +7,24 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Connections are accepted for this long at least, because clients notice the shutdown late ...
+/// The shortest time for which connections are still accepted, because clients notice the shutdown late.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(800);
-/// ... and until none has come for this long.
+/// After [`MIN_ACCEPT_TIME`], connections are accepted until none has arrived for this time.
 const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(300);
-/// How often it is checked whether connections still come.
+/// How often the end of accepting is checked.
 const ACCEPT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time beyond the longest client timeout until the process ends with clients still connected.
+/// The time after the longest client timeout at which the process ends, even if clients are still connected. The last
+/// answer has the same margin.
 const PROCESS_END_MARGIN: Duration = Duration::from_millis(500);
-/// The part of the longest client timeout that is counted: the platform may kill the process 0.7 s
-/// after it.
+/// The upper limit of the client timeout from which the time of the last answer is calculated, because the platform may
+/// kill the process 0.7 s after this time.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(3);
 
-/// Drains the proxy. Returns when it has no client connection left, or at the latest shortly after
-/// `longest_timeout`, the longest time that a client waits.
+/// Drains the proxy. Returns when no client connection is left, and at the latest half a second after
+/// `longest_timeout`, the longest time that a client waits for a response.
 ///
-/// `listener` is the client listener, if it belongs to this process alone; what is queued at a
-/// shared one is for the other processes.
+/// `listener` is the client listener if it belongs to this process alone. The connections queued at a shared listener
+/// are left to the other processes.
 pub async fn drain(
     clients: &Rc<Clients>,
     lifecycle: &Lifecycle,
@@ -37,21 +38,23 @@
         process_end,
     });
     if listener.is_some() {
-        wait_until_none_connects(clients, start, longest_timeout).await;
+        wait_until_quiet(clients, start, longest_timeout).await;
     }
     loop {
         if !all_disconnected_by(process_end, clients).await {
             return;
         }
-        // A connection that was queued in the meantime would be reset.
-        let took_connection = listener.is_some_and(|listener| clients.accept_waiting(listener));
-        if !took_connection {
+        // The end of the process would reset a connection that was queued in the meantime.
+        let more_may_be_queued = listener.is_some_and(|listener| clients.accept_waiting(listener));
+        if !more_may_be_queued {
             return;
         }
     }
 }
 
-async fn wait_until_none_connects(clients: &Clients, start: Instant, longest_timeout: Duration) {
+/// Waits until no client has connected for [`ACCEPT_QUIET_TIME`], or until `longest_timeout` has passed since `start`.
+/// In either case it waits at least until [`MIN_ACCEPT_TIME`] after `start`.
+async fn wait_until_quiet(clients: &Clients, start: Instant, longest_timeout: Duration) {
     loop {
         let elapsed = start.elapsed();
         let clients_connect = clients.since_last_accept() < ACCEPT_QUIET_TIME;
@@ -64,7 +67,7 @@
     }
 }
 
-/// Waits until no client is connected. Returns whether that was so by the deadline.
+/// Waits until no client is connected, and returns whether that was the case by the deadline.
 async fn all_disconnected_by(deadline: Instant, clients: &Clients) -> bool {
     while clients.open() > 0 {
         if timeout_at(deadline, clients.connection_freed())
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -1,9 +1,10 @@
-//! Even spreading of proxies over an interval, without coordination and whatever their number.
+//! Even distribution of any number of proxies over an interval, without coordination between them.
 
-/// The fraction of the golden ratio: its multiples fill 0..1 evenly however many are taken.
+/// The fractional part of the golden ratio. The fractional parts of its multiples are distributed evenly over 0..1 for
+/// any number of multiples.
 pub(crate) const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
-/// Returns the position of a proxy in 0..1.
+/// Returns the position of a proxy in the interval 0..1.
 pub(crate) fn golden_ratio_position(proxy_index: u32) -> f64 {
     (f64::from(proxy_index) * GOLDEN_RATIO_FRACTION).fract()
 }
