--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -73,16 +73,16 @@
     counters: Rc<Counters>,
     budget: Budget,
     /// The number of open connections.
-    open: Cell<usize>,
+    open_connections: Cell<usize>,
     /// Notified when a connection has ended, or may have become cheaper to close.
     connection_freed: Notify,
     /// Whether the accept loop waits for a connection to end, because the maximum number is open.
     is_full: Cell<bool>,
     connections: RefCell<ClientConnections>,
     /// When a connection was last accepted.
-    accepted_at: Cell<Instant>,
+    last_accepted_at: Cell<Instant>,
     /// The correlation ids of the requests that have no response yet.
-    ids: RefCell<FxHashSet<HeaderValue>>,
+    open_ids: RefCell<FxHashSet<HeaderValue>>,
 }
 
 impl Clients {
@@ -114,25 +114,25 @@
             lifecycle,
             counters,
             budget,
-            open: Cell::new(0),
+            open_connections: Cell::new(0),
             connection_freed: Notify::new(),
             is_full: Cell::new(false),
             connections: RefCell::default(),
-            accepted_at: Cell::new(Instant::now()),
-            ids: RefCell::default(),
+            last_accepted_at: Cell::new(Instant::now()),
+            open_ids: RefCell::default(),
         })
     }
 
     /// Returns the number of open client connections.
     #[must_use]
-    pub fn open(&self) -> usize {
-        self.open.get()
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.get()
     }
 
     /// Returns the time since a connection was last accepted.
     #[must_use]
     pub fn since_last_accept(&self) -> Duration {
-        self.accepted_at.get().elapsed()
+        self.last_accepted_at.get().elapsed()
     }
 
     /// Waits until a client connection has ended, or may have become cheaper to close. The caller must check the
@@ -147,7 +147,7 @@
             // While the maximum number of connections is open, further clients wait in the kernel's queue: they must
             // not take the descriptors that are reserved for backends. Connections without a request would keep them
             // waiting, so the one that is cheapest to close is closed.
-            while self.open.get() >= self.budget.clients {
+            while self.open_connections.get() >= self.budget.clients {
                 self.connections.borrow().evict_one();
                 self.is_full.set(true);
                 self.connection_freed.notified().await;
@@ -166,8 +166,8 @@
     }
 
     fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
-        self.accepted_at.set(Instant::now());
-        self.open.set(self.open.get() + 1);
+        self.last_accepted_at.set(Instant::now());
+        self.open_connections.set(self.open_connections.get() + 1);
         tokio::task::spawn_local(Rc::clone(self).serve_connection(stream));
     }
 
@@ -204,7 +204,7 @@
         let number = self.connections.borrow_mut().add(&connection);
         self.serve(&connection).await;
         self.connections.borrow_mut().remove(number);
-        self.open.set(self.open.get() - 1);
+        self.open_connections.set(self.open_connections.get() - 1);
         self.connection_freed.notify_waiters();
     }
 }
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -101,7 +101,7 @@
             return Err(InvalidRequest::ClientDisconnected);
         }
         // A second request with the id of an open one could be executed as a copy of it (rule 2).
-        let Some(_id) = OpenId::claim(&self.ids, &inbound.call.headers) else {
+        let Some(_id) = OpenId::claim(&self.open_ids, &inbound.call.headers) else {
             return Err(InvalidRequest::DuplicateRequest);
         };
         let upload = inbound.call.body.pending_upload();
@@ -215,21 +215,21 @@
 
 /// The correlation id of an open request. It can be claimed again after this is dropped.
 struct OpenId<'a> {
-    ids: &'a RefCell<FxHashSet<HeaderValue>>,
+    open_ids: &'a RefCell<FxHashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
 impl<'a> OpenId<'a> {
     /// Claims the correlation id of a request. Returns `None` if the id is missing or another open request has it.
-    fn claim(ids: &'a RefCell<FxHashSet<HeaderValue>>, headers: &HeaderMap) -> Option<Self> {
+    fn claim(open_ids: &'a RefCell<FxHashSet<HeaderValue>>, headers: &HeaderMap) -> Option<Self> {
         let id = headers.get(CORRELATION_ID)?.clone();
-        let is_new = ids.borrow_mut().insert(id.clone());
-        is_new.then(|| Self { ids, id })
+        let is_new = open_ids.borrow_mut().insert(id.clone());
+        is_new.then(|| Self { open_ids, id })
     }
 }
 
 impl Drop for OpenId<'_> {
     fn drop(&mut self) {
-        self.ids.borrow_mut().remove(&self.id);
+        self.open_ids.borrow_mut().remove(&self.id);
     }
 }
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -59,7 +59,7 @@
         /// The reason why the value is invalid.
         source: InvalidLogOption,
     },
-    /// A setting is outside its allowed range.
+    /// A setting is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/src/proxy/shutdown.rs
+++ b/src/proxy/shutdown.rs
@@ -69,7 +69,7 @@
 
 /// Waits until no client is connected, and returns whether that was the case by the deadline.
 async fn all_disconnected_by(deadline: Instant, clients: &Clients) -> bool {
-    while clients.open() > 0 {
+    while clients.open_connections() > 0 {
         if timeout_at(deadline, clients.connection_freed())
             .await
             .is_err()
