--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -1,6 +1,6 @@
 //! The driver: owns the [`Balancer`], passes events to it with the time of one clock, and executes its actions.
 //!
-//! All other tasks of the proxy send it messages through a [`Handle`].
+//! All other tasks of the proxy send it messages through a [`DriverHandle`].
 //!
 //! | module | job |
 //! | --- | --- |
@@ -23,7 +23,7 @@
 use super::backends::BackendClient;
 use super::clock::Clock;
 use super::lifecycle::Lifecycle;
-use super::messages::{Handle, Message};
+use super::messages::{DriverHandle, Message};
 use crate::api::{Action, Event, Micros};
 use crate::balancer::Balancer;
 use attempts::Completion;
@@ -50,7 +50,7 @@
     settings: DriverSettings,
     backend_client: Rc<BackendClient>,
     lifecycle: Rc<Lifecycle>,
-    handle: Handle,
+    handle: DriverHandle,
     messages: mpsc::UnboundedReceiver<Message>,
     /// Requests to the discovery watcher to open a watch. They have a receiver only if discovery is polled.
     watch_requests: mpsc::UnboundedSender<()>,
@@ -74,8 +74,8 @@
         settings: DriverSettings,
         watch_requests: mpsc::UnboundedSender<()>,
         lifecycle: Rc<Lifecycle>,
-    ) -> (Self, Handle) {
-        let (handle, messages) = Handle::channel();
+    ) -> (Self, DriverHandle) {
+        let (handle, messages) = DriverHandle::channel();
         let driver = Self {
             balancer,
             clock,
