--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,72 +1,74 @@
-//! The output of a balancer: what its proxy is to do.
+//! The output of a balancer: the actions that its proxy performs.
 
 use super::{BackendId, Micros, RequestId};
 use std::fmt;
 
-/// What a balancer's proxy is to do.
+/// An action that the proxy performs for its balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
-        /// The request.
+        /// Request to send.
         request: RequestId,
-        /// The backend to send it to.
+        /// Backend to send the request to.
         backend: BackendId,
-        /// When the attempt times out.
+        /// Time at which the attempt times out.
         deadline: Micros,
-        /// A request that is not written whole by then must not be sent: its idempotency key expires. (Real sockets
-        /// only.)
+        /// Time at which the idempotency key expires: unless the request is written completely before, it must not be
+        /// sent. `None` if there is no such time. (Real sockets only.)
         write_deadline: Option<Micros>,
     },
-    /// Final answer: rejected, and a retry by the client is harmless, whatever the cause of the rejection.
+    /// Give the client the final answer "rejected". Whatever the cause, a retry by the client is harmless.
     Reject {
-        /// The request.
+        /// Request to reject.
         request: RequestId,
-        /// How long the client should wait before it retries; 0: not said.
+        /// Time for which the client should wait before it retries; 0 if none is stated.
         retry_after: Micros,
     },
-    /// Final answer: failed; the request may have run.
+    /// Give the client the final answer "failed". The request may have been executed.
     Fail {
-        /// The request.
+        /// Request that failed.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: u16,
     },
-    /// Ask for [`Event::Timer`](super::Event::Timer).
+    /// Set a timer, which fires as [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// Time from now.
+        /// Time from now until the timer fires.
         after: Micros,
-        /// Comes back with the timer.
+        /// Token that the event returns.
         token: u32,
     },
-    /// Ask discovery for changes from now on.
+    /// Subscribe to changes of the endpoint list at discovery.
     Subscribe,
-    /// Send a backend a health check.
+    /// Send a health check to a backend.
     HealthCheck(BackendId),
-    /// Close this proxy's idle connections to a backend.
+    /// Close the idle connections to a backend.
     CloseIdleConnections(BackendId),
-    /// Write an event to the log.
+    /// Log an event.
     Log(LogEvent),
 }
 
-/// A decision that operators read in the log.
+/// A change in a backend's ejection that is logged for operators.
+///
+/// `Display` is the text in the simulator's replies; the proxy logs its own message with fields instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// A backend whose requests fail is ejected.
+    /// A backend was ejected because its requests fail.
     Ejected {
-        /// The backend.
+        /// Ejected backend.
         backend: BackendId,
-        /// How long it gets no request.
+        /// Time for which the backend receives no requests.
         duration: Micros,
     },
-    /// An attempt on an ejected backend ended without a failure: it takes requests again.
+    /// An ejected backend was readmitted: an attempt on it ended without a failure, so it receives requests again.
     Readmitted {
-        /// The backend.
+        /// Readmitted backend.
         backend: BackendId,
     },
 }
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,95 +1,95 @@
-//! The input of a balancer: changes of the backends, requests, and how attempts end.
+//! The input of a balancer: membership changes, requests, and outcomes of attempts.
 
 use super::{BackendId, Cell, ClassIndex, MachineType, Micros, RequestId, TenantIndex, Zone};
 
-/// Whether a backend may be sent to.
+/// Whether a backend accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// Takes requests.
+    /// Accepts new requests.
     Ready,
-    /// Finishes the requests in flight and takes no new one.
+    /// Finishes the requests in flight and accepts no new ones.
     Draining,
-    /// No longer listed.
+    /// No longer listed by discovery.
     Removed,
 }
 
-/// A backend as discovery lists it.
+/// A backend as listed by discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct Backend {
-    /// Its id.
+    /// Id of the backend.
     pub id: BackendId,
-    /// Its zone.
+    /// Zone of the backend.
     pub zone: Zone,
-    /// Its type of machine.
+    /// Machine type that the backend runs on.
     pub machine_type: MachineType,
-    /// Its cell.
+    /// Cell of the backend.
     pub cell: Cell,
-    /// Whether it may be sent to.
+    /// Whether the backend accepts new requests.
     pub readiness: Readiness,
-    /// When its process last started; `None`: long ago.
+    /// Time of the last start of the backend's process; `None` if it was long ago.
     pub started_at: Option<Micros>,
 }
 
-/// A change of the backends, or of the watch that reports them.
+/// A change of the listed backends, or of the watch on the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub enum MembershipEvent<'a> {
-    /// Endpoints that changed.
+    /// The endpoints that changed.
     Delta(&'a [Backend]),
-    /// The complete list: a backend that it lacks is removed.
+    /// The complete endpoint list. A backend that is not on it is removed.
     Full(&'a [Backend]),
-    /// The list as last known, perhaps out of date. It is taken to be complete.
+    /// The last known endpoint list, which may be out of date. It counts as complete.
     Cached(&'a [Backend]),
-    /// A call to discovery failed, or the watch broke.
+    /// A call to discovery failed, or the watch was interrupted.
     WatchFailed,
-    /// A call to discovery was not answered in time, within a watch or before one. (Real sockets only.)
+    /// A call to discovery timed out, during a watch or before one started. (Real sockets only.)
     WatchStalled,
 }
 
-/// A request that a client sent.
+/// A request sent by a client.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassIndex,
-    /// Its tenant.
+    /// Tenant that sent the request.
     pub tenant: TenantIndex,
-    /// The key of the data that it is about. (Not used by the decisions.)
+    /// Key of the data that the request accesses. (Not used by the decisions.)
     pub key: Option<u64>,
-    /// Time until the client gives it up.
+    /// Time from the request's arrival to the client's timeout.
     pub timeout: Micros,
-    /// Expected work on a standard core. (Not used by the decisions.)
+    /// Expected work of the request, as time on a standard core. (Not used by the decisions.)
     pub expected_work: Option<Micros>,
-    /// Whether the client marked it as a retry. (Not used by the decisions.)
+    /// Whether the client marked the request as a retry. (Not used by the decisions.)
     pub is_retry: bool,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend served the request.
     Ok,
-    /// The backend answered with an error.
+    /// The backend responded with an error.
     Error,
-    /// A response came that can't be used. Unlike an error it may have been corrupted on the way by somebody else
-    /// than the backend. (Real sockets only; the simulator knows no such outcome.)
+    /// The response is malformed. Unlike an error, it may have been corrupted between the backend and the proxy.
+    /// (Real sockets only; the simulator has no such outcome.)
     CorruptResponse,
-    /// The backend rejected it without running it.
+    /// The backend rejected the request without executing it.
     Rejected,
-    /// No response in time.
+    /// No response arrived before the attempt's deadline.
     Timeout,
-    /// The request was not written completely: no connection could be made, or it broke before.
+    /// The request was not written completely: connecting failed, or the connection broke during the write.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke. The backend may have executed the request.
     Reset,
-    /// Cancelled by this proxy.
+    /// This proxy cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// The request was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the backend did not run the request.
+    /// Reports whether this outcome proves that the backend did not execute the request.
     #[must_use]
     pub fn is_not_executed(self) -> bool {
         matches!(
@@ -99,56 +99,56 @@
     }
 }
 
-/// The end of one attempt. Each [`Action::Send`](super::Action::Send) gets exactly one.
+/// The end of one attempt. Each [`Action::Send`](super::Action::Send) is followed by exactly one.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd<'a> {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// The backend of the attempt.
+    /// Backend that the attempt was sent to.
     pub backend: BackendId,
-    /// Number of the attempt, counting from 0 in the order of the sends.
+    /// Number of the attempt within its request, from 0 in the order of the sends.
     pub attempt: u16,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Whether the request is over for its client: it has its final answer, or has disconnected.
+    /// Whether the client has its final answer or has disconnected.
     pub request_answered: bool,
-    /// Time since the send.
+    /// Time from the send to the end of the attempt.
     pub elapsed: Micros,
-    /// The backend's load report, empty if none came along.
+    /// Load report that came with the response; empty if there was none.
     pub load_report: &'a [f32],
-    /// The request's body is not buffered any more: it can't be sent again. (Real sockets only.)
+    /// Whether the request's body is no longer buffered, so that the request cannot be sent again. (Real sockets only.)
     pub body_consumed: bool,
 }
 
 /// An input of a balancer.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// The backends changed, or the watch that reports them did.
+    /// The listed backends changed, or the watch on the endpoint list did.
     Membership(MembershipEvent<'a>),
-    /// A request came in.
+    /// A request arrived.
     Request(Request),
-    /// A streamed response began.
+    /// A streamed response started.
     ResponseStarted {
-        /// The request.
+        /// Request that is being answered.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: u16,
-        /// Time since the send.
+        /// Time from the send to the start of the response.
         elapsed: Micros,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd<'a>),
-    /// The request is over for its client, which disconnected or got its final answer without the balancer.
+    /// The client disconnected, or received a final answer that the balancer did not give.
     ClientDisconnected(RequestId),
     /// A health check ended.
     HealthChecked {
-        /// The backend.
+        /// Backend that was checked.
         backend: BackendId,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// The load report that came with it.
+        /// Load report that came with the response; empty if there was none.
         load_report: &'a [f32],
     },
-    /// A timer that [`Action::SetTimer`](super::Action::SetTimer) set is due.
+    /// A timer that was set with [`Action::SetTimer`](super::Action::SetTimer) fired; holds its token.
     Timer(u32),
 }
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -2,10 +2,10 @@
 
 use std::fmt;
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Declares an identifier of one kind that cannot be mixed up with another. It is printed as a plain number.
+/// Declares an identifier type, distinct from all others, that is displayed as a plain number.
 macro_rules! id_type {
     ($(#[$documentation:meta])* $name:ident) => {
         $(#[$documentation])*
@@ -13,7 +13,7 @@
         pub struct $name(pub u32);
 
         impl $name {
-            /// Returns the number as an index of a list, for callers that number from 0 on.
+            /// Returns the number as a list index, for callers that number from 0.
             #[must_use]
             pub fn index(self) -> usize {
                 self.0 as usize
@@ -29,16 +29,17 @@
 }
 
 id_type! {
-    /// A request, as the proxy numbers it. Ids wrap around after 2^32 requests.
+    /// Id of a request at one proxy. Ids wrap around after 2^32 requests.
     RequestId
 }
 
 id_type! {
-    /// A backend; the same number after its process restarts, and at every proxy (but for rare names that share a hash).
+    /// Id of a backend. It stays the same when the backend's process restarts, and is the same at every proxy unless
+    /// the names of two backends have the same hash, which is rare.
     BackendId
 }
 
-/// Declares a number of one kind that cannot be mixed up with another.
+/// Declares an index type, distinct from all others.
 macro_rules! index_type {
     ($(#[$documentation:meta])* $name:ident($number:ty)) => {
         $(#[$documentation])*
@@ -46,7 +47,7 @@
         pub struct $name(pub $number);
 
         impl $name {
-            /// Returns the number as an index of a list.
+            /// Returns the number as a list index.
             #[must_use]
             pub fn index(self) -> usize {
                 usize::from(self.0)
@@ -66,16 +67,16 @@
 }
 
 index_type! {
-    /// A zone, numbered from 0.
+    /// Index of a zone, from 0.
     Zone(u16)
 }
 
 index_type! {
-    /// A type of machine that backends run on, numbered from 0.
+    /// Index of a machine type that backends run on, from 0.
     MachineType(u8)
 }
 
 index_type! {
-    /// A group of backends that know one another's idempotency keys, numbered through all zones.
+    /// A cell: backends that share their idempotency keys. Cells are numbered across all zones.
     Cell(u16)
 }
