--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: the course of a request from its arrival to its final answer. It is sent where there is available
-//! capacity, or queued briefly, or rejected.
+//! Admission: handling of a request from its arrival to its final answer. A request is sent to a backend with available
+//! capacity, queued briefly, or rejected.
 
 use super::Balancer;
 use super::limits::MIN_WINDOW;
@@ -9,14 +9,14 @@
 use super::timers::Timer;
 use crate::api::{Action, ClassIndex, Micros, Request};
 
-/// A rejected client waits for its latency objective before it retries where a proxy has this many slots, for less where
-/// it has fewer ...
+/// Slots of a proxy from which on `Retry-After` is the class's whole latency objective. With fewer slots it is
+/// proportionally shorter.
 const FULL_RETRY_AFTER_SLOTS: f64 = 16.0;
-/// ... and for this part of the objective at the least.
-const MIN_RETRY_AFTER: f64 = 0.125;
+/// Shortest `Retry-After`, as a fraction of the latency objective.
+const MIN_RETRY_AFTER_FRACTION: f64 = 0.125;
 
 impl Balancer {
-    /// Takes a new request. A request whose id is open already is ignored.
+    /// Handles the arrival of a request. A request whose id is already open is ignored.
     pub(super) fn on_request(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
         if self.requests.find(request.id).is_some() {
             return;
@@ -34,23 +34,24 @@
         self.dispatch(now, key, out);
     }
 
-    /// Sends a request where there is available capacity, or queues it, or ends it. A request over its tenant's quota is
-    /// never queued.
+    /// Sends a request to a backend with available capacity, or else queues or answers it. A request over its tenant's
+    /// quota is never queued.
     fn dispatch(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         if let Some(backend) = self.select_backend(now, key) {
             self.send(now, key, backend, out);
             return;
         }
         let is_over_quota = self.requests[key].over_quota;
-        if is_over_quota || self.is_hopeless(now, key) {
-            self.end_wait(now, key, out);
+        if is_over_quota || !self.can_answer_in_time(now, key) {
+            self.send_or_give_up(now, key, out);
         } else {
             self.enqueue(now, key, out);
         }
     }
 
-    /// Ends the wait of a request, or spares it one: it is sent if there is available capacity now, or answered.
-    pub(super) fn end_wait(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
+    /// Handles a request that must not be queued, or no longer: sends it if a backend has available capacity now and its
+    /// response would still be useful, and otherwise answers it unless an attempt is in flight.
+    pub(super) fn send_or_give_up(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         if !self.is_past_objective(now, key)
             && let Some(backend) = self.select_backend(now, key)
         {
@@ -58,10 +59,13 @@
             return;
         }
         self.dequeue(key);
-        self.give_up(now, key, out);
+        self.answer_unless_in_flight(now, key, out);
     }
 
-    /// Makes another attempt after one that failed, if the rules and the retry budget allow it.
+    /// Retries a request after a failed attempt, if the rules and the retry budget allow it, and otherwise answers it.
+    /// Does nothing while another attempt is in flight or the request is queued.
+    ///
+    /// A retry takes a token from the budget only if the failed attempt may have been executed.
     pub(super) fn retry(
         &mut self,
         now: Micros,
@@ -75,8 +79,8 @@
         }
         let needs_token = !is_not_executed;
         let is_allowed = !needs_token || self.retry_budget.has_token();
-        if self.is_hopeless(now, key) || !is_allowed {
-            self.give_up(now, key, out);
+        if !self.can_answer_in_time(now, key) || !is_allowed {
+            self.answer_unless_in_flight(now, key, out);
             return;
         }
         if needs_token {
@@ -85,13 +89,15 @@
         self.dispatch(now, key, out);
     }
 
-    /// Whether no further attempt may be made, or none that would be in time.
-    fn is_hopeless(&self, now: Micros, key: RequestKey) -> bool {
+    /// Reports whether another attempt is permitted and its response could come in time to be useful.
+    fn can_answer_in_time(&self, now: Micros, key: RequestKey) -> bool {
         let scope = self.next_attempt_scope(now, key);
-        scope == RetryScope::Nowhere || self.is_past_objective(now, key)
+        scope != RetryScope::Nowhere && !self.is_past_objective(now, key)
     }
 
-    /// Whether an attempt that starts now would come too late for its response to earn anything.
+    /// Reports whether the response to an attempt that starts now would come too late to earn any priority weight: after
+    /// the latency objective if a late response of the class earns nothing, and after the client's timeout otherwise. The
+    /// response is expected after half the mean latency.
     fn is_past_objective(&self, now: Micros, key: RequestKey) -> bool {
         let request = &self.requests[key];
         let class = self.settings.class(request.class);
@@ -105,7 +111,7 @@
         now + half_mean >= last_useful
     }
 
-    /// Returns where the next attempt of a request may go.
+    /// Returns the scope of backends that the next attempt of a request may be sent to.
     pub(super) fn next_attempt_scope(&self, now: Micros, key: RequestKey) -> RetryScope {
         let request = &self.requests[key];
         let idempotency = self.settings.class(request.class).idempotency;
@@ -113,15 +119,17 @@
         retries::next_attempt_scope(now, request, idempotency, permissions, &self.backends)
     }
 
-    /// Ends a request for which no attempt can be started, unless one is still in flight.
-    fn give_up(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
+    /// Answers a request for which no attempt can be started, unless one is still in flight.
+    fn answer_unless_in_flight(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         if !self.requests[key].is_in_flight() {
             self.answer(now, key, out);
         }
     }
 
-    /// Gives the balancer's final answer; nothing else here does (rule 1). It is a rejection wherever a retry by the client is harmless: an
-    /// idempotent request is always rejected, however its attempts failed.
+    /// Gives the final answer to a request, if it has none (rule 1, one final answer). No other function gives one.
+    ///
+    /// The answer is a rejection wherever a retry by the client is harmless (rule 2, idempotency). An idempotent request
+    /// is therefore always rejected, however its attempts failed.
     fn answer(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         let open = &self.requests[key];
         if open.closed {
@@ -142,22 +150,24 @@
         self.close(key);
     }
 
-    /// Returns how long a rejected client should wait before it retries.
+    /// Returns the time for which a rejected client should wait before it retries.
     ///
-    /// Departure: a proxy with few slots rejects mostly because requests came together there, and the client's retry,
-    /// likely at another proxy, can still meet its objective. With many slots to a proxy all proxies are full.
+    /// Deviation: the time is shorter at a proxy with few slots. Such a proxy rejects mostly because several requests
+    /// arrived at once, and the client's retry, likely at another proxy, can still meet its latency objective. A proxy
+    /// with many slots rejects only when all proxies are full.
     fn retry_after(&self, class: ClassIndex) -> Micros {
         let limit_sum = self.capacity.limit_sum();
-        let part = (limit_sum / FULL_RETRY_AFTER_SLOTS).clamp(MIN_RETRY_AFTER, 1.0);
+        let fraction = (limit_sum / FULL_RETRY_AFTER_SLOTS).clamp(MIN_RETRY_AFTER_FRACTION, 1.0);
         let objective = self.settings.class(class).latency_objective;
-        let wait = (objective as f64 * part) as Micros;
+        let wait = (objective as f64 * fraction) as Micros;
         match self.settings.permissions.max_retry_after {
             Some(max) => wait.min(max),
             None => wait,
         }
     }
 
-    /// Closes a request that has its final answer, or whose client has left. Its entry stays until its attempts have ended.
+    /// Closes a request that has its final answer or whose client has disconnected. The entry in the request table is
+    /// removed once all its attempts have ended.
     pub(super) fn close(&mut self, key: RequestKey) {
         self.dequeue(key);
         let request = &mut self.requests[key];
@@ -171,6 +181,8 @@
         self.requests.remove(key);
     }
 
+    /// Queues a request until a backend has available capacity, for at most the maximum wait. This counts as reaching the
+    /// limits of all machine types, so that they may grow.
     fn enqueue(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         let wait = max_wait(now, self.requests[key].deadline);
         for limit in &mut self.machine_type_limits {
@@ -184,14 +196,14 @@
         });
     }
 
-    /// Takes a request out of the queue, if it is in there.
+    /// Removes a request from the queue, if it is queued.
     pub(super) fn dequeue(&mut self, key: RequestKey) {
         if self.requests[key].queued_until.take().is_some() {
             self.queue.remove(key);
         }
     }
 
-    /// Sends queued requests while there is available capacity, the one with the greatest weight for its work first.
+    /// Sends queued requests while backends have available capacity, in order of priority.
     pub(super) fn serve_queue(&mut self, now: Micros, out: &mut Vec<Action>) {
         while let Some(key) = self.queue.first_by_priority(|key| self.priority(key)) {
             let Some(backend) = self.select_backend(now, key) else {
@@ -201,7 +213,7 @@
         }
     }
 
-    /// Returns a queued request's priority weight for the work of its class.
+    /// Returns the priority of a queued request: the priority weight of its class per mean latency of the class.
     fn priority(&self, key: RequestKey) -> f64 {
         let request = &self.requests[key];
         let class = self.settings.class(request.class);
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,18 +1,34 @@
-//! The decisions of the load balancer: which backend gets a request, whether it is queued, retried or rejected, and what
-//! each backend's limit is. The interface (settings, events, actions) is in [`crate::api`].
+//! The decisions of the load balancer: which backend receives a request, whether the request is queued, retried or
+//! rejected, and the concurrency limit of each backend. The interface (settings, events, actions) is [`crate::api`].
 //!
-//! The ordinary path: each proxy keeps, for every ready backend, its requests in flight and a concurrency limit that
-//! follows windowed latency (AIMD, `limits`). A request goes where the available capacity (limit less requests in flight)
-//! is greatest (`selection`). Without any, it is queued for a tenth of its remaining time (`queue`) and then rejected
-//! (`admission`). Where the decisions leave this path it is marked `Departure:` with the condition under which that
-//! happens; `docs/design.md` lists all of them.
+//! # Decision path
 //!
-//! Four rules always hold (`docs/GLOSSARY.md` has them in full): one final answer to a request and nothing started after it (rule 1, `admission`); attempts and
-//! rejections only as idempotency allows (rule 2, `retries`); nothing new to a draining or removed backend (rule 3,
-//! `index`); a backend that warms up gets no more from all proxies than it can take (rule 4, `slow_start`).
+//! For every ready backend, each proxy tracks its requests in flight and a concurrency limit that follows windowed
+//! latency (AIMD, `limits`). A request is sent to the backend with the most available capacity, which is the limit less
+//! the requests in flight (`selection`). If no backend has available capacity, the request is queued for a tenth of its
+//! remaining time (`queue`) and then rejected (`admission`).
 //!
-//! Each policy is a type that owns its state and knows no other policy; [`Balancer`] composes them. Nothing here does
-//! I/O or reads a clock, and the same events with the same seed give the same actions.
+//! A comment that begins with `Deviation:` marks a place that deviates from this path, and states the condition and the
+//! reason. `docs/design.md` lists all of them.
+//!
+//! # Rules
+//!
+//! Four rules hold for every sequence of events. Comments refer to them by number:
+//!
+//! - Rule 1 (one final answer): each request gets exactly one final answer before its client's timeout, and nothing is
+//!   started for it afterwards (`admission`).
+//! - Rule 2 (idempotency): which attempts may follow one another depends on idempotency (`retries`). A non-idempotent
+//!   request is never executed twice. A keyed request is sent again only within its key's window and scope. A client gets
+//!   429 or 503 only where a retry by the client is harmless. Two attempts are never in flight at once unless hedging is
+//!   permitted.
+//! - Rule 3 (draining): nothing new is sent to a backend that is draining or removed (`index`).
+//! - Rule 4 (slow start): what a backend is sent during slow start stays below the load at which it collapses, for the
+//!   sum of all proxies (`slow_start`).
+//!
+//! # Structure
+//!
+//! Each policy is a type that owns its state and does not access other policies; [`Balancer`] composes them. Nothing in
+//! this module does I/O or reads a clock, and the same events with the same seed lead to the same actions.
 
 mod admission;
 mod attempts;
@@ -58,7 +74,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The decisions of one proxy.
+/// The load balancer of one proxy: turns events into actions.
 ///
 /// # Example
 /// ```
@@ -78,12 +94,12 @@
     rng: fastrand::Rng,
     backends: BackendTable,
     index: SelectionIndex,
-    /// Counts the complete lists of backends.
+    /// Number of complete endpoint lists received so far.
     list_generation: u32,
     subscription: SubscriptionBackoff,
     requests: RequestTable,
     queue: WaitQueue,
-    /// Attempts in flight at all backends.
+    /// Number of attempts in flight at all backends.
     in_flight: u32,
     latencies: LatencyTable,
     machine_type_limits: Vec<MachineTypeLimit>,
@@ -91,15 +107,15 @@
     quotas: TenantQuotas,
     retry_budget: RetryBudget,
     idle_trust: IdleTrust,
-    /// Requests that this proxy got served.
+    /// Peak rate of the requests of this proxy that backends served.
     throughput: PeakRate,
 }
 
 impl Balancer {
-    /// Returns a balancer that knows no backends yet.
+    /// Returns a balancer without backends.
     ///
     /// # Errors
-    /// The first of the settings that makes no sense.
+    /// Returns the first setting that is outside its allowed range.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Self, SettingsError> {
         settings.validate()?;
         let machine_types = usize::from(settings.machine_type_count).max(1);
@@ -123,7 +139,7 @@
         })
     }
 
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Action>) {
         self.reindex_due(now);
         match event {
@@ -141,8 +157,8 @@
         }
     }
 
-    /// Counts the listed backends that are draining, ejected and not readmitted yet, unresponsive, or have just rejected a
-    /// request. Backends at their limit, and those that warm up, are not counted.
+    /// Returns the number of listed backends that are draining, ejected and not yet readmitted, unresponsive, or counted
+    /// as without capacity after a rejection. Backends at their limit or in slow start are not included.
     #[must_use]
     pub fn avoided_backends(&self, now: Micros) -> usize {
         let classes = self.settings.classes.iter().enumerate();
@@ -173,13 +189,14 @@
         match Timer::from_token(token) {
             Some(Timer::Subscribe) => out.push(Action::Subscribe),
             Some(Timer::QueueTimeout(request)) if self.has_waited(now, request) => {
-                self.end_wait(now, request, out);
+                self.send_or_give_up(now, request, out);
             }
             Some(Timer::QueueTimeout(_)) | None => {}
         }
     }
 
-    /// Whether a request has waited in the queue for its time. Its key may be another request's by now.
+    /// Reports whether a queued request has waited for its maximum time. A timer's key may by now belong to a later
+    /// request, whose own time has not passed, or to an unused entry.
     fn has_waited(&self, now: Micros, request: RequestKey) -> bool {
         let queued_until = self
             .requests
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt tells each policy of its backend.
+//! Updates of the policies at the end of an attempt.
 
 use super::Balancer;
 use super::backends::BackendKey;
@@ -6,17 +6,39 @@
 use super::outcome::{Classification, Effect, LimitEvidence, classify};
 use super::outliers::{HealthChange, HealthSample, may_eject_another};
 use super::requests::Attempt;
-use crate::api::{Action, AttemptEnd, BackendId, ClassIndex, LogEvent, MachineType, Micros};
+use crate::api::{Action, AttemptEnd, BackendId, ClassIndex, LogEvent, Micros};
 
-/// The least factor that jitter scales the time of an ejection by; the greatest is as far above 1.
+/// Lower bound of the random factor on the duration of an ejection. The upper bound is as far above 1.
 const MIN_EJECTION_JITTER: f64 = 0.75;
 
+/// State that the end of an attempt is compared with, as it is before the end updates it.
+struct PriorState {
+    /// Whether the base latency of the class on the backend's machine type is known.
+    is_base_known: bool,
+    /// Latency threshold of the class on the backend's machine type, microseconds.
+    threshold: f64,
+    /// Whether the backend has served another attempt since this one was sent.
+    backend_answered: bool,
+}
+
 impl Balancer {
-    /// Tells each policy what the end of an attempt says of its backend. An attempt whose response is streamed ends here
-    /// when the response begins.
+    /// Updates every policy with the end of an attempt. An attempt with a streamed response ends here when the response
+    /// starts.
+    ///
+    /// The steps run in this order:
     ///
-    /// Limits come last: they compare the sample with the threshold that held before it, and learn nothing where an idle
-    /// connection is to blame.
+    /// 1. Read the prior state: the sample is compared with the threshold that held before it, and whether the backend
+    ///    answered must not include this attempt's own response.
+    /// 2. Classify the outcome.
+    /// 3. Free the slot. The attempt no longer counts as in flight, even if it was never sent; one that was never sent
+    ///    says nothing else about the backend, so the steps below are skipped.
+    /// 4. Release the connection. This depends on the remaining attempts in flight, so it follows step 3.
+    /// 5. Record the response, or the rejection.
+    /// 6. If the attempt was lost on a connection that had been idle for long, reduce the trust in idle connections and
+    ///    skip the steps below: the connection is to blame and not the backend.
+    /// 7. Record the sample as recent latency.
+    /// 8. Record the outcome for outlier detection.
+    /// 9. Update the limits with the sample and then with the load report, unless the outcome is no evidence for limits.
     pub(super) fn observe(
         &mut self,
         now: Micros,
@@ -26,39 +48,47 @@
         out: &mut Vec<Action>,
     ) {
         let key = attempt.backend;
-        let machine_type = self.backends[key].machine_type;
-        let is_base_known = self.latencies.estimate(class, machine_type).is_base_known();
-        let backend_answered = self.backends[key]
-            .in_flight
-            .has_answered_since(attempt.sent_at);
-        let classification = classify(end.outcome, attempt, backend_answered);
+        let prior = self.prior_state(class, attempt);
+        let classification = classify(end.outcome, attempt, prior.backend_answered);
         self.free_slot(attempt);
         if classification.effect == Effect::Ignored {
             return;
         }
         self.release_connection(now, key);
         let latency = end.elapsed as f64;
-        let threshold = self.latency_threshold(class, machine_type);
-        let sample = classification.effect.sample(latency, threshold);
-        let sample = sample.min(MAX_SAMPLE);
         match classification.effect {
-            Effect::Responded => self.record_response(now, class, attempt, latency, threshold),
+            Effect::Responded => {
+                self.record_response(now, class, attempt, latency, prior.threshold);
+            }
             Effect::Rejected => self.record_rejection(now, class, key),
             Effect::Ignored | Effect::Slow | Effect::Failed { .. } => {}
         }
         if classification.is_lost && self.idle_trust.blame(now, attempt.connection_idle) {
             return;
         }
+        let sample = classification.effect.sample(latency, prior.threshold);
+        let sample = sample.min(MAX_SAMPLE);
         self.backends[key].recent_latency.record(now, sample);
         self.record_health(now, attempt, classification, out);
-        let learns_machine_type = is_base_known || self.capacity.has_few_slots();
-        self.update_limits(now, key, sample, classification, learns_machine_type);
-        if classification.limit_evidence != LimitEvidence::None {
-            self.follow_load_report(now, key, end.load_report);
+        if classification.limit_evidence == LimitEvidence::None {
+            return;
+        }
+        self.update_limits(now, key, sample, classification.limit_evidence, &prior);
+        self.follow_load_report(now, key, end.load_report);
+    }
+
+    fn prior_state(&self, class: ClassIndex, attempt: &Attempt) -> PriorState {
+        let backend = &self.backends[attempt.backend];
+        let objective = self.settings.class(class).latency_objective;
+        let estimate = self.latencies.estimate(class, backend.machine_type);
+        PriorState {
+            is_base_known: estimate.is_base_known(),
+            threshold: estimate.threshold(objective),
+            backend_answered: backend.in_flight.has_answered_since(attempt.sent_at),
         }
     }
 
-    /// Books that an attempt is no longer in flight.
+    /// Frees the slot of an attempt: it is no longer in flight.
     fn free_slot(&mut self, attempt: &Attempt) {
         let backend = &mut self.backends[attempt.backend];
         backend.in_flight.end(attempt.overdue_at);
@@ -66,6 +96,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
+    /// Marks the connection of an attempt that has ended as idle from now on.
     fn release_connection(&mut self, now: Micros, key: BackendKey) {
         let per_connection = self.requests_per_connection();
         let backend = &mut self.backends[key];
@@ -73,14 +104,10 @@
         backend.connections.release(now, in_flight, per_connection);
     }
 
-    /// Returns the latency threshold of a class on a machine type, microseconds.
-    fn latency_threshold(&self, class: ClassIndex, machine_type: MachineType) -> f64 {
-        let objective = self.settings.class(class).latency_objective;
-        let estimate = self.latencies.estimate(class, machine_type);
-        estimate.threshold(objective)
-    }
-
-    /// Takes a response that came after `latency`, microseconds.
+    /// Records a response that arrived after `latency`, microseconds.
+    ///
+    /// A response below the threshold returns a token to the backend's slow-start budget (rule 4, slow start), if the
+    /// attempt was sent to the process that is warming up and the base latency is known.
     fn record_response(
         &mut self,
         now: Micros,
@@ -103,14 +130,16 @@
         }
     }
 
-    /// Takes a rejection: the backend has no capacity for about the time of one request.
+    /// Records a rejection: for the mean latency of the class, the backend counts as having no capacity.
     fn record_rejection(&mut self, now: Micros, class: ClassIndex, key: BackendKey) {
         let backend = &mut self.backends[key];
         let estimate = self.latencies.estimate(class, backend.machine_type);
         backend.rejecting_until = now + estimate.mean() as Micros;
     }
 
-    /// Tells outlier detection of an outcome.
+    /// Updates outlier detection with an outcome, and logs an ejection or readmission.
+    ///
+    /// Each call draws one random number, also for outcomes that eject no backend.
     fn record_health(
         &mut self,
         now: Micros,
@@ -131,20 +160,21 @@
         out.extend(event.map(Action::Log));
     }
 
-    /// Tells the limits of a sample.
+    /// Updates the limits of the backend and of its machine type with a sample, as far as it is evidence for them.
+    ///
+    /// While the base latency is unknown, the sample updates the limit of the machine type only at a proxy with few
+    /// slots.
     fn update_limits(
         &mut self,
         now: Micros,
         key: BackendKey,
         sample: f64,
-        classification: Classification,
-        learns_machine_type: bool,
+        evidence: LimitEvidence,
+        prior: &PriorState,
     ) {
-        let evidence = classification.limit_evidence;
-        if evidence == LimitEvidence::None {
-            return;
-        }
-        if evidence == LimitEvidence::BackendAndMachineType && learns_machine_type {
+        let updates_machine_type = evidence == LimitEvidence::BackendAndMachineType
+            && (prior.is_base_known || self.capacity.has_few_slots());
+        if updates_machine_type {
             let machine_type = self.backends[key].machine_type;
             self.update_machine_type_limit(now, machine_type, sample);
         }
@@ -152,6 +182,7 @@
     }
 }
 
+/// Returns the log event of a change in a backend's health. A repeated ejection is not logged.
 fn log_event(backend: BackendId, change: HealthChange) -> Option<LogEvent> {
     match change {
         HealthChange::Ejected { duration } => Some(LogEvent::Ejected { backend, duration }),
