--- a/src/balancer/quotas.rs
+++ b/src/balancer/quotas.rs
@@ -1,6 +1,7 @@
-//! Tenants' quotas: a token bucket for each tenant, and the recent requests of all.
+//! Tenants' quotas: a token bucket for each tenant, and the recent requests of all tenants.
 //!
-//! A request costs the same however many tenants there are: the sum over all of them is kept up to date as they send.
+//! The cost of a request does not depend on the number of tenants: the sum over all tenants is updated with each request
+//! instead of being computed anew.
 
 use super::time::{MICROS_PER_SECOND, SECOND};
 use crate::api::{Micros, Settings, TenantIndex};
@@ -9,19 +10,19 @@
 #[cfg(test)]
 mod tests;
 
-/// A request counts as recent, with a weight that falls to 0, for this long.
+/// Time for which a request counts as recent. Its weight falls linearly to 0 over this time.
 const RECENT_REQUEST_TTL: Micros = 4 * SECOND;
-/// Units that a recent request is counted in; whole numbers add up without a rounding error.
+/// Recent requests are counted in integer units, this many to a request, so that sums have no rounding error.
 const UNITS_PER_REQUEST: i128 = 1 << 20;
 
-/// One tenant.
+/// The quota and the recent requests of one tenant at this proxy.
 #[derive(Clone, Copy)]
 struct Tenant {
-    /// Requests a second within its quota, at this proxy.
+    /// Requests per second within the quota at this proxy.
     rate_per_s: f64,
     tokens: f64,
     last_request_at: Micros,
-    /// Its recent requests as of the last one, in units.
+    /// Recent requests as of `last_request_at`, in units.
     recent: i128,
 }
 
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Returns its recent requests as of now, in units.
+    /// Returns the recent requests as of now, in units.
     fn recent(&self, now: Micros) -> i128 {
         let age = now
             .saturating_sub(self.last_request_at)
@@ -43,14 +44,14 @@
         self.recent * i128::from(RECENT_REQUEST_TTL - age) / i128::from(RECENT_REQUEST_TTL)
     }
 
-    /// Refills the bucket up to now; it holds a second's tokens, and one at the least.
+    /// Refills the bucket up to now. Its capacity is the tokens of one second, but at least one token.
     fn refill(&mut self, now: Micros) {
         let elapsed_s = now.saturating_sub(self.last_request_at) as f64 / MICROS_PER_SECOND;
         let tokens = self.tokens + self.rate_per_s * elapsed_s;
         self.tokens = tokens.min(self.rate_per_s.max(1.0));
     }
 
-    /// Takes a token, if there is one.
+    /// Removes a token if there is one, and reports whether there was.
     fn withdraw(&mut self) -> bool {
         let has_token = self.tokens >= 1.0;
         if has_token {
@@ -60,20 +61,27 @@
     }
 }
 
+/// An entry of the queue of requests by time.
+struct RequestTime {
+    at: Micros,
+    tenant: TenantIndex,
+}
+
 /// The quotas of all tenants.
 pub(crate) struct TenantQuotas {
     tenants: Vec<Tenant>,
     /// Sum of the recent requests of the tenants that sent one within [`RECENT_REQUEST_TTL`], in units.
     recent_sum: i128,
-    /// The same sum with each tenant's requests times the time of its last one.
+    /// The same sum with each tenant's recent requests multiplied by the time of its last request.
     recent_moment: i128,
-    /// Tenants by the time of a request; only the last one of a tenant counts.
-    by_request_time: VecDeque<(Micros, TenantIndex)>,
+    /// Requests in order of time. Entries other than a tenant's last request are stale.
+    by_request_time: VecDeque<RequestTime>,
+    /// Sum of the quotas of all tenants at this proxy, requests per second.
     total_rate_per_s: f64,
 }
 
 impl TenantQuotas {
-    /// Returns the quotas that the settings give one proxy.
+    /// Returns the quotas of one proxy: each tenant's quota is divided evenly among the proxies.
     pub(crate) fn from_settings(settings: &Settings, now: Micros) -> Self {
         let proxies = f64::from(settings.proxy_count);
         let rates = settings
@@ -83,7 +91,7 @@
         Self::new(rates, now)
     }
 
-    /// Returns tenants with these quotas, requests a second at this proxy. Each begins with a second's tokens.
+    /// Returns quotas of this many requests per second at this proxy. Each bucket starts with the tokens of one second.
     pub(crate) fn new(rates_per_s: impl Iterator<Item = f64>, now: Micros) -> Self {
         let tenants: Vec<Tenant> = rates_per_s.map(|rate| Tenant::new(rate, now)).collect();
         let total_rate_per_s = tenants.iter().map(|tenant| tenant.rate_per_s).sum();
@@ -96,17 +104,18 @@
         }
     }
 
-    /// Charges a request to its tenant's quota; returns whether the tenant is over it.
+    /// Charges a request to its tenant's quota and reports whether the tenant is over its quota.
     ///
-    /// A proxy knows only its own part of the traffic, and that is more than its even part where other proxies have
-    /// failed: a tenant without a token is over its quota only if it also uses more of it here than the tenants do on
-    /// average.
+    /// A tenant is over its quota if it has no token left and also uses a larger part of its quota at this proxy than the
+    /// tenants do on average. The second condition is there because the quota per proxy assumes that traffic is spread
+    /// evenly over the proxies. When other proxies have failed, this one receives more than its even part, and without
+    /// the comparison all tenants would be over their quotas.
     pub(crate) fn charge(&mut self, now: Micros, tenant: TenantIndex) -> bool {
         !self.withdraw(now, tenant) && self.is_above_average(now, tenant)
     }
 
-    /// Counts a request and takes a token for it; returns whether there was one. A tenant that is not known has no quota
-    /// to exceed.
+    /// Counts a request and removes a token for it; reports whether there was one. An unknown tenant has no quota and
+    /// always gets `true`.
     fn withdraw(&mut self, now: Micros, index: TenantIndex) -> bool {
         self.expire(now);
         let Some(tenant) = self.tenants.get_mut(index.index()) else {
@@ -120,11 +129,15 @@
         tenant.refill(now);
         tenant.recent = recent;
         tenant.last_request_at = now;
-        self.by_request_time.push_back((now, index));
+        self.by_request_time.push_back(RequestTime {
+            at: now,
+            tenant: index,
+        });
         tenant.withdraw()
     }
 
-    /// Whether a tenant uses more of its quota than the tenants do on average. Called right after `withdraw`.
+    /// Reports whether a tenant uses a larger part of its quota than the tenants do on average. Requires that `withdraw` was
+    /// just called with the same time.
     fn is_above_average(&self, now: Micros, index: TenantIndex) -> bool {
         let Some(tenant) = self.tenants.get(index.index()) else {
             return false;
@@ -134,19 +147,19 @@
         tenant.recent(now) as f64 * self.total_rate_per_s > all_recent * tenant.rate_per_s
     }
 
-    /// Leaves out the tenants whose requests are no longer recent.
+    /// Removes the tenants without recent requests from the sums.
     fn expire(&mut self, now: Micros) {
-        while let Some(&(requested_at, index)) = self.by_request_time.front() {
-            if now.saturating_sub(requested_at) < RECENT_REQUEST_TTL {
+        while let Some(request) = self.by_request_time.front() {
+            if now.saturating_sub(request.at) < RECENT_REQUEST_TTL {
                 return;
             }
-            self.by_request_time.pop_front();
-            let tenant = &mut self.tenants[index.index()];
-            if tenant.last_request_at == requested_at && tenant.recent > 0 {
+            let tenant = &mut self.tenants[request.tenant.index()];
+            if tenant.last_request_at == request.at && tenant.recent > 0 {
                 self.recent_sum -= tenant.recent;
-                self.recent_moment -= tenant.recent * i128::from(requested_at);
+                self.recent_moment -= tenant.recent * i128::from(request.at);
                 tenant.recent = 0;
             }
+            self.by_request_time.pop_front();
         }
     }
 }
--- a/src/balancer/quotas/tests.rs
+++ b/src/balancer/quotas/tests.rs
@@ -1,9 +1,9 @@
-//! Tenants' quotas, compared with a model that sums over all tenants.
+//! Unit tests of the quotas, which are compared with a model that sums over all tenants.
 
 use super::*;
 use fastrand::Rng;
 
-/// A tenant in the model.
+/// A tenant of the model.
 #[derive(Clone, Copy)]
 struct ModelTenant {
     rate: f64,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn tenants_are_compared_as_by_a_sum_over_all_of_them() {
+fn tenants_are_compared_as_in_a_model_that_sums_over_all_tenants() {
     let mut compared = 0;
     let mut above = 0;
     for seed in 0..30 {
@@ -62,7 +62,7 @@
             } else {
                 rng.u64(0..100_000)
             };
-            // Tenants of low index send more often.
+            // Tenants with a low index send more often.
             let upper_bound = rng.usize(1..=model.len());
             let tenant = rng.usize(0..upper_bound);
             let index = TenantIndex(tenant as u16);
@@ -74,7 +74,7 @@
             let recent_of_all: f64 = model.iter().map(|tenant| tenant.recent(now)).sum();
             let own = model[tenant].recent(now) * total_rate;
             let average = recent_of_all * rates[tenant];
-            // A unit is a millionth of a request; what lies closer together may compare either way.
+            // A unit is about a millionth of a request. Closer values may compare either way.
             if (own - average).abs() > 1e-3 {
                 assert_eq!(
                     quotas.is_above_average(now, index),
@@ -93,14 +93,14 @@
 }
 
 #[test]
-fn an_unknown_tenant_is_within_its_quota() {
+fn an_unknown_tenant_is_never_over_its_quota() {
     let mut quotas = TenantQuotas::new([1.0].into_iter(), 0);
     assert!(quotas.withdraw(0, TenantIndex(7)));
     assert!(!quotas.is_above_average(0, TenantIndex(7)));
 }
 
 #[test]
-fn tenants_that_stop_sending_leave_no_state_behind() {
+fn tenants_without_recent_requests_are_removed_from_the_sums() {
     let mut quotas = TenantQuotas::new([1.0; 100].into_iter(), 0);
     for tenant in 0..100 {
         quotas.withdraw(Micros::from(tenant), TenantIndex(tenant));
