--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts: their start, the start of their response, and their end. What an end says of the backend is in
-//! `observation`.
+//! Attempts: their start, the start of a streamed response, and their end. `observation` updates the policies with the
+//! outcome.
 
 use super::Balancer;
 use super::backends::BackendKey;
@@ -8,18 +8,21 @@
 use super::retries;
 use crate::api::{Action, AttemptEnd, Idempotency, Micros, Outcome, RequestId};
 
-/// An attempt of a class that is not quick counts as lost after this multiple of the class's mean latency.
+/// Timeout of an attempt that may be retried, of a class that is not quick, as a multiple of the class's mean latency.
+/// That is past the latency objective, so the constant only bounds how long a lost attempt delays its retry.
 const LOST_OVER_MEAN: f64 = 24.0;
 
-/// When an attempt times out.
+/// The timeout of an attempt.
 struct AttemptTimeout {
+    /// Time at which the attempt times out.
     deadline: Micros,
-    /// The attempt was lost if it comes to that.
+    /// Whether an attempt that times out counts as lost on the way rather than as slow.
     means_lost: bool,
 }
 
 impl Balancer {
-    /// Starts an attempt; nothing else does. [`Balancer::select_backend`] has made sure that the backend may have it.
+    /// Starts an attempt on a backend that [`Balancer::select_backend`] returned for the request. No other function starts
+    /// one.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -51,7 +54,11 @@
         self.reindex(now, backend);
     }
 
-    /// Takes the connection of the next attempt on a backend and returns how long it has been idle; 0 for a new one.
+    /// Assigns the connection of the next attempt on a backend and returns the connection's estimated idle time; 0 for a
+    /// new connection.
+    ///
+    /// If the connection has been idle for too long to be trusted, the idle connections to the backend are closed first,
+    /// so that the attempt uses a new one.
     fn take_connection(&mut self, now: Micros, key: BackendKey, out: &mut Vec<Action>) -> Micros {
         let per_connection = self.requests_per_connection();
         let backend = &mut self.backends[key];
@@ -65,14 +72,16 @@
         0
     }
 
+    /// Returns the number of requests that one connection carries at the same time, at least 1.
     pub(super) fn requests_per_connection(&self) -> u32 {
         self.settings.permissions.requests_per_connection.max(1)
     }
 
-    /// Returns when an attempt that starts now times out.
+    /// Returns the timeout of an attempt that starts now.
     ///
-    /// Departure: an attempt that may be repeated and has no response long after its time was lost (its connection may
-    /// have failed unnoticed); if it lasted to the deadline, no time would be left for a retry.
+    /// Deviation: an attempt that may be retried times out before the request's deadline. Without a response long after
+    /// the usual latency, it was probably lost (its connection may have failed unnoticed), and waiting until the deadline
+    /// would leave no time for a retry.
     fn attempt_timeout(&self, now: Micros, request: RequestKey) -> AttemptTimeout {
         let request = &self.requests[request];
         let class = self.settings.class(request.class);
@@ -98,7 +107,8 @@
         }
     }
 
-    /// Returns when an attempt that starts now is overdue.
+    /// Returns the time at which an attempt that starts now is overdue. In a class that is not quick, that is the class's
+    /// timeout.
     fn overdue_at(&self, now: Micros, request: RequestKey) -> Micros {
         let index = self.requests[request].class;
         let class = self.settings.class(index);
@@ -110,7 +120,8 @@
         now + after
     }
 
-    /// Whether an attempt shows if its backend, which was ejected or does not respond, has recovered.
+    /// Reports whether an attempt is a trial request: its outcome shows whether an ejected or unresponsive backend has
+    /// recovered.
     fn is_trial(&self, now: Micros, request: RequestKey, backend: BackendKey) -> bool {
         let index = self.requests[request].class;
         let class = self.settings.class(index);
@@ -120,7 +131,7 @@
         backend.health.is_ejected() || is_unresponsive
     }
 
-    /// Books an attempt that starts now.
+    /// Updates the state of a backend for an attempt that starts now and occupies one of the backend's slots.
     fn occupy_slot(&mut self, now: Micros, attempt: &Attempt) {
         let slots = self.slots(attempt.backend, self.capacity.limit_factor());
         let safety = &self.settings.safety;
@@ -138,10 +149,11 @@
         self.in_flight += 1;
     }
 
-    /// Takes note that a streamed response began.
+    /// Handles the start of a streamed response.
     ///
-    /// Departure: the backend's work is done then and its latency is known. How long a client takes to read the response
-    /// must neither hold the slot nor count as load.
+    /// Deviation: the slot is freed and the latency recorded when the response starts, not when it ends. The backend has
+    /// done its work by that time, and the time that the client takes to read the response must neither occupy the slot
+    /// nor count as latency.
     pub(super) fn on_response_started(
         &mut self,
         now: Micros,
@@ -179,7 +191,10 @@
         self.serve_queue(now, out);
     }
 
-    /// Takes the end of an attempt.
+    /// Handles the end of an attempt: updates the policies, and closes or retries the request. The end of an attempt that
+    /// is unknown or has already ended is ignored.
+    ///
+    /// If the response was streamed, the policies were updated when it started; only the load report is new.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -219,7 +234,7 @@
         self.serve_queue(now, out);
     }
 
-    /// Returns when backends may forget the idempotency key of a request.
+    /// Returns the time from which backends may forget the idempotency key of a request (rule 2, idempotency).
     fn key_expires_at(&self, key: RequestKey) -> Option<Micros> {
         let request = &self.requests[key];
         let idempotency = self.settings.class(request.class).idempotency;
--- a/src/balancer/limit_updates.rs
+++ b/src/balancer/limit_updates.rs
@@ -1,4 +1,4 @@
-//! How the limits of backends and machine types take samples and load reports together.
+//! Updates of the limits of backends and machine types with samples and load reports.
 
 use super::Balancer;
 use super::backends::BackendKey;
@@ -6,17 +6,18 @@
 use crate::api::{MachineType, Micros};
 
 impl Balancer {
-    /// Returns this proxy's part of a backend.
+    /// Returns the fraction of a backend that this proxy may use.
     pub(super) fn proxy_fraction(&self, key: BackendKey) -> f64 {
         proxy_fraction(&self.settings, self.backends[key].zone)
     }
 
+    /// Returns this proxy's part of the limit of a backend's machine type.
     fn machine_type_limit_of(&self, key: BackendKey) -> f64 {
         let backend = &self.backends[key];
         self.machine_type_limit(backend.zone, backend.machine_type)
     }
 
-    /// Adds a sample to a backend's limit.
+    /// Updates the limit of a backend with a sample.
     pub(super) fn update_backend_limit(&mut self, now: Micros, key: BackendKey, sample: f64) {
         let fraction = self.proxy_fraction(key);
         let machine_type_limit = self.machine_type_limit_of(key);
@@ -24,7 +25,8 @@
         limit.record(now, sample, machine_type_limit, fraction);
     }
 
-    /// Adds a sample to the limit of a machine type; backends with a limit of their own may return to it.
+    /// Updates the limit of a machine type with a sample. If the sample completes a window, backends of the type that have
+    /// a limit of their own may return to the limit of the type.
     pub(super) fn update_machine_type_limit(
         &mut self,
         now: Micros,
@@ -48,6 +50,7 @@
         }
     }
 
+    /// Returns a backend with a limit of its own to the limit of its machine type, if its state permits that.
     fn follow_machine_type(&mut self, now: Micros, key: BackendKey) {
         let machine_type_limit = self.machine_type_limit_of(key);
         let slots = self.slots(key, self.capacity.limit_factor());
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Takes a backend's load report, if it tells a service time.
+    /// Updates the limit of a backend with its load report, if the report contains a service time.
     pub(super) fn follow_load_report(&mut self, now: Micros, key: BackendKey, report: &[f32]) {
         let Some(reported_ms) = self.reported_service_time_ms(report) else {
             return;
@@ -71,6 +74,7 @@
             .record_service_time(now, reported_ms, mean_ms, machine_type_limit);
     }
 
+    /// Returns the service time of a load report in milliseconds; `None` unless it is present, finite and positive.
     fn reported_service_time_ms(&self, report: &[f32]) -> Option<f64> {
         let field = self.settings.load_report.service_time_ms?;
         let reported_ms = f64::from(*report.get(field)?);
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -1,7 +1,7 @@
-//! Classification of outcomes: what the end of an attempt says of its backend.
+//! Classification of outcomes: the effect of the end of an attempt on the state of its backend.
 //!
-//! The policies (latency, limits, outlier detection, slow start, idle connections) read no [`Outcome`]; they get
-//! what [`classify`] makes of it.
+//! The policies (latency, limits, outlier detection, slow start, idle connections) do not read an [`Outcome`]; they
+//! receive the [`Classification`] that [`classify`] returns.
 
 use super::requests::Attempt;
 use crate::api::Outcome;
@@ -9,39 +9,40 @@
 #[cfg(test)]
 mod tests;
 
-/// A failure, or a slow response, counts as at least this multiple of the latency threshold.
+/// Minimum sample of an outcome other than a response, as a multiple of the latency threshold.
 const MIN_FAILURE_SAMPLE: f64 = 2.0;
-/// Weight of a refused connection in a backend's failure rate: a backend that takes no connection is down.
+/// Weight of a failed connect in a backend's failure rate: a backend that accepts no connection is down.
 const REFUSED_CONNECTION_WEIGHT: f64 = 2.0;
-/// Weight of a broken connection: anything on the way may have broken it.
+/// Weight of a broken connection in the failure rate: something between the proxy and the backend may have broken it.
 const BROKEN_CONNECTION_WEIGHT: f64 = 0.5;
+/// Weight of all other outcomes in the failure rate.
 const ORDINARY_WEIGHT: f64 = 1.0;
 
-/// What the end of an attempt says of its backend.
+/// The effect of the end of an attempt on the state of its backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Effect {
-    /// Nothing: the attempt was not sent.
+    /// The attempt was not sent and has no effect.
     Ignored,
-    /// The backend responded; its latency counts.
+    /// The backend responded; the latency is recorded.
     Responded,
-    /// The backend rejected the request without running it.
+    /// The backend rejected the request without executing it.
     Rejected,
-    /// The attempt took too long, but the backend answered others meanwhile: the request was heavy.
+    /// The attempt took too long, but the backend served another attempt meanwhile: the request itself is slow.
     Slow,
-    /// The backend failed; the weight is that of the failure in its failure rate.
+    /// The backend failed.
     Failed {
-        /// Weight beside an ordinary outcome.
+        /// Weight of the failure in the backend's failure rate; 1 for an ordinary outcome.
         weight: f64,
     },
 }
 
 impl Effect {
-    /// Whether the backend failed.
+    /// Reports whether the backend failed.
     pub(crate) fn is_failure(self) -> bool {
         matches!(self, Self::Failed { .. })
     }
 
-    /// Returns the weight of the outcome in a failure rate.
+    /// Returns the weight of the outcome in the backend's failure rate.
     pub(crate) fn weight(self) -> f64 {
         match self {
             Self::Failed { weight } => weight,
@@ -49,9 +50,10 @@
         }
     }
 
-    /// Returns the sample for limits: the latency as a multiple of the latency threshold.
+    /// Returns the sample for the limits: the latency as a multiple of the latency threshold.
     ///
-    /// Departure: whatever is no response is a slow sample however quick it was, so that quick errors can't raise a limit.
+    /// Deviation from plain AIMD: every outcome other than a response is a slow sample, however early it came, so that
+    /// quick errors cannot raise a limit.
     pub(crate) fn sample(self, latency: f64, threshold: f64) -> f64 {
         let sample = latency / threshold;
         match self {
@@ -61,30 +63,31 @@
     }
 }
 
-/// Which limits a sample says something of.
+/// The limits that a sample is evidence for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum LimitEvidence {
-    /// None: the attempt was lost or its response damaged on the way, and a few such must not shrink the limits of all.
+    /// No limit. The attempt was lost or its response damaged between the proxy and the backend, and a few such attempts
+    /// must not reduce the limits of all backends.
     None,
-    /// That of the backend alone: its fault says nothing of how loaded other backends of its machine type are.
+    /// The limit of the backend only. A fault of the backend is no evidence for the load of others of its machine type.
     Backend,
-    /// That of the backend and that of its machine type.
+    /// The limits of the backend and of its machine type.
     BackendAndMachineType,
 }
 
-/// The end of an attempt, classified.
+/// The classified end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Classification {
-    /// What it says of the backend.
+    /// Effect on the state of the backend.
     pub(crate) effect: Effect,
-    /// No response came: the attempt timed out while the backend answered nothing else, or its connection broke. An idle
-    /// connection may be to blame.
+    /// Whether the attempt may have been lost on its connection: it timed out while the backend served no other attempt,
+    /// or its connection broke. If the connection had been idle, that may be the cause.
     pub(crate) is_lost: bool,
-    /// Which limits learn from it.
+    /// Limits that the sample updates.
     pub(crate) limit_evidence: LimitEvidence,
 }
 
-/// Classifies the end of an attempt. `backend_answered` tells whether the backend has served any attempt since this
+/// Classifies the end of an attempt. `backend_answered` states whether the backend has served another attempt since this
 /// one was sent.
 pub(crate) fn classify(
     outcome: Outcome,
@@ -120,7 +123,9 @@
     }
 }
 
-/// Departure: a response that was damaged, lost or cut off on the way is no sample.
+/// Returns the limits that an outcome is evidence for.
+///
+/// Deviation from plain AIMD: a response that was damaged, lost or cut off between the backend and the proxy is no sample.
 fn limit_evidence_of(outcome: Outcome, attempt: &Attempt) -> LimitEvidence {
     match outcome {
         Outcome::CorruptResponse | Outcome::Reset | Outcome::NotSent => LimitEvidence::None,
--- a/src/balancer/outcome/tests.rs
+++ b/src/balancer/outcome/tests.rs
@@ -1,4 +1,4 @@
-//! Classification over every outcome.
+//! Unit tests of the classification, for every outcome.
 
 use super::*;
 use crate::balancer::backends::{BackendState, BackendTable};
@@ -11,20 +11,20 @@
 const BACKEND: LimitEvidence = LimitEvidence::Backend;
 const BOTH_LIMITS: LimitEvidence = LimitEvidence::BackendAndMachineType;
 
-/// How an outcome is classified.
+/// Expected classification of one outcome.
 struct Row {
     outcome: Outcome,
-    /// The effect where the backend has answered nothing since the attempt was sent.
+    /// Effect if the backend has served no other attempt since this one was sent.
     effect: Effect,
-    /// The effect where it has answered another attempt.
+    /// Effect if the backend has served another attempt since this one was sent.
     effect_if_answered: Effect,
-    /// Which limits learn from it.
+    /// Limits that the sample updates if a timeout does not mean that the attempt was lost.
     limit_evidence: LimitEvidence,
-    /// Which limits learn from it where a timeout means that the attempt was lost.
+    /// Limits that the sample updates if a timeout means that the attempt was lost.
     evidence_if_timeout_means_lost: LimitEvidence,
 }
 
-/// A row whose effect and evidence do not depend on the circumstances.
+/// Returns a row whose effect and evidence are the same in all cases.
 const fn row(outcome: Outcome, effect: Effect, limit_evidence: LimitEvidence) -> Row {
     Row {
         outcome,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn every_outcome_has_the_effect_of_the_table() {
+fn the_effect_of_every_outcome_is_as_in_the_table() {
     for row in TABLE {
         for timeout_means_lost in [false, true] {
             let attempt = attempt(timeout_means_lost);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn every_outcome_is_evidence_for_the_limits_of_the_table() {
+fn the_limit_evidence_of_every_outcome_is_as_in_the_table() {
     for row in TABLE {
         for answered in [false, true] {
             let evidence_where = |timeout_means_lost| {
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_timeout_is_lost_where_the_backend_answered_nothing_meanwhile_and_a_reset_always() {
+fn a_reset_and_a_timeout_of_a_backend_that_served_nothing_meanwhile_count_as_lost() {
     for row in TABLE {
         let is_lost_where = |answered| classify(row.outcome, &attempt(false), answered).is_lost;
         let is_reset = row.outcome == Outcome::Reset;
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn only_failures_count_as_such_and_others_have_an_ordinary_weight() {
+fn only_failures_are_failures_and_other_effects_have_weight_one() {
     for effect in [FAILED, REFUSED_CONNECTION, BROKEN_CONNECTION] {
         assert!(effect.is_failure(), "{effect:?}");
     }
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_sample_is_the_latency_over_its_threshold_and_slow_without_a_response() {
+fn a_sample_is_latency_over_threshold_and_at_least_two_without_a_response() {
     let threshold = 100.0;
     assert_eq!(Effect::Responded.sample(50.0, threshold), 0.5);
     assert_eq!(Effect::Responded.sample(300.0, threshold), 3.0);
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -1,4 +1,4 @@
-//! The queue: requests without a backend that has available capacity wait briefly.
+//! The queue: requests wait briefly while no backend has available capacity.
 
 use super::requests::RequestKey;
 use crate::api::Micros;
@@ -6,32 +6,32 @@
 #[cfg(test)]
 mod tests;
 
-/// A request waits for this part of its remaining time.
+/// A request waits for its remaining time divided by this.
 const WAIT_DIVISOR: Micros = 10;
 
-/// Returns how long a request waits whose client gives it up at `deadline`.
+/// Returns the maximum wait of a request whose client times out at `deadline`.
 pub(crate) fn max_wait(now: Micros, deadline: Micros) -> Micros {
     deadline.saturating_sub(now) / WAIT_DIVISOR
 }
 
-/// The requests that wait, in the order of their arrival.
+/// The queued requests, in order of arrival.
 #[derive(Default)]
 pub(crate) struct WaitQueue {
     requests: Vec<RequestKey>,
 }
 
 impl WaitQueue {
-    /// Adds a request.
+    /// Appends a request.
     pub(crate) fn push(&mut self, request: RequestKey) {
         self.requests.push(request);
     }
 
-    /// Removes a request.
+    /// Removes a request; does nothing if it is not queued.
     pub(crate) fn remove(&mut self, request: RequestKey) {
         self.requests.retain(|&queued| queued != request);
     }
 
-    /// Returns the request of the greatest priority; of equal ones, the first that came.
+    /// Returns the request with the highest priority; among equal priorities, the one that arrived first.
     pub(crate) fn first_by_priority(
         &self,
         priority: impl Fn(RequestKey) -> f64,
--- a/src/balancer/queue/tests.rs
+++ b/src/balancer/queue/tests.rs
@@ -1,4 +1,4 @@
-//! The queue by itself.
+//! Unit tests of the queue.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     RequestKey::from_index(index)
 }
 
-/// Returns a queue of requests 0, 1, 2 and 3, in this order.
+/// Returns a queue of the requests 0, 1, 2 and 3, in this order.
 fn queue_of_four() -> WaitQueue {
     let mut queue = WaitQueue::default();
     for index in 0..4 {
@@ -29,21 +29,21 @@
 }
 
 #[test]
-fn the_request_of_the_greatest_priority_is_first() {
+fn the_request_with_the_highest_priority_is_first() {
     let priorities = [1.0, 3.0, 9.0, 2.0];
     let first = queue_of_four().first_by_priority(|request| priorities[request.index()]);
     assert_eq!(first, Some(key(2)));
 }
 
 #[test]
-fn of_equal_priorities_the_request_that_came_first_is_first() {
+fn among_equal_priorities_the_request_that_arrived_first_is_first() {
     let priorities = [1.0, 5.0, 5.0, 5.0];
     let first = queue_of_four().first_by_priority(|request| priorities[request.index()]);
     assert_eq!(first, Some(key(1)));
 }
 
 #[test]
-fn a_removed_request_waits_no_more_and_the_order_of_the_others_stays() {
+fn removing_a_request_keeps_the_order_of_the_others() {
     let mut queue = queue_of_four();
     queue.remove(key(0));
     assert_eq!(queue.first_by_priority(|_| 1.0), Some(key(1)));
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that this proxy took and that are queued or have attempts in flight.
+//! The open requests of this proxy: those that are queued or have attempts in flight.
 
 use super::backends::BackendKey;
 use crate::api::{ClassIndex, Micros, RequestId};
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Key of a request in the [`RequestTable`]. It stays the same as long as the request is open.
+/// Key of a request in the [`RequestTable`]. It is stable while the request is open and is reused afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RequestKey(u32);
 
@@ -24,13 +24,14 @@
     }
 }
 
-/// Whether an attempt is still in flight, and what is known of it if not.
+/// Whether an attempt is in flight, or may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AttemptState {
+    /// The attempt has not ended. The backend may have executed the request.
     InFlight,
-    /// It ended, and the backend did not run the request.
+    /// The attempt ended, and the backend did not execute the request.
     NotExecuted,
-    /// It ended, and the backend may have run the request.
+    /// The attempt ended, and the backend may have executed the request.
     MayHaveExecuted,
 }
 
@@ -39,21 +40,21 @@
 pub(crate) struct Attempt {
     pub(crate) backend: BackendKey,
     pub(crate) sent_at: Micros,
-    /// How long its connection had been idle, as estimated; 0 for a new one.
+    /// Estimated idle time of the connection before the attempt; 0 for a new connection.
     pub(crate) connection_idle: Micros,
-    /// It times out so late compared with its work that a timeout means that it was lost.
+    /// Whether a timeout means that the attempt was lost: it times out late compared with the usual latency.
     pub(crate) timeout_means_lost: bool,
-    /// When it is overdue.
+    /// Time from which the attempt is overdue.
     pub(crate) overdue_at: Micros,
-    /// It is the single request that shows whether its backend has recovered.
+    /// Whether the attempt is a trial request, whose outcome shows whether its backend has recovered.
     pub(crate) is_trial: bool,
-    /// Its response is streamed and has begun: the backend's work is done.
+    /// Whether a streamed response has started: the backend has done its work.
     pub(crate) response_started: bool,
     pub(crate) state: AttemptState,
 }
 
 impl Attempt {
-    /// Returns an attempt that is sent now, on a new connection.
+    /// Returns an attempt that is sent now on a new connection, with the other fields at their defaults.
     pub(crate) fn new(backend: BackendKey, now: Micros) -> Self {
         Self {
             backend,
@@ -68,27 +69,27 @@
     }
 }
 
-/// A request that this proxy took and that is queued or has attempts in flight.
+/// A request that is queued or has attempts in flight.
 pub(crate) struct OpenRequest {
     pub(crate) id: RequestId,
     pub(crate) class: ClassIndex,
     pub(crate) arrived_at: Micros,
     pub(crate) deadline: Micros,
-    /// Its tenant is over its quota.
+    /// Whether the request's tenant was over its quota when the request arrived.
     pub(crate) over_quota: bool,
-    /// It is over for the client, which has its final answer or has disconnected.
+    /// Whether the client has its final answer or has disconnected.
     pub(crate) closed: bool,
-    /// A response is being streamed to the client.
+    /// Whether a response is being streamed to the client.
     pub(crate) streaming: bool,
-    /// Its body is not buffered any more: it can't be sent again.
+    /// Whether the request's body is no longer buffered, so that the request cannot be sent again.
     pub(crate) body_consumed: bool,
-    /// Until when it waits for available capacity, while it does.
+    /// End of the wait in the queue; `None` while the request is not queued.
     pub(crate) queued_until: Option<Micros>,
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl OpenRequest {
-    /// Returns a request without attempts.
+    /// Returns a request that is not queued and has no attempts.
     pub(crate) fn new(
         id: RequestId,
         class: ClassIndex,
@@ -110,14 +111,14 @@
         }
     }
 
-    /// Whether an attempt is in flight.
+    /// Reports whether an attempt is in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Returns the first attempt that a backend may have run. One that is in flight counts.
+    /// Returns the first attempt that may have been executed; this includes attempts in flight.
     pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
@@ -125,7 +126,7 @@
     }
 }
 
-/// The open requests. Keys are used again.
+/// The open requests by key and by id. The keys of removed requests are reused.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     entries: Vec<OpenRequest>,
@@ -134,24 +135,25 @@
 }
 
 impl RequestTable {
-    /// Finds the key of a request.
+    /// Returns the key of an open request.
     pub(crate) fn find(&self, id: RequestId) -> Option<RequestKey> {
         self.by_id.get(&id).copied()
     }
 
-    /// Returns the entry of a key that may be out of date, such as that of a timer.
+    /// Returns the entry of a key that may be out of date, such as the key in a timer. The entry may belong to a later
+    /// request, or be unused.
     pub(crate) fn get(&self, key: RequestKey) -> Option<&OpenRequest> {
         self.entries.get(key.index())
     }
 
-    /// Adds a request.
+    /// Adds a request and returns its key.
     pub(crate) fn insert(&mut self, mut request: OpenRequest) -> RequestKey {
         let next = RequestKey::from_index(self.entries.len());
         let key = self.free.pop().unwrap_or(next);
         self.by_id.insert(request.id, key);
         match self.entries.get_mut(key.index()) {
             Some(unused) => {
-                // The list of attempts keeps its memory: no allocation on the hot path.
+                // Reuses the memory of the list of attempts, to avoid an allocation on the hot path.
                 std::mem::swap(&mut request.attempts, &mut unused.attempts);
                 request.attempts.clear();
                 *unused = request;
@@ -161,7 +163,7 @@
         key
     }
 
-    /// Removes a request.
+    /// Removes a request and frees its key.
     pub(crate) fn remove(&mut self, key: RequestKey) {
         let id = self[key].id;
         self.by_id.remove(&id);
--- a/src/balancer/requests/tests.rs
+++ b/src/balancer/requests/tests.rs
@@ -1,4 +1,4 @@
-//! The open requests and their table.
+//! Unit tests of open requests and the request table.
 
 use super::*;
 use crate::balancer::backends::{BackendState, BackendTable};
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_key_that_was_never_given_out_has_no_request() {
+fn get_returns_none_for_a_key_that_was_never_assigned() {
     let requests = RequestTable::default();
     assert!(requests.get(RequestKey::from_index(0)).is_none());
 }
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_first_attempt_that_may_have_run_is_the_first_not_known_to_be_unexecuted() {
+fn first_possibly_executed_skips_attempts_that_were_not_executed() {
     for state in [AttemptState::InFlight, AttemptState::MayHaveExecuted] {
         let mut request = open_request(1);
         request
@@ -71,7 +71,7 @@
         assert!(request.first_possibly_executed().is_none());
         request.attempts.push(attempt(20, state));
         request.attempts.push(attempt(30, state));
-        let first = request.first_possibly_executed().expect("it may have run");
+        let first = request.first_possibly_executed().expect("the second attempt may have been executed");
         assert_eq!(first.sent_at, 20);
     }
 }
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -1,5 +1,5 @@
-//! Retries: where a further attempt may go, whether a rejection is harmless (rule 2), and how many retries this proxy
-//! may make.
+//! Retries: the scope of backends for a further attempt and whether a rejection is harmless (rule 2, idempotency), and
+//! the retry budget of this proxy.
 
 use super::backends::BackendTable;
 use super::requests::OpenRequest;
@@ -8,12 +8,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Tokens that each request adds: the part of the requests that may be retried after an attempt that may have run.
+/// Tokens that each request adds to the budget: the fraction of requests that may be retried after an attempt that may
+/// have been executed.
 const TOKENS_PER_REQUEST: f64 = 0.1;
-/// The most tokens, and thus retries in a burst.
+/// Capacity of the budget in tokens: the maximum number of retries in a burst.
 const MAX_TOKENS: f64 = 10.0;
 
-/// The retries that this proxy may make after attempts that may have run, so that retries cannot multiply an overload.
+/// Token bucket for the retries of this proxy after attempts that may have been executed. It keeps retries from
+/// multiplying the load of overloaded backends.
 pub(crate) struct RetryBudget {
     tokens: f64,
 }
@@ -24,36 +26,37 @@
         Self { tokens: MAX_TOKENS }
     }
 
-    /// Adds what one request allows.
+    /// Adds the tokens of one request.
     pub(crate) fn deposit(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Whether a retry may be made.
+    /// Reports whether the budget permits a retry.
     pub(crate) fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes the token of a retry.
+    /// Removes the token of one retry.
     pub(crate) fn withdraw(&mut self) {
         self.tokens -= 1.0;
     }
 }
 
-/// Where the next attempt of a request may go.
+/// The backends that the next attempt of a request may be sent to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RetryScope {
-    /// To any backend.
+    /// All backends.
     Anywhere,
-    /// To a backend of this zone.
+    /// The backends of this zone.
     Zone(Zone),
-    /// To a backend of this cell.
+    /// The backends of this cell.
     Cell(Cell),
-    /// Nowhere.
+    /// No backend: no further attempt is permitted.
     Nowhere,
 }
 
-/// Returns where the next attempt of a request may go (rule 2). An attempt in flight counts as one that may have run.
+/// Returns the scope of backends that the next attempt of a request may be sent to (rule 2). An attempt in flight counts
+/// as one that may have been executed.
 pub(crate) fn next_attempt_scope(
     now: Micros,
     request: &OpenRequest,
@@ -87,7 +90,7 @@
     }
 }
 
-/// Whether a request may be rejected, which promises the client that a retry is harmless (rule 2).
+/// Reports whether a request may be rejected: a rejection promises the client that a retry is harmless (rule 2).
 pub(crate) fn is_rejection_harmless(
     now: Micros,
     request: &OpenRequest,
@@ -105,8 +108,8 @@
     }
 }
 
-/// Returns when backends may forget the idempotency key of a request that may have run (rule 2); `None` for a request
-/// without a key, or one that has not run.
+/// Returns the time from which backends may forget the idempotency key of a request (rule 2); `None` if the request has
+/// no key or was certainly not executed.
 pub(crate) fn key_expires_at(request: &OpenRequest, idempotency: Idempotency) -> Option<Micros> {
     let Idempotency::Keyed { ttl, .. } = idempotency else {
         return None;
--- a/src/balancer/retries/tests.rs
+++ b/src/balancer/retries/tests.rs
@@ -1,4 +1,4 @@
-//! Retries by themselves: the budget, and rule 2 over every idempotency and key scope.
+//! Unit tests of the retry budget, and of rule 2 (idempotency) for every idempotency and key scope.
 
 use super::*;
 use crate::api::{BackendId, ClassIndex, RequestId};
@@ -8,7 +8,7 @@
 
 const SENT_AT: Micros = 3 * SECOND;
 const TTL: Micros = SECOND;
-/// The last time at which backends are sure to know the key.
+/// Last time at which every backend in the scope still knows the key.
 const BEFORE_EXPIRY: Micros = SENT_AT + TTL - 1;
 const AT_EXPIRY: Micros = SENT_AT + TTL;
 
@@ -35,7 +35,7 @@
     keyed(KeyScope::Cell),
 ];
 
-/// Two backends of different zones and cells.
+/// A table with two backends in different zones and cells.
 struct Backends {
     table: BackendTable,
     first: BackendKey,
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_request_that_no_backend_ran_may_go_anywhere() {
+fn a_request_that_was_not_executed_may_be_sent_to_any_backend() {
     let backends = Backends::new();
     let not_executed = attempt(backends.first, SENT_AT, AttemptState::NotExecuted);
     for attempts in [vec![], vec![not_executed], vec![not_executed; 2]] {
@@ -100,13 +100,13 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_goes_where_its_idempotency_permits() {
+fn a_request_that_may_have_been_executed_is_limited_to_the_scope_of_its_idempotency() {
     let backends = Backends::new();
     let executed = attempt(backends.first, SENT_AT, AttemptState::MayHaveExecuted);
     let request = open_request(vec![executed]);
     let zone = RetryScope::Zone(Zone(2));
     let cell = RetryScope::Cell(Cell(5));
-    // Each with the scope before the key expires and from then on.
+    // Scopes before the key expires and from its expiry on.
     let expected = [
         (RetryScope::Anywhere, RetryScope::Anywhere),
         (RetryScope::Nowhere, RetryScope::Nowhere),
@@ -122,9 +122,9 @@
 }
 
 #[test]
-fn a_rejection_is_harmless_only_while_any_backend_would_drop_a_repeat() {
+fn a_rejection_is_harmless_only_while_every_backend_drops_a_repeated_key() {
     let backends = Backends::new();
-    // Each before the key expires and from then on.
+    // Whether a rejection is harmless before the key expires and from its expiry on.
     let expected = [
         (true, true),
         (false, false),
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn the_first_attempt_that_may_have_run_decides_on_scope_and_expiry() {
+fn scope_and_expiry_follow_the_first_attempt_that_may_have_been_executed() {
     let backends = Backends::new();
     let request = open_request(vec![
         attempt(backends.second, SENT_AT - SECOND, AttemptState::NotExecuted),
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn only_keyed_requests_have_a_key_that_expires() {
+fn key_expires_at_is_none_for_requests_without_a_key() {
     let backends = Backends::new();
     let executed = attempt(backends.first, SENT_AT, AttemptState::MayHaveExecuted);
     let request = open_request(vec![executed]);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_key_without_end_does_not_overflow() {
+fn the_longest_time_to_live_of_a_key_does_not_overflow() {
     let backends = Backends::new();
     let executed = attempt(backends.first, SENT_AT, AttemptState::MayHaveExecuted);
     let request = open_request(vec![executed]);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_second_attempt_in_flight_needs_the_permission_to_hedge() {
+fn a_second_attempt_in_flight_requires_the_hedging_permission() {
     let backends = Backends::new();
     let in_flight = attempt(backends.first, SENT_AT, AttemptState::InFlight);
     let request = open_request(vec![in_flight]);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_request_that_is_over_or_cannot_be_sent_again_goes_nowhere() {
+fn a_closed_streaming_or_consumed_request_gets_no_further_attempt() {
     let backends = Backends::new();
     let answered = OpenRequest {
         closed: true,
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn a_request_makes_at_most_the_permitted_attempts() {
+fn a_request_gets_at_most_the_permitted_number_of_attempts() {
     let backends = Backends::new();
     let not_executed = attempt(backends.first, SENT_AT, AttemptState::NotExecuted);
     for (attempts, expected) in [(2, RetryScope::Anywhere), (3, RetryScope::Nowhere)] {
@@ -270,7 +270,7 @@
     }
 }
 
-/// Withdraws until the budget is empty; returns how often.
+/// Empties the budget and returns the number of tokens that it held.
 fn empty(budget: &mut RetryBudget) -> u32 {
     let mut withdrawals = 0;
     while budget.has_token() {
@@ -293,7 +293,7 @@
         budget.deposit();
     }
     assert!(!budget.has_token());
-    // Tenths add up to a whole but for a rounding error, so that the tenth deposit itself may fall short.
+    // Ten deposits of 0.1 may add up to slightly less than 1, so the last deposit of a token may fall short.
     budget.deposit();
     budget.deposit();
     assert_eq!(empty(&mut budget), 1);
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -1,4 +1,4 @@
-//! What the unit tests of several policies share.
+//! Helpers shared by the unit tests of the policies.
 
 use super::time::SECOND;
 use crate::api::{
@@ -8,7 +8,7 @@
 
 pub(super) const MS: Micros = SECOND / 1_000;
 
-/// Returns an idempotent class.
+/// Returns an idempotent class with this latency objective.
 pub(super) fn class(latency_objective: Micros) -> Class {
     Class {
         latency_objective,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Asserts that two figures are the same but for rounding errors.
+/// Asserts that two values are equal up to rounding errors.
 pub(super) fn assert_close(actual: f64, expected: f64) {
     let tolerance = expected.abs() * 1e-9;
     assert!(
--- a/src/balancer/time.rs
+++ b/src/balancer/time.rs
@@ -1,14 +1,14 @@
-//! Units of time in the decisions.
+//! Units of time of the balancer.
 
 use crate::api::Micros;
 
-/// A second, in microseconds.
+/// One second, in microseconds.
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// Microseconds of a second, for rates.
+/// Microseconds per second, for rates.
 pub(crate) const MICROS_PER_SECOND: f64 = SECOND as f64;
 
-/// Converts a span to seconds.
+/// Converts a duration to seconds.
 pub(crate) fn seconds(span: Micros) -> f64 {
     span as f64 / MICROS_PER_SECOND
 }
--- a/src/balancer/timers.rs
+++ b/src/balancer/timers.rs
@@ -1,27 +1,27 @@
-//! What the balancer's timers are for, and how that is kept in a timer's token.
+//! The balancer's timers and their encoding as tokens.
 
 use super::requests::RequestKey;
 
 #[cfg(test)]
 mod tests;
 
-/// Bits of a token that tell the purpose; the others hold the request's key.
+/// Number of low bits of a token that hold the purpose of the timer. The other bits hold the request's key.
 const PURPOSE_BITS: u32 = 2;
 const PURPOSE_MASK: u32 = (1 << PURPOSE_BITS) - 1;
 const QUEUE_TIMEOUT: u32 = 0;
 const SUBSCRIBE: u32 = 1;
 
-/// A timer of the balancer.
+/// A timer that the balancer sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// A queued request has waited for its time.
+    /// A queued request has waited for its maximum time.
     QueueTimeout(RequestKey),
-    /// Discovery is to be asked for changes.
+    /// A call to discovery is due.
     Subscribe,
 }
 
 impl Timer {
-    /// Returns the token that comes back with the timer.
+    /// Returns the token that the timer event returns.
     pub(crate) fn token(self) -> u32 {
         match self {
             Self::QueueTimeout(request) => (request.index() as u32) << PURPOSE_BITS | QUEUE_TIMEOUT,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns the timer of a token, or `None` for a token that was not made here.
+    /// Returns the timer of a token; `None` if the token has an unknown purpose.
     pub(crate) fn from_token(token: u32) -> Option<Self> {
         let index = (token >> PURPOSE_BITS) as usize;
         match token & PURPOSE_MASK {
--- a/src/balancer/timers/tests.rs
+++ b/src/balancer/timers/tests.rs
@@ -1,9 +1,9 @@
-//! The tokens of timers.
+//! Unit tests of the tokens of timers.
 
 use super::*;
 use std::collections::BTreeSet;
 
-/// Indices up to the greatest that a token has bits for.
+/// Indices of request keys, up to the greatest that fits into a token.
 const INDICES: [usize; 5] = [0, 1, 2, 1_000_000, (1 << 30) - 1];
 
 fn all_timers() -> Vec<Timer> {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_token_leads_back_to_its_timer() {
+fn from_token_returns_the_timer_of_a_token() {
     for timer in all_timers() {
         assert_eq!(Timer::from_token(timer.token()), Some(timer));
     }
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_token_of_an_unknown_purpose_has_no_timer() {
+fn from_token_returns_none_for_an_unknown_purpose() {
     for unknown_purpose in [2, 3] {
         for index in [0, 1, u32::MAX >> PURPOSE_BITS] {
             let token = index << PURPOSE_BITS | unknown_purpose;
