--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -9,7 +9,8 @@
 use crate::api::{Action, AttemptEnd, Idempotency, Micros, Outcome, RequestId};
 
 /// Timeout of an attempt that may be retried, of a class that is not quick, as a multiple of the class's mean latency.
-/// That is past the latency objective, so the constant only bounds how long a lost attempt delays its retry.
+/// Such a class has a mean above a twentieth of its latency objective, so this timeout is past the objective and only
+/// bounds how long a lost attempt delays its retry.
 const LOST_OVER_MEAN: f64 = 24.0;
 
 /// The timeout of an attempt.
