--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -40,6 +40,17 @@
 }
 
 /// Declares an index type, distinct from all others.
+///
+/// # Example
+/// ```
+/// tillerproxy::index_type! {
+///     /// Index of a rack, from 0.
+///     Rack(u16)
+/// }
+///
+/// assert_eq!(Rack(7).index(), 7);
+/// ```
+#[macro_export]
 macro_rules! index_type {
     ($(#[$documentation:meta])* $name:ident($number:ty)) => {
         $(#[$documentation])*
