--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Handles a request that must not be queued, or no longer: sends it if a backend has available capacity now and its
-    /// response would still be useful, and otherwise answers it unless an attempt is in flight.
+    /// Handles a request that must not be queued, or no longer: sends it if a backend has available capacity now and
+    /// its response would still be useful, and otherwise answers it unless an attempt is in flight.
     pub(super) fn send_or_give_up(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         if !self.is_past_objective(now, key)
             && let Some(backend) = self.select_backend(now, key)
@@ -95,9 +95,9 @@
         scope != RetryScope::Nowhere && !self.is_past_objective(now, key)
     }
 
-    /// Reports whether the response to an attempt that starts now would come too late to earn any priority weight: after
-    /// the latency objective if a late response of the class earns nothing, and after the client's timeout otherwise. The
-    /// response is expected after half the mean latency.
+    /// Reports whether the response to an attempt that starts now would come too late to earn any priority weight:
+    /// after the latency objective if a late response of the class earns nothing, and after the client's timeout
+    /// otherwise. The response is expected after half the mean latency.
     fn is_past_objective(&self, now: Micros, key: RequestKey) -> bool {
         let request = &self.requests[key];
         let class = self.settings.class(request.class);
@@ -128,8 +128,8 @@
 
     /// Gives the final answer to a request, if it has none (rule 1, one final answer). No other function gives one.
     ///
-    /// The answer is a rejection wherever a retry by the client is harmless (rule 2, idempotency). An idempotent request
-    /// is therefore always rejected, however its attempts failed.
+    /// The answer is a rejection wherever a retry by the client is harmless (rule 2, idempotency). An idempotent
+    /// request is therefore always rejected, however its attempts failed.
     fn answer(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         let open = &self.requests[key];
         if open.closed {
@@ -181,8 +181,8 @@
         self.requests.remove(key);
     }
 
-    /// Queues a request until a backend has available capacity, for at most the maximum wait. This counts as reaching the
-    /// limits of all machine types, so that they may grow.
+    /// Queues a request until a backend has available capacity, for at most the maximum wait. This counts as reaching
+    /// the limits of all machine types, so that they may grow.
     fn enqueue(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         let wait = max_wait(now, self.requests[key].deadline);
         for limit in &mut self.machine_type_limits {
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -22,8 +22,8 @@
 }
 
 impl Balancer {
-    /// Starts an attempt on a backend that [`Balancer::select_backend`] returned for the request. No other function starts
-    /// one.
+    /// Starts an attempt on a backend that [`Balancer::select_backend`] returned for the request. No other function
+    /// starts one.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -55,11 +55,11 @@
         self.reindex(now, backend);
     }
 
-    /// Assigns the connection of the next attempt on a backend and returns the connection's estimated idle time; 0 for a
-    /// new connection.
+    /// Assigns the connection of the next attempt on a backend and returns the connection's estimated idle time; 0 for
+    /// a new connection.
     ///
-    /// If the connection has been idle for too long to be trusted, the idle connections to the backend are closed first,
-    /// so that the attempt uses a new one.
+    /// If the connection has been idle for too long to be trusted, the idle connections to the backend are closed
+    /// first, so that the attempt uses a new one.
     fn take_connection(&mut self, now: Micros, key: BackendKey, out: &mut Vec<Action>) -> Micros {
         let per_connection = self.requests_per_connection();
         let backend = &mut self.backends[key];
@@ -81,8 +81,8 @@
     /// Returns the timeout of an attempt that starts now.
     ///
     /// Deviation: an attempt that may be retried times out before the request's deadline. Without a response long after
-    /// the usual latency, it was probably lost (its connection may have failed unnoticed), and waiting until the deadline
-    /// would leave no time for a retry.
+    /// the usual latency, it was probably lost (its connection may have failed unnoticed), and waiting until the
+    /// deadline would leave no time for a retry.
     fn attempt_timeout(&self, now: Micros, request: RequestKey) -> AttemptTimeout {
         let request = &self.requests[request];
         let class = self.settings.class(request.class);
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Returns the time at which an attempt that starts now is overdue. In a class that is not quick, that is the class's
-    /// timeout.
+    /// Returns the time at which an attempt that starts now is overdue. In a class that is not quick, that is the
+    /// class's timeout.
     fn overdue_at(&self, now: Micros, request: RequestKey) -> Micros {
         let index = self.requests[request].class;
         let class = self.settings.class(index);
@@ -152,9 +152,9 @@
 
     /// Handles the start of a streamed response.
     ///
-    /// Deviation: the slot is freed and the latency recorded when the response starts, not when it ends. The backend has
-    /// done its work by that time, and the time that the client takes to read the response must neither occupy the slot
-    /// nor count as latency.
+    /// Deviation: the slot is freed and the latency recorded when the response starts, not when it ends. The backend
+    /// has done its work by that time, and the time that the client takes to read the response must neither occupy the
+    /// slot nor count as latency.
     pub(super) fn on_response_started(
         &mut self,
         now: Micros,
@@ -192,8 +192,8 @@
         self.serve_queue(now, out);
     }
 
-    /// Handles the end of an attempt: updates the policies, and closes or retries the request. The end of an attempt that
-    /// is unknown or has already ended is ignored.
+    /// Handles the end of an attempt: updates the policies, and closes or retries the request. The end of an attempt
+    /// that is unknown or has already ended is ignored.
     ///
     /// If the response was streamed, the policies were updated when it started; only the load report is new.
     pub(super) fn on_attempt_ended(
--- a/src/balancer/limit_updates.rs
+++ b/src/balancer/limit_updates.rs
@@ -25,8 +25,8 @@
         limit.record(now, sample, machine_type_limit, fraction);
     }
 
-    /// Updates the limit of a machine type with a sample. If the sample completes a window, backends of the type that have
-    /// a limit of their own may return to the limit of the type.
+    /// Updates the limit of a machine type with a sample. If the sample completes a window, backends of the type that
+    /// have a limit of their own may return to the limit of the type.
     pub(super) fn update_machine_type_limit(
         &mut self,
         now: Micros,
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -8,7 +8,7 @@
 //! the requests in flight (`selection`). If no backend has available capacity, the request is queued for a tenth of its
 //! remaining time (`queue`) and then rejected (`admission`).
 //!
-//! A comment that begins with `Deviation:` marks a place that deviates from this path, and states the condition and the
+//! A comment that begins with `Deviation` marks a place that deviates from this path, and states the condition and the
 //! reason. `docs/design.md` lists all of them.
 //!
 //! # Rules
@@ -18,9 +18,9 @@
 //! - Rule 1 (one final answer): each request gets exactly one final answer before its client's timeout, and nothing is
 //!   started for it afterwards (`admission`).
 //! - Rule 2 (idempotency): which attempts may follow one another depends on idempotency (`retries`). A non-idempotent
-//!   request is never executed twice. A keyed request is sent again only within its key's window and scope. A client gets
-//!   429 or 503 only where a retry by the client is harmless. Two attempts are never in flight at once unless hedging is
-//!   permitted.
+//!   request is never executed twice. A keyed request is sent again only within its key's window and scope. A client
+//!   gets 429 or 503 only where a retry by the client is harmless. Two attempts are never in flight at once unless
+//!   hedging is permitted.
 //! - Rule 3 (draining): nothing new is sent to a backend that is draining or removed (`index`).
 //! - Rule 4 (slow start): what a backend is sent during slow start stays below the load at which it collapses, for the
 //!   sum of all proxies (`slow_start`).
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Returns the number of listed backends that are draining, ejected and not yet readmitted, unresponsive, or counted
-    /// as without capacity after a rejection. Backends at their limit or in slow start are not included.
+    /// Returns the number of listed backends that are draining, ejected and not yet readmitted, unresponsive, or
+    /// counted as without capacity after a rejection. Backends at their limit or in slow start are not included.
     #[must_use]
     pub fn avoided_backends(&self, now: Micros) -> usize {
         let classes = self.settings.classes.iter().enumerate();
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -38,7 +38,8 @@
     ///    skip the steps below: the connection is to blame and not the backend.
     /// 7. Record the sample as recent latency.
     /// 8. Record the outcome for outlier detection.
-    /// 9. Update the limits with the sample and then with the load report, unless the outcome is no evidence for limits.
+    /// 9. Update the limits with the sample and then with the load report, unless the outcome is no evidence for
+    ///    limits.
     pub(super) fn observe(
         &mut self,
         now: Micros,
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -66,8 +66,8 @@
 /// The limits that a sample is evidence for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum LimitEvidence {
-    /// No limit. The attempt was lost or its response damaged between the proxy and the backend, and a few such attempts
-    /// must not reduce the limits of all backends.
+    /// No limit. The attempt was lost or its response damaged between the proxy and the backend, and a few such
+    /// attempts must not reduce the limits of all backends.
     None,
     /// The limit of the backend only. A fault of the backend is no evidence for the load of others of its machine type.
     Backend,
@@ -80,15 +80,15 @@
 pub(crate) struct Classification {
     /// Effect on the state of the backend.
     pub(crate) effect: Effect,
-    /// Whether the attempt may have been lost on its connection: it timed out while the backend served no other attempt,
-    /// or its connection broke. If the connection had been idle, that may be the cause.
+    /// Whether the attempt may have been lost on its connection: it timed out while the backend served no other
+    /// attempt, or its connection broke. If the connection had been idle, that may be the cause.
     pub(crate) is_lost: bool,
     /// Limits that the sample updates.
     pub(crate) limit_evidence: LimitEvidence,
 }
 
-/// Classifies the end of an attempt. `backend_answered` states whether the backend has served another attempt since this
-/// one was sent.
+/// Classifies the end of an attempt. `backend_answered` states whether the backend has served another attempt since
+/// this one was sent.
 pub(crate) fn classify(
     outcome: Outcome,
     attempt: &Attempt,
@@ -125,7 +125,8 @@
 
 /// Returns the limits that an outcome is evidence for.
 ///
-/// Deviation from plain AIMD: a response that was damaged, lost or cut off between the backend and the proxy is no sample.
+/// Deviation from plain AIMD: a response that was damaged, lost or cut off between the backend and the proxy is no
+/// sample.
 fn limit_evidence_of(outcome: Outcome, attempt: &Attempt) -> LimitEvidence {
     match outcome {
         Outcome::CorruptResponse | Outcome::Reset | Outcome::NotSent => LimitEvidence::None,
--- a/src/balancer/quotas.rs
+++ b/src/balancer/quotas.rs
@@ -1,7 +1,7 @@
 //! Tenants' quotas: a token bucket for each tenant, and the recent requests of all tenants.
 //!
-//! The cost of a request does not depend on the number of tenants: the sum over all tenants is updated with each request
-//! instead of being computed anew.
+//! The cost of a request does not depend on the number of tenants: the sum over all tenants is updated with each
+//! request instead of being computed anew.
 
 use super::time::{MICROS_PER_SECOND, SECOND};
 use crate::api::{Micros, Settings, TenantIndex};
@@ -106,10 +106,10 @@
 
     /// Charges a request to its tenant's quota and reports whether the tenant is over its quota.
     ///
-    /// A tenant is over its quota if it has no token left and also uses a larger part of its quota at this proxy than the
-    /// tenants do on average. The second condition is there because the quota per proxy assumes that traffic is spread
-    /// evenly over the proxies. When other proxies have failed, this one receives more than its even part, and without
-    /// the comparison all tenants would be over their quotas.
+    /// A tenant is over its quota if it has no token left and also uses a larger part of its quota at this proxy than
+    /// the tenants do on average. The second condition is there because the quota per proxy assumes that traffic is
+    /// spread evenly over the proxies. When other proxies have failed, this one receives more than its even part, and
+    /// without the comparison all tenants would be over their quotas.
     pub(crate) fn charge(&mut self, now: Micros, tenant: TenantIndex) -> bool {
         !self.withdraw(now, tenant) && self.is_above_average(now, tenant)
     }
@@ -136,8 +136,8 @@
         tenant.withdraw()
     }
 
-    /// Reports whether a tenant uses a larger part of its quota than the tenants do on average. Requires that `withdraw` was
-    /// just called with the same time.
+    /// Reports whether a tenant uses a larger part of its quota than the tenants do on average. Requires that
+    /// `withdraw` was just called with the same time.
     fn is_above_average(&self, now: Micros, index: TenantIndex) -> bool {
         let Some(tenant) = self.tenants.get(index.index()) else {
             return false;
--- a/src/balancer/requests/tests.rs
+++ b/src/balancer/requests/tests.rs
@@ -71,7 +71,9 @@
         assert!(request.first_possibly_executed().is_none());
         request.attempts.push(attempt(20, state));
         request.attempts.push(attempt(30, state));
-        let first = request.first_possibly_executed().expect("the second attempt may have been executed");
+        let first = request
+            .first_possibly_executed()
+            .expect("the second attempt may have been executed");
         assert_eq!(first.sent_at, 20);
     }
 }
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -55,8 +55,8 @@
     Nowhere,
 }
 
-/// Returns the scope of backends that the next attempt of a request may be sent to (rule 2). An attempt in flight counts
-/// as one that may have been executed.
+/// Returns the scope of backends that the next attempt of a request may be sent to (rule 2). An attempt in flight
+/// counts as one that may have been executed.
 pub(crate) fn next_attempt_scope(
     now: Micros,
     request: &OpenRequest,
