--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -1,10 +1,13 @@
-//! Settings, backends and requests that the tests of the decisions begin with.
+//! Default settings, backends and requests for tests of the decisions.
 
 use tillerproxy::api::*;
 
+/// One millisecond.
 pub const MS: Micros = 1_000;
+/// One second.
 pub const SECOND: Micros = 1_000_000;
 
+/// Returns a class with a latency objective of 500 ms and a timeout of 2 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 500 * MS,
@@ -16,8 +19,8 @@
     }
 }
 
-/// Two zones, one proxy, one class of each idempotency: idempotent, non-idempotent, keyed for all backends, for a zone,
-/// for a cell.
+/// Returns settings with two zones, one proxy and five classes: 0 idempotent, 1 non-idempotent, and three keyed ones
+/// whose key scope is all backends (2), a zone (3) or a cell (4).
 pub fn settings() -> Settings {
     let keyed = |scope| {
         class(Idempotency::Keyed {
@@ -65,7 +68,7 @@
     }
 }
 
-/// A warm backend; even ids in zone 0, odd ones in zone 1, cells of three.
+/// Returns a ready backend that is warm. Even ids are in zone 0, odd ids in zone 1; a cell has three backends.
 pub fn backend(id: u32) -> Backend {
     Backend {
         id: BackendId(id),
@@ -77,6 +80,7 @@
     }
 }
 
+/// Returns a request of tenant 0 with a timeout of 2 s.
 pub fn request(id: u32, class: u8) -> Request {
     Request {
         id: RequestId(id),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,8 @@
-//! A simulated proxy around the balancer: it keeps timers and attempts, and checks the four rules from outside.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A simulated proxy that runs one balancer: it keeps simulated time, timers and attempts, and checks each action.
+//!
+//! The checks cover rule 1 (one final answer), rule 2 (idempotency) and rule 3 (draining). Rule 4 (slow start) concerns
+//! several proxies and is checked in `tests/rules/slow_start.rs`.
+#![allow(dead_code, reason = "each test crate uses only some of these items")]
 
 mod fixtures;
 
@@ -10,18 +13,23 @@
 use tillerproxy::api::*;
 use tillerproxy::balancer::Balancer;
 
-/// How far past its deadline a request may be answered.
-const SLACK: Micros = 20 * MS;
-/// Simulated time passes in steps of this length.
+/// Longest time after its deadline at which a request may get its final answer.
+const MAX_ANSWER_DELAY: Micros = 20 * MS;
+/// Length of a step of simulated time.
 const TICK: Micros = 5 * MS;
 
+/// State of an attempt, as far as its backend may have executed the request.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum AttemptState {
+    /// The attempt has not ended. The request counts as possibly executed.
     InFlight,
+    /// The attempt has ended, and its outcome proves that the backend did not execute the request.
     NotExecuted,
+    /// The attempt has ended, and the backend may have executed the request.
     MayHaveExecuted,
 }
 
+/// An attempt that the balancer has started.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub backend: BackendId,
@@ -30,15 +38,18 @@
     pub state: AttemptState,
 }
 
+/// A request that was submitted, with all its attempts.
 #[derive(Clone, Debug)]
 pub struct TrackedRequest {
     pub class: u8,
+    /// Time of the client's timeout.
     pub deadline: Micros,
+    /// Whether the request has its final answer or its client has disconnected.
     pub ended: bool,
     pub attempts: Vec<Attempt>,
 }
 
-/// An attempt that has not ended.
+/// The ids of an attempt that is in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
     pub request: RequestId,
@@ -47,46 +58,49 @@
     pub backend: BackendId,
 }
 
-/// An action of the balancer, with its time.
+/// An action of the balancer and the time at which it was returned.
 #[derive(Clone, PartialEq, Debug)]
 pub struct LoggedAction {
     pub at: Micros,
     pub action: Action,
 }
 
+/// A timer that the balancer has set and that has not fired.
 #[derive(Clone, Copy)]
 struct PendingTimer {
     due_at: Micros,
     token: u32,
 }
 
-/// One balancer with a simulated proxy around it.
+/// A balancer with the simulated time, timers and attempts of its proxy.
 pub struct SimulatedProxy {
     pub now: Micros,
     pub settings: Settings,
     pub balancer: Balancer,
     pub backends: BTreeMap<BackendId, Backend>,
-    /// Backends that are draining or removed as the balancer was notified, and since when.
+    /// Backends that are draining or removed, with the time at which the balancer was notified of it.
     pub unavailable: BTreeMap<BackendId, Micros>,
     pub requests: BTreeMap<RequestId, TrackedRequest>,
     timers: Vec<PendingTimer>,
+    /// All actions of the balancer so far.
     pub log: Vec<LoggedAction>,
 }
 
 impl SimulatedProxy {
+    /// Returns a proxy whose balancer has a fixed seed and has received these backends as a cached list.
     pub fn new(settings: Settings, backends: impl IntoIterator<Item = Backend>) -> Self {
         let seed = 7 + u64::from(settings.proxy_index);
-        Self::seeded(settings, seed, backends)
+        Self::with_seed(settings, seed, backends)
     }
 
-    /// One whose random numbers come from this seed.
-    pub fn seeded(
+    /// Returns a proxy whose balancer has the seed `seed` and has received these backends as a cached list.
+    pub fn with_seed(
         settings: Settings,
         seed: u64,
         backends: impl IntoIterator<Item = Backend>,
     ) -> Self {
-        let balancer =
-            Balancer::new(settings.clone(), seed, SECOND).expect("the settings make sense");
+        let balancer = Balancer::new(settings.clone(), seed, SECOND)
+            .expect("the settings of the test are valid");
         let mut proxy = SimulatedProxy {
             now: SECOND,
             settings,
@@ -102,12 +116,15 @@
         proxy
     }
 
-    /// Gives an event to the balancer, carries its actions out and checks them.
+    /// Passes an event to the balancer; checks, applies and logs the actions that it returns.
+    ///
+    /// # Panics
+    /// Panics if an action breaks one of the rules 1 to 3 or a permission of the settings.
     pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
-            self.carry_out(action);
+            self.apply(action);
             self.log.push(LoggedAction {
                 at: self.now,
                 action: action.clone(),
@@ -116,23 +133,27 @@
         actions
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    /// Checks an action and records its effect on requests, attempts and timers.
+    fn apply(&mut self, action: &Action) {
         match *action {
             Action::Send {
                 request,
                 backend,
                 deadline,
                 ..
-            } => self.check_send(request, backend, deadline),
-            Action::Reject { request, .. } => self.check_end(request, true),
-            Action::Fail { request } => self.check_end(request, false),
+            } => self.record_send(request, backend, deadline),
+            Action::Reject { request, .. } => self.record_final_answer(request, true),
+            Action::Fail { request } => self.record_final_answer(request, false),
             Action::Cancel { request, attempt } => {
                 let tracked = &self.requests[&request];
                 assert!(
                     usize::from(attempt) < tracked.attempts.len(),
-                    "cancelled an attempt never made"
+                    "request {request} has no attempt {attempt} to cancel"
+                );
+                assert!(
+                    self.settings.permissions.cancellation,
+                    "cancelled an attempt without permission"
                 );
-                assert!(self.settings.permissions.cancellation);
             }
             Action::SetTimer { after, token } => self.timers.push(PendingTimer {
                 due_at: self.now + after,
@@ -140,45 +161,59 @@
             }),
             Action::HealthCheck(backend) => {
                 assert!(
-                    self.settings.permissions.health_checks && self.backends.contains_key(&backend)
+                    self.settings.permissions.health_checks && self.backends.contains_key(&backend),
+                    "health check of backend {backend} without permission or of an unlisted backend"
                 );
             }
-            Action::CloseIdleConnections(backend) => assert!(self.backends.contains_key(&backend)),
+            Action::CloseIdleConnections(backend) => assert!(
+                self.backends.contains_key(&backend),
+                "closed idle connections of backend {backend}, which no list contained"
+            ),
             Action::Subscribe | Action::Log(_) => {}
         }
     }
 
-    fn check_send(&mut self, request: RequestId, backend_id: BackendId, deadline: Micros) {
+    /// Checks that an attempt may start and records it.
+    fn record_send(&mut self, request: RequestId, backend_id: BackendId, deadline: Micros) {
         let backend = self
             .backends
             .get(&backend_id)
             .copied()
-            .expect("sent to a backend that no list named");
+            .expect("the balancer sends only to backends of a received list");
         assert!(
             !self.unavailable.contains_key(&backend_id),
-            "rule 3: sent to a draining or removed backend"
+            "rule 3: request {request} was sent to backend {backend_id}, which is draining or removed"
         );
         let settings = &self.settings;
         let tracked = self
             .requests
             .get(&request)
-            .expect("sent a request never given");
-        assert!(!tracked.ended, "rule 1: sent after the end");
+            .expect("the balancer sends only requests that were submitted");
+        assert!(
+            !tracked.ended,
+            "rule 1: request {request} was sent after its end"
+        );
         assert!(
             deadline <= tracked.deadline,
-            "rule 1: an attempt outlasts the deadline"
+            "rule 1: an attempt of request {request} has a later deadline than the request"
+        );
+        assert!(
+            tracked.attempts.len() < usize::from(settings.permissions.max_attempts),
+            "request {request} has more attempts than permitted"
         );
-        assert!(tracked.attempts.len() < usize::from(settings.permissions.max_attempts));
-        let is_in_flight = tracked
+        let has_attempt_in_flight = tracked
             .attempts
             .iter()
             .any(|attempt| attempt.state == AttemptState::InFlight);
         assert!(
-            !is_in_flight || settings.permissions.hedging,
-            "rule 2: two attempts in flight"
+            !has_attempt_in_flight || settings.permissions.hedging,
+            "rule 2: request {request} has two attempts in flight without permission to hedge"
         );
-        self.check_repeat(request, &backend);
-        let tracked = self.requests.get_mut(&request).expect("it is there");
+        self.check_retry(request, &backend);
+        let tracked = self
+            .requests
+            .get_mut(&request)
+            .expect("the request was found above");
         tracked.attempts.push(Attempt {
             backend: backend_id,
             sent_at: self.now,
@@ -187,11 +222,11 @@
         });
     }
 
-    /// Rule 2: checks that an attempt on this backend may follow the earlier ones.
-    fn check_repeat(&self, request: RequestId, backend: &Backend) {
+    /// Checks rule 2: that idempotency permits an attempt on this backend after the earlier attempts.
+    fn check_retry(&self, request: RequestId, backend: &Backend) {
         let tracked = &self.requests[&request];
         let settings = &self.settings;
-        let executed: Vec<&Attempt> = tracked
+        let possibly_executed: Vec<&Attempt> = tracked
             .attempts
             .iter()
             .filter(|attempt| attempt.state != AttemptState::NotExecuted)
@@ -200,59 +235,67 @@
             Idempotency::Idempotent => {}
             Idempotency::NonIdempotent => {
                 assert!(
-                    executed.is_empty(),
-                    "rule 2: a non-idempotent request was repeated"
-                )
+                    possibly_executed.is_empty(),
+                    "rule 2: non-idempotent request {request} was retried although it may have run"
+                );
             }
             Idempotency::Keyed { scope, ttl } => {
-                for earlier in executed {
+                for earlier in possibly_executed {
                     let earlier_backend = self.backends[&earlier.backend];
                     assert!(
                         self.now <= earlier.sent_at + ttl,
-                        "rule 2: a repeat after the key's time"
+                        "rule 2: request {request} was retried after its key expired"
                     );
-                    assert!(match scope {
+                    let is_in_scope = match scope {
                         KeyScope::AllBackends => true,
                         KeyScope::Zone => earlier_backend.zone == backend.zone,
                         KeyScope::Cell => earlier_backend.cell == backend.cell,
-                    });
+                    };
+                    assert!(
+                        is_in_scope,
+                        "rule 2: request {request} was retried outside of its key's scope"
+                    );
                 }
             }
         }
     }
 
-    fn check_end(&mut self, request: RequestId, is_rejected: bool) {
+    /// Checks that a request may get this final answer now and records its end. It is a rejection or else a failure.
+    fn record_final_answer(&mut self, request: RequestId, is_rejection: bool) {
         let tracked = self
             .requests
             .get_mut(&request)
-            .expect("ended a request never given");
-        assert!(!tracked.ended, "rule 1: two final answers");
+            .expect("the balancer answers only requests that were submitted");
+        assert!(
+            !tracked.ended,
+            "rule 1: request {request} got a second final answer"
+        );
         assert!(
-            self.now <= tracked.deadline + SLACK,
-            "rule 1: a late final answer"
+            self.now <= tracked.deadline + MAX_ANSWER_DELAY,
+            "rule 1: request {request} got its final answer after its deadline"
         );
-        let first_executed = tracked
+        let first_possibly_executed = tracked
             .attempts
             .iter()
             .find(|attempt| attempt.state != AttemptState::NotExecuted);
-        let is_harmless = match self.settings.classes[usize::from(tracked.class)].idempotency {
-            Idempotency::Idempotent => true,
-            Idempotency::Keyed {
-                scope: KeyScope::AllBackends,
-                ttl,
-            } => {
-                first_executed.is_none_or(|attempt| self.now < attempt.sent_at.saturating_add(ttl))
-            }
-            _ => first_executed.is_none(),
-        };
+        let is_client_retry_harmless =
+            match self.settings.classes[usize::from(tracked.class)].idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::Keyed {
+                    scope: KeyScope::AllBackends,
+                    ttl,
+                } => first_possibly_executed
+                    .is_none_or(|attempt| self.now < attempt.sent_at.saturating_add(ttl)),
+                _ => first_possibly_executed.is_none(),
+            };
         assert!(
-            !is_rejected || is_harmless,
-            "rule 2: rejected what may have run"
+            !is_rejection || is_client_retry_harmless,
+            "rule 2: request {request} was rejected although a retry by the client may run it twice"
         );
         tracked.ended = true;
     }
 
-    /// Changes the listed backends and notifies the balancer.
+    /// Applies a membership event to the known backends and passes it to the balancer.
     pub fn change_membership(&mut self, event: MembershipEvent<'_>) -> Vec<Action> {
         let (MembershipEvent::Delta(endpoints)
         | MembershipEvent::Full(endpoints)
@@ -276,7 +319,7 @@
         self.handle(Event::Membership(event))
     }
 
-    /// Gives a new request to the balancer.
+    /// Submits a new request to the balancer.
     pub fn submit(&mut self, request: Request) -> Vec<Action> {
         let last_class = self.settings.classes.len() as u8 - 1;
         let tracked = TrackedRequest {
@@ -285,18 +328,22 @@
             ended: false,
             attempts: Vec::new(),
         };
-        assert!(self.requests.insert(request.id, tracked).is_none());
+        assert!(
+            self.requests.insert(request.id, tracked).is_none(),
+            "request {} was submitted before",
+            request.id
+        );
         self.handle(Event::Request(request))
     }
 
-    /// Gives new requests of one class to the balancer, one for each id.
+    /// Submits new requests of one class to the balancer, one for each id.
     pub fn submit_all(&mut self, ids: Range<u32>, class: u8) {
         for id in ids {
             self.submit(request(id, class));
         }
     }
 
-    /// Ends an attempt that is in flight.
+    /// Ends an attempt that is in flight, without a load report.
     pub fn end_attempt(
         &mut self,
         request: RequestId,
@@ -306,7 +353,10 @@
         self.end_attempt_with_report(request, number, outcome, &[])
     }
 
-    /// Ends an attempt that is in flight; a load report came with the response.
+    /// Ends an attempt that is in flight; `load_report` is empty if none came with the response.
+    ///
+    /// # Panics
+    /// Panics if the request was not submitted or the attempt is not in flight.
     pub fn end_attempt_with_report(
         &mut self,
         request: RequestId,
@@ -317,9 +367,13 @@
         let tracked = self
             .requests
             .get_mut(&request)
-            .expect("a request that is known");
+            .expect("the test ends attempts of submitted requests only");
         let attempt = &mut tracked.attempts[usize::from(number)];
-        assert_eq!(attempt.state, AttemptState::InFlight);
+        assert_eq!(
+            attempt.state,
+            AttemptState::InFlight,
+            "attempt {number} of request {request} has ended before"
+        );
         attempt.state = if outcome.is_not_executed() {
             AttemptState::NotExecuted
         } else {
@@ -341,14 +395,14 @@
         }))
     }
 
-    /// Ends each attempt that is in flight now. Attempts that follow from it stay in flight.
+    /// Ends each attempt that is in flight now. Retries that this starts stay in flight.
     pub fn end_all(&mut self, outcome: Outcome) {
         for attempt in self.in_flight() {
             self.end_attempt(attempt.request, attempt.number, outcome);
         }
     }
 
-    /// Returns the attempts that are in flight, in the order of their requests.
+    /// Returns the attempts that are in flight, ordered by request id.
     pub fn in_flight(&self) -> Vec<InFlightAttempt> {
         let mut in_flight = Vec::new();
         for (&request, tracked) in &self.requests {
@@ -373,22 +427,26 @@
             .count()
     }
 
-    /// Lets time pass in ticks; timers fire and attempts time out on the way.
+    /// Advances simulated time in ticks. At each tick, due timers fire and attempts past their deadline time out.
+    ///
+    /// # Panics
+    /// Panics if a request has no final answer after its deadline.
     pub fn advance(&mut self, duration: Micros) {
         let end = self.now + duration;
         while self.now < end {
             self.now = (self.now + TICK).min(end);
             self.fire_timers();
-            self.time_attempts_out();
+            self.time_out_attempts();
             for (id, tracked) in &self.requests {
                 assert!(
-                    tracked.ended || self.now <= tracked.deadline + SLACK,
-                    "rule 1: request {id} was lost"
+                    tracked.ended || self.now <= tracked.deadline + MAX_ANSWER_DELAY,
+                    "rule 1: request {id} has no final answer after its deadline"
                 );
             }
         }
     }
 
+    /// Fires the timers that are due.
     fn fire_timers(&mut self) {
         let now = self.now;
         let (due, later): (Vec<PendingTimer>, Vec<PendingTimer>) =
@@ -399,7 +457,8 @@
         }
     }
 
-    fn time_attempts_out(&mut self) {
+    /// Ends the attempts past their deadline with a timeout.
+    fn time_out_attempts(&mut self) {
         for attempt in self.in_flight() {
             let tracked = &self.requests[&attempt.request];
             if tracked.attempts[usize::from(attempt.number)].deadline <= self.now {
@@ -408,7 +467,7 @@
         }
     }
 
-    /// Answers the attempts that are in flight for at least `latency`.
+    /// Ends successfully the attempts that have been in flight for at least the `latency` of their backend.
     pub fn serve(&mut self, latency: impl Fn(BackendId) -> Micros) {
         for attempt in self.in_flight() {
             let tracked = &self.requests[&attempt.request];
@@ -419,7 +478,7 @@
         }
     }
 
-    /// Returns how often a backend was ejected.
+    /// Returns the number of ejections so far, of all backends together.
     pub fn ejections(&self) -> usize {
         self.log
             .iter()
@@ -428,7 +487,7 @@
     }
 }
 
-/// Returns the backend of the first attempt among these actions.
+/// Returns the backend of the first attempt that these actions start, or `None` if they start none.
 pub fn sent_to(actions: &[Action]) -> Option<BackendId> {
     actions.iter().find_map(|action| match action {
         Action::Send { backend, .. } => Some(*backend),
@@ -436,12 +495,14 @@
     })
 }
 
+/// Reports whether one of these actions is a rejection.
 pub fn is_rejected(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Reject { .. }))
 }
 
+/// Reports whether one of these actions is a failure as a final answer.
 pub fn is_failed(actions: &[Action]) -> bool {
     actions
         .iter()
--- a/tests/rules/slow_start.rs
+++ b/tests/rules/slow_start.rs
@@ -193,7 +193,7 @@
             ..settings.clone()
         };
         let backends = (0..BACKENDS).map(single_zone_backend);
-        let mut proxy = SimulatedProxy::seeded(settings, u64::from(proxy_index), backends);
+        let mut proxy = SimulatedProxy::with_seed(settings, u64::from(proxy_index), backends);
         sends.extend(sends_of_one_under_bursts(&mut proxy, load));
     }
     sends.sort_unstable();
