--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,4 +1,7 @@
-//! The four rules, checked from outside on random legal and odd sequences of events.
+//! The four rules of the balancer, checked on random sequences of valid and invalid events and on single cases.
+//!
+//! The rules are rule 1 (one final answer), rule 2 (idempotency), rule 3 (draining) and rule 4 (slow start). The
+//! simulated proxy of `common` checks the first three on each action of the balancer; `slow_start` checks the fourth.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -22,35 +25,37 @@
 
 const READINESS: [Readiness; 3] = [Readiness::Ready, Readiness::Draining, Readiness::Removed];
 
+/// One event or a wait in a random sequence.
 #[derive(Clone, Debug)]
 enum Step {
+    /// A client sends a request.
     Request {
         class: u8,
         tenant: u16,
         key: u64,
         timeout: Micros,
     },
-    /// Ends one of the attempts in flight.
-    EndAttempt {
-        which: usize,
-        outcome: usize,
-    },
+    /// One of the attempts in flight ends.
+    EndAttempt { which: usize, outcome: usize },
+    /// Simulated time passes.
     Wait(Micros),
-    Change {
+    /// Discovery reports a change of one backend.
+    ChangeBackend {
         id: u32,
         readiness: u8,
         restarted: bool,
     },
+    /// Discovery sends a complete endpoint list with these backends.
     FullList(Vec<u32>),
+    /// A call to discovery fails or the watch breaks.
     WatchFails,
+    /// The client of one of the open requests disconnects.
     ClientDisconnects(usize),
-    /// An event that no orderly proxy would bring.
-    Odd {
-        kind: u8,
-        number: u32,
-    },
+    /// An event that a proxy without faults never sends; see [`handle_invalid_event`].
+    InvalidEvent { kind: u8, number: u32 },
 }
 
+/// Returns a strategy that draws one step. Requests and ends of attempts are the most frequent steps.
 fn step() -> impl Strategy<Value = Step> {
     let request =
         (0..5_u8, 0..3_u16, 0..9_u64, 1..2000 * MS).prop_map(|(class, tenant, key, timeout)| {
@@ -63,13 +68,15 @@
         });
     let end_attempt = (any::<usize>(), 0..OUTCOMES.len())
         .prop_map(|(which, outcome)| Step::EndAttempt { which, outcome });
-    let change =
-        (0..8_u32, 0..3_u8, any::<bool>()).prop_map(|(id, readiness, restarted)| Step::Change {
+    let change = (0..8_u32, 0..3_u8, any::<bool>()).prop_map(|(id, readiness, restarted)| {
+        Step::ChangeBackend {
             id,
             readiness,
             restarted,
-        });
-    let odd = (any::<u8>(), any::<u32>()).prop_map(|(kind, number)| Step::Odd { kind, number });
+        }
+    });
+    let invalid_event =
+        (any::<u8>(), any::<u32>()).prop_map(|(kind, number)| Step::InvalidEvent { kind, number });
     prop_oneof![
         8 => request,
         8 => end_attempt,
@@ -78,13 +85,14 @@
         1 => prop::collection::vec(0..8_u32, 0..8).prop_map(Step::FullList),
         1 => Just(Step::WatchFails),
         1 => any::<usize>().prop_map(Step::ClientDisconnects),
-        1 => odd,
+        1 => invalid_event,
     ]
 }
 
-/// Brings an event that no orderly proxy would: unknown ids, stale timers, outcomes notified twice.
-fn handle_odd_event(proxy: &mut SimulatedProxy, kind: u8, number: u32) {
-    let known = proxy
+/// Passes the balancer an event that a proxy without faults never sends: one with an unknown id, a timer that was not
+/// set, or the end of a health check or an attempt that was never started. `kind` selects the event, `number` its ids.
+fn handle_invalid_event(proxy: &mut SimulatedProxy, kind: u8, number: u32) {
+    let known_request = proxy
         .requests
         .keys()
         .copied()
@@ -92,7 +100,7 @@
     let request = if kind & 64 == 0 {
         RequestId(1_000_000 + number)
     } else {
-        known.unwrap_or(RequestId(number))
+        known_request.unwrap_or(RequestId(number))
     };
     let attempt_ended = |attempt| {
         Event::AttemptEnded(AttemptEnd {
@@ -114,12 +122,13 @@
             load_report: &[],
         },
         2 => attempt_ended(500),
-        _ if known != Some(request) => Event::ClientDisconnected(request),
+        _ if known_request != Some(request) => Event::ClientDisconnected(request),
         _ => attempt_ended(999),
     };
     proxy.handle(event);
 }
 
+/// Ends the attempt in flight that `which` selects, if any is in flight.
 fn end_one_attempt(proxy: &mut SimulatedProxy, which: usize, outcome: usize) {
     let in_flight = proxy.in_flight();
     if let Some(attempt) = in_flight.get(which % in_flight.len().max(1)) {
@@ -127,6 +136,7 @@
     }
 }
 
+/// Disconnects the client of the open request that `which` selects, if any is open.
 fn disconnect_one_client(proxy: &mut SimulatedProxy, which: usize) {
     let open: Vec<RequestId> = proxy
         .requests
@@ -138,14 +148,14 @@
         proxy
             .requests
             .get_mut(&id)
-            .expect("it was just found")
+            .expect("the id was taken from this map")
             .ended = true;
         proxy.handle(Event::ClientDisconnected(id));
     }
 }
 
-/// Takes one step; its number is the id of a request that it submits.
-fn take(proxy: &mut SimulatedProxy, number: usize, step: &Step) {
+/// Applies one step; `number` is the id of the request that it submits, if it submits one.
+fn apply(proxy: &mut SimulatedProxy, number: usize, step: &Step) {
     match *step {
         Step::Request {
             class,
@@ -162,17 +172,17 @@
         }
         Step::EndAttempt { which, outcome } => end_one_attempt(proxy, which, outcome),
         Step::Wait(time) => proxy.advance(time),
-        Step::Change {
+        Step::ChangeBackend {
             id,
             readiness,
             restarted,
         } => {
-            let changed = Backend {
+            let changed_backend = Backend {
                 readiness: READINESS[usize::from(readiness)],
                 started_at: restarted.then_some(proxy.now),
                 ..backend(id)
             };
-            proxy.change_membership(MembershipEvent::Delta(&[changed]));
+            proxy.change_membership(MembershipEvent::Delta(&[changed_backend]));
         }
         Step::FullList(ref ids) => {
             let endpoints: Vec<Backend> = ids.iter().map(|&id| backend(id)).collect();
@@ -182,20 +192,20 @@
             proxy.change_membership(MembershipEvent::WatchFailed);
         }
         Step::ClientDisconnects(which) => disconnect_one_client(proxy, which),
-        Step::Odd { kind, number } => handle_odd_event(proxy, kind, number),
+        Step::InvalidEvent { kind, number } => handle_invalid_event(proxy, kind, number),
     }
 }
 
-/// Plays the steps and returns the actions that followed.
-fn play(settings: Settings, steps: &[Step]) -> Vec<LoggedAction> {
+/// Applies the steps to a new proxy and returns all actions of its balancer.
+fn run_steps(settings: Settings, steps: &[Step]) -> Vec<LoggedAction> {
     let mut proxy = SimulatedProxy::new(settings, (0..6).map(backend));
     for (number, step) in steps.iter().enumerate() {
-        take(&mut proxy, number, step);
+        apply(&mut proxy, number, step);
     }
     proxy.advance(3 * SECOND);
     assert!(
         proxy.requests.values().all(|tracked| tracked.ended),
-        "every request has its final answer"
+        "expected a final answer to every request"
     );
     proxy.log
 }
@@ -209,7 +219,7 @@
     })]
 
     #[test]
-    fn no_sequence_breaks_a_rule(
+    fn random_events_break_no_rule_and_lead_to_the_same_actions_each_time(
         steps in prop::collection::vec(step(), 1..150),
         hedging: bool,
         key_affinity: bool,
@@ -227,13 +237,13 @@
             DiscoveryMode::Pushed
         };
         settings.tenants = vec![Tenant { quota_per_s: 5.0 }, Tenant { quota_per_s: 50.0 }];
-        let log = play(settings.clone(), &steps);
-        prop_assert_eq!(log, play(settings, &steps), "the same events lead to the same actions");
+        let log = run_steps(settings.clone(), &steps);
+        prop_assert_eq!(log, run_steps(settings, &steps), "expected the same actions for the same events");
     }
 }
 
 #[test]
-fn a_non_idempotent_request_that_may_have_run_fails_and_is_not_repeated() {
+fn a_non_idempotent_request_that_may_have_run_fails_without_a_retry() {
     for outcome in [
         Outcome::Error,
         Outcome::Timeout,
@@ -245,55 +255,68 @@
         let actions = proxy.end_attempt(RequestId(1), 0, outcome);
         assert!(
             is_failed(&actions) && sent_to(&actions).is_none(),
-            "{outcome:?}: {actions:?}"
+            "after {outcome:?}, expected a failure and no second attempt: {actions:?}"
         );
     }
 }
 
 #[test]
-fn a_non_idempotent_request_that_was_not_executed_goes_to_another_backend() {
+fn a_non_idempotent_request_that_was_not_executed_is_retried_on_another_backend() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut proxy = SimulatedProxy::new(settings(), (0..6).map(backend));
         let first = sent_to(&proxy.submit(request(1, 1)));
         let second = sent_to(&proxy.end_attempt(RequestId(1), 0, outcome));
-        assert!(second.is_some() && second != first, "{outcome:?}");
+        assert!(
+            second.is_some() && second != first,
+            "after {outcome:?}, expected a second attempt on another backend than {first:?}: {second:?}"
+        );
     }
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_in_its_scope_and_its_time() {
-    // Backends of one scope have the same id modulo this.
+fn a_keyed_request_that_may_have_run_is_retried_only_in_its_keys_scope_and_before_the_key_expires()
+{
+    // The ids of backends in one key scope are congruent modulo `modulus`.
     for (class, modulus) in [(2_u8, 1_u32), (3, 2), (4, 2)] {
         let mut proxy = SimulatedProxy::new(settings(), (0..12).map(backend));
-        let first = sent_to(&proxy.submit(request(1, class))).expect("there is capacity");
+        let first =
+            sent_to(&proxy.submit(request(1, class))).expect("an idle backend has a free slot");
         let second = sent_to(&proxy.end_attempt(RequestId(1), 0, Outcome::Error))
-            .expect("the scope has capacity");
-        assert_eq!(first.0 % modulus, second.0 % modulus);
+            .expect("the key scope has an idle backend");
+        assert_eq!(
+            first.0 % modulus,
+            second.0 % modulus,
+            "class {class}: expected the retry in the key scope of the first attempt"
+        );
         let mut proxy = SimulatedProxy::new(settings(), (0..12).map(backend));
         proxy.submit(request(1, class));
         proxy.now += 601 * MS;
         let actions = proxy.end_attempt(RequestId(1), 0, Outcome::Error);
         assert!(
             is_failed(&actions),
-            "class {class}: its key's time is over, and a rejection would promise too much"
+            "class {class}: the key has expired, so a retry by the client is unsafe: expected a failure, not a rejection"
         );
     }
 }
 
 #[test]
-fn draining_binds_at_once_also_for_queued_and_retried_requests() {
+fn a_draining_backend_gets_no_queued_and_no_retried_request() {
     let mut proxy = SimulatedProxy::new(settings(), [backend(0)]);
     let sent = (0..200)
         .filter(|&id| sent_to(&proxy.submit(request(id, 0))).is_some())
         .count();
-    assert!(sent < 200, "some are queued");
+    assert!(sent < 200, "expected some of 200 requests to be queued");
     proxy.change_membership(MembershipEvent::Delta(&[Backend {
         readiness: Readiness::Draining,
         ..backend(0)
     }]));
     for attempt in proxy.in_flight() {
         let actions = proxy.end_attempt(attempt.request, attempt.number, Outcome::Rejected);
-        assert_eq!(sent_to(&actions), None);
+        assert_eq!(
+            sent_to(&actions),
+            None,
+            "rule 3: expected no attempt on the draining backend"
+        );
     }
     proxy.advance(3 * SECOND);
 }
--- a/tests/rules/slow_start.rs
+++ b/tests/rules/slow_start.rs
@@ -1,14 +1,15 @@
-//! Rule 4: all proxies together stay under the budget of a backend that warms up.
+//! Rule 4 (slow start): all proxies together send a backend in slow start less than the load at which it collapses, and
+//! still enough for it to warm up.
 
 use crate::common::*;
 use tillerproxy::api::*;
 
-/// The backend that restarts, among ten.
+/// Id of the backend that restarts.
 const RESTARTED: u32 = 3;
-const BACKENDS: u32 = 10;
-/// Time passes in steps of this length.
+const BACKEND_COUNT: u32 = 10;
+/// Length of a step of simulated time.
 const STEP: Micros = 50 * MS;
-/// How long after its restart the sends to a backend are counted.
+/// Time after the restart for which sends to the restarted backend are counted.
 const COUNTED_TIME: Micros = 4 * SECOND;
 
 fn single_zone_backend(id: u32) -> Backend {
@@ -19,7 +20,7 @@
 }
 
 /// Returns the greatest number of sends within `window`, over all windows that begin with a send.
-fn most_within(sends: &[Micros], window: Micros) -> usize {
+fn max_sends_within(sends: &[Micros], window: Micros) -> usize {
     sends
         .iter()
         .map(|&start| {
@@ -29,22 +30,22 @@
                 .count()
         })
         .max()
-        .expect("a backend that warms up gets something")
+        .expect("a backend in slow start gets at least one request")
 }
 
-/// A load of evenly spread requests on all proxies.
+/// A load of requests at regular intervals on all proxies.
 #[derive(Clone, Copy)]
 struct EvenLoad {
     proxy_count: u32,
-    /// Each proxy has a request in each such time.
+    /// Time between two requests on one proxy.
     interval: Micros,
     /// Latency of warm backends.
     warm_latency: Micros,
-    /// Latency of the backend that has restarted.
+    /// Latency of the restarted backend.
     restarted_latency: Micros,
 }
 
-/// Lets one proxy serve its part of the load for a while; adds the times of its sends to the backend that restarts.
+/// Runs one proxy's part of the load for `duration` and appends the times of its sends to the backend that restarts.
 fn run_even_load(
     proxy: &mut SimulatedProxy,
     load: EvenLoad,
@@ -71,7 +72,8 @@
     }
 }
 
-/// Returns when all proxies together send to a backend that has just restarted among warm ones, within the counted time.
+/// Returns the times at which all proxies together send to the restarted backend, up to [`COUNTED_TIME`] after its
+/// restart. All other backends are warm.
 fn sends_under_even_load(load: EvenLoad) -> Vec<Micros> {
     let mut settings = settings();
     settings.zone_count = 1;
@@ -82,7 +84,7 @@
             proxy_index,
             ..settings.clone()
         };
-        let mut proxy = SimulatedProxy::new(settings, (0..BACKENDS).map(single_zone_backend));
+        let mut proxy = SimulatedProxy::new(settings, (0..BACKEND_COUNT).map(single_zone_backend));
         let mut sends_before = Vec::new();
         run_even_load(
             &mut proxy,
@@ -109,7 +111,7 @@
 }
 
 #[test]
-fn all_proxies_together_stay_under_the_budget_of_a_backend_that_warms_up() {
+fn all_proxies_together_send_a_backend_in_slow_start_less_than_its_collapse_load() {
     for (proxy_count, interval) in [(20, 50 * MS), (100, 500 * MS)] {
         let warm_rate = f64::from(proxy_count) * SECOND as f64 / interval as f64 / 10.0;
         let sends = sends_under_even_load(EvenLoad {
@@ -119,17 +121,17 @@
             restarted_latency: 400 * MS,
         });
         let budget = 2.5 * 0.2 * warm_rate * 2.0;
-        let most = most_within(&sends, 2 * SECOND);
+        let max_sends = max_sends_within(&sends, 2 * SECOND);
         assert!(
-            most > 0 && (most as f64) < budget,
-            "{most} sends in the collapse time, {budget} allowed"
+            max_sends > 0 && (max_sends as f64) < budget,
+            "{max_sends} sends in the collapse time, expected more than 0 and less than {budget}"
         );
     }
 }
 
 #[test]
-fn a_backend_that_warms_up_gets_its_budget_also_where_only_a_part_of_the_proxies_hold_its_slots() {
-    // Responses take so long that limits are at their floor, and a third of the proxies hold a slot on it.
+fn a_backend_in_slow_start_gets_its_budget_when_only_some_proxies_hold_a_slot_on_it() {
+    // Latency is so high that the limits are at their floor, and only a third of the proxies hold a slot on the backend.
     let sends = sends_under_even_load(EvenLoad {
         proxy_count: 100,
         interval: 500 * MS,
@@ -137,11 +139,14 @@
         restarted_latency: 250 * MS,
     })
     .len();
-    assert!(sends >= 10, "{sends} sends in four seconds");
+    assert!(
+        sends >= 10,
+        "{sends} sends in four seconds, expected at least 10"
+    );
 }
 
 #[test]
-fn a_backend_that_warms_up_and_answers_as_soon_as_a_warm_one_gets_more_than_a_slow_one() {
+fn a_backend_in_slow_start_with_the_latency_of_a_warm_one_gets_more_requests_than_a_slow_one() {
     let slow_load = EvenLoad {
         proxy_count: 20,
         interval: 50 * MS,
@@ -156,11 +161,12 @@
     let quick = sends_under_even_load(quick_load).len();
     assert!(
         quick > 2 * slow,
-        "{quick} sends in four seconds, {slow} if slow"
+        "{quick} sends in four seconds at low latency, expected more than twice the {slow} at high latency"
     );
 }
 
-/// A backend that takes little when it starts, so that the budget binds and not the concurrency limits.
+/// Limits with a small initial capacity, so that the slow start budget restricts the sends rather than the concurrency
+/// limits.
 const SMALL_BUDGET: SafetyLimits = SafetyLimits {
     poll_interval: 10 * SECOND,
     slow_start_initial_capacity: 0.1,
@@ -169,7 +175,7 @@
     collapse_time: 2 * SECOND,
 };
 
-/// A load of bursts that all proxies get at the same moment.
+/// A load of bursts that reach all proxies at the same time.
 #[derive(Clone, Copy)]
 struct BurstLoad {
     proxy_count: u32,
@@ -179,8 +185,8 @@
     size: u32,
 }
 
-/// Returns when all proxies together send to a backend that has just restarted among warm ones, counted from its restart.
-/// Warm backends answer after 40 ms, the other after 400 ms.
+/// Returns the times at which all proxies together send to the restarted backend, measured from its restart.
+/// Warm backends answer after 40 ms, the restarted one after 400 ms.
 fn sends_under_bursts(load: BurstLoad) -> Vec<Micros> {
     let mut settings = settings();
     settings.zone_count = 1;
@@ -192,24 +198,25 @@
             proxy_index,
             ..settings.clone()
         };
-        let backends = (0..BACKENDS).map(single_zone_backend);
+        let backends = (0..BACKEND_COUNT).map(single_zone_backend);
         let mut proxy = SimulatedProxy::with_seed(settings, u64::from(proxy_index), backends);
-        sends.extend(sends_of_one_under_bursts(&mut proxy, load));
+        sends.extend(sends_of_one_proxy_under_bursts(&mut proxy, load));
     }
     sends.sort_unstable();
     sends
 }
 
-fn sends_of_one_under_bursts(proxy: &mut SimulatedProxy, load: BurstLoad) -> Vec<Micros> {
-    const WARM_UP: Micros = 12 * SECOND;
-    let restart = proxy.now + WARM_UP;
+/// Returns the times at which one proxy sends to the restarted backend, measured from its restart.
+fn sends_of_one_proxy_under_bursts(proxy: &mut SimulatedProxy, load: BurstLoad) -> Vec<Micros> {
+    const TIME_BEFORE_RESTART: Micros = 12 * SECOND;
+    let restarted_at = proxy.now + TIME_BEFORE_RESTART;
     let mut next_id = 1;
-    for step in 1..=(WARM_UP + COUNTED_TIME) / STEP {
+    for step in 1..=(TIME_BEFORE_RESTART + COUNTED_TIME) / STEP {
         proxy.advance(STEP);
-        let has_restarted = proxy.now >= restart;
-        if proxy.now == restart {
+        let has_restarted = proxy.now >= restarted_at;
+        if proxy.now == restarted_at {
             let restarted = Backend {
-                started_at: Some(restart),
+                started_at: Some(restarted_at),
                 ..single_zone_backend(RESTARTED)
             };
             proxy.change_membership(MembershipEvent::Delta(&[restarted]));
@@ -226,7 +233,7 @@
             next_id += load.size;
         }
     }
-    // From the log, as requests that were queued before count too.
+    // The log also has the sends of requests that were queued before the restart.
     let is_to_restarted = |action: &Action| {
         matches!(
             action,
@@ -239,16 +246,16 @@
     proxy
         .log
         .iter()
-        .filter(|logged| logged.at >= restart && is_to_restarted(&logged.action))
-        .map(|logged| logged.at - restart)
+        .filter(|logged| logged.at >= restarted_at && is_to_restarted(&logged.action))
+        .map(|logged| logged.at - restarted_at)
         .collect()
 }
 
-/// A backend collapses beyond N requests in the collapse time and twice the root of N and two more. N is what the
-/// settings allow a backend whose capacity is what the warm ones serve in the bursts, or one request after another if
-/// that is more.
+/// Checks that the restarted backend does not collapse. It does so when it gets more than N + 2 * sqrt(N) + 2 requests
+/// in the collapse time. N is the budget: the number that the settings allow for its capacity. That capacity is the rate
+/// that each warm backend serves during the bursts, or the rate of one request after another if that is higher.
 #[test]
-fn all_proxies_together_stay_under_the_budget_of_a_backend_that_warms_up_in_bursts() {
+fn all_proxies_together_send_a_backend_in_slow_start_less_than_its_collapse_load_in_bursts() {
     let SafetyLimits {
         slow_start_initial_capacity,
         collapse_load_factor,
@@ -259,21 +266,22 @@
         for (interval, size) in [(SECOND, 6), (SECOND, 20)] {
             let offered = f64::from(proxy_count * size) * SECOND as f64 / interval as f64 / 10.0;
             let capacity = offered.max(SECOND as f64 / (40 * MS) as f64);
-            let n = collapse_load_factor
+            let budget = collapse_load_factor
                 * slow_start_initial_capacity
                 * capacity
                 * collapse_time as f64
                 / SECOND as f64;
-            let allowed = n + 2.0 * n.sqrt() + 2.0;
+            let allowed = budget + 2.0 * budget.sqrt() + 2.0;
             let sends = sends_under_bursts(BurstLoad {
                 proxy_count,
                 interval,
                 size,
             });
-            let most = most_within(&sends, collapse_time);
+            let max_sends = max_sends_within(&sends, collapse_time);
             assert!(
-                most as f64 <= allowed,
-                "{proxy_count} proxies, {size} requests every {} ms: {most} sends in the collapse time, {allowed:.1} allowed",
+                max_sends as f64 <= allowed,
+                "{proxy_count} proxies, {size} requests every {} ms: {max_sends} sends in the collapse time, \
+                 expected at most {allowed:.1}",
                 interval / MS
             );
         }
