--- a/tests/decisions/discovery.rs
+++ b/tests/decisions/discovery.rs
@@ -1,10 +1,10 @@
-//! When a proxy calls discovery: with a backoff after failures, spread over all proxies, and in time.
+//! Delays before calls to discovery: the backoff after failures, the spread over all proxies and the longest delay.
 
 use crate::common::*;
 use tillerproxy::api::*;
 use tillerproxy::balancer::Balancer;
 
-/// Settings of one of so many proxies, which poll discovery.
+/// Returns the settings of one of `proxy_count` proxies that poll discovery.
 fn polling_settings(proxy_count: u32) -> Settings {
     Settings {
         proxy_count,
@@ -13,7 +13,7 @@
     }
 }
 
-/// Returns the actions that follow from a membership event.
+/// Returns the actions of the balancer on a membership event.
 fn actions_after(balancer: &mut Balancer, event: MembershipEvent<'_>) -> Vec<Action> {
     let mut actions = Vec::new();
     balancer.handle(SECOND, Event::Membership(event), &mut actions);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_polling_proxy_subscribes_and_tries_again_after_a_failure() {
+fn a_polling_proxy_subscribes_at_its_start_and_again_after_each_failure() {
     let mut proxy = SimulatedProxy::new(polling_settings(1), []);
     let calls = |proxy: &SimulatedProxy| {
         proxy
@@ -30,45 +30,57 @@
             .filter(|logged| logged.action == Action::Subscribe)
             .count()
     };
-    assert_eq!(calls(&proxy), 1);
+    assert_eq!(calls(&proxy), 1, "expected one call at the start");
     for failures in 1..6 {
         proxy.change_membership(MembershipEvent::WatchFailed);
-        assert_eq!(calls(&proxy), failures, "not at once");
+        assert_eq!(
+            calls(&proxy),
+            failures,
+            "expected a backoff before the next call"
+        );
         proxy.advance(5 * SECOND);
-        assert_eq!(calls(&proxy), failures + 1);
+        assert_eq!(
+            calls(&proxy),
+            failures + 1,
+            "expected one call within 5 s of failure {failures}"
+        );
     }
 }
 
-/// Guards against a backoff so long that the proxy is held to a list that it can't know.
+/// Guards against a backoff so long that the rules assume that the proxy knows a list which it has not received yet.
 #[test]
-fn a_proxy_calls_again_after_a_failed_call_within_the_time_that_the_rules_give() {
+fn a_call_after_a_failed_one_ends_within_four_poll_intervals() {
     for (poll_interval, proxy_count, call_duration) in
         [(4 * SECOND, 300, 5 * SECOND), (SECOND, 3, 2 * SECOND)]
     {
         for seed in 0..200 {
             let mut settings = polling_settings(proxy_count);
             settings.safety.poll_interval = poll_interval;
-            let mut balancer = Balancer::new(settings, seed, SECOND).expect("good settings");
+            let mut balancer =
+                Balancer::new(settings, seed, SECOND).expect("the settings of the test are valid");
             for failures in 1..8 {
                 let actions = actions_after(&mut balancer, MembershipEvent::WatchFailed);
                 let [Action::SetTimer { after, .. }] = actions[..] else {
-                    panic!("{actions:?}")
+                    panic!("expected only a timer: {actions:?}")
                 };
                 assert!(
                     after + call_duration <= 4 * poll_interval,
-                    "{} s after {failures} failures",
-                    after / SECOND
+                    "delay of {} s after {failures} failures and a call of {} s, expected at most {} s in total",
+                    after / SECOND,
+                    call_duration / SECOND,
+                    4 * poll_interval / SECOND
                 );
             }
         }
     }
 }
 
-/// Returns how many of so many proxies call discovery in the busiest second after these events.
+/// Returns the number of `proxy_count` proxies that call discovery in the busiest second after these events.
 fn calls_in_busiest_second(proxy_count: u32, events: &[MembershipEvent<'_>]) -> usize {
     let second_of_call = |seed| {
         let settings = polling_settings(proxy_count);
-        let mut balancer = Balancer::new(settings, seed, SECOND).expect("the settings make sense");
+        let mut balancer =
+            Balancer::new(settings, seed, SECOND).expect("the settings of the test are valid");
         let mut actions = Vec::new();
         for &event in events {
             actions = actions_after(&mut balancer, event);
@@ -87,41 +99,40 @@
 }
 
 #[test]
-fn proxies_that_start_or_fail_together_do_not_call_discovery_together() {
+fn calls_to_discovery_are_spread_when_all_proxies_start_or_fail_together() {
     let start = [MembershipEvent::Cached(&[])];
-    assert!(
-        calls_in_busiest_second(100, &start) <= 65,
-        "{} calls",
-        calls_in_busiest_second(100, &start)
-    );
-    // Five calls a second where the rules leave the time for it, all the time that they leave where they don't.
+    // After a failure, the average rate is five calls per second if the longest allowed delay is sufficient for that.
+    // Otherwise the calls are spread over the longest allowed delay.
     let failed = [MembershipEvent::Cached(&[]), MembershipEvent::WatchFailed];
-    assert!(
-        calls_in_busiest_second(12, &failed) <= 9,
-        "{} calls",
-        calls_in_busiest_second(12, &failed)
-    );
-    assert!(
-        calls_in_busiest_second(100, &failed) <= 50,
-        "{} calls",
-        calls_in_busiest_second(100, &failed)
-    );
+    for (proxy_count, events, max_calls) in
+        [(100, &start[..], 65), (12, &failed, 9), (100, &failed, 50)]
+    {
+        let calls = calls_in_busiest_second(proxy_count, events);
+        assert!(
+            calls <= max_calls,
+            "{calls} calls of {proxy_count} proxies in one second, expected at most {max_calls}: {events:?}"
+        );
+    }
 }
 
 #[test]
-fn one_of_very_many_proxies_calls_soon_enough_for_an_answer_in_time() {
-    // What discovery has is known 6 s later, whatever failed before; a call takes up to 3.5 s.
+fn one_of_710_proxies_calls_discovery_within_2500_ms_after_up_to_8_failures() {
+    // A change counts as known to a proxy 6 s after discovery has it, even after failed calls. A call takes up to 3.5 s
+    // of that time.
     for seed in 0..300 {
-        let mut balancer =
-            Balancer::new(polling_settings(710), seed, SECOND).expect("good settings");
+        let mut balancer = Balancer::new(polling_settings(710), seed, SECOND)
+            .expect("the settings of the test are valid");
         let first = [MembershipEvent::Cached(&[])];
         let failures = [MembershipEvent::WatchFailed; 8];
         for event in first.into_iter().chain(failures) {
             let actions = actions_after(&mut balancer, event);
             let [Action::SetTimer { after, .. }] = actions[..] else {
-                panic!("{actions:?}")
+                panic!("expected only a timer: {actions:?}")
             };
-            assert!(after <= 2_500 * MS, "called after {after} us");
+            assert!(
+                after <= 2_500 * MS,
+                "delay of {after} us, expected at most 2500 ms"
+            );
         }
     }
 }
