--- a/tests/decisions/connections.rs
+++ b/tests/decisions/connections.rs
@@ -1,16 +1,17 @@
-//! Idle connections: which are trusted, and what a request lost on one means.
+//! Idle connections: which ones are closed before a send, and how a request lost on one affects its backend.
 
 use crate::common::*;
 use crate::support::*;
 use tillerproxy::api::*;
 
+/// Reports whether one of these actions closes idle connections.
 fn closes_idle_connections(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::CloseIdleConnections(_)))
 }
 
-/// Lets the connection be idle, then sends a request that ends so; returns whether idle connections were closed first.
+/// Waits for `idle`, then sends a request that ends with `outcome`. Returns whether idle connections were closed first.
 fn send_after_idle(proxy: &mut SimulatedProxy, id: u32, idle: Micros, outcome: Outcome) -> bool {
     const TIMEOUT: Micros = 300 * MS;
     proxy.advance(idle);
@@ -18,7 +19,11 @@
         timeout: TIMEOUT,
         ..request(id, 1)
     });
-    assert_eq!(sent_to(&actions), Some(BackendId(0)));
+    assert_eq!(
+        sent_to(&actions),
+        Some(BackendId(0)),
+        "expected request {id} to be sent"
+    );
     if outcome == Outcome::Timeout {
         proxy.advance(TIMEOUT);
     } else {
@@ -27,45 +32,49 @@
     closes_idle_connections(&actions)
 }
 
-/// Guards against each use of a connection that was dropped unnoticed while it was idle losing a request.
+/// Guards against losing a request on each connection that was dropped unnoticed while it was idle.
 #[test]
-fn a_connection_that_was_idle_as_long_as_one_that_lost_a_request_is_closed_first() {
-    let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(1));
+fn a_connection_is_closed_before_a_send_if_a_request_was_lost_after_the_same_idle_time() {
+    let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(1));
     send_after_idle(&mut proxy, 1, 0, Outcome::Ok);
     assert!(
         !send_after_idle(&mut proxy, 2, SECOND, Outcome::Ok),
-        "trusted until something is lost"
+        "expected no close before a request was lost"
+    );
+    assert!(
+        !send_after_idle(&mut proxy, 3, SECOND, Outcome::Timeout),
+        "expected no close before a request was lost"
     );
-    assert!(!send_after_idle(&mut proxy, 3, SECOND, Outcome::Timeout));
     assert!(
         send_after_idle(&mut proxy, 4, SECOND, Outcome::Ok),
-        "closed before the send"
+        "expected a close after a request was lost with the same idle time"
     );
     assert!(
         !send_after_idle(&mut proxy, 5, 100 * MS, Outcome::Ok),
-        "a short idle time is trusted still"
+        "expected no close after a shorter idle time"
     );
 }
 
-/// Guards against a backend ejected for a request lost on an idle connection. An idle time of a fraction of a second is
-/// usual under load and excuses no backend.
+/// Guards against ejecting a backend for a request that was lost on an idle connection. An idle time of a fraction of a
+/// second is usual under load, so such a loss counts against the backend.
 #[test]
-fn a_loss_on_an_idle_connection_ejects_no_backend() {
+fn a_loss_on_a_connection_idle_for_seconds_does_not_count_towards_ejection() {
     for (idle, is_ejected) in [(2 * SECOND, false), (300 * MS, true), (0, true)] {
-        let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(2));
+        let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(2));
         for id in 0..2 {
-            let backend = sent_to(&proxy.submit(request(id, 1))).expect("there is capacity");
+            let backend =
+                sent_to(&proxy.submit(request(id, 1))).expect("an idle backend has a free slot");
             assert_eq!(
                 backend,
                 BackendId(1),
-                "the one with the most available capacity"
+                "expected the backend with the most available capacity"
             );
         }
         for id in 0..2 {
             proxy.end_attempt(RequestId(id), 0, Outcome::Ok);
         }
         proxy.advance(idle);
-        // As many losses in a row as eject a backend; the idle time is to blame for the first one.
+        // Six consecutive losses eject a backend. After a long idle time, the first one does not count against it.
         let mut id = 2;
         let mut losses = 0;
         while losses < 6 {
@@ -78,7 +87,7 @@
         assert_eq!(
             proxy.ejections() > 0,
             is_ejected,
-            "after an idle time of {idle}"
+            "ejection after an idle time of {idle} us"
         );
     }
 }
--- a/tests/decisions/load_reports.rs
+++ b/tests/decisions/load_reports.rs
@@ -1,14 +1,15 @@
-//! Load reports, where a proxy meets each backend too seldom for windows of its own.
+//! Load reports, when a proxy sends each backend too few requests to complete windows of its own.
 
 use crate::common::*;
 use crate::support::*;
 use tillerproxy::api::*;
 
-/// Returns how often 20 of 100 proxies send to the backends of even id, whose load reports may tell that they are slow.
+/// Returns the number of attempts that 20 of 100 proxies send to the backends with even ids. The load reports of these
+/// backends give a service time of 900 ms if they `are_slow`, otherwise 100 ms as for all others.
 fn sends_to_even_backends(are_slow: bool) -> u32 {
     let mut settings = Settings {
         proxy_count: 100,
-        ..single_zone()
+        ..single_zone_settings()
     };
     settings.load_report.service_time_ms = Some(0);
     let mut sends = 0;
@@ -40,13 +41,13 @@
     sends
 }
 
-/// Guards against slow backends that keep their limit because no window of a single proxy is ever complete.
+/// Guards against a slow backend that keeps its limit because no window of a single proxy is ever complete.
 #[test]
-fn a_load_report_of_a_slow_backend_lowers_its_limit_at_once_where_a_proxy_has_few_slots() {
+fn a_load_report_of_a_slow_backend_lowers_its_limit_at_once_with_scaled_limits() {
     let slow = sends_to_even_backends(true);
-    let usual = sends_to_even_backends(false);
+    let not_slow = sends_to_even_backends(false);
     assert!(
-        slow * 4 < usual * 3,
-        "{slow} sends to slow backends, {usual} when they are not slow"
+        slow * 4 < not_slow * 3,
+        "{slow} sends to slow backends, expected less than three quarters of the {not_slow} when they are not slow"
     );
 }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,5 +1,5 @@
-//! The decisions through the balancer's interface, one file a policy. A simulated proxy checks the four rules on the
-//! way.
+//! The decisions of the balancer, tested through its interface, one file for each policy. The simulated proxy of
+//! `common` also checks rule 1 (one final answer), rule 2 (idempotency) and rule 3 (draining) on each action.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -1,10 +1,11 @@
-//! Outlier detection: who is ejected, for how long, and how a backend is readmitted.
+//! Outlier detection: which backends are ejected, for how long, and how they are readmitted.
 
 use crate::common::*;
 use crate::support::*;
 use tillerproxy::api::*;
 
-fn is_ejected_in_log(proxy: &SimulatedProxy, backend: BackendId) -> bool {
+/// Reports whether the balancer has ejected this backend at least once.
+fn was_ejected(proxy: &SimulatedProxy, backend: BackendId) -> bool {
     proxy.log.iter().any(|logged| {
         matches!(
             logged.action,
@@ -14,14 +15,14 @@
 }
 
 #[test]
-fn a_failing_backend_is_ejected_and_readmitted_by_a_single_trial_of_an_idempotent_request() {
-    let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(4));
+fn a_failing_backend_is_ejected_and_then_readmitted_after_one_idempotent_trial_request() {
+    let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(4));
     let mut id = 0;
-    while !is_ejected_in_log(&proxy, BackendId(2)) {
+    while !was_ejected(&proxy, BackendId(2)) {
         id += 1;
         assert!(
             id < 400,
-            "backend 2 fails every request and must be ejected"
+            "expected backend 2, which fails every request, to be ejected"
         );
         proxy.submit(request(id, 0));
         for attempt in proxy.in_flight() {
@@ -39,28 +40,35 @@
     assert_eq!(
         proxy.in_flight_at(BackendId(2)),
         0,
-        "no trial with a request that must not run twice"
+        "expected no trial with a non-idempotent request"
     );
     proxy.advance(3 * SECOND);
     proxy.submit_all(2000..2030, 0);
-    assert_eq!(proxy.in_flight_at(BackendId(2)), 1, "a single trial");
+    assert_eq!(
+        proxy.in_flight_at(BackendId(2)),
+        1,
+        "expected one trial request"
+    );
     let in_flight = proxy.in_flight();
     let trial = in_flight
         .iter()
         .find(|attempt| attempt.backend == BackendId(2))
-        .expect("the trial");
+        .expect("one attempt at backend 2 was just counted");
     proxy.end_attempt(trial.request, trial.number, Outcome::Ok);
-    assert!(proxy.log.iter().any(|logged| matches!(
-        logged.action,
-        Action::Log(LogEvent::Readmitted {
-            backend: BackendId(2)
-        })
-    )));
+    assert!(
+        proxy.log.iter().any(|logged| matches!(
+            logged.action,
+            Action::Log(LogEvent::Readmitted {
+                backend: BackendId(2)
+            })
+        )),
+        "expected the readmission of backend 2 after a served trial request"
+    );
 }
 
 #[test]
-fn not_all_backends_are_ejected_at_once() {
-    let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(5));
+fn some_backend_stays_available_when_all_backends_fail() {
+    let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(5));
     for id in 0..300 {
         proxy.submit(request(id, 0));
         proxy.end_all(Outcome::Error);
@@ -69,23 +77,25 @@
     while let Some(&attempt) = proxy.in_flight().first() {
         proxy.end_attempt(attempt.request, attempt.number, Outcome::Error);
     }
-    assert!(proxy.ejections() >= 3);
+    let ejections = proxy.ejections();
+    assert!(ejections >= 3, "expected at least 3 ejections: {ejections}");
     let sent = (1000..1040)
         .filter(|&id| sent_to(&proxy.submit(request(id, 0))).is_some())
         .count();
-    assert!(sent > 0, "some backend still serves");
+    assert!(sent > 0, "expected some backend to get requests");
 }
 
-/// What a load does whose responses are corrupt now and then.
-struct CorruptLoad {
+/// Effects of a load with corrupt responses.
+struct CorruptLoadEffects {
+    /// Ejections during the load.
     ejections: usize,
-    /// Attempts admitted at once after it.
+    /// Attempts admitted at once after the load.
     admitted: usize,
 }
 
-/// Plays a load where the first attempt of every `interval`-th request gets a corrupt response.
-fn run_corrupt_load(interval: u32) -> CorruptLoad {
-    let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(4));
+/// Runs a load in which the first attempt of every `interval`-th request gets a corrupt response.
+fn run_corrupt_load(interval: u32) -> CorruptLoadEffects {
+    let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(4));
     for id in 0..800 {
         proxy.submit(request(id, 0));
         proxy.advance(10 * MS);
@@ -100,30 +110,36 @@
         }
     }
     proxy.submit_all(1000..1200, 0);
-    CorruptLoad {
+    CorruptLoadEffects {
         ejections: proxy.ejections(),
         admitted: proxy.in_flight().len(),
     }
 }
 
-/// Guards against healthy backends that are ejected for responses that were corrupted on the way.
+/// Guards against ejecting healthy backends for responses that were corrupted on the network.
 #[test]
 fn an_occasional_corrupt_response_ejects_no_backend_and_lowers_no_limit() {
     let intact = run_corrupt_load(u32::MAX);
     let corrupt = run_corrupt_load(10);
-    assert_eq!(corrupt.ejections, 0, "a tenth is corrupt, from any backend");
+    assert_eq!(
+        corrupt.ejections, 0,
+        "expected no ejection when a tenth of the responses of all backends is corrupt"
+    );
     assert!(
         corrupt.admitted * 2 > intact.admitted,
-        "limits stay: {} and {} are in flight",
+        "{} attempts admitted after corrupt responses, expected more than half of the {} without any",
         corrupt.admitted,
         intact.admitted
     );
-    assert!(run_corrupt_load(1).ejections > 0, "all is corrupt");
+    assert!(
+        run_corrupt_load(1).ejections > 0,
+        "expected an ejection when each first response is corrupt"
+    );
 }
 
-/// Returns the ejections of a load where every `interval`-th connection breaks.
+/// Returns the number of ejections in a load in which every `interval`-th request is reset.
 fn ejections_with_resets(interval: u32) -> usize {
-    let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(4));
+    let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(4));
     for id in 0..800 {
         proxy.submit(request(id, 1));
         proxy.advance(10 * MS);
@@ -137,17 +153,24 @@
     proxy.ejections()
 }
 
-/// Guards against healthy backends that are ejected for connections that something on the way broke.
+/// Guards against ejecting healthy backends for connections that the network broke.
 #[test]
-fn connections_that_break_now_and_then_eject_no_backend() {
-    assert_eq!(ejections_with_resets(8), 0, "one in eight breaks");
-    assert!(ejections_with_resets(1) > 0, "all break");
+fn occasional_resets_eject_no_backend() {
+    assert_eq!(
+        ejections_with_resets(8),
+        0,
+        "expected no ejection when one in eight requests is reset"
+    );
+    assert!(
+        ejections_with_resets(1) > 0,
+        "expected an ejection when all requests are reset"
+    );
 }
 
-/// Guards against ejections that go on doubling however well the backend has served since the last one.
+/// Guards against doubling the duration of each ejection although the backend has served requests since the last one.
 #[test]
-fn a_backend_that_has_served_well_again_is_ejected_for_as_short_as_the_first_time() {
-    let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(2));
+fn an_ejection_is_as_short_as_the_first_one_after_the_backend_has_served_requests() {
+    let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(2));
     for turn in 0..6 {
         let first = turn * 1000;
         for id in first..first + 60 {
@@ -155,25 +178,33 @@
             proxy.advance(20 * MS);
             proxy.end_all(Outcome::Ok);
         }
-        let failed = sent_to(&proxy.submit(request(first + 500, 1))).expect("there is capacity");
+        let failed = sent_to(&proxy.submit(request(first + 500, 1)))
+            .expect("an idle backend has a free slot");
         proxy.end_attempt(RequestId(first + 500), 0, Outcome::ConnectFailed);
-        assert_eq!(proxy.ejections(), turn as usize + 1);
+        assert_eq!(
+            proxy.ejections(),
+            turn as usize + 1,
+            "expected one ejection after each failed connection"
+        );
         proxy.advance(1300 * MS);
         let is_tried = (first + 600..first + 605)
             .any(|id| sent_to(&proxy.submit(request(id, 0))) == Some(failed));
-        assert!(is_tried, "ejection {turn} lasts as long as the first one");
+        assert!(
+            is_tried,
+            "expected ejection {turn} to end as early as the first one"
+        );
         proxy.advance(20 * MS);
         proxy.end_all(Outcome::Ok);
     }
 }
 
-/// Guards against ejections without end where no class is idempotent.
+/// Guards against ejections that never end because no class is idempotent.
 #[test]
-fn a_keyed_request_may_be_the_trial_of_an_ejected_backend() {
-    let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(3));
-    let failed = sent_to(&proxy.submit(request(0, 4))).expect("there is capacity");
+fn a_keyed_request_can_be_the_trial_request_of_an_ejected_backend() {
+    let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(3));
+    let failed = sent_to(&proxy.submit(request(0, 4))).expect("an idle backend has a free slot");
     proxy.end_attempt(RequestId(0), 0, Outcome::ConnectFailed);
     proxy.advance(3 * SECOND);
     let is_tried = (1..20).any(|id| sent_to(&proxy.submit(request(id, 4))) == Some(failed));
-    assert!(is_tried, "the ejection ends with a keyed request");
+    assert!(is_tried, "expected a keyed request as the trial request");
 }
--- a/tests/decisions/queue_and_rejection.rs
+++ b/tests/decisions/queue_and_rejection.rs
@@ -1,10 +1,10 @@
-//! The queue, its timeout and priorities, and what a rejected client is told.
+//! The queue, its timeout and priorities, and the `Retry-After` of rejections.
 
 use crate::common::*;
 use crate::support::*;
 use tillerproxy::api::*;
 
-/// Returns the `Retry-After` of each rejection so far.
+/// Returns the `Retry-After` of each rejection so far, in microseconds.
 fn retry_after_times(proxy: &SimulatedProxy) -> Vec<Micros> {
     proxy
         .log
@@ -17,23 +17,20 @@
 }
 
 #[test]
-fn in_flight_never_exceeds_the_limits_and_the_rest_is_queued_then_rejected() {
-    let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(4));
+fn requests_above_the_limits_are_queued_and_then_rejected() {
+    let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(4));
     proxy.submit_all(0..100, 0);
     let sent = proxy.in_flight().len();
     assert!(
         (4..=8).contains(&sent),
-        "the first limit is 1.5 a backend, {sent} were sent to four"
+        "expected 4 to 8 sends to four backends with an initial limit of 1.5 each: {sent}"
     );
     proxy.advance(150 * MS);
+    let ended = proxy.requests.values().filter(|request| request.ended);
     assert_eq!(
-        proxy
-            .requests
-            .values()
-            .filter(|request| request.ended)
-            .count(),
+        ended.count(),
         0,
-        "queued for a tenth of two seconds"
+        "expected a wait in the queue of 200 ms, a tenth of the timeout"
     );
     proxy.advance(60 * MS);
     let rejections = proxy.log.iter().filter(|logged| {
@@ -45,12 +42,16 @@
             }
         )
     });
-    assert_eq!(rejections.count(), 100 - sent);
+    assert_eq!(
+        rejections.count(),
+        100 - sent,
+        "expected a rejection with a Retry-After for each queued request"
+    );
 }
 
 #[test]
-fn a_queued_request_of_higher_priority_weight_goes_first() {
-    let mut settings = single_zone();
+fn a_queued_request_with_a_higher_priority_weight_is_sent_first() {
+    let mut settings = single_zone_settings();
     settings.classes[2].priority_weight = 10.0;
     let mut proxy = SimulatedProxy::new(settings, single_zone_backends(1));
     proxy.submit_all(0..10, 0);
@@ -69,38 +70,47 @@
                 ..
             ]
         ),
-        "{actions:?}"
+        "expected request 50, which has the higher priority weight, to be sent first: {actions:?}"
     );
 }
 
-/// Guards against a rejection by chance that costs the client its latency objective; a full backend should keep it away.
+/// With scaled limits a rejection may be due to chance, and a long `Retry-After` would cost the client its latency
+/// objective. A single proxy rejects only when its backends are full, and then the client should stay away for longer.
 #[test]
-fn a_rejected_client_may_retry_sooner_where_a_proxy_has_few_slots() {
-    let longest_wait = |proxy_count| {
+fn retry_after_is_shorter_with_scaled_limits() {
+    let longest_retry_after = |proxy_count| {
         let settings = Settings {
             proxy_count,
-            ..single_zone()
+            ..single_zone_settings()
         };
         let mut proxy = SimulatedProxy::new(settings, single_zone_backends(40));
         proxy.submit_all(0..200, 0);
         proxy.advance(300 * MS);
-        let waits = retry_after_times(&proxy);
-        waits.into_iter().max().expect("some are rejected")
+        let times = retry_after_times(&proxy);
+        times
+            .into_iter()
+            .max()
+            .expect("200 requests at once exceed the limits")
     };
-    assert!(longest_wait(200) < 100 * MS && longest_wait(1) == 500 * MS);
+    assert!(longest_retry_after(200) < 100 * MS);
+    assert_eq!(longest_retry_after(1), 500 * MS);
 }
 
-/// Guards against clients that come back at once where it is not known how long they heed a `Retry-After`.
+/// Guards against rejections without a `Retry-After`, after which clients retry at once, when it is unknown how long a
+/// `Retry-After` the clients follow.
 #[test]
-fn a_rejected_client_gets_a_retry_after_also_where_its_heeded_maximum_is_unknown() {
+fn a_rejection_has_a_retry_after_even_if_the_maximum_that_clients_follow_is_unknown() {
     let cases = [(None, 1..=500 * MS), (Some(30 * MS), 30 * MS..=30 * MS)];
     for (max_retry_after, expected) in cases {
-        let mut settings = single_zone();
+        let mut settings = single_zone_settings();
         settings.permissions.max_retry_after = max_retry_after;
         let mut proxy = SimulatedProxy::new(settings, single_zone_backends(2));
         proxy.submit_all(0..10, 0);
         proxy.advance(300 * MS);
-        let waits = retry_after_times(&proxy);
-        assert!(!waits.is_empty() && waits.iter().all(|wait| expected.contains(wait)));
+        let times = retry_after_times(&proxy);
+        assert!(
+            !times.is_empty() && times.iter().all(|time| expected.contains(time)),
+            "maximum {max_retry_after:?}, expected each Retry-After in {expected:?} us: {times:?}"
+        );
     }
 }
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,13 +1,13 @@
-//! Slow start at the ends of the clock. Its budget over all proxies is tested with the rules.
+//! Slow start with extreme start times. Its budget over all proxies is tested in `tests/rules/slow_start.rs`.
 
 use crate::common::*;
 use crate::support::*;
 use tillerproxy::api::*;
 
-/// Guards against overflow of a start time or of a key's time to live at the far end of the clock.
+/// Guards against an overflow in sums with the greatest start time or time to live of a key.
 #[test]
-fn start_times_and_key_lifetimes_at_the_far_end_of_the_clock_do_not_overflow() {
-    let mut settings = single_zone();
+fn the_greatest_start_time_and_key_ttl_do_not_overflow() {
+    let mut settings = single_zone_settings();
     settings.classes[2].idempotency = Idempotency::Keyed {
         scope: KeyScope::AllBackends,
         ttl: Micros::MAX,
--- a/tests/decisions/streaming.rs
+++ b/tests/decisions/streaming.rs
@@ -1,4 +1,4 @@
-//! Streamed responses, once they have started.
+//! Streamed responses after their start.
 
 use crate::common::*;
 use crate::support::*;
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_streamed_response_that_has_started_is_neither_cancelled_nor_failed() {
-    let mut proxy = SimulatedProxy::new(single_zone(), single_zone_backends(3));
+    let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(3));
     proxy.submit(request(1, 0));
     proxy.handle(Event::ResponseStarted {
         request: RequestId(1),
@@ -20,15 +20,21 @@
         !proxy
             .log
             .iter()
-            .any(|logged| matches!(logged.action, Action::Cancel { .. } | Action::Fail { .. }))
+            .any(|logged| matches!(logged.action, Action::Cancel { .. } | Action::Fail { .. })),
+        "expected neither a cancellation nor a failure: {:?}",
+        proxy.log
     );
 }
 
-/// Sends a request whose streamed response starts at once.
+/// Submits a request whose streamed response starts, with 5 ms reported as the time since the send.
 fn start_stream(balancer: &mut Balancer, now: Micros, id: u32) {
     let mut actions = Vec::new();
     balancer.handle(now, Event::Request(request(id, 0)), &mut actions);
-    assert_eq!(sent_to(&actions), Some(BackendId(0)), "request {id}");
+    assert_eq!(
+        sent_to(&actions),
+        Some(BackendId(0)),
+        "expected request {id} to be sent"
+    );
     let started = Event::ResponseStarted {
         request: RequestId(id),
         attempt: 0,
@@ -39,18 +45,18 @@
         !actions
             .iter()
             .any(|action| matches!(action, Action::Cancel { .. } | Action::Fail { .. })),
-        "{actions:?}"
+        "expected neither a cancellation nor a failure: {actions:?}"
     );
 }
 
-/// Guards against the time that a client takes to read a large response counting as work or latency of its backend.
+/// Guards against counting the time in which a client reads a large response as work or latency of the backend.
 #[test]
-fn a_streamed_response_holds_no_slot_once_it_has_started() {
+fn a_streamed_response_holds_no_slot_after_its_start() {
     let mut balancer = bare_balancer(&single_zone_backends(1));
     for id in 1..=50 {
         start_stream(&mut balancer, u64::from(id) * 10 * MS, id);
     }
-    // Their ends, however late and whatever they are, say nothing more of the backend.
+    // The end of a started stream is no sample of its backend, at any time and with any outcome.
     let now = 10 * SECOND;
     for id in 1..=50 {
         let outcome = if id % 2 == 0 {
@@ -71,5 +77,9 @@
         balancer.handle(now, Event::AttemptEnded(attempt_end), &mut Vec::new());
     }
     start_stream(&mut balancer, now, 51);
-    assert_eq!(balancer.avoided_backends(now), 0);
+    assert_eq!(
+        balancer.avoided_backends(now),
+        0,
+        "expected the backend not to be avoided"
+    );
 }
--- a/tests/decisions/support.rs
+++ b/tests/decisions/support.rs
@@ -1,10 +1,10 @@
-//! What the tests of several policies share.
+//! Helpers for the tests of several policies.
 
 use crate::common::*;
 use tillerproxy::api::*;
 use tillerproxy::balancer::Balancer;
 
-/// `count` warm backends in one zone.
+/// Returns `count` warm backends in one zone and one cell, with ids from 0.
 pub fn single_zone_backends(count: u32) -> Vec<Backend> {
     (0..count)
         .map(|id| Backend {
@@ -15,15 +15,16 @@
         .collect()
 }
 
-/// The usual settings with one zone.
-pub fn single_zone() -> Settings {
+/// Returns the default settings with one zone.
+pub fn single_zone_settings() -> Settings {
     Settings {
         zone_count: 1,
         ..settings()
     }
 }
 
-/// Submits `per_tick` requests every 10 ms, `ticks` times, each served after `latency`.
+/// Submits `per_tick` requests of class 0 every 10 ms, `ticks` times, with ids from `first_id`. Each attempt is served
+/// after the `latency` of its backend.
 pub fn run_load(
     proxy: &mut SimulatedProxy,
     first_id: u32,
@@ -39,9 +40,10 @@
     }
 }
 
-/// A balancer without a simulated proxy around it, for events that only real sockets bring.
+/// Returns a balancer without a simulated proxy, for events that only a proxy with real sockets sends.
 pub fn bare_balancer(backends: &[Backend]) -> Balancer {
-    let mut balancer = Balancer::new(single_zone(), 1, 0).expect("good settings");
+    let mut balancer =
+        Balancer::new(single_zone_settings(), 1, 0).expect("the settings of the test are valid");
     balancer.handle(
         0,
         Event::Membership(MembershipEvent::Cached(backends)),
