--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,5 +1,6 @@
-//! Attempts over loopback sockets in paused time: what backends send at the wrong moment. Time passes only when
-//! nothing else can go on.
+//! Attempts over loopback sockets to backends that send data at unexpected times or slowly.
+//!
+//! The tests run in paused time: the clock of tokio advances only while all tasks wait.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -16,24 +17,28 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
+/// Id of the only backend.
 const BACKEND: BackendId = BackendId(7);
 
-/// How long after the first a second response comes.
+/// Time between the first response to a request and the second.
 const SECOND_RESPONSE_DELAY: Duration = Duration::from_millis(5);
 
-/// Reads the head of a request; `None` at the end of the connection.
+/// Reads the head of a request; returns `None` at the end of the connection.
 async fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.ok()?);
     }
-    Some(String::from_utf8(head).expect("text"))
+    Some(String::from_utf8(head).expect("the proxy sends an ASCII head"))
 }
 
-/// A backend that responds to each request with its path, and once more a little later.
+/// Serves a connection: responds to each request with its path, and again after [`SECOND_RESPONSE_DELAY`].
 async fn respond_twice(mut stream: TcpStream) {
     while let Some(head) = read_head(&mut stream).await {
-        let path = head.split(' ').nth(1).expect("a path");
+        let path = head
+            .split(' ')
+            .nth(1)
+            .expect("a request line has a path after its method");
         let response = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{path}",
             path.len()
@@ -47,7 +52,8 @@
     }
 }
 
-fn call(path: &'static str) -> Rc<Call> {
+/// Returns a GET request with an empty body.
+fn get_call(path: &'static str) -> Rc<Call> {
     Rc::new(Call {
         method: Method::GET,
         target: Uri::from_static(path),
@@ -57,20 +63,24 @@
     })
 }
 
-/// Returns the deadlines of an attempt that has a second.
-fn one_second() -> AttemptDeadlines {
+/// Returns the deadlines of an attempt that may last one second.
+fn deadlines_in_one_second() -> AttemptDeadlines {
     AttemptDeadlines {
         deadline: Instant::now() + Duration::from_secs(1),
         write_deadline: None,
     }
 }
 
-/// Returns one backend, each of whose connections `serve` handles.
-async fn backend_client<F: Future<Output = ()> + 'static>(
+/// Starts a backend that handles each connection with `serve`, and returns a client that has it listed.
+async fn start_backend<F: Future<Output = ()> + 'static>(
     serve: impl Fn(TcpStream) -> F + 'static,
 ) -> Rc<BackendClient> {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("the test's socket binds a loopback port");
+    let address = listener
+        .local_addr()
+        .expect("a bound socket has an address");
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             spawn_local(serve(stream));
@@ -85,23 +95,36 @@
 /// Sends a request and returns the body of its response.
 async fn get(backend_client: &Rc<BackendClient>, path: &'static str) -> String {
     let (_cancel_sender, cancel) = oneshot::channel();
-    let connections = backend_client.connections(BACKEND).expect("it is listed");
+    let connections = backend_client
+        .connections(BACKEND)
+        .expect("the backend is listed");
     let ended = Rc::clone(backend_client)
-        .attempt(connections, call(path), one_second(), cancel, |_| {})
+        .attempt(
+            connections,
+            get_call(path),
+            deadlines_in_one_second(),
+            cancel,
+            |_| {},
+        )
         .await;
-    assert_eq!(ended.outcome, Outcome::Ok);
-    let ServedBody::Buffered(body) = ended.served.expect("a response").body else {
-        panic!("it fits")
+    assert_eq!(
+        ended.outcome,
+        Outcome::Ok,
+        "expected a served attempt of {path}"
+    );
+    let ServedBody::Buffered(body) = ended.served.expect("a served attempt has a response").body
+    else {
+        panic!("expected a buffered body, as it is short")
     };
-    String::from_utf8(body.joined()).expect("text")
+    String::from_utf8(body.joined()).expect("the backend sends ASCII")
 }
 
 #[tokio::test(start_paused = true)]
-async fn once_a_second_response_was_seen_none_is_taken_for_that_of_the_next_request() {
+async fn a_second_response_on_a_connection_is_not_used_for_a_later_request() {
     let test = async {
-        let backend_client = backend_client(respond_twice).await;
+        let backend_client = start_backend(respond_twice).await;
         assert_eq!(get(&backend_client, "/first").await, "/first");
-        // No request is in flight meanwhile, so the second response is seen for what it is.
+        // The second response arrives while no request is in flight, so the client detects that it answers none.
         sleep(2 * SECOND_RESPONSE_DELAY).await;
         for path in ["/second", "/third", "/fourth"] {
             assert_eq!(get(&backend_client, path).await, path);
@@ -110,23 +133,28 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A chunked response, and how its client reads it.
+/// A chunked response and the rate at which its client reads it.
 #[derive(Clone, Copy)]
 struct ChunkedResponse {
     chunk_size: usize,
     /// Pause after each chunk.
     pause: Duration,
     chunks: usize,
-    /// How long the client takes to read a byte.
+    /// Time that the client takes to read one byte.
     client_time_per_byte: Duration,
 }
 
 impl ChunkedResponse {
     /// Sends the response to one request, then keeps the connection open.
     async fn serve(self, mut stream: TcpStream) {
-        read_head(&mut stream).await.expect("a head");
+        read_head(&mut stream)
+            .await
+            .expect("the client sends a request");
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        stream.write_all(head).await.expect("the proxy reads");
+        stream
+            .write_all(head)
+            .await
+            .expect("the client keeps its connection open until it has the head");
         let data = "x".repeat(self.chunk_size);
         let chunk = format!("{:x}\r\n{data}\r\n", self.chunk_size);
         for _ in 0..self.chunks {
@@ -139,12 +167,15 @@
         sleep(Duration::from_secs(60)).await;
     }
 
-    /// Reads the response as slowly as the client does; returns the number of bytes.
+    /// Reads the response at the rate of its client; returns the number of bytes.
     async fn read(self, body: oneshot::Receiver<ResponseBody>) -> usize {
         let mut body = body.await.expect("the response starts");
         let mut received = 0;
         while let Some(Ok(frame)) = body.frame().await {
-            let size = frame.into_data().expect("data").len();
+            let size = frame
+                .into_data()
+                .expect("the backend sends no trailers")
+                .len();
             received += size;
             sleep(self.client_time_per_byte * size as u32).await;
         }
@@ -152,7 +183,7 @@
     }
 }
 
-/// How the attempt of a chunked response ended.
+/// The end of an attempt with a chunked response.
 struct ChunkedAttempt {
     outcome: Outcome,
     duration: Duration,
@@ -160,18 +191,20 @@
     received: usize,
 }
 
-/// Requests the response; the request is over after `request_timeout`.
+/// Runs an attempt with this response. Its request times out after `request_timeout`.
 async fn attempt_chunked(response: ChunkedResponse, request_timeout: Duration) -> ChunkedAttempt {
-    let backend_client = backend_client(move |stream| response.serve(stream)).await;
-    let call = call("/long");
-    let deadlines = one_second();
+    let backend_client = start_backend(move |stream| response.serve(stream)).await;
+    let call = get_call("/long");
+    let deadlines = deadlines_in_one_second();
     let (_cancel_sender, cancel) = oneshot::channel();
     let (body_sender, body) = oneshot::channel::<ResponseBody>();
-    let connections = backend_client.connections(BACKEND).expect("it is listed");
-    let timed_out = Rc::clone(&call);
+    let connections = backend_client
+        .connections(BACKEND)
+        .expect("the backend is listed");
+    let timed_out_call = Rc::clone(&call);
     spawn_local(async move {
         sleep(request_timeout).await;
-        timed_out.over.set();
+        timed_out_call.over.set();
     });
     let client = spawn_local(response.read(body));
     let on_response_start = |served: Served| assert!(body_sender.send(served.body.into()).is_ok());
@@ -182,14 +215,14 @@
     ChunkedAttempt {
         outcome: ended.outcome,
         duration: started_at.elapsed(),
-        received: client.await.expect("a client"),
+        received: client.await.expect("the task that reads does not panic"),
     }
 }
 
-/// Guards against cutting off responses whose request is over after they have started, as long as they come
-/// quickly. How long one takes is not known ahead: it has no length.
+/// Guards against cutting off a response that started before its request timed out and still arrives at a sufficient
+/// rate. The duration of such a response is unknown in advance, because it has no `Content-Length`.
 #[tokio::test(start_paused = true)]
-async fn a_response_without_a_length_is_cut_off_only_where_it_comes_too_slowly() {
+async fn a_response_without_content_length_is_cut_off_after_the_request_timeout_only_if_too_slow() {
     const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
     const LONGEST_AFTER_TIMEOUT: Duration = Duration::from_millis(500);
     let steady = ChunkedResponse {
@@ -218,18 +251,19 @@
             assert_eq!(
                 attempt.outcome,
                 Outcome::Timeout,
-                "nothing tells that it ends"
+                "expected a timeout of a slow response of unknown length"
             );
             assert!(
                 attempt.duration <= REQUEST_TIMEOUT + LONGEST_AFTER_TIMEOUT,
-                "{:?}",
-                attempt.duration
+                "the attempt ended after {:?}, expected at most {:?}",
+                attempt.duration,
+                REQUEST_TIMEOUT + LONGEST_AFTER_TIMEOUT
             );
         } else {
             assert_eq!(
                 (attempt.outcome, attempt.received),
                 (Outcome::Ok, response.chunk_size * response.chunks),
-                "its backend was still sending"
+                "expected the whole response"
             );
         }
     }
