--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,27 +1,31 @@
-//! Settings of other deployments: everything that distinguishes them comes from the configuration.
+//! Configurations of two different deployments: all differences between deployments are in the settings.
 
 use serde_json::{Value, json};
 use tillerproxy::api::{DiscoveryMode, Idempotency, KeyScope};
 use tillerproxy::proxy::config::Config;
 
+/// Returns a complete configuration with these settings.
 fn config(settings: &Value) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
            "limits": {"cores": 0.2, "memory_mb": 48, "sockets": 512}, "settings": settings})
 }
 
+/// Parses a configuration for one process without environment variables; an error is returned as its text.
 fn parse(config: &Value) -> Result<Config, String> {
-    Config::parse(config.to_string().as_bytes(), |_| None, 1).map_err(|e| e.to_string())
+    Config::parse(config.to_string().as_bytes(), |_| None, 1).map_err(|error| error.to_string())
 }
 
+/// Returns the settings of a class. The durations are its latency objective, its timeout and the time to live of its
+/// idempotency keys.
 fn class(name: &str, effect: &str, group: &str, durations_ms: [u64; 3]) -> Value {
-    let [objective, timeout, ttl] = durations_ms.map(|ms| ms * 1_000);
-    json!({"name": name, "aimUs": objective, "deadlineUs": timeout, "worth": 2.0, "lateWorth": 0.2, "streamed": false,
-           "effect": effect, "group": group, "keyTtlUs": ttl})
+    let [objective_us, timeout_us, key_ttl_us] = durations_ms.map(|ms| ms * 1_000);
+    json!({"name": name, "aimUs": objective_us, "deadlineUs": timeout_us, "worth": 2.0, "lateWorth": 0.2,
+           "streamed": false, "effect": effect, "group": group, "keyTtlUs": key_ttl_us})
 }
 
-/// Endpoint lists are pushed, no tenant has a quota, idempotency keys hold in parts of the backends only, nothing may be
-/// cancelled.
-fn ferries() -> Value {
+/// Returns the settings of a deployment where endpoint lists are pushed, there are no tenants, the scope of idempotency
+/// keys is a zone or a cell, and attempts may not be cancelled.
+fn pushed_deployment() -> Value {
     json!({"me": 3, "balancers": 6, "zone": 1, "failureDomains": ["bryggen", "laksevag"],
         "kinds": ["fast", "standard", "small"], "membershipMode": "pushed", "tenants": [],
         "loadReport": {"via": "answers", "fields": ["avg_ms", "waiting"]},
@@ -33,9 +37,9 @@
                    "fallMultiple": 2.5, "fallUs": 3_000_000}})
 }
 
-/// Discovery is polled, no request is idempotent, timeouts are short.
-fn ticketing() -> Value {
-    let mut settings = ferries();
+/// Returns the settings of a deployment where discovery is polled, no class is idempotent and timeouts are short.
+fn polled_deployment() -> Value {
+    let mut settings = pushed_deployment();
     settings["membershipMode"] = "on_request".into();
     settings["failureDomains"] = json!(["namba"]);
     settings["zone"] = 0.into();
@@ -53,13 +57,13 @@
 }
 
 #[test]
-fn settings_of_a_pushed_deployment_are_read() {
-    let ferries = parse(&config(&ferries())).expect("good settings");
-    let idempotency: Vec<_> = ferries
+fn the_settings_of_a_pushed_deployment_are_read() {
+    let config = parse(&config(&pushed_deployment())).expect("the configuration is valid");
+    let idempotency: Vec<_> = config
         .settings
         .classes
         .iter()
-        .map(|c| c.idempotency)
+        .map(|class| class.idempotency)
         .collect();
     assert_eq!(
         idempotency,
@@ -76,119 +80,163 @@
         ]
     );
     assert_eq!(
-        ferries.names.classes,
+        config.names.classes,
         ["sailings", "seat-hold", "boarding-scan"]
     );
     assert!(
-        ferries.names.tenants.is_empty()
-            && ferries.settings.discovery_mode == DiscoveryMode::Pushed
+        config.names.tenants.is_empty() && config.settings.discovery_mode == DiscoveryMode::Pushed
     );
     assert_eq!(
         (
-            ferries.settings.permissions.max_attempts,
-            ferries.connect_timeout
+            config.settings.permissions.max_attempts,
+            config.connect_timeout
         ),
         (2, 100_000)
     );
     assert_eq!(
         (
-            ferries.settings.load_report.service_time_ms,
-            ferries.settings.load_report.in_flight
+            config.settings.load_report.service_time_ms,
+            config.settings.load_report.in_flight
         ),
         (Some(0), None)
     );
-    assert_eq!(ferries.settings.permissions.max_retry_after, None);
+    assert_eq!(config.settings.permissions.max_retry_after, None);
 }
 
 #[test]
-fn settings_of_a_polled_deployment_are_read() {
-    let ticketing = parse(&config(&ticketing())).expect("good settings");
+fn the_settings_of_a_polled_deployment_are_read() {
+    let config = parse(&config(&polled_deployment())).expect("the configuration is valid");
     assert!(
-        ticketing
+        config
             .settings
             .classes
             .iter()
-            .all(|c| c.idempotency == Idempotency::NonIdempotent)
+            .all(|class| class.idempotency == Idempotency::NonIdempotent)
     );
     assert_eq!(
-        ticketing.settings.classes.iter().map(|c| c.timeout).max(),
+        config
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.timeout)
+            .max(),
         Some(400_000)
     );
-    assert_eq!(ticketing.names.tenants, ["umeda-hall", "street-kiosks"]);
+    assert_eq!(config.names.tenants, ["umeda-hall", "street-kiosks"]);
     assert!(
-        ticketing.settings.discovery_mode == DiscoveryMode::Polled
-            && ticketing.settings.load_report_by_health_check
+        config.settings.discovery_mode == DiscoveryMode::Polled
+            && config.settings.load_report_by_health_check
     );
-    assert_eq!(
-        ticketing.settings.permissions.max_retry_after,
-        Some(900_000)
-    );
-    assert_eq!(ticketing.settings.zone_count, 1);
+    assert_eq!(config.settings.permissions.max_retry_after, Some(900_000));
+    assert_eq!(config.settings.zone_count, 1);
+}
+
+/// An invalid value of one setting.
+struct InvalidSetting {
+    /// JSON pointer to the setting in the configuration.
+    pointer: &'static str,
+    value: Value,
+    /// Path of the setting that the error has to name.
+    expected_field: &'static str,
 }
 
-/// Where a setting stands, an invalid value, and the name of the field that the error has to give.
-fn invalid_settings() -> [(&'static str, Value, &'static str); 14] {
+fn invalid_settings() -> [InvalidSetting; 14] {
     [
-        (
-            "/settings/classes/1/deadlineUs",
-            "soon".into(),
-            "classes[1].deadlineUs",
-        ),
-        (
-            "/settings/classes/1/deadlineUs",
-            (-1).into(),
-            "classes[1].deadlineUs",
-        ),
-        ("/settings/classes/2/aimUs", 0.into(), "classes[2].aimUs"),
-        (
-            "/settings/classes/0/effect",
-            "harmless".into(),
-            "classes[0].effect",
-        ),
-        (
-            "/settings/classes/1/group",
-            "street".into(),
-            "classes[1].group",
-        ),
-        ("/settings/classes/0/worth", Value::Null, "classes[0].worth"),
-        (
-            "/settings/classes/1/name",
-            "sailings".into(),
-            "classes[1].name",
-        ),
-        ("/settings/classes/1/name", "".into(), "classes[1].name"),
-        ("/settings/classes", json!([]), "classes"),
-        (
-            "/settings/permissions/maxAttempts",
-            0.into(),
-            "permissions.maxAttempts",
-        ),
-        (
-            "/settings/membershipMode",
-            "gossip".into(),
-            "membershipMode",
-        ),
-        ("/settings/safety/coldFrom", 1.5.into(), "safety.coldFrom"),
-        ("/settings/balancers", 0.into(), "balancers"),
-        ("/limits/sockets", "many".into(), "limits.sockets"),
+        InvalidSetting {
+            pointer: "/settings/classes/1/deadlineUs",
+            value: "soon".into(),
+            expected_field: "classes[1].deadlineUs",
+        },
+        InvalidSetting {
+            pointer: "/settings/classes/1/deadlineUs",
+            value: (-1).into(),
+            expected_field: "classes[1].deadlineUs",
+        },
+        InvalidSetting {
+            pointer: "/settings/classes/2/aimUs",
+            value: 0.into(),
+            expected_field: "classes[2].aimUs",
+        },
+        InvalidSetting {
+            pointer: "/settings/classes/0/effect",
+            value: "harmless".into(),
+            expected_field: "classes[0].effect",
+        },
+        InvalidSetting {
+            pointer: "/settings/classes/1/group",
+            value: "street".into(),
+            expected_field: "classes[1].group",
+        },
+        InvalidSetting {
+            pointer: "/settings/classes/0/worth",
+            value: Value::Null,
+            expected_field: "classes[0].worth",
+        },
+        InvalidSetting {
+            pointer: "/settings/classes/1/name",
+            value: "sailings".into(),
+            expected_field: "classes[1].name",
+        },
+        InvalidSetting {
+            pointer: "/settings/classes/1/name",
+            value: "".into(),
+            expected_field: "classes[1].name",
+        },
+        InvalidSetting {
+            pointer: "/settings/classes",
+            value: json!([]),
+            expected_field: "classes",
+        },
+        InvalidSetting {
+            pointer: "/settings/permissions/maxAttempts",
+            value: 0.into(),
+            expected_field: "permissions.maxAttempts",
+        },
+        InvalidSetting {
+            pointer: "/settings/membershipMode",
+            value: "gossip".into(),
+            expected_field: "membershipMode",
+        },
+        InvalidSetting {
+            pointer: "/settings/safety/coldFrom",
+            value: 1.5.into(),
+            expected_field: "safety.coldFrom",
+        },
+        InvalidSetting {
+            pointer: "/settings/balancers",
+            value: 0.into(),
+            expected_field: "balancers",
+        },
+        InvalidSetting {
+            pointer: "/limits/sockets",
+            value: "many".into(),
+            expected_field: "limits.sockets",
+        },
     ]
 }
 
 #[test]
-fn invalid_settings_are_reported_by_the_name_of_their_field() {
-    for (pointer, value, field) in invalid_settings() {
-        let mut config = config(&ferries());
-        *config.pointer_mut(pointer).expect("it is there") = value;
+fn an_invalid_setting_is_reported_in_one_line_with_its_field() {
+    for InvalidSetting {
+        pointer,
+        value,
+        expected_field,
+    } in invalid_settings()
+    {
+        let mut config = config(&pushed_deployment());
+        *config
+            .pointer_mut(pointer)
+            .expect("the valid configuration has this setting") = value;
         let error = parse(&config).expect_err(pointer);
         assert!(
-            error.contains(field) && error.lines().count() == 1,
-            "{pointer}: {error}"
+            error.contains(expected_field) && error.lines().count() == 1,
+            "{pointer}: expected one line that names {expected_field}: {error}"
         );
     }
 }
 
 #[test]
-fn missing_settings_are_reported_by_the_name_of_their_field() {
+fn a_missing_setting_is_reported_with_its_field() {
     for field in [
         "me",
         "balancers",
@@ -197,12 +245,15 @@
         "safety",
         "membershipMode",
     ] {
-        let mut config = config(&ferries());
+        let mut config = config(&pushed_deployment());
         config["settings"]
             .as_object_mut()
-            .expect("an object")
+            .expect("the settings are an object")
             .remove(field);
         let error = parse(&config).expect_err(field);
-        assert!(error.contains(field), "{error}");
+        assert!(
+            error.contains(field),
+            "expected an error that names {field}: {error}"
+        );
     }
 }
