--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's protocol by bytes: what is read and written, and the errors for malformed input.
+//! The binary frames of the simulator's protocol and its settings: parsing, writing and errors for malformed input.
 
 use tillerproxy::api::*;
 use tillerproxy::simulator::frames::{
@@ -6,35 +6,39 @@
 };
 use tillerproxy::simulator::{FrameError, parse_settings};
 
+/// Returns the bytes of hexadecimal digits; characters other than digits are ignored.
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    let pair =
-        |p: &[u8]| u8::from_str_radix(std::str::from_utf8(p).expect("ascii"), 16).expect("hex");
-    digits.chunks(2).map(pair).collect()
+    let byte = |pair: &[u8]| {
+        let pair = std::str::from_utf8(pair).expect("hexadecimal digits are ASCII");
+        u8::from_str_radix(pair, 16).expect("all other characters were removed")
+    };
+    digits.chunks(2).map(byte).collect()
 }
 
-fn records(text: &str) -> Result<Vec<Record<'static>>, FrameError> {
+/// Parses all records of a batch that is given in hexadecimal digits. The bytes are leaked, as records refer to them.
+fn parse_records(text: &str) -> Result<Vec<Record<'static>>, FrameError> {
     let bytes: &'static [u8] = hex(text).leak();
     let mut reader = BatchReader::new(bytes)?;
-    let mut all = Vec::new();
+    let mut records = Vec::new();
     while let Some(record) = reader.next_record()? {
-        all.push(record);
+        records.push(record);
     }
-    Ok(all)
+    Ok(records)
 }
 
 #[test]
-fn an_empty_batch_has_a_clock_and_an_empty_reply() {
+fn an_empty_batch_has_a_clock_and_no_record_and_an_empty_reply_has_length_0() {
     let bytes = hex("00000000 00000008 0000000000805c5a");
-    let mut reader = BatchReader::new(&bytes).expect("a complete batch");
+    let mut reader = BatchReader::new(&bytes).expect("the batch is complete");
     assert_eq!(reader.clock(), 0x0080_5c5a);
     assert_eq!(reader.next_record(), Ok(None));
     assert_eq!(ReplyWriter::default().finish(), hex("00000000"));
 }
 
 #[test]
-fn events_of_two_proxies_are_read_in_order() {
-    let read = records(
+fn records_of_two_proxies_are_read_in_order() {
+    let read = parse_records(
         "00000005 00000045 0000000000805c5a
          02 00000002 0003
          0b 00000018 5d3a91c4 00 0000 91f03b7c55d20a64 0003a980 00002ee0 01
@@ -42,10 +46,10 @@
          02 00000002 0005
          08 00000004 0e6f2b19",
     )
-    .expect("a good batch");
+    .expect("the batch is valid");
     assert_eq!(read[0], Record::SelectProxy(ProxyId(3)));
     let Some(Event::Request(request)) = read[1].event() else {
-        panic!("{:?}", read[1])
+        panic!("expected a request: {:?}", read[1])
     };
     assert_eq!(
         (request.id, request.class, request.tenant),
@@ -70,8 +74,8 @@
 }
 
 #[test]
-fn endpoint_lists_and_outcomes_are_read() {
-    let read = records(
+fn endpoint_lists_membership_updates_and_ends_of_attempts_are_read() {
+    let read = parse_records(
         "00000003 00000066 0000000000805c5a
          00 00000032 0000 00000002
             03124a07 0000 00 0000 01 3f800000 0000000000000000
@@ -79,21 +83,21 @@
          07 00000007 02 00000029 0000
          04 00000016 5d3a91c4 03124a07 01 012e 0002 00004844 01 40200000",
     )
-    .expect("a good batch");
+    .expect("the batch is valid");
     let Record::EndpointList {
         list: ListId(0),
         endpoints,
     } = read[0]
     else {
-        panic!("{:?}", read[0])
+        panic!("expected an endpoint list: {:?}", read[0])
     };
-    let entries = endpoints.parse().expect("good entries");
+    let backends = endpoints.parse().expect("the endpoints are valid");
     assert_eq!(
-        (entries[0].id, entries[0].zone, entries[0].started_at),
+        (backends[0].id, backends[0].zone, backends[0].started_at),
         (BackendId(0x0312_4a07), Zone(0), None)
     );
-    assert_eq!(entries[1].started_at, Some(0x5d_1420));
-    assert_eq!(entries[1].readiness, Readiness::Draining);
+    assert_eq!(backends[1].started_at, Some(0x5d_1420));
+    assert_eq!(backends[1].readiness, Readiness::Draining);
     assert_eq!(
         read[1],
         Record::MembershipUpdate {
@@ -114,45 +118,51 @@
 }
 
 #[test]
-fn malformed_input_is_reported_with_its_offset() {
-    let cut =
-        records("00000001 0000000d 0000000000805c5a 06 00000004").expect_err("fields are missing");
-    assert_eq!(cut.offset, 16);
-    let short = records("00000001 0000000f 0000000000805c5a 06 00000002 0000")
-        .expect_err("a token has 4 bytes");
-    assert_eq!(short.offset, 21);
-    let count = records("00000000 0000000f 0000000000805c5a 08 00000002 0000")
-        .expect_err("more than counted");
+fn malformed_input_is_reported_with_its_offset_in_the_batch() {
+    let incomplete_record = parse_records("00000001 0000000d 0000000000805c5a 06 00000004")
+        .expect_err("the fields of the record are missing");
+    assert_eq!(incomplete_record.offset, 16);
+    let short_field = parse_records("00000001 0000000f 0000000000805c5a 06 00000002 0000")
+        .expect_err("the token has 2 of 4 bytes");
+    assert_eq!(short_field.offset, 21);
+    let uncounted_record = parse_records("00000000 0000000f 0000000000805c5a 08 00000002 0000")
+        .expect_err("the batch has a record but a record count of 0");
     assert_eq!(
-        (count.offset, count.kind.to_string().as_str()),
+        (
+            uncounted_record.offset,
+            uncounted_record.kind.to_string().as_str()
+        ),
         (
             16,
             "bytes after the last record, expected the end of the batch"
         )
     );
-    let length = records("00000000 00000009 0000000000805c5a").expect_err("a byte is missing");
-    assert_eq!(length.offset, 4);
-    let outcome = records(
+    let wrong_length = parse_records("00000000 00000009 0000000000805c5a")
+        .expect_err("the batch has 8 bytes but a length of 9");
+    assert_eq!(wrong_length.offset, 4);
+    let unknown_outcome = parse_records(
         "00000001 00000020 0000000000805c5a
          01 00000013 0065 00000001 00000002 00 0000000000000000",
     )
-    .expect_err("101 is no outcome");
-    assert_eq!(outcome.offset, 21);
+    .expect_err("101 is the code of no outcome");
+    assert_eq!(unknown_outcome.offset, 21);
 }
 
 #[test]
 fn an_unknown_readiness_is_reported_with_its_offset_in_the_batch() {
-    let read = records(
+    let read = parse_records(
         "00000001 0000003f 0000000000805c5a
          00 00000032 0000 00000002
             03124a07 0000 00 0000 01 3f800000 0000000000000000
             2c9011f2 0001 00 0000 03 3fc00000 00000000005d1420",
     );
-    let read = read.expect("the frames are complete");
+    let read = read.expect("the readiness of endpoints is not checked while records are read");
     let Record::EndpointList { endpoints, .. } = read[0] else {
-        panic!("{:?}", read[0])
+        panic!("expected an endpoint list: {:?}", read[0])
     };
-    let error = endpoints.parse().expect_err("3 is no readiness");
+    let error = endpoints
+        .parse()
+        .expect_err("3 is the code of no readiness");
     assert_eq!(
         error.to_string(),
         "invalid input at byte 58 of the batch: readiness of an endpoint is 3, expected 0 to 2"
@@ -160,9 +170,9 @@
 }
 
 #[test]
-fn an_unknown_kind_of_membership_update_is_reported() {
-    let error = records("00000001 00000014 0000000000805c5a 07 00000007 04 00000029 0000")
-        .expect_err("4 is no kind of update");
+fn an_unknown_kind_of_membership_update_is_reported_with_its_offset_in_the_batch() {
+    let error = parse_records("00000001 00000014 0000000000805c5a 07 00000007 04 00000029 0000")
+        .expect_err("4 is the code of no kind of update");
     assert_eq!(
         error.to_string(),
         "invalid input at byte 21 of the batch: scope of a `membership` record is 4, expected 0 to 3"
@@ -170,8 +180,8 @@
 }
 
 #[test]
-fn records_give_their_events() {
-    let read = records(
+fn each_record_of_an_event_is_converted_to_that_event() {
+    let read = parse_records(
         "00000006 00000079 0000000000805c5a
          03 0000000e 00000011 00000000 0002 00000013
          04 0000001a 00000021 00000022 00 0131 0003 00000024 02 3f800000 40000000
@@ -180,7 +190,7 @@
          06 00000004 00000051
          0b 00000018 00000061 02 0003 0000000000000000 00000064 00000065 02",
     )
-    .expect("a good batch");
+    .expect("the batch is valid");
     let expected = [
         Event::ResponseStarted {
             request: RequestId(0x11),
@@ -216,13 +226,17 @@
     ];
     let events: Vec<Event<'_>> = read.iter().filter_map(Record::event).collect();
     assert_eq!(format!("{events:?}"), format!("{expected:?}"));
-    assert!(Record::CrashProxy.event().is_none() && Record::Gossip.event().is_none());
+    assert!(
+        Record::CrashProxy.event().is_none() && Record::Gossip.event().is_none(),
+        "expected no event of the other records"
+    );
 }
 
 #[test]
-fn unknown_records_are_skipped() {
-    let read =
-        records("00000002 0000001c 0000000000805c5a c8 00000006 010203040506 06 00000004 00000001");
+fn a_record_with_an_unknown_code_is_skipped_and_the_next_one_is_read() {
+    let read = parse_records(
+        "00000002 0000001c 0000000000805c5a c8 00000006 010203040506 06 00000004 00000001",
+    );
     assert_eq!(
         read,
         Ok(vec![Record::Unknown(200), Record::TimerFired { token: 1 }])
@@ -230,7 +244,7 @@
 }
 
 #[test]
-fn actions_are_written_as_the_protocol_says() {
+fn each_action_is_written_as_its_record_with_the_proxy_before_it() {
     let mut reply = ReplyWriter::default();
     let send = Action::Send {
         request: RequestId(0x5d3a_91c4),
@@ -294,6 +308,7 @@
     assert_eq!(reply.finish(), hex(expected));
 }
 
+/// Valid settings, with some keys that are unknown.
 const SETTINGS: &str = r#"{"balancers": 5, "me": 2, "zone": 1, "failureDomains": ["a", "b"], "kinds": ["x"],
   "membershipMode": "on_request", "surprise": {"more": 1}, "familyInfo": {"warmKeys": true}, "weights": "rough",
   "classes": [{"aimUs": 500000, "deadlineUs": 900000, "effect": "dedup", "group": "cell", "keyTtlUs": 3000000,
@@ -306,7 +321,7 @@
 
 #[test]
 fn settings_are_read_and_unknown_keys_ignored() {
-    let settings = parse_settings(SETTINGS.as_bytes()).expect("good settings");
+    let settings = parse_settings(SETTINGS.as_bytes()).expect("the settings are valid");
     assert!(settings.discovery_mode == DiscoveryMode::Polled && settings.key_affinity);
     assert_eq!(
         (
@@ -334,7 +349,7 @@
     assert_eq!(settings.tenants[0].quota_per_s, 12.5);
 }
 
-/// Settings with another value for each key.
+/// Settings with distinct numbers, so that a value in the wrong field is detected.
 const DISTINCT_SETTINGS: &str = r#"{"me": 2, "balancers": 5, "zone": 1, "failureDomains": ["a", "b", "c"], "kinds": ["x", "y"],
         "membershipMode": "pushed", "familyInfo": {"warmKeys": true}, "overShareWorth": 0.11,
         "classes": [{"aimUs": 21, "aimStretch": 0.22, "deadlineUs": 23, "worth": 24.0, "lateWorth": 0.25,
@@ -345,7 +360,7 @@
                         "multiplex": 53, "retryAfter": true, "maxRetryAfterUs": 54},
         "safety": {"askWithinUs": 61, "coldFrom": 0.62, "coldUs": 63, "fallMultiple": 64.0, "fallUs": 65}}"#;
 
-/// The same settings, read.
+/// Returns the settings that [`DISTINCT_SETTINGS`] has to be read as.
 fn distinct_settings() -> Settings {
     Settings {
         proxy_index: 2,
@@ -397,7 +412,7 @@
 
 #[test]
 fn each_key_of_the_settings_sets_its_own_field() {
-    let settings = parse_settings(DISTINCT_SETTINGS.as_bytes()).expect("good settings");
+    let settings = parse_settings(DISTINCT_SETTINGS.as_bytes()).expect("the settings are valid");
     assert_eq!(
         format!("{settings:?}"),
         format!("{:?}", distinct_settings())
@@ -405,114 +420,132 @@
     for (key, field) in [("secondCopies", "hedging"), ("probes", "health_checks")] {
         let permitted =
             DISTINCT_SETTINGS.replace(&format!("\"{key}\": false"), &format!("\"{key}\": true"));
-        let settings = parse_settings(permitted.as_bytes()).expect("good settings");
+        let settings = parse_settings(permitted.as_bytes()).expect("the settings are valid");
         let text = format!("{:?}", settings.permissions);
-        assert!(text.contains(&format!("{field}: true")), "{text}");
+        assert!(
+            text.contains(&format!("{field}: true")),
+            "expected {field} to be true after {key} was set: {text}"
+        );
     }
 }
 
-/// A valid setting, an invalid one in its place, and the error.
-const INVALID_SETTINGS: [(&str, &str, &str); 16] = [
-    (
-        r#""balancers": 5"#,
-        r#""balancers": 0"#,
-        "setting `balancers`: found 0, allowed at least 1",
-    ),
-    (
-        r#""aimUs": 500000"#,
-        r#""aimUs": 0"#,
-        "setting `classes[0].aimUs`: found 0, allowed above 0",
-    ),
-    (
-        r#""deadlineUs": 900000"#,
-        r#""deadlineUs": 499999"#,
-        "setting `classes[0].deadlineUs`: found 499999, allowed at least 500000, the value of `classes[0].aimUs`",
-    ),
-    (
-        r#""worth": 2.0"#,
-        r#""worth": -2.5"#,
-        "setting `classes[0].worth`: found -2.5, allowed 0 or more",
-    ),
-    (
-        r#""lateWorth": 0.5"#,
-        r#""lateWorth": 1.5"#,
-        "setting `classes[0].lateWorth`: found 1.5, allowed 0 to 1",
-    ),
-    (
-        r#""lateWorth": 0.5"#,
-        r#""lateWorth": 0.5, "aimStretch": -0.1"#,
-        "setting `classes[0].aimStretch`: found -0.1, allowed 0 or more",
-    ),
-    (
-        r#""effect": "dedup""#,
-        r#""effect": "magic""#,
-        r#"setting `classes[0].effect`: found "magic", allowed retryable, dedup, fragile"#,
-    ),
-    (
-        r#""group": "cell""#,
-        r#""group": "moon""#,
-        r#"setting `classes[0].group`: found "moon", allowed all, zone, cell"#,
-    ),
-    (
-        r#""allowancePerS": 12.5"#,
-        r#""allowancePerS": 1.0}, {"allowancePerS": -1.0"#,
-        "setting `tenants[1].allowancePerS`: found -1, allowed 0 or more",
-    ),
-    (
-        r#""overShareWorth": 0.1"#,
-        r#""overShareWorth": -0.1"#,
-        "setting `overShareWorth`: found -0.1, allowed 0 to 1",
-    ),
-    (
-        r#""maxAttempts": 5"#,
-        r#""maxAttempts": 0"#,
-        "setting `permissions.maxAttempts`: found 0, allowed at least 1",
-    ),
-    (
-        r#""coldFrom": 0.33"#,
-        r#""coldFrom": 7"#,
-        "setting `safety.coldFrom`: found 7, allowed 0 to 1",
-    ),
-    (
-        r#""fallMultiple": 3.0"#,
-        r#""fallMultiple": 0.0"#,
-        "setting `safety.fallMultiple`: found 0, allowed above 0",
-    ),
-    (
-        r#""membershipMode": "on_request""#,
-        r#""membershipMode": "guess""#,
-        r#"setting `membershipMode`: found "guess", allowed pushed, on_request"#,
-    ),
-    (
-        r#""balancers": 5"#,
-        r#""balancers": -5"#,
-        "malformed settings: balancers: invalid value: integer `-5`, expected u32 at line 1 column 16",
-    ),
-    (
-        r#""safety""#,
-        r#""sagety""#,
-        "malformed settings: missing field `safety` at line 9 column 115",
-    ),
+/// An invalid value of one setting.
+struct InvalidSetting {
+    /// Text in [`SETTINGS`] that is replaced.
+    valid: &'static str,
+    /// Text that replaces it.
+    invalid: &'static str,
+    /// Text of the expected error.
+    error: &'static str,
+}
+
+const INVALID_SETTINGS: [InvalidSetting; 16] = [
+    InvalidSetting {
+        valid: r#""balancers": 5"#,
+        invalid: r#""balancers": 0"#,
+        error: "setting `balancers`: found 0, allowed at least 1",
+    },
+    InvalidSetting {
+        valid: r#""aimUs": 500000"#,
+        invalid: r#""aimUs": 0"#,
+        error: "setting `classes[0].aimUs`: found 0, allowed above 0",
+    },
+    InvalidSetting {
+        valid: r#""deadlineUs": 900000"#,
+        invalid: r#""deadlineUs": 499999"#,
+        error: "setting `classes[0].deadlineUs`: found 499999, allowed at least 500000, the value of `classes[0].aimUs`",
+    },
+    InvalidSetting {
+        valid: r#""worth": 2.0"#,
+        invalid: r#""worth": -2.5"#,
+        error: "setting `classes[0].worth`: found -2.5, allowed 0 or more",
+    },
+    InvalidSetting {
+        valid: r#""lateWorth": 0.5"#,
+        invalid: r#""lateWorth": 1.5"#,
+        error: "setting `classes[0].lateWorth`: found 1.5, allowed 0 to 1",
+    },
+    InvalidSetting {
+        valid: r#""lateWorth": 0.5"#,
+        invalid: r#""lateWorth": 0.5, "aimStretch": -0.1"#,
+        error: "setting `classes[0].aimStretch`: found -0.1, allowed 0 or more",
+    },
+    InvalidSetting {
+        valid: r#""effect": "dedup""#,
+        invalid: r#""effect": "magic""#,
+        error: r#"setting `classes[0].effect`: found "magic", allowed retryable, dedup, fragile"#,
+    },
+    InvalidSetting {
+        valid: r#""group": "cell""#,
+        invalid: r#""group": "moon""#,
+        error: r#"setting `classes[0].group`: found "moon", allowed all, zone, cell"#,
+    },
+    InvalidSetting {
+        valid: r#""allowancePerS": 12.5"#,
+        invalid: r#""allowancePerS": 1.0}, {"allowancePerS": -1.0"#,
+        error: "setting `tenants[1].allowancePerS`: found -1, allowed 0 or more",
+    },
+    InvalidSetting {
+        valid: r#""overShareWorth": 0.1"#,
+        invalid: r#""overShareWorth": -0.1"#,
+        error: "setting `overShareWorth`: found -0.1, allowed 0 to 1",
+    },
+    InvalidSetting {
+        valid: r#""maxAttempts": 5"#,
+        invalid: r#""maxAttempts": 0"#,
+        error: "setting `permissions.maxAttempts`: found 0, allowed at least 1",
+    },
+    InvalidSetting {
+        valid: r#""coldFrom": 0.33"#,
+        invalid: r#""coldFrom": 7"#,
+        error: "setting `safety.coldFrom`: found 7, allowed 0 to 1",
+    },
+    InvalidSetting {
+        valid: r#""fallMultiple": 3.0"#,
+        invalid: r#""fallMultiple": 0.0"#,
+        error: "setting `safety.fallMultiple`: found 0, allowed above 0",
+    },
+    InvalidSetting {
+        valid: r#""membershipMode": "on_request""#,
+        invalid: r#""membershipMode": "guess""#,
+        error: r#"setting `membershipMode`: found "guess", allowed pushed, on_request"#,
+    },
+    InvalidSetting {
+        valid: r#""balancers": 5"#,
+        invalid: r#""balancers": -5"#,
+        error: "malformed settings: balancers: invalid value: integer `-5`, expected u32 at line 1 column 16",
+    },
+    InvalidSetting {
+        valid: r#""safety""#,
+        invalid: r#""sagety""#,
+        error: "malformed settings: missing field `safety` at line 9 column 115",
+    },
 ];
 
 #[test]
 fn an_invalid_setting_is_reported_with_its_key_the_value_found_and_the_values_allowed() {
-    for (valid, invalid, expected) in INVALID_SETTINGS {
+    for InvalidSetting {
+        valid,
+        invalid,
+        error: expected_error,
+    } in INVALID_SETTINGS
+    {
         let json = SETTINGS.replacen(valid, invalid, 1);
-        assert_ne!(json, SETTINGS, "{valid} is not in the settings");
+        assert_ne!(json, SETTINGS, "expected {valid} in the valid settings");
         let error = parse_settings(json.as_bytes()).expect_err(invalid);
-        assert_eq!(error.to_string(), expected);
+        assert_eq!(error.to_string(), expected_error);
     }
-    let no_classes = json_without_classes();
-    let error = parse_settings(no_classes.as_bytes()).expect_err("there are no classes");
+    let settings_without_classes = settings_without_classes();
+    let error = parse_settings(settings_without_classes.as_bytes())
+        .expect_err("at least one class is required");
     assert_eq!(
         error.to_string(),
         "setting `classes`: found 0, allowed at least 1"
     );
 }
 
-/// The settings with an empty list of classes.
-fn json_without_classes() -> String {
+/// Returns [`SETTINGS`] with an empty list of classes.
+fn settings_without_classes() -> String {
     let start = SETTINGS
         .find(r#""classes""#)
         .expect("the settings have classes");
