--- a/tests/rules/slow_start.rs
+++ b/tests/rules/slow_start.rs
@@ -120,6 +120,7 @@
             warm_latency: 40 * MS,
             restarted_latency: 400 * MS,
         });
+        // Collapse load factor, initial capacity, requests per second at a warm backend, and collapse time in seconds.
         let budget = 2.5 * 0.2 * warm_rate * 2.0;
         let max_sends = max_sends_within(&sends, 2 * SECOND);
         assert!(
