--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -87,7 +87,7 @@
 }
 
 impl SimulatedProxy {
-    /// Returns a proxy whose balancer has a fixed seed and has received these backends as a cached list.
+    /// Returns a proxy whose balancer has a seed derived from its index and has received these backends as a cached list.
     pub fn new(settings: Settings, backends: impl IntoIterator<Item = Backend>) -> Self {
         let seed = 7 + u64::from(settings.proxy_index);
         Self::with_seed(settings, seed, backends)
