--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::*;
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
 use std::thread;
 
@@ -150,11 +150,13 @@
         let backend = Backend::start(move |_| {
             let head = format!("HTTP/1.1 200 OK\r\n{fields}\r\n").into_bytes();
             let rest = Reply::WriteAndClose(rest.clone());
-            Reply::Then(
-                [head, first.clone()].concat(),
-                signal.take().expect("one"),
-                Box::new(rest),
-            )
+            Reply::WriteThenWait {
+                bytes: [head, first.clone()].concat(),
+                signal: signal
+                    .take()
+                    .expect("the backend receives a single request"),
+                next: Box::new(rest),
+            }
         });
         let proxy = start_with_little_memory(name, &backend);
         let mut client = proxy.client();
@@ -172,8 +174,7 @@
 #[test]
 fn a_partly_streamed_body_is_not_sent_again() {
     let (sender, accepted) = channel();
-    let breaker = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = breaker.local_addr().expect("an address");
+    let (breaker, address) = bind_listener("127.0.0.1:0");
     thread::spawn(move || {
         for stream in breaker.incoming() {
             let mut stream = stream.expect("a connection");
@@ -205,8 +206,7 @@
 /// Starts a backend that responds to the head of a request, and reads on at a signal. Sends how many bytes of the
 /// body it received.
 fn responds_early(early: Vec<u8>, signal: Receiver<()>) -> (SocketAddr, Receiver<u64>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let (listener, address) = bind_listener("127.0.0.1:0");
     let (sender, received_lengths) = channel();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -5,7 +5,7 @@
 #[test]
 fn without_capacity_a_request_is_rejected_with_retry_after() {
     let discovery = Discovery::start();
-    let (backend, releases) = holding_backend();
+    let (backend, releases) = backend_that_holds_initial_limit();
     let proxy = Proxy::start(
         "rejected",
         &discovery,
@@ -14,7 +14,7 @@
     let mut first = saturate(&proxy, &backend);
     let rejected = proxy
         .client()
-        .exchange(&request("charge", "2", "x").replace("15000", "500"));
+        .exchange(&request_with_timeout("charge", "2", "x", 500));
     assert_eq!(rejected.status(), 503);
     let wait: f64 = rejected
         .header("retry-after")
@@ -26,11 +26,7 @@
         release.send(()).expect("the backend waits");
         assert_eq!(client.receive().body, b"first");
     }
-    assert_eq!(
-        backend.further_requests(),
-        0,
-        "a rejected request is not sent"
-    );
+    assert_eq!(backend.take_requests(), 0, "a rejected request is not sent");
 }
 
 /// Each backend holds one request; there are more backends than descriptors for them.
@@ -38,7 +34,7 @@
 fn a_shortage_of_descriptors_ejects_no_backend() {
     let discovery = Discovery::start();
     let backends: Vec<_> = (0..14).map(|_| Backend::start(|_| Reply::Hang)).collect();
-    let members: Vec<_> = backends
+    let endpoints: Vec<_> = backends
         .iter()
         .enumerate()
         .map(|(i, b)| active_endpoint(&format!("s-{i}"), b.address))
@@ -46,11 +42,11 @@
     let mut config = config("shortage", &discovery);
     config["limits"]["sockets"] = 48.into();
     let mut proxy = Proxy::start_with("shortage", config);
-    discovery.publish_and_wait(true, &members);
+    discovery.publish_and_wait(true, &endpoints);
     let clients: Vec<_> = (0..14)
         .map(|i| {
             let mut client = proxy.client();
-            client.send(&request("read", &format!("{i}"), "").replace("15000", "1000"));
+            client.send(&request_with_timeout("read", &format!("{i}"), "", 1_000));
             client
         })
         .collect();
@@ -75,6 +71,6 @@
     let proxy = Proxy::start_with("idle", config);
     // More than the proxy may accept at a time, and none of them sends a byte.
     let clients: Vec<_> = (0..64).map(|_| proxy.client()).collect();
-    assert_eq!(proxy.status_of(UP), 503);
+    assert_eq!(proxy.status_of(HEALTH_CHECK), 503);
     drop(clients);
 }
--- a/tests/proxy/client_disconnect.rs
+++ b/tests/proxy/client_disconnect.rs
@@ -110,7 +110,7 @@
 #[test]
 fn a_queued_request_whose_client_disconnects_is_dropped() {
     let discovery = Discovery::start();
-    let (backend, releases) = holding_backend();
+    let (backend, releases) = backend_that_holds_initial_limit();
     let proxy = Proxy::start(
         "left",
         &discovery,
@@ -120,7 +120,7 @@
     let mut disconnecting = proxy.client();
     disconnecting.send(&request("charge", "2", "x"));
     // The answer on another connection shows that the proxy has read all earlier input.
-    assert_eq!(proxy.status_of(UP), 200);
+    assert_eq!(proxy.status_of(HEALTH_CHECK), 200);
     disconnecting
         .stream
         .shutdown(Shutdown::Write)
@@ -149,7 +149,7 @@
     let mut disconnecting = proxy.client();
     disconnecting.send(&request("charge", "left", "x"));
     assert_eq!(
-        proxy.status_of(UP),
+        proxy.status_of(HEALTH_CHECK),
         200,
         "the proxy has read all earlier input"
     );
@@ -163,23 +163,21 @@
     );
     let mut client = proxy.client();
     client.send(&request("charge", "stays", "x"));
-    assert_eq!(received_ids(backend.accept_pending()), ["stays"]);
+    assert_eq!(serve_and_collect_ids(backend.accept_pending()), ["stays"]);
     assert_eq!(client.receive().body, b"there");
 }
 
 #[test]
 fn queued_requests_whose_clients_disconnect_in_a_burst_are_not_sent() {
     let discovery = Discovery::start();
-    let (backend, releases) = holding_backend();
+    let (backend, releases) = backend_that_holds_initial_limit();
     let proxy = start_with_long_timeouts("burst", &discovery, &backend, 192);
     let clients = saturate(&proxy, &backend);
     let mut disconnecting = Vec::new();
     let cases = disconnect_cases(&pipelined_input());
     for (i, (way, input)) in cases.into_iter().enumerate() {
         let mut client = proxy.client();
-        client.send(
-            &(request("charge", &format!("left-{i}"), "x").replace("15000", "190000") + &input),
-        );
+        client.send(&(request_with_timeout("charge", &format!("left-{i}"), "x", 190_000) + &input));
         disconnecting.push((client, way));
     }
     wait_for_in_progress(&proxy, INITIAL_LIMIT + disconnecting.len());
@@ -197,12 +195,12 @@
 fn a_queued_request_whose_client_disconnects_behind_its_unread_body_is_not_sent() {
     for way in DISCONNECTS {
         let discovery = Discovery::start();
-        let (backend, releases) = holding_backend();
+        let (backend, releases) = backend_that_holds_initial_limit();
         let proxy = start_with_long_timeouts(&format!("unread-{way:?}"), &discovery, &backend, 8);
         let clients = saturate(&proxy, &backend);
         let mut client = proxy.client();
         let body = "x".repeat(1_740_000);
-        client.send(&request("charge", "left", &body).replace("15000", "190000"));
+        client.send(&request_with_timeout("charge", "left", &body, 190_000));
         wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
         let half_closed = disconnect(client, way);
         wait_for_in_progress(&proxy, INITIAL_LIMIT);
@@ -239,7 +237,7 @@
     );
     let mut client = proxy.client();
     client.send(&request("charge", "stays", "x"));
-    assert_eq!(received_ids(backend.accept_pending()), ["stays"]);
+    assert_eq!(serve_and_collect_ids(backend.accept_pending()), ["stays"]);
     assert_eq!(client.receive().body, b"there");
 }
 
@@ -249,7 +247,7 @@
     let cases = disconnect_cases(&pipelined_input());
     for (i, (way, input)) in cases.into_iter().enumerate() {
         let discovery = Discovery::start();
-        let (closing, release) = closes_on_signal();
+        let (closing, release) = backend_that_closes_on_signal();
         let other = Backend::start(|_| ok("there"));
         let name = format!("left-retry-{i}");
         let proxy = Proxy::start_with(&name, config_with_operator(&name, &discovery));
@@ -287,19 +285,19 @@
     let cases = disconnect_cases(&pipelined_input());
     for (i, (way, input)) in cases.into_iter().enumerate() {
         let discovery = Discovery::start();
-        let (closing, release) = closes_on_signal();
-        let (backend, releases) = holding_backend();
+        let (closing, release) = backend_that_closes_on_signal();
+        let (backend, releases) = backend_that_holds_initial_limit();
         let proxy =
             start_with_long_timeouts(&format!("left-waiting-{i}"), &discovery, &closing, 192);
         let mut client = proxy.client();
-        client.send(&(request("read", "left", "").replace("15000", "190000") + &input));
+        client.send(&(request_with_timeout("read", "left", "", 190_000) + &input));
         closing.next_request();
         discovery.publish_and_wait(true, &[active_endpoint("s-2", backend.address)]);
         let clients = saturate(&proxy, &backend);
         release.send(()).expect("the backend waits");
         // After these responses the proxy has seen the end of the first attempt.
         for _ in 0..20 {
-            proxy.client().exchange(UP);
+            proxy.client().exchange(HEALTH_CHECK);
         }
         let half_closed = disconnect(client, way);
         wait_for_in_progress(&proxy, INITIAL_LIMIT);
@@ -313,7 +311,7 @@
 fn a_disconnect_behind_more_than_the_kernel_buffers_is_noticed() {
     const INPUT_LENGTH: usize = 1_000_000;
     let discovery = Discovery::start();
-    let (backend, releases) = holding_backend();
+    let (backend, releases) = backend_that_holds_initial_limit();
     let proxy = start_with_long_timeouts("far-behind", &discovery, &backend, 192);
     let clients = saturate(&proxy, &backend);
     let pipelined = request("charge", "behind", "x");
@@ -323,7 +321,12 @@
     ];
     for (i, (way, input)) in disconnect_cases(&inputs).into_iter().enumerate() {
         let mut client = proxy.client();
-        client.send(&request("charge", &format!("left-{i}"), "x").replace("15000", "190000"));
+        client.send(&request_with_timeout(
+            "charge",
+            &format!("left-{i}"),
+            "x",
+            190_000,
+        ));
         wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
         client.send(&input);
         let half_closed = disconnect(client, way);
--- a/tests/proxy/connection_reuse.rs
+++ b/tests/proxy/connection_reuse.rs
@@ -29,11 +29,11 @@
     let mut signals = signals.into_iter();
     let backend = Backend::start(move |_| {
         let signal = signals.next().expect("as many requests as signals");
-        Reply::Then(
-            response("200 OK", "", b"last"),
+        Reply::WriteThenWait {
+            bytes: response("200 OK", "", b"last"),
             signal,
-            Box::new(Reply::WriteAndClose(Vec::new())),
-        )
+            next: Box::new(Reply::WriteAndClose(Vec::new())),
+        }
     });
     let proxy = Proxy::start(
         "closed-unseen",
@@ -77,7 +77,8 @@
 fn connections_of_a_removed_backend_are_never_reused() {
     for complete in [false, true] {
         let discovery = Discovery::start();
-        let (backend, release) = holds_first_request("of the old one", "of the new one");
+        let (backend, release) =
+            backend_that_holds_first_request("of the old one", "of the new one");
         let listed = |id: &str| active_endpoint(id, backend.address);
         let proxy = Proxy::start(&format!("gone-{complete}"), &discovery, &[listed("s-1")]);
         let mut client = proxy.client();
--- a/tests/proxy/corrupt_responses.rs
+++ b/tests/proxy/corrupt_responses.rs
@@ -15,14 +15,14 @@
         let discovery = Discovery::start();
         let one = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
         let two = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
-        let members = [
+        let endpoints = [
             active_endpoint("s-1", one.address),
             active_endpoint("s-2", two.address),
         ];
-        let proxy = Proxy::start(&format!("broken-{i}"), &discovery, &members);
+        let proxy = Proxy::start(&format!("broken-{i}"), &discovery, &endpoints);
         let got = proxy.client().exchange(&request("charge", "1", "x"));
         assert_eq!(got.status(), 502, "the request may have been executed");
-        assert_eq!(one.further_requests() + two.further_requests(), 1);
+        assert_eq!(one.take_requests() + two.take_requests(), 1);
     }
 }
 
@@ -61,11 +61,11 @@
         let is_corrupt = Arc::new(AtomicBool::new(true));
         let one = corrupt_once(bytes, &is_corrupt);
         let two = corrupt_once(bytes, &is_corrupt);
-        let members = [
+        let endpoints = [
             active_endpoint("s-1", one.address),
             active_endpoint("s-2", two.address),
         ];
-        let proxy = Proxy::start(&format!("corrupt-{i}"), &discovery, &members);
+        let proxy = Proxy::start(&format!("corrupt-{i}"), &discovery, &endpoints);
         let got = proxy.client().exchange(&request("read", "1", ""));
         assert_eq!(
             (got.status(), got.body.as_slice()),
@@ -75,11 +75,7 @@
         is_corrupt.store(true, Ordering::SeqCst);
         let got = proxy.client().exchange(&request("charge", "2", "x"));
         assert_eq!(got.status(), 502, "case {i}: it may have been executed");
-        assert_eq!(
-            one.further_requests() + two.further_requests(),
-            3,
-            "case {i}"
-        );
+        assert_eq!(one.take_requests() + two.take_requests(), 3, "case {i}");
     }
 }
 
@@ -100,8 +96,8 @@
                 .as_bytes();
             Reply::Write([response("200 OK", "", id), extra.to_vec()].concat())
         });
-        let members = [active_endpoint("s-1", backend.address)];
-        let proxy = Proxy::start(&format!("behind-{i}"), &discovery, &members);
+        let endpoints = [active_endpoint("s-1", backend.address)];
+        let proxy = Proxy::start(&format!("behind-{i}"), &discovery, &endpoints);
         let mut client = proxy.client();
         for id in ["one", "two", "three", "four"] {
             let got = client.exchange(&request("charge", id, "x"));
--- a/tests/proxy/discovery.rs
+++ b/tests/proxy/discovery.rs
@@ -11,9 +11,9 @@
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let proxy = Proxy::start_without_endpoints("up", &discovery);
-    assert_eq!(proxy.status_of(UP), 503);
+    assert_eq!(proxy.status_of(HEALTH_CHECK), 503);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
-    assert_eq!(proxy.status_of(UP), 200);
+    assert_eq!(proxy.status_of(HEALTH_CHECK), 200);
 }
 
 #[test]
@@ -29,7 +29,11 @@
         Some(7),
         "one call, for the changes alone"
     );
-    assert_eq!(proxy.status_of(UP), 200, "discovery has not answered");
+    assert_eq!(
+        proxy.status_of(HEALTH_CHECK),
+        200,
+        "discovery has not answered"
+    );
     assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
 }
 
@@ -88,7 +92,7 @@
         endpoint[name] = value;
         endpoint
     };
-    let members = [
+    let endpoints = [
         Value::Null,
         malformed("host_port", "nowhere".into()),
         malformed("phase", "dancing".into()),
@@ -97,7 +101,7 @@
         malformed("id", 7.into()),
         good,
     ];
-    let proxy = Proxy::start("odd", &discovery, &members);
+    let proxy = Proxy::start("odd", &discovery, &endpoints);
     assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
 }
 
@@ -114,9 +118,9 @@
         assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
         backend.next_request();
         discovery.publish_and_wait(false, &[endpoint("s-1", backend.address, phase, 0)]);
-        let short = request("read", "2", "").replace("15000", "300");
+        let short = request_with_timeout("read", "2", "", 300);
         assert_eq!(proxy.status_of(&short), 503, "{phase}");
-        assert_eq!(backend.further_requests(), 0, "{phase}");
+        assert_eq!(backend.take_requests(), 0, "{phase}");
         discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
         assert_eq!(proxy.status_of(&request("read", "3", "")), 200);
     }
@@ -135,7 +139,7 @@
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
     // An answer on another connection shows that the proxy has seen the request.
-    assert_eq!(proxy.status_of(UP), 200);
+    assert_eq!(proxy.status_of(HEALTH_CHECK), 200);
     discovery.publish_and_wait(false, &[endpoint("s-1", address, "leaving", 0)]);
     let listener = full.accept_pending();
     let (mut stream, _) = listener.accept().expect("the proxy's connection");
@@ -157,7 +161,7 @@
 fn at_sighup_it_changes_to_the_new_discovery_and_keeps_serving() {
     let old = Discovery::start();
     let new = Discovery::start();
-    let (before, release) = holds_first_request("taken before", "before");
+    let (before, release) = backend_that_holds_first_request("taken before", "before");
     let after = Backend::start(|_| ok("after"));
     let mut proxy = Proxy::start("sighup", &old, &[active_endpoint("s-1", before.address)]);
     let mut client = proxy.client();
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -78,7 +78,7 @@
             "POST /up?key=7f3a HTTP/1.1"
         );
     }
-    assert_eq!(client.exchange(UP).body, b"up\n");
+    assert_eq!(client.exchange(HEALTH_CHECK).body, b"up\n");
 }
 
 #[test]
@@ -179,7 +179,7 @@
     let all = ["1", "2", "3"]
         .map(|id| request("submit", id, "x"))
         .concat()
-        + UP
+        + HEALTH_CHECK
         + &ambiguous
         + "0\r\n\r\n"
         + &request("submit", "5", "x");
@@ -230,7 +230,7 @@
     });
     // After these responses the proxy has read what it reads ahead.
     for _ in 0..20 {
-        proxy.client().exchange(UP);
+        proxy.client().exchange(HEALTH_CHECK);
     }
     release.send(()).expect("the backend waits");
     assert_eq!(client.receive().body, b"first");
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -21,7 +21,7 @@
     ];
     let mut proxy = start_logging("log-events", &discovery, &variables);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", failing.address)]);
-    while proxy.status_of(UP) != 200 {}
+    while proxy.status_of(HEALTH_CHECK) != 200 {}
     assert_eq!(proxy.status_of(&request("charge", "9b1f03aa", "x")), 502);
     proxy.terminate();
     let log = proxy.rest_of_log();
@@ -55,7 +55,7 @@
     let backend = Backend::start(|_| ok("fine"));
     let mut proxy = start_logging("log-reload", &discovery, &[("EDGE_LOG", "info")]);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
-    while proxy.status_of(UP) != 200 {}
+    while proxy.status_of(HEALTH_CHECK) != 200 {}
     let plain = config("log-reload", &discovery);
     let mut verbose = plain.clone();
     verbose["log"] = serde_json::json!({"filter": "info,tillerproxy::request=debug"});
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -150,7 +150,7 @@
 #[test]
 fn calls_are_answered_while_clients_hold_every_connection() {
     let discovery = Discovery::start();
-    let (backend, _releases) = holding_backend();
+    let (backend, _releases) = backend_that_holds_initial_limit();
     let mut config = config_with_operator("crowded-calls", &discovery);
     config["limits"]["sockets"] = 90.into();
     let proxy = Proxy::start_with("crowded-calls", config);
@@ -166,7 +166,7 @@
     assert_eq!(proxy.operator_call("GET", READY).status(), 200);
     assert_eq!(proxy.metric("app_in_progress"), 2);
     assert_eq!(
-        proxy.status_of(UP),
+        proxy.status_of(HEALTH_CHECK),
         200,
         "a client that sends a request is admitted, and an idle one closed"
     );
@@ -232,13 +232,13 @@
 #[test]
 fn a_rejected_request_is_counted_and_one_whose_client_disconnected_is_no_longer_in_progress() {
     let discovery = Discovery::start();
-    let (backend, releases) = holding_backend();
+    let (backend, releases) = backend_that_holds_initial_limit();
     let mut config = config_with_operator("rejected-metric", &discovery);
     config["settings"]["classes"][1]["deadlineUs"] = 10_000_000.into();
     let proxy = Proxy::start_with("rejected-metric", config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let clients = saturate(&proxy, &backend);
-    let short = request("submit", "1", "x").replace("15000", "300");
+    let short = request_with_timeout("submit", "1", "x", 300);
     assert_eq!(proxy.status_of(&short), 503);
     assert_eq!(proxy.handled("submit", "dropped"), 1);
     assert_eq!(proxy.metric("app_in_progress"), clients.len() as u64);
@@ -267,7 +267,7 @@
         assert_eq!(proxy.operator_call("POST", OUT_OF_SERVICE).status(), 200);
         assert_eq!(
             (
-                proxy.status_of(UP),
+                proxy.status_of(HEALTH_CHECK),
                 proxy.operator_call("GET", READY).status()
             ),
             (503, 503)
@@ -290,7 +290,7 @@
         assert_eq!(proxy.operator_call("POST", IN_SERVICE).status(), 200);
         assert_eq!(
             (
-                proxy.status_of(UP),
+                proxy.status_of(HEALTH_CHECK),
                 proxy.operator_call("GET", READY).status()
             ),
             (200, 200)
@@ -308,14 +308,14 @@
 #[test]
 fn a_process_that_shuts_down_cannot_return_to_service() {
     let discovery = Discovery::start();
-    let (backend, releases) = holding_backend();
+    let (backend, releases) = backend_that_holds_initial_limit();
     let mut proxy = Proxy::start_with("stopping", config_with_operator("stopping", &discovery));
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let clients = saturate(&proxy, &backend);
     assert_eq!(proxy.operator_call("POST", OUT_OF_SERVICE).status(), 200);
     proxy.terminate();
     while proxy.operator_call("POST", IN_SERVICE).status() != 409 {}
-    assert_eq!(proxy.status_of(UP), 503);
+    assert_eq!(proxy.status_of(HEALTH_CHECK), 503);
     for release in &releases {
         release.send(()).expect("the backend waits");
     }
@@ -329,13 +329,12 @@
 fn a_new_process_takes_over_the_listener_of_the_platform() {
     let discovery = Discovery::start();
     let (backend, release) = holds_request("old");
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let (listener, address) = bind_listener("127.0.0.1:0");
     let config = config_with_operator("takeover", &discovery);
     let mut old = start_with_listener("takeover-old", &config, &listener);
     assert_eq!(old.address, address);
-    let members = [active_endpoint("s-1", backend.address)];
-    discovery.publish_and_wait(true, &members);
+    let endpoints = [active_endpoint("s-1", backend.address)];
+    discovery.publish_and_wait(true, &endpoints);
     let mut busy = old.client();
     busy.send(&request("charge", "old", "x"));
     backend.next_request();
--- a/tests/proxy/overload.rs
+++ b/tests/proxy/overload.rs
@@ -77,14 +77,6 @@
     read_message(&mut client.reader)
 }
 
-/// An address without a listener. No other test uses its host, so that the port stays free.
-fn unused_address(host: &str) -> SocketAddr {
-    TcpListener::bind((host, 0))
-        .expect("a port")
-        .local_addr()
-        .expect("an address")
-}
-
 /// While discovery is down, idle clients take every descriptor that they can get. Discovery and a backend that it
 /// lists at its return still get theirs, and new clients are served at once when the idle ones have disconnected.
 #[test]
@@ -93,15 +85,15 @@
     let partial = request("read", "half", "");
     let texts = [
         String::new(),
-        UP.to_owned(),
+        HEALTH_CHECK.to_owned(),
         partial[..partial.len() / 2].to_owned(),
     ];
     for mode in ["pushed", "on_request"] {
-        let discovery = unused_address(&format!("127.79.0.{}", mode.len()));
+        let discovery = address_without_listener(&format!("127.79.0.{}", mode.len()));
         let mut config = config_at(&format!("crowd-{mode}"), discovery);
         config["limits"]["sockets"] = DESCRIPTORS.into();
         config["settings"]["membershipMode"] = mode.into();
-        let known = active_endpoint("old", unused_address("127.79.0.1"));
+        let known = active_endpoint("old", address_without_listener("127.79.0.1"));
         config["known"] = json!({"revision": 3, "complete": true, "members": [known]});
         let proxy = Proxy::start_limited(&format!("crowd-{mode}"), &config, DESCRIPTORS);
         let idle_clients = IdleClients::start(proxy.address, &texts);
@@ -141,7 +133,7 @@
 fn serve_in_turn(address: SocketAddr, list: Value) {
     const CALL_DURATION: Duration = Duration::from_millis(200);
     const LONGEST_WAIT: Duration = Duration::from_secs(3);
-    let listener = TcpListener::bind(address).expect("the address");
+    let listener = TcpListener::bind(address).expect("no other test uses the host of discovery");
     let (calls, queue) = channel::<(Instant, TcpStream)>();
     let newest = format!("after={}&", list["revision"]);
     thread::spawn(move || {
@@ -193,7 +185,7 @@
     index: usize,
     start: Start,
     discovery: SocketAddr,
-    members: &Value,
+    endpoints: &Value,
 ) -> Value {
     let mut config = config_at(name, discovery);
     config["settings"]["membershipMode"] = "on_request".into();
@@ -201,7 +193,7 @@
     config["settings"]["balancers"] = PROXY_COUNT.into();
     config["settings"]["safety"]["askWithinUs"] = 10_000_000.into();
     if !matches!(start, Start::NothingCached) {
-        config["known"] = json!({"revision": 3, "complete": true, "members": members});
+        config["known"] = json!({"revision": 3, "complete": true, "members": endpoints});
     }
     config["seed"] = format!("{index:016x}").into();
     config
@@ -217,24 +209,24 @@
         Start::NothingCached,
     ] {
         let backend = Backend::start(|_| ok("there"));
-        let members = json!([active_endpoint("s-1", backend.address)]);
-        let discovery = unused_address("127.79.1.1");
+        let endpoints = json!([active_endpoint("s-1", backend.address)]);
+        let discovery = address_without_listener("127.79.1.1");
         if !matches!(start, Start::NoDiscovery) {
             serve_in_turn(
                 discovery,
-                json!({"revision": 9, "complete": true, "members": members}),
+                json!({"revision": 9, "complete": true, "members": endpoints}),
             );
         }
         let began = Instant::now();
         let launch = |index: usize| {
             let name = format!("together-{start:?}-{index}");
-            let config = config_of_proxy(&name, index, start, discovery, &members);
+            let config = config_of_proxy(&name, index, start, discovery, &endpoints);
             Proxy::start_with(&name, config)
         };
         let proxies: Vec<_> = (0..PROXY_COUNT).map(launch).collect();
         let mut waiting: Vec<_> = proxies.iter().collect();
         while !waiting.is_empty() && began.elapsed() < READY_WITHIN {
-            waiting.retain(|proxy| proxy.status_of(UP) != 200);
+            waiting.retain(|proxy| proxy.status_of(HEALTH_CHECK) != 200);
             thread::sleep(Duration::from_millis(20));
         }
         assert!(
--- a/tests/proxy/request_forms.rs
+++ b/tests/proxy/request_forms.rs
@@ -77,7 +77,7 @@
             "what follows a malformed request may be a part of it: {line}"
         );
     }
-    assert_eq!(backend.further_requests(), 0);
+    assert_eq!(backend.take_requests(), 0);
     assert_eq!(proxy.status_of(&well_formed), 200);
 }
 
@@ -241,14 +241,14 @@
         assert!((400..500).contains(&got.status()), "{}", got.head);
         assert!(client.ends_cleanly());
     }
-    assert_eq!(proxy.status_of(UP), 200);
-    assert_eq!(backend.further_requests(), 0);
+    assert_eq!(proxy.status_of(HEALTH_CHECK), 200);
+    assert_eq!(backend.take_requests(), 0);
 }
 
 #[test]
 fn a_second_request_with_the_id_of_an_open_one_is_rejected() {
     let discovery = Discovery::start();
-    let (backend, release) = holds_first_request("first", "later");
+    let (backend, release) = backend_that_holds_first_request("first", "later");
     let proxy = Proxy::start(
         "same-id",
         &discovery,
@@ -258,7 +258,7 @@
     first.send(&request("charge", "1", "x"));
     backend.next_request();
     assert_eq!(proxy.status_of(&request("charge", "1", "x")), 409);
-    assert_eq!(backend.further_requests(), 0);
+    assert_eq!(backend.take_requests(), 0);
     release.send(()).expect("the backend waits");
     assert_eq!(first.receive().body, b"first");
     assert_eq!(
@@ -281,7 +281,7 @@
         client
     });
     let mut idle = proxy.client();
-    assert_eq!(idle.exchange(UP).status(), 200);
+    assert_eq!(idle.exchange(HEALTH_CHECK).status(), 200);
     for mut client in partial_requests {
         let mut rest = Vec::new();
         client.reader.read_to_end(&mut rest).expect("no reset");
--- a/tests/proxy/response_ends.rs
+++ b/tests/proxy/response_ends.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::*;
 use std::io::{BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -73,7 +73,7 @@
             Some("HTTP/1.0")
         );
         assert_eq!(
-            backend.further_requests(),
+            backend.take_requests(),
             0,
             "a request whose response has started is not retried"
         );
@@ -84,8 +84,7 @@
 
 /// A backend that answers each request with these bytes and resets its connection after a pause.
 fn resets_after(bytes: Vec<u8>, pause: Duration) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let (listener, address) = bind_listener("127.0.0.1:0");
     thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             if read_message(&mut BufReader::new(&stream)).is_some() {
@@ -145,10 +144,10 @@
         &[active_endpoint("s-1", backend.address)],
     );
     let mut client = proxy.client();
-    let got = client.exchange(&request("charge", "1", "x").replace("15000", "300"));
+    let got = client.exchange(&request_with_timeout("charge", "1", "x", 300));
     assert_eq!(got.status(), 502);
     assert_eq!(
-        client.exchange(UP).status(),
+        client.exchange(HEALTH_CHECK).status(),
         200,
         "exactly one response arrived, and the connection stays open"
     );
@@ -201,8 +200,10 @@
     let mut clients = Vec::new();
     for (i, case) in endless_responses().into_iter().enumerate() {
         let discovery = Discovery::start();
-        let backend = Backend::start(move |_| {
-            Reply::Endless(case.start.into(), case.repeated.clone().into(), case.pause)
+        let backend = Backend::start(move |_| Reply::Endless {
+            start: case.start.into(),
+            repeated: case.repeated.clone().into(),
+            pause: case.pause,
         });
         let proxy = Proxy::start(
             &format!("endless-{i}"),
@@ -210,7 +211,7 @@
             &[active_endpoint("s-1", backend.address)],
         );
         let mut client = proxy.client();
-        client.send(&request("charge", "1", "x").replace("15000", "2000"));
+        client.send(&request_with_timeout("charge", "1", "x", 2_000));
         clients.push(client);
         proxies.push((proxy, backend, discovery));
     }
--- a/tests/proxy/retries.rs
+++ b/tests/proxy/retries.rs
@@ -2,7 +2,6 @@
 
 use crate::rig::*;
 use std::io::{BufReader, Write};
-use std::net::TcpListener;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -18,21 +17,18 @@
             move |_: &Message| Reply::Write(response("503 Service Unavailable", more, b""));
         let one = Backend::start(reject);
         let two = Backend::start(reject);
-        let members = [
+        let endpoints = [
             active_endpoint("s-1", one.address),
             active_endpoint("s-2", two.address),
         ];
         let proxy = Proxy::start(
             &format!("mark-{status}-{}", more.len()),
             &discovery,
-            &members,
+            &endpoints,
         );
         let got = proxy.client().exchange(&request("charge", "1", "x"));
         assert_eq!(
-            (
-                got.status(),
-                one.further_requests() + two.further_requests()
-            ),
+            (got.status(), one.take_requests() + two.take_requests()),
             (status, attempts),
             "with `{more}`"
         );
@@ -43,15 +39,12 @@
 fn a_non_idempotent_request_is_retried_where_its_backend_cannot_be_reached() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
-    let nobody = TcpListener::bind("127.77.0.2:0")
-        .expect("a port")
-        .local_addr()
-        .expect("an address");
-    let members = [
-        active_endpoint("s-1", nobody),
+    let unreachable = address_without_listener("127.77.0.2");
+    let endpoints = [
+        active_endpoint("s-1", unreachable),
         active_endpoint("s-2", backend.address),
     ];
-    let proxy = Proxy::start("unreachable", &discovery, &members);
+    let proxy = Proxy::start("unreachable", &discovery, &endpoints);
     for id in ["1", "2", "3"] {
         assert_eq!(proxy.status_of(&request("charge", id, "x")), 200);
     }
@@ -66,7 +59,7 @@
 fn a_keyed_request_is_not_retried_after_its_key_may_have_expired() {
     for group in ["cell", "all"] {
         let discovery = Discovery::start();
-        let (closing, release) = closes_on_signal();
+        let (closing, release) = backend_that_closes_on_signal();
         let late = FullBacklog::start();
         let name = format!("window-{group}");
         let mut config = config(&name, &discovery);
@@ -81,7 +74,7 @@
         release.send(()).expect("the backend waits");
         // This test is about the time: the key expires before the second backend accepts a connection.
         thread::sleep(KEY_TTL);
-        assert_eq!(received_ids(late.accept_pending()), [""; 0]);
+        assert_eq!(serve_and_collect_ids(late.accept_pending()), [""; 0]);
         assert_eq!(
             client.receive().status(),
             502,
@@ -96,7 +89,7 @@
     const ATTEMPT_DURATION: Duration = Duration::from_millis(400);
     const CLIENT_TIMEOUT: Duration = Duration::from_millis(15_000);
     let discovery = Discovery::start();
-    let (closing, release) = closes_on_signal();
+    let (closing, release) = backend_that_closes_on_signal();
     let late = FullBacklog::start();
     let proxy = Proxy::start(
         "time-left",
--- a/tests/proxy/rig/backend.rs
+++ b/tests/proxy/rig/backend.rs
@@ -1,9 +1,10 @@
-//! A stand-in for a backend: it answers by a script and reports the requests that it receives.
+//! A backend of the test: a script decides its replies, and the test receives its requests.
 
 use super::TEST_TIMEOUT;
+use super::bind_listener;
 use super::message::{Message, read_message, response};
 use std::io::{BufReader, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -15,41 +16,49 @@
     Write(Vec<u8>),
     /// Writes these bytes and closes the connection.
     WriteAndClose(Vec<u8>),
-    /// Waits for a signal from the test, then executes the reply.
+    /// Waits for the test's signal, then executes the reply.
     After(Receiver<()>, Box<Reply>),
-    /// Writes these bytes, waits for a signal, then executes the reply.
-    Then(Vec<u8>, Receiver<()>, Box<Reply>),
-    /// Writes the first bytes, then the second ones again and again with a pause between them.
-    Endless(Vec<u8>, Vec<u8>, Duration),
+    /// Writes the bytes, waits for the test's signal, then executes the next reply.
+    WriteThenWait {
+        bytes: Vec<u8>,
+        signal: Receiver<()>,
+        next: Box<Reply>,
+    },
+    /// Writes the start, then the repeated bytes until a write fails, with a pause after each.
+    Endless {
+        start: Vec<u8>,
+        repeated: Vec<u8>,
+        pause: Duration,
+    },
     /// Never answers.
     Hang,
 }
 
-/// Replies with status 200 and this body.
+/// Returns a reply with status 200 and this body.
 pub fn ok(body: &str) -> Reply {
     Reply::Write(response("200 OK", "", body.as_bytes()))
 }
 
 type Script = Box<dyn FnMut(&Message) -> Reply + Send>;
 
-/// A backend that answers by its script and sends the test what it received.
+/// A backend that replies as its script decides and passes its requests to the test.
 pub struct Backend {
     pub address: SocketAddr,
-    /// The requests that it receives.
+    /// The received requests that the test has not taken yet.
     pub requests: Receiver<Message>,
 }
 
 /// Serves one connection until its peer or a reply closes it.
-fn serve(
+fn serve_connection(
     mut stream: TcpStream,
     connection: usize,
     script: &Mutex<Script>,
     sender: &Sender<Message>,
 ) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+    let mut reader = BufReader::new(stream.try_clone().expect("the test has a free descriptor"));
     while let Some(mut request) = read_message(&mut reader) {
         request.connection = connection;
-        let reply = script.lock().expect("a script")(&request);
+        let reply = script.lock().expect("no script has panicked")(&request);
         let _ = sender.send(request);
         if !execute(reply, &mut stream) {
             let _ = stream.shutdown(Shutdown::Both);
@@ -58,7 +67,7 @@
     }
 }
 
-/// Executes a reply, and returns whether the connection stays open.
+/// Executes a reply and reports whether the connection stays open.
 fn execute(reply: Reply, stream: &mut TcpStream) -> bool {
     match reply {
         Reply::Write(bytes) => stream.write_all(&bytes).is_ok(),
@@ -70,14 +79,22 @@
             let _ = signal.recv_timeout(TEST_TIMEOUT);
             execute(*reply, stream)
         }
-        Reply::Then(bytes, signal, reply) => {
+        Reply::WriteThenWait {
+            bytes,
+            signal,
+            next,
+        } => {
             let _ = stream.write_all(&bytes);
             let _ = signal.recv_timeout(TEST_TIMEOUT);
-            execute(*reply, stream)
+            execute(*next, stream)
         }
-        Reply::Endless(first, again, pause) => {
-            let _ = stream.write_all(&first);
-            while stream.write_all(&again).is_ok() {
+        Reply::Endless {
+            start,
+            repeated,
+            pause,
+        } => {
+            let _ = stream.write_all(&start);
+            while stream.write_all(&repeated).is_ok() {
                 thread::sleep(pause);
             }
             false
@@ -87,10 +104,9 @@
 }
 
 impl Backend {
-    /// Starts a backend whose script is called with each request.
+    /// Starts a backend that calls the script with each request.
     pub fn start(script: impl FnMut(&Message) -> Reply + Send + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let (listener, address) = bind_listener("127.0.0.1:0");
         let (sender, requests) = channel();
         let script: Arc<Mutex<Script>> = Arc::new(Mutex::new(Box::new(script)));
         thread::spawn(move || {
@@ -100,29 +116,29 @@
                 };
                 let sender = sender.clone();
                 let script = Arc::clone(&script);
-                thread::spawn(move || serve(stream, connection, &script, &sender));
+                thread::spawn(move || serve_connection(stream, connection, &script, &sender));
             }
         });
         Self { address, requests }
     }
 
-    /// Returns the next request that it receives.
+    /// Waits for the next request and returns it.
     pub fn next_request(&self) -> Message {
         self.requests
             .recv_timeout(TEST_TIMEOUT)
             .expect("the backend receives a request")
     }
 
-    /// Returns the number of requests that it has received that the test has not taken.
-    pub fn further_requests(&self) -> usize {
+    /// Takes the received requests that the test has not taken yet, and returns their number.
+    pub fn take_requests(&self) -> usize {
         self.requests.try_iter().count()
     }
 
-    /// Waits until no connection to it looks open to its peer's kernel: each close has reached the peer's socket,
-    /// whether or not the peer's process has read it.
+    /// Waits until the kernel reports no established connection to this backend. Each close has then reached the
+    /// proxy's socket, whether or not the proxy has read it.
     pub fn wait_until_closed(&self) {
         let began = Instant::now();
-        while has_established_to(self.address) {
+        while has_established_connection_to(self.address) {
             assert!(
                 began.elapsed() < TEST_TIMEOUT,
                 "a connection to the backend stays open"
@@ -132,26 +148,29 @@
     }
 }
 
-/// Returns whether some socket of this machine has an established IPv4 connection to that address.
-fn has_established_to(address: SocketAddr) -> bool {
+/// Reports whether a socket of this machine has an established IPv4 connection to this address.
+fn has_established_connection_to(address: SocketAddr) -> bool {
     const ESTABLISHED: &str = "01";
     let SocketAddr::V4(address) = address else {
-        panic!("an IPv4 address")
+        panic!("the backend listens on an IPv4 address, not on {address}")
     };
     let remote = format!(
         "{:08X}:{:04X}",
         u32::from_ne_bytes(address.ip().octets()),
         address.port()
     );
-    let table = fs::read_to_string("/proc/net/tcp").expect("the kernel's table of TCP sockets");
+    let table = fs::read_to_string("/proc/net/tcp").expect("the kernel lists its TCP sockets");
     table.lines().skip(1).any(|line| {
         let mut fields = line.split_ascii_whitespace().skip(2);
         fields.next() == Some(remote.as_str()) && fields.next() == Some(ESTABLISHED)
     })
 }
 
-/// Returns a backend that holds its first request until a signal, and answers the later ones at once.
-pub fn holds_first_request(first: &'static str, later: &'static str) -> (Backend, Sender<()>) {
+/// Starts a backend that holds its first request until a signal, and answers later ones at once.
+pub fn backend_that_holds_first_request(
+    first: &'static str,
+    later: &'static str,
+) -> (Backend, Sender<()>) {
     let (release, signal) = channel();
     let mut signal = Some(signal);
     let backend = Backend::start(move |_| match signal.take() {
@@ -161,15 +180,15 @@
     (backend, release)
 }
 
-/// Returns a backend that reports its request, and closes the connection without a response at a signal.
-pub fn closes_on_signal() -> (Backend, Sender<()>) {
+/// Starts a backend that closes the connection of its only request without a response at a signal.
+pub fn backend_that_closes_on_signal() -> (Backend, Sender<()>) {
     let (release, signal) = channel();
     let mut reply = Some(Reply::After(
         signal,
         Box::new(Reply::WriteAndClose(Vec::new())),
     ));
     (
-        Backend::start(move |_| reply.take().expect("one request")),
+        Backend::start(move |_| reply.take().expect("the backend receives a single request")),
         release,
     )
 }
--- a/tests/proxy/rig/client.rs
+++ b/tests/proxy/rig/client.rs
@@ -1,12 +1,12 @@
-//! A client of the proxy, and the requests that it sends.
+//! A client of the proxy and the requests that it sends.
 
 use super::TEST_TIMEOUT;
 use super::message::{Message, read_message};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A health check of the proxy.
-pub const UP: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
+/// A health check of the proxy, as a complete request.
+pub const HEALTH_CHECK: &str = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
 /// A connection of a client to the proxy.
 pub struct Client {
@@ -15,14 +15,14 @@
 }
 
 impl Client {
-    /// Connects to this address. Reads time out as failed tests do.
+    /// Connects to this address. A read that takes longer than `TEST_TIMEOUT` fails.
     pub fn connect(address: SocketAddr) -> Self {
-        let stream = TcpStream::connect(address).expect("the proxy accepts");
+        let stream = TcpStream::connect(address).expect("the proxy listens");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a timeout");
+            .expect("the timeout is not zero");
         Self {
-            reader: BufReader::new(stream.try_clone().expect("a clone")),
+            reader: BufReader::new(stream.try_clone().expect("the test has a free descriptor")),
             stream,
         }
     }
@@ -31,12 +31,12 @@
     pub fn send(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
-            .expect("the proxy reads");
+            .expect("the proxy keeps the connection open");
     }
 
     /// Receives one response.
     pub fn receive(&mut self) -> Message {
-        read_message(&mut self.reader).expect("a complete response")
+        read_message(&mut self.reader).expect("the proxy sends a complete response")
     }
 
     /// Sends a request and receives its response.
@@ -45,14 +45,22 @@
         self.receive()
     }
 
-    /// Returns whether the proxy closes the connection without a reset and without a further byte.
+    /// Waits for the end of the connection, and reports whether the proxy closes it without a reset or a further byte.
     pub fn ends_cleanly(&mut self) -> bool {
         matches!(self.reader.read(&mut [0; 64]), Ok(0))
     }
 }
 
-/// Returns a request of a class as clients send it. `id` is also its idempotency key.
+/// The timeout that a client states in its requests.
+const CLIENT_TIMEOUT_MS: u64 = 15_000;
+
+/// Returns a request of a class as clients send it. The id is also the idempotency key if the class has one.
 pub fn request(class: &str, id: &str, body: &str) -> String {
+    request_with_timeout(class, id, body, CLIENT_TIMEOUT_MS)
+}
+
+/// Returns a request of a class whose client waits for this time.
+pub fn request_with_timeout(class: &str, id: &str, body: &str, timeout_ms: u64) -> String {
     let method = if class == "read" { "GET" } else { "POST" };
     let key = if class == "submit" {
         format!("Idempotency-Key: {id}\r\n")
@@ -61,7 +69,7 @@
     };
     format!(
         "{method} /{class}?key=7f3a HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {id}\r\n\
-         X-Service-Class: {class}\r\nX-Time-Left-Ms: 15000\r\n{key}Content-Length: {}\r\n\r\n{body}",
+         X-Service-Class: {class}\r\nX-Time-Left-Ms: {timeout_ms}\r\n{key}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
--- a/tests/proxy/rig/configuration.rs
+++ b/tests/proxy/rig/configuration.rs
@@ -4,26 +4,26 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// A configuration without cached endpoints.
+/// Returns a configuration without cached endpoints.
 pub fn config(name: &str, discovery: &Discovery) -> Value {
     config_at(name, discovery.address)
 }
 
-/// A configuration without cached endpoints and with an operators' address.
+/// Returns a configuration without cached endpoints and with an address for operator calls.
 pub fn config_with_operator(name: &str, discovery: &Discovery) -> Value {
     let mut config = config(name, discovery);
     config["operator"] = "127.0.0.1:0".into();
     config
 }
 
-/// A configuration without cached endpoints and with discovery at this address.
+/// Returns a configuration without cached endpoints and with discovery at this address.
 pub fn config_at(name: &str, discovery: SocketAddr) -> Value {
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"revision": 0, "complete": true, "members": []}, "settings": settings()})
 }
 
-/// Settings with three classes: idempotent, with an idempotency key, and non-idempotent.
+/// Returns settings with three classes: idempotent, with an idempotency key, and non-idempotent.
 fn settings() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aimUs": 10_000_000, "deadlineUs": 20_000_000, "worth": 1.0, "lateWorth": 0.5,
--- a/tests/proxy/rig/discovery.rs
+++ b/tests/proxy/rig/discovery.rs
@@ -1,38 +1,41 @@
-//! A stand-in for discovery: it sends the endpoint lists that the test publishes.
+//! Discovery of the test: it answers calls with the endpoint lists that the test publishes.
 
 use super::TEST_TIMEOUT;
+use super::bind_listener;
 use super::message::{read_message, response};
 use serde_json::{Value, json};
 use std::io::{BufReader, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 
-/// An active endpoint as discovery lists it.
+/// Returns an active endpoint as discovery lists it.
 pub fn active_endpoint(id: &str, address: SocketAddr) -> Value {
     endpoint(id, address, "active", 0)
 }
 
-/// An endpoint as discovery lists it.
+/// Returns an endpoint as discovery lists it.
 pub fn endpoint(id: &str, address: SocketAddr, phase: &str, up_since_ms: u64) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": "m", "cell": 0,
            "phase": phase, "size": 1.0, "up_since_ms": up_since_ms})
 }
 
+/// The endpoint list that discovery answers with, `None` before the first one.
 struct Published {
     revision: u64,
     list: Option<Value>,
 }
 
-/// Discovery that sends the lists that the test publishes, and reports the revision that each call has.
+/// Discovery that answers with the published list, and passes the revision that each call names to the test.
 pub struct Discovery {
     pub address: SocketAddr,
     published: Arc<(Mutex<Published>, Condvar)>,
     calls: Receiver<Option<u64>>,
 }
 
-/// Answers the calls of one connection, each once a newer revision than the caller's is published.
+/// Answers the calls of one connection, each as soon as another revision than the caller's is published. Returns `None`
+/// at the end of the connection.
 fn serve_watch(
     mut stream: TcpStream,
     published: &(Mutex<Published>, Condvar),
@@ -43,13 +46,17 @@
         let request = read_message(&mut reader)?;
         let after = request.first_line().split_once("after=").map(|(_, rest)| {
             let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
-            digits.parse::<u64>().expect("a revision")
+            digits
+                .parse::<u64>()
+                .expect("a call names its revision as a number")
         });
         sender.send(after).ok()?;
         let (lock, changed) = published;
-        let mut published = lock.lock().expect("the published list");
+        let mut published = lock.lock().expect("no thread has panicked with the list");
         while published.list.is_none() || after == Some(published.revision) {
-            published = changed.wait(published).expect("the published list");
+            published = changed
+                .wait(published)
+                .expect("no thread has panicked with the list");
         }
         let text = published.list.clone()?.to_string();
         drop(published);
@@ -67,8 +74,7 @@
 
     /// Starts discovery at this address.
     pub fn start_at(address: &str) -> Self {
-        let listener = TcpListener::bind(address).expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let (listener, address) = bind_listener(address);
         let published = Arc::new((
             Mutex::new(Published {
                 revision: 0,
@@ -95,35 +101,37 @@
         }
     }
 
-    /// Returns the revision that the next call has.
+    /// Waits for the next call and returns the revision that it names.
     pub fn next_call(&self) -> Option<u64> {
-        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call")
+        self.calls
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the proxy calls discovery")
     }
 
-    /// Takes the calls that it has received, and returns their number.
+    /// Takes the received calls that the test has not taken yet, and returns their number.
     pub fn take_calls(&self) -> usize {
         self.calls.try_iter().count()
     }
 
-    /// Publishes a list and waits until the proxy has it: it then requests what is newer.
-    pub fn publish_and_wait(&self, complete: bool, members: &[Value]) {
-        let revision = self.publish(complete, members);
+    /// Publishes a list and waits until the proxy has applied it: its next call then names the revision.
+    pub fn publish_and_wait(&self, complete: bool, endpoints: &[Value]) {
+        let revision = self.publish(complete, endpoints);
         while self
             .calls
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a further watch")
+            .expect("the proxy continues its watch")
             != Some(revision)
         {}
     }
 
-    /// Publishes a list, and returns its revision.
-    pub fn publish(&self, complete: bool, members: &[Value]) -> u64 {
+    /// Publishes a list and returns its revision.
+    pub fn publish(&self, complete: bool, endpoints: &[Value]) -> u64 {
         let (lock, changed) = &*self.published;
-        let mut published = lock.lock().expect("the published list");
+        let mut published = lock.lock().expect("no thread has panicked with the list");
         published.revision += 1;
         let revision = published.revision;
         published.list =
-            Some(json!({"revision": revision, "complete": complete, "members": members}));
+            Some(json!({"revision": revision, "complete": complete, "members": endpoints}));
         drop(published);
         changed.notify_all();
         revision
--- a/tests/proxy/rig/message.rs
+++ b/tests/proxy/rig/message.rs
@@ -1,13 +1,13 @@
-//! Reads HTTP messages and builds responses.
+//! HTTP messages: how the test reads them and builds responses.
 
 use std::io::BufRead;
 
-/// An HTTP message as it was received: its head and its body.
+/// A received HTTP message with its decoded body.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub head: String,
     pub body: Vec<u8>,
-    /// The index of the backend's connection that it was received on.
+    /// The index of the connection on which a backend received it, counted from 0 in the order of acceptance.
     pub connection: usize,
 }
 
@@ -17,16 +17,16 @@
         self.head.lines().next().unwrap_or_default()
     }
 
-    /// Returns the status of a response.
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
         self.first_line()
             .split(' ')
             .nth(1)
             .and_then(|status| status.parse().ok())
-            .expect("a status line")
+            .expect("a response starts with a status line")
     }
 
-    /// Returns the value of the first field of this name.
+    /// Returns the value of the first header field with this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut fields = self.head.lines().filter_map(|line| line.split_once(':'));
         fields
@@ -35,7 +35,7 @@
     }
 }
 
-/// Reads one message. Returns `None` at the end of the connection.
+/// Reads one message. Returns `None` if the connection ends or fails before its end.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -52,15 +52,15 @@
         read_chunks(reader, &mut message.body)?;
         return Some(message);
     }
-    let length = message
-        .header("content-length")
-        .map_or(0, |length| length.parse().expect("a length"));
+    let length = message.header("content-length").map_or(0, |length| {
+        length.parse().expect("Content-Length is a number")
+    });
     message.body.resize(length, 0);
     reader.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-/// Reads a chunked body without extensions and trailers.
+/// Reads a chunked body without extensions and trailers. Returns `None` if it is malformed or incomplete.
 fn read_chunks(reader: &mut impl BufRead, body: &mut Vec<u8>) -> Option<()> {
     loop {
         let mut line = String::new();
@@ -76,7 +76,7 @@
     }
 }
 
-/// Returns a response with this body. `fields` are further header fields, each with its line end.
+/// Returns a response with this status and body. `fields` are further header fields, each with its line end.
 pub fn response(status: &str, fields: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!(
         "HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n",
@@ -87,7 +87,7 @@
     bytes
 }
 
-/// Returns a body of this length whose parts differ.
+/// Returns a body of this length whose sections differ, so that lost or reordered sections are detected.
 pub fn pattern(length: usize) -> Vec<u8> {
     (0..length).map(|i| (i / 7 + i / 4_099) as u8).collect()
 }
--- a/tests/proxy/rig/mod.rs
+++ b/tests/proxy/rig/mod.rs
@@ -1,5 +1,5 @@
-//! The proxy's program between stand-ins for backends, discovery and clients, all on loopback sockets. Nothing here
-//! waits for a fixed time: tests wait for events, and the timeouts only end a test that has failed.
+//! Runs the proxy's program with backends, discovery and clients of the test on loopback sockets. Nothing here waits for
+//! a fixed time: tests wait for events, and the timeouts only end a test that has failed.
 
 mod backend;
 mod client;
@@ -10,15 +10,33 @@
 mod process;
 mod saturated_backend;
 
-pub use backend::{Backend, Reply, closes_on_signal, holds_first_request, ok};
-pub use client::{Client, UP, request};
+pub use backend::{
+    Backend, Reply, backend_that_closes_on_signal, backend_that_holds_first_request, ok,
+};
+pub use client::{Client, HEALTH_CHECK, request, request_with_timeout};
 pub use configuration::{config, config_at, config_with_operator};
 pub use discovery::{Discovery, active_endpoint, endpoint};
-pub use full_backlog::{FullBacklog, received_ids};
+pub use full_backlog::{FullBacklog, serve_and_collect_ids};
 pub use message::{Message, pattern, read_message, response};
 pub use process::{Proxy, command, launch, start_with_listener, start_with_little_memory};
-pub use saturated_backend::{INITIAL_LIMIT, holding_backend, saturate};
+pub use saturated_backend::{INITIAL_LIMIT, backend_that_holds_initial_limit, saturate};
+use std::net::{SocketAddr, TcpListener, ToSocketAddrs};
 use std::time::Duration;
 
-/// Ends a test whose expected event does not occur.
+/// The time after which a test fails if an expected event has not occurred.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Binds a listener to a loopback address, with port 0 for any free one, and returns it with its address.
+pub fn bind_listener(address: impl ToSocketAddrs) -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind(address).expect("the loopback address is free");
+    let address = listener
+        .local_addr()
+        .expect("a bound listener has an address");
+    (listener, address)
+}
+
+/// Returns an address that refuses connections. The port stays free only if no other test uses the host.
+pub fn address_without_listener(host: &str) -> SocketAddr {
+    let (_listener, address) = bind_listener((host, 0));
+    address
+}
--- a/tests/proxy/rig/process.rs
+++ b/tests/proxy/rig/process.rs
@@ -17,54 +17,69 @@
 pub struct Proxy {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where operators call, if the configuration names it.
+    /// The address for operator calls, if the configuration names one.
     pub operator: Option<SocketAddr>,
     name: String,
     log: BufReader<ChildStderr>,
 }
 
+/// Returns the path of the configuration file of a proxy of this test process.
 fn config_path(name: &str) -> PathBuf {
     env::temp_dir().join(format!("tillerproxy-{}-{name}.json", std::process::id()))
 }
 
 /// Starts the program with this configuration and captures its standard error.
 pub fn launch(name: &str, config: &str) -> Child {
-    command(name, config).spawn().expect("the program starts")
+    command(name, config)
+        .spawn()
+        .expect("the proxy's program can be executed")
 }
 
 /// Returns the command that starts the program with this configuration.
 pub fn command(name: &str, config: &str) -> Command {
     let path = config_path(name);
-    fs::write(&path, config).expect("the configuration is written");
+    fs::write(&path, config).expect("the temporary directory is writable");
     let mut command = Command::new(env!("CARGO_BIN_EXE_tillerproxy"));
     command.env("EDGE_CONFIG", path).stderr(Stdio::piped());
     command
 }
 
-/// Starts the program with this configuration and the platform's listening socket as its standard input.
+/// Starts the program with this configuration and a listening socket of the platform as its standard input.
 pub fn start_with_listener(name: &str, config: &Value, listener: &TcpListener) -> Proxy {
-    let listener: OwnedFd = listener.try_clone().expect("a clone").into();
+    let listener: OwnedFd = listener
+        .try_clone()
+        .expect("the test has a free descriptor")
+        .into();
     let mut command = command(name, &config.to_string());
     command.env("EDGE_FD", "0").stdin(Stdio::from(listener));
-    Proxy::wait_until_listening(name, command.spawn().expect("the program starts"))
+    Proxy::wait_until_listening(
+        name,
+        command
+            .spawn()
+            .expect("the proxy's program can be executed"),
+    )
 }
 
-/// Returns the address after these words in a line of the log, in either of its formats.
+/// Returns the address that follows these words in a log line of either format.
 fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
     let (_, rest) = line.trim().rsplit_once(words)?;
     let address = rest.split('"').next().unwrap_or_default();
-    Some(address.parse().expect("an address"))
+    Some(
+        address
+            .parse()
+            .expect("an address follows the words of the start line"),
+    )
 }
 
 impl Proxy {
-    /// Starts a proxy, and waits until it has these endpoints.
-    pub fn start(name: &str, discovery: &Discovery, members: &[Value]) -> Self {
+    /// Starts a proxy and waits until it has applied this endpoint list.
+    pub fn start(name: &str, discovery: &Discovery, endpoints: &[Value]) -> Self {
         let proxy = Self::start_without_endpoints(name, discovery);
-        discovery.publish_and_wait(true, members);
+        discovery.publish_and_wait(true, endpoints);
         proxy
     }
 
-    /// Starts a proxy that has no endpoint list.
+    /// Starts a proxy that has received no endpoint list.
     pub fn start_without_endpoints(name: &str, discovery: &Discovery) -> Self {
         Self::start_with(name, config(name, discovery))
     }
@@ -74,7 +89,7 @@
         Self::wait_until_listening(name, launch(name, &config.to_string()))
     }
 
-    /// Starts a proxy with this configuration, whose process may have this many descriptors.
+    /// Starts a proxy with this configuration in a process that is limited to this number of descriptors.
     pub fn start_limited(name: &str, config: &Value, descriptors: usize) -> Self {
         let program = command(name, &config.to_string());
         let mut limited = Command::new("sh");
@@ -87,15 +102,15 @@
             limited
                 .stderr(Stdio::piped())
                 .spawn()
-                .expect("the program starts"),
+                .expect("the proxy's program can be executed"),
         )
     }
 
-    /// Waits until a started process has logged its addresses.
+    /// Waits until a started process has logged the addresses that it listens on.
     pub fn wait_until_listening(name: &str, mut child: Child) -> Self {
-        let log = BufReader::new(child.stderr.take().expect("standard error"));
+        let log = BufReader::new(child.stderr.take().expect("standard error is a pipe"));
         let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
-        // From here on the process ends with the test, also where its log is not as expected.
+        // `Proxy` kills the process when it is dropped, so build it before the log is checked.
         let mut proxy = Self {
             child,
             address: unknown,
@@ -107,9 +122,12 @@
         while proxy.address == unknown {
             line.clear();
             assert_ne!(
-                proxy.log.read_line(&mut line).expect("a log"),
+                proxy
+                    .log
+                    .read_line(&mut line)
+                    .expect("the log is readable text"),
                 0,
-                "the proxy ended before it listened"
+                "the proxy listens before it closes its log"
             );
             proxy.operator = address_after(&line, "operators call ").or(proxy.operator);
             proxy.address = address_after(&line, "listens on ").unwrap_or(proxy.address);
@@ -122,17 +140,20 @@
         Client::connect(self.address)
     }
 
-    /// Sends a request on its own connection, and returns the status of the response.
+    /// Sends a request on a new connection and returns the status of the response.
     pub fn status_of(&self, request: &str) -> u16 {
         self.client().exchange(request).status()
     }
 
     /// Opens a connection as an operator.
     pub fn operator_client(&self) -> Client {
-        Client::connect(self.operator.expect("an operators' address"))
+        Client::connect(
+            self.operator
+                .expect("the configuration names an address for operator calls"),
+        )
     }
 
-    /// Makes one operator call.
+    /// Makes one operator call without a body.
     pub fn operator_call(&self, method: &str, path: &str) -> Message {
         self.operator_client()
             .exchange(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
@@ -145,38 +166,42 @@
         ))
     }
 
-    /// Returns the metric of that name and labels.
+    /// Returns the value of the metric with this name and these labels.
     pub fn metric(&self, name: &str) -> u64 {
-        let text =
-            String::from_utf8(self.operator_call("GET", "/control/counters").body).expect("text");
+        let text = String::from_utf8(self.operator_call("GET", "/control/counters").body)
+            .expect("metrics are UTF-8 text");
         let value = text
             .lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
         value
-            .unwrap_or_else(|| panic!("no {name} in {text}"))
+            .unwrap_or_else(|| panic!("metric `{name}` is missing in {text}"))
             .parse()
-            .expect("a number")
+            .expect("the metric is a whole number")
     }
 
-    /// Returns the peak of its resident memory, in kB.
+    /// Returns the peak resident memory of the process in kB.
     pub fn peak_memory_kb(&self) -> u64 {
-        let status =
-            fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a status");
+        let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("the process is running");
         let line = status
             .lines()
             .find_map(|line| line.strip_prefix("VmHWM:"))
-            .expect("a peak");
+            .expect("the kernel reports the peak resident memory");
         line.trim()
             .trim_end_matches(" kB")
             .parse()
-            .expect("a number")
+            .expect("the peak is a whole number of kB")
     }
 
+    /// Sends the process a signal, in the form of an option of `kill`.
     fn signal(&self, signal: &str) {
         let done = Command::new("kill")
             .args([signal, &self.child.id().to_string()])
             .status();
-        assert!(done.expect("kill runs").success());
+        assert!(
+            done.expect("`kill` can be executed").success(),
+            "the process receives {signal}"
+        );
     }
 
     /// Sends SIGTERM.
@@ -194,35 +219,41 @@
         self.signal("-CONT");
     }
 
-    /// Replaces the configuration's file and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
-        fs::write(config_path(&self.name), config).expect("the configuration is written");
+        fs::write(config_path(&self.name), config).expect("the temporary directory is writable");
         self.signal("-HUP");
     }
 
-    /// Waits for a line of the log that contains these words.
+    /// Waits for a log line that contains these words.
     pub fn wait_for_log(&mut self, words: &str) {
         let mut line = String::new();
         while !line.contains(words) {
             line.clear();
             assert_ne!(
-                self.log.read_line(&mut line).expect("a log"),
+                self.log
+                    .read_line(&mut line)
+                    .expect("the log is readable text"),
                 0,
-                "the proxy ended"
+                "the proxy logs `{words}` before it closes its log"
             );
         }
     }
 
-    /// Returns what it still logs until it ends.
+    /// Waits for the end of the process and returns the log lines that were not read yet.
     pub fn rest_of_log(&mut self) -> String {
         let mut text = String::new();
-        self.log.read_to_string(&mut text).expect("a log");
+        self.log
+            .read_to_string(&mut text)
+            .expect("the log is readable text");
         text
     }
 
-    /// Waits until the process has ended.
+    /// Waits for the end of the process.
     pub fn wait(&mut self) -> ExitStatus {
-        self.child.wait().expect("the proxy ends")
+        self.child
+            .wait()
+            .expect("the process is a child of the test")
     }
 }
 
@@ -233,7 +264,7 @@
     }
 }
 
-/// Starts a proxy with little memory and one backend.
+/// Starts a proxy with a memory limit of 32 MB, without hedging, for one backend.
 pub fn start_with_little_memory(name: &str, backend: &Backend) -> Proxy {
     let discovery = Discovery::start();
     let mut config = config_with_operator(name, &discovery);
--- a/tests/proxy/rig/saturated_backend.rs
+++ b/tests/proxy/rig/saturated_backend.rs
@@ -1,16 +1,16 @@
-//! A backend at the concurrency limit that the proxy gives it: further requests are queued at the proxy.
+//! A backend at its concurrency limit in the proxy, which queues further requests.
 
 use super::backend::{Backend, Reply, ok};
 use super::client::{Client, request};
 use super::process::Proxy;
 use std::sync::mpsc::{Sender, channel};
 
-/// The concurrency limit of a single backend at the start.
+/// The concurrency limit that a newly started proxy sets for a single backend.
 pub const INITIAL_LIMIT: usize = 2;
 
-/// A backend that holds its first requests, as many as its limit allows at the start, each until it gets a
-/// signal. Later requests are answered at once.
-pub fn holding_backend() -> (Backend, Vec<Sender<()>>) {
+/// Starts a backend that holds its first `INITIAL_LIMIT` requests, each until its signal, and answers later ones at once.
+/// The first of the returned senders releases the last of these requests.
+pub fn backend_that_holds_initial_limit() -> (Backend, Vec<Sender<()>>) {
     let mut signals = Vec::new();
     let mut releases = Vec::new();
     for _ in 0..INITIAL_LIMIT {
@@ -25,7 +25,7 @@
     (backend, releases)
 }
 
-/// Sends as many requests as the backend's limit allows, and returns their clients once it has received them.
+/// Sends `INITIAL_LIMIT` requests, waits until the backend has received them, and returns their clients.
 pub fn saturate(proxy: &Proxy, backend: &Backend) -> Vec<Client> {
     let clients = (0..INITIAL_LIMIT).map(|i| {
         let mut client = proxy.client();
--- a/tests/proxy/shutdown.rs
+++ b/tests/proxy/shutdown.rs
@@ -17,17 +17,17 @@
         ),
         _ => ok("still arrives"),
     });
-    let members = [active_endpoint("s-1", one.address)];
-    let mut proxy = Proxy::start("sigterm", &discovery, &members);
+    let endpoints = [active_endpoint("s-1", one.address)];
+    let mut proxy = Proxy::start("sigterm", &discovery, &endpoints);
     let mut idle = proxy.client();
     let mut before = proxy.client();
-    assert_eq!(idle.exchange(UP).status(), 200);
+    assert_eq!(idle.exchange(HEALTH_CHECK).status(), 200);
     before.send(&request("read", "1", ""));
     one.next_request();
     proxy.terminate();
     // Once /up says so, the signal has arrived; connections are still accepted.
-    while proxy.status_of(UP) == 200 {}
-    let late = proxy.client().exchange(UP);
+    while proxy.status_of(HEALTH_CHECK) == 200 {}
+    let late = proxy.client().exchange(HEALTH_CHECK);
     assert_eq!(late.header("connection"), Some("close"));
     assert!(
         idle.ends_cleanly(),
@@ -50,7 +50,7 @@
 #[test]
 fn a_request_that_waits_to_be_accepted_is_served_before_the_process_ends() {
     let discovery = Discovery::start();
-    let (backend, release) = holds_first_request("first", "queued");
+    let (backend, release) = backend_that_holds_first_request("first", "queued");
     let mut config = config("queued", &discovery);
     config["limits"]["memory_mb"] = 0.into();
     let mut proxy = Proxy::start_with("queued", config);
@@ -77,11 +77,11 @@
 fn a_request_that_came_while_the_process_was_stopped_is_served_before_it_ends() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
-    let members = [active_endpoint("s-1", backend.address)];
+    let endpoints = [active_endpoint("s-1", backend.address)];
     let mut proxy = loop {
-        let mut proxy = Proxy::start("suspended", &discovery, &members);
+        let mut proxy = Proxy::start("suspended", &discovery, &endpoints);
         proxy.terminate();
-        while proxy.status_of(UP) == 200 {}
+        while proxy.status_of(HEALTH_CHECK) == 200 {}
         proxy.suspend();
         // Where the test itself was delayed for so long that the process has ended, it starts again.
         if proxy.child.try_wait().expect("a child").is_none() {
@@ -129,7 +129,7 @@
             start_response();
         }
         proxy.terminate();
-        while proxy.status_of(UP) == 200 {}
+        while proxy.status_of(HEALTH_CHECK) == 200 {}
         if starts_after_signal {
             start_response();
         }
@@ -161,16 +161,16 @@
     let mut idle = proxy.client();
     let mut incomplete = proxy.client();
     let mut late = proxy.client();
-    assert_eq!(late.exchange(UP).status(), 200);
+    assert_eq!(late.exchange(HEALTH_CHECK).status(), 200);
     let text = request("charge", "incomplete", "0123456789");
     let (first_part, last_part) = text.split_at(text.len() - 5);
     incomplete.send(first_part);
-    assert_eq!(proxy.status_of(UP), 200, "earlier input was read");
+    assert_eq!(proxy.status_of(HEALTH_CHECK), 200, "earlier input was read");
     let began = Instant::now();
     proxy.terminate();
     proxy.reload("{");
     proxy.terminate();
-    while proxy.status_of(UP) == 200 {}
+    while proxy.status_of(HEALTH_CHECK) == 200 {}
     late.send(&request("charge", "late", "x"));
     thread::sleep(Duration::from_millis(1_000));
     incomplete.send(last_part);
@@ -195,7 +195,7 @@
     proxy.terminate();
     let rejected = proxy
         .client()
-        .exchange(&request("read", "1", "").replace("15000", "300"));
+        .exchange(&request_with_timeout("read", "1", "", 300));
     assert_eq!(rejected.status(), 503);
     assert_eq!(proxy.wait().code(), Some(0));
 }
--- a/tests/proxy/startup.rs
+++ b/tests/proxy/startup.rs
@@ -12,7 +12,7 @@
     let mut proxy = Proxy::start_with("first-life", first);
     let address = proxy.address;
     let mut client = proxy.client();
-    assert_eq!(client.exchange(UP).status(), 503);
+    assert_eq!(client.exchange(HEALTH_CHECK).status(), 503);
     proxy.terminate();
     // The proxy closes first, so the kernel keeps its side of the connection for a while.
     assert!(client.ends_cleanly());
@@ -22,7 +22,7 @@
     config["listen"] = address.to_string().into();
     let again = Proxy::start_with("second-life", config);
     assert_eq!(again.address, address);
-    assert_eq!(again.status_of(UP), 503);
+    assert_eq!(again.status_of(HEALTH_CHECK), 503);
 }
 
 #[test]
