--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -15,11 +15,7 @@
     let body = "y".repeat(64 * 1024);
     let answered = body.clone();
     let backend = Backend::start(move |_| ok(&answered));
-    let proxy = Proxy::start(
-        "cap",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("cap", &discovery, backend.address);
     let got = proxy.client().exchange(&request("submit", "1", &body));
     assert_eq!((got.status(), got.body.len()), (200, body.len()));
     assert_eq!(backend.next_request().body.len(), body.len());
@@ -246,7 +242,7 @@
         let (release, signal) = channel();
         let (address, received_lengths) = responds_early(early, signal);
         let name = format!("answered-early-{i}");
-        let proxy = Proxy::start(&name, &discovery, &[active_endpoint("s-1", address)]);
+        let proxy = Proxy::start_with_backend(&name, &discovery, address);
         let mut client = proxy.client();
         let text = request("charge", "1", &"x".repeat(LENGTH));
         let (first_part, last_part) = text.split_at(text.len() - 1_000);
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -6,11 +6,7 @@
 fn without_capacity_a_request_is_rejected_with_retry_after() {
     let discovery = Discovery::start();
     let (backend, releases) = backend_that_holds_initial_limit();
-    let proxy = Proxy::start(
-        "rejected",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("rejected", &discovery, backend.address);
     let mut first = saturate(&proxy, &backend);
     let rejected = proxy
         .client()
--- a/tests/proxy/client_disconnect.rs
+++ b/tests/proxy/client_disconnect.rs
@@ -111,11 +111,7 @@
 fn a_queued_request_whose_client_disconnects_is_dropped() {
     let discovery = Discovery::start();
     let (backend, releases) = backend_that_holds_initial_limit();
-    let proxy = Proxy::start(
-        "left",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("left", &discovery, backend.address);
     let mut first = saturate(&proxy, &backend);
     let mut disconnecting = proxy.client();
     disconnecting.send(&request("charge", "2", "x"));
@@ -141,11 +137,7 @@
 fn a_request_whose_client_disconnects_during_the_connect_is_not_sent() {
     let discovery = Discovery::start();
     let backend = FullBacklog::start();
-    let proxy = Proxy::start(
-        "left-dialing",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("left-dialing", &discovery, backend.address);
     let mut disconnecting = proxy.client();
     disconnecting.send(&request("charge", "left", "x"));
     assert_eq!(
--- a/tests/proxy/connection_reuse.rs
+++ b/tests/proxy/connection_reuse.rs
@@ -7,11 +7,7 @@
 fn a_connection_that_its_backend_has_closed_is_not_reused() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| Reply::WriteAndClose(response("200 OK", "", b"last")));
-    let proxy = Proxy::start(
-        "closed",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("closed", &discovery, backend.address);
     let mut client = proxy.client();
     for id in ["1", "2", "3", "4"] {
         assert_eq!(client.exchange(&request("charge", id, "x")).status(), 200);
@@ -35,11 +31,7 @@
             next: Box::new(Reply::WriteAndClose(Vec::new())),
         }
     });
-    let proxy = Proxy::start(
-        "closed-unseen",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("closed-unseen", &discovery, backend.address);
     let mut client = proxy.client();
     for (id, close) in closes.iter().enumerate() {
         client.send(&request("charge", &id.to_string(), "x"));
--- a/tests/proxy/corrupt_responses.rs
+++ b/tests/proxy/corrupt_responses.rs
@@ -96,8 +96,7 @@
                 .as_bytes();
             Reply::Write([response("200 OK", "", id), extra.to_vec()].concat())
         });
-        let endpoints = [active_endpoint("s-1", backend.address)];
-        let proxy = Proxy::start(&format!("behind-{i}"), &discovery, &endpoints);
+        let proxy = Proxy::start_with_backend(&format!("behind-{i}"), &discovery, backend.address);
         let mut client = proxy.client();
         for id in ["one", "two", "three", "four"] {
             let got = client.exchange(&request("charge", id, "x"));
@@ -121,11 +120,7 @@
         let report = "X-Backend-Load: inflight=é,,=;util=NaN,queue\r\n";
         Reply::Write([early.to_vec(), response("200 OK", report, b"good")].concat())
     });
-    let proxy = Proxy::start(
-        "early",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("early", &discovery, backend.address);
     for id in ["1", "2"] {
         let got = proxy.client().exchange(&request("charge", id, "x"));
         assert_eq!(
--- a/tests/proxy/discovery.rs
+++ b/tests/proxy/discovery.rs
@@ -110,11 +110,7 @@
     for phase in ["leaving", "left"] {
         let discovery = Discovery::start();
         let backend = Backend::start(|_| ok("there"));
-        let proxy = Proxy::start(
-            phase,
-            &discovery,
-            &[active_endpoint("s-1", backend.address)],
-        );
+        let proxy = Proxy::start_with_backend(phase, &discovery, backend.address);
         assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
         backend.next_request();
         discovery.publish_and_wait(false, &[endpoint("s-1", backend.address, phase, 0)]);
@@ -131,11 +127,7 @@
     let discovery = Discovery::start();
     let full = FullBacklog::start();
     let address = full.address;
-    let proxy = Proxy::start(
-        "slow-connect",
-        &discovery,
-        &[active_endpoint("s-1", address)],
-    );
+    let proxy = Proxy::start_with_backend("slow-connect", &discovery, address);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
     // An answer on another connection shows that the proxy has seen the request.
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -10,11 +10,7 @@
 fn requests_and_responses_are_forwarded_unchanged() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| Reply::Write(response("200 OK", "", b"\x00\xffbody\r\n\r\n")));
-    let proxy = Proxy::start(
-        "unchanged",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("unchanged", &discovery, backend.address);
     let got = proxy
         .client()
         .exchange(&request("submit", "5c0f", "some body"));
@@ -43,11 +39,7 @@
     let discovery = Discovery::start();
     let backend =
         Backend::start(|received| ok(received.header("x-correlation-id").expect("an id")));
-    let proxy = Proxy::start(
-        "kept",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("kept", &discovery, backend.address);
     let mut client = proxy.client();
     for id in ["a", "b", "c"] {
         let got = client.exchange(&request("read", id, ""));
@@ -85,11 +77,7 @@
 fn connections_are_kept_or_closed_as_their_requests_say() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
-    let proxy = Proxy::start(
-        "kept-or-closed",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("kept-or-closed", &discovery, backend.address);
     let keep = "Connection: keep-alive\r\nHost";
     let close = "Connection: foo, Close\r\nHost";
     for (version, fields, kept) in [
@@ -128,11 +116,7 @@
         assert_eq!(received.header("expect"), None);
         ok(&String::from_utf8_lossy(&received.body))
     });
-    let proxy = Proxy::start(
-        "expect",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("expect", &discovery, backend.address);
     let mut client = proxy.client();
     client.send(&request("submit", "1", "").replace(
         "Content-Length: 0",
@@ -147,11 +131,7 @@
 fn a_request_in_small_pieces_is_served() {
     let discovery = Discovery::start();
     let backend = Backend::start(|received| ok(&received.body.len().to_string()));
-    let proxy = Proxy::start(
-        "pieces",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("pieces", &discovery, backend.address);
     let mut client = proxy.client();
     client.stream.set_nodelay(true).expect("no delay");
     let text = request("submit", "1", &"x".repeat(3_000));
@@ -166,11 +146,7 @@
     let discovery = Discovery::start();
     let backend =
         Backend::start(|received| ok(received.header("x-correlation-id").expect("an id")));
-    let proxy = Proxy::start(
-        "pipelined",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("pipelined", &discovery, backend.address);
     let mut client = proxy.client();
     let ambiguous = request("submit", "4", "").replace(
         "Content-Length: 0",
@@ -212,11 +188,7 @@
             None => echo,
         }
     });
-    let proxy = Proxy::start(
-        "in-order",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("in-order", &discovery, backend.address);
     let mut client = proxy.client();
     client.send(&request("charge", "open", "first"));
     backend.next_request();
--- a/tests/proxy/request_forms.rs
+++ b/tests/proxy/request_forms.rs
@@ -57,11 +57,7 @@
 fn malformed_requests_get_a_plain_4xx_and_do_no_harm() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
-    let proxy = Proxy::start(
-        "nonsense",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("nonsense", &discovery, backend.address);
     let well_formed = request("submit", "7", "x");
     let mut cases = vec![("\x01\x02 nonsense\r\n\r\n".to_owned(), 400)];
     for (part, malformed, status) in MALFORMED_PARTS {
@@ -183,11 +179,7 @@
 fn every_form_of_a_request_is_understood() {
     let discovery = Discovery::start();
     let backend = Backend::start(|received| ok(&String::from_utf8_lossy(&received.body)));
-    let proxy = Proxy::start(
-        "forms",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("forms", &discovery, backend.address);
     let mut absolute_id = String::new();
     for (i, form) in REQUEST_FORMS.into_iter().enumerate() {
         let id = (i + 1).to_string();
@@ -219,11 +211,7 @@
 fn a_request_with_a_length_and_an_encoding_is_rejected_with_all_that_follows() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
-    let proxy = Proxy::start(
-        "smuggled",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("smuggled", &discovery, backend.address);
     let hidden = request("charge", "hidden", "x");
     let body = format!("0\r\n\r\n{hidden}");
     let length = format!("Content-Length: {}\r\n", body.len());
@@ -249,11 +237,7 @@
 fn a_second_request_with_the_id_of_an_open_one_is_rejected() {
     let discovery = Discovery::start();
     let (backend, release) = backend_that_holds_first_request("first", "later");
-    let proxy = Proxy::start(
-        "same-id",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("same-id", &discovery, backend.address);
     let mut first = proxy.client();
     first.send(&request("charge", "1", "x"));
     backend.next_request();
--- a/tests/proxy/response_ends.rs
+++ b/tests/proxy/response_ends.rs
@@ -18,7 +18,7 @@
     for (name, bytes, status) in cases {
         let discovery = Discovery::start();
         let backend = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
-        let proxy = Proxy::start(name, &discovery, &[active_endpoint("s-1", backend.address)]);
+        let proxy = Proxy::start_with_backend(name, &discovery, backend.address);
         let got = proxy.client().exchange(&request("charge", "1", "x"));
         assert_eq!(got.status(), status, "{name}");
         assert!(status != 200 || got.body == b"body", "{name}");
@@ -116,7 +116,7 @@
             let address = resets_after(bytes, Duration::from_millis(pause_ms));
             let discovery = Discovery::start();
             let name = format!("reset-{length}-{pause_ms}");
-            let proxy = Proxy::start(&name, &discovery, &[active_endpoint("s-1", address)]);
+            let proxy = Proxy::start_with_backend(&name, &discovery, address);
             let mut client = proxy.client();
             client
                 .send(&request("charge", "1", "x").replace("Host:", "Connection: close\r\nHost:"));
@@ -138,11 +138,7 @@
 fn a_request_without_a_response_times_out() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| Reply::Hang);
-    let proxy = Proxy::start(
-        "hang",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let proxy = Proxy::start_with_backend("hang", &discovery, backend.address);
     let mut client = proxy.client();
     let got = client.exchange(&request_with_timeout("charge", "1", "x", 300));
     assert_eq!(got.status(), 502);
@@ -205,11 +201,7 @@
             repeated: case.repeated.clone().into(),
             pause: case.pause,
         });
-        let proxy = Proxy::start(
-            &format!("endless-{i}"),
-            &discovery,
-            &[active_endpoint("s-1", backend.address)],
-        );
+        let proxy = Proxy::start_with_backend(&format!("endless-{i}"), &discovery, backend.address);
         let mut client = proxy.client();
         client.send(&request_with_timeout("charge", "1", "x", 2_000));
         clients.push(client);
--- a/tests/proxy/retries.rs
+++ b/tests/proxy/retries.rs
@@ -91,11 +91,7 @@
     let discovery = Discovery::start();
     let (closing, release) = backend_that_closes_on_signal();
     let late = FullBacklog::start();
-    let proxy = Proxy::start(
-        "time-left",
-        &discovery,
-        &[active_endpoint("s-1", closing.address)],
-    );
+    let proxy = Proxy::start_with_backend("time-left", &discovery, closing.address);
     let mut client = proxy.client();
     let sent_at = Instant::now();
     client.send(&request("read", "slow", ""));
--- a/tests/proxy/rig/process.rs
+++ b/tests/proxy/rig/process.rs
@@ -79,6 +79,11 @@
         proxy
     }
 
+    /// Starts a proxy and waits until it has applied a list of this backend alone, with the id `s-1`.
+    pub fn start_with_backend(name: &str, discovery: &Discovery, backend: SocketAddr) -> Self {
+        Self::start(name, discovery, &[active_endpoint("s-1", backend)])
+    }
+
     /// Starts a proxy that has received no endpoint list.
     pub fn start_without_endpoints(name: &str, discovery: &Discovery) -> Self {
         Self::start_with(name, config(name, discovery))
--- a/tests/proxy/shutdown.rs
+++ b/tests/proxy/shutdown.rs
@@ -17,8 +17,7 @@
         ),
         _ => ok("still arrives"),
     });
-    let endpoints = [active_endpoint("s-1", one.address)];
-    let mut proxy = Proxy::start("sigterm", &discovery, &endpoints);
+    let mut proxy = Proxy::start_with_backend("sigterm", &discovery, one.address);
     let mut idle = proxy.client();
     let mut before = proxy.client();
     assert_eq!(idle.exchange(HEALTH_CHECK).status(), 200);
@@ -113,11 +112,7 @@
         ));
         let backend = Backend::start(move |_| reply.take().expect("one request"));
         let name = format!("read-late-{starts_after_signal}");
-        let mut proxy = Proxy::start(
-            &name,
-            &discovery,
-            &[active_endpoint("s-1", backend.address)],
-        );
+        let mut proxy = Proxy::start_with_backend(&name, &discovery, backend.address);
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
         backend.next_request();
@@ -153,11 +148,7 @@
 fn requests_after_sigterm_are_answered_before_the_process_may_be_killed() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| Reply::Hang);
-    let mut proxy = Proxy::start(
-        "killed",
-        &discovery,
-        &[active_endpoint("s-1", backend.address)],
-    );
+    let mut proxy = Proxy::start_with_backend("killed", &discovery, backend.address);
     let mut idle = proxy.client();
     let mut incomplete = proxy.client();
     let mut late = proxy.client();
