--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -1,4 +1,4 @@
-//! Large bodies of requests and responses: streamed through little memory, and never partly sent twice.
+//! Large bodies of requests and responses: streamed in bounded memory, and never sent again in part.
 
 use crate::rig::*;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,10 +7,10 @@
 use std::thread;
 
 /// The length of a body that is larger than what the proxy may buffer.
-const LARGE: usize = 32 << 20;
+const LARGE_BODY_LENGTH: usize = 32 << 20;
 
 #[test]
-fn a_body_at_the_cap_is_forwarded() {
+fn bodies_of_64_kib_are_forwarded() {
     let discovery = Discovery::start();
     let body = "y".repeat(64 * 1024);
     let answered = body.clone();
@@ -21,9 +21,9 @@
     assert_eq!(backend.next_request().body.len(), body.len());
 }
 
-/// Backends send good responses beyond the cap of the protocol, and each of them is forwarded.
+/// Backends send valid responses that are longer than the 64 KiB of the protocol's limit.
 #[test]
-fn large_responses_are_forwarded() {
+fn responses_longer_than_64_kib_are_forwarded() {
     let discovery = Discovery::start();
     let large = "z".repeat(400_000);
     let answered = large.clone();
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn large_responses_are_streamed_through_little_memory_to_slow_clients() {
-    let body = pattern(LARGE);
+fn large_responses_are_streamed_to_slow_clients_in_bounded_memory() {
+    let body = pattern(LARGE_BODY_LENGTH);
     let answered = response("200 OK", "", &body);
     let backend = Backend::start(move |_| Reply::Write(answered.clone()));
     let proxy = start_with_little_memory("large-answers", &backend);
@@ -50,14 +50,21 @@
         .map(|i| {
             let mut client = proxy.client();
             client.send(&request("submit", &format!("l-{i}"), "x"));
-            // A response that has started holds no slot any more.
+            // A response that has started no longer holds a slot.
             let mut head = [0; 12];
-            client.reader.read_exact(&mut head).expect("it starts");
+            client
+                .reader
+                .read_exact(&mut head)
+                .expect("the response starts");
             assert_eq!(&head, b"HTTP/1.1 200");
             client
         })
         .collect();
-    assert_eq!(proxy.metric("app_in_progress"), 12, "until the last byte");
+    assert_eq!(
+        proxy.metric("app_in_progress"),
+        12,
+        "a request is in progress until the last byte of its response"
+    );
     for client in &mut clients {
         let got = client.receive();
         assert!(got.body == body, "{} bytes", got.body.len());
@@ -71,13 +78,14 @@
     assert_eq!(proxy.handled("submit", "passed"), 12);
 }
 
-/// Sends a request with this body, in chunks with extensions and a trailer or with its length.
+/// Sends a request with this body, either in chunks with extensions and a trailer or with Content-Length, and returns
+/// the response.
 fn send_large_body(address: SocketAddr, id: &str, body: &[u8], is_chunked: bool) -> Message {
-    let mut stream = TcpStream::connect(address).expect("it accepts");
+    let mut stream = TcpStream::connect(address).expect("the proxy listens");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a timeout");
-    let mut write = |bytes: &[u8]| stream.write_all(bytes).expect("it reads");
+        .expect("the timeout is not zero");
+    let mut write = |bytes: &[u8]| stream.write_all(bytes).expect("the proxy reads the body");
     let framing = if is_chunked {
         "Transfer-Encoding: chunked".to_owned()
     } else {
@@ -97,14 +105,14 @@
     if is_chunked {
         write(b"0\r\nX-Trailer: y\r\n\r\n");
     }
-    read_message(&mut BufReader::new(stream)).expect("a response")
+    read_message(&mut BufReader::new(stream)).expect("the proxy sends a complete response")
 }
 
 #[test]
-fn large_bodies_are_streamed_through_little_memory_to_a_backend() {
+fn large_request_bodies_are_streamed_to_a_backend_in_bounded_memory() {
     let backend = Backend::start(|received| ok(&received.body.len().to_string()));
     let proxy = start_with_little_memory("large-bodies", &backend);
-    let body = pattern(LARGE);
+    let body = pattern(LARGE_BODY_LENGTH);
     let address = proxy.address;
     let senders: Vec<_> = (0..4)
         .map(|i| {
@@ -113,8 +121,8 @@
         })
         .collect();
     for sender in senders {
-        let got = sender.join().expect("it is sent");
-        let is_served = got.status() == 200 && got.body == LARGE.to_string().as_bytes();
+        let got = sender.join().expect("no sender has panicked");
+        let is_served = got.status() == 200 && got.body == LARGE_BODY_LENGTH.to_string().as_bytes();
         assert!(
             is_served || got.status() == 503,
             "{} {:?}",
@@ -133,7 +141,7 @@
 }
 
 #[test]
-fn the_first_bytes_of_a_large_response_do_not_wait_for_the_last() {
+fn the_start_of_a_response_is_forwarded_before_its_end_has_arrived() {
     let body = pattern(200_000);
     for (name, fields) in [
         ("first-length", "Content-Length: 200000\r\n"),
@@ -158,26 +166,30 @@
         let mut client = proxy.client();
         client.send(&request("charge", "1", "x"));
         let mut start = [0; 15];
-        client.reader.read_exact(&mut start).expect("it starts");
+        client
+            .reader
+            .read_exact(&mut start)
+            .expect("the response starts");
         assert_eq!(&start, b"HTTP/1.1 200 OK");
         release.send(()).expect("the backend waits");
         assert!(client.receive().body == body);
     }
 }
 
-/// The connection is closed before the last byte, so the request was not executed, and its class is idempotent; but
-/// the streamed part of its body is no longer buffered.
+/// The backend closes the connection before the last byte of the body, so it has not executed the request, and the
+/// class is idempotent. A retry is impossible all the same, because the streamed part of the body is no longer
+/// buffered.
 #[test]
-fn a_partly_streamed_body_is_not_sent_again() {
+fn a_request_with_a_partly_streamed_body_is_not_retried() {
     let (sender, accepted) = channel();
-    let (breaker, address) = bind_listener("127.0.0.1:0");
+    let (listener, address) = bind_listener("127.0.0.1:0");
     thread::spawn(move || {
-        for stream in breaker.incoming() {
-            let mut stream = stream.expect("a connection");
+        for stream in listener.incoming() {
+            let mut stream = stream.expect("the listener stays open");
             stream
                 .read_exact(&mut [0; 50_000])
-                .expect("a part of the body");
-            sender.send(()).expect("the test waits");
+                .expect("the proxy sends a part of the body");
+            sender.send(()).expect("the test has not ended");
         }
     });
     let discovery = Discovery::start();
@@ -193,39 +205,52 @@
     let head = request("read", "1", "").replace("Content-Length: 0", "Content-Length: 3000000");
     client.send(&head);
     let _ = client.stream.write_all(&pattern(3_000_000));
-    accepted.recv_timeout(TEST_TIMEOUT).expect("one attempt");
+    accepted
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the proxy makes one attempt");
     let got = client.receive();
     assert!(got.status() == 503 || got.status() == 502, "{}", got.head);
-    assert!(accepted.try_recv().is_err(), "and only once");
+    assert!(
+        accepted.try_recv().is_err(),
+        "the proxy makes no second attempt"
+    );
 }
 
-/// Starts a backend that responds to the head of a request, and reads on at a signal. Sends how many bytes of the
-/// body it received.
-fn responds_early(early: Vec<u8>, signal: Receiver<()>) -> (SocketAddr, Receiver<u64>) {
+/// Starts a backend that responds as soon as it has read the head of a request, and reads the body after a signal.
+/// Sends the number of received bytes of the body.
+fn backend_that_responds_early(
+    early: Vec<u8>,
+    signal: Receiver<()>,
+) -> (SocketAddr, Receiver<u64>) {
     let (listener, address) = bind_listener("127.0.0.1:0");
     let (sender, received_lengths) = channel();
     thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a connection");
+        let (mut stream, _) = listener.accept().expect("the listener stays open");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a timeout");
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+            .expect("the timeout is not zero");
+        let mut reader =
+            BufReader::new(stream.try_clone().expect("the test has a free descriptor"));
         let mut line = String::new();
         while line != "\r\n" {
             line.clear();
-            reader.read_line(&mut line).expect("a head");
+            reader.read_line(&mut line).expect("the head is text");
         }
-        stream.write_all(&early).expect("the proxy reads");
-        signal.recv_timeout(TEST_TIMEOUT).expect("a signal");
+        stream
+            .write_all(&early)
+            .expect("the proxy keeps the connection open");
+        signal
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the test sends the signal");
         let _ = sender.send(std::io::copy(&mut reader, &mut std::io::sink()).unwrap_or_default());
     });
     (address, received_lengths)
 }
 
-/// The client has its response, so the backend must not get the rest of the body and execute the request. A 200 that
-/// arrives before the complete request can't be its response.
+/// The client already has its response, so the backend must not receive the rest of the body and execute the request. A
+/// 200 that arrives before the request is complete cannot be the response to it.
 #[test]
-fn a_request_answered_before_its_body_never_arrives_completely() {
+fn a_backend_that_responds_before_the_end_of_a_body_never_receives_it_completely() {
     const LENGTH: usize = 3 << 20;
     let large = "x".repeat(100_000);
     let cases = [
@@ -240,7 +265,7 @@
     for (i, (early, status)) in cases.into_iter().enumerate() {
         let discovery = Discovery::start();
         let (release, signal) = channel();
-        let (address, received_lengths) = responds_early(early, signal);
+        let (address, received_lengths) = backend_that_responds_early(early, signal);
         let name = format!("answered-early-{i}");
         let proxy = Proxy::start_with_backend(&name, &discovery, address);
         let mut client = proxy.client();
@@ -248,13 +273,13 @@
         let (first_part, last_part) = text.split_at(text.len() - 1_000);
         client.send(first_part);
         assert_eq!(client.receive().status(), status, "case {i}");
-        // Where the proxy has ended the request, nobody reads this.
+        // This fails if the proxy has already closed the connection.
         let _ = client.stream.write_all(last_part.as_bytes());
         drop(client);
         release.send(()).expect("the backend waits");
         let received = received_lengths
             .recv_timeout(TEST_TIMEOUT)
-            .expect("the connection ends");
+            .expect("the proxy closes the connection to the backend");
         assert!(
             received < LENGTH as u64,
             "case {i}: {received} bytes of the body were received"
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -1,9 +1,9 @@
-//! Limits of backends and of the process: what is rejected, and what is not.
+//! Limits of backends and of the process: which requests are rejected and which are served.
 
 use crate::rig::*;
 
 #[test]
-fn without_capacity_a_request_is_rejected_with_retry_after() {
+fn a_request_is_rejected_with_retry_after_while_its_backend_stays_at_its_limit() {
     let discovery = Discovery::start();
     let (backend, releases) = backend_that_holds_initial_limit();
     let proxy = Proxy::start_with_backend("rejected", &discovery, backend.address);
@@ -12,12 +12,12 @@
         .client()
         .exchange(&request_with_timeout("charge", "2", "x", 500));
     assert_eq!(rejected.status(), 503);
-    let wait: f64 = rejected
+    let retry_after_seconds: f64 = rejected
         .header("retry-after")
-        .expect("Retry-After")
+        .expect("a rejection has Retry-After")
         .parse()
-        .expect("seconds");
-    assert!(wait > 0.0);
+        .expect("Retry-After is a number of seconds");
+    assert!(retry_after_seconds > 0.0);
     for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
         release.send(()).expect("the backend waits");
         assert_eq!(client.receive().body, b"first");
@@ -25,9 +25,10 @@
     assert_eq!(backend.take_requests(), 0, "a rejected request is not sent");
 }
 
-/// Each backend holds one request; there are more backends than descriptors for them.
+/// Each backend holds one request, and there are more backends than the proxy has descriptors for. A connect that fails
+/// because of that says nothing about the backend.
 #[test]
-fn a_shortage_of_descriptors_ejects_no_backend() {
+fn a_shortage_of_descriptors_does_not_eject_backends() {
     let discovery = Discovery::start();
     let backends: Vec<_> = (0..14).map(|_| Backend::start(|_| Reply::Hang)).collect();
     let endpoints: Vec<_> = backends
@@ -52,7 +53,7 @@
         .collect();
     assert!(
         statuses.contains(&503),
-        "some find no descriptor: {statuses:?}"
+        "some requests are rejected for lack of a descriptor: {statuses:?}"
     );
     proxy.terminate();
     let log = proxy.rest_of_log();
@@ -60,12 +61,12 @@
 }
 
 #[test]
-fn idle_clients_do_not_keep_others_out() {
+fn a_new_client_is_served_while_idle_clients_hold_every_connection() {
     let discovery = Discovery::start();
     let mut config = config("idle", &discovery);
     config["limits"]["sockets"] = 64.into();
     let proxy = Proxy::start_with("idle", config);
-    // More than the proxy may accept at a time, and none of them sends a byte.
+    // More clients than the proxy accepts at a time; none of them sends a byte.
     let clients: Vec<_> = (0..64).map(|_| proxy.client()).collect();
     assert_eq!(proxy.status_of(HEALTH_CHECK), 503);
     drop(clients);
--- a/tests/proxy/client_disconnect.rs
+++ b/tests/proxy/client_disconnect.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect: their requests are neither sent nor retried afterwards.
+//! Clients that disconnect: their requests are neither sent to a backend nor retried afterwards.
 
 use crate::rig::*;
 use std::net::Shutdown;
@@ -15,7 +15,7 @@
 
 const DISCONNECTS: [Disconnect; 3] = [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset];
 
-/// Disconnects in that way. After a half-close the client is returned, because dropping it would close it.
+/// Disconnects a client in this way. Returns the client after a half-close, because dropping it would close it.
 fn disconnect(client: Client, way: Disconnect) -> Option<Client> {
     match way {
         Disconnect::Close => None,
@@ -23,20 +23,20 @@
             client
                 .stream
                 .shutdown(Shutdown::Write)
-                .expect("an open connection");
+                .expect("the connection is open");
             Some(client)
         }
         Disconnect::Reset => {
             let socket = socket2::SockRef::from(&client.stream);
             socket
                 .set_linger(Some(Duration::ZERO))
-                .expect("an open connection");
+                .expect("the connection is open");
             None
         }
     }
 }
 
-/// Starts a proxy whose queued requests wait for many seconds.
+/// Starts a proxy with a list of this backend and deadlines of 200 s, so that queued requests wait for many seconds.
 fn start_with_long_timeouts(
     name: &str,
     discovery: &Discovery,
@@ -54,20 +54,22 @@
     proxy
 }
 
-/// Waits until this many requests are in progress, for less time than any is queued. Returns how long it took.
+/// Waits until this number of requests is in progress, and returns the time that it took. Fails after a time that is
+/// shorter than any request is queued.
 fn wait_for_in_progress(proxy: &Proxy, requests: usize) -> Duration {
     let began = Instant::now();
     while proxy.metric("app_in_progress") != requests as u64 {
         assert!(
             began.elapsed() < Duration::from_secs(5),
-            "not {requests} in progress"
+            "{requests} requests are in progress within 5 s"
         );
     }
     began.elapsed()
 }
 
-/// Lets the backend answer and sends one more request, which is the only one that the backend may receive.
-fn only_new_requests_arrive(
+/// Releases the responses to these clients and sends one more request. Asserts that it is the next one that the backend
+/// receives.
+fn assert_only_new_requests_are_sent(
     proxy: &Proxy,
     backend: &Backend,
     clients: Vec<Client>,
@@ -84,7 +86,8 @@
     );
 }
 
-/// Returns what a client may have sent after its request when it disconnects: nothing, another request, garbage.
+/// Returns the inputs that a client may have sent after its request before it disconnects: nothing, another request and
+/// garbage.
 fn pipelined_input() -> [String; 3] {
     [
         String::new(),
@@ -93,7 +96,7 @@
     ]
 }
 
-/// Returns each way to disconnect with each of these inputs.
+/// Returns each way to disconnect combined with each of these inputs.
 fn disconnect_cases(inputs: &[String]) -> Vec<(Disconnect, String)> {
     let mut cases = Vec::new();
     for way in DISCONNECTS {
@@ -104,7 +107,7 @@
     cases
 }
 
-/// No attempt starts later than this after its client has disconnected.
+/// The time after a disconnect within which the proxy detects it and starts no further attempt.
 const MAX_DISCONNECT_DETECTION: Duration = Duration::from_millis(100);
 
 #[test]
@@ -115,15 +118,15 @@
     let mut first = saturate(&proxy, &backend);
     let mut disconnecting = proxy.client();
     disconnecting.send(&request("charge", "2", "x"));
-    // The answer on another connection shows that the proxy has read all earlier input.
+    // A response on another connection shows that the proxy has read all earlier input.
     assert_eq!(proxy.status_of(HEALTH_CHECK), 200);
     disconnecting
         .stream
         .shutdown(Shutdown::Write)
-        .expect("an open connection");
+        .expect("the connection is open");
     assert!(
         disconnecting.ends_cleanly(),
-        "the proxy has seen that the client disconnected, and ended its side too"
+        "the proxy has detected the disconnect and closes its side too"
     );
     for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
         release.send(()).expect("the backend waits");
@@ -148,10 +151,10 @@
     disconnecting
         .stream
         .shutdown(Shutdown::Write)
-        .expect("an open connection");
+        .expect("the connection is open");
     assert!(
         disconnecting.ends_cleanly(),
-        "the proxy has seen that the client disconnected"
+        "the proxy has detected the disconnect"
     );
     let mut client = proxy.client();
     client.send(&request("charge", "stays", "x"));
@@ -178,13 +181,14 @@
         .filter_map(|(client, way)| disconnect(client, way))
         .collect();
     wait_for_in_progress(&proxy, INITIAL_LIMIT);
-    only_new_requests_arrive(&proxy, &backend, clients, &releases);
+    assert_only_new_requests_are_sent(&proxy, &backend, clients, &releases);
     drop(half_closed);
 }
 
-/// The end of its body stays in the kernel, because the proxy reads it only while it sends the request.
+/// The end of the body stays in the kernel's buffer, because the proxy reads it only while it sends the request to a
+/// backend. The disconnect comes after these unread bytes.
 #[test]
-fn a_queued_request_whose_client_disconnects_behind_its_unread_body_is_not_sent() {
+fn a_queued_request_whose_client_disconnects_after_an_unread_body_is_not_sent() {
     for way in DISCONNECTS {
         let discovery = Discovery::start();
         let (backend, releases) = backend_that_holds_initial_limit();
@@ -196,36 +200,36 @@
         wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
         let half_closed = disconnect(client, way);
         wait_for_in_progress(&proxy, INITIAL_LIMIT);
-        only_new_requests_arrive(&proxy, &backend, clients, &releases);
+        assert_only_new_requests_are_sent(&proxy, &backend, clients, &releases);
         drop(half_closed);
     }
 }
 
-/// The client disconnects during the connect, in each way and whatever it sent after its request.
+/// The client disconnects during the connect, in each way and after each input that may follow its request.
 #[test]
-fn a_request_is_not_sent_on_a_connection_that_comes_up_after_its_client_disconnected() {
+fn a_request_is_not_sent_on_a_connection_established_after_its_client_disconnected() {
     let discovery = Discovery::start();
     let backend = FullBacklog::start();
     let mut config = config_with_operator("left-connecting", &discovery);
-    // A single backend has a low limit; requests beyond it would be queued.
+    // A single backend has a low limit, and requests beyond it are queued instead of connecting.
     config["settings"]["permissions"]["dialTimeoutUs"] = 15_000_000.into();
     let proxy = Proxy::start_with("left-connecting", config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
-    let mut noticed_after = Vec::new();
+    let mut detection_times = Vec::new();
     let cases = disconnect_cases(&pipelined_input());
     for (i, (way, input)) in cases.into_iter().enumerate() {
         let mut client = proxy.client();
         client.send(&(request("charge", &format!("left-{i}"), "x") + &input));
         wait_for_in_progress(&proxy, 1);
         let half_closed = disconnect(client, way);
-        noticed_after.push(wait_for_in_progress(&proxy, 0));
+        detection_times.push(wait_for_in_progress(&proxy, 0));
         drop(half_closed);
     }
-    // The median tolerates delays of a busy machine in some cases.
-    noticed_after.sort_unstable();
+    // The median tolerates single delays of a busy machine.
+    detection_times.sort_unstable();
     assert!(
-        noticed_after[noticed_after.len() / 2] <= MAX_DISCONNECT_DETECTION,
-        "{noticed_after:?}"
+        detection_times[detection_times.len() / 2] <= MAX_DISCONNECT_DETECTION,
+        "{detection_times:?}"
     );
     let mut client = proxy.client();
     client.send(&request("charge", "stays", "x"));
@@ -263,7 +267,7 @@
             assert_eq!(
                 other.next_request().header("x-correlation-id"),
                 Some(id),
-                "{way:?}, {} bytes after it",
+                "{way:?} with {} bytes after the request",
                 input.len()
             );
         }
@@ -271,7 +275,7 @@
     }
 }
 
-/// The first attempt has ended, the retry is queued, and its client disconnects meanwhile.
+/// The first attempt has ended, and the client disconnects while the retry is queued.
 #[test]
 fn a_queued_retry_is_not_sent_after_its_client_disconnected() {
     let cases = disconnect_cases(&pipelined_input());
@@ -287,20 +291,20 @@
         discovery.publish_and_wait(true, &[active_endpoint("s-2", backend.address)]);
         let clients = saturate(&proxy, &backend);
         release.send(()).expect("the backend waits");
-        // After these responses the proxy has seen the end of the first attempt.
+        // By the time of these responses, the proxy has detected the end of the first attempt.
         for _ in 0..20 {
             proxy.client().exchange(HEALTH_CHECK);
         }
         let half_closed = disconnect(client, way);
         wait_for_in_progress(&proxy, INITIAL_LIMIT);
-        only_new_requests_arrive(&proxy, &backend, clients, &releases);
+        assert_only_new_requests_are_sent(&proxy, &backend, clients, &releases);
         drop(half_closed);
     }
 }
 
-/// The client disconnects after far more bytes than the kernel buffers for a connection that is not read.
+/// The client disconnects after far more bytes than the kernel buffers for a connection that the proxy does not read.
 #[test]
-fn a_disconnect_behind_more_than_the_kernel_buffers_is_noticed() {
+fn a_disconnect_after_more_input_than_the_kernel_buffers_is_detected() {
     const INPUT_LENGTH: usize = 1_000_000;
     let discovery = Discovery::start();
     let (backend, releases) = backend_that_holds_initial_limit();
@@ -325,5 +329,5 @@
         wait_for_in_progress(&proxy, INITIAL_LIMIT);
         drop(half_closed);
     }
-    only_new_requests_arrive(&proxy, &backend, clients, &releases);
+    assert_only_new_requests_are_sent(&proxy, &backend, clients, &releases);
 }
--- a/tests/proxy/connection_reuse.rs
+++ b/tests/proxy/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Connections to backends: which are used again.
+//! Connections to backends: which of them are reused.
 
 use crate::rig::*;
 use std::sync::mpsc::channel;
@@ -12,19 +12,22 @@
     for id in ["1", "2", "3", "4"] {
         assert_eq!(client.exchange(&request("charge", id, "x")).status(), 200);
         backend.next_request();
-        // The proxy can't know of a close that has not arrived, which would reset the next request.
+        // Until the close has arrived, the proxy cannot know of it, and the next request would be reset.
         backend.wait_until_closed();
     }
 }
 
-/// A connection that is closed while the process is stopped looks open to the runtime at the next request.
+/// A connection that is closed while the process is suspended still looks open to the async runtime at the next
+/// request.
 #[test]
 fn a_connection_whose_close_the_runtime_has_not_seen_is_not_reused() {
     let discovery = Discovery::start();
     let (closes, signals): (Vec<_>, Vec<_>) = (0..4).map(|_| channel()).unzip();
     let mut signals = signals.into_iter();
     let backend = Backend::start(move |_| {
-        let signal = signals.next().expect("as many requests as signals");
+        let signal = signals
+            .next()
+            .expect("the backend receives as many requests as there are signals");
         Reply::WriteThenWait {
             bytes: response("200 OK", "", b"last"),
             signal,
@@ -45,7 +48,7 @@
 }
 
 #[test]
-fn a_restarted_backend_gets_a_new_connection() {
+fn a_request_to_a_restarted_backend_uses_a_new_connection() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let proxy = Proxy::start(
@@ -58,19 +61,20 @@
     assert_eq!(client.exchange(&request("charge", "2", "x")).status(), 200);
     let first = backend.next_request().connection;
     let second = backend.next_request().connection;
-    assert_eq!(first, second, "a connection is used again");
+    assert_eq!(first, second, "the idle connection is reused");
     discovery.publish_and_wait(false, &[endpoint("s-1", backend.address, "active", 2_000)]);
     assert_eq!(client.exchange(&request("charge", "3", "x")).status(), 200);
     assert_ne!(backend.next_request().connection, second);
 }
 
-/// A connection that was in use while its backend was removed belongs to a process that has ended.
+/// A connection that is in use while its backend is removed belongs to a process that ends. A later backend at the same
+/// address must not receive requests on it.
 #[test]
 fn connections_of_a_removed_backend_are_never_reused() {
     for complete in [false, true] {
         let discovery = Discovery::start();
         let (backend, release) =
-            backend_that_holds_first_request("of the old one", "of the new one");
+            backend_that_holds_first_request("from the removed", "from the new");
         let listed = |id: &str| active_endpoint(id, backend.address);
         let proxy = Proxy::start(&format!("gone-{complete}"), &discovery, &[listed("s-1")]);
         let mut client = proxy.client();
@@ -84,11 +88,11 @@
         discovery.publish_and_wait(complete, &changes);
         discovery.publish_and_wait(false, &[listed("s-1")]);
         release.send(()).expect("the backend waits");
-        assert_eq!(client.receive().body, b"of the old one");
+        assert_eq!(client.receive().body, b"from the removed");
         for id in ["2", "3"] {
             assert_eq!(
                 client.exchange(&request("charge", id, "x")).body,
-                b"of the new one"
+                b"from the new"
             );
             assert_eq!(backend.next_request().connection, 1);
         }
@@ -97,7 +101,7 @@
         assert_eq!(
             backend.next_request().connection,
             2,
-            "another backend at the same address"
+            "another backend at the same address gets a new connection"
         );
     }
 }
--- a/tests/proxy/corrupt_responses.rs
+++ b/tests/proxy/corrupt_responses.rs
@@ -1,11 +1,11 @@
-//! Responses that are malformed, or followed by bytes that belong to no response.
+//! Responses that are malformed, incomplete or followed by further bytes.
 
 use crate::rig::*;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
 #[test]
-fn a_broken_response_is_never_a_200_and_a_non_idempotent_request_is_not_retried() {
+fn a_non_idempotent_request_gets_502_and_no_retry_after_a_broken_response() {
     let broken: [&[u8]; 3] = [
         b"",
         b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
@@ -13,21 +13,22 @@
     ];
     for (i, bytes) in broken.into_iter().enumerate() {
         let discovery = Discovery::start();
-        let one = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
-        let two = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
+        let first = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
+        let second = Backend::start(move |_| Reply::WriteAndClose(bytes.to_vec()));
         let endpoints = [
-            active_endpoint("s-1", one.address),
-            active_endpoint("s-2", two.address),
+            active_endpoint("s-1", first.address),
+            active_endpoint("s-2", second.address),
         ];
         let proxy = Proxy::start(&format!("broken-{i}"), &discovery, &endpoints);
         let got = proxy.client().exchange(&request("charge", "1", "x"));
         assert_eq!(got.status(), 502, "the request may have been executed");
-        assert_eq!(one.take_requests() + two.take_requests(), 1);
+        assert_eq!(first.take_requests() + second.take_requests(), 1);
     }
 }
 
-/// Returns a backend that sends a corrupt response while the flag is set, and clears the flag.
-fn corrupt_once(corrupt: &[u8], is_corrupt: &Arc<AtomicBool>) -> Backend {
+/// Starts a backend that sends a corrupt response if the flag is set, and clears the flag. Otherwise its response is
+/// good.
+fn backend_that_is_corrupt_once(corrupt: &[u8], is_corrupt: &Arc<AtomicBool>) -> Backend {
     let corrupt = corrupt.to_vec();
     let is_corrupt = Arc::clone(is_corrupt);
     Backend::start(move |_| {
@@ -39,8 +40,8 @@
     })
 }
 
-/// Backends send what can't become a response and keep the connection open. Waiting would leave no time for
-/// another attempt; a reset would be counted against a healthy backend.
+/// Backends send bytes that cannot become a valid response, and keep the connection open. An attempt that waits for
+/// more leaves no time for a retry, and a reset would count as a failure of a healthy backend.
 #[test]
 fn a_corrupt_response_fails_at_once_and_only_idempotent_requests_are_retried() {
     let endless_head = format!("HTTP/1.1 200 OK\r\nX-Long: {}", "y".repeat(20_000));
@@ -59,11 +60,11 @@
     for (i, bytes) in corrupt.into_iter().enumerate() {
         let discovery = Discovery::start();
         let is_corrupt = Arc::new(AtomicBool::new(true));
-        let one = corrupt_once(bytes, &is_corrupt);
-        let two = corrupt_once(bytes, &is_corrupt);
+        let first = backend_that_is_corrupt_once(bytes, &is_corrupt);
+        let second = backend_that_is_corrupt_once(bytes, &is_corrupt);
         let endpoints = [
-            active_endpoint("s-1", one.address),
-            active_endpoint("s-2", two.address),
+            active_endpoint("s-1", first.address),
+            active_endpoint("s-2", second.address),
         ];
         let proxy = Proxy::start(&format!("corrupt-{i}"), &discovery, &endpoints);
         let got = proxy.client().exchange(&request("read", "1", ""));
@@ -74,14 +75,23 @@
         );
         is_corrupt.store(true, Ordering::SeqCst);
         let got = proxy.client().exchange(&request("charge", "2", "x"));
-        assert_eq!(got.status(), 502, "case {i}: it may have been executed");
-        assert_eq!(one.take_requests() + two.take_requests(), 3, "case {i}");
+        assert_eq!(
+            got.status(),
+            502,
+            "case {i}: the request may have been executed"
+        );
+        assert_eq!(
+            first.take_requests() + second.take_requests(),
+            3,
+            "case {i}"
+        );
     }
 }
 
-/// A good response followed by more bytes is good. Its connection is not reused, and no later request fails.
+/// A valid response is forwarded whatever follows it. Its connection is not reused, so the further bytes cannot become
+/// the response to a later request.
 #[test]
-fn bytes_behind_a_response_are_served_to_nobody() {
+fn bytes_after_a_response_are_discarded_with_their_connection() {
     let trailing: [&[u8]; 3] = [
         b"\x00noise",
         b"\r\n",
@@ -92,7 +102,7 @@
         let backend = Backend::start(move |received| {
             let id = received
                 .header("x-correlation-id")
-                .expect("an id")
+                .expect("a forwarded request has a correlation id")
                 .as_bytes();
             Reply::Write([response("200 OK", "", id), extra.to_vec()].concat())
         });
@@ -111,14 +121,14 @@
     }
 }
 
-/// 1xx responses precede the final one, and a malformed load report is ignored.
+/// Interim (1xx) responses precede the final one, which carries a malformed load report.
 #[test]
-fn early_hints_and_malformed_load_reports_do_no_harm() {
+fn interim_responses_and_malformed_load_reports_are_ignored() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| {
-        let early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
+        let interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
         let report = "X-Backend-Load: inflight=é,,=;util=NaN,queue\r\n";
-        Reply::Write([early.to_vec(), response("200 OK", report, b"good")].concat())
+        Reply::Write([interim.to_vec(), response("200 OK", report, b"good")].concat())
     });
     let proxy = Proxy::start_with_backend("early", &discovery, backend.address);
     for id in ["1", "2"] {
--- a/tests/proxy/discovery.rs
+++ b/tests/proxy/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: its start, its changes, and a change of discovery itself.
+//! The endpoint list: its cached and first version, its changes, and a change of discovery's address.
 
 use crate::rig::*;
 use serde_json::{Value, json};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn it_is_up_only_with_an_endpoint_list() {
+fn the_health_check_succeeds_only_once_an_endpoint_list_has_arrived() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let proxy = Proxy::start_without_endpoints("up", &discovery);
@@ -27,18 +27,18 @@
     assert_eq!(
         discovery.next_call(),
         Some(7),
-        "one call, for the changes alone"
+        "the first call requests the changes after the cached revision"
     );
     assert_eq!(
         proxy.status_of(HEALTH_CHECK),
         200,
-        "discovery has not answered"
+        "the cached list suffices before discovery answers"
     );
     assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
 }
 
 #[test]
-fn a_list_older_than_the_cached_one_is_ignored_and_the_complete_list_requested_later() {
+fn a_list_older_than_the_cached_one_is_ignored_and_the_complete_list_is_requested() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let mut config = config("older", &discovery);
@@ -50,7 +50,7 @@
     assert_eq!(
         discovery.next_call(),
         Some(1),
-        "the revisions of discovery restarted"
+        "the complete list is applied, although discovery restarted its revisions"
     );
     drop(proxy);
 }
@@ -64,12 +64,12 @@
     assert_eq!(
         discovery.take_calls(),
         0,
-        "calls made while the first one waits for its turn"
+        "no further call is made while the first one waits in the queue"
     );
 }
 
 #[test]
-fn where_discovery_is_polled_the_balancer_begins_the_watch_whatever_is_cached() {
+fn a_polled_watch_starts_although_the_cached_list_is_absent_or_malformed() {
     for known in [Value::Null, "nonsense".into()] {
         let discovery = Discovery::start();
         let backend = Backend::start(|_| ok("there"));
@@ -123,59 +123,68 @@
 }
 
 #[test]
-fn a_backend_that_began_to_drain_during_the_connect_gets_no_request() {
+fn a_backend_that_starts_to_drain_during_the_connect_receives_no_request() {
     let discovery = Discovery::start();
     let full = FullBacklog::start();
     let address = full.address;
     let proxy = Proxy::start_with_backend("slow-connect", &discovery, address);
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
-    // An answer on another connection shows that the proxy has seen the request.
+    // A response on another connection shows that the proxy has read the request.
     assert_eq!(proxy.status_of(HEALTH_CHECK), 200);
     discovery.publish_and_wait(false, &[endpoint("s-1", address, "leaving", 0)]);
     let listener = full.accept_pending();
-    let (mut stream, _) = listener.accept().expect("the proxy's connection");
+    let (mut stream, _) = listener
+        .accept()
+        .expect("the backlog holds the connection of the proxy");
     let got = client.receive();
     assert_eq!(
         got.status(),
         503,
-        "it was not executed, so a retry is harmless"
+        "the request was not executed, so a retry by the client is harmless"
     );
     let mut sent = Vec::new();
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a timeout");
+        .expect("the timeout is not zero");
     let _ = stream.read_to_end(&mut sent);
     assert!(sent.is_empty(), "{}", String::from_utf8_lossy(&sent));
 }
 
 #[test]
-fn at_sighup_it_changes_to_the_new_discovery_and_keeps_serving() {
-    let old = Discovery::start();
-    let new = Discovery::start();
+fn a_reload_switches_to_the_new_address_of_discovery_while_requests_are_served() {
+    let old_discovery = Discovery::start();
+    let new_discovery = Discovery::start();
     let (before, release) = backend_that_holds_first_request("taken before", "before");
     let after = Backend::start(|_| ok("after"));
-    let mut proxy = Proxy::start("sighup", &old, &[active_endpoint("s-1", before.address)]);
+    let mut proxy = Proxy::start(
+        "sighup",
+        &old_discovery,
+        &[active_endpoint("s-1", before.address)],
+    );
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
     before.next_request();
-    // A file that can't be used leaves all as it was.
+    // An invalid configuration leaves the previous one in effect.
     proxy.reload("{");
     proxy.wait_for_log("configuration not reloaded");
     assert_eq!(
         proxy.client().exchange(&request("read", "2", "")).body,
         b"before"
     );
-    for (from, to, name) in [(&old, &new, "s-2"), (&new, &old, "s-3")] {
+    for (from, to, name) in [
+        (&old_discovery, &new_discovery, "s-2"),
+        (&new_discovery, &old_discovery, "s-3"),
+    ] {
         from.take_calls();
         to.take_calls();
         proxy.reload(&config("sighup", to).to_string());
         assert_eq!(
             to.next_call(),
             None,
-            "revisions of two services are not comparable"
+            "the complete list is requested, because revisions of two services are not comparable"
         );
-        // Until the new service has sent its list, the old list is used.
+        // The old list is used until the new service has sent its list.
         assert_eq!(proxy.status_of(&request("read", "3", "")), 200);
         to.publish_and_wait(true, &[active_endpoint(name, after.address)]);
         assert_eq!(
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -1,4 +1,4 @@
-//! What reaches backends and clients: the request, the response, and their connections.
+//! Forwarding: the request that a backend receives, the response that a client receives, and the client's connection.
 
 use crate::rig::*;
 use serde_json::json;
@@ -25,20 +25,23 @@
     assert_eq!(received.body, b"some body");
     let remaining_ms: u64 = received
         .header("x-time-left-ms")
-        .expect("the remaining time")
+        .expect("a forwarded request has the remaining time")
         .parse()
-        .expect("a number");
+        .expect("the remaining time is a number of milliseconds");
     assert!(
         remaining_ms < 15_000,
-        "the proxy waits for less than the client does, not {remaining_ms} ms"
+        "the proxy passes on less than the timeout of the client, not {remaining_ms} ms"
     );
 }
 
 #[test]
 fn a_connection_serves_one_request_after_another() {
     let discovery = Discovery::start();
-    let backend =
-        Backend::start(|received| ok(received.header("x-correlation-id").expect("an id")));
+    let backend = Backend::start(|received| {
+        ok(received
+            .header("x-correlation-id")
+            .expect("a forwarded request has a correlation id"))
+    });
     let proxy = Proxy::start_with_backend("kept", &discovery, backend.address);
     let mut client = proxy.client();
     for id in ["a", "b", "c"] {
@@ -47,7 +50,7 @@
     }
 }
 
-/// One name is the path of the health check, another has letters beyond ASCII.
+/// A class has the path of the health check as its name, and a tenant has a name with letters beyond ASCII.
 #[test]
 fn classes_and_tenants_of_any_name_are_served() {
     let discovery = Discovery::start();
@@ -74,7 +77,7 @@
 }
 
 #[test]
-fn connections_are_kept_or_closed_as_their_requests_say() {
+fn a_client_connection_is_kept_or_closed_by_version_and_connection_header() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let proxy = Proxy::start_with_backend("kept-or-closed", &discovery, backend.address);
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn a_client_that_expects_100_continue_gets_it() {
+fn a_client_that_expects_100_continue_receives_it() {
     let discovery = Discovery::start();
     let backend = Backend::start(|received| {
         assert_eq!(received.header("expect"), None);
@@ -126,17 +129,23 @@
     assert_eq!(client.exchange("body").body, b"body");
 }
 
-/// A client may be slow, as long as it continues.
+/// A slow client is served as long as it keeps sending.
 #[test]
 fn a_request_in_small_pieces_is_served() {
     let discovery = Discovery::start();
     let backend = Backend::start(|received| ok(&received.body.len().to_string()));
     let proxy = Proxy::start_with_backend("pieces", &discovery, backend.address);
     let mut client = proxy.client();
-    client.stream.set_nodelay(true).expect("no delay");
+    client
+        .stream
+        .set_nodelay(true)
+        .expect("the socket supports TCP_NODELAY");
     let text = request("submit", "1", &"x".repeat(3_000));
     for piece in text.as_bytes().chunks(7) {
-        client.stream.write_all(piece).expect("it reads");
+        client
+            .stream
+            .write_all(piece)
+            .expect("the proxy reads the request");
     }
     assert_eq!(client.receive().body, b"3000");
 }
@@ -144,8 +153,11 @@
 #[test]
 fn pipelined_requests_get_their_responses_in_order() {
     let discovery = Discovery::start();
-    let backend =
-        Backend::start(|received| ok(received.header("x-correlation-id").expect("an id")));
+    let backend = Backend::start(|received| {
+        ok(received
+            .header("x-correlation-id")
+            .expect("a forwarded request has a correlation id"))
+    });
     let proxy = Proxy::start_with_backend("pipelined", &discovery, backend.address);
     let mut client = proxy.client();
     let ambiguous = request("submit", "4", "").replace(
@@ -167,15 +179,18 @@
     assert_eq!(
         client.receive().status(),
         400,
-        "its end can be read in two ways"
+        "a request with ambiguous framing is rejected"
+    );
+    assert!(
+        client.ends_cleanly(),
+        "nothing after the ambiguous request is read"
     );
-    assert!(client.ends_cleanly(), "and so nothing behind it is read");
     assert_eq!(backend.requests.try_iter().count(), 3);
 }
 
-/// The client sends more behind an open request than the proxy reads ahead.
+/// The client sends more bytes after an open request than the proxy reads ahead.
 #[test]
-fn pipelined_requests_behind_an_open_one_are_served_in_order() {
+fn requests_pipelined_after_an_open_one_are_served_in_order() {
     const PIPELINED_COUNT: usize = 60;
     const BODY_LENGTH: usize = 60_000;
     let discovery = Discovery::start();
@@ -192,7 +207,10 @@
     let mut client = proxy.client();
     client.send(&request("charge", "open", "first"));
     backend.next_request();
-    let mut stream = client.stream.try_clone().expect("a clone");
+    let mut stream = client
+        .stream
+        .try_clone()
+        .expect("the test has a free descriptor");
     let body = |i: usize| format!("{i:06}").repeat(BODY_LENGTH / 6);
     let sending = thread::spawn(move || {
         for i in 0..PIPELINED_COUNT {
@@ -200,7 +218,7 @@
         }
         Ok::<_, std::io::Error>(())
     });
-    // After these responses the proxy has read what it reads ahead.
+    // By the time of these responses, the proxy has read ahead as far as it does.
     for _ in 0..20 {
         proxy.client().exchange(HEALTH_CHECK);
     }
@@ -216,6 +234,6 @@
     }
     sending
         .join()
-        .expect("a thread")
-        .expect("the proxy reads all");
+        .expect("the sender has not panicked")
+        .expect("the proxy reads all requests");
 }
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -1,14 +1,19 @@
-//! The log as operators see it: its filter, its format, and the events of one request.
+//! The log: its filter, its format and the events of one request.
 
 use crate::rig::*;
 use serde_json::Value;
 use std::process::Stdio;
 
-/// Starts the program with variables for its log.
+/// Starts the program with these environment variables for its log.
 fn start_logging(name: &str, discovery: &Discovery, variables: &[(&str, &str)]) -> Proxy {
     let mut command = command(name, &config(name, discovery).to_string());
     command.envs(variables.iter().copied());
-    Proxy::wait_until_listening(name, command.spawn().expect("the program starts"))
+    Proxy::wait_until_listening(
+        name,
+        command
+            .spawn()
+            .expect("the proxy's program can be executed"),
+    )
 }
 
 #[test]
@@ -27,16 +32,20 @@
     let log = proxy.rest_of_log();
     let lines: Vec<Value> = log
         .lines()
-        .map(|line| serde_json::from_str(line).expect("JSON"))
+        .map(|line| serde_json::from_str(line).expect("each log line is JSON"))
         .collect();
     let received = lines
         .iter()
         .find(|line| line["correlation_id"] == "9b1f03aa")
-        .expect("the request was received");
+        .expect("the log has the correlation id of the request");
     let events: Vec<&str> = lines
         .iter()
         .filter(|line| line["request"] == received["request"])
-        .map(|line| line["message"].as_str().expect("a message"))
+        .map(|line| {
+            line["message"]
+                .as_str()
+                .expect("each log line has a message")
+        })
         .collect();
     assert_eq!(
         events,
@@ -45,24 +54,24 @@
     let answered = lines
         .iter()
         .find(|line| line["message"] == "answered")
-        .expect("an answer");
+        .expect("the log has the answer to the request");
     assert_eq!(answered["answer"], "failed");
 }
 
 #[test]
-fn a_reload_changes_the_filter_and_one_without_a_filter_restores_it() {
+fn a_reload_sets_the_log_filter_and_a_reload_without_one_restores_the_filter_of_the_start() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let mut proxy = start_logging("log-reload", &discovery, &[("EDGE_LOG", "info")]);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     while proxy.status_of(HEALTH_CHECK) != 200 {}
-    let plain = config("log-reload", &discovery);
-    let mut verbose = plain.clone();
+    let without_filter = config("log-reload", &discovery);
+    let mut verbose = without_filter.clone();
     verbose["log"] = serde_json::json!({"filter": "info,tillerproxy::request=debug"});
     for (id, configuration) in [
         ("quiet", None),
         ("loud", Some(&verbose)),
-        ("again", Some(&plain)),
+        ("again", Some(&without_filter)),
     ] {
         if let Some(configuration) = configuration {
             proxy.reload(&configuration.to_string());
@@ -84,9 +93,11 @@
     let start = |configuration: &Value, variable: Option<(&str, &str)>| {
         let mut command = command("log-invalid", &configuration.to_string());
         command.envs(variable).stdin(Stdio::null());
-        let output = command.output().expect("it ends");
+        let output = command
+            .output()
+            .expect("the proxy's program can be executed");
         assert_eq!(output.status.code(), Some(1));
-        let text = String::from_utf8(output.stderr).expect("text");
+        let text = String::from_utf8(output.stderr).expect("standard error is UTF-8 text");
         assert_eq!(text.lines().count(), 1, "{text}");
         text
     };
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -1,4 +1,4 @@
-//! The proxy's program over loopback sockets: what must hold whatever backends and clients do.
+//! Tests of the proxy's program over loopback sockets, with backends, clients and discovery that behave well or badly.
 
 mod bodies;
 mod capacity;
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -1,9 +1,7 @@
-//! The operators' calls, the metrics, the drain and the upgrade.
+//! Operator calls, metrics, the drain of a proxy and the takeover by a new process.
 
 use crate::rig::*;
-
 use std::io::Read;
-use std::net::TcpListener;
 use std::sync::mpsc::{Sender, channel};
 
 const READY: &str = "/control/ready";
@@ -11,23 +9,24 @@
 const OUT_OF_SERVICE: &str = "/control/out-of-service";
 const IN_SERVICE: &str = "/control/in-service";
 
-/// Returns a backend that holds the request of this id until a signal, and then answers with the id. It fails the
-/// request of the id `bad`, and answers all others at once.
-fn holds_request(id: &'static str) -> (Backend, Sender<()>) {
+/// Starts a backend that holds the request with this id until a signal and then answers with the id. It fails the
+/// request with the id `bad` and answers all others at once.
+fn backend_that_holds_request(id: &'static str) -> (Backend, Sender<()>) {
     let (release, signal) = channel();
     let mut signal = Some(signal);
     let backend = Backend::start(move |received| match received.header("x-correlation-id") {
         Some("bad") => Reply::Write(response("500 Internal Server Error", "", b"")),
-        Some(other) if other == id => {
-            Reply::After(signal.take().expect("one request"), Box::new(ok(id)))
-        }
+        Some(other) if other == id => Reply::After(
+            signal.take().expect("a single request has this id"),
+            Box::new(ok(id)),
+        ),
         _ => ok("fine"),
     });
     (backend, release)
 }
 
 #[test]
-fn calls_are_answered_before_the_proxy_is_ready() {
+fn operator_calls_are_answered_before_the_proxy_is_ready() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let proxy = Proxy::start_with("calls", config_with_operator("calls", &discovery));
@@ -38,16 +37,18 @@
     let mut head = proxy.operator_client();
     head.send("HEAD /control/ready HTTP/1.1\r\n\r\n");
     let mut text = String::new();
-    head.reader.read_to_string(&mut text).expect("text");
+    head.reader
+        .read_to_string(&mut text)
+        .expect("the response is UTF-8 text");
     assert!(
         text.starts_with("HTTP/1.1 200 ") && text.ends_with("\r\n\r\n"),
-        "a head and no body: {text}"
+        "the response to HEAD has no body: {text}"
     );
     let metrics = proxy.operator_call("GET", COUNTERS);
     assert!(
         metrics
             .header("content-type")
-            .is_some_and(|form| form.starts_with("text/plain; version=0.0.4"))
+            .is_some_and(|media_type| media_type.starts_with("text/plain; version=0.0.4"))
     );
     for class in ["read", "submit", "charge"] {
         for outcome in ["passed", "dropped", "bad_gateway"] {
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn malformed_calls_are_rejected_and_change_nothing() {
+fn malformed_operator_calls_are_rejected_without_effect() {
     let discovery = Discovery::start();
     let proxy = Proxy::start_with(
         "malformed-calls",
@@ -110,9 +111,9 @@
     assert_eq!(proxy.operator_call("GET", READY).status(), 200);
 }
 
-/// More callers than calls that may be open at a time.
+/// There are more callers than operator calls that the proxy accepts at a time.
 #[test]
-fn callers_that_send_nothing_or_an_incomplete_call_delay_no_other() {
+fn silent_and_incomplete_operator_calls_do_not_delay_others() {
     let discovery = Discovery::start();
     let proxy = Proxy::start_with(
         "silent-calls",
@@ -135,20 +136,20 @@
             "an incomplete call changes nothing"
         );
     }
-    // Each of them is closed in the end.
+    // The proxy closes each of them in the end.
     for client in &mut waiting {
         client
             .reader
             .get_ref()
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a timeout");
+            .expect("the timeout is not zero");
         while !matches!(client.reader.read(&mut [0; 256]), Ok(0) | Err(_)) {}
     }
 }
 
-/// Clients use all connections that they may, and more of them wait in the listen backlog.
+/// Clients hold all connections that the proxy accepts from them, and more clients wait in the listen backlog.
 #[test]
-fn calls_are_answered_while_clients_hold_every_connection() {
+fn operator_calls_are_answered_while_clients_hold_every_connection() {
     let discovery = Discovery::start();
     let (backend, _releases) = backend_that_holds_initial_limit();
     let mut config = config_with_operator("crowded-calls", &discovery);
@@ -156,7 +157,7 @@
     let proxy = Proxy::start_with("crowded-calls", config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let _busy = saturate(&proxy, &backend);
-    let _crowd: Vec<Client> = (0..100)
+    let _idle_clients: Vec<Client> = (0..100)
         .map(|i| {
             let mut client = proxy.client();
             client.send(if i % 2 == 0 { "" } else { "POST /cha" });
@@ -168,14 +169,14 @@
     assert_eq!(
         proxy.status_of(HEALTH_CHECK),
         200,
-        "a client that sends a request is admitted, and an idle one closed"
+        "an idle connection is closed to admit a client that sends a request"
     );
 }
 
 #[test]
-fn metrics_follow_the_requests() {
+fn metrics_count_attempts_outcomes_and_requests_in_progress() {
     let discovery = Discovery::start();
-    let (backend, release) = holds_request("wait");
+    let (backend, release) = backend_that_holds_request("wait");
     let proxy = Proxy::start_with("metrics", config_with_operator("metrics", &discovery));
     let draining = endpoint("s-2", backend.address, "leaving", 0);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address), draining]);
@@ -199,8 +200,8 @@
         400,
         "a malformed request is not counted"
     );
-    let mut waits = proxy.client();
-    waits.send(&request("charge", "wait", "x"));
+    let mut waiting = proxy.client();
+    waiting.send(&request("charge", "wait", "x"));
     for _ in 0..5 {
         backend.next_request();
     }
@@ -219,7 +220,7 @@
     );
     assert_eq!(proxy.handled("charge", "bad_gateway"), 1);
     release.send(()).expect("the backend waits");
-    assert_eq!(waits.receive().status(), 200);
+    assert_eq!(waiting.receive().status(), 200);
     assert_eq!(
         (
             proxy.handled("charge", "passed"),
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn a_rejected_request_is_counted_and_one_whose_client_disconnected_is_no_longer_in_progress() {
+fn metrics_count_a_rejected_request_and_stop_counting_one_whose_client_disconnected() {
     let discovery = Discovery::start();
     let (backend, releases) = backend_that_holds_initial_limit();
     let mut config = config_with_operator("rejected-metric", &discovery);
@@ -248,9 +249,9 @@
 }
 
 #[test]
-fn out_of_service_the_proxy_serves_and_closes_every_connection() {
+fn a_proxy_out_of_service_answers_requests_and_closes_their_connections() {
     let discovery = Discovery::start();
-    let (backend, release) = holds_request("held");
+    let (backend, release) = backend_that_holds_request("held");
     let proxy = Proxy::start_with("drained", config_with_operator("drained", &discovery));
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let mut idle = proxy.client();
@@ -282,7 +283,10 @@
         );
         assert!(client.ends_cleanly());
     }
-    assert!(idle.ends_cleanly(), "an idle connection");
+    assert!(
+        idle.ends_cleanly(),
+        "an idle connection is closed without a reset"
+    );
     release.send(()).expect("the backend waits");
     assert_eq!(busy.receive().body, b"held");
     assert!(busy.ends_cleanly());
@@ -306,7 +310,7 @@
 }
 
 #[test]
-fn a_process_that_shuts_down_cannot_return_to_service() {
+fn a_proxy_that_shuts_down_rejects_a_return_to_service() {
     let discovery = Discovery::start();
     let (backend, releases) = backend_that_holds_initial_limit();
     let mut proxy = Proxy::start_with("stopping", config_with_operator("stopping", &discovery));
@@ -326,9 +330,9 @@
 }
 
 #[test]
-fn a_new_process_takes_over_the_listener_of_the_platform() {
+fn a_new_process_takes_over_the_listening_socket_of_the_platform() {
     let discovery = Discovery::start();
-    let (backend, release) = holds_request("old");
+    let (backend, release) = backend_that_holds_request("old");
     let (listener, address) = bind_listener("127.0.0.1:0");
     let config = config_with_operator("takeover", &discovery);
     let mut old = start_with_listener("takeover-old", &config, &listener);
@@ -342,7 +346,7 @@
     while new.operator_call("GET", READY).status() != 200 {}
     old.terminate();
     while old.operator_call("GET", READY).status() != 503 {}
-    // Connections from now on belong to the new process.
+    // The new process accepts all connections from now on.
     for id in ["a", "b", "c", "d"] {
         assert_eq!(new.status_of(&request("submit", id, "x")), 200);
     }
@@ -356,7 +360,7 @@
 #[test]
 fn an_unusable_address_or_descriptor_ends_the_start_with_one_line() {
     let discovery = Discovery::start();
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let (_listener, taken_address) = bind_listener("127.0.0.1:0");
     let start = |name: &str, operator: String, fd: Option<&str>| {
         let mut config = config(name, &discovery);
         config["operator"] = operator.into();
@@ -367,18 +371,21 @@
         let output = command
             .stdin(std::process::Stdio::null())
             .output()
-            .expect("it ends");
+            .expect("the proxy's program can be executed");
         assert!(!output.status.success());
-        let text = String::from_utf8(output.stderr).expect("text");
+        let text = String::from_utf8(output.stderr).expect("standard error is UTF-8 text");
         assert_eq!(text.lines().count(), 1, "{text}");
         text
     };
-    let busy = taken.local_addr().expect("an address").to_string();
+    let taken_address = taken_address.to_string();
     assert!(
         start("op-odd", "nowhere".into(), None)
             .contains("`operator` is `nowhere`, but must be an IP address with a port")
     );
-    assert!(start("op-taken", busy.clone(), None).contains(&format!("cannot listen on {busy}")));
+    assert!(
+        start("op-taken", taken_address.clone(), None)
+            .contains(&format!("cannot listen on {taken_address}"))
+    );
     for (fd, words) in [
         ("seven", "is `seven`, but must be a descriptor number"),
         ("-1", "is `-1`, but must be a descriptor number"),
--- a/tests/proxy/overload.rs
+++ b/tests/proxy/overload.rs
@@ -1,4 +1,4 @@
-//! Overload: idle clients that take every descriptor, and many proxies that start together.
+//! Overload: idle clients that take every free descriptor, and many proxies that start together.
 
 use crate::rig::*;
 use serde_json::{Value, json};
@@ -10,19 +10,20 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The descriptors of a small proxy, and more clients than it may accept.
+/// The number of descriptors of a small proxy.
 const DESCRIPTORS: usize = 64;
+
+/// More clients than a proxy with `DESCRIPTORS` can accept.
 const IDLE_CLIENT_COUNT: usize = 100;
 
-/// Clients that connect, send some bytes, and stay until the proxy closes the connection; then they connect
-/// again.
+/// Clients that connect, send a text and read until the proxy closes the connection, and then connect again.
 struct IdleClients {
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
 impl IdleClients {
-    /// Starts the clients, which send these texts in turn.
+    /// Starts the clients and distributes these texts among them in turn.
     fn start(address: SocketAddr, texts: &[String]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let client = |number: usize| {
@@ -38,16 +39,16 @@
         Self { stop, clients }
     }
 
-    /// Ends the clients.
+    /// Closes all connections and waits for the end of the clients.
     fn disconnect(self) {
         self.stop.store(true, Ordering::Relaxed);
         for client in self.clients {
-            client.join().expect("a client ends");
+            client.join().expect("no client has panicked");
         }
     }
 }
 
-/// One connection of an idle client.
+/// Connects once as an idle client, and returns at the end of the connection or when the clients are stopped.
 fn hold_connection(address: SocketAddr, text: &str, stop: &AtomicBool) {
     const POLL_INTERVAL: Duration = Duration::from_millis(50);
     thread::sleep(POLL_INTERVAL);
@@ -56,7 +57,7 @@
     };
     stream
         .set_read_timeout(Some(POLL_INTERVAL))
-        .expect("a timeout");
+        .expect("the timeout is not zero");
     let _ = stream.write_all(text.as_bytes());
     while !stop.load(Ordering::Relaxed) {
         match stream.read(&mut [0; 1_024]) {
@@ -67,7 +68,7 @@
     }
 }
 
-/// Sends a request on its own connection. Returns `None` where the proxy closes it without a response.
+/// Sends a request on a new connection. Returns `None` if the proxy closes the connection without a response.
 fn try_request(proxy: &Proxy, id: &str) -> Option<Message> {
     let mut client = proxy.client();
     client
@@ -77,11 +78,12 @@
     read_message(&mut client.reader)
 }
 
-/// While discovery is down, idle clients take every descriptor that they can get. Discovery and a backend that it
-/// lists at its return still get theirs, and new clients are served at once when the idle ones have disconnected.
+/// While discovery is down, idle clients take every descriptor that the proxy grants them. When discovery returns, the
+/// proxy must still have descriptors for it and for a newly listed backend. Once the idle clients have disconnected,
+/// new clients are served at once.
 #[test]
-fn idle_clients_leave_descriptors_to_discovery_and_backends() {
-    const SERVED_WITHIN: Duration = Duration::from_secs(8);
+fn idle_clients_cannot_take_the_descriptors_for_discovery_and_backends() {
+    const MAX_RECOVERY_TIME: Duration = Duration::from_secs(8);
     let partial = request("read", "half", "");
     let texts = [
         String::new(),
@@ -97,7 +99,7 @@
         config["known"] = json!({"revision": 3, "complete": true, "members": [known]});
         let proxy = Proxy::start_limited(&format!("crowd-{mode}"), &config, DESCRIPTORS);
         let idle_clients = IdleClients::start(proxy.address, &texts);
-        // The proxy holds as many connections as it accepts for a while.
+        // Leaves the proxy time to hold as many connections as it accepts.
         thread::sleep(Duration::from_secs(2));
         let discovery = Discovery::start_at(&discovery.to_string());
         let returned_at = Instant::now();
@@ -109,15 +111,15 @@
         {
             attempts += 1;
             assert!(
-                returned_at.elapsed() < SERVED_WITHIN,
-                "{mode}: not served {:?} after its return",
+                returned_at.elapsed() < MAX_RECOVERY_TIME,
+                "{mode}: no request was served within {:?} after the return of discovery",
                 returned_at.elapsed()
             );
         }
         idle_clients.disconnect();
         let open: Vec<_> = (0..8).map(|_| proxy.client()).collect();
         for id in 0..8 {
-            let got = try_request(&proxy, &format!("after-{id}")).expect("an answer");
+            let got = try_request(&proxy, &format!("after-{id}")).expect("the proxy responds");
             assert_eq!(
                 (got.status(), got.body.as_slice()),
                 (200, b"there".as_slice()),
@@ -128,17 +130,17 @@
     }
 }
 
-/// Discovery as one service for all proxies. It answers slow calls one after another, and those that have waited
-/// too long with 503. A call for what is newer than its list stays open.
+/// Serves this list to all proxies, as a discovery that answers calls slowly and one after another. A call that has
+/// waited too long is answered with 503. A call for changes after the list's revision stays open.
 fn serve_in_turn(address: SocketAddr, list: Value) {
     const CALL_DURATION: Duration = Duration::from_millis(200);
-    const LONGEST_WAIT: Duration = Duration::from_secs(3);
+    const MAX_QUEUE_TIME: Duration = Duration::from_secs(3);
     let listener = TcpListener::bind(address).expect("no other test uses the host of discovery");
     let (calls, queue) = channel::<(Instant, TcpStream)>();
     let newest = format!("after={}&", list["revision"]);
     thread::spawn(move || {
         for (received_at, mut stream) in queue {
-            let reply = if received_at.elapsed() > LONGEST_WAIT {
+            let reply = if received_at.elapsed() > MAX_QUEUE_TIME {
                 response("503 Service Unavailable", "", b"")
             } else {
                 thread::sleep(CALL_DURATION);
@@ -155,10 +157,14 @@
             let calls = calls.clone();
             let newest = newest.clone();
             thread::spawn(move || {
-                let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+                let mut reader =
+                    BufReader::new(stream.try_clone().expect("the test has a free descriptor"));
                 while let Some(call) = read_message(&mut reader) {
                     if !call.first_line().contains(&newest) {
-                        let _ = calls.send((Instant::now(), stream.try_clone().expect("a clone")));
+                        let _ = calls.send((
+                            Instant::now(),
+                            stream.try_clone().expect("the test has a free descriptor"),
+                        ));
                     }
                 }
             });
@@ -166,17 +172,18 @@
     });
 }
 
-/// The state of discovery when the proxies start, and what their configuration caches.
+/// The state of discovery and of the cached endpoint list when the proxies start.
 #[derive(Clone, Copy, Debug)]
 enum Start {
     /// Discovery answers one call after another.
     SlowDiscovery,
-    /// Discovery is down for longer than a proxy may take to be ready.
+    /// Discovery is down for longer than a proxy may take to become ready.
     NoDiscovery,
-    /// Discovery answers one call after another, and no endpoint is cached.
+    /// Discovery answers one call after another, and no endpoint list is cached.
     NothingCached,
 }
 
+/// The number of proxies that start together.
 const PROXY_COUNT: usize = 16;
 
 /// Returns the configuration of one of the proxies that start together.
@@ -199,9 +206,9 @@
     config
 }
 
-/// Many processes start together, as after a common crash: nine in ten are ready in time.
+/// Many processes start together, as after a common crash, and all call discovery at once.
 #[test]
-fn nine_in_ten_of_the_proxies_that_start_together_are_ready_in_time() {
+fn at_least_nine_in_ten_proxies_that_start_together_are_ready_in_time() {
     const READY_WITHIN: Duration = Duration::from_secs(10);
     for start in [
         Start::SlowDiscovery,
--- a/tests/proxy/request_forms.rs
+++ b/tests/proxy/request_forms.rs
@@ -1,10 +1,11 @@
-//! The forms of a request in HTTP/1.1: which are understood, and which are rejected.
+//! The forms of an HTTP request: which are forwarded and which are rejected.
 
 use crate::rig::*;
 use std::io::Read;
 use std::time::Instant;
 
-/// A part of a well-formed request, what makes it malformed in its place, and the status of the response.
+/// A part of a well-formed request, the text in its place that makes the request malformed, and the status of the
+/// response.
 const MALFORMED_PARTS: [(&str, &str, u16); 19] = [
     ("/submit", "/nothing", 400),
     ("X-Service-Class: submit", "X-Service-Class: read", 400),
@@ -14,7 +15,7 @@
     ("15000", "99999999999999999999999", 400),
     ("Idempotency-Key: 7\r\n", "", 400),
     ("POST", "GET", 405),
-    // Numbers that backends may parse otherwise, and headers of which they may read the other one.
+    // Numbers that a backend may parse differently, and repeated header fields of which it may read the other one.
     ("15000", "+480", 400),
     ("15000", " ", 400),
     ("15000", "480, 15000", 400),
@@ -45,7 +46,7 @@
         "Content-Length: 99999999999999999999999",
         400,
     ),
-    // It is rejected before a byte of its body has arrived.
+    // A body that is too long is rejected before its first byte has arrived.
     (
         "Content-Length: 1\r\n\r\nx",
         "Content-Length: 60000000\r\n\r\n",
@@ -54,7 +55,7 @@
 ];
 
 #[test]
-fn malformed_requests_get_a_plain_4xx_and_do_no_harm() {
+fn malformed_requests_get_a_4xx_and_are_not_forwarded() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let proxy = Proxy::start_with_backend("nonsense", &discovery, backend.address);
@@ -70,21 +71,21 @@
         assert_eq!(client.exchange(&text).status(), status, "{line}");
         assert!(
             client.ends_cleanly(),
-            "what follows a malformed request may be a part of it: {line}"
+            "the connection is closed, because further bytes may belong to the malformed request: {line}"
         );
     }
     assert_eq!(backend.take_requests(), 0);
     assert_eq!(proxy.status_of(&well_formed), 200);
 }
 
-/// A form of a request whose body is `body`, and the status of its response.
+/// A form of a request with the body `body`, and the status of its response.
 struct RequestForm {
     name: &'static str,
-    /// The header fields that frame the body, and others.
+    /// The header fields that frame the body, and possibly others.
     fields: &'static str,
     /// The body as it is sent.
     encoded_body: &'static str,
-    /// A part of the request, and what is sent in its place.
+    /// A part of the request and the text that is sent in its place.
     replaced: (&'static str, &'static str),
     status: u16,
 }
@@ -92,7 +93,7 @@
 const LENGTH: &str = "Content-Length: 4\r\n";
 const CHUNKED: &str = "Transfer-Encoding: chunked\r\n";
 
-/// A form with these fields and this encoded body.
+/// Returns a form with these header fields and this encoded body.
 const fn framed(
     name: &'static str,
     fields: &'static str,
@@ -109,13 +110,13 @@
 }
 
 impl RequestForm {
-    /// Sends the replacement in place of this part of the request.
+    /// Returns this form with the replacement in place of a part of the request.
     const fn replacing(mut self, part: &'static str, replacement: &'static str) -> Self {
         self.replaced = (part, replacement);
         self
     }
 
-    /// Returns the request as it is sent.
+    /// Returns the request with this id in this form.
     fn text(&self, id: &str) -> String {
         let head = request("submit", id, "").replace("Content-Length: 0\r\n", self.fields);
         let (part, replacement) = self.replaced;
@@ -140,8 +141,13 @@
     framed("a bad chunk size", CHUNKED, "zz\r\nbody\r\n0\r\n\r\n", 400),
     framed("a bad chunk end", CHUNKED, "2\r\nbody\r\n0\r\n\r\n", 400),
     framed(ABSOLUTE_FORM, LENGTH, "body", 200).replacing("/submit", "http://app.svc/submit"),
-    framed("another case", "content-LENGTH: 4\r\n", "body", 200),
-    framed("empty lines ahead", LENGTH, "body", 200).replacing("POST", "\r\n\r\nPOST"),
+    framed(
+        "a field name in another case",
+        "content-LENGTH: 4\r\n",
+        "body",
+        200,
+    ),
+    framed("empty lines before the request", LENGTH, "body", 200).replacing("POST", "\r\n\r\nPOST"),
     framed(
         "obsolete folding",
         "X-Odd: a\r\n b\r\nContent-Length: 4\r\n",
@@ -149,14 +155,14 @@
         400,
     ),
     framed(
-        "a space in a name",
+        "a space in a field name",
         "X-Odd : a\r\nContent-Length: 4\r\n",
         "body",
         400,
     ),
     framed("HTTP/1.0", LENGTH, "body", 200).replacing("HTTP/1.1", "HTTP/1.0"),
     framed(
-        "an encoding in HTTP/1.0",
+        "a transfer encoding in HTTP/1.0",
         CHUNKED,
         "4\r\nbody\r\n0\r\n\r\n",
         400,
@@ -165,18 +171,17 @@
     framed("an unknown version", LENGTH, "body", 400).replacing("HTTP/1.1", "HTTP/2.7"),
 ];
 
-/// The name of the form whose request at the backend is checked.
+/// The name of the form for which the test checks the request that the backend receives.
 const ABSOLUTE_FORM: &str = "absolute form";
 
-/// Requests that are for no path of a backend.
+/// Requests whose target is not a path, and which are rejected.
 const REQUESTS_WITHOUT_A_PATH: [&str; 2] = [
     "CONNECT app.svc:80 HTTP/1.1\r\nHost: app.svc\r\n\r\n",
     "OPTIONS * HTTP/1.1\r\nHost: app.svc\r\n\r\n",
 ];
 
-/// Each form that a client may use, and the response.
 #[test]
-fn every_form_of_a_request_is_understood() {
+fn every_request_form_is_forwarded_or_rejected_with_its_status() {
     let discovery = Discovery::start();
     let backend = Backend::start(|received| ok(&String::from_utf8_lossy(&received.body)));
     let proxy = Proxy::start_with_backend("forms", &discovery, backend.address);
@@ -199,16 +204,16 @@
         .requests
         .try_iter()
         .find(|received| received.header("x-correlation-id") == Some(&absolute_id))
-        .expect("it was forwarded");
+        .expect("the request in absolute form was forwarded");
     assert_eq!(
         (received.first_line(), received.header("host")),
         ("POST /submit?key=7f3a HTTP/1.1", Some("app.svc"))
     );
 }
 
-/// A backend that reads the length finds another request in the body of the first.
+/// Request smuggling: a backend that frames the body by its length would find another request in the body of the first.
 #[test]
-fn a_request_with_a_length_and_an_encoding_is_rejected_with_all_that_follows() {
+fn a_request_with_ambiguous_framing_is_rejected_and_its_connection_is_closed() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
     let proxy = Proxy::start_with_backend("smuggled", &discovery, backend.address);
@@ -248,27 +253,30 @@
     assert_eq!(
         proxy.client().exchange(&request("charge", "1", "x")).body,
         b"later",
-        "the id is free again"
+        "the id can be used again after the response"
     );
 }
 
-/// These clients must get an end within 3 s. The time is checked loosely for the sake of busy machines.
+/// The response or the close must come within 3 s. The test allows more time, because its machine may be busy.
 #[test]
-fn silent_and_partial_requests_end_with_an_error_or_a_close() {
+fn silent_and_incomplete_requests_end_with_408_or_a_close() {
     let discovery = Discovery::start();
     let proxy = Proxy::start("half", &discovery, &[]);
     let good = request("charge", "1", "body");
     let began = Instant::now();
-    let partial_requests = ["", "P", &good[..40], &good[..good.len() - 2]].map(|text| {
+    let incomplete_requests = ["", "P", &good[..40], &good[..good.len() - 2]].map(|text| {
         let mut client = proxy.client();
         client.send(text);
         client
     });
     let mut idle = proxy.client();
     assert_eq!(idle.exchange(HEALTH_CHECK).status(), 200);
-    for mut client in partial_requests {
+    for mut client in incomplete_requests {
         let mut rest = Vec::new();
-        client.reader.read_to_end(&mut rest).expect("no reset");
+        client
+            .reader
+            .read_to_end(&mut rest)
+            .expect("the proxy closes the connection without a reset");
         assert!(
             rest.is_empty() || rest.starts_with(b"HTTP/1.1 408 "),
             "{}",
@@ -277,7 +285,7 @@
     }
     assert!(
         idle.ends_cleanly(),
-        "a connection that is kept and not used"
+        "an idle connection is closed without a reset"
     );
     assert!(began.elapsed() < TEST_TIMEOUT / 3, "{:?}", began.elapsed());
 }
--- a/tests/proxy/response_ends.rs
+++ b/tests/proxy/response_ends.rs
@@ -1,4 +1,4 @@
-//! The end of a response: by its length, by a close, by a reset, or never.
+//! The end of a response: by its length, its last chunk, a close or a reset, or no end at all.
 
 use crate::rig::*;
 use std::io::{BufReader, Read, Write};
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn responses_without_a_body_or_ended_by_a_close_are_understood() {
+fn close_delimited_and_chunked_responses_are_forwarded_and_204_and_304_become_502() {
     let cases: [(&str, &[u8], u16); 5] = [
         ("closes", b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody", 200),
         ("old", b"HTTP/1.0 200 OK\r\n\r\nbody", 200),
@@ -23,12 +23,19 @@
         assert_eq!(got.status(), status, "{name}");
         assert!(status != 200 || got.body == b"body", "{name}");
     }
+}
+
+#[test]
+fn the_response_to_a_head_request_has_no_body() {
     let discovery = Discovery::start();
     let proxy = Proxy::start("head", &discovery, &[]);
     let mut client = proxy.client();
     client.send("HEAD /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     let mut text = String::new();
-    client.reader.read_to_string(&mut text).expect("text");
+    client
+        .reader
+        .read_to_string(&mut text)
+        .expect("the response is UTF-8 text");
     assert!(
         text.starts_with("HTTP/1.1 200 ") && text.ends_with("\r\n\r\n"),
         "{text}"
@@ -36,7 +43,7 @@
 }
 
 #[test]
-fn a_response_that_breaks_off_once_it_has_started_looks_broken() {
+fn a_response_cut_off_after_its_start_is_incomplete_for_the_client_and_not_retried() {
     for (name, fields) in [
         ("broken-length", "Content-Length: 200000\r\n"),
         ("broken-chunks", "Transfer-Encoding: chunked\r\n"),
@@ -61,7 +68,7 @@
             let has_framing = text.contains("content-length: 200000") || text.contains("chunked");
             assert!(
                 ended.is_err() || (has_framing && !is_complete),
-                "{name} {version}"
+                "{name} {version}: the client can tell that the response is incomplete"
             );
         }
         assert_eq!(
@@ -82,8 +89,8 @@
     }
 }
 
-/// A backend that answers each request with these bytes and resets its connection after a pause.
-fn resets_after(bytes: Vec<u8>, pause: Duration) -> SocketAddr {
+/// Starts a backend that answers each request with these bytes and resets the connection after a pause.
+fn backend_that_resets_after(bytes: Vec<u8>, pause: Duration) -> SocketAddr {
     let (listener, address) = bind_listener("127.0.0.1:0");
     thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
@@ -97,9 +104,9 @@
     address
 }
 
-/// A response without a length ends with its connection, but not with a reset.
+/// A close ends a response without a length. A reset does not: the response may be incomplete.
 #[test]
-fn a_reset_never_completes_a_response_without_a_length() {
+fn a_reset_does_not_complete_a_response_without_a_length() {
     for head in [
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
         "HTTP/1.0 200 OK\r\n\r\n",
@@ -113,7 +120,7 @@
             (100_000, 100),
         ] {
             let bytes = [head.as_bytes(), &pattern(length)].concat();
-            let address = resets_after(bytes, Duration::from_millis(pause_ms));
+            let address = backend_that_resets_after(bytes, Duration::from_millis(pause_ms));
             let discovery = Discovery::start();
             let name = format!("reset-{length}-{pause_ms}");
             let proxy = Proxy::start_with_backend(&name, &discovery, address);
@@ -145,19 +152,19 @@
     assert_eq!(
         client.exchange(HEALTH_CHECK).status(),
         200,
-        "exactly one response arrived, and the connection stays open"
+        "the connection stays open, and no second response precedes this one"
     );
 }
 
-/// A response without an end.
+/// A response that never ends.
 struct EndlessResponse {
     start: &'static str,
     repeated: String,
-    /// The pause before each repetition.
+    /// The pause after each repetition.
     pause: Duration,
 }
 
-/// Returns responses without an end, some as fast as they are read, others byte by byte.
+/// Returns responses that never end. Some are sent as fast as they are read, others slowly byte by byte.
 fn endless_responses() -> Vec<EndlessResponse> {
     const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     const FAST: Duration = Duration::ZERO;
@@ -191,7 +198,7 @@
 }
 
 #[test]
-fn endless_responses_time_out_and_take_no_memory() {
+fn endless_responses_time_out_in_bounded_memory() {
     let mut proxies = Vec::new();
     let mut clients = Vec::new();
     for (i, case) in endless_responses().into_iter().enumerate() {
@@ -224,7 +231,7 @@
             proxy.peak_memory_kb()
         );
     }
-    // One that fails may stay idle for 2.5 s.
+    // A connection whose request has failed may stay idle for 2.5 s.
     assert!(
         began.elapsed() < Duration::from_millis(5_500),
         "{:?}",
--- a/tests/proxy/retries.rs
+++ b/tests/proxy/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: after which failures a request is sent to another backend, and with how much time.
+//! Retries: after which failures a request is sent to another backend, and with which remaining time.
 
 use crate::rig::*;
 use std::io::{BufReader, Write};
@@ -6,37 +6,37 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn only_x_unprocessed_shows_that_a_backend_rejected_a_request() {
-    for (more, status, attempts) in [
+fn a_non_idempotent_request_is_retried_after_a_503_only_if_x_unprocessed_is_1() {
+    for (field, status, attempts) in [
         ("X-Unprocessed: 1\r\n", 503, 2),
         ("", 502, 1),
         ("X-Unprocessed: 0\r\n", 502, 1),
     ] {
         let discovery = Discovery::start();
         let reject =
-            move |_: &Message| Reply::Write(response("503 Service Unavailable", more, b""));
-        let one = Backend::start(reject);
-        let two = Backend::start(reject);
+            move |_: &Message| Reply::Write(response("503 Service Unavailable", field, b""));
+        let first = Backend::start(reject);
+        let second = Backend::start(reject);
         let endpoints = [
-            active_endpoint("s-1", one.address),
-            active_endpoint("s-2", two.address),
+            active_endpoint("s-1", first.address),
+            active_endpoint("s-2", second.address),
         ];
         let proxy = Proxy::start(
-            &format!("mark-{status}-{}", more.len()),
+            &format!("mark-{status}-{}", field.len()),
             &discovery,
             &endpoints,
         );
         let got = proxy.client().exchange(&request("charge", "1", "x"));
         assert_eq!(
-            (got.status(), one.take_requests() + two.take_requests()),
+            (got.status(), first.take_requests() + second.take_requests()),
             (status, attempts),
-            "with `{more}`"
+            "with the header field `{field}`"
         );
     }
 }
 
 #[test]
-fn a_non_idempotent_request_is_retried_where_its_backend_cannot_be_reached() {
+fn a_non_idempotent_request_is_retried_after_a_refused_connect() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let unreachable = address_without_listener("127.77.0.2");
@@ -50,11 +50,12 @@
     }
 }
 
-/// The time for which backends deduplicate a key.
+/// The time for which a backend deduplicates a key.
 const KEY_TTL: Duration = Duration::from_millis(600);
 
 /// The TTL of the key counts from the first attempt that may have been executed, and ends before the connection of the
-/// second is established. From then on a rejection, which allows the client to retry, would be wrong as well.
+/// second attempt is established. A rejection would be wrong from then on as well, because it allows the client to
+/// retry.
 #[test]
 fn a_keyed_request_is_not_retried_after_its_key_may_have_expired() {
     for group in ["cell", "all"] {
@@ -72,20 +73,20 @@
         closing.next_request();
         discovery.publish_and_wait(false, &[active_endpoint("s-2", late.address)]);
         release.send(()).expect("the backend waits");
-        // This test is about the time: the key expires before the second backend accepts a connection.
+        // The key expires before the second backend accepts a connection.
         thread::sleep(KEY_TTL);
         assert_eq!(serve_and_collect_ids(late.accept_pending()), [""; 0]);
         assert_eq!(
             client.receive().status(),
             502,
-            "it may have been executed, and is not retried"
+            "the request may have been executed and must not be retried"
         );
     }
 }
 
-/// The first attempt takes some of the client's time, and the second one's connection some more.
+/// The first attempt and the connect of the second one each take a part of the client's timeout.
 #[test]
-fn a_retry_sends_its_backend_no_more_than_the_remaining_time() {
+fn a_retry_announces_at_most_the_remaining_time_to_its_backend() {
     const ATTEMPT_DURATION: Duration = Duration::from_millis(400);
     const CLIENT_TIMEOUT: Duration = Duration::from_millis(15_000);
     let discovery = Discovery::start();
@@ -101,17 +102,24 @@
     release.send(()).expect("the backend waits");
     thread::sleep(ATTEMPT_DURATION);
     let listener = late.accept_pending();
-    let (mut stream, _) = listener.accept().expect("the second attempt");
-    let received = read_message(&mut BufReader::new(&stream)).expect("a request");
+    let (mut stream, _) = listener
+        .accept()
+        .expect("the proxy connects for the second attempt");
+    let received = read_message(&mut BufReader::new(&stream))
+        .expect("the second attempt is a complete request");
     let remaining = CLIENT_TIMEOUT.saturating_sub(sent_at.elapsed());
     stream
         .write_all(&response("200 OK", "", b"there"))
-        .expect("the proxy reads");
+        .expect("the proxy reads the response");
     assert_eq!(client.receive().body, b"there");
     let timeout_ms = received
         .header("x-time-left-ms")
-        .expect("the remaining time");
-    let sent_timeout = Duration::from_millis(timeout_ms.parse().expect("a number"));
+        .expect("a forwarded request has the remaining time");
+    let sent_timeout = Duration::from_millis(
+        timeout_ms
+            .parse()
+            .expect("the remaining time is a number of milliseconds"),
+    );
     assert!(
         sent_timeout <= remaining + Duration::from_millis(300),
         "{sent_timeout:?} sent, {remaining:?} remaining"
--- a/tests/proxy/rig/mod.rs
+++ b/tests/proxy/rig/mod.rs
@@ -1,5 +1,5 @@
-//! Runs the proxy's program with backends, discovery and clients of the test on loopback sockets. Nothing here waits for
-//! a fixed time: tests wait for events, and the timeouts only end a test that has failed.
+//! Runs the proxy's program with backends, discovery and clients of the test on loopback sockets. Nothing here waits
+//! for a fixed time: tests wait for events, and the timeouts only end a test that has failed.
 
 mod backend;
 mod client;
--- a/tests/proxy/rig/saturated_backend.rs
+++ b/tests/proxy/rig/saturated_backend.rs
@@ -8,8 +8,8 @@
 /// The concurrency limit that a newly started proxy sets for a single backend.
 pub const INITIAL_LIMIT: usize = 2;
 
-/// Starts a backend that holds its first `INITIAL_LIMIT` requests, each until its signal, and answers later ones at once.
-/// The first of the returned senders releases the last of these requests.
+/// Starts a backend that holds its first `INITIAL_LIMIT` requests, each until its signal, and answers later ones at
+/// once. The first of the returned senders releases the last of these requests.
 pub fn backend_that_holds_initial_limit() -> (Backend, Vec<Sender<()>>) {
     let mut signals = Vec::new();
     let mut releases = Vec::new();
--- a/tests/proxy/shutdown.rs
+++ b/tests/proxy/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: open requests and those that still arrive are served before the process ends.
+//! Graceful shutdown: open requests, and requests that arrive during the shutdown, are answered before the process
+//! ends.
 
 use crate::rig::*;
 use std::sync::mpsc::channel;
@@ -6,31 +7,31 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn at_sigterm_it_finishes_open_requests_and_those_that_still_arrive() {
+fn open_requests_and_requests_that_arrive_after_sigterm_are_served() {
     let discovery = Discovery::start();
     let (release, signal) = channel();
     let mut signal = Some(signal);
-    let one = Backend::start(move |received| match received.header("x-correlation-id") {
+    let backend = Backend::start(move |received| match received.header("x-correlation-id") {
         Some("1") => Reply::After(
-            signal.take().expect("one request"),
+            signal.take().expect("a single request has the id 1"),
             Box::new(ok("taken before")),
         ),
-        _ => ok("still arrives"),
+        _ => ok("other"),
     });
-    let mut proxy = Proxy::start_with_backend("sigterm", &discovery, one.address);
+    let mut proxy = Proxy::start_with_backend("sigterm", &discovery, backend.address);
     let mut idle = proxy.client();
     let mut before = proxy.client();
     assert_eq!(idle.exchange(HEALTH_CHECK).status(), 200);
     before.send(&request("read", "1", ""));
-    one.next_request();
+    backend.next_request();
     proxy.terminate();
-    // Once /up says so, the signal has arrived; connections are still accepted.
+    // The health check fails once the signal has arrived. Connections are still accepted.
     while proxy.status_of(HEALTH_CHECK) == 200 {}
     let late = proxy.client().exchange(HEALTH_CHECK);
     assert_eq!(late.header("connection"), Some("close"));
     assert!(
         idle.ends_cleanly(),
-        "an idle connection is closed, not reset"
+        "an idle connection is closed without a reset"
     );
     release.send(()).expect("the backend waits");
     let got = before.receive();
@@ -44,10 +45,10 @@
     assert_eq!(proxy.wait().code(), Some(0));
 }
 
-/// The proxy may hold a single connection, and another one waits in the listen backlog with its request. After
-/// SIGTERM, the first connection ends when nothing else keeps the process alive.
+/// The proxy may hold a single connection, and a second one waits with its request in the listen backlog. After
+/// SIGTERM, the first connection is the only one that keeps the process alive, until it ends.
 #[test]
-fn a_request_that_waits_to_be_accepted_is_served_before_the_process_ends() {
+fn a_request_in_the_listen_backlog_is_served_before_the_process_ends() {
     let discovery = Discovery::start();
     let (backend, release) = backend_that_holds_first_request("first", "queued");
     let mut config = config("queued", &discovery);
@@ -60,7 +61,7 @@
     let mut queued = proxy.client();
     queued.send(&request("charge", "2", "x"));
     proxy.terminate();
-    // Connections are accepted for a minimum time; its end cannot be observed from outside.
+    // Connections are accepted for a minimum time after the signal, whose end cannot be observed from outside.
     thread::sleep(Duration::from_millis(1_200));
     release.send(()).expect("the backend waits");
     assert_eq!(first.receive().body, b"first");
@@ -70,10 +71,10 @@
     assert_eq!(proxy.wait().code(), Some(0));
 }
 
-/// The process is stopped until the minimum time for which connections are accepted has passed, and one waits
-/// then.
+/// The process is suspended until the minimum time for which it accepts connections has passed, and a connection with a
+/// request waits when it resumes.
 #[test]
-fn a_request_that_came_while_the_process_was_stopped_is_served_before_it_ends() {
+fn a_request_that_arrives_while_the_process_is_suspended_is_served_before_it_ends() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("there"));
     let endpoints = [active_endpoint("s-1", backend.address)];
@@ -82,14 +83,19 @@
         proxy.terminate();
         while proxy.status_of(HEALTH_CHECK) == 200 {}
         proxy.suspend();
-        // Where the test itself was delayed for so long that the process has ended, it starts again.
-        if proxy.child.try_wait().expect("a child").is_none() {
+        // Starts again if the test was delayed for so long that the process has ended.
+        if proxy
+            .child
+            .try_wait()
+            .expect("the process is a child of the test")
+            .is_none()
+        {
             break proxy;
         }
     };
     let mut client = proxy.client();
     client.send(&request("charge", "1", "x"));
-    // The end of that time cannot be observed from outside.
+    // The end of the minimum time cannot be observed from outside.
     thread::sleep(Duration::from_millis(1_500));
     proxy.resume();
     assert_eq!(client.receive().body, b"there");
@@ -97,10 +103,10 @@
     assert_eq!(proxy.wait().code(), Some(0));
 }
 
-/// The client reads nothing until SIGTERM, so most of the response is buffered. The response starts before the signal,
-/// or after it and then closes its connection.
+/// The client reads nothing until SIGTERM, so most of the response is still buffered. The response starts before the
+/// signal, or after it and then announces the close of its connection.
 #[test]
-fn a_response_that_is_read_late_is_complete_before_the_process_ends() {
+fn a_response_that_is_read_only_after_sigterm_is_complete_before_the_process_ends() {
     const LENGTH: usize = 8 << 20;
     let body: Vec<u8> = (0..LENGTH).map(|i| (i / 7) as u8).collect();
     for starts_after_signal in [false, true] {
@@ -110,7 +116,8 @@
             signal,
             Box::new(Reply::Write(response("200 OK", "", &body))),
         ));
-        let backend = Backend::start(move |_| reply.take().expect("one request"));
+        let backend =
+            Backend::start(move |_| reply.take().expect("the backend receives a single request"));
         let name = format!("read-late-{starts_after_signal}");
         let mut proxy = Proxy::start_with_backend(&name, &discovery, backend.address);
         let mut client = proxy.client();
@@ -118,7 +125,10 @@
         backend.next_request();
         let start_response = || {
             release.send(()).expect("the backend waits");
-            assert_eq!(client.stream.peek(&mut [0]).expect("it starts"), 1);
+            assert_eq!(
+                client.stream.peek(&mut [0]).expect("the response starts"),
+                1
+            );
         };
         if !starts_after_signal {
             start_response();
@@ -140,12 +150,12 @@
     }
 }
 
-/// The platform may kill the process 3.7 s after the signal, however long the deadlines are.
+/// The platform may kill the process this long after SIGTERM, whatever the deadlines of its requests are.
 const KILL_TIMEOUT: Duration = Duration::from_millis(3_700);
 
-/// Signals arrive twice and together, the backend hangs, one connection is idle, one body is incomplete.
+/// SIGTERM arrives twice with SIGHUP in between, the backend hangs, one connection is idle, and one body is incomplete.
 #[test]
-fn requests_after_sigterm_are_answered_before_the_process_may_be_killed() {
+fn requests_after_sigterm_are_answered_before_the_kill_timeout() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| Reply::Hang);
     let mut proxy = Proxy::start_with_backend("killed", &discovery, backend.address);
@@ -156,7 +166,11 @@
     let text = request("charge", "incomplete", "0123456789");
     let (first_part, last_part) = text.split_at(text.len() - 5);
     incomplete.send(first_part);
-    assert_eq!(proxy.status_of(HEALTH_CHECK), 200, "earlier input was read");
+    assert_eq!(
+        proxy.status_of(HEALTH_CHECK),
+        200,
+        "the proxy has read all earlier input"
+    );
     let began = Instant::now();
     proxy.terminate();
     proxy.reload("{");
@@ -166,11 +180,15 @@
     thread::sleep(Duration::from_millis(1_000));
     incomplete.send(last_part);
     for client in [&mut late, &mut incomplete] {
-        assert_eq!(client.receive().status(), 502, "it may have been executed");
+        assert_eq!(
+            client.receive().status(),
+            502,
+            "the request may have been executed"
+        );
     }
     assert!(
         began.elapsed() < KILL_TIMEOUT,
-        "after {:?}",
+        "answered {:?} after SIGTERM",
         began.elapsed()
     );
     assert!(idle.ends_cleanly());
@@ -180,7 +198,7 @@
 }
 
 #[test]
-fn a_sigterm_before_the_process_can_serve_ends_it_cleanly() {
+fn sigterm_before_the_first_endpoint_list_ends_the_process_cleanly() {
     let discovery = Discovery::start();
     let mut proxy = Proxy::start_without_endpoints("unready", &discovery);
     proxy.terminate();
--- a/tests/proxy/startup.rs
+++ b/tests/proxy/startup.rs
@@ -1,32 +1,34 @@
-//! The start of the process: its address and its configuration.
+//! The start of the process: its listening address and its configuration.
 
 use crate::rig::*;
 use std::io::Read;
 
+/// The kernel keeps the closed connections of a process in TIME_WAIT for a while. The next process must bind the same
+/// address meanwhile.
 #[test]
-fn a_restarted_proxy_binds_its_address_while_connections_of_the_old_one_linger() {
+fn a_restarted_proxy_binds_its_address_while_old_connections_are_in_time_wait() {
     let discovery = Discovery::start();
-    // An address of its own: no other test can be given the port in between.
-    let mut first = config("first-life", &discovery);
-    first["listen"] = "127.77.0.1:0".into();
-    let mut proxy = Proxy::start_with("first-life", first);
+    // No other test uses this host, so the port stays free between the two processes.
+    let mut first_config = config("first-life", &discovery);
+    first_config["listen"] = "127.77.0.1:0".into();
+    let mut proxy = Proxy::start_with("first-life", first_config);
     let address = proxy.address;
     let mut client = proxy.client();
     assert_eq!(client.exchange(HEALTH_CHECK).status(), 503);
     proxy.terminate();
-    // The proxy closes first, so the kernel keeps its side of the connection for a while.
+    // The proxy closes first, so its side of the connection enters TIME_WAIT.
     assert!(client.ends_cleanly());
     drop(client);
     assert_eq!(proxy.wait().code(), Some(0));
-    let mut config = config("second-life", &discovery);
-    config["listen"] = address.to_string().into();
-    let again = Proxy::start_with("second-life", config);
-    assert_eq!(again.address, address);
-    assert_eq!(again.status_of(HEALTH_CHECK), 503);
+    let mut second_config = config("second-life", &discovery);
+    second_config["listen"] = address.to_string().into();
+    let restarted = Proxy::start_with("second-life", second_config);
+    assert_eq!(restarted.address, address);
+    assert_eq!(restarted.status_of(HEALTH_CHECK), 503);
 }
 
 #[test]
-fn a_bad_configuration_fails_the_start_with_one_clear_line() {
+fn an_invalid_configuration_ends_the_start_with_one_line_that_names_the_fault() {
     let bad_address = r#"{"listen":"here","discovery":"127.0.0.1:1","settings":{}}"#;
     for (name, config, expected) in [
         ("no-json", "{", "malformed configuration"),
@@ -38,10 +40,16 @@
         child
             .stderr
             .take()
-            .expect("standard error")
+            .expect("standard error is a pipe")
             .read_to_string(&mut text)
-            .expect("text");
-        assert_eq!(child.wait().expect("it ends").code(), Some(1));
+            .expect("standard error is UTF-8 text");
+        assert_eq!(
+            child
+                .wait()
+                .expect("the process is a child of the test")
+                .code(),
+            Some(1)
+        );
         assert_eq!(text.lines().count(), 1, "{text}");
         assert!(text.contains(expected), "{text}");
     }
