--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,13 +1,13 @@
-//! The pages against the repository: the paths that they name exist, and the glossary has the
-//! protocols' keys.
+//! Checks the pages against the repository: the paths that they name exist, and the glossary has every renamed key of
+//! the protocols.
 
 use std::fs;
 use std::path::Path;
 
-/// Extensions of the files that the pages name.
+/// The extensions by which a code span is recognized as a file.
 const FILE_EXTENSIONS: [&str; 4] = ["rs", "md", "toml", "json"];
 
-/// Files that map names of a protocol to the terms of the code, and the least number of names that each maps.
+/// The files that map keys of a protocol to the terms of the code, and the minimum number of keys that each maps.
 const FILES_WITH_RENAMED_KEYS: [(&str, usize); 4] = [
     ("src/settings_json/raw.rs", 21),
     ("src/settings_json/proxy.rs", 4),
@@ -15,15 +15,18 @@
     ("src/proxy/discovery/wire.rs", 8),
 ];
 
+/// Returns the root folder of the repository.
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
+/// Returns the text of a file of the repository.
 fn read(path: &str) -> String {
-    fs::read_to_string(root().join(path)).unwrap_or_else(|error| panic!("{path}: {error}"))
+    fs::read_to_string(root().join(path))
+        .unwrap_or_else(|error| panic!("cannot read {path}: {error}"))
 }
 
-/// Returns the text between backticks, outside of code blocks.
+/// Returns the texts between backticks outside of code blocks.
 fn code_spans(page: &str) -> Vec<&str> {
     let mut spans = Vec::new();
     let mut is_code_block = false;
@@ -37,8 +40,8 @@
     spans
 }
 
-/// Returns whether a code span names a file or folder of the repository: it ends like one, or begins in a folder of
-/// the root. What begins with a slash is the path of a URL.
+/// Reports whether a code span names a file or folder of the repository: it has the extension of a file, ends with a
+/// slash or begins with a folder of the root. A span that begins with a slash is the path of a URL.
 fn is_path(span: &str) -> bool {
     if span.starts_with('/') || span.contains(char::is_whitespace) {
         return false;
@@ -51,33 +54,36 @@
     has_file_extension || span.ends_with('/') || begins_in_root
 }
 
+/// Returns the paths that a page names.
 fn paths(page: &str) -> Vec<&str> {
     let mut paths = code_spans(page);
     paths.retain(|span| is_path(span));
     paths
 }
 
+/// Returns the paths that a page names and that do not exist.
 fn missing_paths(page: &str) -> Vec<&str> {
     let mut missing = paths(page);
     missing.retain(|path| !root().join(path).exists());
     missing
 }
 
+/// Asserts that a page names paths and that each of them exists.
 fn assert_paths_exist(name: &str, page: &str) {
     assert!(!paths(page).is_empty(), "{name} names no path");
     assert_eq!(missing_paths(page), Vec::<&str>::new(), "{name}");
 }
 
-/// Returns the part of a page below a heading, up to the next heading of the same level.
+/// Returns the part of a page from a heading of the second level to the next one.
 fn section<'a>(page: &'a str, heading: &str) -> &'a str {
     let (_, rest) = page
         .split_once(heading)
-        .unwrap_or_else(|| panic!("no `{heading}`"));
+        .unwrap_or_else(|| panic!("heading {heading:?} is missing"));
     rest.split("\n## ").next().unwrap_or(rest)
 }
 
 #[test]
-fn paths_that_do_not_exist_are_found() {
+fn missing_paths_are_detected_outside_of_code_blocks() {
     let page = "`src/lib.rs`, `src/nowhere.rs`, `src/nowhere/`, `nowhere.md`, `/control/ready`, `EDGE_FD`, `a b/c`\n\
                 ```\n`src/in/a/block.rs`\n```\n`docs/nowhere`";
     let expected = [
@@ -119,9 +125,15 @@
         .split('"')
         .filter(|text| text.starts_with("src/"))
         .collect();
-    assert!(!paths.is_empty());
+    assert!(
+        !paths.is_empty(),
+        "deploy/balancer.toml names no path below src/"
+    );
     for path in paths {
-        assert!(root().join(path).exists(), "{path}");
+        assert!(
+            root().join(path).exists(),
+            "deploy/balancer.toml names {path}, which does not exist"
+        );
     }
 }
 
@@ -141,7 +153,10 @@
             .skip(1)
             .filter_map(|rest| rest.split('"').next())
             .collect();
-        assert!(keys.len() >= min_keys, "{file}: {keys:?}");
+        assert!(
+            keys.len() >= min_keys,
+            "{file}: at least {min_keys} renamed keys expected, found {keys:?}"
+        );
         for key in keys {
             assert!(
                 known.contains(&key),
