--- a/tests/watch/discovery.rs
+++ b/tests/watch/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery that receives the calls of proxies and answers or fails them.
+//! Discovery of the test: it receives the calls of proxies and answers or fails each as the test decides.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -7,27 +7,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, timeout};
 
-/// A change that a stalled watch misses counts as known to the proxy this long after the watch
-/// stalled, or this long after its long-poll timeout, whichever is later.
+/// The time after a watch has stalled at which a missed change counts as known to the proxy, unless
+/// `KNOWN_AFTER_LONG_POLL` ends later.
 const KNOWN_AFTER_STALL: Duration = Duration::from_secs(6);
 
+/// The time after the long-poll timeout of a stalled watch at which a missed change counts as known to the proxy,
+/// unless `KNOWN_AFTER_STALL` ends later.
 const KNOWN_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
 
-/// A call as discovery receives it.
+/// A call that discovery has received and not yet answered.
 pub struct Call {
     pub received_at: Instant,
-    /// The revision that the proxy holds.
+    /// The revision of the proxy's list, or `None` if the call requests the complete list.
     pub after: Option<u64>,
     pub long_poll_timeout: Duration,
     stream: TcpStream,
 }
 
+/// Reads the next call on a connection. Returns `None` if the connection ends before the call does.
 async fn read_call(mut stream: TcpStream) -> Option<Call> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.ok()?);
     }
-    let head = String::from_utf8(head).expect("text");
+    let head = String::from_utf8(head).expect("a call is UTF-8 text");
     let number = |name: &str| {
         let (_, rest) = head.lines().next()?.split_once(name)?;
         rest.split(|c: char| !c.is_ascii_digit())
@@ -45,7 +48,7 @@
 }
 
 impl Call {
-    /// Answers, and waits for the next call on this connection.
+    /// Answers with this list and waits for the next call on the connection. Returns `None` if the connection ends.
     pub async fn answer(mut self, list: &Value) -> Option<Call> {
         let text = list.to_string();
         let text = format!(
@@ -56,7 +59,7 @@
         read_call(self.stream).await
     }
 
-    /// When a change that it misses counts as known if it stalls at once.
+    /// Returns when a change that the call misses counts as known to the proxy, if the call stalls from its start.
     pub fn counts_as_known_at(&self) -> Instant {
         let after_long_poll = self.long_poll_timeout + KNOWN_AFTER_LONG_POLL;
         self.received_at + KNOWN_AFTER_STALL.max(after_long_poll)
@@ -66,15 +69,15 @@
 /// How discovery fails a call.
 #[derive(Clone, Copy, Debug)]
 pub enum Failure {
-    /// It answers 503.
+    /// Answers with status 503.
     Unavailable,
-    /// It breaks the connection.
+    /// Closes the connection without an answer.
     Reset,
-    /// Its answer is no endpoint list.
+    /// Answers with a complete body that is not an endpoint list.
     Malformed,
-    /// It breaks the connection within its answer.
+    /// Closes the connection within the answer.
     Truncated,
-    /// It does not answer until the call times out.
+    /// Does not answer before the call times out.
     Stall,
 }
 
@@ -87,7 +90,7 @@
 ];
 
 impl Call {
-    /// Fails the call, and returns it if it stays open.
+    /// Fails the call in this way. Returns the call if its connection must stay open.
     pub async fn fail(mut self, failure: Failure) -> Option<Call> {
         let text = match failure {
             Failure::Unavailable => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
@@ -99,37 +102,43 @@
         self.stream
             .write_all(text.as_bytes())
             .await
-            .expect("the proxy reads");
+            .expect("the proxy keeps the connection open");
         None
     }
 }
 
-/// The service, as its listener.
+/// The listener of discovery.
 pub struct Discovery(pub TcpListener);
 
 impl Discovery {
+    /// Starts discovery on a free loopback port.
     pub async fn start() -> (Self, SocketAddr) {
         Self::start_at("127.0.0.1:0").await
     }
 
+    /// Starts discovery at this address.
     pub async fn start_at(address: &str) -> (Self, SocketAddr) {
-        let listener = TcpListener::bind(address).await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind(address)
+            .await
+            .expect("the loopback address is free");
+        let address = listener
+            .local_addr()
+            .expect("a bound listener has an address");
         (Self(listener), address)
     }
 
-    /// The first call on the next connection.
-    pub async fn next(&self) -> Call {
+    /// Waits for the next connection and returns the first call on it.
+    pub async fn next_call(&self) -> Call {
         let accepted = timeout(Duration::from_secs(600), self.0.accept())
             .await
-            .expect("a connection in time");
-        read_call(accepted.expect("a connection").0)
+            .expect("a proxy connects within 600 s");
+        read_call(accepted.expect("the listener stays open").0)
             .await
-            .expect("a call")
+            .expect("the proxy sends a complete call")
     }
 }
 
-/// An endpoint list of these ids and phases.
+/// Returns an endpoint list with endpoints of these ids and phases.
 pub fn list(revision: u64, complete: bool, endpoints: &[(&str, &str)]) -> Value {
     let endpoint = |&(id, phase): &(&str, &str)| {
         json!({"id": id, "host_port": "127.0.0.1:9", "locality": "a", "flavor": "m", "cell": 0,
@@ -138,4 +147,5 @@
     json!({"revision": revision, "complete": complete, "members": endpoints.iter().map(endpoint).collect::<Vec<_>>()})
 }
 
+/// The change that removes one of the two cached endpoints.
 pub const ONE_REMOVED: [(&str, &str); 1] = [("s-2", "left")];
--- a/tests/watch/main.rs
+++ b/tests/watch/main.rs
@@ -1,5 +1,5 @@
-//! The watch on discovery, over loopback sockets in paused time: balancer, driver and watcher wired as in the program,
-//! and a stand-in for discovery on the same runtime. Time advances when nothing else can.
+//! Tests of the watch on discovery, over loopback sockets in paused time. The balancer, the driver and the watcher are
+//! connected as in the program, and discovery runs on the same runtime. Time advances only when no task can run.
 
 mod discovery;
 mod failures;
@@ -8,8 +8,8 @@
 
 use std::time::Duration;
 
-/// The shortest drain grace period of the known sites, and the longest time that a new call was
-/// seen to queue there.
+/// The shortest drain grace period of the known sites.
 const SHORTEST_GRACE_PERIOD: Duration = Duration::from_millis(250);
 
+/// The longest time that a new call queued at discovery on the known sites.
 const LONGEST_QUEUE_TIME: Duration = Duration::from_millis(1_950);
--- a/tests/watch/proxy.rs
+++ b/tests/watch/proxy.rs
@@ -1,4 +1,4 @@
-//! The parts of a proxy that follow discovery, on the runtime of the test.
+//! The parts of a proxy that keep its endpoint list up to date, on the runtime of the test.
 
 use crate::discovery::list;
 use serde_json::json;
@@ -19,13 +19,13 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// The parts of one proxy that follow discovery.
+/// The running parts of one proxy that keep its endpoint list up to date.
 pub struct Proxy {
     backend_client: Rc<BackendClient>,
     pub discovery_address: watch::Sender<SocketAddr>,
 }
 
-/// The settings of a proxy that follows discovery in this mode.
+/// Returns the settings of a proxy with this discovery mode.
 fn settings(proxy_index: u32, proxy_count: u32, mode: &str, poll_interval: Duration) -> Settings {
     let settings = json!({
         "me": proxy_index, "balancers": proxy_count, "zone": 0, "failureDomains": ["a"], "kinds": ["m"],
@@ -39,16 +39,17 @@
             "fallMultiple": 3.0, "fallUs": 2_000_000,
         },
     });
-    parse_settings(settings.to_string().as_bytes()).expect("good settings")
+    parse_settings(settings.to_string().as_bytes()).expect("the settings of the test are valid")
 }
 
 impl Proxy {
+    /// Starts a proxy with a poll interval of 0. Its cached list has the endpoints `s-1` and `s-2` at revision 1.
     pub fn start(proxy_index: u32, proxy_count: u32, mode: &str, discovery: SocketAddr) -> Self {
-        Self::start_with(proxy_index, proxy_count, mode, Duration::ZERO, discovery)
+        Self::start_with_poll_interval(proxy_index, proxy_count, mode, Duration::ZERO, discovery)
     }
 
-    /// Starts a proxy with this poll interval.
-    pub fn start_with(
+    /// Starts a proxy with this poll interval and the same cached list.
+    pub fn start_with_poll_interval(
         proxy_index: u32,
         proxy_count: u32,
         mode: &str,
@@ -61,7 +62,7 @@
         let backend_client =
             BackendClient::new(10, 250_000, 1_000_000, Vec::new(), Counters::new(&[]));
         let balancer = Balancer::new(settings, u64::from(proxy_index) + 1, clock.now())
-            .expect("good settings");
+            .expect("the settings of the test are valid");
         let (poll_sender, poll_requests) = mpsc::unbounded_channel();
         let driver_settings = DriverSettings {
             max_attempts: 1,
@@ -94,15 +95,16 @@
         }
     }
 
-    /// Waits until this many backends are listed, and returns when that was.
-    pub async fn lists(&self, backends: usize) -> Instant {
-        while self.backend_client.len() != backends {
+    /// Waits until this number of backends is listed, and returns the time of that.
+    pub async fn wait_for_listed_backends(&self, count: usize) -> Instant {
+        while self.backend_client.len() != count {
             sleep(Duration::from_millis(1)).await;
         }
         Instant::now()
     }
 }
 
-pub async fn local<T>(test: impl Future<Output = T>) -> T {
+/// Runs a test that spawns tasks on the current thread.
+pub async fn run_on_local_set<T>(test: impl Future<Output = T>) -> T {
     LocalSet::new().run_until(test).await
 }
