--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -8,12 +8,7 @@
 fn start_logging(name: &str, discovery: &Discovery, variables: &[(&str, &str)]) -> Proxy {
     let mut command = command(name, &config(name, discovery).to_string());
     command.envs(variables.iter().copied());
-    Proxy::wait_until_listening(
-        name,
-        command
-            .spawn()
-            .expect("the proxy's program can be executed"),
-    )
+    Proxy::spawn(name, command)
 }
 
 #[test]
--- a/tests/proxy/rig/process.rs
+++ b/tests/proxy/rig/process.rs
@@ -52,12 +52,7 @@
         .into();
     let mut command = command(name, &config.to_string());
     command.env("EDGE_FD", "0").stdin(Stdio::from(listener));
-    Proxy::wait_until_listening(
-        name,
-        command
-            .spawn()
-            .expect("the proxy's program can be executed"),
-    )
+    Proxy::spawn(name, command)
 }
 
 /// Returns the address that follows these words in a log line of either format.
@@ -102,17 +97,20 @@
         limited
             .arg(program.get_program())
             .envs(program.get_envs().filter_map(|(k, v)| Some((k, v?))));
-        Self::wait_until_listening(
-            name,
-            limited
-                .stderr(Stdio::piped())
-                .spawn()
-                .expect("the proxy's program can be executed"),
-        )
+        limited.stderr(Stdio::piped());
+        Self::spawn(name, limited)
+    }
+
+    /// Executes a command that starts the program, and waits until the process has logged its addresses.
+    pub fn spawn(name: &str, mut command: Command) -> Self {
+        let child = command
+            .spawn()
+            .expect("the proxy's program can be executed");
+        Self::wait_until_listening(name, child)
     }
 
     /// Waits until a started process has logged the addresses that it listens on.
-    pub fn wait_until_listening(name: &str, mut child: Child) -> Self {
+    fn wait_until_listening(name: &str, mut child: Child) -> Self {
         let log = BufReader::new(child.stderr.take().expect("standard error is a pipe"));
         let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
         // `Proxy` kills the process when it is dropped, so build it before the log is checked.
