--- a/lab/src/fleet/policy/baseline.rs
+++ b/lab/src/fleet/policy/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines: the least loaded of a few backends that are drawn at random.
+//! Baseline policies: each attempt goes to the least loaded of a few ready backends drawn at random.
 
 use super::{Policy, TrueLoad};
 use crate::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
@@ -8,28 +8,31 @@
     KeyScope, MembershipEvent, Micros, Readiness, Request, RequestId, Settings,
 };
 
-/// The proxies together call discovery once in this time after a failure.
-const CALL_INTERVAL: Micros = 200 * MICROS_PER_MILLISECOND;
-/// The longest wait before a call.
-const MAX_CALL_WAIT: Micros = 30 * MICROS_PER_SECOND;
+/// Mean interval between the discovery calls of all proxies together after a failure.
+const DISCOVERY_CALL_INTERVAL: Micros = 200 * MICROS_PER_MILLISECOND;
+/// Longest wait of one proxy before it calls discovery again.
+const MAX_DISCOVERY_CALL_WAIT: Micros = 30 * MICROS_PER_SECOND;
+/// Token of the only timer: the next subscription.
+const SUBSCRIBE_TIMER: u32 = 0;
 
 /// A request without a final answer.
 #[derive(Clone, Copy, Debug)]
 struct OpenRequest {
     class: ClassIndex,
+    /// Attempts sent so far.
     attempts: u16,
     deadline: Micros,
-    /// When the first attempt that may have been executed was sent.
+    /// Time at which the first attempt that may have been executed was sent.
     maybe_executed_since: Option<Micros>,
-    /// When the latest attempt was sent.
+    /// Time at which the latest attempt was sent.
     sent_at: Micros,
 }
 
-/// The backends that are ready.
+/// The set of ready backends, with random access for draws.
 #[derive(Debug, Default)]
 struct ReadyBackends {
     ids: Vec<BackendId>,
-    /// The position of each backend in `ids`.
+    /// Position in `ids` by backend id; `None` for a backend that is not ready.
     positions: Vec<Option<usize>>,
 }
 
@@ -39,6 +42,7 @@
         self.positions.fill(None);
     }
 
+    /// Adds or removes a backend.
     fn set(&mut self, backend: BackendId, ready: bool) {
         let index = backend.index();
         if self.positions.len() <= index {
@@ -62,16 +66,21 @@
         }
     }
 
+    /// Draws a backend at random.
+    ///
+    /// # Panics
+    /// If no backend is ready.
     fn draw(&self, random: &mut fastrand::Rng) -> BackendId {
         self.ids[random.usize(0..self.ids.len())]
     }
 }
 
-/// Sends each request to the least loaded of a few ready backends, and retries where that is harmless.
+/// A policy that sends each attempt to the least loaded of a few ready backends, and retries a request if a repeat is
+/// harmless.
 pub(super) struct Baseline {
     settings: Settings,
     random: fastrand::Rng,
-    /// How many backends are drawn.
+    /// Number of backends drawn for each attempt.
     choices: u32,
     ready: ReadyBackends,
     open_requests: FxHashMap<RequestId, OpenRequest>,
@@ -114,14 +123,19 @@
         }
     }
 
-    /// Sets a timer for the next call to discovery, at random so that the proxies do not call together.
+    /// Sets a timer for the next subscription. Its time is random so that the proxies do not call discovery all at
+    /// once.
     fn subscribe_later(&mut self, actions: &mut Vec<Action>) {
         let proxies = u64::from(self.settings.proxy_count);
-        let max_wait = (proxies * CALL_INTERVAL).min(MAX_CALL_WAIT);
+        let max_wait = (proxies * DISCOVERY_CALL_INTERVAL).min(MAX_DISCOVERY_CALL_WAIT);
         let after = self.random.u64(0..=max_wait);
-        actions.push(Action::SetTimer { after, token: 0 });
+        actions.push(Action::SetTimer {
+            after,
+            token: SUBSCRIBE_TIMER,
+        });
     }
 
+    /// Returns the backend of the next attempt; `None` if none is ready.
     fn pick(&mut self, true_load: &dyn TrueLoad) -> Option<BackendId> {
         if self.ready.ids.is_empty() {
             return None;
@@ -154,6 +168,7 @@
         self.send(now, request.id, true_load, actions);
     }
 
+    /// Sends the next attempt of a request, or answers the request if no backend is ready.
     fn send(
         &mut self,
         now: Micros,
@@ -203,12 +218,13 @@
         }
     }
 
+    /// Returns whether a request gets another attempt.
     fn may_retry(&self, now: Micros, open: &OpenRequest) -> bool {
         let attempts_left = open.attempts < self.settings.permissions.max_attempts;
         attempts_left && now < open.deadline && self.is_repeat_harmless(now, open)
     }
 
-    /// Gives the final answer: a rejection where a retry is harmless, else a failure.
+    /// Ends a request with its final answer: a rejection if a retry by the client is harmless, otherwise a failure.
     fn answer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open_requests.remove(&id) else {
             return;
@@ -225,6 +241,7 @@
         });
     }
 
+    /// Returns whether the request may be sent again: it cannot have been executed, or its class allows a repeat.
     fn is_repeat_harmless(&self, now: Micros, open: &OpenRequest) -> bool {
         let Some(maybe_executed_since) = open.maybe_executed_since else {
             return true;
--- a/lab/src/fleet/policy/mod.rs
+++ b/lab/src/fleet/policy/mod.rs
@@ -1,4 +1,4 @@
-//! What decides in a proxy: the decision module, or one of two baselines.
+//! The policies that decide for a proxy: the decision module, and two baselines to compare it with.
 
 mod baseline;
 
@@ -15,9 +15,9 @@
 pub enum PolicyKind {
     /// The decision module.
     Module,
-    /// Random choice among the backends that are ready.
+    /// Random choice among the ready backends.
     Random,
-    /// The shorter of two true queues, which no proxy can know.
+    /// The less loaded of two random ready backends, by their true load, which no real proxy knows.
     TwoChoices,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The true load of the backends, for baselines that know it.
+/// Access to the true load of the backends. Baselines use it; a real proxy has no such access.
 pub trait TrueLoad {
     /// Returns the number of attempts that a backend holds, running or queued.
     fn in_flight(&self, backend: BackendId) -> u32;
@@ -43,9 +43,9 @@
     }
 }
 
-/// The decisions of one proxy.
+/// The decisions of one proxy: turns events into actions.
 pub trait Policy {
-    /// Handles one event and appends the actions that it asks for.
+    /// Handles one event at time `now` and appends the resulting actions to `actions`.
     fn handle(
         &mut self,
         now: Micros,
@@ -55,7 +55,8 @@
     );
 }
 
-/// Creates the policy of a proxy from its settings, its seed and the time of its start.
+/// Creates the policy of a proxy from its settings, its seed and the time of its start. Fails if the policy rejects
+/// the settings.
 pub type PolicyFactory =
     dyn Fn(Settings, u64, Micros) -> Result<Box<dyn Policy>, SettingsError> + Sync;
 
@@ -72,12 +73,13 @@
     }
 }
 
+/// Creates a baseline that draws `choices` backends for each attempt.
 fn baseline(settings: Settings, seed: u64, choices: u32) -> Result<Box<dyn Policy>, SettingsError> {
     settings.validate()?;
     Ok(Box::new(Baseline::new(settings, seed, choices)))
 }
 
-/// The decision module.
+/// The decision module as a policy; it makes no use of the true load.
 struct DecisionModule(Balancer);
 
 impl Policy for DecisionModule {
