--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts in the simulation: from a proxy to a backend, through its queue and cores, and back.
+//! Attempts in the simulation: from a proxy to a backend, through the backend's queue and cores, and back.
 
 use super::{Simulation, SimulationEvent};
-use crate::fleet::backend::Admission;
+use crate::fleet::backend::{Admission, LoadReport};
 use crate::fleet::process::ProcessState;
 use crate::fleet::request::{Attempt, AttemptKey, AttemptState, RequestKey, SentAttempt};
 use crate::fleet::rules::PendingSend;
@@ -9,7 +9,7 @@
 use tillerproxy::api::{AttemptEnd, BackendId, Event, Micros, Outcome, RequestId};
 
 impl Simulation<'_> {
-    /// Sends a request to a backend.
+    /// Starts an attempt: sends a request to a backend, and times the attempt out at `deadline`.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -40,6 +40,7 @@
         self.queue.push(deadline, timeout);
     }
 
+    /// Checks an attempt that is about to be sent against the safety rules.
     fn check_send(&mut self, now: Micros, request: RequestKey, backend: BackendId) {
         let request = &self.requests[request];
         let machines = &self.topology.machines;
@@ -54,7 +55,7 @@
             .on_send(send, |attempt| machines[attempt.backend.index()]);
     }
 
-    /// Adds an attempt to a request; `None` where it has as many as can be tracked.
+    /// Adds an attempt to a request; `None` if the request already has as many as can be tracked.
     fn add_attempt(
         &mut self,
         now: Micros,
@@ -72,11 +73,11 @@
             work: self.clients.calls[tracked.call].work,
             service_time: 0,
             outcome: Outcome::NotSent,
-            load_report: [0.0; 3],
+            load_report: LoadReport::default(),
             ended: false,
             lost: false,
         };
-        // The events of its way and of its timeout refer to it.
+        // Two pending events refer to the attempt: its arrival at the backend and its timeout.
         let key = self.attempts.insert(attempt, 2);
         self.requests.retain(request);
         let sent = SentAttempt {
@@ -94,7 +95,8 @@
         Some(key)
     }
 
-    /// Fails an attempt that gets no answer to its connect after the connect timeout. Takes over a reference.
+    /// Fails an attempt whose connection is not established within the connect timeout. Takes over one reference to
+    /// the attempt.
     fn time_out_connect(&mut self, attempt: AttemptKey) {
         self.attempts[attempt].outcome = Outcome::ConnectFailed;
         let connect_timeout = milliseconds(self.scenario.network.connect_timeout_ms);
@@ -102,7 +104,8 @@
         self.queue.push_after(connect_timeout, event);
     }
 
-    /// Sends an outcome to the proxy. Takes over a reference.
+    /// Sends the outcome of an attempt and the backend's load report to the proxy. Takes over one reference to the
+    /// attempt.
     fn send_outcome(&mut self, key: AttemptKey, outcome: Outcome) {
         let attempt = &mut self.attempts[key];
         let backend = attempt.backend.index();
@@ -115,7 +118,8 @@
         self.queue.push_after(latency, event);
     }
 
-    pub(super) fn on_reaches_backend(&mut self, now: Micros, key: AttemptKey) {
+    /// Delivers an attempt to its backend, and stops the backend if the load makes it collapse in its slow start.
+    pub(super) fn on_attempt_reaches_backend(&mut self, now: Micros, key: AttemptKey) {
         if self.is_skipped(key) {
             self.release_attempt(key);
             return;
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Schedules the end of work that a core has started.
+    /// Schedules the end of the work that a core has started on an attempt.
     fn schedule_end_of_work(&mut self, attempt: AttemptKey, service_time: Micros) {
         self.attempts[attempt].service_time = service_time;
         self.attempts.retain(attempt);
@@ -152,6 +156,7 @@
         self.queue.push_after(service_time, event);
     }
 
+    /// Sends the response to an attempt and starts the next one, unless the backend hangs or has stopped.
     pub(super) fn on_work_finishes(&mut self, now: Micros, key: AttemptKey) {
         let Attempt {
             backend,
@@ -166,7 +171,7 @@
         self.release_attempt(key);
     }
 
-    /// Starts the work on queued attempts of a backend while it has free cores.
+    /// Starts the work on queued attempts of a backend while the backend has free cores.
     fn start_queued(&mut self, now: Micros, backend: BackendId) {
         while let Some(key) = self.backends[backend.index()].next_queued() {
             if self.is_skipped(key) {
@@ -180,7 +185,7 @@
         }
     }
 
-    /// Returns whether a backend does no work on an attempt because its proxy gave it up or stopped.
+    /// Returns whether a backend does no work on an attempt because the proxy has abandoned the attempt or stopped.
     fn is_skipped(&self, key: AttemptKey) -> bool {
         let attempt = &self.attempts[key];
         let proxy = &self.proxies[attempt.proxy.index()];
@@ -188,7 +193,8 @@
         abandoned && self.scenario.backends.skips_abandoned
     }
 
-    /// Resumes a hung backend: the responses to what it had finished are sent.
+    /// Resumes a hung backend: sends the responses to attempts whose work ended during the hang, and starts
+    /// queued ones.
     pub(super) fn resume_backend(&mut self, now: Micros, backend: BackendId) {
         for key in self.backends[backend.index()].resume() {
             self.send_outcome(key, Outcome::Ok);
@@ -196,7 +202,8 @@
         self.start_queued(now, backend);
     }
 
-    /// Ends the attempts of a backend that stopped: a crashed process resets their connections.
+    /// Ends the attempts that a stopped backend held. A crashed process resets their connections; an unreachable
+    /// machine leaves them to their timeouts.
     pub(super) fn lose_attempts(&mut self, lost: Vec<AttemptKey>, state: ProcessState) {
         for key in lost {
             self.attempts[key].lost = true;
@@ -208,6 +215,7 @@
         }
     }
 
+    /// Ends an attempt with the outcome that has reached its proxy, unless a partition drops the message.
     pub(super) fn on_outcome_reaches_proxy(&mut self, now: Micros, key: AttemptKey) {
         let Attempt {
             proxy,
@@ -217,19 +225,20 @@
         } = self.attempts[key];
         let from = self.topology.machines[backend.index()].zone;
         let to = self.proxies[proxy.index()].zone;
-        // The proxy itself notices that it cannot connect.
+        // A failed connection is detected by the proxy itself: a partition does not hide it.
         if outcome == Outcome::ConnectFailed || !self.is_partitioned(from, to) {
             self.end_attempt(now, key, outcome);
         }
         self.release_attempt(key);
     }
 
+    /// Ends an attempt that has no outcome at its deadline.
     pub(super) fn on_attempt_timeout(&mut self, now: Micros, key: AttemptKey) {
         self.end_attempt(now, key, Outcome::Timeout);
         self.release_attempt(key);
     }
 
-    /// Cancels an attempt; its outcome comes with the next events of this time.
+    /// Cancels an attempt that is in flight. The policy receives the outcome as a separate event of the same time.
     pub(super) fn cancel(&mut self, now: Micros, id: RequestId, number: u16) {
         let Some(request) = self.request_key(id) else {
             return;
@@ -246,7 +255,8 @@
         }
     }
 
-    /// Gives an attempt its one outcome, if its proxy still runs.
+    /// Ends an attempt with its outcome and notifies the policy, if the process that sent it still runs. Later outcomes
+    /// of the same attempt are ignored.
     fn end_attempt(&mut self, now: Micros, key: AttemptKey, outcome: Outcome) {
         let attempt = self.attempts[key];
         if attempt.ended {
@@ -257,11 +267,11 @@
         if !proxy.is_running() || proxy.incarnation != attempt.incarnation {
             return;
         }
-        self.count(outcome);
+        self.count_outcome(outcome);
         let request = &mut self.requests[attempt.request];
         request.attempts_mut()[usize::from(attempt.number)].state = state_after(outcome);
         if outcome == Outcome::Ok && request.is_pending() {
-            self.serve(now, attempt.request);
+            self.send_response_to_client(now, attempt.request);
         }
         let request = &self.requests[attempt.request];
         let carries_report = self.scenario.backends.load_reports && outcome == Outcome::Ok;
@@ -282,7 +292,7 @@
         self.notify_policy(now, attempt.proxy, Event::AttemptEnded(end));
     }
 
-    fn count(&mut self, outcome: Outcome) {
+    fn count_outcome(&mut self, outcome: Outcome) {
         let counts = &mut self.metrics.attempts;
         match outcome {
             Outcome::Rejected => counts.rejected += 1,
@@ -294,6 +304,7 @@
     }
 }
 
+/// Returns what a proxy knows of the execution of an attempt with this outcome.
 fn state_after(outcome: Outcome) -> AttemptState {
     if outcome.is_not_executed() {
         AttemptState::NotExecuted
--- a/lab/src/fleet/simulation/changes.rs
+++ b/lab/src/fleet/simulation/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the fault schedule in the simulation: backends and proxies that stop and start.
+//! Application of the fault schedule: backends, proxies, discovery and partitions that begin and end.
 
 use super::{Simulation, SimulationEvent};
 use crate::fleet::faults::FleetChange;
@@ -9,6 +9,7 @@
 use tillerproxy::api::{Backend, BackendId, Event, MembershipEvent, Micros, Readiness};
 
 impl Simulation<'_> {
+    /// Applies a change of the fault schedule, by its index.
     pub(super) fn on_fleet_change(&mut self, now: Micros, index: u32) {
         match self.schedule.changes[index as usize].change {
             FleetChange::DrainBackend(backend) => self.drain_backend(backend),
@@ -45,6 +46,7 @@
         }
     }
 
+    /// Stops a backend: its attempts end, and its endpoint is removed from the list.
     pub(super) fn stop_backend(&mut self, now: Micros, backend: BackendId, state: ProcessState) {
         tracing::trace!(backend = backend.0, now, ?state, "backend stopped");
         let lost = self.backends[backend.index()].stop(state);
@@ -52,6 +54,7 @@
         self.change_endpoint(backend, Readiness::Removed, None);
     }
 
+    /// Starts a backend, if it is still in the state in which this event stopped it.
     fn start_backend(&mut self, now: Micros, backend: BackendId, stopped_state: ProcessState) {
         let target = &mut self.backends[backend.index()];
         if target.state == stopped_state && target.start(now) {
@@ -60,6 +63,7 @@
         }
     }
 
+    /// Stops a proxy. A crash resets the connections of its clients; the front load balancer detects it later.
     fn stop_proxy(&mut self, now: Micros, proxy: ProxyIndex, state: ProcessState) {
         let target = &mut self.proxies[proxy.index()];
         if !target.is_running() {
@@ -71,11 +75,11 @@
             self.reset_clients(now, proxy);
         }
         let detection_delay = seconds(self.scenario.clients.dead_proxy_detection_s);
-        let event = SimulationEvent::FrontLearnsState { proxy };
+        let event = SimulationEvent::FrontDetectsProxyState { proxy };
         self.queue.push_after(detection_delay, event);
     }
 
-    /// Starts a proxy's process with the endpoint list that it held.
+    /// Starts the process of a proxy, with the endpoint list that its former process held as cached list.
     fn start_proxy(&mut self, now: Micros, proxy: ProxyIndex) {
         let seed = self.proxy_seeds.random();
         let target = &self.proxies[proxy.index()];
@@ -92,17 +96,18 @@
         target.watcher.restart();
         let endpoints = target.cached_endpoints(self.discovery.service.endpoints());
         self.start_policy(proxy, &endpoints);
-        let event = SimulationEvent::FrontLearnsState { proxy };
+        let event = SimulationEvent::FrontDetectsProxyState { proxy };
         self.queue.push(now, event);
     }
 
-    /// Gives the policy of a process that starts its cached endpoint list.
+    /// Passes the cached endpoint list to the policy of a proxy that starts.
     pub(super) fn start_policy(&mut self, proxy: ProxyIndex, cached: &[Backend]) {
         let event = Event::Membership(MembershipEvent::Cached(cached));
         self.notify_policy(self.queue.now(), proxy, event);
     }
 
-    pub(super) fn on_front_learns_state(&mut self, proxy: ProxyIndex) {
+    /// Updates the front load balancer with the state of a proxy.
+    pub(super) fn on_front_detects_proxy_state(&mut self, proxy: ProxyIndex) {
         let alive = self.proxies[proxy.index()].is_running();
         let front = &mut self.clients.front;
         front.set_alive(self.topology, proxy, alive);
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -18,9 +18,9 @@
 /// The clients of the simulation.
 pub(super) struct ClientState {
     traffic: TrafficMix,
-    /// Quotas that decide the priority weight of calls.
+    /// Tenant quotas; a call over its tenant's quota has a lower priority weight.
     quotas: TenantQuotas,
-    /// The usual traffic, then that of each surge.
+    /// Arrival processes: the usual traffic at index 0, then one for each surge that has begun.
     arrivals: Vec<ArrivalProcess>,
     pub(super) front: FrontLoadBalancer,
     retries: RetryPolicy,
@@ -51,6 +51,7 @@
 }
 
 impl Simulation<'_> {
+    /// Schedules the next call of an arrival process, if the process has one.
     pub(super) fn schedule_arrival(&mut self, process: u32) {
         if let Some(at) = self.clients.arrivals[process as usize].next_arrival() {
             let event = SimulationEvent::CallArrives { process };
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Begins a tenant's surge with an arrival process of its own.
+    /// Begins a tenant's surge as an additional arrival process.
     pub(super) fn begin_surge(&mut self, now: Micros, index: u32) {
         let surge = self.schedule.surges[index as usize];
         let traffic = &self.clients.traffic;
@@ -69,7 +70,7 @@
             surge.until,
             Some(surge.tenant),
             self.seed,
-            // Number 0 is the usual traffic.
+            // Stream 0 belongs to the usual traffic.
             u64::from(index) + 1,
         );
         let process = self.clients.arrivals.len() as u32;
@@ -77,6 +78,7 @@
         self.schedule_arrival(process);
     }
 
+    /// Starts a new call of an arrival process and schedules the next one.
     pub(super) fn on_call_arrives(&mut self, now: Micros, process: u32) {
         let arrivals = &mut self.clients.arrivals[process as usize];
         let mut call = arrivals.draw_call(now, &self.clients.traffic);
@@ -89,6 +91,7 @@
         self.start_client_attempt(now, key, call.proxy_draw);
     }
 
+    /// Starts the next attempt of a call after its backoff, unless the call has ended.
     pub(super) fn on_client_retries(&mut self, now: Micros, call: CallKey) {
         if self.clients.calls[call].ended {
             self.clients.calls.release(call);
@@ -98,7 +101,7 @@
         self.start_client_attempt(now, call, proxy_draw);
     }
 
-    /// Starts the next attempt of a client. Takes over a reference to the call.
+    /// Starts the next attempt of a client; `proxy_draw` selects the proxy. Takes over one reference to the call.
     fn start_client_attempt(&mut self, now: Micros, key: CallKey, proxy_draw: f64) {
         self.metrics.attempts.client_attempts += 1;
         self.clients.calls[key].attempts += 1;
@@ -121,16 +124,18 @@
         }
     }
 
+    /// Adds the request of a client's attempt.
     fn add_request(&mut self, call: CallKey, proxy: ProxyIndex, deadline: Micros) -> RequestKey {
         let id = RequestId(self.request_keys.len() as u32);
         let class = self.clients.calls[call].class;
         let request = TrackedRequest::new(id, call, class, proxy, deadline);
-        // The events of its way and of its timeout refer to it.
+        // Two pending events refer to the request: its arrival at the proxy and the client's timeout.
         let key = self.requests.insert(request, 2);
         self.request_keys.push(Some(key));
         key
     }
 
+    /// Schedules the arrival of a request at its proxy and the client's timeout.
     fn schedule_request(&mut self, request: RequestKey, deadline: Micros) {
         let latency = self.client_latency();
         let event = SimulationEvent::RequestReachesProxy { request };
@@ -140,11 +145,13 @@
         self.queue.push(deadline + grace, timeout);
     }
 
+    /// Draws the latency of one message between a client and a proxy.
     fn client_latency(&mut self) -> Micros {
         let latency = milliseconds(self.scenario.clients.latency_ms) as f64;
         self.latencies.with_jitter(latency)
     }
 
+    /// Delivers a request to its proxy, or ends the client's attempt if the proxy does not run.
     pub(super) fn on_request_reaches_proxy(&mut self, now: Micros, key: RequestKey) {
         let request = self.requests[key];
         if request.is_pending() {
@@ -163,7 +170,7 @@
         self.release_request(key);
     }
 
-    /// Gives a request to the policy of its proxy.
+    /// Passes a request to the policy of its proxy.
     fn accept_request(&mut self, now: Micros, key: RequestKey) {
         let tracked = &mut self.requests[key];
         let proxy = tracked.proxy;
@@ -182,17 +189,17 @@
         self.notify_policy(now, proxy, Event::Request(request));
     }
 
-    /// Answers a request with a rejection of the proxy.
+    /// Ends a request with a rejection by the proxy.
     pub(super) fn reject(&mut self, now: Micros, id: RequestId, retry_after: Micros) {
         self.answer(now, id, AttemptFailure::Rejected { retry_after });
     }
 
-    /// Answers a request with a failure of the proxy.
+    /// Ends a request with a failure reported by the proxy.
     pub(super) fn fail(&mut self, now: Micros, id: RequestId) {
         self.answer(now, id, AttemptFailure::Failed);
     }
 
-    /// Gives a final answer that does not come from a backend.
+    /// Ends a request with a final answer that the proxy gives itself.
     fn answer(&mut self, now: Micros, id: RequestId, failure: AttemptFailure) {
         let Some(key) = self.request_key(id) else {
             self.checker.on_action_after_end();
@@ -209,8 +216,9 @@
         }
     }
 
-    /// Sends a backend's response to the client.
-    pub(super) fn serve(&mut self, now: Micros, key: RequestKey) {
+    /// Sends a backend's response to the client as the final answer. The call is served if the response arrives before
+    /// the client's deadline.
+    pub(super) fn send_response_to_client(&mut self, now: Micros, key: RequestKey) {
         self.requests[key].state = RequestState::Answered;
         let at = now + self.client_latency();
         let request = &self.requests[key];
@@ -231,7 +239,8 @@
         self.end_call(call, end);
     }
 
-    /// Ends a client's attempt that was not served; the client learns it at `at`, and retries or gives up.
+    /// Ends a client's attempt that was not served. The client is notified at `at`, and then retries the call or ends
+    /// it.
     fn end_client_attempt(&mut self, key: RequestKey, at: Micros, failure: AttemptFailure) {
         let request = &mut self.requests[key];
         request.abandon();
@@ -260,6 +269,7 @@
         self.end_call(call_key, end);
     }
 
+    /// Ends a call and records how it ended. A call that has already ended is left unchanged.
     fn end_call(&mut self, key: CallKey, end: CallEnd) {
         let call = &mut self.clients.calls[key];
         if call.ended {
@@ -271,17 +281,18 @@
             .on_call_end(call, class.late_weight_factor, end);
     }
 
-    /// Returns whether the proxy that accepted a request still runs.
-    fn is_held_by_proxy(&self, request: &TrackedRequest) -> bool {
+    /// Returns whether the process that accepted a request still runs.
+    fn is_accepting_process_running(&self, request: &TrackedRequest) -> bool {
         let proxy = &self.proxies[request.proxy.index()];
         proxy.is_running() && request.accepted_by == Some(proxy.incarnation)
     }
 
+    /// Ends a client's attempt that has no answer at its deadline plus the grace period.
     pub(super) fn on_client_timeout(&mut self, now: Micros, key: RequestKey) {
         let request = self.requests[key];
         if request.is_pending() {
             self.end_client_attempt(key, now, AttemptFailure::TimedOut);
-            if self.is_held_by_proxy(&request) {
+            if self.is_accepting_process_running(&request) {
                 self.checker.on_unanswered();
                 let event = Event::ClientDisconnected(request.id);
                 self.notify_policy(now, request.proxy, event);
@@ -290,12 +301,13 @@
         self.release_request(key);
     }
 
+    /// Ends a call whose client disconnects before its response.
     pub(super) fn on_client_disconnects(&mut self, now: Micros, key: RequestKey) {
         let request = self.requests[key];
         if request.is_pending() {
             self.requests[key].abandon();
             self.end_call(request.call, CallEnd::Disconnected);
-            if self.is_held_by_proxy(&request) {
+            if self.is_accepting_process_running(&request) {
                 let event = Event::ClientDisconnected(request.id);
                 self.notify_policy(now, request.proxy, event);
             }
@@ -303,7 +315,7 @@
         self.release_request(key);
     }
 
-    /// Resets the clients' connections to a proxy that crashed.
+    /// Fails the accepted requests of a proxy that crashed: their clients' connections are reset.
     pub(super) fn reset_clients(&mut self, now: Micros, proxy: ProxyIndex) {
         let reset: Vec<RequestKey> = self
             .requests
--- a/lab/src/fleet/simulation/discovery.rs
+++ b/lab/src/fleet/simulation/discovery.rs
@@ -15,20 +15,20 @@
 use std::collections::VecDeque;
 use tillerproxy::api::{Backend, BackendId, Event, MembershipEvent, Micros, Readiness};
 
-/// The region in which discovery stands.
+/// The region in which the discovery service is located.
 const DISCOVERY_REGION: Region = Region(0);
 
 /// Discovery and the messages to and from it.
 pub(super) struct DiscoveryState {
     pub(super) service: Discovery,
-    /// The true endpoints, published or not.
+    /// The present endpoint of each backend, whether published or not, by backend id.
     endpoints: Vec<Backend>,
-    /// Changes that discovery has not detected, the oldest first.
+    /// Changed endpoints that discovery has not yet detected, the oldest first.
     undetected: VecDeque<Backend>,
-    /// When the first of the changes happened that are detected and not published.
+    /// Time of the first change that is detected and not yet published.
     unpublished_since: Micros,
-    /// Whether the processing of the queue's next entry is scheduled.
-    processing: bool,
+    /// Whether the processing of the next entry of discovery's queue is scheduled.
+    processing_scheduled: bool,
     /// The latest call of each proxy.
     latest_calls: Vec<Option<Call>>,
     responses: RefSlab<Option<Response>>,
@@ -49,14 +49,14 @@
             endpoints,
             undetected: VecDeque::new(),
             unpublished_since: 0,
-            processing: false,
+            processing_scheduled: false,
             latest_calls: vec![None; proxies],
             responses: RefSlab::new(),
         }
     }
 }
 
-/// Returns the endpoint of a backend that has run for long.
+/// Returns the endpoint of a ready backend without a recent start.
 fn ready_endpoint(id: BackendId, machine: &Machine) -> Backend {
     Backend {
         id,
@@ -68,9 +68,9 @@
     }
 }
 
-/// Calls and responses.
+/// Calls to discovery and their responses.
 impl Simulation<'_> {
-    /// Opens a watch for every proxy that began at a random time before the start.
+    /// Opens a standing watch for every proxy, as if the watch had begun at a random time before the simulation.
     pub(super) fn open_standing_watches(&mut self) {
         for index in 0..self.proxies.len() {
             let OutgoingCall { call, timeout } = self.proxies[index].watcher.continue_watch();
@@ -85,13 +85,14 @@
         self.discovery.service.traffic = Default::default();
     }
 
-    /// Begins or continues the watch of a proxy that has no pending call.
+    /// Begins or continues the watch of a proxy, unless the proxy has a pending call.
     pub(super) fn subscribe(&mut self, proxy: ProxyIndex) {
         if let Some(outgoing) = self.proxies[proxy.index()].watcher.subscribe() {
             self.call_discovery(outgoing);
         }
     }
 
+    /// Sends a proxy's call to discovery and schedules the call's timeout.
     fn call_discovery(&mut self, outgoing: OutgoingCall) {
         let OutgoingCall { call, timeout } = outgoing;
         self.discovery.latest_calls[call.id.proxy.index()] = Some(call);
@@ -102,18 +103,19 @@
         self.queue.push_after(timeout, timeout_event);
     }
 
-    /// Returns whether a partition lies between a proxy and discovery.
-    fn is_cut_off(&self, proxy: ProxyIndex) -> bool {
+    /// Returns whether a partition separates a proxy from discovery.
+    fn is_partitioned_from_discovery(&self, proxy: ProxyIndex) -> bool {
         let zone = self.proxies[proxy.index()].zone;
         self.partitioned && self.topology.region(zone) != DISCOVERY_REGION
     }
 
+    /// Delivers a proxy's call to discovery, unless a later call has replaced it or a partition drops it.
     pub(super) fn on_call_reaches_discovery(&mut self, now: Micros, id: CallId) {
         let latest = self.discovery.latest_calls[id.proxy.index()];
         let Some(call) = latest.filter(|call| call.id == id) else {
             return;
         };
-        if self.is_cut_off(id.proxy) {
+        if self.is_partitioned_from_discovery(id.proxy) {
             return;
         }
         let status = self.discovery.service.receive(now, call);
@@ -121,6 +123,7 @@
         self.record_discovery_traffic(now);
     }
 
+    /// Schedules what follows from the status of a call: its response, its expiry or its processing.
     fn handle_status(&mut self, status: CallStatus) {
         match status {
             CallStatus::Answered(response) => self.send_response(response),
@@ -132,19 +135,21 @@
         }
     }
 
+    /// Schedules the processing of the next queue entry, unless that is already scheduled or the queue is empty.
     fn schedule_processing(&mut self) {
-        if self.discovery.processing {
+        if self.discovery.processing_scheduled {
             return;
         }
         if let Some(time) = self.discovery.service.next_processing_time() {
-            self.discovery.processing = true;
+            self.discovery.processing_scheduled = true;
             self.queue
                 .push_after(time, SimulationEvent::DiscoveryProcesses);
         }
     }
 
+    /// Processes the next entry of discovery's queue.
     pub(super) fn on_discovery_processes(&mut self, now: Micros) {
-        self.discovery.processing = false;
+        self.discovery.processing_scheduled = false;
         if let Some(status) = self.discovery.service.process_next(now) {
             self.handle_status(status);
         }
@@ -152,6 +157,7 @@
         self.record_discovery_traffic(now);
     }
 
+    /// Answers a standing watch whose wait is over.
     pub(super) fn on_watch_expires(&mut self, now: Micros, call: CallId) {
         if let Some(response) = self.discovery.service.expire_watch(call) {
             self.send_response(response);
@@ -166,13 +172,16 @@
         self.queue.push_after(latency, event);
     }
 
-    pub(super) fn on_response(&mut self, now: Micros, key: ResponseKey) {
+    /// Delivers a response to its proxy. A response to a call that the proxy has dropped is ignored.
+    pub(super) fn on_response_reaches_proxy(&mut self, now: Micros, key: ResponseKey) {
         let response = self.discovery.responses[key].take();
         self.discovery.responses.release(key);
         let Some(Response { call, body }) = response else {
             return;
         };
-        if !self.proxies[call.proxy.index()].is_running() || self.is_cut_off(call.proxy) {
+        if !self.proxies[call.proxy.index()].is_running()
+            || self.is_partitioned_from_discovery(call.proxy)
+        {
             return;
         }
         let watcher = &mut self.proxies[call.proxy.index()].watcher;
@@ -189,6 +198,7 @@
         }
     }
 
+    /// Applies an update of the endpoint list at a proxy, continues the proxy's watch and notifies its policy.
     fn on_list_update(&mut self, now: Micros, proxy: ProxyIndex, update: &ListUpdate) {
         let target = &mut self.proxies[proxy.index()];
         let next_call = target.watcher.on_response(update.revision);
@@ -201,6 +211,7 @@
         }
     }
 
+    /// Drops a pending call that has no response and notifies the policy of the stalled watch.
     pub(super) fn on_call_timeout(&mut self, now: Micros, call: CallId) {
         let target = &mut self.proxies[call.proxy.index()];
         if target.is_running() && target.watcher.complete(call.serial) {
@@ -210,6 +221,7 @@
         }
     }
 
+    /// Records the traffic of discovery up to now.
     pub(super) fn record_discovery_traffic(&mut self, now: Micros) {
         let traffic = self.discovery.service.traffic;
         self.metrics.on_discovery_traffic(now, traffic);
@@ -218,13 +230,13 @@
 
 /// Changes of the endpoint list.
 impl Simulation<'_> {
-    /// Changes the readiness of an endpoint.
+    /// Changes the readiness of an endpoint and keeps its start time.
     pub(super) fn change_readiness(&mut self, backend: BackendId, readiness: Readiness) {
         let started_at = self.discovery.endpoints[backend.index()].started_at;
         self.change_endpoint(backend, readiness, started_at);
     }
 
-    /// Changes an endpoint; discovery detects it after a while.
+    /// Changes an endpoint. Discovery detects the change after the detection delay.
     pub(super) fn change_endpoint(
         &mut self,
         backend: BackendId,
@@ -240,12 +252,13 @@
             .push_after(delay, SimulationEvent::DiscoveryDetects);
     }
 
-    /// Publishes an endpoint again without a change.
+    /// Publishes an endpoint again, with the same readiness and start time.
     pub(super) fn republish(&mut self, backend: BackendId) {
         let readiness = self.discovery.endpoints[backend.index()].readiness;
         self.change_readiness(backend, readiness);
     }
 
+    /// Detects the oldest undetected change; the first unpublished one schedules the next publication.
     pub(super) fn on_discovery_detects(&mut self, now: Micros) {
         let Some(endpoint) = self.discovery.undetected.pop_front() else {
             return;
@@ -261,6 +274,7 @@
         }
     }
 
+    /// Publishes all detected changes and answers the standing watches.
     pub(super) fn on_discovery_publishes(&mut self, now: Micros) {
         let responses = self.discovery.service.publish();
         let proxies = self.proxies.iter();
--- a/lab/src/fleet/simulation/event.rs
+++ b/lab/src/fleet/simulation/event.rs
@@ -5,20 +5,20 @@
 use crate::fleet::request::{AttemptKey, CallKey, RequestKey};
 use crate::fleet::slab::Key;
 
-/// Key of a response of discovery; it is removed when it arrives.
+/// Key of a response of discovery. The response is taken out when it reaches its proxy.
 pub(super) type ResponseKey = Key<Option<Response>>;
 
-/// Something that happens at a point in virtual time. An event counts as a reference to the call, request,
-/// attempt or response that it names.
+/// An event at a point in virtual time. A pending event counts as a reference to the call, request, attempt or response
+/// whose key it holds.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimulationEvent {
-    /// The next call of an arrival process, by its index.
+    /// The next call of an arrival process arrives; `process` is the index of the process.
     CallArrives { process: u32 },
-    /// A client retries.
+    /// The backoff before a client's retry is over.
     ClientRetries { call: CallKey },
     /// A request reaches its proxy.
     RequestReachesProxy { request: RequestKey },
-    /// The client's deadline for a request has passed, and the grace that the rules give.
+    /// The client's deadline for a request has passed, and so has the grace period of rule 1 (one final answer).
     ClientTimeout { request: RequestKey },
     /// A client disconnects before its response.
     ClientDisconnects { request: RequestKey },
@@ -50,10 +50,10 @@
     DiscoveryDetects,
     /// Discovery publishes what it has detected.
     DiscoveryPublishes,
-    /// A change of the fault schedule, by its index.
+    /// A change of the fault schedule takes place; `index` is its index in the schedule.
     FleetChanges { index: u32 },
-    /// The front load balancer learns whether a proxy runs.
-    FrontLearnsState { proxy: ProxyIndex },
+    /// The front load balancer detects whether a proxy runs.
+    FrontDetectsProxyState { proxy: ProxyIndex },
     /// The progress bar is updated.
     UpdateProgress,
 }
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -1,7 +1,7 @@
 //! The simulation: one fleet under one policy in virtual time.
 //!
-//! Everything that takes time is an event (`SimulationEvent`). `clients` handles the events of clients,
-//! `attempts` those of attempts, `discovery` those of discovery, and `changes` the fault schedule.
+//! Each step that takes time ends with an event (`SimulationEvent`). `clients` handles the events of clients,
+//! `attempts` those of attempts, `discovery` those of discovery, and `changes` those of the fault schedule.
 
 mod attempts;
 mod changes;
@@ -37,10 +37,10 @@
     Action, Event, Micros, Readiness, RequestId, Settings, SettingsError, Zone,
 };
 
-/// Interval of the progress bar's updates, in virtual time.
+/// Interval between updates of the progress bar, in virtual time.
 const PROGRESS_INTERVAL: Micros = 100 * MICROS_PER_MILLISECOND;
-/// Time that the run goes on for after the deadline of the last calls.
-const RUN_OUT: Micros = 100 * MICROS_PER_MILLISECOND;
+/// Time for which the simulation runs beyond the deadline of the last calls.
+const TIME_AFTER_LAST_DEADLINE: Micros = 100 * MICROS_PER_MILLISECOND;
 
 /// One fleet under one policy.
 pub struct Simulation<'a> {
@@ -49,11 +49,11 @@
     topology: &'a Topology,
     schedule: &'a FaultSchedule,
     seed: u64,
-    /// The settings of proxy 0.
+    /// The settings of proxy 0; those of the other proxies differ in index and zone.
     settings: Settings,
     queue: EventQueue<SimulationEvent>,
     latencies: Latencies,
-    /// Whether no message passes between regions.
+    /// Whether the regions are partitioned: messages between regions are dropped.
     partitioned: bool,
     clients: ClientState,
     proxies: Vec<EmulatedProxy>,
@@ -62,22 +62,22 @@
     slow_start: SlowStartModel,
     discovery: DiscoveryState,
     requests: RefSlab<TrackedRequest>,
-    /// The key of each request that has not ended, by request id.
+    /// Keys of the requests by request id; `None` once the request and all its attempts have ended.
     request_keys: Vec<Option<RequestKey>>,
     attempts: RefSlab<Attempt>,
-    /// The actions of a policy; a field so that its memory is reused.
+    /// Buffer for the actions of a policy, kept between events to reuse its memory.
     actions: Vec<Action>,
     checker: RuleChecker,
     metrics: Metrics,
-    /// Events so far.
+    /// Number of events handled so far.
     events: u64,
 }
 
 impl<'a> Simulation<'a> {
-    /// Creates a fleet whose proxies all hold the full endpoint list, before its first call.
+    /// Creates a fleet before its first call. Every proxy holds the full endpoint list.
     ///
     /// # Errors
-    /// Where the policy rejects its settings.
+    /// [`SettingsError`] if the policy rejects its settings.
     pub fn new(
         scenario: &'a FleetScenario,
         topology: &'a Topology,
@@ -179,7 +179,7 @@
         self.queue.push(0, SimulationEvent::UpdateProgress);
     }
 
-    /// Simulates the scenario to its end and until all requests have ended.
+    /// Runs the simulation until the deadlines of the last calls have passed.
     pub fn run(&mut self, progress: &ProgressBar) {
         let end = self.end();
         progress.set_length(end / MICROS_PER_MILLISECOND);
@@ -198,12 +198,14 @@
         }
     }
 
+    /// Returns the virtual time at which the simulation ends.
     fn end(&self) -> Micros {
         let timeouts = self.settings.classes.iter().map(|class| class.timeout);
         let longest_timeout = timeouts.max().unwrap_or_default();
-        seconds(self.scenario.duration_s) + longest_timeout + RUN_OUT
+        seconds(self.scenario.duration_s) + longest_timeout + TIME_AFTER_LAST_DEADLINE
     }
 
+    /// Dispatches an event to its handler.
     fn on_event(&mut self, now: Micros, event: SimulationEvent) {
         match event {
             SimulationEvent::CallArrives { process } => self.on_call_arrives(now, process),
@@ -216,7 +218,7 @@
                 self.on_client_disconnects(now, request)
             }
             SimulationEvent::AttemptReachesBackend { attempt } => {
-                self.on_reaches_backend(now, attempt)
+                self.on_attempt_reaches_backend(now, attempt)
             }
             SimulationEvent::WorkFinishes { attempt } => self.on_work_finishes(now, attempt),
             SimulationEvent::OutcomeReachesProxy { attempt } => {
@@ -233,17 +235,21 @@
             }
             SimulationEvent::DiscoveryProcesses => self.on_discovery_processes(now),
             SimulationEvent::WatchExpires(call) => self.on_watch_expires(now, call),
-            SimulationEvent::ResponseReachesProxy { response } => self.on_response(now, response),
+            SimulationEvent::ResponseReachesProxy { response } => {
+                self.on_response_reaches_proxy(now, response)
+            }
             SimulationEvent::CallTimeout(call) => self.on_call_timeout(now, call),
             SimulationEvent::DiscoveryDetects => self.on_discovery_detects(now),
             SimulationEvent::DiscoveryPublishes => self.on_discovery_publishes(now),
             SimulationEvent::FleetChanges { index } => self.on_fleet_change(now, index),
-            SimulationEvent::FrontLearnsState { proxy } => self.on_front_learns_state(proxy),
+            SimulationEvent::FrontDetectsProxyState { proxy } => {
+                self.on_front_detects_proxy_state(proxy)
+            }
             SimulationEvent::UpdateProgress => {}
         }
     }
 
-    /// Gives an event to a proxy's policy and applies the actions that it asks for.
+    /// Passes an event to the policy of a proxy and applies the resulting actions.
     fn notify_policy(&mut self, now: Micros, proxy: ProxyIndex, event: Event<'_>) {
         let mut actions = std::mem::take(&mut self.actions);
         let true_load: &dyn TrueLoad = &self.backends;
@@ -256,6 +262,7 @@
         self.actions = actions;
     }
 
+    /// Applies one action of a proxy's policy.
     fn apply(&mut self, now: Micros, proxy: ProxyIndex, action: Action) {
         match action {
             Action::Send {
@@ -272,7 +279,7 @@
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt),
             Action::SetTimer { after, token } => self.set_timer(proxy, after, token),
             Action::Subscribe => self.subscribe(proxy),
-            // Health checks are not permitted; connections are not emulated one by one.
+            // Health checks are not permitted, and single connections are not emulated.
             Action::HealthCheck(_) | Action::CloseIdleConnections(_) => {}
             Action::Log(event) => tracing::trace!(proxy = proxy.0, "{event}"),
         }
@@ -294,16 +301,17 @@
         }
     }
 
-    /// Returns whether a partition lies between two zones.
+    /// Returns whether a partition separates two zones.
     fn is_partitioned(&self, from: Zone, to: Zone) -> bool {
         self.partitioned && self.topology.region(from) != self.topology.region(to)
     }
 
-    /// Returns the key of a request that has not ended together with its attempts.
+    /// Returns the key of a request; `None` once the request and all its attempts have ended.
     fn request_key(&self, request: RequestId) -> Option<RequestKey> {
         self.request_keys.get(request.index()).copied().flatten()
     }
 
+    /// Drops a reference to a request; after the last one the request's id has no key any more.
     fn release_request(&mut self, request: RequestKey) {
         let TrackedRequest { id, call, .. } = self.requests[request];
         if self.requests.release(request) {
@@ -312,6 +320,7 @@
         }
     }
 
+    /// Drops a reference to an attempt; after the last one its reference to the request is dropped too.
     fn release_attempt(&mut self, attempt: AttemptKey) {
         let request = self.attempts[attempt].request;
         if self.attempts.release(attempt) {
@@ -319,7 +328,7 @@
         }
     }
 
-    /// Returns what was measured.
+    /// Returns the measurements of the run, under the name of its policy.
     #[must_use]
     pub fn report(&self, policy: &str) -> PolicyReport {
         let classes = self.scenario.classes.iter();
--- a/lab/src/fleet/simulation/setup.rs
+++ b/lab/src/fleet/simulation/setup.rs
@@ -1,4 +1,4 @@
-//! What a scenario means for the parts of the simulation.
+//! Conversion of a scenario to the settings of the simulation's parts.
 
 use crate::fleet::backend::{LOAD_REPORT_FIELDS, SlowStartModel};
 use crate::fleet::client::TrafficMix;
@@ -11,7 +11,7 @@
     DiscoveryMode, LoadReportFields, Permissions, SafetyLimits, Settings, Tenant, TenantIndex, Zone,
 };
 
-/// Returns the decision module's settings of proxy 0; the others differ in index and zone.
+/// Returns the policy settings of proxy 0; those of the other proxies differ in index and zone.
 pub(super) fn settings(
     scenario: &FleetScenario,
     topology: &Topology,
@@ -46,6 +46,7 @@
     }
 }
 
+/// Returns the quota of each tenant: a multiple of the tenant's usual traffic.
 fn tenant_quotas(scenario: &FleetScenario, traffic: &TrafficMix) -> Vec<Tenant> {
     let Some(tenants) = &scenario.tenants else {
         return Vec::new();
@@ -60,6 +61,7 @@
         .collect()
 }
 
+/// Returns what a proxy may do.
 fn permissions(scenario: &FleetScenario) -> Permissions {
     let permissions = &scenario.permissions;
     Permissions {
@@ -73,6 +75,7 @@
     }
 }
 
+/// Returns the parameters of the safety rules.
 fn safety_limits(scenario: &FleetScenario) -> SafetyLimits {
     let safety = &scenario.safety;
     SafetyLimits {
@@ -84,6 +87,7 @@
     }
 }
 
+/// Returns the slow start of the backends and the load at which they collapse.
 pub(super) fn slow_start_model(scenario: &FleetScenario) -> SlowStartModel {
     let safety = &scenario.safety;
     SlowStartModel {
@@ -95,6 +99,7 @@
     }
 }
 
+/// Returns the limits that the rule checker applies.
 pub(super) fn rule_limits(scenario: &FleetScenario) -> RuleLimits {
     RuleLimits {
         max_attempts: scenario.permissions.max_attempts,
@@ -103,6 +108,7 @@
     }
 }
 
+/// Returns empty metrics for a run of the scenario.
 pub(super) fn metrics(scenario: &FleetScenario, topology: &Topology) -> Metrics {
     Metrics::new(
         seconds(scenario.duration_s),
