--- a/lab/src/fleet/events.rs
+++ b/lab/src/fleet/events.rs
@@ -1,19 +1,20 @@
-//! The event queue: what happens next in virtual time.
+//! The event queue of the simulation, ordered by virtual time.
 //!
-//! Events of the same time come in the order in which they were pushed, so that a run depends on its seed
-//! alone. The near future is a binary heap; later events wait in the buckets of a wheel, unsorted, until their
-//! bucket is near. Pushing costs constant time for most events, however many deadlines are pending.
+//! Events of the same time are popped in the order in which they were pushed, so that a run depends only on its
+//! scenario and seed. Events of the current bucket are kept in a binary heap. Later events are kept unsorted in the
+//! buckets of a timing wheel, and those beyond the wheel's horizon in a second heap. Most events are therefore pushed
+//! in constant time, however many deadlines are pending.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use tillerproxy::api::Micros;
 
-/// Width of a bucket, as a power of two: 512 us.
+/// Width of a bucket as an exponent of two: 512 microseconds.
 const BUCKET_BITS: u32 = 9;
-/// Number of buckets: a horizon of 8.4 s.
+/// Number of buckets of the wheel: a horizon of 8.4 seconds.
 const BUCKETS: usize = 1 << 14;
 
-/// An event with its time and its rank among those of the same time.
+/// A pending event with its time, and a sequence number that orders events of the same time.
 #[derive(Clone, Copy, Debug)]
 struct Entry<T> {
     at: Micros,
@@ -36,31 +37,35 @@
 }
 
 impl<T> Ord for Entry<T> {
-    /// The earliest is the greatest: `BinaryHeap` pops the greatest.
+    /// Orders the earliest entry as the greatest, because `BinaryHeap` pops the greatest.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// A queue of events, earliest first, first pushed first among those of the same time.
+/// A queue that pops the earliest event first, and events of the same time in the order of their pushes.
 #[derive(Debug)]
 pub struct EventQueue<T> {
+    /// Time of the event popped last.
     now: Micros,
+    /// Sequence number of the next event to be pushed.
     sequence: u64,
-    /// Events of the current bucket and before.
+    /// Events of the current bucket and earlier ones.
     near: BinaryHeap<Entry<T>>,
-    /// The number of the current bucket, counted from time 0.
+    /// Number of the current bucket, counted from time 0.
     bucket: u64,
+    /// Events within the wheel's horizon, by bucket number modulo the number of buckets.
     wheel: Vec<Vec<Entry<T>>>,
+    /// Number of events in the wheel.
     in_wheel: usize,
-    /// Empty vectors of buckets that have passed: they keep their memory for others.
+    /// Emptied vectors of past buckets, kept so that later buckets reuse their memory.
     spare: Vec<Vec<Entry<T>>>,
     /// Events beyond the wheel's horizon.
     far: BinaryHeap<Entry<T>>,
 }
 
 impl<T: Copy> EventQueue<T> {
-    /// An empty queue at time 0.
+    /// Creates an empty queue at time 0.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -75,25 +80,25 @@
         }
     }
 
-    /// The time of the event popped last.
+    /// Returns the time of the event popped last.
     #[must_use]
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// How many events are pending.
+    /// Returns the number of pending events.
     #[must_use]
     pub fn len(&self) -> usize {
         self.near.len() + self.in_wheel + self.far.len()
     }
 
-    /// Whether no event is pending.
+    /// Returns whether no event is pending.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Adds an event; one whose time has passed happens now.
+    /// Adds an event. A time in the past is replaced by the present time.
     pub fn push(&mut self, at: Micros, event: T) {
         let at = at.max(self.now);
         let entry = Entry {
@@ -117,12 +122,12 @@
         }
     }
 
-    /// Adds an event that happens after a span from now.
-    pub fn push_after(&mut self, span: Micros, event: T) {
-        self.push(self.now.saturating_add(span), event);
+    /// Adds an event that happens `delay` after the present time.
+    pub fn push_after(&mut self, delay: Micros, event: T) {
+        self.push(self.now.saturating_add(delay), event);
     }
 
-    /// The next event and its time, which is the queue's present from then on.
+    /// Removes and returns the next event with its time, which becomes the present time of the queue.
     pub fn pop(&mut self) -> Option<(Micros, T)> {
         while self.near.is_empty() {
             if self.is_empty() {
@@ -135,7 +140,7 @@
         Some((entry.at, entry.event))
     }
 
-    /// Moves to the next bucket, or to the next one that holds anything where the wheel is empty.
+    /// Moves to the next bucket, or directly to the bucket of the next far event if the wheel is empty.
     fn advance(&mut self) {
         let next_far = self.far.peek().map(|entry| entry.at >> BUCKET_BITS);
         self.bucket = match next_far {
--- a/lab/src/fleet/faults.rs
+++ b/lab/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! The timeline's events, expanded into single changes of single machines.
+//! The fault schedule: the events of the timeline, expanded into single changes of single machines.
 
 use super::client::TrafficShift;
 use super::ids::{ProxyIndex, Rack};
@@ -17,33 +17,33 @@
 pub enum FleetChange {
     /// A backend begins to drain.
     DrainBackend(BackendId),
-    /// A backend's process or machine fails and is in this state from then on.
+    /// The process or machine of a backend fails; the process is in this state afterwards.
     StopBackend(BackendId, ProcessState),
-    /// A backend starts again if it is still in the state in which it was stopped.
+    /// A backend starts again, if its process is still in this state.
     StartBackend(BackendId, ProcessState),
-    /// A backend works so many times slower than usual; 1 ends it.
+    /// A backend works slower than usual by this factor; a factor of 1 restores its usual speed.
     SlowBackend(BackendId, f64),
-    /// A backend accepts requests and answers none.
+    /// A backend hangs: it accepts requests and answers none.
     HangBackend(BackendId),
     /// A hung backend answers again.
     ResumeBackend(BackendId),
     /// A backend's endpoint changes without a change of readiness.
     RepublishBackend(BackendId),
-    /// A proxy's process or machine fails and is in this state from then on.
+    /// The process or machine of a proxy fails; the process is in this state afterwards.
     StopProxy(ProxyIndex, ProcessState),
     /// A stopped proxy starts again.
     StartProxy(ProxyIndex),
-    /// No message passes between regions from now on.
+    /// The regions are partitioned: messages between regions are dropped.
     PartitionRegions,
-    /// Messages pass between regions again.
+    /// The partition ends: messages between regions are delivered again.
     HealPartition,
-    /// Discovery goes down.
+    /// Discovery stops: watches end and calls fail.
     StopDiscovery,
     /// Discovery answers again.
     StartDiscovery,
-    /// A proxy's watch stalls.
+    /// The standing watch of a proxy stalls.
     StallWatch(ProxyIndex),
-    /// A tenant's surge begins: its index in [`FaultSchedule::surges`].
+    /// A tenant's surge begins, given by its index in [`FaultSchedule::surges`].
     BeginSurge(u32),
     /// A traffic shift begins.
     BeginShift(TrafficShift),
@@ -51,37 +51,37 @@
     EndShift(TrafficShift),
 }
 
-/// A change and its time.
+/// A change to the fleet and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledChange {
-    /// When it happens.
+    /// Time of the change.
     pub at: Micros,
-    /// What happens.
+    /// The change.
     pub change: FleetChange,
 }
 
-/// A surge of one tenant.
+/// A surge: a tenant sends a multiple of its usual traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Surge {
-    /// Which tenant.
+    /// The tenant.
     pub tenant: TenantIndex,
-    /// When it ends.
+    /// End of the surge.
     pub until: Micros,
-    /// How many times its usual traffic.
+    /// The tenant's traffic as a multiple of its usual traffic.
     pub multiple: f64,
 }
 
-/// All changes of a run, in the order of the timeline.
+/// All changes of a run.
 #[derive(Debug, Default)]
 pub struct FaultSchedule {
-    /// The changes, not sorted by time.
+    /// The changes in the order of the timeline, not sorted by time.
     pub changes: Vec<ScheduledChange>,
-    /// The surges, by index.
+    /// The surges, which [`FleetChange::BeginSurge`] refers to by index.
     pub surges: Vec<Surge>,
 }
 
 impl FaultSchedule {
-    /// Expands a scenario's timeline; which machines it affects depends on the seed alone.
+    /// Expands the timeline of a scenario. The affected machines depend only on the scenario and the seed.
     #[must_use]
     pub fn new(scenario: &FleetScenario, topology: &Topology, seed: u64) -> Self {
         let mut schedule = Self::default();
@@ -98,12 +98,12 @@
     }
 }
 
-/// Expands one event of the timeline.
+/// The expansion of one event of the timeline.
 struct EventExpansion<'a> {
     schedule: &'a mut FaultSchedule,
     topology: &'a Topology,
     random: SmallRng,
-    /// When the event begins.
+    /// Time at which the event begins.
     at: Micros,
 }
 
@@ -126,17 +126,18 @@
         }
     }
 
+    /// Adds a change to the schedule.
     fn push(&mut self, at: Micros, change: FleetChange) {
         self.schedule.changes.push(ScheduledChange { at, change });
     }
 
-    /// Draws a part of the backends, in random order.
+    /// Draws a fraction of the backends, in random order.
     fn sample_backends(&mut self, fraction: f64) -> Vec<BackendId> {
         let numbers = sample(self.topology.machines.len(), fraction, &mut self.random);
         numbers.into_iter().map(BackendId).collect()
     }
 
-    /// Draws a part of the proxies, in random order.
+    /// Draws a fraction of the proxies, in random order.
     fn sample_proxies(&mut self, fraction: f64) -> Vec<ProxyIndex> {
         let indices = sample(self.topology.proxies.len(), fraction, &mut self.random);
         indices
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Stops backends when the event begins and starts them again after a time, if they return.
+    /// Stops backends when the event begins, and starts them again `return_after_s` later, if it is given.
     fn stop_backends(
         &mut self,
         backends: &[BackendId],
@@ -284,7 +285,7 @@
     }
 }
 
-/// Draws a part of the numbers below `count`, in random order.
+/// Draws a fraction of the numbers below `count`, in random order.
 fn sample(count: usize, fraction: f64, random: &mut SmallRng) -> Vec<u32> {
     let mut numbers: Vec<u32> = (0..count as u32).collect();
     numbers.shuffle(random);
@@ -292,7 +293,7 @@
     numbers
 }
 
-/// Gives each item a time, evenly over a span that begins at `at`.
+/// Assigns each item a time, evenly spaced over `over_s` seconds from `at`.
 fn spread_over<T: Copy>(
     items: &[T],
     at: Micros,
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -1,12 +1,13 @@
-//! The `fleet` experiment: a whole fleet in virtual time.
+//! The `fleet` experiment: simulates a whole fleet of proxies, backends, clients and discovery in virtual time.
 //!
 //! Every proxy hosts the decision module with its own settings, state and seed. Backends, discovery, networks and
-//! clients are emulated by a discrete-event simulation that depends on its seed alone. Beside the module two
-//! baselines are simulated on the same arrivals and events.
+//! clients are emulated by a discrete-event simulation whose results depend only on the scenario and the seed. Two
+//! baselines are simulated on the same arrivals and events as the module.
 //!
-//! Not emulated are: processor time of the proxies, single connections and their setup, streamed responses, health
-//! checks, services (every backend serves every request), and the rule that a proxy which has not polled for long
-//! counts as informed: rules 3 and 4 go by what discovery has in fact sent it.
+//! The simulation leaves out the processor time of the proxies, single connections and their setup, streamed
+//! responses, health checks, and services (every backend serves every request). A proxy that has not polled for long
+//! does not count as informed: rule 3 (draining) and rule 4 (slow start) are checked against what discovery has sent
+//! to the proxy.
 
 pub mod backend;
 pub mod client;
@@ -45,40 +46,42 @@
 use std::time::Instant;
 use topology::Topology;
 
-/// Options of `fleet`.
+/// Options of the `fleet` command.
 #[derive(Args, Clone, Debug)]
 pub struct FleetOptions {
     /// Scenario file (TOML).
     pub scenario: PathBuf,
-    /// The policies to simulate.
+    /// Policies to simulate, separated by commas.
     #[arg(
         long,
         value_delimiter = ',',
         default_value = "module,random,two-choices"
     )]
     pub policies: Vec<PolicyKind>,
-    /// How long clients send requests, in place of the scenario's `duration_s`.
+    /// Time for which clients send requests, instead of the scenario's `duration_s`.
     #[arg(long, value_name = "SECONDS")]
     pub duration_s: Option<f64>,
-    /// Shrinks proxies, backends and load by this factor.
+    /// Factor by which the numbers of proxies and backends are multiplied; the load follows the capacity.
     #[arg(long, value_name = "FACTOR")]
     pub scale: Option<f64>,
-    /// File that the time series is drawn to (SVG).
+    /// File to which the time series is drawn (SVG).
     #[arg(long, value_name = "FILE")]
     pub plot: Option<PathBuf>,
     #[command(flatten)]
     common: CommonOptions,
 }
 
-/// Runs the experiment.
+/// Runs the experiment: prints the result as a table, and writes the files that the options name.
 ///
 /// # Errors
-/// [`LabError::Scenario`] for a scenario that makes no sense, [`LabError::Unwritable`] for a result that
-/// can't be written.
+/// - [`LabError::Unreadable`] if the scenario file can't be read
+/// - [`LabError::Scenario`] if the scenario is invalid, also after the options have changed it
+/// - [`LabError::Settings`] and [`LabError::Panicked`] as [`simulate`]
+/// - [`LabError::Unwritable`] if a result file can't be written
 pub fn run(options: &FleetOptions) -> Result<(), LabError> {
     let scenario = read_scenario(options)?;
     let seed = options.common.seed;
-    // Before the simulation: the checkout may have moved on when it ends.
+    // Read before the simulation: the checkout may have changed by its end.
     let run = options.common.run_info("fleet");
     let measured = simulate(&scenario, &options.policies, seed, options.common.quiet)?;
     println!("{measured}");
@@ -96,7 +99,7 @@
     Ok(())
 }
 
-/// Reads the scenario and applies the options that change it.
+/// Reads the scenario, applies the options that change it, and checks the changed scenario.
 fn read_scenario(options: &FleetOptions) -> Result<FleetScenario, LabError> {
     let mut scenario: FleetScenario = crate::scenario::read(&options.scenario)?;
     if let Some(factor) = options.scale {
@@ -115,6 +118,7 @@
     Ok(scenario)
 }
 
+/// Checks that the option `--scale` is finite and above 0.
 fn check_scale(factor: f64) -> Result<(), LabError> {
     if factor.is_finite() && factor > 0.0 {
         return Ok(());
@@ -126,10 +130,10 @@
     })
 }
 
-/// Simulates a scenario under each policy, each on a thread of its own.
+/// Simulates a scenario under each policy, each on a thread of its own. `quiet` hides the progress bars.
 ///
 /// # Errors
-/// [`LabError::Settings`] where a policy rejects its settings, [`LabError::Panicked`] where its thread panics.
+/// [`LabError::Settings`] if a policy rejects its settings, [`LabError::Panicked`] if its thread panics.
 pub fn simulate(
     scenario: &FleetScenario,
     policies: &[PolicyKind],
@@ -176,6 +180,7 @@
         .with_prefix(policy.to_string())
 }
 
+/// Simulates a scenario under one policy, with its progress shown by `bar`.
 fn simulate_policy(
     scenario: &FleetScenario,
     topology: &Topology,
--- a/lab/src/fleet/process.rs
+++ b/lab/src/fleet/process.rs
@@ -1,12 +1,12 @@
-//! Whether an emulated process runs.
+//! The state of an emulated process.
 
-/// Whether the process of a backend or proxy runs, and how its peers notice that it does not.
+/// Whether the process of a backend or proxy runs, and what peers observe if it does not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It runs.
+    /// The process runs.
     Running,
-    /// It crashed: connections are refused, established ones were reset.
+    /// The process crashed: established connections were reset, and new ones are refused.
     Crashed,
-    /// Its machine is down: nothing answers.
+    /// The machine is down: peers get no answer at all.
     Unreachable,
 }
--- a/lab/src/fleet/random.rs
+++ b/lab/src/fleet/random.rs
@@ -1,22 +1,22 @@
-//! Random streams, one for each concern, so that what one draws does not change what another gets.
+//! Independent streams of random numbers, one for each purpose: draws from one stream do not affect another.
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// What a stream of random numbers is for.
+/// Purpose of a stream of random numbers.
 #[derive(Clone, Copy, Debug)]
 pub enum Stream {
-    /// Arrivals of calls, with their classes, tenants, work and choices.
+    /// Arrivals of calls, with their classes, tenants, work and selection of proxies.
     Arrivals,
-    /// Retries of clients.
+    /// Retries of clients: backoff and selection of proxies.
     Clients,
-    /// Latencies of the network.
+    /// Jitter of network latencies.
     Network,
-    /// Speeds of the machines, traffic of the proxies.
+    /// Types and speeds of the machines, traffic of the proxies.
     Topology,
-    /// Machines that the timeline's events affect.
+    /// Selection of the machines that an event of the timeline affects.
     Faults,
-    /// Seeds of the proxies.
+    /// Seeds of the proxies, and the age of their watches at the start.
     Proxies,
 }
 
@@ -24,7 +24,7 @@
 /// generators").
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Returns the generator of one concern, or of the `index`th part of it.
+/// Returns the random number generator of a stream. `index` tells several generators of the same purpose apart.
 #[must_use]
 pub fn stream(seed: u64, stream: Stream, index: u64) -> SmallRng {
     let mixed_seed = mix(seed.wrapping_add(GOLDEN_GAMMA));
--- a/lab/src/fleet/request.rs
+++ b/lab/src/fleet/request.rs
@@ -1,4 +1,4 @@
-//! Requests and attempts as the emulation tracks them, outside of the policies.
+//! Requests and attempts as the simulation tracks them, independently of the policies.
 
 use super::backend::LoadReport;
 use super::client::ClientCall;
@@ -19,62 +19,62 @@
 /// Whether an attempt was executed, as far as its proxy knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AttemptState {
-    /// It has no outcome yet.
+    /// The attempt has no outcome yet.
     #[default]
     InFlight,
-    /// Its outcome proves that it was not executed.
+    /// The outcome proves that the attempt was not executed.
     NotExecuted,
-    /// It may have been executed.
+    /// The outcome leaves open whether the attempt was executed.
     MaybeExecuted,
 }
 
-/// An attempt as the safety rules see it.
+/// An attempt of a request, as far as the safety rules need it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SentAttempt {
-    /// Where it went.
+    /// Backend that the attempt was sent to.
     pub backend: BackendId,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Micros,
-    /// Whether it was executed.
+    /// Whether the attempt was executed, as far as its proxy knows.
     pub state: AttemptState,
-    /// Its key in the table of attempts.
+    /// Key of the attempt in the simulation's slab.
     pub key: AttemptKey,
 }
 
-/// Whether a client waits for the answer to a request.
+/// Whether a client still waits for the answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
     /// The client waits.
     Pending,
     /// The request has its final answer.
     Answered,
-    /// The client stopped waiting before an answer.
+    /// The client stopped waiting before an answer arrived.
     Abandoned,
 }
 
-/// One attempt of a client, as a request to a proxy.
+/// A request to a proxy: one attempt of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct TrackedRequest {
-    /// Its id, new with each attempt of the client.
+    /// Id of the request; each attempt of a client has a new one.
     pub id: RequestId,
-    /// The call that it belongs to.
+    /// Call that the request belongs to.
     pub call: CallKey,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassIndex,
-    /// The proxy that it goes to.
+    /// Proxy that the request is sent to.
     pub proxy: ProxyIndex,
-    /// The incarnation of the proxy that accepted it, once one has.
+    /// Incarnation of the proxy that accepted the request; `None` before it is accepted.
     pub accepted_by: Option<u32>,
-    /// When the client gives it up.
+    /// Time at which the client stops waiting.
     pub deadline: Micros,
-    /// Whether the client waits for its answer.
+    /// Whether the client still waits for the answer.
     pub state: RequestState,
     attempts: [SentAttempt; MAX_TRACKED_ATTEMPTS as usize],
     attempt_count: u8,
 }
 
 impl TrackedRequest {
-    /// Creates a request on its way to a proxy.
+    /// Creates a request that is on its way to a proxy and has no attempt.
     #[must_use]
     pub fn new(
         id: RequestId,
@@ -102,13 +102,13 @@
         self.state == RequestState::Pending
     }
 
-    /// Returns whether it has its final answer.
+    /// Returns whether the request has its final answer.
     #[must_use]
     pub fn is_answered(&self) -> bool {
         self.state == RequestState::Answered
     }
 
-    /// Notes that the client has stopped waiting, unless it has its answer.
+    /// Records that the client has stopped waiting, unless the request is already answered.
     pub fn abandon(&mut self) {
         if self.is_pending() {
             self.state = RequestState::Abandoned;
@@ -121,12 +121,12 @@
         &self.attempts[..usize::from(self.attempt_count)]
     }
 
-    /// Returns the attempts so far, mutable.
+    /// Returns the attempts so far for modification.
     pub fn attempts_mut(&mut self) -> &mut [SentAttempt] {
         &mut self.attempts[..usize::from(self.attempt_count)]
     }
 
-    /// Adds an attempt; returns its number, or `None` where there are as many as can be tracked.
+    /// Adds an attempt and returns its number; `None` if [`MAX_TRACKED_ATTEMPTS`] are already tracked.
     pub fn add_attempt(&mut self, attempt: SentAttempt) -> Option<u16> {
         let number = self.attempt_count;
         let entry = self.attempts.get_mut(usize::from(number))?;
@@ -152,31 +152,31 @@
     }
 }
 
-/// An attempt on its way, at a backend, or on its way back.
+/// An attempt on its way to a backend, at the backend, or on its way back.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Its request.
+    /// Request that the attempt belongs to.
     pub request: RequestKey,
-    /// The proxy that sent it.
+    /// Proxy that sent the attempt.
     pub proxy: ProxyIndex,
-    /// The incarnation of that proxy.
+    /// Incarnation of the proxy that sent the attempt.
     pub incarnation: u32,
-    /// Where it goes.
+    /// Backend that the attempt is sent to.
     pub backend: BackendId,
-    /// Its number among the request's attempts.
+    /// Number of the attempt among those of its request, from 0.
     pub number: u16,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Micros,
-    /// Work, microseconds on a core of speed 1.
+    /// Work of the attempt, microseconds on a core of speed 1.
     pub work: f64,
-    /// How long a core takes, once one has started.
+    /// Time for which a core works on the attempt; 0 until a core has started.
     pub service_time: Micros,
-    /// The outcome on its way back.
+    /// Outcome that is on its way back to the proxy.
     pub outcome: Outcome,
-    /// The load report on its way back.
+    /// Load report that is on its way back to the proxy.
     pub load_report: LoadReport,
-    /// Whether the proxy has its outcome.
+    /// Whether the attempt has ended for its proxy: the outcome has arrived, or the attempt has timed out.
     pub ended: bool,
-    /// Whether its backend stopped while it held it: the scheduled end of its work is void.
+    /// Whether the backend stopped while it held the attempt; the scheduled end of its work is then ignored.
     pub lost: bool,
 }
--- a/lab/src/fleet/rules.rs
+++ b/lab/src/fleet/rules.rs
@@ -1,10 +1,12 @@
-//! The four safety rules, checked from outside the policies.
+//! A checker of the four safety rules, independent of the policies.
 //!
-//! 1. Each request that a running proxy accepts gets one final answer, no later than its client gives up.
-//! 2. What may have been executed is repeated or rejected only as its class allows; two attempts are never in
-//!    flight at once.
-//! 3. Nothing new goes to a backend some seconds after the proxy was informed that it drains or was removed.
-//! 4. Proxies that were informed of a backend's start never make it collapse during its slow start.
+//! 1. One final answer: each request that a running proxy accepts gets one final answer before its client stops
+//!    waiting.
+//! 2. Idempotency: a request that may have been executed is repeated or rejected only as its class allows, and two
+//!    attempts are in flight at once only if hedging is permitted.
+//! 3. Draining: a proxy sends nothing new to a backend after a grace period, which begins when the proxy is informed
+//!    that the backend drains or was removed.
+//! 4. Slow start: proxies that were informed of a backend's start never make it collapse during its slow start.
 
 use super::backend::Collapse;
 use super::proxy::KnownBackend;
@@ -13,16 +15,16 @@
 use serde::Serialize;
 use tillerproxy::api::{Class, Idempotency, KeyScope, Micros};
 
-/// A collapse counts against the proxies where this part of the load came from those informed of the start.
+/// A collapse counts as a violation if at least this fraction of the load came from proxies informed of the start.
 const INFORMED_FRACTION_AT_FAULT: f64 = 2.0 / 3.0;
 
-/// How rule 1 was kept.
+/// Counts for rule 1 (one final answer).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct FinalAnswerCounts {
-    /// Requests that running proxies accepted.
+    /// Requests accepted by running proxies.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Requests without an answer by the client's deadline.
+    /// Accepted requests without an answer by the client's deadline.
     #[serde(rename = "lost")]
     pub unanswered: u64,
     /// Answers and sends after the final answer.
@@ -30,12 +32,12 @@
     pub after_final_answer: u64,
 }
 
-/// How rule 2 was kept.
+/// Counts for rule 2 (idempotency).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RepeatCounts {
-    /// Attempts after the first one of a request.
+    /// Attempts after the first attempt of a request.
     pub repeats: u64,
-    /// Repeats of a request that is not idempotent and may have been executed.
+    /// Repeats of a non-idempotent request that may have been executed.
     #[serde(rename = "unsafe_repeats")]
     pub non_idempotent_repeats: u64,
     /// Repeats of a keyed request after its key expired.
@@ -44,59 +46,60 @@
     /// Repeats of a keyed request outside the scope of its key.
     #[serde(rename = "outside_group")]
     pub outside_key_scope: u64,
-    /// Sends while another attempt was in flight.
+    /// Attempts sent while another attempt of the same request was in flight, although hedging is not permitted.
     #[serde(rename = "two_out")]
     pub concurrent_attempts: u64,
-    /// Sends beyond the attempts that are allowed.
+    /// Attempts sent beyond the maximum number of attempts.
     #[serde(rename = "too_many")]
     pub over_max_attempts: u64,
-    /// Rejections of what may have been executed and must not be repeated.
+    /// Rejections of requests that may have been executed and must not be repeated.
     #[serde(rename = "refused_after_effect")]
     pub rejected_after_execution: u64,
 }
 
-/// How rule 3 was kept.
+/// Counts for rule 3 (draining).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DrainCounts {
-    /// Sends to a backend that the proxy knew to drain or to be removed, those within the grace included.
+    /// Attempts sent to a backend that the proxy knew to be draining or removed, including those within the grace
+    /// period.
     #[serde(rename = "sends_to_barred")]
     pub sends_to_unavailable: u64,
-    /// Those after the grace.
+    /// Attempts sent to such a backend after the grace period.
     pub after_grace: u64,
 }
 
-/// How rule 4 was kept.
+/// Counts for rule 4 (slow start).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct SlowStartCounts {
-    /// Starts of backends.
+    /// Starts of backends during the run.
     pub starts: u64,
     /// Backends that collapsed during their slow start.
     #[serde(rename = "fallen")]
     pub collapses: u64,
-    /// Those that collapsed by the load of proxies informed of the start.
+    /// Backends that collapsed under the load of proxies informed of their start.
     #[serde(rename = "fallen_by_informed")]
     pub collapses_by_informed: u64,
-    /// The greatest load on one that collapsed, as a multiple of what it could bear.
+    /// Greatest load on a collapsed backend, as a multiple of the load limit.
     pub worst_load: f64,
 }
 
-/// The figures of all rules.
+/// Counts for all rules.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RuleCounts {
-    /// Rule 1.
+    /// Rule 1 (one final answer).
     pub final_answers: FinalAnswerCounts,
-    /// Rule 2.
+    /// Rule 2 (idempotency).
     #[serde(rename = "effects")]
     pub repeats: RepeatCounts,
-    /// Rule 3.
+    /// Rule 3 (draining).
     pub drains: DrainCounts,
-    /// Rule 4.
+    /// Rule 4 (slow start).
     #[serde(rename = "cold_backends")]
     pub slow_starts: SlowStartCounts,
 }
 
 impl RuleCounts {
-    /// Returns how often each rule was violated, in their order.
+    /// Returns the number of violations of each rule, in the order of the rules.
     #[must_use]
     pub fn violations(&self) -> [u64; 4] {
         let answers = &self.final_answers;
@@ -113,42 +116,43 @@
     }
 }
 
-/// What the rules allow.
+/// Limits that the rules apply.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleLimits {
-    /// Attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u16,
     /// Whether two attempts may be in flight at once.
     pub hedging: bool,
-    /// How long after it was informed a proxy may still send to a backend that drains or was removed.
+    /// Grace period of rule 3: time for which a proxy may still send to a backend after it was informed that the
+    /// backend drains or was removed.
     pub drain_grace: Micros,
 }
 
-/// An attempt that is about to be sent, and what its proxy knows.
+/// An attempt that is about to be sent, and what its proxy knows of the backend.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingSend<'a> {
-    /// The present time.
+    /// Present time.
     pub now: Micros,
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: &'a TrackedRequest,
-    /// Its class.
+    /// Class of the request.
     pub class: &'a Class,
-    /// The machine that it goes to.
+    /// Machine of the backend that the attempt is sent to.
     pub target: &'a Machine,
-    /// What the proxy knows of that backend.
+    /// What the proxy knows of the backend.
     pub known_backend: &'a KnownBackend,
 }
 
-/// Counts violations of the rules.
+/// Checks the actions of the proxies and counts violations of the rules.
 #[derive(Debug)]
 pub struct RuleChecker {
     limits: RuleLimits,
-    /// The figures so far.
+    /// Counts so far.
     pub counts: RuleCounts,
 }
 
 impl RuleChecker {
-    /// Creates a checker that has counted nothing.
+    /// Creates a checker with all counts at 0.
     #[must_use]
     pub fn new(limits: RuleLimits) -> Self {
         Self {
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Checks an attempt that is about to be sent. `machine_of` returns the machine of an earlier one.
+    /// Checks an attempt that is about to be sent. `machine_of` returns the machine of an earlier attempt.
     pub fn on_send(&mut self, send: PendingSend<'_>, machine_of: impl Fn(&SentAttempt) -> Machine) {
         if send.request.is_answered() {
             self.counts.final_answers.after_final_answer += 1;
@@ -176,6 +180,7 @@
         }
     }
 
+    /// Checks the number of attempts and hedging.
     fn check_attempt_limits(&mut self, request: &TrackedRequest) {
         let attempts = request.attempts().len();
         let over_max_attempts = attempts >= usize::from(self.limits.max_attempts);
@@ -186,7 +191,7 @@
         counts.concurrent_attempts += u64::from(concurrent);
     }
 
-    /// Checks a repeat of an earlier attempt that may have been executed.
+    /// Checks an attempt that follows an earlier one which may have been executed.
     fn check_repeat(&mut self, send: &PendingSend<'_>, earlier: &SentAttempt, machine: &Machine) {
         let counts = &mut self.counts.repeats;
         match send.class.idempotency {
@@ -209,7 +214,7 @@
         self.counts.final_answers.accepted += 1;
     }
 
-    /// Checks a final answer that a proxy gives by itself.
+    /// Checks a final answer that a proxy gives itself; `rejected` tells whether it is a rejection.
     pub fn on_answer(
         &mut self,
         now: Micros,
@@ -225,12 +230,12 @@
         }
     }
 
-    /// Counts an action on a request that has ended together with its attempts.
+    /// Counts an action on a request that has ended with all its attempts.
     pub fn on_action_after_end(&mut self) {
         self.counts.final_answers.after_final_answer += 1;
     }
 
-    /// Counts a request whose deadline has passed without an answer of the proxy that accepted it.
+    /// Counts a request whose deadline has passed without an answer from the proxy that accepted it.
     pub fn on_unanswered(&mut self) {
         self.counts.final_answers.unanswered += 1;
     }
@@ -250,7 +255,7 @@
     }
 }
 
-/// Whether a client may retry a request without executing it twice.
+/// Returns whether a client may retry a request without executing it twice.
 fn is_retry_harmless(now: Micros, request: &TrackedRequest, class: &Class) -> bool {
     let Some(first) = request.first_maybe_executed() else {
         return true;
--- a/lab/src/fleet/slab.rs
+++ b/lab/src/fleet/slab.rs
@@ -1,17 +1,18 @@
-//! Storage for values that several pending events refer to; an entry is reused once nothing refers to it.
+//! A slab with reference counts, for values that several pending events refer to. An entry is reused after its last
+//! reference is released.
 
 use std::fmt;
 use std::marker::PhantomData;
 use std::ops::{Index, IndexMut};
 
-/// The key of a value of type `T` in a [`RefSlab`].
+/// Key of a value of type `T` in a [`RefSlab`].
 pub struct Key<T> {
     index: u32,
     value: PhantomData<fn() -> T>,
 }
 
 impl<T> Key<T> {
-    /// Makes the key of the entry at an index.
+    /// Creates the key of the entry at an index.
     #[must_use]
     pub const fn new(index: u32) -> Self {
         Self {
@@ -21,7 +22,7 @@
     }
 }
 
-// Derived implementations would demand the same traits of `T`.
+// Written out because derived implementations would require the same traits of `T`.
 impl<T> Clone for Key<T> {
     fn clone(&self) -> Self {
         *self
@@ -50,14 +51,14 @@
     }
 }
 
-/// A value and the number of references to it; free entries have none.
+/// A value and the number of references to it. A free entry has no reference and keeps its old value until reuse.
 #[derive(Debug)]
 struct Entry<T> {
     value: T,
     references: u32,
 }
 
-/// Values with keys that stay the same, each with a count of references.
+/// Reference-counted values with stable keys.
 #[derive(Debug)]
 pub struct RefSlab<T> {
     entries: Vec<Entry<T>>,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Stores a value with `references` references and returns its key.
+    /// Stores a value with an initial count of references and returns its key.
     pub fn insert(&mut self, value: T, references: u32) -> Key<T> {
         let entry = Entry { value, references };
         if let Some(key) = self.free.pop() {
@@ -85,12 +86,13 @@
         Key::new((self.entries.len() - 1) as u32)
     }
 
-    /// Adds a reference.
+    /// Adds a reference to a value.
     pub fn retain(&mut self, key: Key<T>) {
         self.entries[key.index as usize].references += 1;
     }
 
-    /// Drops a reference. The value may be replaced after the last one; returns whether it was the last.
+    /// Releases a reference to a value and returns whether it was the last one. After the last one the entry may be
+    /// reused for another value.
     pub fn release(&mut self, key: Key<T>) -> bool {
         let references = &mut self.entries[key.index as usize].references;
         *references -= 1;
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -1,18 +1,18 @@
 //! The result of a run as a table, one column for each policy.
 
 use super::report::{FleetReport, PolicyReport};
+use crate::units::{BYTES_PER_MEGABYTE, PERCENT};
 use std::fmt;
 
-/// Width of the table's first column.
+/// Width of the column of labels, characters.
 const LABEL_WIDTH: usize = 44;
-/// Width of a policy's column.
+/// Width of a policy's column, characters.
 const COLUMN_WIDTH: usize = 20;
-const BYTES_PER_MB: f64 = 1e6;
 /// Names of the safety rules, in their order.
 const RULE_NAMES: [&str; 4] = ["one final answer", "repeats", "drains", "slow starts"];
 
 impl FleetReport {
-    /// Writes a label and a value for each policy.
+    /// Writes one row of the table: a label, and the value of each policy.
     fn row(
         &self,
         f: &mut fmt::Formatter<'_>,
@@ -103,8 +103,8 @@
             format!("{}, {}", r.discovery.full_lists, r.discovery.endpoints)
         })?;
         self.row(f, "  MB in all, MB in the peak second", |r| {
-            let total_mb = r.discovery.bytes as f64 / BYTES_PER_MB;
-            let peak_mb = r.discovery.peak_second_bytes as f64 / BYTES_PER_MB;
+            let total_mb = r.discovery.bytes as f64 / BYTES_PER_MEGABYTE;
+            let peak_mb = r.discovery.peak_second_bytes as f64 / BYTES_PER_MEGABYTE;
             format!("{total_mb:.2}, {peak_mb:.2}")
         })?;
         self.row(f, "  bytes a second for one proxy: mean, peak", |r| {
@@ -128,12 +128,13 @@
     }
 }
 
-/// Formats a number of calls as a part of those offered.
+/// Formats a number of calls as a percentage of the calls offered.
 fn percentage(count: u64, report: &PolicyReport) -> String {
     let offered = report.calls.offered.max(1);
-    format!("{:.3}%", count as f64 * 100.0 / offered as f64)
+    format!("{:.3}%", count as f64 * PERCENT / offered as f64)
 }
 
+/// Formats a time in seconds, or `-` if there is none.
 fn optional_seconds(time_s: Option<f64>) -> String {
     time_s.map_or_else(|| "-".to_owned(), |time_s| format!("{time_s:.2}"))
 }
--- a/lab/src/fleet/topology.rs
+++ b/lab/src/fleet/topology.rs
@@ -1,4 +1,4 @@
-//! Where machines stand, how fast they are, and the network latencies between them.
+//! The location and speed of the machines, and the network latencies between them.
 
 use super::ids::{ProxyIndex, Rack, Region};
 use super::random::{Stream, stream};
@@ -9,55 +9,55 @@
 use rand_distr::{Distribution, Exp1, LogNormal};
 use tillerproxy::api::{BackendId, Cell, MachineType, Micros, Zone};
 
-/// A backend's machine.
+/// The machine of a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: Zone,
-    /// Its rack.
+    /// Rack of the machine, inside its zone.
     pub rack: Rack,
-    /// Its type.
+    /// Type of the machine.
     pub machine_type: MachineType,
-    /// Its cell.
+    /// Cell of the machine: its backends share their idempotency keys.
     pub cell: Cell,
-    /// Requests that it works on at once.
+    /// Number of cores: requests that the backend works on at the same time.
     pub cores: u16,
-    /// Speed of a core; 1 does a millisecond of work in a millisecond.
+    /// Speed of a core; at speed 1 a core does a millisecond of work in a millisecond.
     pub speed: f64,
 }
 
 impl Machine {
-    /// Returns the milliseconds of work that it does in a millisecond after its slow start.
+    /// Returns the capacity after the slow start: milliseconds of work done per millisecond.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         f64::from(self.cores) * self.speed
     }
 }
 
-/// Where a proxy stands.
+/// The location of a proxy and its traffic.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxyLocation {
-    /// Its zone.
+    /// Zone of the proxy.
     pub zone: Zone,
-    /// Its part of its zone's traffic, unscaled.
+    /// Weight of the proxy among the proxies of its zone in the distribution of clients.
     pub traffic_weight: f64,
 }
 
-/// Where all machines stand.
+/// The locations of all machines.
 #[derive(Clone, Debug)]
 pub struct Topology {
     /// Number of zones.
     pub zone_count: u16,
     /// Number of regions.
     pub region_count: u16,
-    /// Machines of the backends, by id.
+    /// Machines of the backends, by backend id.
     pub machines: Vec<Machine>,
-    /// Proxies, by index.
+    /// Locations of the proxies, by proxy index.
     pub proxies: Vec<ProxyLocation>,
 }
 
 impl Topology {
-    /// Places the machines of a scenario.
+    /// Places the machines of a scenario; speeds and traffic weights are drawn from the seed.
     #[must_use]
     pub fn new(scenario: &FleetScenario, seed: u64) -> Self {
         let mut random = stream(seed, Stream::Topology, 0);
@@ -88,7 +88,7 @@
         Region((u32::from(zone.0) * regions / zones) as u16)
     }
 
-    /// Returns the milliseconds of work that all backends do in a millisecond after their slow start.
+    /// Returns the capacity of all backends after their slow start: milliseconds of work done per millisecond.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         self.machines.iter().map(Machine::capacity).sum()
@@ -113,6 +113,7 @@
     }
 }
 
+/// Places the machine of a backend: zones, racks and cells in turn by id, type and speed at random.
 fn place_machine(scenario: &FleetScenario, id: BackendId, random: &mut SmallRng) -> Machine {
     let fleet = &scenario.fleet;
     let zones = u32::from(fleet.zones);
@@ -131,17 +132,17 @@
     }
 }
 
-/// Returns the index of the machine type that a number in 0..1 chooses.
+/// Returns the index of the machine type that a uniform draw in 0..1 selects.
 fn draw_machine_type(scenario: &FleetScenario, drawn: f64) -> usize {
     let machine_types = &scenario.machine_types;
     let total: f64 = machine_types
         .iter()
         .map(|machine_type| machine_type.backend_weight)
         .sum();
-    let mut rest = drawn * total;
+    let mut remaining = drawn * total;
     for (index, machine_type) in machine_types.iter().enumerate() {
-        rest -= machine_type.backend_weight;
-        if rest < 0.0 {
+        remaining -= machine_type.backend_weight;
+        if remaining < 0.0 {
             return index;
         }
     }
@@ -152,9 +153,9 @@
 #[derive(Debug)]
 pub struct Latencies {
     zone_count: usize,
-    /// Microseconds without jitter, a row for each zone that sends.
-    by_pair: Vec<f64>,
-    /// Mean of the jitter, as a part of the latency.
+    /// Latencies without jitter in microseconds, one row for each sending zone.
+    by_zone_pair: Vec<f64>,
+    /// Mean of the jitter, as a fraction of the latency.
     jitter: f64,
     random: SmallRng,
 }
@@ -163,34 +164,35 @@
     /// Creates the latencies of a topology.
     #[must_use]
     pub fn new(topology: &Topology, network: &NetworkSettings, seed: u64) -> Self {
-        let mut by_pair = Vec::new();
+        let mut by_zone_pair = Vec::new();
         for from in 0..topology.zone_count {
             for to in 0..topology.zone_count {
                 let latency_ms = latency_ms(topology, network, Zone(from), Zone(to));
-                by_pair.push(milliseconds(latency_ms) as f64);
+                by_zone_pair.push(milliseconds(latency_ms) as f64);
             }
         }
         Self {
             zone_count: usize::from(topology.zone_count),
-            by_pair,
+            by_zone_pair,
             jitter: network.jitter,
             random: stream(seed, Stream::Network, 0),
         }
     }
 
-    /// Draws the time that a message takes from one zone to another.
+    /// Draws the one-way latency of a message from one zone to another.
     pub fn draw(&mut self, from: Zone, to: Zone) -> Micros {
-        let latency = self.by_pair[from.index() * self.zone_count + to.index()];
+        let latency = self.by_zone_pair[from.index() * self.zone_count + to.index()];
         self.with_jitter(latency)
     }
 
-    /// Adds jitter to a latency in microseconds.
+    /// Adds exponentially distributed jitter to a latency in microseconds.
     pub fn with_jitter(&mut self, latency: f64) -> Micros {
         let drawn: f64 = self.random.sample(Exp1);
         (latency * (1.0 + self.jitter * drawn)) as Micros
     }
 }
 
+/// Returns the one-way latency between two zones without jitter, in milliseconds.
 fn latency_ms(topology: &Topology, network: &NetworkSettings, from: Zone, to: Zone) -> f64 {
     if from == to {
         network.same_zone_ms
