--- a/lab/src/fleet/discovery/endpoint_list.rs
+++ b/lab/src/fleet/discovery/endpoint_list.rs
@@ -1,36 +1,54 @@
-//! The endpoint list with its revisions and a history of changes.
+//! The published endpoint list with its revisions and a history of changes.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 use tillerproxy::api::{Backend, BackendId, Readiness};
 
-/// A version of the list; each changed endpoint raises it by one.
+/// Revision of the endpoint list. Each changed endpoint increases it by one.
 pub type Revision = u64;
 
-/// What brings a proxy's list up to date.
+/// An update of a proxy's endpoint list: the full list, or the endpoints that changed.
 #[derive(Clone, Debug)]
 pub struct ListUpdate {
-    /// The revision that it leads to.
+    /// Revision of the list after the update.
     pub revision: Revision,
-    /// Whether `endpoints` is the full list; otherwise it holds those that changed.
+    /// Whether `endpoints` is the full list; otherwise it holds only changed endpoints.
     pub complete: bool,
-    /// The endpoints, perhaps none.
+    /// The endpoints; empty if nothing changed.
     pub endpoints: Arc<[Backend]>,
 }
 
-/// The published endpoints.
+/// Endpoints of the latest response of one kind, which further responses share.
+#[derive(Debug)]
+struct CachedEndpoints {
+    /// Revision that identifies the response: the known revision of a delta, or the revision of a full list.
+    revision: Revision,
+    endpoints: Arc<[Backend]>,
+}
+
+impl CachedEndpoints {
+    /// Returns the cached endpoints if they belong to this revision.
+    fn at(cached: Option<&Self>, revision: Revision) -> Option<Arc<[Backend]>> {
+        cached
+            .filter(|cached| cached.revision == revision)
+            .map(|cached| cached.endpoints.clone())
+    }
+}
+
+/// The published endpoint list.
 #[derive(Debug)]
 pub(super) struct EndpointList {
-    /// By backend id, removed ones included.
+    /// Endpoints by backend id, including removed ones.
     endpoints: Vec<Backend>,
     revision: Revision,
-    /// The backend that each revision changed, the latest last.
+    /// Backend that each of the latest revisions changed, the oldest first.
     changes: VecDeque<BackendId>,
+    /// Maximum length of `changes`.
     history_limit: usize,
-    /// The latest delta and the revision that it starts from: most watches share it.
-    latest_delta: Option<(Revision, Arc<[Backend]>)>,
-    /// The latest full list and its revision.
-    latest_full: Option<(Revision, Arc<[Backend]>)>,
+    /// Latest delta, with the known revision that it starts from. Most watches share it.
+    latest_delta: Option<CachedEndpoints>,
+    /// Latest full list, with its own revision.
+    latest_full: Option<CachedEndpoints>,
 }
 
 impl EndpointList {
@@ -53,7 +71,7 @@
         &self.endpoints
     }
 
-    /// Publishes changed endpoints; each one is a revision.
+    /// Publishes changed endpoints. Each one is a revision of its own.
     pub(super) fn publish(&mut self, changed: Vec<Backend>) {
         for endpoint in changed {
             self.endpoints[endpoint.id.index()] = endpoint;
@@ -65,7 +83,7 @@
         self.latest_delta = None;
     }
 
-    /// Returns what changed since a revision, or the full list where that is too long ago.
+    /// Returns the changes since a revision, or the full list if the history does not reach back that far.
     pub(super) fn since(&mut self, known_revision: Option<Revision>) -> ListUpdate {
         let oldest = self.revision - self.changes.len() as Revision;
         let delta_from = known_revision.filter(|known| (oldest..=self.revision).contains(known));
@@ -80,11 +98,10 @@
         }
     }
 
+    /// Returns the endpoints that changed since a revision within the history, sorted by id.
     fn delta(&mut self, known_revision: Revision) -> Arc<[Backend]> {
-        if let Some((from, endpoints)) = &self.latest_delta
-            && *from == known_revision
-        {
-            return endpoints.clone();
+        if let Some(cached) = CachedEndpoints::at(self.latest_delta.as_ref(), known_revision) {
+            return cached;
         }
         let new_changes = (self.revision - known_revision) as usize;
         let known_changes = self.changes.len() - new_changes;
@@ -95,15 +112,17 @@
             .iter()
             .map(|&id| self.endpoints[id.index()])
             .collect();
-        self.latest_delta = Some((known_revision, endpoints.clone()));
+        self.latest_delta = Some(CachedEndpoints {
+            revision: known_revision,
+            endpoints: endpoints.clone(),
+        });
         endpoints
     }
 
+    /// Returns all endpoints that are not removed.
     fn full(&mut self) -> Arc<[Backend]> {
-        if let Some((revision, endpoints)) = &self.latest_full
-            && *revision == self.revision
-        {
-            return endpoints.clone();
+        if let Some(cached) = CachedEndpoints::at(self.latest_full.as_ref(), self.revision) {
+            return cached;
         }
         let endpoints: Arc<[Backend]> = self
             .endpoints
@@ -111,7 +130,10 @@
             .filter(|endpoint| endpoint.readiness != Readiness::Removed)
             .copied()
             .collect();
-        self.latest_full = Some((self.revision, endpoints.clone()));
+        self.latest_full = Some(CachedEndpoints {
+            revision: self.revision,
+            endpoints: endpoints.clone(),
+        });
         endpoints
     }
 }
--- a/lab/src/fleet/discovery/messages.rs
+++ b/lab/src/fleet/discovery/messages.rs
@@ -4,32 +4,32 @@
 use crate::fleet::ids::ProxyIndex;
 use tillerproxy::api::Micros;
 
-/// Identifies a call of a proxy.
+/// Identity of a proxy's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallId {
-    /// Who calls.
+    /// Proxy that makes the call.
     pub proxy: ProxyIndex,
-    /// Which of the proxy's calls it is: responses to earlier ones are ignored.
+    /// Serial number of the call among those of the proxy. Responses to earlier calls are ignored.
     pub serial: u32,
 }
 
 /// A call as it reaches discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
-    /// Its id.
+    /// Identity of the call.
     pub id: CallId,
-    /// The revision that the proxy holds; `None` fetches the full list.
+    /// Revision of the list that the proxy holds; `None` fetches the full list.
     pub known_revision: Option<Revision>,
-    /// How long the watch may stand without changes.
+    /// Maximum time that the watch stands if nothing changes.
     pub wait: Micros,
-    /// Whether it continues a watch: such calls are not queued.
+    /// Whether the call continues a watch. Such calls are not queued.
     pub continues_watch: bool,
 }
 
-/// What discovery sends back.
+/// Content of a response.
 #[derive(Clone, Debug)]
 pub enum ResponseBody {
-    /// Endpoints, perhaps none.
+    /// An update of the endpoint list, which may be empty.
     List(ListUpdate),
     /// The call failed.
     Failed,
@@ -38,29 +38,29 @@
 /// A response on its way to a proxy.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Which call it answers.
+    /// Call that the response answers.
     pub call: CallId,
-    /// The response.
+    /// Content of the response.
     pub body: ResponseBody,
 }
 
-/// What becomes of a call.
+/// Status of a call that has reached discovery.
 #[derive(Debug)]
 pub enum CallStatus {
-    /// It is answered now.
+    /// The call is answered now.
     Answered(Response),
-    /// It stands until something is published, or until its wait is over.
+    /// The call stands as a watch until a publication, or until its wait is over.
     Standing {
-        /// The call.
+        /// The standing call.
         call: CallId,
-        /// How long it may stand.
+        /// Maximum time that the call stands.
         wait: Micros,
     },
-    /// It waits to be processed.
+    /// The call is queued.
     Queued,
 }
 
-/// Calls, responses and their bytes.
+/// Totals of calls, responses and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Calls received.
@@ -69,7 +69,7 @@
     pub failures: u64,
     /// Full lists sent.
     pub full_lists: u64,
-    /// Endpoints sent, those of full lists included.
+    /// Endpoints sent, including those of full lists.
     pub endpoints: u64,
     /// Bytes of calls and responses.
     pub bytes: u64,
--- a/lab/src/fleet/discovery/mod.rs
+++ b/lab/src/fleet/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! The discovery service that all proxies share: its endpoint list, standing watches, and a queue of calls.
+//! The discovery service that all proxies share: an endpoint list, standing watches, and a queue of calls.
 //!
-//! Calls for the full list and calls that begin a watch are queued and processed one after another; a call that
-//! continues a watch is handled at once. What is published goes to every standing watch. The simulation carries
-//! calls here and responses back.
+//! Calls for the full list and calls that begin a watch are queued and processed one after another. A call that
+//! continues a watch is handled at once. Each publication is sent to every standing watch. The simulation delivers
+//! calls to this service and responses to the proxies.
 
 mod endpoint_list;
 mod messages;
@@ -17,18 +17,18 @@
 use std::collections::VecDeque;
 use tillerproxy::api::{Backend, Micros};
 
-/// What happens to a standing watch.
+/// State of a standing watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchState {
-    /// It waits for changes.
+    /// The watch waits for changes.
     Waiting,
-    /// Its response is queued.
+    /// The response to the watch is queued.
     ResponseQueued,
-    /// Nothing is ever answered on it.
+    /// The watch is never answered.
     Stalled,
 }
 
-/// A standing watch.
+/// A standing watch of a proxy.
 #[derive(Clone, Copy, Debug)]
 struct Watch {
     call: CallId,
@@ -36,10 +36,10 @@
     state: WatchState,
 }
 
-/// What waits to be processed.
+/// An entry of the queue.
 #[derive(Debug)]
 enum QueueEntry {
-    /// A call.
+    /// A call, with the time at which it was queued.
     Call { call: Call, arrived_at: Micros },
     /// The response to a standing watch.
     Watch(CallId),
@@ -49,25 +49,29 @@
 #[derive(Debug)]
 pub struct Discovery {
     list: EndpointList,
-    /// Changes that it has detected and not published.
+    /// Changed endpoints that are detected and not yet published.
     detected: Vec<Backend>,
-    /// The standing watch of each proxy.
+    /// Standing watch of each proxy, by proxy index.
     watches: Vec<Option<Watch>>,
     queue: VecDeque<QueueEntry>,
+    /// Whether the service is up.
     up: bool,
     /// Time to process a queued call, microseconds.
     call_time: f64,
-    /// Time to process a queued response to a watch, microseconds; 0: these are sent at once.
+    /// Time to process a queued response to a watch, microseconds; 0 if such responses are not queued but sent at once.
     watch_response_time: f64,
+    /// Time in the queue after which a call fails.
     queue_timeout: Micros,
+    /// Size of an endpoint in a response.
     endpoint_bytes: u64,
+    /// Size of a call, and of a response without endpoints.
     call_bytes: u64,
-    /// All calls and responses so far.
+    /// Totals of all calls and responses so far.
     pub traffic: Traffic,
 }
 
 impl Discovery {
-    /// Creates a discovery that lists `endpoints` as revision 1, for so many proxies.
+    /// Creates a running service that publishes `endpoints` as revision 1 to `proxy_count` proxies.
     #[must_use]
     pub fn new(settings: &DiscoverySettings, endpoints: Vec<Backend>, proxy_count: usize) -> Self {
         let watch_response_time = settings
@@ -94,13 +98,13 @@
         self.list.revision()
     }
 
-    /// Returns the endpoints as published, removed ones included.
+    /// Returns the published endpoints by backend id, including removed ones.
     #[must_use]
     pub fn endpoints(&self) -> &[Backend] {
         self.list.endpoints()
     }
 
-    /// Returns the time that the next entry of the queue takes to process.
+    /// Returns the time to process the next entry of the queue; `None` if the queue is empty.
     #[must_use]
     pub fn next_processing_time(&self) -> Option<Micros> {
         let time = match self.queue.front()? {
@@ -110,7 +114,7 @@
         Some(time as Micros)
     }
 
-    /// Receives a call, which ends the proxy's earlier watch.
+    /// Receives a call, which ends the earlier watch of its proxy.
     pub fn receive(&mut self, now: Micros, call: Call) -> CallStatus {
         self.traffic.calls += 1;
         self.traffic.bytes += self.call_bytes;
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Answers a call with what changed since a revision, or lets it stand where nothing did.
+    /// Answers a call with the changes since a revision, or lets the call stand as a watch if nothing changed.
     fn watch(&mut self, call: Call, known_revision: Revision) -> CallStatus {
         if known_revision != self.revision() {
             return CallStatus::Answered(self.update(call.id, Some(known_revision)));
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Processes the next entry of the queue; `None` where there is none or its watch has ended.
+    /// Processes the next entry of the queue; `None` if the queue is empty or the watch of the entry has ended.
     pub fn process_next(&mut self, now: Micros) -> Option<CallStatus> {
         match self.queue.pop_front()? {
             QueueEntry::Watch(call) => self.answer_watch(call).map(CallStatus::Answered),
@@ -154,6 +158,7 @@
         }
     }
 
+    /// Processes a queued call, which fails if it was queued for too long.
     fn process_call(&mut self, now: Micros, call: Call, arrived_at: Micros) -> CallStatus {
         if now > arrived_at + self.queue_timeout {
             return CallStatus::Answered(self.failure(call.id));
@@ -164,12 +169,13 @@
         }
     }
 
-    /// Ends a watch whose wait is over, without endpoints if nothing changed; `None` if it has ended before.
+    /// Ends a watch whose wait is over. The response has no endpoints if nothing changed; `None` if the watch has
+    /// already ended or is stalled.
     pub fn expire_watch(&mut self, call: CallId) -> Option<Response> {
         self.answer_watch(call)
     }
 
-    /// Answers a standing watch with what changed since its revision.
+    /// Answers a standing watch with the changes since its revision; `None` if the watch has ended or is stalled.
     fn answer_watch(&mut self, call: CallId) -> Option<Response> {
         let watch = &mut self.watches[call.proxy.index()];
         let answerable =
@@ -178,6 +184,7 @@
         Some(self.update(call, Some(answerable.known_revision)))
     }
 
+    /// Creates the response to a call that fails.
     fn failure(&mut self, call: CallId) -> Response {
         self.traffic.failures += 1;
         self.traffic.bytes += self.call_bytes;
@@ -187,7 +194,7 @@
         }
     }
 
-    /// Answers a call with what changed since a revision, or with the full list.
+    /// Creates the response to a call: the changes since a revision, or the full list.
     fn update(&mut self, call: CallId, known_revision: Option<Revision>) -> Response {
         let update = self.list.since(known_revision);
         let endpoints = update.endpoints.len() as u64;
@@ -200,14 +207,14 @@
         }
     }
 
-    /// Detects a change; returns whether it is the first one that is not published.
+    /// Detects a change and returns whether it is the only unpublished one.
     pub fn detect(&mut self, backend: Backend) -> bool {
         self.detected.push(backend);
         self.detected.len() == 1
     }
 
-    /// Publishes what it has detected. Returns the responses to the standing watches; where these take time they
-    /// are queued instead.
+    /// Publishes the detected changes and returns the responses to the standing watches. If responses take time to
+    /// process, they are queued and none is returned.
     pub fn publish(&mut self) -> Vec<Response> {
         self.list.publish(std::mem::take(&mut self.detected));
         if !self.up {
@@ -223,7 +230,7 @@
             .collect()
     }
 
-    /// Queues the responses of all standing watches, once each.
+    /// Queues one response for each standing watch that has none queued.
     fn queue_watch_responses(&mut self) {
         for watch in self.watches.iter_mut().flatten() {
             if watch.state == WatchState::Waiting {
@@ -233,6 +240,7 @@
         }
     }
 
+    /// Returns the calls of all standing watches.
     fn standing_calls(&self) -> Vec<CallId> {
         self.watches
             .iter()
@@ -241,7 +249,7 @@
             .collect()
     }
 
-    /// Stops the service: watches end and queued calls fail. Returns the responses.
+    /// Stops the service: standing watches and queued calls fail. Returns their responses.
     pub fn stop(&mut self) -> Vec<Response> {
         self.up = false;
         let mut ended = Vec::new();
@@ -260,7 +268,7 @@
         self.up = true;
     }
 
-    /// Stalls a proxy's watch: nothing is answered on it any more.
+    /// Stalls the standing watch of a proxy: the watch is never answered.
     pub fn stall_watch(&mut self, proxy: ProxyIndex) {
         if let Some(watch) = &mut self.watches[proxy.index()] {
             watch.state = WatchState::Stalled;
