--- a/lab/src/fleet/client/arrivals.rs
+++ b/lab/src/fleet/client/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals of calls: an open-loop Poisson process.
+//! Arrivals of calls as an open-loop Poisson process.
 
 use super::{ClientCall, TrafficMix};
 use crate::fleet::random::{Stream, stream};
@@ -8,21 +8,23 @@
 use rand_distr::Exp1;
 use tillerproxy::api::{Micros, TenantIndex};
 
-/// Calls that arrive at random, whether or not earlier ones were answered.
+/// A Poisson process of calls. Calls arrive whether or not earlier ones were answered.
 #[derive(Debug)]
 pub struct ArrivalProcess {
     calls_per_s: f64,
-    /// When it ends.
+    /// End of the process.
     until: Micros,
-    /// Whose calls they are; drawn for each where it is missing.
+    /// Tenant of all calls; `None`: a tenant is drawn for each call.
     tenant: Option<TenantIndex>,
-    /// The exact time of the latest arrival, microseconds: intervals may be shorter than a microsecond.
+    /// Exact time of the latest arrival in microseconds. It has fractions because intervals may be shorter than a
+    /// microsecond.
     latest: f64,
     random: SmallRng,
 }
 
 impl ArrivalProcess {
-    /// Creates a process that begins at `from`; `index` tells the processes of a run apart.
+    /// Creates a process that begins at `from` and ends at `until`. Each process of a run has an `index` of its own,
+    /// which selects its random stream.
     #[must_use]
     pub fn new(
         calls_per_s: f64,
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Draws the time of the next arrival; `None` after the end.
+    /// Draws the time of the next arrival; `None` if the process has ended.
     pub fn next_arrival(&mut self) -> Option<Micros> {
         let interval: f64 = self.random.sample(Exp1);
         self.latest += interval * MICROS_PER_SECOND as f64 / self.calls_per_s;
--- a/lab/src/fleet/client/front.rs
+++ b/lab/src/fleet/client/front.rs
@@ -1,4 +1,4 @@
-//! The load balancer between clients and proxies.
+//! The front load balancer, which distributes clients over the proxies.
 
 use super::ClientCall;
 use super::weighted::WeightedChoice;
@@ -6,28 +6,29 @@
 use crate::fleet::topology::Topology;
 use tillerproxy::api::Zone;
 
-/// A part of a zone's clients that goes to another zone.
+/// A traffic shift: a fraction of a zone's clients is sent to another zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrafficShift {
-    /// Whose clients.
+    /// Zone that the clients leave.
     pub from: Zone,
-    /// Where they go.
+    /// Zone that the clients are sent to.
     pub to: Zone,
-    /// The part of them.
+    /// Fraction of the zone's clients, 0 to 1.
     pub fraction: f64,
 }
 
-/// Distributes clients over the proxies of their zone that it holds for alive.
+/// A load balancer that distributes clients over the proxies of their zone that it considers alive.
 #[derive(Debug)]
 pub struct FrontLoadBalancer {
-    /// Whether each proxy is held for alive.
+    /// Whether the load balancer considers a proxy alive, by proxy index.
     alive: Vec<bool>,
+    /// The live proxies by zone.
     zones: Vec<ZoneProxies>,
-    /// The shifts in effect.
+    /// The traffic shifts in effect.
     pub shifts: Vec<TrafficShift>,
 }
 
-/// The live proxies of one zone.
+/// The live proxies of one zone, weighted by their traffic.
 #[derive(Debug)]
 struct ZoneProxies {
     proxies: Vec<ProxyIndex>,
@@ -35,7 +36,7 @@
 }
 
 impl FrontLoadBalancer {
-    /// Creates a load balancer that holds all proxies for alive.
+    /// Creates a load balancer that considers all proxies alive.
     #[must_use]
     pub fn new(topology: &Topology) -> Self {
         let alive = vec![true; topology.proxies.len()];
@@ -49,15 +50,15 @@
         }
     }
 
-    /// Holds a proxy for alive, or for dead, from now on.
+    /// Marks a proxy as alive or dead.
     pub fn set_alive(&mut self, topology: &Topology, proxy: ProxyIndex, alive: bool) {
         self.alive[proxy.index()] = alive;
         let zone = topology.proxies[proxy.index()].zone;
         self.zones[zone.index()] = ZoneProxies::new(topology, zone, &self.alive);
     }
 
-    /// Returns the proxy that a number in 0..1 chooses for a call: one of the client's zone, or of the next
-    /// zone that has one.
+    /// Returns the proxy that a uniform draw in 0..1 selects for a call: a live proxy of the client's zone, or of the
+    /// next zone that has one. `None` if no proxy is alive.
     #[must_use]
     pub fn choose(&self, call: &ClientCall, drawn: f64) -> Option<ProxyIndex> {
         let shift = self
--- a/lab/src/fleet/client/mod.rs
+++ b/lab/src/fleet/client/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: when they send which requests, which proxy they reach, and what they do with a response.
+//! Clients: the calls that they make, the proxies that they reach, and their retries.
 //!
 //! A client makes a call ([`ClientCall`]) and sends it in one or more attempts; each attempt is a request to a
 //! proxy.
@@ -18,32 +18,32 @@
 
 use tillerproxy::api::{ClassIndex, Micros, TenantIndex, Zone};
 
-/// What a client wants, with all its attempts.
+/// A call of a client, which covers all attempts of the client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientCall {
-    /// Its class.
+    /// Class of the call.
     pub class: ClassIndex,
-    /// Its tenant.
+    /// Tenant of the call.
     pub tenant: TenantIndex,
-    /// The client's zone, before traffic shifts.
+    /// Zone of the client, before traffic shifts.
     pub zone: Zone,
-    /// The key of the data that it is about.
+    /// Key of the data that the call reads or writes.
     pub key: u64,
-    /// Work, microseconds on a core of speed 1.
+    /// Work of the call, microseconds on a core of speed 1.
     pub work: f64,
-    /// Priority weight of a response within the latency objective; lower than its class's over its tenant's
-    /// quota.
+    /// Priority weight of a response within the latency objective. A call over its tenant's quota has a lower weight
+    /// than its class.
     pub priority_weight: f64,
-    /// When the client made it.
+    /// Time at which the client made the call.
     pub started_at: Micros,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u8,
-    /// Number in 0..1 that chooses the proxy of the first attempt.
+    /// Uniform draw in 0..1 that selects the proxy of the first attempt.
     pub proxy_draw: f64,
-    /// Number in 0..1 that decides whether a traffic shift moves it.
+    /// Uniform draw in 0..1 that decides whether a traffic shift applies to the call.
     pub shift_draw: f64,
-    /// Number in 0..1 that decides whether and when the client disconnects.
+    /// Uniform draw in 0..1 that decides whether and when the client disconnects.
     pub disconnect_draw: f64,
-    /// Whether it has ended.
+    /// Whether the call has ended.
     pub ended: bool,
 }
--- a/lab/src/fleet/client/quotas.rs
+++ b/lab/src/fleet/client/quotas.rs
@@ -1,11 +1,11 @@
-//! Quotas of tenants over all proxies: a token bucket for each tenant.
+//! Quotas of the tenants over all proxies, as one token bucket for each tenant.
 
 use crate::units::MICROS_PER_SECOND;
 use tillerproxy::api::{Micros, TenantIndex};
 
-/// Size of a bucket, seconds of its rate.
+/// Size of a bucket, in seconds of its rate.
 const BURST_S: f64 = 0.5;
-/// Size of the smallest bucket, calls.
+/// Minimum size of a bucket, calls.
 const MIN_BURST_CALLS: f64 = 10.0;
 
 /// The quotas of all tenants.
@@ -14,31 +14,32 @@
     buckets: Vec<TokenBucket>,
 }
 
+/// A token bucket; each call takes one token.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
-    /// Calls a second.
-    rate: f64,
+    /// Tokens added per second.
+    rate_per_s: f64,
     tokens: f64,
     refilled_at: Micros,
 }
 
 impl TokenBucket {
-    fn full(rate: f64) -> Self {
+    fn full(rate_per_s: f64) -> Self {
         Self {
-            rate,
-            tokens: Self::size(rate),
+            rate_per_s,
+            tokens: Self::size(rate_per_s),
             refilled_at: 0,
         }
     }
 
-    fn size(rate: f64) -> f64 {
-        (rate * BURST_S).max(MIN_BURST_CALLS)
+    fn size(rate_per_s: f64) -> f64 {
+        (rate_per_s * BURST_S).max(MIN_BURST_CALLS)
     }
 
     fn refill(&mut self, now: Micros) {
         let elapsed = (now - self.refilled_at) as f64;
-        let refilled = self.tokens + self.rate * elapsed / MICROS_PER_SECOND as f64;
-        self.tokens = refilled.min(Self::size(self.rate));
+        let refilled = self.tokens + self.rate_per_s * elapsed / MICROS_PER_SECOND as f64;
+        self.tokens = refilled.min(Self::size(self.rate_per_s));
         self.refilled_at = now;
     }
 
@@ -53,15 +54,15 @@
 }
 
 impl TenantQuotas {
-    /// Creates full buckets of these rates, calls a second; a tenant without one has no limit.
+    /// Creates a full bucket for each rate, in calls per second. A tenant without a rate has no limit.
     #[must_use]
-    pub fn new(rates: impl Iterator<Item = f64>) -> Self {
+    pub fn new(rates_per_s: impl Iterator<Item = f64>) -> Self {
         Self {
-            buckets: rates.map(TokenBucket::full).collect(),
+            buckets: rates_per_s.map(TokenBucket::full).collect(),
         }
     }
 
-    /// Takes a call from its tenant's quota; returns whether it lies within the quota.
+    /// Takes one call from a tenant's quota and returns whether the call is within the quota.
     pub fn try_take(&mut self, now: Micros, tenant: TenantIndex) -> bool {
         self.buckets
             .get_mut(tenant.index())
--- a/lab/src/fleet/client/retry.rs
+++ b/lab/src/fleet/client/retry.rs
@@ -1,4 +1,4 @@
-//! What clients do after an attempt that was not served: retries, backoff and timeouts.
+//! Retries, backoff and timeouts of clients.
 
 use super::ClientCall;
 use crate::fleet::random::{Stream, stream};
@@ -9,30 +9,30 @@
 use rand_distr::Exp1;
 use tillerproxy::api::Micros;
 
-/// How an attempt of a client ended that was not served.
+/// The failure of a client's attempt: every end other than a response from a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// Rejected: a retry is harmless.
+    /// The proxy rejected the request; a retry is harmless.
     Rejected {
-        /// How long the client should wait before it retries.
+        /// Time that the client should wait before a retry.
         retry_after: Micros,
     },
-    /// Failed; the request may have run.
+    /// The request failed and may have been executed.
     Failed,
     /// The client's timeout for this attempt expired.
     TimedOut,
-    /// The proxy did not accept it.
+    /// No proxy accepted the request.
     Unreachable,
 }
 
 impl AttemptFailure {
-    /// Returns whether the request certainly had no effect.
-    fn is_harmless(self) -> bool {
+    /// Returns whether the request was certainly not executed.
+    fn is_not_executed(self) -> bool {
         matches!(self, Self::Rejected { .. } | Self::Unreachable)
     }
 }
 
-/// The retries and timeouts of a scenario's clients.
+/// The retry policy and the timeouts of a scenario's clients.
 #[derive(Debug)]
 pub struct RetryPolicy {
     settings: ClientSettings,
@@ -40,7 +40,7 @@
 }
 
 impl RetryPolicy {
-    /// Creates the policy of a scenario's clients.
+    /// Creates the retry policy of a scenario's clients.
     #[must_use]
     pub fn new(settings: &ClientSettings, seed: u64) -> Self {
         Self {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Draws the backoff until the client's next attempt; `None` if it does not retry.
+    /// Draws the backoff until the client's next attempt; `None` if the client does not retry.
     pub fn backoff(
         &mut self,
         now: Micros,
@@ -76,12 +76,12 @@
         (now + backoff < deadline).then_some(backoff)
     }
 
-    /// Draws the number in 0..1 that chooses the proxy of a retry.
+    /// Draws the uniform number in 0..1 that selects the proxy of a retry.
     pub fn draw_proxy(&mut self) -> f64 {
         self.random.random()
     }
 
-    /// Returns when the client gives up an attempt that begins now.
+    /// Returns the time at which the client abandons an attempt that begins now.
     #[must_use]
     pub fn attempt_deadline(
         &self,
@@ -95,7 +95,7 @@
         (now + attempt_timeout).min(call.started_at + call_timeout)
     }
 
-    /// Returns when the client disconnects before its response, if it does.
+    /// Returns the time at which the client disconnects before its response; `None` if the client stays.
     #[must_use]
     pub fn disconnects_at(&self, call: &ClientCall, class: &ClassSettings) -> Option<Micros> {
         let disconnect_fraction = self.settings.disconnect_fraction;
@@ -108,14 +108,14 @@
     }
 }
 
-/// Whether a client may retry. It does not know whether a failed attempt ran.
+/// Returns whether a client may retry. The client does not know whether a failed attempt was executed.
 fn may_retry(
     now: Micros,
     call: &ClientCall,
     class: &ClassSettings,
     failure: AttemptFailure,
 ) -> bool {
-    if failure.is_harmless() {
+    if failure.is_not_executed() {
         return true;
     }
     match class.idempotency {
--- a/lab/src/fleet/client/traffic.rs
+++ b/lab/src/fleet/client/traffic.rs
@@ -1,4 +1,4 @@
-//! What clients request: classes, tenants, zones and work.
+//! The mix of calls: their classes, tenants, zones and work.
 
 use super::ClientCall;
 use super::weighted::WeightedChoice;
@@ -10,7 +10,7 @@
 use rand_distr::{Distribution, Exp1, LogNormal};
 use tillerproxy::api::{ClassIndex, Micros, TenantIndex, Zone};
 
-/// The factor by which a request's work differs from its class's mean; its own mean is 1.
+/// Distribution of the work of a class's requests, as a factor of the class's mean work. The mean of the factor is 1.
 #[derive(Clone, Copy, Debug)]
 enum WorkFactor {
     Constant,
@@ -18,10 +18,10 @@
     Lognormal(LogNormal<f64>),
 }
 
-/// Draws the work of a class's requests.
+/// A sampler of the work of a class's requests.
 #[derive(Clone, Copy, Debug)]
 struct WorkSampler {
-    /// Microseconds on a core of speed 1.
+    /// Mean work, microseconds on a core of speed 1.
     mean: f64,
     factor: WorkFactor,
 }
@@ -31,7 +31,7 @@
         let factor = match class.work_distribution {
             WorkDistribution::Constant => WorkFactor::Constant,
             WorkDistribution::Exponential => WorkFactor::Exponential,
-            // The mean is 1 where the logarithm's mean is minus half its variance.
+            // A mean of 1 requires that the mean of the logarithm is minus half its variance.
             WorkDistribution::Lognormal { sigma } => LogNormal::new(-sigma * sigma / 2.0, sigma)
                 .map_or(WorkFactor::Constant, WorkFactor::Lognormal),
         };
@@ -41,6 +41,7 @@
         }
     }
 
+    /// Draws the work of one request, microseconds on a core of speed 1.
     fn draw(&self, random: &mut SmallRng) -> f64 {
         let factor: f64 = match &self.factor {
             WorkFactor::Constant => 1.0,
@@ -51,19 +52,19 @@
     }
 }
 
-/// The mix of requests and their total rate.
+/// The mix of calls and their total rate.
 #[derive(Clone, Debug)]
 pub struct TrafficMix {
     classes: WeightedChoice,
     work: Vec<WorkSampler>,
     tenants: WeightedChoice,
     zone_count: u16,
-    /// Calls a second of all clients.
+    /// Mean rate of the calls of all clients, per second.
     pub calls_per_s: f64,
 }
 
 impl TrafficMix {
-    /// Creates the traffic of a scenario, whose load is a part of the capacity of a topology.
+    /// Creates the traffic of a scenario. The rate follows from the capacity of the topology and the utilization.
     #[must_use]
     pub fn new(scenario: &FleetScenario, topology: &Topology) -> Self {
         let (tenant_count, skew) = scenario
@@ -82,13 +83,13 @@
         }
     }
 
-    /// Returns a tenant's part of the calls.
+    /// Returns the fraction of the calls that a tenant makes.
     #[must_use]
     pub fn tenant_fraction(&self, tenant: TenantIndex) -> f64 {
         self.tenants.probability(tenant.index())
     }
 
-    /// Draws a call, of `tenant` where one is given.
+    /// Draws a call of a given tenant, or of a random tenant if none is given.
     pub(super) fn draw_call(
         &self,
         now: Micros,
