--- a/lab/src/fleet/backend/mod.rs
+++ b/lab/src/fleet/backend/mod.rs
@@ -1,7 +1,7 @@
-//! An emulated backend: cores, a bounded queue, a slow start, and the ways in which it fails.
+//! An emulated backend: cores, a bounded queue, a slow start, and failures.
 //!
-//! It holds attempts by their keys and never looks into them; the simulation tells it what arrives and what is
-//! done, and schedules the ends of the work that it starts.
+//! A backend holds the keys of attempts, not the attempts themselves. The simulation delivers attempts to it, schedules
+//! the end of the work that a core starts, and reports that end.
 
 mod slow_start;
 
@@ -15,63 +15,66 @@
 use std::collections::VecDeque;
 use tillerproxy::api::{LoadReportFields, Micros};
 
-/// Weight of the latest service time in the moving average that load reports carry.
+/// Weight of the latest service time in the moving average of the load reports.
 const SERVICE_TIME_WEIGHT: f64 = 1.0 / 16.0;
 
-/// A load report: requests running, requests queued, mean service time in milliseconds.
+/// A load report: number of requests running, number of requests queued, mean service time in milliseconds.
 pub type LoadReport = [f32; 3];
 
-/// The positions of the values in a [`LoadReport`].
+/// Positions of the values in a [`LoadReport`].
 pub const LOAD_REPORT_FIELDS: LoadReportFields = LoadReportFields {
     in_flight: Some(0),
     queued: Some(1),
     service_time_ms: Some(2),
 };
 
-/// What a backend does with an attempt that reaches it.
+/// Result of the arrival of an attempt at a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// A core works on it; the simulation schedules its end after this span.
+    /// A core has started the work, which takes this long. The simulation schedules its end.
     Started(Micros),
-    /// It waits for a core.
+    /// The attempt waits for a core.
     Queued,
-    /// The queue is full.
+    /// The attempt is rejected because the queue is full.
     QueueFull,
-    /// No process accepts connections.
+    /// The connection is refused because the process has crashed.
     ConnectionRefused,
-    /// Nothing answers.
+    /// The machine is down and gives no answer.
     Unreachable,
 }
 
 /// One emulated backend.
 #[derive(Debug)]
 pub struct EmulatedBackend {
-    /// Its machine.
+    /// Machine of the backend.
     pub machine: Machine,
-    /// Whether its process runs.
+    /// State of the process.
     pub state: ProcessState,
-    /// When its process last started; `None`: long ago.
+    /// Time at which the process last started; `None` if it has run since before the simulation.
     pub started_at: Option<Micros>,
-    /// How many times slower than usual it works.
+    /// Factor by which the backend works slower than usual.
     pub slowdown: f64,
-    /// Whether it accepts requests and answers none.
+    /// Whether the backend hangs: it accepts requests and answers none.
     pub hung: bool,
-    /// Whether it collapsed; it stays down.
+    /// Whether the backend has collapsed. A collapsed backend never starts again.
     pub collapsed: bool,
-    /// Attempts that reached its machine while its process ran.
+    /// Number of attempts that reached the backend while its process ran.
     pub arrivals: u64,
+    /// Attempts that occupy a core.
     running: Vec<AttemptKey>,
+    /// Attempts that wait for a core.
     queue: VecDeque<AttemptKey>,
-    /// Attempts whose work ended while it hung.
+    /// Attempts whose work ended during a hang. They still occupy their cores.
     stalled: Vec<AttemptKey>,
     queue_limit: usize,
+    /// Moving average of the service time.
     service_time_ms: f64,
-    /// The load of its slow start, while that lasts.
+    /// Load during the slow start; `None` outside of a slow start.
     slow_start: Option<SlowStartLoad>,
 }
 
 impl EmulatedBackend {
-    /// Creates a backend that has run for long and holds no attempt.
+    /// Creates a running backend without a slow start and without attempts.
     #[must_use]
     pub fn new(machine: Machine, queue_limit: u32) -> Self {
         Self {
@@ -91,13 +94,13 @@
         }
     }
 
-    /// Returns the number of attempts that it holds, running or queued.
+    /// Returns the number of attempts at the backend, running or queued.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         (self.running.len() + self.queue.len()) as u32
     }
 
-    /// Returns its present load report.
+    /// Returns the present load report.
     #[must_use]
     pub fn load_report(&self) -> LoadReport {
         [
@@ -107,7 +110,7 @@
         ]
     }
 
-    /// Returns whether its process runs.
+    /// Returns whether the process runs.
     #[must_use]
     pub fn is_running(&self) -> bool {
         self.state == ProcessState::Running
@@ -117,7 +120,7 @@
         !self.hung && self.running.len() < usize::from(self.machine.cores)
     }
 
-    /// Returns how long a core takes for `work` (microseconds on a core of speed 1) that starts now.
+    /// Returns the time that a core takes for `work` (microseconds on a core of speed 1) that starts now.
     fn service_time(&self, now: Micros, work: f64, model: &SlowStartModel) -> Micros {
         let capacity_fraction = self.started_at.map_or(1.0, |started_at| {
             model.capacity_fraction(now.saturating_sub(started_at))
@@ -126,7 +129,7 @@
         ((work * self.slowdown / speed) as Micros).max(1)
     }
 
-    /// Takes an attempt that reached it, if it can; `work` is in microseconds on a core of speed 1.
+    /// Handles the arrival of an attempt; `work` is in microseconds on a core of speed 1.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -142,7 +145,7 @@
         if self.has_free_core() {
             return Admission::Started(self.start_work(now, attempt, work, model));
         }
-        // A hung process rejects nothing: its machine goes on accepting connections.
+        // A hung process rejects nothing, because its machine still accepts connections.
         if self.queue.len() >= self.queue_limit && !self.hung {
             return Admission::QueueFull;
         }
@@ -150,8 +153,8 @@
         Admission::Queued
     }
 
-    /// Adds an attempt to the load of a slow start, also one that it rejects. `informed` tells whether its proxy
-    /// had been informed of the start. Returns the collapse if the load exceeds the limit.
+    /// Adds an attempt to the load of a slow start, even if the backend rejects the attempt. `informed` tells whether
+    /// the proxy had been informed of the backend's start. Returns the collapse if the load exceeds the limit.
     pub fn add_slow_start_load(
         &mut self,
         now: Micros,
@@ -170,7 +173,8 @@
         load.collapse(model.load_limit(self.machine.capacity(), age))
     }
 
-    /// Ends the work on an attempt. Returns whether its response is sent now; a hung backend keeps it.
+    /// Ends the work on an attempt and returns whether the response is sent now. A hung backend withholds the response
+    /// until it resumes.
     pub fn finish_work(&mut self, attempt: AttemptKey, service_time: Micros) -> bool {
         if self.hung {
             self.stalled.push(attempt);
@@ -189,7 +193,7 @@
         }
     }
 
-    /// Removes the next attempt from the queue, if a core is free.
+    /// Removes and returns the next attempt of the queue, if a core is free.
     pub fn next_queued(&mut self) -> Option<AttemptKey> {
         if self.is_running() && self.has_free_core() {
             self.queue.pop_front()
@@ -198,7 +202,7 @@
         }
     }
 
-    /// Starts the work on an attempt; returns how long it takes.
+    /// Starts the work on an attempt and returns the time that it takes.
     pub fn start_work(
         &mut self,
         now: Micros,
@@ -210,7 +214,7 @@
         self.service_time(now, work, model)
     }
 
-    /// Resumes after a hang. Returns the attempts whose work ended meanwhile.
+    /// Resumes after a hang and returns the attempts whose work ended meanwhile.
     pub fn resume(&mut self) -> Vec<AttemptKey> {
         self.hung = false;
         let ended = std::mem::take(&mut self.stalled);
@@ -220,7 +224,7 @@
         ended
     }
 
-    /// Ends its process. Returns the attempts that it held.
+    /// Stops the process and returns the attempts that it held, running ones first.
     pub fn stop(&mut self, state: ProcessState) -> Vec<AttemptKey> {
         self.state = state;
         self.hung = false;
@@ -231,7 +235,8 @@
         in_flight
     }
 
-    /// Starts its process; the slow start begins. Returns whether it started: one that collapsed stays down.
+    /// Starts the process and its slow start. Returns whether the process started: a collapsed backend and a running
+    /// one do not start.
     pub fn start(&mut self, now: Micros) -> bool {
         if self.collapsed || self.is_running() {
             return false;
--- a/lab/src/fleet/backend/slow_start.rs
+++ b/lab/src/fleet/backend/slow_start.rs
@@ -1,52 +1,53 @@
-//! The slow start of a backend: its capacity grows, and too much load makes it collapse.
+//! The slow start of a backend: the backend's capacity grows, and too much load makes the backend collapse.
 
 use std::collections::VecDeque;
 use tillerproxy::api::Micros;
 
-/// How backends warm up, and the load at which they collapse.
+/// Parameters of the slow start and of the load at which backends collapse.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartModel {
-    /// The part of its capacity that a backend has when it starts.
+    /// Fraction of its capacity that a backend has when its slow start begins, 0 to 1.
     pub initial_capacity: f64,
-    /// The time after its start at which it has its full capacity.
+    /// Time from a backend's start until it has its full capacity.
     pub duration: Micros,
-    /// Sent more than this multiple of its present capacity ...
+    /// Multiple of its present capacity above which the load on a backend makes it collapse, if the load lasts for
+    /// `collapse_time`.
     pub collapse_load_factor: f64,
-    /// ... for this long, it collapses.
+    /// Time for which that load must last until the backend collapses.
     pub collapse_time: Micros,
     /// Mean work of a request, microseconds on a core of speed 1.
     pub mean_work: f64,
 }
 
 impl SlowStartModel {
-    /// Returns the part of its capacity that a backend has `age` after its start.
+    /// Returns the fraction of its capacity that a backend has `age` after its start.
     #[must_use]
     pub fn capacity_fraction(&self, age: Micros) -> f64 {
         let progress = (age as f64 / self.duration.max(1) as f64).min(1.0);
         self.initial_capacity + (1.0 - self.initial_capacity) * progress
     }
 
-    /// Returns the requests of mean work within the collapse time at which a backend of `capacity` does not yet
-    /// collapse, `age` after its start.
+    /// Returns the load limit of a backend of `capacity`, `age` after its start: the greatest load within the collapse
+    /// time, in requests of mean work, at which the backend does not collapse.
     ///
-    /// The limit is N + 2 sqrt(N) + 2, where N = load factor x present capacity x collapse time: two standard
-    /// deviations of random arrivals are allowed for.
+    /// The limit is N + 2 sqrt(N) + 2 with N = load factor x present capacity x collapse time / mean work. The margin
+    /// covers two standard deviations of random arrivals.
     #[must_use]
     pub fn load_limit(&self, capacity: f64, age: Micros) -> f64 {
-        let present_capacity = self.collapse_load_factor * capacity * self.capacity_fraction(age);
-        let requests = present_capacity * self.collapse_time as f64 / self.mean_work;
+        let max_work_rate = self.collapse_load_factor * capacity * self.capacity_fraction(age);
+        let requests = max_work_rate * self.collapse_time as f64 / self.mean_work;
         requests + 2.0 * requests.sqrt() + 2.0
     }
 }
 
-/// Why a backend collapsed during its slow start.
+/// The collapse of a backend during its slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Collapse {
-    /// Requests of mean work that reached it within the collapse time.
+    /// Load that reached the backend within the collapse time, in requests of mean work.
     pub load: f64,
-    /// The load that it could bear.
+    /// Load limit that was exceeded, in requests of mean work.
     pub load_limit: f64,
-    /// The part of the load that came from proxies informed of its start.
+    /// Fraction of the load that came from proxies informed of the backend's start.
     pub informed_fraction: f64,
 }
 
@@ -54,9 +55,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: Micros,
-    /// Its work in requests of mean work.
+    /// Work of the attempt, in requests of mean work.
     load: f64,
-    /// Whether its proxy had been informed of the start.
+    /// Whether the proxy had been informed of the start.
     informed: bool,
 }
 
@@ -64,11 +65,14 @@
 #[derive(Debug, Default)]
 pub(super) struct SlowStartLoad {
     arrivals: VecDeque<Arrival>,
+    /// Load of all arrivals.
     total: f64,
+    /// Load of the arrivals from informed proxies.
     informed: f64,
 }
 
 impl SlowStartLoad {
+    /// Adds an arrival.
     pub(super) fn add(&mut self, at: Micros, load: f64, informed: bool) {
         self.total += load;
         if informed {
@@ -77,6 +81,7 @@
         self.arrivals.push_back(Arrival { at, load, informed });
     }
 
+    /// Removes the arrivals before `oldest`.
     pub(super) fn remove_before(&mut self, oldest: Micros) {
         while let Some(&arrival) = self.arrivals.front() {
             if arrival.at >= oldest {
--- a/lab/src/fleet/proxy/mod.rs
+++ b/lab/src/fleet/proxy/mod.rs
@@ -1,5 +1,5 @@
-//! An emulated proxy: its policy, what it knows of backends, and its watch of discovery. Everything else of a
-//! real proxy is part of the simulation.
+//! An emulated proxy: its policy, its knowledge of the backends, and its watch of discovery. The simulation does
+//! everything else that a real proxy does.
 
 mod watcher;
 
@@ -10,14 +10,14 @@
 use super::process::ProcessState;
 use tillerproxy::api::{Backend, MembershipEvent, Micros, Readiness, Zone};
 
-/// What a proxy knows of a backend.
+/// The knowledge of a proxy about one backend, from the updates of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownBackend {
-    /// Whether it may be sent to.
+    /// Readiness of the backend.
     pub readiness: Readiness,
-    /// When its process last started.
+    /// Time at which the process of the backend last started.
     pub started_at: Option<Micros>,
-    /// Since when the proxy has known that it drains or was removed.
+    /// Time since which the proxy has known that the backend drains or was removed.
     pub unavailable_since: Option<Micros>,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl KnownBackend {
-    /// Notes since when it has not been ready.
+    /// Records the time since which the backend has not been ready.
     fn update_availability(&mut self, now: Micros) {
         self.unavailable_since = match self.readiness {
             Readiness::Ready => None,
@@ -41,30 +41,31 @@
     }
 }
 
-/// One proxy.
+/// One emulated proxy.
 pub struct EmulatedProxy {
-    /// Its zone.
+    /// Zone of the proxy.
     pub zone: Zone,
-    /// Whether its process runs.
+    /// State of the process.
     pub state: ProcessState,
-    /// How often it has started; events of an earlier incarnation are ignored.
+    /// Number of the process's incarnation, from 1; each stop begins a new one. Events of an earlier incarnation are
+    /// ignored.
     pub incarnation: u32,
-    /// Its decisions.
+    /// Policy that decides for the proxy.
     pub policy: Box<dyn Policy>,
-    /// Its watch of discovery.
+    /// Watch of discovery.
     pub watcher: Watcher,
-    /// What it knows of each backend.
+    /// Knowledge about each backend, by backend id.
     pub known_backends: Vec<KnownBackend>,
 }
 
 impl EmulatedProxy {
-    /// Returns whether its process runs.
+    /// Returns whether the process runs.
     #[must_use]
     pub fn is_running(&self) -> bool {
         self.state == ProcessState::Running
     }
 
-    /// Applies an update of the endpoint list.
+    /// Applies an update of the endpoint list. Backends that a full list lacks count as removed.
     pub fn apply(&mut self, now: Micros, update: &ListUpdate) {
         if update.complete {
             for known in &mut self.known_backends {
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Returns the endpoint list that it holds, as a process that starts finds it in its cache.
+    /// Returns the endpoint list that the proxy holds, as a new process reads it from the cache. Zone, machine type and
+    /// cell of the endpoints are taken from `published`.
     #[must_use]
     pub fn cached_endpoints(&self, published: &[Backend]) -> Vec<Backend> {
         published
@@ -100,7 +102,7 @@
     }
 }
 
-/// Converts an update of the endpoint list to the policy's event.
+/// Converts an update of the endpoint list to the membership event for the policy.
 #[must_use]
 pub fn membership_event(update: &ListUpdate) -> MembershipEvent<'_> {
     if update.complete {
--- a/lab/src/fleet/proxy/watcher.rs
+++ b/lab/src/fleet/proxy/watcher.rs
@@ -1,55 +1,55 @@
-//! How a proxy watches discovery.
+//! The watch of a proxy on discovery.
 
 use crate::fleet::discovery::{Call, CallId, Revision};
 use crate::fleet::ids::ProxyIndex;
 use crate::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
 use tillerproxy::api::Micros;
 
-// The times are those of the proxy (`src/proxy/discovery`).
+// These times equal those of the real proxy (`src/proxy/discovery`).
 
 /// Mean wait of a watch.
 const MEAN_WATCH_WAIT: Micros = 20 * MICROS_PER_SECOND;
-/// The range of the waits grows by this much with each proxy ...
+/// Growth of the range of the waits with each proxy after the first.
 const WATCH_WAIT_RANGE_PER_PROXY: Micros = MICROS_PER_SECOND;
-/// ... up to this much.
+/// Maximum range of the waits.
 const MAX_WATCH_WAIT_RANGE: Micros = 30 * MICROS_PER_SECOND;
 /// Wait of a call that begins a watch.
 const FIRST_WATCH_WAIT: Micros = 250 * MICROS_PER_MILLISECOND;
 /// Timeout of a call that begins a watch or fetches the full list.
 const CALL_TIMEOUT: Micros = 3_500 * MICROS_PER_MILLISECOND;
-/// How late the response to a standing watch may be.
+/// Time past the end of its wait after which a standing watch without a response times out.
 const WATCH_GRACE: Micros = 250 * MICROS_PER_MILLISECOND;
-/// The fraction of the golden ratio: its multiples fill 0..1 evenly.
+/// Fractional part of the golden ratio. The fractional parts of its multiples are spread evenly over 0..1.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
 /// A call to discovery that a proxy makes.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingCall {
-    /// The call.
+    /// The call to send.
     pub call: Call,
-    /// The proxy drops the call after this time without a response.
+    /// Time without a response after which the proxy drops the call.
     pub timeout: Micros,
 }
 
-/// The watch of a proxy: one call at a time. A watch is continued at once after each response, and begun again
-/// when the policy subscribes after a failure.
+/// The watch of a proxy on discovery, with at most one call at a time. Each response is followed at once by the call
+/// that continues the watch. After a failure a new watch begins when the policy subscribes.
 #[derive(Clone, Debug)]
 pub struct Watcher {
     proxy: ProxyIndex,
     /// Wait of a continued watch.
     wait: Micros,
-    /// The revision of the list that the proxy holds.
+    /// Revision of the list that the proxy holds; `None` without a list.
     pub revision: Option<Revision>,
-    /// Whether the last call succeeded, so that the next one continues the watch.
+    /// Whether the last call succeeded; the next call then continues the watch.
     watching: bool,
-    /// The serial number of the pending call.
+    /// Serial number of the pending call.
     pending: Option<u32>,
-    /// The serial number of the latest call.
+    /// Serial number of the latest call.
     serial: u32,
 }
 
 impl Watcher {
-    /// Creates the watcher of one proxy among `proxy_count`.
+    /// Creates the watcher of one proxy among `proxy_count`, without a list and without a call.
     #[must_use]
     pub fn new(proxy: ProxyIndex, proxy_count: u32) -> Self {
         Self {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Begins or continues a watch; `None` while a call is pending.
+    /// Begins or continues the watch and returns the call to send; `None` if a call is pending.
     pub fn subscribe(&mut self) -> Option<OutgoingCall> {
         if self.pending.is_some() {
             return None;
@@ -70,12 +70,13 @@
         Some(self.call())
     }
 
-    /// Continues the watch.
+    /// Continues the watch and returns the call to send.
     pub fn continue_watch(&mut self) -> OutgoingCall {
         self.watching = true;
         self.call()
     }
 
+    /// Creates the next call: one that continues the watch, one that begins a watch, or one that fetches the full list.
     fn call(&mut self) -> OutgoingCall {
         self.serial += 1;
         self.pending = Some(self.serial);
@@ -99,7 +100,7 @@
         OutgoingCall { call, timeout }
     }
 
-    /// Ends the pending call if it has this serial number; returns whether it has.
+    /// Ends the pending call if it has this serial number, and returns whether it has.
     pub fn complete(&mut self, serial: u32) -> bool {
         let is_pending = self.pending == Some(serial);
         if is_pending {
@@ -108,18 +109,18 @@
         is_pending
     }
 
-    /// Takes the revision of a response and continues the watch.
+    /// Records the revision of a response, continues the watch and returns the call to send.
     pub fn on_response(&mut self, revision: Revision) -> OutgoingCall {
         self.revision = Some(revision);
         self.continue_watch()
     }
 
-    /// Notes that the call failed or timed out.
+    /// Records that the call failed or timed out: the next call begins a new watch.
     pub fn on_failure(&mut self) {
         self.watching = false;
     }
 
-    /// Starts again with the cached list; a call of the former incarnation is void.
+    /// Starts again with the cached list. A response to a call of the former incarnation is ignored.
     pub fn restart(&mut self) {
         self.watching = false;
         self.pending = None;
@@ -127,7 +128,7 @@
     }
 }
 
-/// Returns the wait of a proxy's watches: different for each, so that they do not end together.
+/// Returns the wait of a proxy's watches. Proxies have different waits so that their watches do not all end at once.
 fn watch_wait(proxy: ProxyIndex, proxy_count: u32) -> Micros {
     let other_proxies = u64::from(proxy_count.saturating_sub(1));
     let range = (WATCH_WAIT_RANGE_PER_PROXY * other_proxies).min(MAX_WATCH_WAIT_RANGE);
