--- a/lab/src/fleet/scenario/discovery.rs
+++ b/lab/src/fleet/scenario/discovery.rs
@@ -1,35 +1,37 @@
-//! The discovery service of a scenario.
+//! Settings of the discovery service.
 
 use serde::{Deserialize, Serialize};
 
-/// The discovery service that all proxies share. It stands in the first region.
+/// Settings of the discovery service that all proxies share. The service is located in the first region.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DiscoverySettings {
-    /// Time from a change until discovery detects it.
+    /// Time from a change until discovery detects it, milliseconds.
     #[serde(rename = "notice_ms")]
     pub detection_delay_ms: f64,
-    /// Changes are published together at this interval.
+    /// Interval between publications, milliseconds. Changes detected within an interval are published together.
     pub publish_interval_ms: f64,
-    /// Calls a second that begin a watch or fetch the full list, handled one after another.
+    /// Maximum rate, per second, of calls that begin a watch or fetch the full list. They are processed one after
+    /// another.
     pub calls_per_s: f64,
-    /// Responses a second to standing watches, from the same queue; all at once where it is missing.
+    /// Maximum rate, per second, of responses to standing watches, which share the queue of calls. If it is missing,
+    /// these responses are sent all at once.
     #[serde(rename = "answers_per_s")]
     pub watch_responses_per_s: Option<f64>,
-    /// A call that was queued for longer fails.
+    /// Time in the queue after which a call fails, milliseconds.
     #[serde(rename = "longest_turn_ms")]
     pub queue_timeout_ms: f64,
-    /// One-way latency to every proxy.
+    /// One-way latency to every proxy, milliseconds.
     pub latency_ms: f64,
-    /// Size of an endpoint in a response.
+    /// Size of an endpoint in a response, bytes.
     #[serde(rename = "entry_bytes")]
     pub endpoint_bytes: u32,
-    /// Size of a call, and of a response without endpoints.
+    /// Size of a call, and of a response without endpoints, bytes.
     pub call_bytes: u32,
-    /// Changes that are remembered; a proxy that is further behind gets the full list.
+    /// Number of changes that discovery remembers. A proxy that is further behind gets the full list.
     #[serde(rename = "history")]
     pub history_limit: usize,
-    /// Whether all proxies hold a watch at the start, as they do when they have run for long.
+    /// Whether all proxies hold a standing watch when the simulation starts, as after a long run.
     pub standing_watches: bool,
 }
 
--- a/lab/src/fleet/scenario/limits.rs
+++ b/lab/src/fleet/scenario/limits.rs
@@ -1,15 +1,15 @@
-//! What proxies may do, and the figures of the safety rules.
+//! Permissions of the proxies and parameters of the safety rules.
 
 use serde::{Deserialize, Serialize};
 
-/// The most attempts for one request that the emulation keeps track of.
+/// Maximum number of attempts for one request that the simulation can track.
 pub const MAX_TRACKED_ATTEMPTS: u16 = 4;
 
-/// What a proxy may do.
+/// Permissions of the proxies.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PermissionSettings {
-    /// Attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u16,
     /// Whether requests may be hedged: two attempts in flight at once.
     #[serde(rename = "second_copies")]
@@ -17,13 +17,13 @@
     /// Whether attempts may be cancelled.
     #[serde(rename = "cancel")]
     pub cancellation: bool,
-    /// An idle connection closes after this time.
+    /// Time after which an idle connection is closed, seconds.
     #[serde(rename = "conn_idle_s")]
     pub idle_timeout_s: f64,
-    /// The longest retry-after that clients honor.
+    /// Longest retry-after that clients honor, milliseconds.
     #[serde(rename = "retry_after_ms")]
     pub max_retry_after_ms: f64,
-    /// Cost of an attempt in another zone, as a part of a mean request's priority weight.
+    /// Cost of an attempt in another zone, as a fraction of a mean request's priority weight.
     #[serde(rename = "cross_zone_price")]
     pub cross_zone_cost: f64,
 }
@@ -41,28 +41,32 @@
     }
 }
 
-/// Figures of the safety rules.
+/// Parameters of the safety rules.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SafetySettings {
-    /// A proxy without a watch is held to the endpoint list as of this long ago.
+    /// Maximum time between two polls by a proxy without a watch, seconds. The rules assume that such a proxy knows the
+    /// endpoint list as it was this long ago.
     #[serde(rename = "ask_within_s")]
     pub poll_interval_s: f64,
-    /// The part of its capacity that a backend has when its slow start begins.
+    /// Fraction of its capacity that a backend has when its slow start begins, above 0 to 1.
     #[serde(rename = "cold_from")]
     pub slow_start_initial_capacity: f64,
-    /// The time after its start at which a backend has its full capacity.
+    /// Time from a backend's start until it has its full capacity, seconds.
     #[serde(rename = "cold_time_s")]
     pub slow_start_duration_s: f64,
-    /// Sent more than this multiple of its present capacity ...
+    /// Multiple of its present capacity above which the load on a backend in slow start makes it collapse, if the load
+    /// lasts for `collapse_time_s`.
     #[serde(rename = "fall_multiple")]
     pub collapse_load_factor: f64,
-    /// ... for this long, a backend that warms up collapses.
+    /// Time for which that load must last until the backend collapses, seconds.
     #[serde(rename = "fall_time_s")]
     pub collapse_time_s: f64,
-    /// Nothing new goes to a backend this long after a proxy was informed that it drains or was removed.
+    /// Grace period of rule 3 (draining), seconds: time after which a proxy informed that a backend drains or was
+    /// removed must not send to that backend.
     pub drain_grace_s: f64,
-    /// Time past a client's deadline in which a final answer still counts.
+    /// Grace period of rule 1 (one final answer), milliseconds: time past a client's deadline within which an answer is
+    /// not yet counted as missing.
     #[serde(rename = "answer_slack_ms")]
     pub answer_grace_ms: f64,
 }
--- a/lab/src/fleet/scenario/machines.rs
+++ b/lab/src/fleet/scenario/machines.rs
@@ -1,25 +1,25 @@
-//! The machines of a scenario: how many, where, how fast, and the network between them.
+//! The machines of a scenario: number, location, speed, and the network between them.
 
 use serde::{Deserialize, Serialize};
 
-/// How many machines there are and where they stand.
+/// Number and location of the machines.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSize {
-    /// Proxies, spread evenly over the zones.
+    /// Number of proxies, spread evenly over the zones.
     pub proxies: u32,
-    /// Backends, spread evenly over the zones.
+    /// Number of backends, spread evenly over the zones.
     pub backends: u32,
-    /// Zones, spread evenly over the regions.
+    /// Number of zones, spread evenly over the regions.
     #[serde(default = "one_zone")]
     pub zones: u16,
-    /// Regions.
+    /// Number of regions.
     #[serde(default = "one_region")]
     pub regions: u16,
-    /// Racks in a zone.
+    /// Number of racks in a zone.
     #[serde(default = "default_racks_per_zone")]
     pub racks_per_zone: u16,
-    /// Backends of a zone that know one another's idempotency keys.
+    /// Number of backends in a cell: backends of one zone that share their idempotency keys.
     #[serde(default = "default_cell_size")]
     pub cell_size: u32,
 }
@@ -44,17 +44,17 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineTypeSettings {
-    /// Its name.
+    /// Name of the type.
     pub name: String,
-    /// Its part of the backends; parts are scaled to add up to 1.
+    /// Weight of the type among the backends. Weights are scaled to add up to 1.
     #[serde(rename = "share")]
     pub backend_weight: f64,
-    /// Requests that it works on at once.
+    /// Number of cores: requests that a machine works on at the same time.
     pub cores: u16,
-    /// Speed of a core; 1 does a millisecond of work in a millisecond.
+    /// Speed of a core. A core of speed 1 does a millisecond of work in a millisecond.
     #[serde(default = "standard_speed")]
     pub speed: f64,
-    /// Machines of the type differ in speed by up to this part, either way.
+    /// Maximum deviation of a machine from the speed, as a fraction in either direction.
     #[serde(default)]
     pub speed_spread: f64,
 }
@@ -63,17 +63,17 @@
     1.0
 }
 
-/// What holds for every backend.
+/// Settings common to all backends.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BackendSettings {
-    /// Requests that may wait for a core; further ones are rejected.
+    /// Maximum number of requests that wait for a core. Further requests are rejected.
     #[serde(rename = "queue")]
     pub queue_limit: u32,
-    /// Whether a queued request is dropped once its proxy has given it up.
+    /// Whether a backend drops a queued request whose proxy has abandoned it.
     pub skips_abandoned: bool,
-    /// Whether responses carry a load report: requests running, requests queued, mean service time in
-    /// milliseconds.
+    /// Whether responses carry a load report: number of requests running, number of requests queued, mean service time
+    /// in milliseconds.
     pub load_reports: bool,
 }
 
@@ -87,19 +87,19 @@
     }
 }
 
-/// One-way latencies between machines, milliseconds.
+/// The network between machines. Latencies are one-way.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NetworkSettings {
-    /// Inside a zone.
+    /// Latency inside a zone.
     pub same_zone_ms: f64,
-    /// Between zones of a region.
+    /// Latency between zones of a region.
     pub same_region_ms: f64,
-    /// Between regions.
+    /// Latency between regions.
     pub cross_region_ms: f64,
-    /// Mean of the exponentially distributed jitter, as a part of the latency.
+    /// Mean of the exponentially distributed jitter, as a fraction of the latency.
     pub jitter: f64,
-    /// A connection that is not established after this time has failed.
+    /// Time after which a connection that is not established has failed, milliseconds.
     #[serde(rename = "dial_timeout_ms")]
     pub connect_timeout_ms: f64,
 }
--- a/lab/src/fleet/scenario/mod.rs
+++ b/lab/src/fleet/scenario/mod.rs
@@ -1,7 +1,6 @@
-//! Scenarios of the emulated fleet: its size, traffic, discovery and limits, and what happens to it.
+//! Scenarios of the emulated fleet: size, traffic, discovery, limits, and a timeline of events.
 //!
-//! A scenario is a TOML file. Where a key of the file differs from the field that holds it, `serde(rename)` names
-//! the key.
+//! A scenario is a TOML file. If a key of the file differs from the name of its field, `serde(rename)` gives the key.
 
 mod discovery;
 mod limits;
@@ -21,56 +20,57 @@
 use serde::{Deserialize, Serialize};
 use timeline::TimelineEvent;
 
-/// A whole fleet and what happens to it.
+/// A scenario: a whole fleet and a timeline of events.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetScenario {
-    /// What the scenario is about, in a line.
+    /// Description of the scenario in one line.
     #[serde(default)]
     pub description: String,
-    /// How long clients send requests, seconds.
+    /// Time for which clients send requests, seconds.
     pub duration_s: f64,
-    /// Calls of the first seconds are simulated and not counted.
+    /// Length of the warm-up in seconds. Calls made during the warm-up count in the time series only.
     #[serde(default)]
     pub warmup_s: f64,
-    /// How many machines there are and where.
+    /// Number and location of the machines.
     pub fleet: FleetSize,
-    /// The types of backend machines.
+    /// Types of backend machines.
     #[serde(rename = "kind")]
     pub machine_types: Vec<MachineTypeSettings>,
-    /// What holds for every backend.
+    /// Settings common to all backends.
     #[serde(default)]
     pub backends: BackendSettings,
-    /// Latencies between machines.
+    /// Network latencies between machines.
     #[serde(default)]
     pub network: NetworkSettings,
-    /// The classes of requests.
+    /// Classes of requests.
     #[serde(rename = "class")]
     pub classes: Vec<ClassSettings>,
-    /// The tenants; none where requests belong to nobody in particular.
+    /// Tenants; if they are missing, all requests belong to one tenant without a quota.
     #[serde(default)]
     pub tenants: Option<TenantSettings>,
-    /// How much clients request.
+    /// Load that clients offer.
     pub load: LoadSettings,
-    /// What clients do with responses.
+    /// Behavior of clients.
     #[serde(default)]
     pub clients: ClientSettings,
-    /// The discovery service that all proxies share.
+    /// Discovery service that all proxies share.
     #[serde(default)]
     pub discovery: DiscoverySettings,
-    /// What a proxy may do.
+    /// Permissions of the proxies.
     #[serde(default)]
     pub permissions: PermissionSettings,
-    /// Figures of the safety rules.
+    /// Parameters of the safety rules.
     #[serde(default)]
     pub safety: SafetySettings,
-    /// What happens, and when.
+    /// Timeline of events.
     #[serde(default, rename = "event")]
     pub events: Vec<TimelineEvent>,
 }
 
 impl FleetScenario {
-    /// Multiplies the numbers of proxies and backends by `factor`; the load follows the capacity.
+    /// Multiplies the numbers of proxies and backends by `factor` and keeps at least one of each per zone. The load
+    /// follows the capacity.
     #[must_use]
     pub fn scaled(mut self, factor: f64) -> Self {
         let zones = u32::from(self.fleet.zones);
@@ -80,7 +80,7 @@
         self
     }
 
-    /// Returns the mean work of a request, milliseconds on a core of speed 1.
+    /// Returns the mean work of a request over all classes, milliseconds on a core of speed 1.
     #[must_use]
     pub fn mean_work_ms(&self) -> f64 {
         let total_weight: f64 = self.classes.iter().map(|class| class.traffic_weight).sum();
--- a/lab/src/fleet/scenario/timeline.rs
+++ b/lab/src/fleet/scenario/timeline.rs
@@ -1,216 +1,216 @@
-//! What happens to a fleet, and when: the `[[event]]` tables of a scenario.
+//! The timeline of a scenario: its `[[event]]` tables.
 
 use crate::units::seconds;
 use serde::{Deserialize, Serialize};
 use tillerproxy::api::Micros;
 
-/// Something that happens at a point in time.
+/// An event of the timeline.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum TimelineEvent {
     /// Backends drain, stop and start again, one after another.
     RollingRestart(RollingRestart),
-    /// All machines of a zone fail without closing their connections.
+    /// All backends and proxies of a zone become unreachable without closing their connections.
     ZoneLoss(ZoneLoss),
-    /// All backends of a rack fail without closing their connections.
+    /// All backends of a rack become unreachable without closing their connections.
     RackLoss(RackLoss),
-    /// No message passes between regions. Discovery stands in the first one.
+    /// Messages between regions are dropped. Discovery is located in the first region.
     RegionPartition(RegionPartition),
     /// Discovery is down: watches end and calls fail.
     DiscoveryDown(DiscoveryDown),
-    /// Standing watches stall; new calls are answered.
+    /// Standing watches stall. New calls are still answered.
     #[serde(rename = "discovery_silent")]
     WatchStall(WatchStall),
-    /// Endpoints of the list change without a change of readiness.
+    /// Endpoints are published again without a change of readiness.
     ConfigBurst(ConfigBurst),
     /// One tenant sends a multiple of its usual traffic.
     TenantSurge(TenantSurge),
-    /// Backends work more slowly.
+    /// Backends work slower than usual.
     BackendSlow(BackendSlow),
     /// Backends accept requests and answer none.
     BackendHang(BackendHang),
-    /// Backends' processes crash.
+    /// Processes of backends crash.
     BackendCrash(BackendCrash),
-    /// Proxies' processes crash and start again, one after another.
+    /// Processes of proxies crash and start again, one after another.
     ProxyRestart(ProxyRestart),
-    /// A part of a zone's clients moves to another zone.
+    /// A fraction of a zone's clients is sent to another zone.
     TrafficShift(TrafficShift),
 }
 
-/// See [`TimelineEvent::RollingRestart`].
+/// Parameters of [`TimelineEvent::RollingRestart`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RollingRestart {
-    /// When the first backend drains.
+    /// Time at which the first backend drains, seconds.
     pub at_s: f64,
-    /// The time from the first drain to the last.
+    /// Time over which the drains of the backends are spread, seconds.
     pub over_s: f64,
-    /// The part of the backends that restart.
+    /// Fraction of the backends that restart, 0 to 1.
     pub fraction: f64,
-    /// How long each one drains.
+    /// Time for which each backend drains, seconds.
     #[serde(default = "default_drain_s")]
     pub drain_s: f64,
-    /// How long each one is down.
+    /// Time for which each backend is down, seconds.
     #[serde(default = "default_down_s")]
     pub down_s: f64,
 }
 
-/// See [`TimelineEvent::ZoneLoss`].
+/// Parameters of [`TimelineEvent::ZoneLoss`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneLoss {
-    /// When.
+    /// Time at which the event begins, seconds.
     pub at_s: f64,
-    /// Which zone, from 0.
+    /// Zone, from 0.
     pub zone: u16,
-    /// Time until the machines start again; never where it is missing.
+    /// Time until the machines start again, seconds; they never do if it is missing.
     #[serde(default)]
     pub return_after_s: Option<f64>,
 }
 
-/// See [`TimelineEvent::RackLoss`].
+/// Parameters of [`TimelineEvent::RackLoss`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RackLoss {
-    /// When.
+    /// Time at which the event begins, seconds.
     pub at_s: f64,
-    /// The rack's zone, from 0.
+    /// Zone of the rack, from 0.
     pub zone: u16,
-    /// Which rack of the zone, from 0.
+    /// Rack inside the zone, from 0.
     pub rack: u16,
-    /// Time until the backends start again; never where it is missing.
+    /// Time until the backends start again, seconds; they never do if it is missing.
     #[serde(default)]
     pub return_after_s: Option<f64>,
 }
 
-/// See [`TimelineEvent::RegionPartition`].
+/// Parameters of [`TimelineEvent::RegionPartition`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegionPartition {
-    /// When.
+    /// Time at which the event begins, seconds.
     pub at_s: f64,
-    /// For how long.
+    /// Duration of the event, seconds.
     pub for_s: f64,
 }
 
-/// See [`TimelineEvent::DiscoveryDown`].
+/// Parameters of [`TimelineEvent::DiscoveryDown`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryDown {
-    /// When.
+    /// Time at which the event begins, seconds.
     pub at_s: f64,
-    /// For how long.
+    /// Duration of the event, seconds.
     pub for_s: f64,
 }
 
-/// See [`TimelineEvent::WatchStall`].
+/// Parameters of [`TimelineEvent::WatchStall`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WatchStall {
-    /// When.
+    /// Time at which the event begins, seconds.
     pub at_s: f64,
-    /// The part of the watches.
+    /// Fraction of the watches that stall, 0 to 1.
     #[serde(default = "all_watches")]
     pub fraction: f64,
 }
 
-/// See [`TimelineEvent::ConfigBurst`].
+/// Parameters of [`TimelineEvent::ConfigBurst`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigBurst {
-    /// When the first endpoint changes.
+    /// Time at which the first endpoint changes, seconds.
     pub at_s: f64,
-    /// How many change.
+    /// Number of changes. An endpoint changes repeatedly if there are more changes than endpoints.
     #[serde(rename = "entries")]
     pub endpoints: u32,
-    /// The time from the first change to the last.
+    /// Time over which the changes are spread, seconds.
     #[serde(default)]
     pub over_s: f64,
 }
 
-/// See [`TimelineEvent::TenantSurge`].
+/// Parameters of [`TimelineEvent::TenantSurge`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSurge {
-    /// When.
+    /// Time at which the event begins, seconds.
     pub at_s: f64,
-    /// For how long.
+    /// Duration of the event, seconds.
     pub for_s: f64,
-    /// Which tenant, from 0, the largest first.
+    /// Tenant, from 0 in the order of decreasing traffic.
     pub tenant: u16,
-    /// How many times its usual traffic.
+    /// Traffic during the surge as a multiple of the tenant's usual traffic.
     pub multiple: f64,
 }
 
-/// See [`TimelineEvent::BackendSlow`].
+/// Parameters of [`TimelineEvent::BackendSlow`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendSlow {
-    /// When.
+    /// Time at which the event begins, seconds.
     pub at_s: f64,
-    /// For how long.
+    /// Duration of the event, seconds.
     pub for_s: f64,
-    /// The part of the backends.
+    /// Fraction of the backends that the event affects, 0 to 1.
     pub fraction: f64,
-    /// How many times slower.
+    /// Factor by which the backends work slower.
     pub factor: f64,
 }
 
-/// See [`TimelineEvent::BackendHang`].
+/// Parameters of [`TimelineEvent::BackendHang`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendHang {
-    /// When.
+    /// Time at which the event begins, seconds.
     pub at_s: f64,
-    /// For how long.
+    /// Duration of the event, seconds.
     pub for_s: f64,
-    /// The part of the backends.
+    /// Fraction of the backends that the event affects, 0 to 1.
     pub fraction: f64,
 }
 
-/// See [`TimelineEvent::BackendCrash`].
+/// Parameters of [`TimelineEvent::BackendCrash`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendCrash {
-    /// When.
+    /// Time at which the event begins, seconds.
     pub at_s: f64,
-    /// The part of the backends.
+    /// Fraction of the backends that the event affects, 0 to 1.
     pub fraction: f64,
-    /// Time until they start again; never where it is missing.
+    /// Time until the backends start again, seconds; they never do if it is missing.
     #[serde(default)]
     pub return_after_s: Option<f64>,
 }
 
-/// See [`TimelineEvent::ProxyRestart`].
+/// Parameters of [`TimelineEvent::ProxyRestart`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProxyRestart {
-    /// When the first proxy crashes.
+    /// Time at which the first proxy crashes, seconds.
     pub at_s: f64,
-    /// The time from the first crash to the last.
+    /// Time over which the crashes are spread, seconds.
     #[serde(default)]
     pub over_s: f64,
-    /// The part of the proxies.
+    /// Fraction of the proxies that restart, 0 to 1.
     pub fraction: f64,
-    /// How long each one is down.
+    /// Time for which each proxy is down, seconds.
     #[serde(default = "default_down_s")]
     pub down_s: f64,
 }
 
-/// See [`TimelineEvent::TrafficShift`].
+/// Parameters of [`TimelineEvent::TrafficShift`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficShift {
-    /// When.
+    /// Time at which the event begins, seconds.
     pub at_s: f64,
-    /// For how long; to the end where it is missing.
+    /// Duration of the shift, seconds; if it is missing, the shift lasts to the end of the run.
     #[serde(default)]
     pub for_s: Option<f64>,
-    /// Whose clients, from 0.
+    /// Zone whose clients are shifted, from 0.
     pub from_zone: u16,
-    /// Where they go.
+    /// Zone that the clients are sent to, from 0.
     pub to_zone: u16,
-    /// The part of them.
+    /// Fraction of the zone's clients that are shifted, 0 to 1.
     pub fraction: f64,
 }
 
@@ -227,13 +227,13 @@
 }
 
 impl TimelineEvent {
-    /// Returns when it begins.
+    /// Returns the time at which the event begins.
     #[must_use]
     pub fn at(&self) -> Micros {
         seconds(self.at_s())
     }
 
-    /// Returns when it begins, in seconds.
+    /// Returns the time at which the event begins, in seconds.
     #[must_use]
     pub fn at_s(&self) -> f64 {
         match self {
--- a/lab/src/fleet/scenario/traffic.rs
+++ b/lab/src/fleet/scenario/traffic.rs
@@ -1,41 +1,41 @@
-//! The traffic of a scenario: classes of requests, tenants, load, and how clients behave.
+//! The traffic of a scenario: classes of requests, tenants, load, and the behavior of clients.
 
 use crate::units::milliseconds;
 use serde::{Deserialize, Serialize};
 use tillerproxy::api;
 
-/// How work varies about its mean.
+/// Distribution of work around its mean.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case", tag = "distribution")]
 pub enum WorkDistribution {
-    /// Not at all.
+    /// Every request has the mean work.
     #[default]
     #[serde(rename = "none")]
     Constant,
-    /// Exponentially.
+    /// Exponential distribution.
     Exponential,
-    /// Log-normally.
+    /// Log-normal distribution.
     Lognormal {
         /// Standard deviation of the logarithm.
         sigma: f64,
     },
 }
 
-/// What running a request twice would do.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
-    /// The request may run any number of times.
+    /// The request may be executed any number of times.
     #[serde(rename = "safe")]
     Idempotent,
-    /// Backends drop repeats of an idempotency key for a while.
+    /// Backends drop a repeated request by its idempotency key, within the scope of the key and until the key expires.
     Keyed,
-    /// The request must not run twice.
+    /// The request must not be executed twice.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
 
-/// The backends that drop a repeated request with the same idempotency key.
+/// The backends that share their idempotency keys and drop a repeated request with the same key.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyScope {
@@ -53,35 +53,35 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSettings {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its part of the requests; parts are scaled to add up to 1.
+    /// Weight of the class among the requests. Weights are scaled to add up to 1.
     #[serde(rename = "share")]
     pub traffic_weight: f64,
-    /// Mean work, milliseconds of a core of speed 1.
+    /// Mean work of a request, milliseconds on a core of speed 1.
     pub work_ms: f64,
-    /// How work varies.
+    /// Distribution of the work around its mean.
     #[serde(default, rename = "spread")]
     pub work_distribution: WorkDistribution,
-    /// The latency objective: a response within this span earns the full priority weight.
+    /// Latency objective: a response within this time earns the full priority weight, milliseconds.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
-    /// How long a client waits in all.
+    /// Total time for which a client waits for its answer, milliseconds.
     #[serde(rename = "deadline_ms")]
     pub timeout_ms: f64,
     /// Priority weight of a response within the latency objective.
     #[serde(default = "default_priority_weight", rename = "worth")]
     pub priority_weight: f64,
-    /// The part of the priority weight that a response past the latency objective still earns.
+    /// Fraction of the priority weight that a response past the latency objective still earns, 0 to 1.
     #[serde(default, rename = "late_worth")]
     pub late_weight_factor: f64,
-    /// What a repeat does.
+    /// Whether a request of the class may be executed more than once.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// For keyed classes: which backends drop a repeat.
+    /// Backends that share their idempotency keys; used for keyed classes only.
     #[serde(default, rename = "key_group")]
     pub key_scope: KeyScope,
-    /// For keyed classes: how long backends remember a key.
+    /// Time for which backends remember a key, milliseconds; used for keyed classes only.
     #[serde(default = "default_key_ttl_ms")]
     pub key_ttl_ms: f64,
 }
@@ -95,7 +95,7 @@
 }
 
 impl ClassSettings {
-    /// Converts the class to the decision module's settings.
+    /// Converts the class to a class of the decision module's settings.
     #[must_use]
     pub fn to_class(&self) -> api::Class {
         api::Class {
@@ -124,19 +124,19 @@
     }
 }
 
-/// The tenants and how traffic spreads over them.
+/// The tenants and the distribution of traffic over them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSettings {
-    /// How many there are.
+    /// Number of tenants.
     pub count: u16,
-    /// Exponent of the Zipf distribution of their traffic; 0: all alike.
+    /// Exponent of the Zipf distribution of the traffic over tenants; 0 gives every tenant the same traffic.
     #[serde(default)]
     pub skew: f64,
     /// A tenant's quota as a multiple of its usual traffic.
     #[serde(default = "default_quota_factor", rename = "allowance")]
     pub quota_factor: f64,
-    /// Priority weight of a request over its tenant's quota, as a part of its class's weight.
+    /// Priority weight of a request over its tenant's quota, as a fraction of its class's weight.
     #[serde(default = "default_over_quota_weight", rename = "over_share_worth")]
     pub over_quota_weight: f64,
 }
@@ -149,41 +149,41 @@
     0.1
 }
 
-/// How much clients request.
+/// The load that clients offer.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadSettings {
-    /// Offered work as a part of the capacity of all backends.
+    /// Offered work as a fraction of the capacity of all backends.
     #[serde(rename = "fraction")]
     pub utilization: f64,
-    /// Standard deviation of the logarithm of the proxies' traffic; 0: all alike.
+    /// Standard deviation of the logarithm of the proxies' traffic; 0 gives every proxy the same traffic.
     #[serde(default)]
     pub proxy_skew: f64,
 }
 
-/// How clients behave.
+/// The behavior of clients.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClientSettings {
-    /// Attempts of a client for one call, the first included.
+    /// Maximum number of attempts of a client for one call, including the first.
     #[serde(rename = "tries")]
     pub max_attempts: u8,
-    /// Timeout of one attempt, as a part of the class's timeout.
+    /// Timeout of one attempt, as a fraction of the class's timeout.
     #[serde(rename = "try_timeout")]
     pub attempt_timeout_fraction: f64,
-    /// Mean backoff before a retry (exponential).
+    /// Mean of the exponentially distributed backoff before a retry, milliseconds.
     #[serde(rename = "retry_wait_ms")]
     pub mean_backoff_ms: f64,
-    /// Part of the clients that honor a rejection's retry-after.
+    /// Fraction of the clients that honor the retry-after of a rejection, 0 to 1.
     #[serde(rename = "heeds_retry_after")]
     pub honors_retry_after: f64,
-    /// Part of the clients that disconnect before their response.
+    /// Fraction of the clients that may disconnect before their response, 0 to 1.
     #[serde(rename = "leaves")]
     pub disconnect_fraction: f64,
-    /// How long the front load balancer goes on sending clients to a dead proxy.
+    /// Time for which the front load balancer still sends clients to a dead proxy, seconds.
     #[serde(rename = "notices_dead_proxy_s")]
     pub dead_proxy_detection_s: f64,
-    /// One-way latency between clients and proxies.
+    /// One-way latency between clients and proxies, milliseconds.
     pub latency_ms: f64,
 }
 
