--- a/lab/src/fleet/metrics/mod.rs
+++ b/lab/src/fleet/metrics/mod.rs
@@ -18,21 +18,22 @@
 use tillerproxy::api::Micros;
 use traffic::DiscoveryTraffic;
 
-/// Significant digits of latencies.
+/// Significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
-/// Significant digits of latencies in the time series, which has a histogram for each second.
+/// Significant decimal digits of latencies in the time series. Fewer are kept because each second has a histogram of
+/// its own.
 const SECOND_LATENCY_DIGITS: u8 = 2;
-/// Longer latencies are recorded as this.
+/// Greatest latency that is recorded; longer ones are recorded as this value.
 const MAX_LATENCY: Micros = 120 * MICROS_PER_SECOND;
 
-/// How a client's call ended.
+/// End of a client's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// Answered.
+    /// A backend's response reached the client.
     Served {
         /// Time since the client made the call.
         latency: Micros,
-        /// Whether the latency is within the class's objective.
+        /// Whether the latency is within the latency objective of the class.
         within_objective: bool,
     },
     /// The last attempt was rejected.
@@ -46,6 +47,7 @@
 }
 
 impl CallCounts {
+    /// Counts the end of a call.
     fn add(&mut self, end: CallEnd) {
         self.offered += 1;
         match end {
@@ -64,6 +66,7 @@
         }
     }
 
+    /// Adds the counts of `other`.
     fn add_all(&mut self, other: &Self) {
         self.offered += other.offered;
         self.within_objective += other.within_objective;
@@ -94,6 +97,7 @@
 }
 
 impl Percentiles {
+    /// Returns the percentiles of the recorded latencies.
     fn of(latency: &Histogram<u64>) -> Self {
         let at = |quantile: f64| as_milliseconds(latency.value_at_quantile(quantile));
         Self {
@@ -105,7 +109,10 @@
 }
 
 impl BackendLoad {
-    /// Summarizes the attempts that reached each backend.
+    /// Summarizes the numbers of attempts that reached the backends.
+    ///
+    /// # Panics
+    /// If there is no backend.
     #[must_use]
     pub fn of(backends: &[EmulatedBackend]) -> Self {
         let mut arrivals: Vec<u64> = backends.iter().map(|backend| backend.arrivals).collect();
@@ -125,9 +132,13 @@
 /// The measurements of a run.
 #[derive(Debug)]
 pub struct Metrics {
+    /// End of the warm-up.
     warmup: Micros,
+    /// Latencies of the served calls after the warm-up.
     latency: Histogram<u64>,
+    /// The time series: metrics by the second in which a call was made.
     seconds: Vec<SecondMetrics>,
+    /// Metrics by class, after the warm-up.
     classes: Vec<ClassMetrics>,
     propagation: PropagationTracker,
     discovery: DiscoveryTraffic,
@@ -140,8 +151,8 @@
 }
 
 impl Metrics {
-    /// Creates the metrics of a run in which clients send requests for `duration`. Calls made during the warm-up
-    /// count in the time series alone.
+    /// Creates the metrics of a run in which clients send requests for `duration`. Calls made during the warm-up are
+    /// recorded in the time series only.
     #[must_use]
     pub fn new(duration: Micros, warmup: Micros, classes: usize, proxies: usize) -> Self {
         let empty = SecondMetrics {
@@ -159,7 +170,8 @@
         }
     }
 
-    /// Records the end of a call. Past its latency objective it earns `late_weight_factor` of its weight.
+    /// Records the end of a call. A response past the latency objective earns `late_weight_factor` of the call's
+    /// priority weight. A call whose client disconnected is left out of the weights.
     pub fn on_call_end(&mut self, call: &ClientCall, late_weight_factor: f64, end: CallEnd) {
         self.record_in_time_series(call, end);
         if call.started_at < self.warmup {
@@ -207,7 +219,7 @@
             .on_publication(revision, changed_at, running_proxies);
     }
 
-    /// Records that a proxy's list has reached a revision.
+    /// Records that the endpoint list of a proxy has reached a revision.
     pub fn on_update(&mut self, now: Micros, proxy: ProxyIndex, revision: Revision) {
         self.propagation.on_update(now, proxy, revision);
     }
@@ -217,6 +229,7 @@
         self.discovery.record(now, traffic);
     }
 
+    /// Returns the counts of all classes together.
     fn total_calls(&self) -> CallCounts {
         let mut total = CallCounts::default();
         for class in &self.classes {
@@ -225,7 +238,7 @@
         total
     }
 
-    /// Returns the earned weight as a part of the offered weight.
+    /// Returns the earned weight as a fraction of the offered weight.
     fn earned_weight_fraction(&self) -> f64 {
         let offered: f64 = self.classes.iter().map(|class| class.offered_weight).sum();
         let earned: f64 = self.classes.iter().map(|class| class.earned_weight).sum();
@@ -248,7 +261,7 @@
             .collect()
     }
 
-    /// Returns the figures of a run.
+    /// Returns the report of a run.
     #[must_use]
     pub fn report(&self, run: RunSummary) -> PolicyReport {
         PolicyReport {
@@ -271,18 +284,18 @@
     }
 }
 
-/// What the simulation adds to the metrics for a report.
+/// Values of a run that the report takes from the simulation.
 #[derive(Clone, Debug)]
 pub struct RunSummary {
     /// Name of the policy.
     pub policy: String,
     /// Names of the classes.
     pub class_names: Vec<String>,
-    /// Attempts over the backends.
+    /// Distribution of the attempts over the backends.
     pub backend_load: BackendLoad,
-    /// How the rules were kept.
+    /// Counts of the rule checker.
     pub rules: RuleCounts,
-    /// Events of the simulation.
+    /// Number of events of the simulation.
     pub events: u64,
     /// Virtual time that passed.
     pub elapsed: Micros,
--- a/lab/src/fleet/metrics/propagation.rs
+++ b/lab/src/fleet/metrics/propagation.rs
@@ -1,4 +1,4 @@
-//! How long changes of the endpoint list take to reach the proxies.
+//! The propagation time of changes: from a change of an endpoint until the proxies are informed.
 
 use crate::fleet::discovery::Revision;
 use crate::fleet::ids::ProxyIndex;
@@ -10,16 +10,17 @@
 #[derive(Debug)]
 struct Publication {
     revision: Revision,
-    /// When its first change happened.
+    /// Time of the first change of the publication.
     changed_at: Micros,
-    /// Proxies that ran at the publication.
+    /// Number of proxies that ran at the time of the publication.
     running_proxies: usize,
-    /// When proxies were informed, in order of time.
+    /// Times at which proxies were informed, in increasing order.
     informed_at: Vec<Micros>,
 }
 
 impl Publication {
-    /// Returns the time from the change until this fraction of the proxies was informed, seconds.
+    /// Returns the time from the change until this fraction of the running proxies was informed, in seconds; `None` if
+    /// fewer were informed.
     fn propagation_s(&self, fraction: f64) -> Option<f64> {
         let needed = ((self.running_proxies as f64 * fraction).ceil() as usize).max(1);
         let informed_at = self.informed_at.get(needed - 1)?;
@@ -27,27 +28,29 @@
     }
 }
 
-/// Tracks all publications of a run.
+/// Tracker of all publications of a run.
 #[derive(Debug)]
 pub(super) struct PropagationTracker {
+    /// Publications in the order of their revisions.
     publications: Vec<Publication>,
-    /// The number of publications that each proxy knows.
-    known: Vec<usize>,
+    /// Number of publications that each proxy knows, by proxy index.
+    known_counts: Vec<usize>,
 }
 
 impl PropagationTracker {
     pub(super) fn new(proxies: usize) -> Self {
         Self {
             publications: Vec::new(),
-            known: vec![0; proxies],
+            known_counts: vec![0; proxies],
         }
     }
 
     /// Returns the number of proxies.
     pub(super) fn proxies(&self) -> usize {
-        self.known.len()
+        self.known_counts.len()
     }
 
+    /// Records a publication whose first change happened at `changed_at`.
     pub(super) fn on_publication(
         &mut self,
         revision: Revision,
@@ -62,18 +65,18 @@
         });
     }
 
-    /// Records that a proxy's list has reached a revision.
+    /// Records that the endpoint list of a proxy has reached a revision.
     pub(super) fn on_update(&mut self, now: Micros, proxy: ProxyIndex, revision: Revision) {
-        let known = &mut self.known[proxy.index()];
-        while let Some(publication) = self.publications.get_mut(*known)
+        let known_count = &mut self.known_counts[proxy.index()];
+        while let Some(publication) = self.publications.get_mut(*known_count)
             && publication.revision <= revision
         {
             publication.informed_at.push(now);
-            *known += 1;
+            *known_count += 1;
         }
     }
 
-    /// Returns how long publications took to inform this fraction of the proxies, sorted.
+    /// Returns the propagation times of all publications to this fraction of the proxies, sorted.
     fn sorted_times(&self, fraction: f64) -> Vec<f64> {
         let mut times: Vec<f64> = self
             .publications
@@ -84,6 +87,7 @@
         times
     }
 
+    /// Returns the summary of all publications.
     pub(super) fn report(&self) -> ChangePropagation {
         let half = self.sorted_times(0.5);
         let p99 = self.sorted_times(0.99);
@@ -101,6 +105,7 @@
     }
 }
 
+/// Returns the median of sorted values; the upper one of an even number.
 fn median(sorted: &[f64]) -> Option<f64> {
     sorted.get(sorted.len() / 2).copied()
 }
--- a/lab/src/fleet/metrics/traffic.rs
+++ b/lab/src/fleet/metrics/traffic.rs
@@ -1,4 +1,4 @@
-//! Traffic of discovery, in all and by second.
+//! Traffic of discovery: totals, and the peak of a second.
 
 use crate::fleet::discovery::Traffic;
 use crate::fleet::report::DiscoveryReport;
@@ -12,16 +12,17 @@
     calls: u64,
 }
 
-/// Traffic of discovery.
+/// Recorder of the traffic of discovery.
 #[derive(Debug, Default)]
 pub(super) struct DiscoveryTraffic {
+    /// Traffic by second of virtual time.
     seconds: Vec<SecondTraffic>,
-    /// All traffic recorded so far.
+    /// Total traffic recorded so far.
     total: Traffic,
 }
 
 impl DiscoveryTraffic {
-    /// Adds what is new in the total traffic to the present second.
+    /// Records the total traffic up to now: adds its increase to the present second.
     pub(super) fn record(&mut self, now: Micros, total: Traffic) {
         let index = (now / MICROS_PER_SECOND) as usize;
         if self.seconds.len() <= index {
@@ -33,6 +34,7 @@
         self.total = total;
     }
 
+    /// Returns the report of a run that lasted `elapsed`.
     pub(super) fn report(&self, elapsed: Micros, proxies: usize) -> DiscoveryReport {
         let proxy_seconds = proxies as f64 * elapsed as f64 / MICROS_PER_SECOND as f64;
         let peak_bytes = self.seconds.iter().map(|second| second.bytes).max();
--- a/lab/src/fleet/plot.rs
+++ b/lab/src/fleet/plot.rs
@@ -1,4 +1,4 @@
-//! The time series of a run as an SVG file.
+//! Plots of the time series of a run, as an SVG file.
 
 use super::report::{FleetReport, PolicyReport, SecondReport};
 use crate::error::LabError;
@@ -8,16 +8,19 @@
 use std::io;
 use std::path::Path;
 
-/// Width and height, pixels.
+/// Width and height of the image, pixels.
 const SIZE: (u32, u32) = (900, 900);
+/// Margin around each chart, pixels.
 const MARGIN: u32 = 8;
+/// Space for the labels of the vertical axis, pixels.
 const LABEL_SPACE: u32 = 60;
+/// Family and size of the font of titles.
 const TITLE_FONT: (&str, u32) = ("sans-serif", 16);
 /// Length of a policy's line in the legend, pixels.
 const LEGEND_LENGTH: i32 = 16;
-/// The vertical axis ends above the greatest value.
+/// End of the vertical axis as a multiple of the greatest value.
 const HEADROOM_FACTOR: f64 = 1.05;
-/// One color for each policy, in their order.
+/// Colors of the policies, in their order.
 const COLORS: [RGBColor; 3] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -26,9 +29,10 @@
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// One chart: what it shows of a second.
+/// A chart of one value of each second.
 struct Chart {
     title: &'static str,
+    /// Returns the value of a second.
     value: fn(&SecondReport) -> f64,
 }
 
@@ -47,6 +51,7 @@
     },
 ];
 
+/// Returns a number of calls as a fraction of the calls made in a second.
 fn fraction(count: u64, second: &SecondReport) -> f64 {
     count as f64 / second.calls.offered.max(1) as f64
 }
@@ -62,10 +67,10 @@
     )
 }
 
-/// Draws the time series of all policies.
+/// Draws the time series of all policies to an SVG file.
 ///
 /// # Errors
-/// [`LabError::Unwritable`] where the file can't be written.
+/// [`LabError::Unwritable`] if the file can't be written.
 pub fn draw(report: &FleetReport, path: &Path) -> Result<(), LabError> {
     let unwritable = |error: Box<dyn Error>| LabError::Unwritable {
         path: path.to_owned(),
@@ -84,7 +89,7 @@
     Ok(())
 }
 
-/// Returns the value of each second, in its middle.
+/// Returns the points of a policy's line: the value of each second, at the middle of the second.
 fn points(report: &PolicyReport, chart: &Chart) -> impl Iterator<Item = (f64, f64)> {
     report
         .seconds
@@ -106,7 +111,7 @@
         .iter()
         .flat_map(|report| &report.seconds)
         .map(chart.value);
-    // An axis must not be empty.
+    // The range of an axis must not be empty, even if all values are 0.
     let greatest = values.fold(0.0_f64, f64::max).max(f64::EPSILON);
     let mut context = ChartBuilder::on(area)
         .margin(MARGIN)
--- a/lab/src/fleet/report.rs
+++ b/lab/src/fleet/report.rs
@@ -1,6 +1,6 @@
-//! The result of a run: what was measured for each policy.
+//! The result of a run: the measurements for each policy.
 //!
-//! Where a key of the JSON result differs from the field's name, `serde(rename)` names the key.
+//! If a key of the JSON result differs from the name of its field, `serde(rename)` gives the key.
 
 use super::client::TrafficMix;
 use super::rules::RuleCounts;
@@ -8,16 +8,16 @@
 use super::topology::Topology;
 use serde::Serialize;
 
-/// What was measured.
+/// The measurements of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetReport {
-    /// Proxies that were emulated.
+    /// Number of emulated proxies.
     pub proxies: usize,
-    /// Backends that were emulated.
+    /// Number of emulated backends.
     pub backends: usize,
-    /// Calls a second that clients make, on average.
+    /// Mean rate of the calls of clients, per second.
     pub calls_per_s: f64,
-    /// One report for each policy.
+    /// Reports of the policies.
     pub policies: Vec<PolicyReport>,
 }
 
@@ -34,37 +34,37 @@
     }
 }
 
-/// Calls by how they ended.
+/// Counts of calls by their end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct CallCounts {
     /// Calls made.
     pub offered: u64,
-    /// Answered within the latency objective.
+    /// Calls answered within the latency objective.
     #[serde(rename = "in_time")]
     pub within_objective: u64,
-    /// Answered past the latency objective.
+    /// Calls answered past the latency objective.
     pub late: u64,
-    /// Rejected at the last attempt.
+    /// Calls whose last attempt was rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed at the last attempt.
+    /// Calls whose last attempt failed.
     pub failed: u64,
-    /// Without an answer at the last attempt.
+    /// Calls whose last attempt timed out.
     pub timed_out: u64,
-    /// Ended by the client's disconnection.
+    /// Calls whose client disconnected.
     #[serde(rename = "left")]
     pub disconnected: u64,
 }
 
-/// The calls of one class.
+/// Metrics of one class.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ClassMetrics {
-    /// How they ended.
+    /// Counts of the calls by their end.
     pub calls: CallCounts,
-    /// Priority weight of all calls.
+    /// Total priority weight of the calls, without those whose client disconnected.
     #[serde(rename = "offered_worth")]
     pub offered_weight: f64,
-    /// Priority weight that responses earned.
+    /// Total priority weight that responses earned.
     #[serde(rename = "earned_worth")]
     pub earned_weight: f64,
 }
@@ -83,19 +83,19 @@
 /// One second of the time series.
 #[derive(Clone, Debug, Serialize)]
 pub struct SecondReport {
-    /// Which second, from 0.
+    /// Number of the second, from 0.
     pub second: usize,
-    /// The calls that clients made in it.
+    /// Counts of the calls made in this second, by their end.
     #[serde(flatten)]
     pub calls: CallCounts,
-    /// The 99th percentile of their latency.
+    /// The 99th percentile of the latency of the answered ones, milliseconds.
     pub p99_ms: f64,
 }
 
-/// Distribution of the attempts over the backends.
+/// Distribution of the number of attempts that reached a backend.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct BackendLoad {
-    /// First percentile of the attempts that reached a backend.
+    /// First percentile.
     pub p1: u64,
     /// Median.
     pub p50: u64,
@@ -103,29 +103,29 @@
     pub p99: u64,
     /// Maximum.
     pub max: u64,
-    /// Backends that no attempt reached.
+    /// Number of backends that no attempt reached.
     #[serde(rename = "without_any")]
     pub idle_backends: u64,
 }
 
-/// How long changes took to reach the proxies, seconds from when they happened.
+/// Propagation of changes: the time from a change until proxies knew it, in seconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ChangePropagation {
-    /// Publications of changes.
+    /// Number of publications.
     pub publications: usize,
-    /// The median publication: known to half of the proxies.
+    /// Median over the publications of the time until half of the proxies knew them.
     pub median_half_s: Option<f64>,
-    /// The median publication: known to 99 in 100.
+    /// Median over the publications of the time until 99 % of the proxies knew them.
     pub median_p99_s: Option<f64>,
-    /// The median publication: known to all.
+    /// Median over the publications of the time until all proxies knew them.
     pub median_all_s: Option<f64>,
-    /// The slowest publication that half of the proxies came to know.
+    /// Longest time until half of the proxies knew a publication.
     pub worst_half_s: Option<f64>,
-    /// The slowest one that 99 in 100 came to know.
+    /// Longest time until 99 % of the proxies knew a publication.
     pub worst_p99_s: Option<f64>,
-    /// The slowest one that all came to know.
+    /// Longest time until all proxies knew a publication.
     pub worst_all_s: Option<f64>,
-    /// Publications that some proxy did not know at the end.
+    /// Number of publications that some proxy did not know at the end.
     pub not_known_to_all: usize,
 }
 
@@ -139,20 +139,20 @@
     /// Full lists sent.
     #[serde(rename = "whole_lists")]
     pub full_lists: u64,
-    /// Endpoints sent, those of full lists included.
+    /// Endpoints sent, including those of full lists.
     #[serde(rename = "entries")]
     pub endpoints: u64,
     /// Bytes of calls and responses.
     pub bytes: u64,
-    /// Bytes a second for one proxy, on average.
+    /// Mean bytes per second for one proxy.
     pub bytes_per_proxy_s: f64,
-    /// Bytes of the busiest second.
+    /// Maximum number of bytes in a second.
     pub peak_second_bytes: u64,
-    /// Calls of the busiest second.
+    /// Maximum number of calls in a second.
     pub peak_second_calls: u64,
 }
 
-/// Attempts of clients and of proxies.
+/// Counts of the attempts of clients and of proxies.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct AttemptCounts {
     /// Attempts of clients: requests to proxies.
@@ -161,59 +161,59 @@
     /// Attempts of proxies: requests to backends.
     #[serde(rename = "attempts")]
     pub proxy_attempts: u64,
-    /// Attempts of proxies that crossed zones.
+    /// Attempts of proxies that were sent to another zone.
     pub cross_zone: u64,
     /// Attempts that a backend with a full queue rejected.
     #[serde(rename = "full")]
     pub rejected: u64,
     /// Attempts that timed out.
     pub timeouts: u64,
-    /// Attempts without a connection.
+    /// Attempts whose connection could not be established.
     pub connect_failures: u64,
     /// Attempts whose connection was reset.
     pub resets: u64,
 }
 
-/// What was measured for one policy.
+/// Measurements for one policy.
 #[derive(Clone, Debug, Serialize)]
 pub struct PolicyReport {
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
-    /// Priority weight that responses earned, as a part of the weight of all calls.
+    /// Priority weight that responses earned, as a fraction of the offered weight.
     #[serde(rename = "worth_in_time")]
     pub earned_weight_fraction: f64,
-    /// Calls after the warm-up by how they ended.
+    /// Counts of the calls after the warm-up, by their end.
     pub calls: CallCounts,
-    /// The same by class.
+    /// Metrics by class, after the warm-up.
     pub classes: Vec<NamedClass>,
-    /// Latency of the calls that were answered, from the client's first attempt.
+    /// Latency of the answered calls after the warm-up, from the start of the client's first attempt.
     pub latency: Percentiles,
     /// Attempts of clients and of proxies.
     pub attempts: AttemptCounts,
     /// Distribution of the attempts over the backends.
     pub backend_load: BackendLoad,
-    /// How long changes took to reach the proxies.
+    /// Propagation of changes to the proxies.
     #[serde(rename = "change_spread")]
     pub change_propagation: ChangePropagation,
     /// Traffic to and from discovery.
     pub discovery: DiscoveryReport,
-    /// How the safety rules were kept.
+    /// Counts of the rule checker.
     pub rules: RuleCounts,
-    /// How often each of the four rules was violated.
+    /// Number of violations of each of the four rules.
     #[serde(rename = "rules_broken")]
     pub rule_violations: [u64; 4],
-    /// Events of the simulation.
+    /// Number of events of the simulation.
     pub events: u64,
     /// The time series.
     pub seconds: Vec<SecondReport>,
 }
 
-/// A class's figures under its name.
+/// Metrics of a class with its name.
 #[derive(Clone, Debug, Serialize)]
 pub struct NamedClass {
-    /// The class.
+    /// Name of the class.
     pub name: String,
-    /// Its figures.
+    /// Metrics of the class.
     #[serde(flatten)]
     pub metrics: ClassMetrics,
 }
