--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -126,7 +126,7 @@
     Err(LabError::Scenario {
         path: PathBuf::from("command line"),
         key: "--scale".to_owned(),
-        problem: format!("{factor} must be above 0"),
+        problem: format!("{factor} must be finite and above 0"),
     })
 }
 
--- a/lab/src/fleet/scenario/validation/mod.rs
+++ b/lab/src/fleet/scenario/validation/mod.rs
@@ -1,4 +1,4 @@
-//! Checks that the figures of a scenario make sense.
+//! Validation of scenarios: each value must lie in its allowed range.
 
 mod check;
 mod timeline;
@@ -8,15 +8,21 @@
 use crate::scenario::{InvalidValue, Scenario};
 use check::Check;
 
+/// Maximum number of machine types and of classes, whose indices are 8 bits wide.
+const MAX_TABLES: usize = u8::MAX as usize;
+
 impl Scenario for FleetScenario {
     fn validate(&self) -> Result<(), InvalidValue> {
         let mut check = Check::new();
         check.positive(self.duration_s, "duration_s");
         check.not_negative(self.warmup_s, "warmup_s");
-        check.that(
+        check.require(
             self.warmup_s < self.duration_s,
             "warmup_s",
-            "must be under `duration_s`",
+            format!(
+                "{} must be under `duration_s` ({})",
+                self.warmup_s, self.duration_s
+            ),
         );
         self.check_fleet(&mut check);
         self.check_machine_types(&mut check);
@@ -37,9 +43,10 @@
     fn check_fleet(&self, check: &mut Check) {
         let fleet = &self.fleet;
         let zones = u32::from(fleet.zones);
-        let one_in_each_zone = "there must be one in each zone at the least";
-        check.that(zones > 0, "fleet.zones", "must be 1 or more");
-        check.that(
+        let one_in_each_zone =
+            |count: u32| format!("{count} must be {zones} or more: at least one in each zone");
+        check.at_least_one(zones, "fleet.zones");
+        check.require(
             (1..=fleet.zones).contains(&fleet.regions),
             "fleet.regions",
             format!(
@@ -47,38 +54,34 @@
                 fleet.regions, fleet.zones
             ),
         );
-        check.that(fleet.proxies >= zones, "fleet.proxies", one_in_each_zone);
-        check.that(
+        check.require(
+            fleet.proxies >= zones,
+            "fleet.proxies",
+            one_in_each_zone(fleet.proxies),
+        );
+        check.require(
             fleet.proxies <= u32::from(u16::MAX),
             "fleet.proxies",
-            "must be at most 65535",
+            format!("{} must be at most {}", fleet.proxies, u16::MAX),
         );
-        check.that(fleet.backends >= zones, "fleet.backends", one_in_each_zone);
-        check.that(
-            fleet.racks_per_zone > 0,
-            "fleet.racks_per_zone",
-            "must be 1 or more",
+        check.require(
+            fleet.backends >= zones,
+            "fleet.backends",
+            one_in_each_zone(fleet.backends),
         );
-        check.that(fleet.cell_size > 0, "fleet.cell_size", "must be 1 or more");
+        check.at_least_one(fleet.racks_per_zone, "fleet.racks_per_zone");
+        check.at_least_one(fleet.cell_size, "fleet.cell_size");
     }
 
     fn check_machine_types(&self, check: &mut Check) {
-        check.that(
-            !self.machine_types.is_empty() && self.machine_types.len() <= 255,
-            "kind",
-            "there must be 1 to 255 kinds",
-        );
+        check_table_count(self.machine_types.len(), "kind", check);
         for (index, machine_type) in self.machine_types.iter().enumerate() {
             check_machine_type(machine_type, index, check);
         }
     }
 
     fn check_classes(&self, check: &mut Check) {
-        check.that(
-            (1..=255).contains(&self.classes.len()),
-            "class",
-            "there must be 1 to 255 classes",
-        );
+        check_table_count(self.classes.len(), "class", check);
         for (index, class) in self.classes.iter().enumerate() {
             check_class(class, index, check);
         }
@@ -100,11 +103,7 @@
 
     fn check_clients(&self, check: &mut Check) {
         let clients = &self.clients;
-        check.that(
-            clients.max_attempts > 0,
-            "clients.tries",
-            "must be 1 or more",
-        );
+        check.at_least_one(clients.max_attempts, "clients.tries");
         check.fraction(clients.attempt_timeout_fraction, "clients.try_timeout");
         check.positive(clients.attempt_timeout_fraction, "clients.try_timeout");
         check.not_negative(clients.mean_backoff_ms, "clients.retry_wait_ms");
@@ -134,7 +133,7 @@
     fn check_permissions(&self, check: &mut Check) {
         let permissions = &self.permissions;
         let max_attempts = permissions.max_attempts;
-        check.that(
+        check.require(
             (1..=MAX_TRACKED_ATTEMPTS).contains(&max_attempts),
             "permissions.max_attempts",
             format!("{max_attempts} must lie in 1..={MAX_TRACKED_ATTEMPTS}"),
@@ -157,15 +156,27 @@
     }
 }
 
+/// Checks the number of tables of an array that is indexed with 8 bits.
+fn check_table_count(count: usize, key: &str, check: &mut Check) {
+    check.require(
+        (1..=MAX_TABLES).contains(&count),
+        key,
+        format!("found {count} `[[{key}]]` tables, must be 1 to {MAX_TABLES}"),
+    );
+}
+
 fn check_machine_type(machine_type: &MachineTypeSettings, index: usize, check: &mut Check) {
     let key = |name: &str| format!("kind[{index}].{name}");
     check.positive(machine_type.backend_weight, key("share"));
     check.positive(machine_type.speed, key("speed"));
-    check.that(machine_type.cores > 0, key("cores"), "must be 1 or more");
-    check.that(
+    check.at_least_one(machine_type.cores, key("cores"));
+    check.require(
         (0.0..1.0).contains(&machine_type.speed_spread),
         key("speed_spread"),
-        "must lie in 0..1",
+        format!(
+            "{} must be 0 or more and under 1",
+            machine_type.speed_spread
+        ),
     );
 }
 
@@ -175,10 +186,13 @@
     check.positive(class.work_ms, key("work_ms"));
     check.positive(class.latency_objective_ms, key("aim_ms"));
     check.not_negative(class.priority_weight, key("worth"));
-    check.that(
+    check.require(
         class.timeout_ms >= class.latency_objective_ms,
         key("deadline_ms"),
-        "must not be under `aim_ms`",
+        format!(
+            "{} must not be under `aim_ms` ({})",
+            class.timeout_ms, class.latency_objective_ms
+        ),
     );
     check.fraction(class.late_weight_factor, key("late_worth"));
     check.positive(class.key_ttl_ms, key("key_ttl_ms"));
@@ -188,7 +202,7 @@
 }
 
 fn check_tenants(tenants: &TenantSettings, check: &mut Check) {
-    check.that(tenants.count > 0, "tenants.count", "must be 1 or more");
+    check.at_least_one(tenants.count, "tenants.count");
     check.not_negative(tenants.skew, "tenants.skew");
     check.positive(tenants.quota_factor, "tenants.allowance");
     check.fraction(tenants.over_quota_weight, "tenants.over_share_worth");
--- a/lab/src/fleet/scenario/validation/timeline.rs
+++ b/lab/src/fleet/scenario/validation/timeline.rs
@@ -7,7 +7,7 @@
     TenantSurge, TimelineEvent, TrafficShift, ZoneLoss,
 };
 
-/// Checks the figures of an event; `path` is its key in the scenario file.
+/// Checks the parameters of an event; `path` is the key of the event in the scenario file.
 pub(super) fn check_event(
     event: &TimelineEvent,
     scenario: &FleetScenario,
@@ -37,15 +37,16 @@
     }
 }
 
-/// Checks the figures of one event.
+/// The checks of one event.
 struct EventCheck<'a> {
     check: &'a mut Check,
-    /// The event's key in the scenario file.
+    /// Key of the event in the scenario file.
     path: &'a str,
     scenario: &'a FleetScenario,
 }
 
 impl EventCheck<'_> {
+    /// Returns the key of a parameter in the scenario file.
     fn key(&self, name: &str) -> String {
         format!("{}.{name}", self.path)
     }
@@ -62,10 +63,11 @@
         self.check.fraction(value, self.key(name));
     }
 
+    /// Checks that a zone exists.
     fn zone(&mut self, zone: u16, name: &str) {
         let zones = self.scenario.fleet.zones;
         let problem = format!("{zone} must be under {zones} (the zones)");
-        self.check.that(zone < zones, self.key(name), problem);
+        self.check.require(zone < zones, self.key(name), problem);
     }
 
     fn return_after(&mut self, return_after_s: Option<f64>) {
@@ -89,14 +91,13 @@
         let rack = event.rack;
         let racks = self.scenario.fleet.racks_per_zone;
         let problem = format!("{rack} must be under {racks} (the racks)");
-        self.check.that(rack < racks, self.key("rack"), problem);
+        self.check.require(rack < racks, self.key("rack"), problem);
         self.return_after(event.return_after_s);
     }
 
     fn config_burst(&mut self, event: &ConfigBurst) {
-        let problem = "must be 1 or more";
         self.check
-            .that(event.endpoints > 0, self.key("entries"), problem);
+            .at_least_one(event.endpoints, self.key("entries"));
         self.not_negative(event.over_s, "over_s");
     }
 
@@ -109,11 +110,11 @@
             .map_or(0, |tenants| tenants.count);
         let problem = format!("{tenant} must be under {tenants} (`tenants.count`)");
         self.check
-            .that(tenant < tenants, self.key("tenant"), problem);
+            .require(tenant < tenants, self.key("tenant"), problem);
         self.positive(event.for_s, "for_s");
-        let multiplies = event.multiple > 1.0;
+        let problem = format!("{} must be above 1", event.multiple);
         self.check
-            .that(multiplies, self.key("multiple"), "must be above 1");
+            .require(event.multiple > 1.0, self.key("multiple"), problem);
     }
 
     fn backend_slow(&mut self, event: &BackendSlow) {
--- a/lab/tests/fleet/command_line.rs
+++ b/lab/tests/fleet/command_line.rs
@@ -1,4 +1,4 @@
-//! The program: its exit codes, what its errors name, and its JSON.
+//! The `fleet` command: exit codes, error messages, and result files.
 
 use super::SMALL;
 use serde_json::Value;
@@ -6,14 +6,16 @@
 use std::process::{Command, Output};
 use tempfile::TempDir;
 
-struct Run {
+/// A temporary folder with a scenario file, for runs of the program.
+struct ScenarioFolder {
     folder: TempDir,
 }
 
-impl Run {
+impl ScenarioFolder {
     fn new(scenario: &str) -> Self {
-        let folder = tempfile::tempdir().expect("a folder");
-        std::fs::write(folder.path().join("small.toml"), scenario).expect("written");
+        let folder = tempfile::tempdir().expect("the test can create a temporary folder");
+        std::fs::write(folder.path().join("small.toml"), scenario)
+            .expect("the temporary folder is writable");
         Self { folder }
     }
 
@@ -21,6 +23,7 @@
         self.folder.path().join(name)
     }
 
+    /// Runs the `fleet` command on the scenario file.
     fn run(&self, options: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tillerproxy-lab"));
         command
@@ -28,7 +31,7 @@
             .arg(self.path("small.toml"))
             .arg("--quiet")
             .args(options);
-        command.output().expect("the program runs")
+        command.output().expect("cargo has built the program")
     }
 }
 
@@ -36,13 +39,24 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
+/// Checks that the program rejects a scenario with exit code 2, and that the error names the file and `expected_parts`.
+fn assert_rejected(scenario: &str, case: &str, expected_parts: &[&str]) {
+    let output = ScenarioFolder::new(scenario).run(&[]);
+    let text = stderr(&output);
+    assert_eq!(output.status.code(), Some(2), "{case}: {text}");
+    assert!(text.contains("small.toml"), "{case}: {text}");
+    for part in expected_parts {
+        assert!(text.contains(part), "{case}: `{part}` is not in {text}");
+    }
+}
+
 #[test]
-fn errors_name_the_file_the_key_and_what_is_allowed() {
+fn invalid_scenario_error_names_the_file_the_key_the_value_and_the_allowed_range() {
     let cases = [
         (
             "duration_s = 3.0",
             "duration_s = -1.0",
-            vec!["duration_s", "above 0"],
+            vec!["`duration_s`", "-1 must be finite and above 0"],
         ),
         (
             "fraction = 0.6",
@@ -52,14 +66,38 @@
         (
             "proxies = 6",
             "proxies = 1",
-            vec!["fleet.proxies", "one in each zone"],
+            vec!["fleet.proxies", "1 must be 2 or more", "one in each zone"],
         ),
         (
             "proxies = 6",
             "proxies = \"six\"",
             vec!["fleet.proxies", "invalid type"],
         ),
-        ("regions = 2", "regions = 3", vec!["fleet.regions", "1..=2"]),
+        (
+            "regions = 2",
+            "regions = 3",
+            vec!["fleet.regions", "3 must lie in 1..=2"],
+        ),
+        (
+            "cores = 2",
+            "cores = 0",
+            vec!["kind[0].cores", "0 must be 1 or more"],
+        ),
+        (
+            "speed_spread = 0.1",
+            "speed_spread = 1.0",
+            vec!["kind[0].speed_spread", "1 must be 0 or more and under 1"],
+        ),
+        (
+            "deadline_ms = 1000.0",
+            "deadline_ms = 300.0",
+            vec!["class[0].deadline_ms", "300", "`aim_ms` (400)"],
+        ),
+        (
+            "duration_s = 3.0",
+            "duration_s = 3.0\nwarmup_s = 4.0",
+            vec!["warmup_s", "4 must be under `duration_s` (3)"],
+        ),
         (
             "effect = \"unsafe\"",
             "effect = \"risky\"",
@@ -68,22 +106,16 @@
         (
             "cold_time_s = 2.0",
             "cold_time_s = 0.0",
-            vec!["safety.cold_time_s", "above 0"],
+            vec!["safety.cold_time_s", "0 must be finite and above 0"],
         ),
     ];
-    for (right, wrong, named) in cases {
-        let output = Run::new(&SMALL.replace(right, wrong)).run(&[]);
-        let text = stderr(&output);
-        assert_eq!(output.status.code(), Some(2), "{wrong}: {text}");
-        assert!(text.contains("small.toml"), "{wrong}: {text}");
-        for part in named {
-            assert!(text.contains(part), "{wrong}: `{part}` is not in {text}");
-        }
+    for (valid, invalid, expected_parts) in cases {
+        assert_rejected(&SMALL.replace(valid, invalid), invalid, &expected_parts);
     }
 }
 
 #[test]
-fn events_that_make_no_sense_are_errors() {
+fn invalid_event_error_names_the_key_the_value_and_the_allowed_range() {
     let cases = [
         (
             "kind = \"meteor\"\nat_s = 1.0",
@@ -91,11 +123,11 @@
         ),
         (
             "kind = \"zone_loss\"\nat_s = 1.0\nzone = 2",
-            vec!["event[0].zone", "under 2"],
+            vec!["event[0].zone", "2 must be under 2"],
         ),
         (
             "kind = \"zone_loss\"\nat_s = -1.0\nzone = 0",
-            vec!["event[0].at_s", "0 or more"],
+            vec!["event[0].at_s", "-1 must be finite and 0 or more"],
         ),
         (
             "kind = \"zone_loss\"\nat_s = 1.0\nzone = 0\nfor_s = 1.0",
@@ -107,32 +139,36 @@
         ),
         (
             "kind = \"backend_crash\"\nat_s = 1.0\nfraction = 1.5",
-            vec!["event[0].fraction", "0..=1"],
+            vec!["event[0].fraction", "1.5 must lie in 0..=1"],
         ),
         (
             "kind = \"tenant_surge\"\nat_s = 1.0\nfor_s = 1.0\ntenant = 5\nmultiple = 2.0",
-            vec!["event[0].tenant", "under 5"],
+            vec!["event[0].tenant", "5 must be under 5"],
+        ),
+        (
+            "kind = \"tenant_surge\"\nat_s = 1.0\nfor_s = 1.0\ntenant = 0\nmultiple = 0.5",
+            vec!["event[0].multiple", "0.5 must be above 1"],
+        ),
+        (
+            "kind = \"config_burst\"\nat_s = 1.0\nentries = 0",
+            vec!["event[0].entries", "0 must be 1 or more"],
         ),
     ];
-    for (event, named) in cases {
-        let output = Run::new(&format!("{SMALL}\n[[event]]\n{event}\n")).run(&[]);
-        let text = stderr(&output);
-        assert_eq!(output.status.code(), Some(2), "{event}: {text}");
-        for part in named {
-            assert!(text.contains(part), "{event}: `{part}` is not in {text}");
-        }
+    for (event, expected_parts) in cases {
+        let scenario = format!("{SMALL}\n[[event]]\n{event}\n");
+        assert_rejected(&scenario, event, &expected_parts);
     }
 }
 
 #[test]
-fn options_that_make_no_sense_are_errors() {
-    let run = Run::new(SMALL);
+fn invalid_options_and_a_missing_scenario_file_end_with_exit_code_2() {
+    let folder = ScenarioFolder::new(SMALL);
     for options in [
         ["--duration-s", "0"],
         ["--scale", "-1"],
         ["--policies", "best"],
     ] {
-        let output = run.run(&options);
+        let output = folder.run(&options);
         assert_eq!(
             output.status.code(),
             Some(2),
@@ -140,8 +176,8 @@
             stderr(&output)
         );
     }
-    std::fs::remove_file(run.path("small.toml")).expect("removed");
-    let output = run.run(&[]);
+    std::fs::remove_file(folder.path("small.toml")).expect("the scenario file exists");
+    let output = folder.run(&[]);
     assert_eq!(output.status.code(), Some(2));
     assert!(
         stderr(&output).contains("cannot read"),
@@ -151,10 +187,10 @@
 }
 
 #[test]
-fn the_result_holds_the_run_the_scenario_and_what_was_measured() {
-    let run = Run::new(SMALL);
-    let json = run.path("result.json");
-    let plot = run.path("series.svg");
+fn result_file_table_and_plot_hold_the_run_the_scenario_and_the_measurements() {
+    let folder = ScenarioFolder::new(SMALL);
+    let json = folder.path("result.json");
+    let plot = folder.path("series.svg");
     let (json_option, plot_option) = (json.to_string_lossy(), plot.to_string_lossy());
     let options = [
         "--json",
@@ -168,7 +204,7 @@
         "--seed",
         "9",
     ];
-    let output = run.run(&options);
+    let output = folder.run(&options);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     let table = String::from_utf8_lossy(&output.stdout).into_owned();
     for label in [
@@ -181,7 +217,8 @@
         assert!(table.contains(label), "{label}: {table}");
     }
     let result: Value =
-        serde_json::from_slice(&std::fs::read(&json).expect("written")).expect("JSON");
+        serde_json::from_slice(&std::fs::read(&json).expect("the program wrote the result file"))
+            .expect("the result file is JSON");
     assert_eq!(
         (&result["run"]["experiment"], &result["run"]["seed"]),
         (&"fleet".into(), &9.into())
@@ -192,7 +229,7 @@
     assert_eq!(report["seconds"].as_array().map(Vec::len), Some(2));
     assert!(
         std::fs::read_to_string(plot)
-            .expect("written")
+            .expect("the program wrote the plot")
             .contains("<svg")
     );
 }
