--- a/lab/tests/fleet/discovery.rs
+++ b/lab/tests/fleet/discovery.rs
@@ -1,4 +1,4 @@
-//! The emulated discovery and the proxies' watchers.
+//! The emulated discovery service and the watchers of the proxies.
 
 use tillerproxy::api::{Backend, BackendId, Cell, MachineType, Readiness, Zone};
 use tillerproxy_lab::fleet::discovery::{
@@ -8,7 +8,7 @@
 use tillerproxy_lab::fleet::proxy::Watcher;
 use tillerproxy_lab::fleet::scenario::DiscoverySettings;
 
-fn entry(id: u32, readiness: Readiness) -> Backend {
+fn endpoint(id: u32, readiness: Readiness) -> Backend {
     Backend {
         id: BackendId(id),
         zone: Zone(0),
@@ -19,10 +19,11 @@
     }
 }
 
+/// Creates a discovery service with ten ready endpoints at revision 1, for three proxies.
 fn discovery(settings: &DiscoverySettings) -> Discovery {
     Discovery::new(
         settings,
-        (0..10).map(|id| entry(id, Readiness::Ready)).collect(),
+        (0..10).map(|id| endpoint(id, Readiness::Ready)).collect(),
         3,
     )
 }
@@ -43,31 +44,63 @@
     }
 }
 
-/// Revision, completeness and ids of a list.
-fn list(response: &Response) -> (u64, bool, Vec<u32>) {
+/// The content of a response as far as the tests compare it.
+#[derive(Debug, PartialEq)]
+struct ReceivedList {
+    revision: u64,
+    complete: bool,
+    /// Ids of the endpoints.
+    ids: Vec<u32>,
+}
+
+/// Returns the content of a response.
+///
+/// # Panics
+/// If the call failed.
+fn list(response: &Response) -> ReceivedList {
     match &response.body {
-        ResponseBody::List(update) => (
-            update.revision,
-            update.complete,
-            update
+        ResponseBody::List(update) => ReceivedList {
+            revision: update.revision,
+            complete: update.complete,
+            ids: update
                 .endpoints
                 .iter()
                 .map(|endpoint| endpoint.id.0)
                 .collect(),
-        ),
+        },
         ResponseBody::Failed => panic!("the call failed"),
     }
 }
 
+fn delta(revision: u64, ids: &[u32]) -> ReceivedList {
+    ReceivedList {
+        revision,
+        complete: false,
+        ids: ids.to_vec(),
+    }
+}
+
+fn full_list(revision: u64, ids: &[u32]) -> ReceivedList {
+    ReceivedList {
+        revision,
+        complete: true,
+        ids: ids.to_vec(),
+    }
+}
+
+/// Returns the response of a call that is answered at once.
+///
+/// # Panics
+/// If the call is not answered.
 fn answered(status: CallStatus) -> Response {
     match status {
         CallStatus::Answered(response) => response,
-        other => panic!("not answered: {other:?}"),
+        other => panic!("the call is not answered: {other:?}"),
     }
 }
 
 #[test]
-fn a_standing_watch_gets_what_changed_and_other_calls_are_queued() {
+fn standing_watch_receives_changes_at_once_and_other_calls_are_queued() {
     let mut discovery = discovery(&DiscoverySettings::default());
     assert!(matches!(
         discovery.receive(0, call(0, Some(1), true)),
@@ -77,51 +110,48 @@
         discovery.receive(0, call(1, Some(1), false)),
         CallStatus::Queued
     ));
-    assert!(discovery.detect(entry(4, Readiness::Draining)));
-    assert!(!discovery.detect(entry(2, Readiness::Removed)));
-    assert_eq!(discovery.revision(), 1, "detected and not yet published");
+    assert!(discovery.detect(endpoint(4, Readiness::Draining)));
+    assert!(!discovery.detect(endpoint(2, Readiness::Removed)));
+    assert_eq!(
+        discovery.revision(),
+        1,
+        "the changes are detected and not yet published"
+    );
     let responses = discovery.publish();
     assert_eq!(
         responses.iter().map(list).collect::<Vec<_>>(),
-        [(3, false, vec![2, 4])]
+        [delta(3, &[2, 4])]
     );
     let status = discovery.process_next(10).expect("a call is queued");
-    assert_eq!(list(&answered(status)), (3, false, vec![2, 4]));
+    assert_eq!(list(&answered(status)), delta(3, &[2, 4]));
     assert_eq!(discovery.traffic.calls, 2);
     assert_eq!(discovery.traffic.bytes, 4 * 200 + 4 * 132);
 }
 
 #[test]
-fn a_proxy_that_is_too_far_behind_gets_the_full_list() {
+fn proxy_behind_the_change_history_receives_the_full_list() {
     let settings = DiscoverySettings {
         history_limit: 2,
         ..Default::default()
     };
     let mut discovery = discovery(&settings);
-    for id in [1, 2, 3] {
-        discovery.detect(entry(
-            id,
-            if id == 3 {
-                Readiness::Removed
-            } else {
-                Readiness::Draining
-            },
-        ));
-    }
+    discovery.detect(endpoint(1, Readiness::Draining));
+    discovery.detect(endpoint(2, Readiness::Draining));
+    discovery.detect(endpoint(3, Readiness::Removed));
     discovery.publish();
-    let near = answered(discovery.receive(0, call(0, Some(2), true)));
-    assert_eq!(list(&near), (4, false, vec![2, 3]));
-    let far = answered(discovery.receive(0, call(1, Some(1), true)));
+    let within_history = answered(discovery.receive(0, call(0, Some(2), true)));
+    assert_eq!(list(&within_history), delta(4, &[2, 3]));
+    let behind_history = answered(discovery.receive(0, call(1, Some(1), true)));
     assert_eq!(
-        list(&far),
-        (4, true, vec![0, 1, 2, 4, 5, 6, 7, 8, 9]),
+        list(&behind_history),
+        full_list(4, &[0, 1, 2, 4, 5, 6, 7, 8, 9]),
         "removed endpoints are not listed"
     );
     assert_eq!(discovery.traffic.full_lists, 1);
 }
 
 #[test]
-fn calls_fail_that_were_queued_for_too_long_or_find_discovery_down() {
+fn calls_queued_too_long_or_made_during_an_outage_fail() {
     let settings = DiscoverySettings {
         queue_timeout_ms: 5.0,
         ..Default::default()
@@ -149,17 +179,17 @@
 }
 
 #[test]
-fn nothing_is_answered_on_a_stalled_watch() {
+fn stalled_watch_is_never_answered() {
     let mut discovery = discovery(&DiscoverySettings::default());
     discovery.receive(0, call(0, Some(1), true));
     discovery.stall_watch(ProxyIndex(0));
-    discovery.detect(entry(1, Readiness::Removed));
+    discovery.detect(endpoint(1, Readiness::Removed));
     assert!(discovery.publish().is_empty());
     assert!(discovery.expire_watch(call_id(0)).is_none());
 }
 
 #[test]
-fn responses_to_watches_are_queued_where_discovery_is_bounded() {
+fn watch_responses_are_queued_if_their_rate_is_limited() {
     let settings = DiscoverySettings {
         watch_responses_per_s: Some(100.0),
         ..Default::default()
@@ -168,7 +198,7 @@
     discovery.receive(0, call(0, Some(1), true));
     discovery.receive(0, call(1, Some(1), true));
     for id in [1, 2] {
-        discovery.detect(entry(id, Readiness::Removed));
+        discovery.detect(endpoint(id, Readiness::Removed));
         assert!(discovery.publish().is_empty());
     }
     assert_eq!(discovery.next_processing_time(), Some(10_000));
@@ -178,17 +208,17 @@
             .expect("the response to a watch is queued");
         let response = answered(status);
         assert_eq!(response.call.proxy, ProxyIndex(proxy));
-        assert_eq!(list(&response), (3, false, vec![1, 2]));
+        assert_eq!(list(&response), delta(3, &[1, 2]));
     }
     assert_eq!(
         discovery.next_processing_time(),
         None,
-        "one response carries both publications"
+        "each watch has one response with both publications"
     );
 }
 
 #[test]
-fn a_watcher_has_one_pending_call_and_continues_its_watch_after_a_response() {
+fn watcher_has_one_pending_call_and_continues_its_watch_after_a_response() {
     let mut watcher = Watcher::new(ProxyIndex(0), 3);
     watcher.revision = Some(7);
     let first = watcher.subscribe().expect("no call is pending");
@@ -200,10 +230,10 @@
         ),
         (Some(7), 250_000, false)
     );
-    assert!(watcher.subscribe().is_none(), "one call at a time");
+    assert!(watcher.subscribe().is_none(), "at most one call is pending");
     assert!(
         !watcher.complete(first.call.id.serial + 1),
-        "a response to no call of its own"
+        "a response with another serial number ends no call"
     );
     assert!(watcher.complete(first.call.id.serial));
     let second = watcher.on_response(9);
@@ -221,6 +251,6 @@
     watcher.restart();
     assert!(
         !watcher.complete(third.call.id.serial),
-        "calls of a former incarnation are void"
+        "a response to a call of the former incarnation is ignored"
     );
 }
--- a/lab/tests/fleet/events.rs
+++ b/lab/tests/fleet/events.rs
@@ -1,4 +1,4 @@
-//! The event queue.
+//! The event queue, and the slab that holds what pending events refer to.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -6,12 +6,12 @@
 use tillerproxy_lab::fleet::slab::RefSlab;
 
 #[test]
-fn events_come_in_order_of_time_and_then_of_pushes() {
+fn events_are_popped_in_order_of_time_and_then_of_pushes() {
     let mut random = SmallRng::seed_from_u64(1);
     let mut queue = EventQueue::new();
     let mut pushed = Vec::new();
     for number in 0..5_000_u32 {
-        // Near, far beyond the wheel, and many of the same time.
+        // Spans within the wheel and beyond it, rounded so that many events have the same time.
         let span = [100, 1_000_000, 60_000_000][number as usize % 3];
         let at = random.random_range(0..span) / 50 * 50;
         queue.push(at, number);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn events_pushed_while_others_are_popped_keep_their_order() {
+fn events_pushed_between_pops_are_popped_in_order_of_time() {
     let mut random = SmallRng::seed_from_u64(2);
     let mut queue = EventQueue::new();
     queue.push(0, 0_u32);
@@ -32,7 +32,7 @@
     let mut popped = 0;
     let mut pushed = 1;
     while let Some((now, number)) = queue.pop() {
-        assert!(now >= last, "time went back from {last} to {now}");
+        assert!(now >= last, "time must not decrease from {last} to {now}");
         last = now;
         popped += 1;
         if pushed < 20_000 {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_key_is_used_again_only_after_its_last_reference() {
+fn slab_reuses_a_key_only_after_its_last_reference_is_released() {
     let mut slab = RefSlab::new();
     let first = slab.insert("a", 2);
     assert!(!slab.release(first));
--- a/lab/tests/fleet/main.rs
+++ b/lab/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! The emulated fleet: its machines, its rules and whole simulations of small scenarios.
+//! Tests of the emulated fleet: its parts, the rule checker, and simulations of small scenarios.
 
 mod backend;
 mod client;
@@ -14,7 +14,8 @@
 use tillerproxy_lab::error::LabError;
 use tillerproxy_lab::fleet::scenario::FleetScenario;
 
-/// Two zones in two regions, 6 proxies, 24 backends, some hundred requests a second, for three seconds.
+/// The small scenario: two zones in two regions, 6 proxies, 24 backends, some hundred requests per second, for three
+/// seconds.
 const SMALL: &str = r#"
 duration_s = 3.0
 
@@ -71,7 +72,7 @@
     tillerproxy_lab::scenario::parse(text, Path::new("small.toml"))
 }
 
-/// The small scenario with an event.
+/// Returns the small scenario with an event of the timeline.
 fn small_with(event: &str) -> FleetScenario {
-    parse(&format!("{SMALL}\n{event}")).expect("a valid scenario")
+    parse(&format!("{SMALL}\n{event}")).expect("the small scenario and the event are valid")
 }
--- a/lab/tests/fleet/report.rs
+++ b/lab/tests/fleet/report.rs
@@ -1,22 +1,23 @@
-//! The keys of the JSON result.
+//! The JSON keys of the report, which other tools read.
 
 use super::small_with;
 use serde_json::Value;
 use tillerproxy_lab::fleet::policy::PolicyKind;
 use tillerproxy_lab::fleet::simulate;
 
-/// The keys of an object, in the order of the alphabet.
+/// Returns the sorted keys of an object.
 fn keys(object: &Value) -> String {
-    let object = object.as_object().expect("an object");
+    let object = object.as_object().expect("the value is an object");
     let mut keys: Vec<&str> = object.keys().map(String::as_str).collect();
     keys.sort_unstable();
     keys.join(" ")
 }
 
 #[test]
-fn keys_of_results_stay_as_they_are() {
-    let report = simulate(&small_with(""), &[PolicyKind::Random], 1, true).expect("a report");
-    let written = serde_json::to_value(&report).expect("JSON");
+fn report_is_written_with_its_documented_json_keys() {
+    let report =
+        simulate(&small_with(""), &[PolicyKind::Random], 1, true).expect("the simulation succeeds");
+    let written = serde_json::to_value(&report).expect("a report can be written as JSON");
     let policy = &written["policies"][0];
     let rules = &policy["rules"];
     let expected = [
--- a/lab/tests/fleet/rules.rs
+++ b/lab/tests/fleet/rules.rs
@@ -1,4 +1,4 @@
-//! The rule checker counts violations of each rule, by policies that are scripted to violate it.
+//! The rule checker: it counts the violations of scripted policies that break one rule each.
 
 use super::small_with;
 use indicatif::ProgressBar;
@@ -15,10 +15,11 @@
 use tillerproxy_lab::fleet::request::{
     AttemptKey, AttemptState, CallKey, SentAttempt, TrackedRequest,
 };
-use tillerproxy_lab::fleet::rules::{PendingSend, RuleChecker, RuleLimits};
+use tillerproxy_lab::fleet::rules::{PendingSend, RepeatCounts, RuleChecker, RuleLimits};
 use tillerproxy_lab::fleet::simulation::Simulation;
 use tillerproxy_lab::fleet::topology::{Machine, Topology};
 
+/// A rolling restart of half of the backends, all at the same time.
 const RESTART: &str = r#"
 [[event]]
 kind = "rolling_restart"
@@ -29,9 +30,14 @@
 down_s = 0.2
 "#;
 
-const NOTHING: &str = "";
+/// Number of backends of the small scenario.
+const BACKENDS: u32 = 24;
 
-/// Simulates the small scenario under a policy that `script` decides.
+/// A timeline without events.
+const NO_EVENT: &str = "";
+
+/// Simulates the small scenario with an event of the timeline, under a policy that calls a script. `script` creates the
+/// script of one proxy, which handles each event of the policy.
 fn simulate<S>(event: &str, script: fn() -> S) -> PolicyReport
 where
     S: FnMut(Micros, Event<'_>, &mut Vec<Action>) + 'static,
@@ -53,43 +59,53 @@
     let schedule = FaultSchedule::new(&scenario, &topology, 1);
     let factory =
         move |_: Settings, _: u64, _: Micros| Ok(Box::new(Scripted(script())) as Box<dyn Policy>);
-    let mut simulation =
-        Simulation::new(&scenario, &topology, &schedule, &factory, 1).expect("good settings");
+    let mut simulation = Simulation::new(&scenario, &topology, &schedule, &factory, 1)
+        .expect("scripted policies accept all settings");
     simulation.run(&ProgressBar::hidden());
     simulation.report("scripted")
 }
 
-fn send(request: RequestId, backend: BackendId, give_up_at: Micros) -> Action {
+fn send(request: RequestId, backend: BackendId, deadline: Micros) -> Action {
     Action::Send {
         request,
         backend,
-        deadline: give_up_at,
+        deadline,
         write_deadline: None,
     }
 }
 
-#[test]
-fn a_policy_that_sends_once_and_fails_what_fails_keeps_all_rules() {
-    let report = simulate(NOTHING, || {
-        |now, event, actions: &mut Vec<Action>| match event {
-            Event::Request(request) => actions.push(send(
-                request.id,
-                BackendId(request.id.0 % 24),
-                now + request.timeout,
-            )),
-            Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
-                request: end.request,
-            }),
-            _ => {}
+/// A script that sends each request once, to a backend by its id, and fails the request if the attempt fails.
+fn send_once(now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
+    match event {
+        Event::Request(request) => {
+            let backend = BackendId(request.id.0 % BACKENDS);
+            actions.push(send(request.id, backend, now + request.timeout));
         }
-    });
+        other => fail_unanswered(&other, actions),
+    }
+}
+
+/// Fails a request whose attempt has ended without an answer to the client.
+fn fail_unanswered(event: &Event<'_>, actions: &mut Vec<Action>) {
+    if let Event::AttemptEnded(end) = event
+        && !end.request_answered
+    {
+        actions.push(Action::Fail {
+            request: end.request,
+        });
+    }
+}
+
+#[test]
+fn policy_that_sends_each_request_once_keeps_all_rules() {
+    let report = simulate(NO_EVENT, || send_once);
     assert_eq!(report.rule_violations, [0; 4]);
     assert!(report.calls.within_objective > 500, "{:?}", report.calls);
 }
 
 #[test]
-fn requests_without_a_final_answer_are_seen() {
-    let report = simulate(NOTHING, || |_, _, _: &mut Vec<Action>| {});
+fn unanswered_requests_are_counted_under_rule_1() {
+    let report = simulate(NO_EVENT, || |_, _, _: &mut Vec<Action>| {});
     assert!(report.rules.final_answers.accepted > 500);
     assert_eq!(
         report.rules.final_answers.unanswered,
@@ -99,8 +115,8 @@
 }
 
 #[test]
-fn sends_and_answers_after_the_final_answer_are_seen() {
-    let report = simulate(NOTHING, || {
+fn sends_and_answers_after_the_final_answer_are_counted_under_rule_1() {
+    let report = simulate(NO_EVENT, || {
         |now, event, actions: &mut Vec<Action>| {
             if let Event::Request(request) = event {
                 actions.push(Action::Fail {
@@ -121,17 +137,14 @@
 }
 
 #[test]
-fn concurrent_attempts_and_repeats_of_what_must_not_run_twice_are_seen() {
-    let report = simulate(NOTHING, || {
+fn concurrent_attempts_and_non_idempotent_repeats_are_counted_under_rule_2() {
+    let report = simulate(NO_EVENT, || {
         |now, event, actions: &mut Vec<Action>| match event {
             Event::Request(request) => {
                 actions.push(send(request.id, BackendId(0), now + request.timeout));
                 actions.push(send(request.id, BackendId(1), now + request.timeout));
             }
-            Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
-                request: end.request,
-            }),
-            _ => {}
+            other => fail_unanswered(&other, actions),
         }
     });
     let repeats = report.rules.repeats;
@@ -146,13 +159,15 @@
 }
 
 #[test]
-fn rejections_of_what_may_have_been_executed_are_seen() {
-    let report = simulate(NOTHING, || {
+fn rejections_of_possibly_executed_requests_are_counted_under_rule_2() {
+    let report = simulate(NO_EVENT, || {
         |now, event, actions: &mut Vec<Action>| match event {
-            // Given up before any answer can come.
-            Event::Request(request) => {
-                actions.push(send(request.id, BackendId(request.id.0 % 24), now + 10))
-            }
+            // The attempt times out before a response can arrive.
+            Event::Request(request) => actions.push(send(
+                request.id,
+                BackendId(request.id.0 % BACKENDS),
+                now + 10,
+            )),
             Event::AttemptEnded(end) if !end.request_answered => {
                 actions.push(Action::Reject {
                     request: end.request,
@@ -171,48 +186,33 @@
 }
 
 #[test]
-fn sends_to_drained_backends_after_the_grace_are_seen() {
+fn sends_to_unavailable_backends_after_the_grace_period_are_counted_under_rule_3() {
     let event = RESTART.replace("down_s = 0.2", "down_s = 100.0") + "\n";
-    let report = simulate(&event, || {
-        |now, event, actions: &mut Vec<Action>| match event {
-            Event::Request(request) => actions.push(send(
-                request.id,
-                BackendId(request.id.0 % 24),
-                now + request.timeout,
-            )),
-            Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
-                request: end.request,
-            }),
-            _ => {}
-        }
-    });
+    let report = simulate(&event, || send_once);
     let drains = report.rules.drains;
     assert!(drains.after_grace > 10, "{drains:?}");
     assert!(
         drains.sends_to_unavailable > drains.after_grace,
-        "sends within the grace are no violation"
+        "attempts within the grace period are counted and are no violation"
     );
 }
 
 #[test]
-fn slow_starts_that_informed_proxies_overload_are_seen() {
+fn collapses_by_informed_proxies_are_counted_under_rule_4() {
     let report = simulate(RESTART, || {
-        let mut newest: Option<(Micros, BackendId)> = None;
+        let mut latest_start: Option<(Micros, BackendId)> = None;
         move |now, event: Event<'_>, actions: &mut Vec<Action>| match event {
-            Event::Membership(MembershipEvent::Delta(entries)) => {
-                let starts = entries
+            Event::Membership(MembershipEvent::Delta(endpoints)) => {
+                let starts = endpoints
                     .iter()
-                    .filter_map(|entry| entry.started_at.map(|at| (at, entry.id)));
-                newest = newest.max(starts.max());
+                    .filter_map(|endpoint| endpoint.started_at.map(|at| (at, endpoint.id)));
+                latest_start = latest_start.max(starts.max());
             }
             Event::Request(request) => {
-                let backend = newest.map_or(BackendId(request.id.0 % 24), |(_, id)| id);
+                let backend = latest_start.map_or(BackendId(request.id.0 % BACKENDS), |(_, id)| id);
                 actions.push(send(request.id, backend, now + request.timeout));
             }
-            Event::AttemptEnded(end) if !end.request_answered => actions.push(Action::Fail {
-                request: end.request,
-            }),
-            _ => {}
+            other => fail_unanswered(&other, actions),
         }
     });
     let slow_starts = report.rules.slow_starts;
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_collapse_is_a_violation_only_where_informed_proxies_sent_two_thirds_of_the_load() {
+fn collapse_violates_rule_4_only_if_informed_proxies_sent_two_thirds_of_the_load() {
     let mut checker = RuleChecker::new(strict_limits());
     checker.on_collapse(&Collapse {
         load: 50.0,
@@ -253,7 +253,7 @@
     );
 }
 
-/// Returns the limits of a checker that allows no hedging and no grace.
+/// Returns limits without hedging and without a grace period.
 fn strict_limits() -> RuleLimits {
     RuleLimits {
         max_attempts: 3,
@@ -284,7 +284,7 @@
     }
 }
 
-/// A request with one attempt that was sent at 0.
+/// Returns a request with one attempt, which was sent at time 0.
 fn request_with_attempt(state: AttemptState) -> TrackedRequest {
     let mut request = TrackedRequest::new(
         RequestId(1),
@@ -302,60 +302,61 @@
     request
 }
 
-/// Counts violations of rule 2 when a keyed request goes from a backend of zone 0 and cell 0, sent at 0, to
-/// another at `now`: after the key expired, outside the scope of the key.
-fn keyed_repeat(
+/// A keyed request that is sent again, after an attempt at time 0 to a backend of zone 0 and cell 0.
+struct KeyedRepeat {
+    /// Scope of the key; its lifetime is 1,000 microseconds.
     scope: KeyScope,
+    /// Time of the repeat.
     now: Micros,
+    /// Zone and cell of the backend of the repeat.
     zone: u16,
     cell: u16,
-    state: AttemptState,
-) -> (u64, u64) {
-    let mut checker = RuleChecker::new(strict_limits());
-    let send = PendingSend {
-        now,
-        request: &request_with_attempt(state),
-        class: &keyed_class(scope, 1_000),
-        target: &machine_in(zone, cell),
-        known_backend: &KnownBackend::default(),
-    };
-    checker.on_send(send, |_| machine_in(0, 0));
-    (
-        checker.counts.repeats.after_key_expiry,
-        checker.counts.repeats.outside_key_scope,
-    )
+    /// Whether the first attempt was executed.
+    earlier: AttemptState,
+}
+
+impl KeyedRepeat {
+    /// Returns the counts of rule 2 (idempotency) after the repeat.
+    fn check(&self) -> RepeatCounts {
+        let mut checker = RuleChecker::new(strict_limits());
+        let send = PendingSend {
+            now: self.now,
+            request: &request_with_attempt(self.earlier),
+            class: &keyed_class(self.scope, 1_000),
+            target: &machine_in(self.zone, self.cell),
+            known_backend: &KnownBackend::default(),
+        };
+        checker.on_send(send, |_| machine_in(0, 0));
+        checker.counts.repeats
+    }
 }
 
 #[test]
-fn keyed_repeats_are_held_to_the_lifetime_and_scope_of_the_key() {
+fn keyed_repeats_violate_rule_2_after_key_expiry_or_outside_the_key_scope() {
     use AttemptState::{MaybeExecuted, NotExecuted};
-    assert_eq!(
-        keyed_repeat(KeyScope::AllBackends, 1_000, 1, 1, MaybeExecuted),
-        (0, 0)
-    );
-    assert_eq!(
-        keyed_repeat(KeyScope::AllBackends, 1_001, 1, 1, MaybeExecuted),
-        (1, 0)
-    );
-    assert_eq!(
-        keyed_repeat(KeyScope::Zone, 500, 0, 1, MaybeExecuted),
-        (0, 0)
-    );
-    assert_eq!(
-        keyed_repeat(KeyScope::Zone, 500, 1, 1, MaybeExecuted),
-        (0, 1)
-    );
-    assert_eq!(
-        keyed_repeat(KeyScope::Cell, 500, 0, 0, MaybeExecuted),
-        (0, 0)
-    );
-    assert_eq!(
-        keyed_repeat(KeyScope::Cell, 2_000, 0, 1, MaybeExecuted),
-        (1, 1)
-    );
-    assert_eq!(
-        keyed_repeat(KeyScope::Cell, 2_000, 1, 1, NotExecuted),
-        (0, 0),
-        "it was not executed"
-    );
+    // Scope, time, zone, cell, state of the first attempt; repeats after key expiry, repeats outside the key scope.
+    let cases = [
+        (KeyScope::AllBackends, 1_000, 1, 1, MaybeExecuted, 0, 0),
+        (KeyScope::AllBackends, 1_001, 1, 1, MaybeExecuted, 1, 0),
+        (KeyScope::Zone, 500, 0, 1, MaybeExecuted, 0, 0),
+        (KeyScope::Zone, 500, 1, 1, MaybeExecuted, 0, 1),
+        (KeyScope::Cell, 500, 0, 0, MaybeExecuted, 0, 0),
+        (KeyScope::Cell, 2_000, 0, 1, MaybeExecuted, 1, 1),
+        (KeyScope::Cell, 2_000, 1, 1, NotExecuted, 0, 0),
+    ];
+    for (scope, now, zone, cell, earlier, after_key_expiry, outside_key_scope) in cases {
+        let repeat = KeyedRepeat {
+            scope,
+            now,
+            zone,
+            cell,
+            earlier,
+        };
+        let counts = repeat.check();
+        assert_eq!(
+            (counts.after_key_expiry, counts.outside_key_scope),
+            (after_key_expiry, outside_key_scope),
+            "{scope:?} at {now} in zone {zone}, cell {cell}, {earlier:?}"
+        );
+    }
 }
--- a/lab/tests/fleet/scenario.rs
+++ b/lab/tests/fleet/scenario.rs
@@ -1,11 +1,11 @@
-//! The keys of scenario files.
+//! The keys of scenario files, which users write.
 
 use super::SMALL;
 use std::path::Path;
 use tillerproxy_lab::fleet::scenario::FleetScenario;
 use tillerproxy_lab::scenario;
 
-/// One event of each kind.
+/// A timeline with one event of each kind.
 const EVENTS: &str = r#"
 event = [
     { kind = "rolling_restart", at_s = 1.0, over_s = 1.0, fraction = 0.5, drain_s = 1.0, down_s = 1.0 },
@@ -25,29 +25,32 @@
 "#;
 
 fn parse(text: &str) -> FleetScenario {
-    scenario::parse(text, Path::new("scenario.toml")).expect("a valid scenario")
+    scenario::parse(text, Path::new("scenario.toml")).expect("the scenario is valid")
 }
 
-/// The sorted keys of a table.
+/// Returns the sorted keys of a table.
 fn keys(table: &toml::Value) -> String {
-    let table = table.as_table().expect("a table");
+    let table = table.as_table().expect("the value is a table");
     let mut keys: Vec<&str> = table.keys().map(String::as_str).collect();
     keys.sort_unstable();
     keys.join(" ")
 }
 
 #[test]
-fn a_scenario_that_was_written_reads_as_the_same() {
+fn written_scenario_reads_as_the_same_scenario() {
     let read = parse(&format!("{EVENTS}\n{SMALL}"));
-    let written = toml::to_string(&read).expect("TOML");
+    let written = toml::to_string(&read).expect("a scenario can be written as TOML");
     let read_again = parse(&written);
-    assert_eq!(toml::to_string(&read_again).expect("TOML"), written);
+    assert_eq!(
+        toml::to_string(&read_again).expect("a scenario can be written as TOML"),
+        written
+    );
 }
 
 #[test]
-fn keys_of_scenario_files_stay_as_they_are() {
+fn scenario_is_written_with_its_documented_toml_keys() {
     let scenario = parse(&format!("{EVENTS}\n{SMALL}"));
-    let written = toml::Value::try_from(&scenario).expect("TOML");
+    let written = toml::Value::try_from(&scenario).expect("a scenario can be written as TOML");
     assert_eq!(
         keys(&written["class"][0]),
         "aim_ms deadline_ms effect key_group key_ttl_ms late_worth name share spread work_ms worth"
