--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -27,37 +27,51 @@
     }
 
     fn write_calls(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.row(f, "earned priority weight", |r| {
-            format!("{:.4}", r.earned_weight_fraction)
+        self.row(f, "earned priority weight", |report| {
+            format!("{:.4}", report.earned_weight_fraction)
         })?;
-        self.row(f, "calls counted", |r| r.calls.offered.to_string())?;
-        self.row(f, "  late", |r| percentage(r.calls.late, r))?;
-        self.row(f, "  rejected", |r| percentage(r.calls.rejected, r))?;
-        self.row(f, "  failed", |r| percentage(r.calls.failed, r))?;
-        self.row(f, "  timed out", |r| percentage(r.calls.timed_out, r))
+        self.row(f, "calls counted", |report| {
+            report.calls.offered.to_string()
+        })?;
+        self.row(f, "  late", |report| percentage(report.calls.late, report))?;
+        self.row(f, "  rejected", |report| {
+            percentage(report.calls.rejected, report)
+        })?;
+        self.row(f, "  failed", |report| {
+            percentage(report.calls.failed, report)
+        })?;
+        self.row(f, "  timed out", |report| {
+            percentage(report.calls.timed_out, report)
+        })
     }
 
     fn write_latency(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.row(f, "latency p50, ms", |r| format!("{:.1}", r.latency.p50_ms))?;
-        self.row(f, "latency p99, ms", |r| format!("{:.1}", r.latency.p99_ms))?;
-        self.row(f, "latency p99.9, ms", |r| {
-            format!("{:.1}", r.latency.p999_ms)
+        self.row(f, "latency p50, ms", |report| {
+            format!("{:.1}", report.latency.p50_ms)
+        })?;
+        self.row(f, "latency p99, ms", |report| {
+            format!("{:.1}", report.latency.p99_ms)
+        })?;
+        self.row(f, "latency p99.9, ms", |report| {
+            format!("{:.1}", report.latency.p999_ms)
         })
     }
 
     fn write_attempts(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.row(f, "attempts of clients", |r| {
-            r.attempts.client_attempts.to_string()
+        self.row(f, "attempts of clients", |report| {
+            report.attempts.client_attempts.to_string()
+        })?;
+        self.row(f, "attempts of proxies", |report| {
+            report.attempts.proxy_attempts.to_string()
         })?;
-        self.row(f, "attempts of proxies", |r| {
-            r.attempts.proxy_attempts.to_string()
+        self.row(f, "  across zones", |report| {
+            report.attempts.cross_zone.to_string()
         })?;
-        self.row(f, "  across zones", |r| r.attempts.cross_zone.to_string())?;
-        self.row(f, "  rejected by a full queue", |r| {
-            r.attempts.rejected.to_string()
+        self.row(f, "  rejected by a full queue", |report| {
+            report.attempts.rejected.to_string()
         })?;
-        self.row(f, "  timed out / no connection / reset", |r| {
-            let counts = &r.attempts;
+        self.row(f, "  timed out / no connection / reset", |report| {
+            let counts = &report.attempts;
             format!(
                 "{}/{}/{}",
                 counts.timeouts, counts.connect_failures, counts.resets
@@ -66,26 +80,26 @@
     }
 
     fn write_backend_load(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.row(f, "attempts at a backend p1/p50/p99", |r| {
-            let load = &r.backend_load;
+        self.row(f, "attempts at a backend p1/p50/p99", |report| {
+            let load = &report.backend_load;
             format!("{}/{}/{}", load.p1, load.p50, load.p99)
         })?;
-        self.row(f, "  maximum, idle backends", |r| {
-            let load = &r.backend_load;
+        self.row(f, "  maximum, idle backends", |report| {
+            let load = &report.backend_load;
             format!("{}, {}", load.max, load.idle_backends)
         })
     }
 
     fn write_propagation(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.row(f, "publications, not known to all", |r| {
-            let propagation = &r.change_propagation;
+        self.row(f, "publications, not known to all", |report| {
+            let propagation = &report.change_propagation;
             format!(
                 "{}, {}",
                 propagation.publications, propagation.not_known_to_all
             )
         })?;
-        self.row(f, "  slowest known to half / 99% / all, s", |r| {
-            let propagation = &r.change_propagation;
+        self.row(f, "  slowest known to half / 99% / all, s", |report| {
+            let propagation = &report.change_propagation;
             format!(
                 " {}/{}/{}",
                 optional_seconds(propagation.worst_half_s),
@@ -96,33 +110,36 @@
     }
 
     fn write_discovery(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.row(f, "discovery calls, failed", |r| {
-            format!("{}, {}", r.discovery.calls, r.discovery.failures)
+        self.row(f, "discovery calls, failed", |report| {
+            format!("{}, {}", report.discovery.calls, report.discovery.failures)
         })?;
-        self.row(f, "  full lists, endpoints", |r| {
-            format!("{}, {}", r.discovery.full_lists, r.discovery.endpoints)
+        self.row(f, "  full lists, endpoints", |report| {
+            format!(
+                "{}, {}",
+                report.discovery.full_lists, report.discovery.endpoints
+            )
         })?;
-        self.row(f, "  MB in all, MB in the peak second", |r| {
-            let total_mb = r.discovery.bytes as f64 / BYTES_PER_MEGABYTE;
-            let peak_mb = r.discovery.peak_second_bytes as f64 / BYTES_PER_MEGABYTE;
+        self.row(f, "  MB in all, MB in the peak second", |report| {
+            let total_mb = report.discovery.bytes as f64 / BYTES_PER_MEGABYTE;
+            let peak_mb = report.discovery.peak_second_bytes as f64 / BYTES_PER_MEGABYTE;
             format!("{total_mb:.2}, {peak_mb:.2}")
         })?;
-        self.row(f, "  bytes a second for one proxy: mean, peak", |r| {
-            let peak = r.discovery.peak_second_bytes as f64 / self.proxies as f64;
-            format!("{:.0}, {peak:.0}", r.discovery.bytes_per_proxy_s)
+        self.row(f, "  bytes a second for one proxy: mean, peak", |report| {
+            let peak = report.discovery.peak_second_bytes as f64 / self.proxies as f64;
+            format!("{:.0}, {peak:.0}", report.discovery.bytes_per_proxy_s)
         })
     }
 
     fn write_rules(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (rule, name) in RULE_NAMES.into_iter().enumerate() {
             let label = format!("rule {} {name}", rule + 1);
-            self.row(f, &label, |r| match r.rule_violations[rule] {
+            self.row(f, &label, |report| match report.rule_violations[rule] {
                 0 => "kept".to_owned(),
                 count => format!("violated {count}x"),
             })?;
         }
-        self.row(f, "backend starts, collapses", |r| {
-            let slow_starts = &r.rules.slow_starts;
+        self.row(f, "backend starts, collapses", |report| {
+            let slow_starts = &report.rules.slow_starts;
             format!("{}, {}", slow_starts.starts, slow_starts.collapses)
         })
     }
