--- a/lab/src/fleet/discovery/messages.rs
+++ b/lab/src/fleet/discovery/messages.rs
@@ -20,7 +20,7 @@
     pub id: CallId,
     /// Revision of the list that the proxy holds; `None` fetches the full list.
     pub known_revision: Option<Revision>,
-    /// Maximum time that the watch stands if nothing changes.
+    /// Maximum time for which the call is held as a standing watch if nothing changes.
     pub wait: Micros,
     /// Whether the call continues a watch. Such calls are not queued.
     pub continues_watch: bool,
@@ -49,11 +49,11 @@
 pub enum CallStatus {
     /// The call is answered now.
     Answered(Response),
-    /// The call stands as a watch until a publication, or until its wait is over.
+    /// The call is held as a standing watch until a publication, or until its wait is over.
     Standing {
         /// The standing call.
         call: CallId,
-        /// Maximum time that the call stands.
+        /// Maximum time for which the call is held.
         wait: Micros,
     },
     /// The call is queued.
--- a/lab/src/fleet/discovery/mod.rs
+++ b/lab/src/fleet/discovery/mod.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Answers a call with the changes since a revision, or lets the call stand as a watch if nothing changed.
+    /// Answers a call with the changes since a revision, or holds the call as a standing watch if nothing changed.
     fn watch(&mut self, call: Call, known_revision: Revision) -> CallStatus {
         if known_revision != self.revision() {
             return CallStatus::Answered(self.update(call.id, Some(known_revision)));
