--- a/lab/src/fleet/client/arrivals.rs
+++ b/lab/src/fleet/client/arrivals.rs
@@ -8,14 +8,23 @@
 use rand_distr::Exp1;
 use tillerproxy::api::{Micros, TenantIndex};
 
+/// Parameters of an arrival process.
+#[derive(Clone, Copy, Debug)]
+pub struct ArrivalSettings {
+    /// Mean rate of the calls, per second.
+    pub calls_per_s: f64,
+    /// Time at which the process begins.
+    pub begins_at: Micros,
+    /// Time at which the process ends.
+    pub ends_at: Micros,
+    /// Tenant of all calls; `None`: a tenant is drawn for each call.
+    pub tenant: Option<TenantIndex>,
+}
+
 /// A Poisson process of calls. Calls arrive whether or not earlier ones were answered.
 #[derive(Debug)]
 pub struct ArrivalProcess {
-    calls_per_s: f64,
-    /// End of the process.
-    until: Micros,
-    /// Tenant of all calls; `None`: a tenant is drawn for each call.
-    tenant: Option<TenantIndex>,
+    settings: ArrivalSettings,
     /// Exact time of the latest arrival in microseconds. It has fractions because intervals may be shorter than a
     /// microsecond.
     latest: f64,
@@ -23,22 +32,12 @@
 }
 
 impl ArrivalProcess {
-    /// Creates a process that begins at `from` and ends at `until`. Each process of a run has an `index` of its own,
-    /// which selects its random stream.
+    /// Creates an arrival process. Each process of a run has an `index` of its own, which selects its random stream.
     #[must_use]
-    pub fn new(
-        calls_per_s: f64,
-        from: Micros,
-        until: Micros,
-        tenant: Option<TenantIndex>,
-        seed: u64,
-        index: u64,
-    ) -> Self {
+    pub fn new(settings: ArrivalSettings, seed: u64, index: u64) -> Self {
         Self {
-            calls_per_s,
-            until,
-            tenant,
-            latest: from as f64,
+            settings,
+            latest: settings.begins_at as f64,
             random: stream(seed, Stream::Arrivals, index),
         }
     }
@@ -46,12 +45,12 @@
     /// Draws the time of the next arrival; `None` if the process has ended.
     pub fn next_arrival(&mut self) -> Option<Micros> {
         let interval: f64 = self.random.sample(Exp1);
-        self.latest += interval * MICROS_PER_SECOND as f64 / self.calls_per_s;
-        (self.latest < self.until as f64).then_some(self.latest as Micros)
+        self.latest += interval * MICROS_PER_SECOND as f64 / self.settings.calls_per_s;
+        (self.latest < self.settings.ends_at as f64).then_some(self.latest as Micros)
     }
 
     /// Draws the call that arrives now.
     pub fn draw_call(&mut self, now: Micros, traffic: &TrafficMix) -> ClientCall {
-        traffic.draw_call(now, self.tenant, &mut self.random)
+        traffic.draw_call(now, self.settings.tenant, &mut self.random)
     }
 }
--- a/lab/src/fleet/client/front.rs
+++ b/lab/src/fleet/client/front.rs
@@ -60,7 +60,7 @@
     /// Returns the proxy that a uniform draw in 0..1 selects for a call: a live proxy of the client's zone, or of the
     /// next zone that has one. `None` if no proxy is alive.
     #[must_use]
-    pub fn choose(&self, call: &ClientCall, drawn: f64) -> Option<ProxyIndex> {
+    pub fn choose_proxy(&self, call: &ClientCall, drawn: f64) -> Option<ProxyIndex> {
         let shift = self
             .shifts
             .iter()
--- a/lab/src/fleet/client/mod.rs
+++ b/lab/src/fleet/client/mod.rs
@@ -10,7 +10,7 @@
 mod traffic;
 mod weighted;
 
-pub use arrivals::ArrivalProcess;
+pub use arrivals::{ArrivalProcess, ArrivalSettings};
 pub use front::{FrontLoadBalancer, TrafficShift};
 pub use quotas::TenantQuotas;
 pub use retry::{AttemptFailure, RetryPolicy};
--- a/lab/src/fleet/simulation/changes.rs
+++ b/lab/src/fleet/simulation/changes.rs
@@ -33,9 +33,12 @@
             FleetChange::StartDiscovery => self.discovery.service.start(),
             FleetChange::StallWatch(proxy) => self.discovery.service.stall_watch(proxy),
             FleetChange::BeginSurge(surge) => self.begin_surge(now, surge),
-            FleetChange::BeginShift(shift) => self.clients.front.shifts.push(shift),
+            FleetChange::BeginShift(shift) => self.clients.front_load_balancer.shifts.push(shift),
             FleetChange::EndShift(shift) => {
-                self.clients.front.shifts.retain(|&other| other != shift);
+                self.clients
+                    .front_load_balancer
+                    .shifts
+                    .retain(|&other| other != shift);
             }
         }
     }
@@ -109,7 +112,8 @@
     /// Updates the front load balancer with the state of a proxy.
     pub(super) fn on_front_detects_proxy_state(&mut self, proxy: ProxyIndex) {
         let alive = self.proxies[proxy.index()].is_running();
-        let front = &mut self.clients.front;
-        front.set_alive(self.topology, proxy, alive);
+        self.clients
+            .front_load_balancer
+            .set_alive(self.topology, proxy, alive);
     }
 }
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -2,8 +2,8 @@
 
 use super::{Simulation, SimulationEvent};
 use crate::fleet::client::{
-    ArrivalProcess, AttemptFailure, ClientCall, FrontLoadBalancer, RetryPolicy, TenantQuotas,
-    TrafficMix,
+    ArrivalProcess, ArrivalSettings, AttemptFailure, ClientCall, FrontLoadBalancer, RetryPolicy,
+    TenantQuotas, TrafficMix,
 };
 use crate::fleet::ids::ProxyIndex;
 use crate::fleet::metrics::CallEnd;
@@ -22,7 +22,7 @@
     quotas: TenantQuotas,
     /// Arrival processes: the usual traffic at index 0, then one for each surge that has begun.
     arrivals: Vec<ArrivalProcess>,
-    pub(super) front: FrontLoadBalancer,
+    pub(super) front_load_balancer: FrontLoadBalancer,
     retries: RetryPolicy,
     pub(super) calls: RefSlab<ClientCall>,
 }
@@ -36,14 +36,18 @@
         settings: &Settings,
         seed: u64,
     ) -> Self {
-        let until = seconds(scenario.duration_s);
-        let usual_traffic = ArrivalProcess::new(traffic.calls_per_s, 0, until, None, seed, 0);
+        let usual_traffic = ArrivalSettings {
+            calls_per_s: traffic.calls_per_s,
+            begins_at: 0,
+            ends_at: seconds(scenario.duration_s),
+            tenant: None,
+        };
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s);
         Self {
             quotas: TenantQuotas::new(quotas),
-            arrivals: vec![usual_traffic],
+            arrivals: vec![ArrivalProcess::new(usual_traffic, seed, 0)],
             traffic,
-            front: FrontLoadBalancer::new(topology),
+            front_load_balancer: FrontLoadBalancer::new(topology),
             retries: RetryPolicy::new(&scenario.clients, seed),
             calls: RefSlab::new(),
         }
@@ -64,15 +68,15 @@
         let surge = self.schedule.surges[index as usize];
         let traffic = &self.clients.traffic;
         let usual_rate = traffic.calls_per_s * traffic.tenant_fraction(surge.tenant);
-        let arrivals = ArrivalProcess::new(
-            usual_rate * (surge.multiple - 1.0),
-            now,
-            surge.until,
-            Some(surge.tenant),
-            self.seed,
-            // Stream 0 belongs to the usual traffic.
-            u64::from(index) + 1,
-        );
+        let additional_traffic = ArrivalSettings {
+            calls_per_s: usual_rate * (surge.multiple - 1.0),
+            begins_at: now,
+            ends_at: surge.until,
+            tenant: Some(surge.tenant),
+        };
+        // Stream 0 belongs to the usual traffic.
+        let stream_index = u64::from(index) + 1;
+        let arrivals = ArrivalProcess::new(additional_traffic, self.seed, stream_index);
         let process = self.clients.arrivals.len() as u32;
         self.clients.arrivals.push(arrivals);
         self.schedule_arrival(process);
@@ -106,7 +110,11 @@
         self.metrics.attempts.client_attempts += 1;
         self.clients.calls[key].attempts += 1;
         let call = self.clients.calls[key];
-        let Some(proxy) = self.clients.front.choose(&call, proxy_draw) else {
+        let Some(proxy) = self
+            .clients
+            .front_load_balancer
+            .choose_proxy(&call, proxy_draw)
+        else {
             self.end_call(key, CallEnd::Failed);
             self.clients.calls.release(key);
             return;
@@ -261,12 +269,7 @@
             self.queue.push(at + backoff, event);
             return;
         }
-        let end = match failure {
-            AttemptFailure::Rejected { .. } => CallEnd::Rejected,
-            AttemptFailure::Failed | AttemptFailure::Unreachable => CallEnd::Failed,
-            AttemptFailure::TimedOut => CallEnd::TimedOut,
-        };
-        self.end_call(call_key, end);
+        self.end_call(call_key, call_end(failure));
     }
 
     /// Ends a call and records how it ended. A call that has already ended is left unchanged.
@@ -331,3 +334,12 @@
         }
     }
 }
+
+/// Returns the end of a call whose last attempt ended with a failure.
+fn call_end(failure: AttemptFailure) -> CallEnd {
+    match failure {
+        AttemptFailure::Rejected { .. } => CallEnd::Rejected,
+        AttemptFailure::Failed | AttemptFailure::Unreachable => CallEnd::Failed,
+        AttemptFailure::TimedOut => CallEnd::TimedOut,
+    }
+}
--- a/lab/tests/fleet/client.rs
+++ b/lab/tests/fleet/client.rs
@@ -1,7 +1,7 @@
 //! Clients: arrival processes and the quotas of tenants.
 
 use tillerproxy::api::TenantIndex;
-use tillerproxy_lab::fleet::client::{ArrivalProcess, TenantQuotas};
+use tillerproxy_lab::fleet::client::{ArrivalProcess, ArrivalSettings, TenantQuotas};
 
 /// One second of virtual time, in microseconds.
 const SECOND: u64 = 1_000_000;
@@ -10,7 +10,13 @@
 fn arrivals_keep_their_rate_even_if_intervals_are_shorter_than_a_microsecond() {
     for rate in [50.0, 200_000.0, 5_000_000.0] {
         let span = (100_000.0 / rate * 1e6) as u64;
-        let mut arrivals = ArrivalProcess::new(rate, SECOND, SECOND + span, None, 1, 0);
+        let settings = ArrivalSettings {
+            calls_per_s: rate,
+            begins_at: SECOND,
+            ends_at: SECOND + span,
+            tenant: None,
+        };
+        let mut arrivals = ArrivalProcess::new(settings, 1, 0);
         let times: Vec<u64> = std::iter::from_fn(|| arrivals.next_arrival()).collect();
         assert!(
             (99_000..101_000).contains(&times.len()),
