--- a/lab/src/fleet/client/mod.rs
+++ b/lab/src/fleet/client/mod.rs
@@ -13,7 +13,7 @@
 pub use arrivals::{ArrivalProcess, ArrivalSettings};
 pub use front::{FrontLoadBalancer, TrafficShift};
 pub use quotas::TenantQuotas;
-pub use retry::{AttemptFailure, RetryPolicy};
+pub use retry::{AttemptFailure, ClientBehavior};
 pub use traffic::TrafficMix;
 
 use tillerproxy::api::{ClassIndex, Micros, TenantIndex, Zone};
--- a/lab/src/fleet/client/retry.rs
+++ b/lab/src/fleet/client/retry.rs
@@ -1,4 +1,4 @@
-//! Retries, backoff and timeouts of clients.
+//! The behavior of clients: retries, backoff, timeouts and disconnections.
 
 use super::ClientCall;
 use crate::fleet::random::{Stream, stream};
@@ -32,15 +32,15 @@
     }
 }
 
-/// The retry policy and the timeouts of a scenario's clients.
+/// The behavior of a scenario's clients: retries, backoff, timeouts and disconnections.
 #[derive(Debug)]
-pub struct RetryPolicy {
+pub struct ClientBehavior {
     settings: ClientSettings,
     random: SmallRng,
 }
 
-impl RetryPolicy {
-    /// Creates the retry policy of a scenario's clients.
+impl ClientBehavior {
+    /// Creates the behavior of a scenario's clients.
     #[must_use]
     pub fn new(settings: &ClientSettings, seed: u64) -> Self {
         Self {
--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -204,7 +204,7 @@
 
     /// Ends the attempts that a stopped backend held. A crashed process resets their connections; an unreachable
     /// machine leaves them to their timeouts.
-    pub(super) fn lose_attempts(&mut self, lost: Vec<AttemptKey>, state: ProcessState) {
+    pub(super) fn end_lost_attempts(&mut self, lost: Vec<AttemptKey>, state: ProcessState) {
         for key in lost {
             self.attempts[key].lost = true;
             if state == ProcessState::Crashed {
--- a/lab/src/fleet/simulation/changes.rs
+++ b/lab/src/fleet/simulation/changes.rs
@@ -53,7 +53,7 @@
     pub(super) fn stop_backend(&mut self, now: Micros, backend: BackendId, state: ProcessState) {
         tracing::trace!(backend = backend.0, now, ?state, "backend stopped");
         let lost = self.backends[backend.index()].stop(state);
-        self.lose_attempts(lost, state);
+        self.end_lost_attempts(lost, state);
         self.change_endpoint(backend, Readiness::Removed, None);
     }
 
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -2,7 +2,7 @@
 
 use super::{Simulation, SimulationEvent};
 use crate::fleet::client::{
-    ArrivalProcess, ArrivalSettings, AttemptFailure, ClientCall, FrontLoadBalancer, RetryPolicy,
+    ArrivalProcess, ArrivalSettings, AttemptFailure, ClientBehavior, ClientCall, FrontLoadBalancer,
     TenantQuotas, TrafficMix,
 };
 use crate::fleet::ids::ProxyIndex;
@@ -23,7 +23,7 @@
     /// Arrival processes: the usual traffic at index 0, then one for each surge that has begun.
     arrivals: Vec<ArrivalProcess>,
     pub(super) front_load_balancer: FrontLoadBalancer,
-    retries: RetryPolicy,
+    behavior: ClientBehavior,
     pub(super) calls: RefSlab<ClientCall>,
 }
 
@@ -48,7 +48,7 @@
             arrivals: vec![ArrivalProcess::new(usual_traffic, seed, 0)],
             traffic,
             front_load_balancer: FrontLoadBalancer::new(topology),
-            retries: RetryPolicy::new(&scenario.clients, seed),
+            behavior: ClientBehavior::new(&scenario.clients, seed),
             calls: RefSlab::new(),
         }
     }
@@ -101,7 +101,7 @@
             self.clients.calls.release(call);
             return;
         }
-        let proxy_draw = self.clients.retries.draw_proxy();
+        let proxy_draw = self.clients.behavior.draw_proxy();
         self.start_client_attempt(now, call, proxy_draw);
     }
 
@@ -120,11 +120,11 @@
             return;
         };
         let class = &self.scenario.classes[call.class.index()];
-        let deadline = self.clients.retries.attempt_deadline(now, &call, class);
+        let deadline = self.clients.behavior.attempt_deadline(now, &call, class);
         let request = self.add_request(key, proxy, deadline);
         self.schedule_request(request, deadline);
         if call.attempts == 1
-            && let Some(at) = self.clients.retries.disconnects_at(&call, class)
+            && let Some(at) = self.clients.behavior.disconnects_at(&call, class)
         {
             self.requests.retain(request);
             let event = SimulationEvent::ClientDisconnects { request };
@@ -263,7 +263,7 @@
             return;
         }
         let class = &self.scenario.classes[call.class.index()];
-        if let Some(backoff) = self.clients.retries.backoff(at, &call, class, failure) {
+        if let Some(backoff) = self.clients.behavior.backoff(at, &call, class, failure) {
             self.clients.calls.retain(call_key);
             let event = SimulationEvent::ClientRetries { call: call_key };
             self.queue.push(at + backoff, event);
