--- a/lab/src/live/discovery/endpoint_list.rs
+++ b/lab/src/live/discovery/endpoint_list.rs
@@ -89,7 +89,7 @@
 
     /// Returns the list of a successor service: the same endpoints, with the next revision as its first.
     #[must_use]
-    pub fn for_successor(&self) -> Self {
+    pub fn successor(&self) -> Self {
         Self::new(self.endpoints.clone(), self.revision + 1)
     }
 
@@ -128,7 +128,7 @@
         }
         let members = match base {
             Some(base) => self.changed_since(base),
-            None => self.present(),
+            None => self.listed(),
         };
         let list = ListBody {
             revision: self.revision,
@@ -140,9 +140,9 @@
         Ok(body)
     }
 
-    fn present(&self) -> Vec<&Endpoint> {
-        let is_present = |endpoint: &&Endpoint| endpoint.state != EndpointState::Removed;
-        self.endpoints.iter().filter(is_present).collect()
+    fn listed(&self) -> Vec<&Endpoint> {
+        let is_listed = |endpoint: &&Endpoint| endpoint.state != EndpointState::Removed;
+        self.endpoints.iter().filter(is_listed).collect()
     }
 
     fn changed_since(&self, revision: u64) -> Vec<&Endpoint> {
--- a/lab/src/live/discovery/listener.rs
+++ b/lab/src/live/discovery/listener.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 /// Connections that wait to be accepted: all proxies may connect at once.
-const BACKLOG: u32 = 4_096;
+const ACCEPT_BACKLOG: u32 = 4_096;
 /// Pause after an accept that failed.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
@@ -27,7 +27,7 @@
 /// Where no port is left.
 pub fn open(service: Arc<Service>, caller: Caller) -> io::Result<SocketAddr> {
     let socket = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
-    let listener = socket.listen(BACKLOG)?;
+    let listener = socket.listen(ACCEPT_BACKLOG)?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
         if let Err(error) = accept_connections(service, listener, caller).await {
@@ -65,7 +65,7 @@
                 // Bound and not listening: connections are refused, and no other process gets the port.
                 let reserved = bind(address)?;
                 let _ = availability.changed().await;
-                listener = reserved.listen(BACKLOG)?;
+                listener = reserved.listen(ACCEPT_BACKLOG)?;
             }
             Availability::Draining | Availability::Closed => return Ok(()),
         }
--- a/lab/src/live/discovery/mod.rs
+++ b/lab/src/live/discovery/mod.rs
@@ -120,7 +120,7 @@
     /// # Errors
     /// Where a listener can't be opened.
     pub async fn prepare_move(&self) -> io::Result<SuccessorService> {
-        let list = self.service.endpoint_list().for_successor();
+        let list = self.service.endpoint_list().successor();
         let (service, addresses) =
             open_service(&self.settings, list, &self.traffic, &self.tracker).await?;
         Ok(SuccessorService { service, addresses })
--- a/lab/src/live/discovery/tests.rs
+++ b/lab/src/live/discovery/tests.rs
@@ -96,7 +96,7 @@
 
 #[test]
 fn the_list_of_a_successor_has_a_new_revision_and_no_older_one() {
-    let mut successor = endpoint_list(2).for_successor();
+    let mut successor = endpoint_list(2).successor();
     assert_eq!(successor.revision(), 6);
     assert!(summary(&response(&mut successor, Some(5))).1);
 }
--- a/lab/src/live/experiment/actions.rs
+++ b/lab/src/live/experiment/actions.rs
@@ -37,15 +37,15 @@
     #[default]
     Drain,
     Remove,
-    Return,
+    Reactivate,
 }
 
 impl RestartStep {
     fn next(self) -> Self {
         match self {
             Self::Drain => Self::Remove,
-            Self::Remove => Self::Return,
-            Self::Return => Self::Drain,
+            Self::Remove => Self::Reactivate,
+            Self::Reactivate => Self::Drain,
         }
     }
 
@@ -53,7 +53,7 @@
         match self {
             Self::Drain => endpoint.state = EndpointState::Draining,
             Self::Remove => endpoint.state = EndpointState::Removed,
-            Self::Return => {
+            Self::Reactivate => {
                 endpoint.state = EndpointState::Active;
                 endpoint.started_at_ms = unix_time_ms();
             }
@@ -75,7 +75,7 @@
 
 impl Experiment {
     /// Performs the actions of a phase that began at `began_at`; the caller waits for the rest of its time.
-    pub(super) async fn perform(
+    pub(super) async fn run_actions(
         &mut self,
         phase: &Phase,
         began_at: Instant,
@@ -154,8 +154,8 @@
         connections: u32,
     ) -> Result<Vec<IdleConnectionMemory>, LiveError> {
         let mut measured = Vec::new();
-        for group in self.proxies.real().chunks(IDLE_MEASUREMENTS_AT_ONCE) {
-            for result in measure_group(group, connections).await {
+        for batch in self.proxies.real().chunks(IDLE_MEASUREMENTS_AT_ONCE) {
+            for result in measure_batch(batch, connections).await {
                 measured.push(result?);
             }
         }
@@ -164,12 +164,12 @@
 }
 
 /// Measures a few processes at the same time; returns the results in the order of the processes.
-async fn measure_group(
-    group: &[ProxyProcess],
+async fn measure_batch(
+    batch: &[ProxyProcess],
     connections: u32,
 ) -> Vec<Result<IdleConnectionMemory, IdleConnectionsError>> {
     let mut tasks = JoinSet::new();
-    for (position, process) in group.iter().enumerate() {
+    for (position, process) in batch.iter().enumerate() {
         let address = process.address();
         let pid = process.pid();
         tasks.spawn(async move {
--- a/lab/src/live/experiment/measurement.rs
+++ b/lab/src/live/experiment/measurement.rs
@@ -43,7 +43,7 @@
     fn process_usage(&self) -> Result<Vec<Usage>, LiveError> {
         let mut usage = Vec::new();
         for process in self.proxies.real() {
-            usage.push(Usage::of(process.pid())?);
+            usage.push(Usage::read(process.pid())?);
         }
         Ok(usage)
     }
--- a/lab/src/live/experiment/mod.rs
+++ b/lab/src/live/experiment/mod.rs
@@ -24,7 +24,7 @@
 use indicatif::ProgressBar;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use setup::ListedBackends;
+use setup::EmulatedBackends;
 use std::path::Path;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
 /// A run in progress.
 pub struct Experiment {
     scenario: LiveScenario,
-    backends: ListedBackends,
+    backends: EmulatedBackends,
     discovery: DiscoveryStandIn,
     tracker: Arc<PropagationTracker>,
     proxies: Proxies,
@@ -65,7 +65,7 @@
         setup::check_descriptor_limit(&scenario)?;
         let load_average_before = usage::load_average();
         progress.set_message("starting");
-        let backends = ListedBackends::start(&scenario.backends).await?;
+        let backends = EmulatedBackends::start(&scenario.backends).await?;
         let tracker = Arc::new(PropagationTracker::new(scenario.proxy_count() as usize));
         let discovery = start_discovery(&scenario, &backends, &tracker).await?;
         let (proxies, start_times) =
@@ -95,14 +95,14 @@
     ///
     /// # Errors
     /// Where a real process ends by itself, or a measurement fails.
-    pub async fn play(&mut self, figures: &mut LiveFigures) -> Result<(), LiveError> {
+    pub async fn run_phases(&mut self, figures: &mut LiveFigures) -> Result<(), LiveError> {
         let phases = self.scenario.phases.clone();
         for (number, phase) in phases.iter().enumerate() {
             self.progress
                 .set_message(format!("phase {number}, {}", phase.kind()));
-            let phase_figures = self.play_phase(phase).await;
+            let phase_figures = self.run_phase(phase).await;
             // A process that has ended by itself explains whatever else has failed.
-            self.proxies.check()?;
+            self.proxies.check_running()?;
             figures.phases.push(phase_figures?);
         }
         self.progress.finish_and_clear();
@@ -114,14 +114,14 @@
         self.proxies.kill().await;
     }
 
-    async fn play_phase(&mut self, phase: &Phase) -> Result<PhaseFigures, LiveError> {
+    async fn run_phase(&mut self, phase: &Phase) -> Result<PhaseFigures, LiveError> {
         let snapshot = self.snapshot()?;
         let clients = if phase.has_clients() {
             Some(self.start_clients())
         } else {
             None
         };
-        let results = self.perform(phase, snapshot.taken_at).await?;
+        let results = self.run_actions(phase, snapshot.taken_at).await?;
         if let Some(length) = phase.length() {
             self.wait_until(snapshot.taken_at + length).await;
         }
@@ -191,7 +191,7 @@
 
 async fn start_discovery(
     scenario: &LiveScenario,
-    backends: &ListedBackends,
+    backends: &EmulatedBackends,
     tracker: &Arc<PropagationTracker>,
 ) -> Result<DiscoveryStandIn, LiveError> {
     let discovery = DiscoveryStandIn::start(
--- a/lab/src/live/experiment/setup.rs
+++ b/lab/src/live/experiment/setup.rs
@@ -21,15 +21,15 @@
 
 /// The backends that stand behind the endpoint list.
 #[derive(Debug)]
-pub(super) struct ListedBackends {
+pub(super) struct EmulatedBackends {
     /// Addresses of the emulated backends.
     pub(super) answering: Vec<SocketAddr>,
     /// Bound and not listening: connections to it are refused.
-    _refusing: TcpSocket,
+    _refusing_socket: TcpSocket,
     refusing_address: SocketAddr,
 }
 
-impl ListedBackends {
+impl EmulatedBackends {
     /// Starts the emulated backends.
     pub(super) async fn start(backends: &Backends) -> Result<Self, LiveError> {
         let started = Self::try_start(backends).await;
@@ -47,7 +47,7 @@
         let refusing_address = refusing.local_addr()?;
         Ok(Self {
             answering,
-            _refusing: refusing,
+            _refusing_socket: refusing,
             refusing_address,
         })
     }
--- a/lab/src/live/idle_connections.rs
+++ b/lab/src/live/idle_connections.rs
@@ -60,7 +60,7 @@
     let mut steps = vec![IdleConnectionStep {
         connections: 0,
         closed: 0,
-        resident_kib: Usage::of(pid)?.resident_kib,
+        resident_kib: Usage::read(pid)?.resident_kib,
     }];
     let mut senders = Vec::new();
     for step in 1..=IDLE_CONNECTION_STEPS {
@@ -71,7 +71,7 @@
             senders.push(sender);
         }
         sleep(SETTLING_TIME).await;
-        let resident_kib = Usage::of(pid)?.resident_kib;
+        let resident_kib = Usage::read(pid)?.resident_kib;
         let closed = senders.iter().filter(|sender| sender.is_closed()).count();
         steps.push(IdleConnectionStep {
             connections,
@@ -79,11 +79,11 @@
             resident_kib,
         });
     }
-    Ok(IdleConnectionMemory::of(steps))
+    Ok(IdleConnectionMemory::from_steps(steps))
 }
 
 impl IdleConnectionMemory {
-    fn of(steps: Vec<IdleConnectionStep>) -> Self {
+    fn from_steps(steps: Vec<IdleConnectionStep>) -> Self {
         let points: Vec<(f64, f64)> = steps.iter().map(IdleConnectionStep::point).collect();
         let steepest_bytes = points.windows(2).map(slope).fold(0.0, f64::max);
         Self {
--- a/lab/src/live/latency.rs
+++ b/lab/src/live/latency.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// The longest time that is recorded as it is, in microseconds: a minute.
-const HIGHEST_US: u64 = 60_000_000;
+const MAX_RECORDED_US: u64 = 60_000_000;
 /// Decimal digits to which times are distinguished.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
@@ -27,7 +27,7 @@
 
 impl Default for LatencyHistogram {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, HIGHEST_US, SIGNIFICANT_DIGITS);
+        let histogram = Histogram::new_with_bounds(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS);
         Self(histogram.expect("1 to 60,000,000 with 3 digits are bounds that a histogram takes"))
     }
 }
@@ -35,8 +35,8 @@
 impl LatencyHistogram {
     /// Adds one time.
     pub fn record(&mut self, time: Duration) {
-        let micros = u64::try_from(time.as_micros()).unwrap_or(HIGHEST_US);
-        self.0.saturating_record(micros.clamp(1, HIGHEST_US));
+        let micros = u64::try_from(time.as_micros()).unwrap_or(MAX_RECORDED_US);
+        self.0.saturating_record(micros.clamp(1, MAX_RECORDED_US));
     }
 
     /// Returns the quantiles of all times; `None` where there are none.
--- a/lab/src/live/mod.rs
+++ b/lab/src/live/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Real proxies are processes of the released program ([`process`]); simulated ones are tasks of the lab that
 //! watch discovery as the program does and serve no clients ([`simulated_proxy`]). Discovery ([`discovery`])
-//! lists thousands of endpoints, of which some are emulated ([`backends`]). Phases ([`scenario`]) are played
+//! lists thousands of endpoints, of which some are emulated ([`backends`]). Phases ([`scenario`]) are run
 //! one after another ([`experiment`]); in each, the resource usage of every real process is read from `/proc`
 //! ([`usage`]) and its traffic is counted ([`traffic`]).
 
@@ -99,12 +99,12 @@
         started = Experiment::start(scenario.clone(), program, seed, progress) => started?,
         error = &mut interruption => return Err(error),
     };
-    let played = tokio::select! {
-        played = experiment.play(&mut figures) => played,
+    let result = tokio::select! {
+        result = experiment.run_phases(&mut figures) => result,
         error = &mut interruption => Err(error),
     };
     experiment.stop().await;
-    played?;
+    result?;
     Ok(figures)
 }
 
--- a/lab/src/live/process/error.rs
+++ b/lab/src/live/process/error.rs
@@ -20,7 +20,7 @@
     },
     /// The process had ended before it could be observed.
     #[error("{name}: the process ended at once")]
-    ExitedAtOnce {
+    ExitedImmediately {
         /// Name of the process.
         name: String,
     },
@@ -47,13 +47,13 @@
     NoAddresses,
     /// It ended without a signal from the lab.
     #[error("ended by itself, {status}")]
-    EndedByItself {
+    ExitedUnexpectedly {
         /// How it ended.
         status: ExitStatus,
     },
     /// It did not end in time.
     #[error("still runs after {limit:?}")]
-    StillRunning {
+    NotExited {
         /// Time that it had.
         limit: Duration,
     },
--- a/lab/src/live/process/mod.rs
+++ b/lab/src/live/process/mod.rs
@@ -31,9 +31,9 @@
 
 /// A child process that is killed, and whose end is waited for, when this is dropped.
 #[derive(Debug)]
-struct OwnedChild(Child);
+struct ChildGuard(Child);
 
-impl Drop for OwnedChild {
+impl Drop for ChildGuard {
     fn drop(&mut self) {
         let _ = self.0.start_kill();
         // A drop can't await; a killed process ends within milliseconds.
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct ProxyProcess {
     name: String,
-    child: OwnedChild,
+    child: ChildGuard,
     pid: u32,
     started_at: Instant,
     address: SocketAddr,
@@ -58,7 +58,7 @@
 
 /// Program and configuration file of a process.
 #[derive(Clone, Debug)]
-pub struct Launch {
+pub struct ProxyCommand {
     /// Name for messages, such as `proxy-3`.
     pub name: String,
     /// The program.
@@ -67,8 +67,8 @@
     pub config: PathBuf,
 }
 
-impl Launch {
-    fn spawn(&self) -> Result<OwnedChild, ProcessError> {
+impl ProxyCommand {
+    fn spawn(&self) -> Result<ChildGuard, ProcessError> {
         let mut command = Command::new(&self.program);
         // The lab's own environment, such as its log level, is not for the proxy.
         command.env_clear().env("EDGE_CONFIG", &self.config);
@@ -77,7 +77,7 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped());
         match command.spawn() {
-            Ok(child) => Ok(OwnedChild(child)),
+            Ok(child) => Ok(ChildGuard(child)),
             Err(source) => Err(ProcessError::Spawn {
                 name: self.name.clone(),
                 program: self.program.clone(),
@@ -92,21 +92,21 @@
     ///
     /// # Errors
     /// Where it can't be started, or does not log its addresses in time.
-    pub async fn start(launch: &Launch) -> Result<Self, ProcessError> {
+    pub async fn start(command: &ProxyCommand) -> Result<Self, ProcessError> {
         let started_at = Instant::now();
-        let mut child = launch.spawn()?;
-        let exited = || ProcessError::ExitedAtOnce {
-            name: launch.name.clone(),
+        let mut child = command.spawn()?;
+        let exited = || ProcessError::ExitedImmediately {
+            name: command.name.clone(),
         };
         let pid = child.0.id().ok_or_else(exited)?;
         let stderr = child.0.stderr.take().ok_or_else(exited)?;
-        tracing::debug!(name = launch.name, pid, "process spawned");
+        tracing::debug!(name = command.name, pid, "process spawned");
         let mut lines = BufReader::new(stderr).lines();
         let log = Arc::new(LogTail::default());
         let addresses = timeout(LISTEN_TIMEOUT, log::read_addresses(&mut lines, &log)).await;
         let Ok(Some(addresses)) = addresses else {
             return Err(ProcessError::Running {
-                name: launch.name.clone(),
+                name: command.name.clone(),
                 pid,
                 problem: ProcessProblem::NoAddresses,
                 log: log.text(),
@@ -114,7 +114,7 @@
         };
         tokio::spawn(log::follow(lines, Arc::clone(&log)));
         Ok(Self {
-            name: launch.name.clone(),
+            name: command.name.clone(),
             child,
             pid,
             started_at,
@@ -176,11 +176,11 @@
     ///
     /// # Errors
     /// Where it has not ended by then.
-    pub async fn wait_for_end(&mut self, limit: Duration) -> Result<ExitStatus, ProcessError> {
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Result<ExitStatus, ProcessError> {
         match timeout(limit, self.child.0.wait()).await {
             Ok(Ok(status)) => Ok(status),
             Ok(Err(source)) => Err(self.error(ProcessProblem::Wait(source))),
-            Err(_) => Err(self.error(ProcessProblem::StillRunning { limit })),
+            Err(_) => Err(self.error(ProcessProblem::NotExited { limit })),
         }
     }
 
@@ -188,10 +188,10 @@
     ///
     /// # Errors
     /// Where it has ended; the message holds the end of its log.
-    pub fn check(&mut self) -> Result<(), ProcessError> {
+    pub fn check_running(&mut self) -> Result<(), ProcessError> {
         match self.child.0.try_wait() {
             Ok(None) => Ok(()),
-            Ok(Some(status)) => Err(self.error(ProcessProblem::EndedByItself { status })),
+            Ok(Some(status)) => Err(self.error(ProcessProblem::ExitedUnexpectedly { status })),
             Err(source) => Err(self.error(ProcessProblem::Wait(source))),
         }
     }
--- a/lab/src/live/proxies/mod.rs
+++ b/lab/src/live/proxies/mod.rs
@@ -6,7 +6,7 @@
 use super::discovery::{DiscoveryAddresses, DiscoveryStandIn};
 use super::error::LiveError;
 use super::figures::RestartFigures;
-use super::process::{Launch, ProcessError, ProxyProcess};
+use super::process::{ProcessError, ProxyCommand, ProxyProcess};
 use super::propagation::PropagationTracker;
 use super::proxy_config;
 use super::scenario::LiveScenario;
@@ -77,8 +77,8 @@
     async fn start_real(&mut self, count: u32) -> Result<Vec<f64>, LiveError> {
         let mut starting = JoinSet::new();
         for proxy_index in 0..count {
-            let launch = self.launch(proxy_index);
-            starting.spawn(async move { start_process(proxy_index, &launch).await });
+            let command = self.proxy_command(proxy_index);
+            starting.spawn(async move { start_process(proxy_index, &command).await });
         }
         let mut started = Vec::new();
         while let Some(joined) = starting.join_next().await {
@@ -119,9 +119,9 @@
     ///
     /// # Errors
     /// Where one has ended by itself.
-    pub fn check(&mut self) -> Result<(), ProcessError> {
+    pub fn check_running(&mut self) -> Result<(), ProcessError> {
         for process in &mut self.real {
-            process.check()?;
+            process.check_running()?;
         }
         Ok(())
     }
@@ -164,9 +164,9 @@
         self.write_configurations(scenario, discovery, discovery.addresses())?;
         let mut restarting = JoinSet::new();
         for (proxy_index, process) in (0..).zip(std::mem::take(&mut self.real)) {
-            let launch = self.launch(proxy_index);
+            let command = self.proxy_command(proxy_index);
             restarting.spawn(async move {
-                restart::restart_process(proxy_index, process, &launch).await
+                restart::restart_process(proxy_index, process, &command).await
             });
         }
         let mut restarted: Vec<RestartedProcess> = Vec::new();
@@ -188,8 +188,8 @@
         }
     }
 
-    fn launch(&self, proxy_index: u32) -> Launch {
-        Launch {
+    fn proxy_command(&self, proxy_index: u32) -> ProxyCommand {
+        ProxyCommand {
             name: format!("proxy-{proxy_index}"),
             program: self.program.clone(),
             config: self.config_path(proxy_index),
@@ -209,7 +209,7 @@
         addresses: &DiscoveryAddresses,
     ) -> Result<(), LiveError> {
         let cached_list = if scenario.processes.start_with_list {
-            present_list(discovery)?
+            current_list(discovery)?
         } else {
             proxy_config::empty_list()
         };
@@ -224,8 +224,11 @@
 }
 
 /// Starts a process and waits until it serves.
-async fn start_process(proxy_index: u32, launch: &Launch) -> Result<StartedProcess, ProcessError> {
-    let process = ProxyProcess::start(launch).await?;
+async fn start_process(
+    proxy_index: u32,
+    command: &ProxyCommand,
+) -> Result<StartedProcess, ProcessError> {
+    let process = ProxyProcess::start(command).await?;
     let serving_after = process.wait_until_serving(START_TIMEOUT).await;
     Ok(StartedProcess {
         proxy_index,
@@ -235,7 +238,7 @@
 }
 
 /// Returns the complete endpoint list as discovery serializes it.
-fn present_list(discovery: &DiscoveryStandIn) -> Result<Value, LiveError> {
+fn current_list(discovery: &DiscoveryStandIn) -> Result<Value, LiveError> {
     let body = discovery.service().endpoint_list().response_body(None)?;
     let list = serde_json::from_slice(&body)?;
     Ok(list)
--- a/lab/src/live/proxies/restart.rs
+++ b/lab/src/live/proxies/restart.rs
@@ -2,14 +2,14 @@
 
 use super::{StartedProcess, start_process};
 use crate::live::figures::RestartFigures;
-use crate::live::process::{Launch, ProcessError, ProxyProcess};
+use crate::live::process::{ProcessError, ProxyCommand, ProxyProcess};
 use crate::live::quantiles::Quantiles;
 use rustix::process::Signal;
 use std::process::ExitStatus;
 use std::time::{Duration, Instant};
 
 /// A process has to end within this time after SIGTERM.
-const END_TIMEOUT: Duration = Duration::from_secs(15);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A process that was restarted.
 pub(super) struct RestartedProcess {
@@ -22,13 +22,13 @@
 pub(super) async fn restart_process(
     proxy_index: u32,
     mut process: ProxyProcess,
-    launch: &Launch,
+    command: &ProxyCommand,
 ) -> Result<RestartedProcess, ProcessError> {
     let signalled_at = Instant::now();
     process.signal(Signal::TERM)?;
-    let exit_status = process.wait_for_end(END_TIMEOUT).await?;
+    let exit_status = process.wait_for_exit(EXIT_TIMEOUT).await?;
     let ended_after = signalled_at.elapsed();
-    let started = start_process(proxy_index, launch).await?;
+    let started = start_process(proxy_index, command).await?;
     Ok(RestartedProcess {
         started,
         exit_status,
--- a/lab/src/live/scenario/validation.rs
+++ b/lab/src/live/scenario/validation.rs
@@ -11,7 +11,7 @@
 /// Most endpoints that discovery lists.
 const MAX_ENDPOINTS: u32 = 20_000;
 /// Most emulated backends that answer; each is a listener of the lab.
-const MAX_ANSWERING: u32 = 500;
+const MAX_ANSWERING_BACKENDS: u32 = 500;
 /// Longest service time of an emulated backend, in milliseconds.
 const MAX_SERVICE_MS: u64 = 1_000;
 /// Most memory of all real processes together, in MB: of 12 GiB one is left to the lab itself.
@@ -89,7 +89,7 @@
             "backends.listed",
             &allowed,
         )?;
-        let most = self.listed.min(MAX_ANSWERING);
+        let most = self.listed.min(MAX_ANSWERING_BACKENDS);
         let allowed = format!("1 to {most} backends");
         require(
             (1..=most).contains(&self.answering),
--- a/lab/src/live/simulated_proxy/mod.rs
+++ b/lab/src/live/simulated_proxy/mod.rs
@@ -93,7 +93,7 @@
         }
         let mut address = self.discovery_address.clone();
         address.mark_unchanged();
-        let mut pause = self.schedule.first_pause();
+        let mut pause = self.schedule.initial_delay();
         loop {
             tokio::select! {
                 () = self.make_calls(pause) => {}
@@ -111,8 +111,8 @@
     }
 
     /// Makes one call after another, the first after a pause. Never returns.
-    async fn make_calls(&mut self, first_pause: Duration) {
-        let mut pause = first_pause;
+    async fn make_calls(&mut self, initial_delay: Duration) {
+        let mut pause = initial_delay;
         loop {
             sleep(pause).await;
             pause = match self.call().await {
@@ -137,7 +137,7 @@
         self.connection = None;
         self.watch_phase = WatchPhase::Opening;
         match error {
-            CallError::Failed => self.schedule.pause_after_failure(),
+            CallError::Failed => self.schedule.retry_delay(),
             CallError::TimedOut => Duration::ZERO,
         }
     }
--- a/lab/src/live/simulated_proxy/schedule.rs
+++ b/lab/src/live/simulated_proxy/schedule.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the time from the start to the first call.
-    pub fn first_pause(&mut self) -> Duration {
+    pub fn initial_delay(&mut self) -> Duration {
         match self.mode {
             DiscoveryMode::Pushed => Duration::ZERO,
             DiscoveryMode::Polled => self.notify_balancer(MembershipEvent::Cached(&[])),
@@ -41,7 +41,7 @@
     }
 
     /// Returns the time from a failed call to the next one.
-    pub fn pause_after_failure(&mut self) -> Duration {
+    pub fn retry_delay(&mut self) -> Duration {
         match self.mode {
             DiscoveryMode::Pushed => PUSHED_RETRY_DELAY,
             DiscoveryMode::Polled => self.notify_balancer(MembershipEvent::WatchFailed),
--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -230,11 +230,11 @@
     // The decision module leaves a queued call the time to be answered.
     const LONGEST: Duration = Duration::from_millis(2_500);
     let mut polled = schedule("ask");
-    let first: Vec<Duration> = (0..50).map(|_| polled.first_pause()).collect();
+    let first: Vec<Duration> = (0..50).map(|_| polled.initial_delay()).collect();
     assert!(first.iter().all(|&pause| pause <= LONGEST), "{first:?}");
     assert!(first.iter().max() > first.iter().min());
     for failures in 0..10_u32 {
-        let pause = polled.pause_after_failure();
+        let pause = polled.retry_delay();
         let least = Duration::from_millis(125) * (1 << failures.min(3));
         assert!(
             pause >= least && pause <= LONGEST,
@@ -254,8 +254,8 @@
 #[test]
 fn calls_come_at_once_where_discovery_is_pushed() {
     let mut pushed = schedule("push");
-    assert_eq!(pushed.first_pause(), Duration::ZERO);
-    assert_eq!(pushed.pause_after_failure(), pushed.pause_after_failure());
+    assert_eq!(pushed.initial_delay(), Duration::ZERO);
+    assert_eq!(pushed.retry_delay(), pushed.retry_delay());
     assert_eq!(
         pushed.watch_timing(WatchPhase::Continued),
         pushed.watch_timing(WatchPhase::Opening)
--- a/lab/src/live/usage.rs
+++ b/lab/src/live/usage.rs
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     /// Where there is no such process, or `/proc` can't be read.
-    pub fn of(pid: u32) -> ProcResult<Self> {
+    pub fn read(pid: u32) -> ProcResult<Self> {
         let process = Process::new(i32::try_from(pid).unwrap_or_default())?;
         let status = process.status()?;
         Ok(Self {
