--- a/lab/src/live/process/error.rs
+++ b/lab/src/live/process/error.rs
@@ -5,65 +5,74 @@
 use std::process::ExitStatus;
 use std::time::Duration;
 
-/// Why a process could not be started, or what went wrong with it later.
+/// A proxy process could not be started, or failed later.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// The program can't be run.
+    /// The operating system can't run the program.
     #[error("{name}: cannot start {}: {source}", program.display())]
     Spawn {
         /// Name of the process, such as `proxy-3`.
         name: String,
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The process had ended before it could be observed.
-    #[error("{name}: the process ended at once")]
+    /// The process exited before the lab could read its id or its log.
+    #[error("{name}: process exited immediately after its start")]
     ExitedImmediately {
         /// Name of the process.
         name: String,
     },
-    /// Something went wrong with a process that had been started.
-    #[error("{name} (process {pid}) {problem}; its log ends with:\n{log}")]
+    /// A started process failed.
+    #[error("{name} (pid {pid}) {problem}; last lines of its log:\n{log}")]
     Running {
         /// Name of the process.
         name: String,
-        /// Its process id.
+        /// Process id.
         pid: u32,
-        /// What went wrong.
+        /// Kind of the failure.
         #[source]
         problem: ProcessProblem,
-        /// The last lines of its log.
+        /// Last lines of the log of the process.
         log: String,
     },
 }
 
-/// What went wrong with a process. The messages continue a sentence that begins with its name.
+/// A failure of a started process. Its message continues a sentence that begins with the name of the process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessProblem {
-    /// It did not log the addresses of its listeners in time.
-    #[error("did not say where it listens")]
-    NoAddresses,
-    /// It ended without a signal from the lab.
-    #[error("ended by itself, {status}")]
+    /// The process did not log both of its listen addresses in time.
+    #[error("did not log its listen addresses within {limit:?} of its start")]
+    ListenTimeout {
+        /// Time allowed.
+        limit: Duration,
+    },
+    /// The process closed its log, as it does when it exits, before both of its listen addresses were logged.
+    #[error("closed its log before it logged its listen addresses")]
+    NoListenAddresses,
+    /// The process exited without a signal from the lab.
+    #[error("exited unexpectedly ({status})")]
     ExitedUnexpectedly {
-        /// How it ended.
+        /// Exit status.
         status: ExitStatus,
     },
-    /// It did not end in time.
-    #[error("still runs after {limit:?}")]
+    /// The process did not exit in time.
+    #[error("did not exit within {limit:?}")]
     NotExited {
-        /// Time that it had.
+        /// Time allowed.
         limit: Duration,
     },
-    /// A signal can't be sent to it.
+    /// A signal can't be sent to the process.
     #[error("cannot be signalled: {0}")]
     Signal(#[source] io::Error),
-    /// Its process id is outside the range of the operating system's.
-    #[error("cannot be signalled: its process id is out of range")]
+    /// The process id is 0 or above `i32::MAX`, so no signal can be sent.
+    #[error(
+        "cannot be signalled: its process id is not between 1 and {}",
+        i32::MAX
+    )]
     InvalidPid,
-    /// Its end can't be waited for.
+    /// The exit status of the process can't be read.
     #[error("cannot be waited for: {0}")]
     Wait(#[source] io::Error),
 }
--- a/lab/src/live/process/log.rs
+++ b/lab/src/live/process/log.rs
@@ -1,4 +1,4 @@
-//! The log of a proxy process: its listen addresses, and its last lines for error messages.
+//! The log of a proxy process: parses the listen addresses and keeps the last lines for error messages.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -6,26 +6,26 @@
 use tokio::io::{BufReader, Lines};
 use tokio::process::ChildStderr;
 
-/// Lines that are kept for error messages.
+/// Number of log lines kept for error messages.
 const KEPT_LINES: usize = 10;
-/// What the log line with the operators' address says before it.
+/// Text before the operators' address in the proxy's start line.
 const OPERATOR_ADDRESS_PREFIX: &str = "operators call ";
-/// What the log line with the clients' address says before it.
+/// Text before the clients' address in the proxy's start line.
 const CLIENT_ADDRESS_PREFIX: &str = "listens on ";
 
-/// Lines of the log of a process.
+/// Reader of the log lines of a process.
 pub(super) type LogLines = Lines<BufReader<ChildStderr>>;
 
-/// The last lines of the log of a process.
+/// The last lines of the log of a process, at most [`KEPT_LINES`].
 #[derive(Debug, Default)]
 pub(super) struct LogTail(Mutex<VecDeque<String>>);
 
-/// Addresses that a process listens at.
+/// Addresses on which a process listens.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListenAddresses {
-    /// For clients.
+    /// Address for requests of clients.
     pub(super) clients: SocketAddr,
-    /// For operators.
+    /// Address for calls of operators.
     pub(super) operators: SocketAddr,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns the lines, joined by line feeds.
+    /// Returns the kept lines, joined by line feeds.
     pub(super) fn text(&self) -> String {
         let lines = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let lines: Vec<&str> = lines.iter().map(String::as_str).collect();
@@ -46,7 +46,7 @@
     }
 }
 
-/// Reads the log until it has named both addresses; `None` where it ends before that.
+/// Reads the log until it has named both addresses; `None` if it ends before that.
 pub(super) async fn read_addresses(lines: &mut LogLines, log: &LogTail) -> Option<ListenAddresses> {
     let mut client_address = None;
     let mut operator_address = None;
@@ -62,13 +62,13 @@
     None
 }
 
-/// Reads the address that a line ends with, after `prefix`.
+/// Parses the address between `prefix` and the end of a line.
 fn address_after(line: &str, prefix: &str) -> Option<SocketAddr> {
     let (_, address) = line.rsplit_once(prefix)?;
     address.trim().parse().ok()
 }
 
-/// Keeps the last lines of the log until it ends.
+/// Reads the log until it ends and keeps its last lines.
 pub(super) async fn follow(mut lines: LogLines, log: std::sync::Arc<LogTail>) {
     while let Ok(Some(line)) = lines.next_line().await {
         tracing::trace!("{line}");
--- a/lab/src/live/process/mod.rs
+++ b/lab/src/live/process/mod.rs
@@ -1,4 +1,4 @@
-//! One process of the proxy's program: start, health, signals and end.
+//! One process of the proxy program: start, health check, signals and exit.
 
 mod error;
 mod log;
@@ -7,7 +7,7 @@
 
 use super::http;
 use hyper::StatusCode;
-use log::LogTail;
+use log::{ListenAddresses, LogLines, LogTail};
 use rustix::process::{Pid, Signal, kill_process};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,25 +18,25 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// A process that does not listen after this time has failed.
+/// Time within which a started process has to log its listen addresses.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two health checks of a process that starts.
+/// Time between two health checks of a starting process.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// How long the end of a killed process is waited for.
+/// Longest wait for the exit of a killed process.
 const KILL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two looks at whether a killed process has ended.
+/// Time between two checks of whether a killed process has exited.
 const KILL_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Name of the operators' counter that holds the number of known backends.
+/// Name of the operators' counter of known backends, with the space that separates it from the value.
 const KNOWN_BACKENDS_COUNTER: &str = "app_known_backends ";
 
-/// A child process that is killed, and whose end is waited for, when this is dropped.
+/// A child process. Dropping the guard kills the process and waits for its exit.
 #[derive(Debug)]
 struct ChildGuard(Child);
 
 impl Drop for ChildGuard {
     fn drop(&mut self) {
         let _ = self.0.start_kill();
-        // A drop can't await; a killed process ends within milliseconds.
+        // `drop` can't await, so it blocks; a killed process exits within milliseconds.
         let killed_at = Instant::now();
         while matches!(self.0.try_wait(), Ok(None)) && killed_at.elapsed() < KILL_TIMEOUT {
             std::thread::sleep(KILL_POLL_INTERVAL);
@@ -44,7 +44,7 @@
     }
 }
 
-/// A running process of the proxy. It is killed when this is dropped.
+/// A running process of the proxy program. Dropping it kills the process.
 #[derive(Debug)]
 pub struct ProxyProcess {
     name: String,
@@ -56,21 +56,21 @@
     log: Arc<LogTail>,
 }
 
-/// Program and configuration file of a process.
+/// The command that starts a process: program and configuration file.
 #[derive(Clone, Debug)]
 pub struct ProxyCommand {
-    /// Name for messages, such as `proxy-3`.
+    /// Name in messages, such as `proxy-3`.
     pub name: String,
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Its configuration file.
+    /// Path of the configuration file.
     pub config: PathBuf,
 }
 
 impl ProxyCommand {
     fn spawn(&self) -> Result<ChildGuard, ProcessError> {
         let mut command = Command::new(&self.program);
-        // The lab's own environment, such as its log level, is not for the proxy.
+        // The lab's own environment, such as its log level, must not affect the proxy.
         command.env_clear().env("EDGE_CONFIG", &self.config);
         command
             .stdin(Stdio::null())
@@ -88,10 +88,10 @@
 }
 
 impl ProxyProcess {
-    /// Starts a process and waits until it listens.
+    /// Starts a process and waits until it has logged its listen addresses.
     ///
     /// # Errors
-    /// Where it can't be started, or does not log its addresses in time.
+    /// The process can't be started, closes its log, or does not log its listen addresses in time.
     pub async fn start(command: &ProxyCommand) -> Result<Self, ProcessError> {
         let started_at = Instant::now();
         let mut child = command.spawn()?;
@@ -103,14 +103,16 @@
         tracing::debug!(name = command.name, pid, "process spawned");
         let mut lines = BufReader::new(stderr).lines();
         let log = Arc::new(LogTail::default());
-        let addresses = timeout(LISTEN_TIMEOUT, log::read_addresses(&mut lines, &log)).await;
-        let Ok(Some(addresses)) = addresses else {
-            return Err(ProcessError::Running {
-                name: command.name.clone(),
-                pid,
-                problem: ProcessProblem::NoAddresses,
-                log: log.text(),
-            });
+        let addresses = match read_listen_addresses(&mut lines, &log).await {
+            Ok(addresses) => addresses,
+            Err(problem) => {
+                return Err(ProcessError::Running {
+                    name: command.name.clone(),
+                    pid,
+                    problem,
+                    log: log.text(),
+                });
+            }
         };
         tokio::spawn(log::follow(lines, Arc::clone(&log)));
         Ok(Self {
@@ -124,7 +126,7 @@
         })
     }
 
-    /// Returns its process id.
+    /// Returns the process id.
     #[must_use]
     pub fn pid(&self) -> u32 {
         self.pid
@@ -136,12 +138,12 @@
         self.address
     }
 
-    /// Waits until its health check succeeds and returns the time since its start; `None` where that does
-    /// not happen within `limit` of the start.
+    /// Waits until a health check succeeds and returns the time since the start of the process; `None` if no
+    /// health check succeeds within `limit` of the start.
     pub async fn wait_until_serving(&self, limit: Duration) -> Option<Duration> {
         while self.started_at.elapsed() < limit {
-            let answer = timeout(limit, http::get(self.address, "/up")).await;
-            if matches!(answer, Ok(Ok((StatusCode::OK, _)))) {
+            let response = timeout(limit, http::get(self.address, "/up")).await;
+            if matches!(response, Ok(Ok((StatusCode::OK, _)))) {
                 return Some(self.started_at.elapsed());
             }
             sleep(HEALTH_CHECK_INTERVAL).await;
@@ -149,7 +151,8 @@
         None
     }
 
-    /// Reads from its operators' counters how many backends it knows; `None` where it does not tell.
+    /// Reads the number of known backends from the operators' counters; `None` if the call fails or the counter
+    /// is missing.
     pub async fn known_backends(&self) -> Option<u64> {
         let (_, body) = http::get(self.operator_address, "/control/counters")
             .await
@@ -159,10 +162,10 @@
             .find_map(|line| line.strip_prefix(KNOWN_BACKENDS_COUNTER)?.parse().ok())
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
-    /// Where the process does not exist any more.
+    /// The process does not exist any more.
     pub fn signal(&self, signal: Signal) -> Result<(), ProcessError> {
         let pid = i32::try_from(self.pid).ok().and_then(Pid::from_raw);
         match pid.map(|pid| kill_process(pid, signal)) {
@@ -172,10 +175,10 @@
         }
     }
 
-    /// Waits for its end, for at most `limit`.
+    /// Waits for the process to exit, for at most `limit`.
     ///
     /// # Errors
-    /// Where it has not ended by then.
+    /// The process has not exited within `limit`.
     pub async fn wait_for_exit(&mut self, limit: Duration) -> Result<ExitStatus, ProcessError> {
         match timeout(limit, self.child.0.wait()).await {
             Ok(Ok(status)) => Ok(status),
@@ -184,10 +187,10 @@
         }
     }
 
-    /// Checks that it still runs.
+    /// Checks that the process still runs.
     ///
     /// # Errors
-    /// Where it has ended; the message holds the end of its log.
+    /// The process has exited; the message contains the last lines of its log.
     pub fn check_running(&mut self) -> Result<(), ProcessError> {
         match self.child.0.try_wait() {
             Ok(None) => Ok(()),
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its exit.
     pub async fn kill(&mut self) {
         if let Err(error) = self.child.0.kill().await {
             tracing::warn!(name = self.name, pid = self.pid, %error, "process cannot be killed");
@@ -212,3 +215,17 @@
         }
     }
 }
+
+/// Reads the log until it contains the listen addresses, for at most [`LISTEN_TIMEOUT`].
+async fn read_listen_addresses(
+    lines: &mut LogLines,
+    log: &LogTail,
+) -> Result<ListenAddresses, ProcessProblem> {
+    match timeout(LISTEN_TIMEOUT, log::read_addresses(lines, log)).await {
+        Ok(Some(addresses)) => Ok(addresses),
+        Ok(None) => Err(ProcessProblem::NoListenAddresses),
+        Err(_) => Err(ProcessProblem::ListenTimeout {
+            limit: LISTEN_TIMEOUT,
+        }),
+    }
+}
--- a/lab/tests/live.rs
+++ b/lab/tests/live.rs
@@ -194,7 +194,7 @@
     let rest: Vec<String> = log.collect();
     assert_eq!(lab.wait().expect("it ends").code(), Some(1));
     assert!(
-        rest.iter().any(|line| line.contains("ended by itself")),
+        rest.iter().any(|line| line.contains("exited unexpectedly")),
         "{rest:?}"
     );
     assert!(
@@ -248,7 +248,7 @@
     let output = output.expect("the lab runs");
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        error_of(&output).contains("did not say where it listens"),
+        error_of(&output).contains("closed its log before it logged its listen addresses"),
         "{}",
         error_of(&output)
     );
