--- a/lab/src/live/backends.rs
+++ b/lab/src/live/backends.rs
@@ -1,7 +1,7 @@
-//! Emulated backends: small HTTP/1.1 servers on loopback, each request taking the same time.
+//! Emulated backends: small HTTP/1.1 servers on loopback with a constant service time.
 //!
-//! The body of a response is the time that the backend took, in microseconds, so that a client can subtract it
-//! from the latency.
+//! The body of a response is the actual service time in microseconds, so that a client can subtract it from the
+//! latency.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -16,13 +16,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Pause after an accept that failed.
+/// Pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Starts `count` backends and returns their addresses.
+/// Starts `count` backends on ports that the kernel chooses and returns their addresses.
 ///
 /// # Errors
-/// Where no port is left.
+/// A listener can't be opened, for example because no port is free.
 pub async fn start(count: u32, service_time: Duration) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     for _ in 0..count {
@@ -50,7 +50,7 @@
 async fn serve(stream: TcpStream, service_time: Duration) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| respond(request, service_time));
-    // How a connection ends is the client's concern.
+    // The client detects and counts broken connections.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
--- a/lab/src/live/error.rs
+++ b/lab/src/live/error.rs
@@ -9,48 +9,48 @@
 use tillerproxy::simulator::ParseSettingsError;
 use tokio::task::JoinError;
 
-/// Why a run of `live` could not start or did not finish.
+/// A run of `live` could not start or did not finish.
 #[derive(Debug, thiserror::Error)]
 pub enum LiveError {
-    /// The proxy's program is missing.
+    /// No file exists at the path of the proxy program.
     #[error(
-        "there is no proxy at {}: run `cargo build --release` or name one by --proxy",
+        "no proxy program at {}: run `cargo build --release` or pass its path with --proxy",
         program.display()
     )]
     ProgramMissing {
         /// Path at which the program was expected.
         program: PathBuf,
     },
-    /// The lab may not open as many file descriptors as the scenario needs.
+    /// The limit on open file descriptors of the lab is lower than the scenario needs.
     #[error(
-        "the scenario needs {needed} file descriptors of the lab or more, and `ulimit -n` allows {limit}"
+        "the scenario needs at least {needed} file descriptors in the lab, but `ulimit -n` is {limit}"
     )]
     DescriptorLimit {
-        /// Descriptors that the scenario needs.
+        /// Number of descriptors that the scenario needs.
         needed: u64,
-        /// The limit of this process.
+        /// Current limit of this process.
         limit: u64,
     },
-    /// An operation of the operating system failed.
+    /// A system call failed.
     #[error("cannot {operation}: {source}")]
     Io {
-        /// What was tried, such as `open a listener of discovery`.
+        /// The attempted operation, such as `start discovery`.
         operation: &'static str,
-        /// Why it failed.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A proxy's configuration file, or the directory for it, can't be written.
+    /// The configuration file of a proxy, or the directory for it, can't be written.
     #[error("cannot write {}: {source}", path.display())]
     Configuration {
-        /// The file or directory.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The decision module rejects the settings of a simulated proxy.
-    #[error("simulated proxy {proxy_index}: {source}")]
+    /// The balancer rejects the settings of a simulated proxy.
+    #[error("invalid settings of simulated proxy {proxy_index}: {source}")]
     Settings {
-        /// Index of the proxy among all of them.
+        /// Index of the proxy among all real and simulated proxies.
         proxy_index: u32,
         /// The invalid setting.
         source: ParseSettingsError,
@@ -61,12 +61,12 @@
     /// A proxy process failed.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A proxy process did not answer its health check in time.
-    #[error("proxy-{proxy_index} did not serve within {limit:?} of its start")]
+    /// No health check of a proxy process succeeded in time.
+    #[error("no health check of proxy-{proxy_index} succeeded within {limit:?} of its start")]
     NotServing {
         /// Index of the process.
         proxy_index: u32,
-        /// Time that it had.
+        /// Time allowed.
         limit: Duration,
     },
     /// Resource usage can't be read from `/proc`.
@@ -76,9 +76,9 @@
     #[error("cannot measure idle connections: {0}")]
     IdleConnections(#[from] IdleConnectionsError),
     /// A task of the lab panicked.
-    #[error("a task of the lab failed: {0}")]
+    #[error("a task of the lab panicked: {0}")]
     Task(#[from] JoinError),
-    /// The lab was interrupted.
+    /// SIGINT or SIGTERM interrupted the run.
     #[error("interrupted by {signal}")]
     Interrupted {
         /// Name of the signal, such as `SIGTERM`.
--- a/lab/src/live/figures.rs
+++ b/lab/src/live/figures.rs
@@ -1,4 +1,4 @@
-//! What a run measures, as it stands in the JSON result.
+//! Measurements of a run, in the form of the JSON result.
 
 use super::clients::{RequestCounts, RequestOutcomes};
 use super::idle_connections::IdleConnectionMemory;
@@ -7,137 +7,141 @@
 use super::quantiles::Quantiles;
 use serde::Serialize;
 
-/// All figures of a run.
+/// Measurements of a run.
 #[derive(Debug, Serialize)]
 pub struct LiveFigures {
-    /// Load average of the machine before the run.
+    /// Load average of the machine over one minute, before the run; `None` if it can't be read.
     pub load_average_before: Option<f32>,
-    /// Seconds from the start of each real process until its health check succeeded.
+    /// Seconds from the start of a real process until its first successful health check.
     #[serde(rename = "start_up")]
     pub start_times: Option<Quantiles>,
-    /// Propagation of the first list.
+    /// Propagation of the first endpoint list.
     #[serde(rename = "start_spread")]
     pub start_propagation: Option<PropagationFigures>,
-    /// Each phase.
+    /// Measurements of each phase, in the order of the scenario.
     pub phases: Vec<PhaseFigures>,
 }
 
-/// The figures of one phase.
+/// Measurements of one phase.
 #[derive(Debug, Serialize)]
 pub struct PhaseFigures {
-    /// Kind of the phase.
+    /// Kind of the phase, as scenarios name it.
     pub kind: &'static str,
     /// Whether clients sent requests.
     pub clients: bool,
-    /// Its length in seconds.
+    /// Measured length of the phase in seconds.
     pub seconds: f64,
-    /// Each real process.
+    /// Measurements of each real process.
     pub processes: Vec<ProcessFigures>,
-    /// The simulated proxies together.
+    /// Measurements of all simulated proxies together.
     #[serde(rename = "hollow")]
     pub simulated: SimulatedFigures,
-    /// Requests directly to the backends, if there were any.
+    /// Requests sent directly to the backends; `None` if the phase has none.
     pub direct: Option<RequestFigures>,
-    /// Propagation of the phase's changes, if there were any.
+    /// Propagation of the changes of the phase; `None` if it has none.
     #[serde(rename = "spread")]
     pub propagation: Option<PropagationFigures>,
-    /// The restart, in such a phase.
+    /// Restart of the real processes; `None` except in a `restart` phase.
     pub restart: Option<RestartFigures>,
-    /// Active and draining endpoints of the list once the phase's changes had propagated.
+    /// Number of active and draining endpoints after the changes of the phase had propagated.
     #[serde(rename = "listed")]
     pub listed_endpoints: usize,
-    /// Processor time of the lab itself, as cores.
+    /// Processor time of the lab itself, in cores.
     pub lab_cores: f64,
-    /// How late the timers of the lab fired. What it measures is not exact beyond that.
+    /// Lag of the timers of the lab, which bounds the accuracy of its time measurements.
     #[serde(rename = "lab_timers_late")]
     pub lab_timer_lag: Option<LatencyQuantiles>,
-    /// Load average of the machine over one minute, at the end.
+    /// Load average of the machine over one minute, at the end of the phase; `None` if it can't be read.
     pub load_average: Option<f32>,
 }
 
-/// One real process in one phase.
+/// Measurements of one real process in one phase.
 #[derive(Debug, Serialize)]
 pub struct ProcessFigures {
-    /// Its process id.
+    /// Process id.
     pub pid: u32,
-    /// Processor time as a part of one core. Of a process that was started in this phase, since its start.
+    /// Processor time in cores: since the start of the phase, or since the start of the process if that is later,
+    /// divided by the length of the phase.
     pub cores: f64,
-    /// Resident memory at the end, in KiB.
+    /// Resident memory at the end of the phase, in KiB.
     pub resident_kib: u64,
-    /// The most resident memory since its start, in KiB.
+    /// Peak resident memory since the start of the process, in KiB.
     pub peak_resident_kib: u64,
-    /// Open descriptors at the end.
+    /// Open file descriptors at the end of the phase.
     pub descriptors: usize,
-    /// Bytes a second between it and discovery, both ways.
+    /// Bytes per second between the process and discovery, in both directions.
     pub discovery_bytes_per_s: f64,
-    /// Its calls to discovery.
+    /// Number of calls to discovery.
     pub discovery_calls: u64,
-    /// `app_known_backends` once the phase's changes had propagated.
+    /// Counter `app_known_backends` after the changes of the phase had propagated; `None` if it can't be read.
     pub known_backends: Option<u64>,
-    /// Its clients' requests, if there were any.
+    /// Requests of clients through the process; `None` if the phase has none.
     pub requests: Option<RequestFigures>,
-    /// Memory of idle connections, in such a phase.
+    /// Memory of idle connections; `None` except in an `idle_connections` phase.
     #[serde(rename = "idle")]
     pub idle_connections: Option<IdleConnectionMemory>,
 }
 
-/// The simulated proxies in one phase.
+/// Measurements of all simulated proxies in one phase.
 #[derive(Debug, Serialize)]
 pub struct SimulatedFigures {
-    /// How many there are.
+    /// Number of simulated proxies.
     pub proxies: usize,
-    /// Bytes a second between one and discovery, both ways: the mean.
+    /// Mean over the proxies of the bytes per second between a proxy and discovery, in both directions.
     pub mean_bytes_per_s: f64,
-    /// The most of any.
+    /// Maximum over the proxies of the bytes per second between a proxy and discovery.
     #[serde(rename = "most_bytes_per_s")]
     pub max_bytes_per_s: f64,
-    /// Calls of all.
+    /// Calls to discovery, summed over the proxies.
     pub calls: u64,
 }
 
 /// Requests of one load generator in one phase.
 #[derive(Debug, Serialize)]
 pub struct RequestFigures {
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub counts: RequestCounts,
     /// Latency of the served requests.
     pub latency: Option<LatencyQuantiles>,
-    /// The part of it that the backend did not take.
+    /// Latency of the served requests without the service time of the backend.
     #[serde(rename = "outside")]
     pub outside_backend: Option<LatencyQuantiles>,
-    /// What the proxy added: each quantile of `outside_backend` less that of the direct requests.
+    /// Latency added by the proxy: each quantile of `outside_backend` minus that of the direct requests. `None` if
+    /// either has no served request.
     #[serde(rename = "added")]
     pub added_by_proxy: Option<AddedLatency>,
 }
 
-/// Differences of quantiles, in microseconds.
+/// Latency added by a proxy, as differences of quantiles in microseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct AddedLatency {
-    /// Of the medians.
+    /// Difference of the medians.
     pub p50_us: i64,
-    /// Of the 99th percentiles.
+    /// Difference of the 99th percentiles.
     pub p99_us: i64,
 }
 
-/// A restart of all real processes.
+/// Measurements of a restart of all real processes.
 #[derive(Clone, Debug, Serialize)]
 pub struct RestartFigures {
-    /// Processes restarted.
+    /// Number of restarted processes.
     pub processes: usize,
-    /// Those that ended with exit code 0 on SIGTERM.
+    /// Number of processes that exited with code 0 on SIGTERM.
     pub ended_cleanly: usize,
-    /// Those whose health check succeeded within 10 s of their start.
+    /// Number of processes whose health check succeeded within 10 s of their start.
     #[serde(rename = "up_in_time")]
     pub serving_in_time: usize,
-    /// Seconds from SIGTERM to the end.
+    /// Seconds from SIGTERM to the exit of a process.
     pub ended_after: Option<Quantiles>,
-    /// Seconds from the start until the health check succeeded, of those in time.
+    /// Seconds from the start of a process until its first successful health check, without the processes that were
+    /// not in time.
     #[serde(rename = "up_after")]
     pub serving_after: Option<Quantiles>,
 }
 
 impl RequestFigures {
-    /// Computes the figures of a load generator, beside those of the direct requests.
+    /// Computes the figures of a load generator. `direct` are the requests sent directly to the backends, with which
+    /// those through the proxy are compared.
     #[must_use]
     pub fn new(outcomes: &RequestOutcomes, direct: Option<&RequestOutcomes>) -> Self {
         let outside_backend = outcomes.outside_backend.quantiles();
--- a/lab/src/live/http.rs
+++ b/lab/src/live/http.rs
@@ -1,4 +1,4 @@
-//! Single HTTP calls of the lab.
+//! HTTP client functions of the lab, without retries and timeouts.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -10,24 +10,24 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Why a call failed.
+/// An HTTP call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
     /// The connection can't be opened.
     #[error("connect failed: {0}")]
     Connect(#[from] io::Error),
-    /// The exchange on the connection failed.
+    /// Sending the request or reading the response failed.
     #[error("HTTP exchange failed: {0}")]
     Exchange(#[from] hyper::Error),
-    /// The request can't be built.
+    /// The path or a header is malformed, so the request can't be built.
     #[error("the request is malformed: {0}")]
     Request(#[from] hyper::http::Error),
 }
 
-/// Opens a connection, which lasts as long as its sender.
+/// Opens a connection, which stays open for as long as the returned sender exists.
 ///
 /// # Errors
-/// Where the connection can't be opened.
+/// The connection can't be opened.
 pub async fn connect(address: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, HttpError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
@@ -38,19 +38,19 @@
     Ok(sender)
 }
 
-/// Sends a GET on a connection of its own and returns status and body.
+/// Sends a GET request on a new connection and returns the status and the body.
 ///
 /// # Errors
-/// Where the call fails on the way.
+/// Any [`HttpError`]; a status other than 200 is no error.
 pub async fn get(address: SocketAddr, path: &str) -> Result<(StatusCode, Bytes), HttpError> {
     let mut sender = connect(address).await?;
     get_on(&mut sender, address, path).await
 }
 
-/// Sends a GET on an open connection and returns status and body.
+/// Sends a GET request on an open connection and returns the status and the body.
 ///
 /// # Errors
-/// Where the call fails on the way.
+/// [`HttpError::Exchange`] or [`HttpError::Request`]; a status other than 200 is no error.
 pub async fn get_on(
     sender: &mut SendRequest<Empty<Bytes>>,
     address: SocketAddr,
--- a/lab/src/live/idle_connections.rs
+++ b/lab/src/live/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Memory that a proxy process needs for idle client connections.
+//! Measures the memory that a proxy process needs for idle client connections.
 
 use super::http::{self, HttpError};
 use super::scenario::IDLE_CONNECTION_STEPS;
@@ -9,49 +9,49 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time between the last connection of a step and the reading of the memory. It is short beside the 2.5 s
+/// Time between the last connection of a step and the reading of the memory. It has to be well below the 2.5 s
 /// after which the proxy closes idle connections.
 const SETTLING_TIME: Duration = Duration::from_millis(200);
 
-/// Why idle connections can't be measured.
+/// The memory of idle connections can't be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum IdleConnectionsError {
-    /// A request on one of the connections failed.
-    #[error("a request on an idle connection failed: {0}")]
+    /// A connection can't be opened, or the request on it failed.
+    #[error("call on a measured connection failed: {0}")]
     Http(#[from] HttpError),
     /// The memory of the process can't be read.
-    #[error("the memory of the process can't be read: {0}")]
+    #[error("cannot read the memory of the process: {0}")]
     Usage(#[from] procfs::ProcError),
 }
 
-/// Resident memory of one process by the number of idle connections that clients hold to it.
+/// Resident memory of one process as a function of its idle client connections.
 #[derive(Clone, Debug, Serialize)]
 pub struct IdleConnectionMemory {
-    /// Connections and resident memory at each step, the first one without connections.
+    /// Connections and resident memory at each step; the first step has no connections.
     pub steps: Vec<IdleConnectionStep>,
-    /// Slope of the least squares line through the steps, in bytes per connection. Free memory that the
-    /// process already has hides the first connections.
+    /// Slope of the least squares line through the steps, in bytes per connection. It is too low if the first
+    /// connections fit into free memory that the process already holds.
     pub slope_bytes: f64,
-    /// Slope of the steepest step, which free memory does not hide.
+    /// Slope of the steepest step, in bytes per connection. Free memory of the process does not lower it.
     pub steepest_bytes: f64,
 }
 
-/// One step.
+/// One step of the measurement.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct IdleConnectionStep {
-    /// Connections held.
+    /// Number of connections that clients hold open.
     pub connections: u32,
-    /// Of those, connections that the process had closed by the reading.
+    /// Number of these that the process had closed when the memory was read.
     pub closed: u32,
     /// Resident memory in KiB.
     pub resident_kib: u64,
 }
 
-/// Opens up to `max_connections` connections to a process step by step, sends one request on each, and reads
-/// the process's memory after each step.
+/// Opens `max_connections` connections to a process in [`IDLE_CONNECTION_STEPS`] steps, sends one request on each, and
+/// reads the memory of the process after each step.
 ///
 /// # Errors
-/// Where the process does not answer or its memory can't be read.
+/// A request fails, or the memory of the process can't be read.
 pub async fn measure(
     address: SocketAddr,
     pid: u32,
@@ -95,7 +95,7 @@
 }
 
 impl IdleConnectionStep {
-    /// Returns connections and resident bytes.
+    /// Returns the number of connections and the resident memory in bytes.
     fn point(&self) -> (f64, f64) {
         let connections = f64::from(self.connections);
         let resident_bytes = self.resident_kib as f64 * BYTES_PER_KIB;
@@ -103,7 +103,7 @@
     }
 }
 
-/// Returns the slope of the least squares line through the points; 0 where they do not differ in x.
+/// Returns the slope of the least squares line through points (x, y); 0 if all have the same x.
 #[must_use]
 pub fn slope(points: &[(f64, f64)]) -> f64 {
     let count = points.len() as f64;
--- a/lab/src/live/latency.rs
+++ b/lab/src/live/latency.rs
@@ -1,45 +1,47 @@
-//! Histograms of times and the quantiles that are reported of them.
+//! Histograms of durations and their reported quantiles.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::time::Duration;
 
-/// The longest time that is recorded as it is, in microseconds: a minute.
+/// Longest duration that is recorded exactly, in microseconds: a minute.
 const MAX_RECORDED_US: u64 = 60_000_000;
-/// Decimal digits to which times are distinguished.
+/// Number of significant decimal digits of a recorded duration.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A histogram of times between a microsecond and a minute, to three digits; times outside that range count as
-/// its bounds.
+/// A histogram of durations from a microsecond to a minute with three significant digits. Durations outside this
+/// range are recorded as its nearest bound.
 #[derive(Clone, Debug)]
 pub struct LatencyHistogram(Histogram<u64>);
 
-/// Quantiles in microseconds.
+/// Quantiles of a histogram, in microseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LatencyQuantiles {
-    /// Median.
+    /// The median.
     pub p50_us: u64,
-    /// 99th percentile.
+    /// The 99th percentile.
     pub p99_us: u64,
-    /// Maximum.
+    /// The maximum.
     pub max_us: u64,
 }
 
 impl Default for LatencyHistogram {
     fn default() -> Self {
         let histogram = Histogram::new_with_bounds(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS);
-        Self(histogram.expect("1 to 60,000,000 with 3 digits are bounds that a histogram takes"))
+        Self(histogram.expect(
+            "the range starts at 1 and spans more than a factor of 2, with at most 5 digits",
+        ))
     }
 }
 
 impl LatencyHistogram {
-    /// Adds one time.
+    /// Records one duration.
     pub fn record(&mut self, time: Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(MAX_RECORDED_US);
         self.0.saturating_record(micros.clamp(1, MAX_RECORDED_US));
     }
 
-    /// Returns the quantiles of all times; `None` where there are none.
+    /// Returns the quantiles of all recorded durations; `None` if there are none.
     #[must_use]
     pub fn quantiles(&self) -> Option<LatencyQuantiles> {
         if self.0.is_empty() {
--- a/lab/src/live/mod.rs
+++ b/lab/src/live/mod.rs
@@ -1,10 +1,11 @@
-//! The `live` experiment: real and simulated proxies in front of one discovery stand-in, over loopback.
+//! The `live` experiment: real and simulated proxies watch one discovery stand-in over loopback.
 //!
-//! Real proxies are processes of the released program ([`process`]); simulated ones are tasks of the lab that
-//! watch discovery as the program does and serve no clients ([`simulated_proxy`]). Discovery ([`discovery`])
-//! lists thousands of endpoints, of which some are emulated ([`backends`]). Phases ([`scenario`]) are run
-//! one after another ([`experiment`]); in each, the resource usage of every real process is read from `/proc`
-//! ([`usage`]) and its traffic is counted ([`traffic`]).
+//! Real proxies are processes of the released program ([`process`]). Simulated proxies are tasks of the lab that
+//! watch discovery as the program does and serve no clients ([`simulated_proxy`]). The discovery stand-in
+//! ([`discovery`]) lists up to thousands of endpoints; some of them are emulated backends ([`backends`]). The phases
+//! of a scenario ([`scenario`]) run one after another ([`experiment`]). In each phase the lab reads the resource usage
+//! of every real process from `/proc` ([`usage`]) and counts the traffic between proxies and discovery
+//! ([`traffic`]).
 
 pub mod backends;
 pub mod clients;
@@ -46,12 +47,12 @@
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Threads of the lab, shared by simulated proxies, discovery, backends and clients.
+/// Worker threads of the lab, shared by simulated proxies, discovery, backends and clients.
 const LAB_THREADS: usize = 3;
-/// Layout of the progress bar.
+/// `indicatif` template of the progress bar.
 const PROGRESS_TEMPLATE: &str = "{bar:40} {percent:>3}% {elapsed} {msg}";
 
-/// Options of `live`.
+/// Command-line options of `live`.
 #[derive(Args, Clone, Debug)]
 pub struct LiveOptions {
     /// Scenario file, TOML.
@@ -64,17 +65,18 @@
     common: CommonOptions,
 }
 
-/// Runs the experiment.
+/// Runs the experiment, prints the report and writes the JSON result if a path for it is given.
 ///
 /// # Errors
-/// What kept it from running, or ended it early. Every process that it started has ended then.
+/// The scenario is invalid, the run can't start, a real process fails, a signal interrupts the run, or the result
+/// can't be written. Every process that the run started has exited when the error is returned.
 pub fn run(options: &LiveOptions) -> Result<(), LabError> {
     let scenario: LiveScenario = crate::scenario::read(&options.scenario)?;
     let program = proxy_program(options.proxy.as_deref())?;
     let info = options.common.run_info("live");
     let progress = progress_bar(&scenario, options.common.quiet);
-    let measuring = measure(&scenario, &program, options.common.seed, progress);
-    let figures = runtime()?.block_on(measuring)?;
+    let measurement = measure(&scenario, &program, options.common.seed, progress);
+    let figures = runtime()?.block_on(measurement)?;
     print!("{}", report::table(&figures));
     if let Some(path) = &options.common.json {
         let result = RunResult {
@@ -87,7 +89,7 @@
     Ok(())
 }
 
-/// Plays the scenario until it ends or a signal comes.
+/// Runs the scenario until it ends or SIGINT or SIGTERM arrives.
 async fn measure(
     scenario: &LiveScenario,
     program: &Path,
@@ -108,7 +110,7 @@
     Ok(figures)
 }
 
-/// Waits for SIGINT or SIGTERM and returns the error that it ends the run with.
+/// Waits for SIGINT or SIGTERM and returns the error with which the run ends.
 async fn interruption() -> LiveError {
     match wait_for_signal().await {
         Ok(signal) => LiveError::Interrupted { signal },
@@ -139,7 +141,10 @@
         })
 }
 
-/// Returns the proxy's program: the given one, or the released one in the target directory that holds the lab.
+/// Returns the path of the proxy program: `given`, or the released program in the target directory of the lab.
+///
+/// # Errors
+/// No file exists at that path.
 fn proxy_program(given: Option<&Path>) -> Result<PathBuf, LiveError> {
     let program = match given {
         Some(program) => program.to_owned(),
--- a/lab/src/live/propagation.rs
+++ b/lab/src/live/propagation.rs
@@ -1,4 +1,4 @@
-//! How long changes of the endpoint list take to reach the proxies.
+//! Measures how long changes of the endpoint list take to reach the proxies.
 
 use super::quantiles::Quantiles;
 use serde::Serialize;
@@ -6,10 +6,10 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Follows each revision of the endpoint list from the change itself to the proxies.
+/// Tracks each revision of the endpoint list from the change in discovery to the proxies.
 ///
-/// A simulated proxy has a revision once it has read the whole response, a real process once it asks for
-/// what is newer than that revision.
+/// A simulated proxy has a revision when it has read the whole response. A real process is known to have a revision
+/// when it asks discovery for newer ones.
 #[derive(Debug)]
 pub struct PropagationTracker {
     state: Mutex<State>,
@@ -17,38 +17,38 @@
 
 #[derive(Debug)]
 struct State {
-    /// Newest revision of each proxy.
+    /// Newest revision of each proxy, by proxy index; 0 before its first one.
     revisions: Vec<u64>,
-    /// Changes since the figures were taken last, by their revision.
+    /// Changes since the last call of [`PropagationTracker::take`], by revision.
     changes: BTreeMap<u64, Change>,
 }
 
 #[derive(Debug)]
 struct Change {
     made_at: Instant,
-    /// Time until each proxy that has the change got it, in the order in which they did.
+    /// Delay of each proxy that has received the change, in the order of receipt.
     delays: Vec<Duration>,
 }
 
-/// Propagation delays of the changes of a phase, in seconds. A change counts for a figure only if as many
-/// proxies had it by the end of the phase.
+/// Propagation delays of the changes of a phase, in seconds. A figure covers only the changes that had reached the
+/// required share of the proxies at the end of the phase.
 #[derive(Clone, Debug, Serialize)]
 pub struct PropagationFigures {
-    /// Changes made.
+    /// Number of changes made.
     pub changes: usize,
-    /// Changes that reached every proxy.
+    /// Number of changes that reached every proxy.
     #[serde(rename = "known_to_all")]
     pub reached_all: usize,
-    /// Time until a change had reached half of the proxies.
+    /// Seconds until a change had reached half of the proxies.
     pub half: Option<Quantiles>,
-    /// Time until it had reached 99 % of them.
+    /// Seconds until a change had reached 99 % of the proxies.
     pub p99: Option<Quantiles>,
-    /// Time until it had reached all of them.
+    /// Seconds until a change had reached all proxies.
     pub all: Option<Quantiles>,
 }
 
 impl PropagationTracker {
-    /// Makes a tracker for `proxy_count` proxies, none of which has a revision.
+    /// Creates a tracker for `proxy_count` proxies without a revision.
     #[must_use]
     pub fn new(proxy_count: usize) -> Self {
         Self {
@@ -63,7 +63,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that a change was made at `made_at` and has this revision.
+    /// Records a change with this revision that was made at `made_at`.
     pub fn record_change(&self, revision: u64, made_at: Instant) {
         let change = Change {
             made_at,
@@ -72,8 +72,8 @@
         self.state().changes.insert(revision, change);
     }
 
-    /// Records that a proxy has this revision, and so all changes before it. Older revisions than the
-    /// proxy's newest one are ignored.
+    /// Records that a proxy has this revision, and so every change up to it. A revision that is not newer than the
+    /// proxy's newest one is ignored.
     pub fn record_revision(&self, proxy: usize, revision: u64) {
         let now = Instant::now();
         let mut state = self.state();
@@ -88,16 +88,15 @@
         }
     }
 
-    /// Returns how many proxies have this revision or a newer one.
+    /// Returns the number of proxies that have this revision or a newer one.
     #[must_use]
     pub fn proxies_at(&self, revision: u64) -> usize {
         let state = self.state();
-        let is_reached = |&&newest: &&u64| newest >= revision;
-        state.revisions.iter().filter(is_reached).count()
+        let has_revision = |&&newest: &&u64| newest >= revision;
+        state.revisions.iter().filter(has_revision).count()
     }
 
-    /// Returns the figures of the changes made since the last call and forgets these changes; `None` where
-    /// there were none.
+    /// Removes the changes recorded since the last call and returns their figures; `None` if there are none.
     #[must_use]
     pub fn take(&self) -> Option<PropagationFigures> {
         let mut state = self.state();
@@ -107,19 +106,18 @@
         if changes.is_empty() {
             return None;
         }
-        let until = |proxies: usize| delays_until(&changes, proxies);
+        let delays = |proxies: usize| delays_until(&changes, proxies);
         Some(PropagationFigures {
             changes: changes.len(),
-            reached_all: until(proxy_count).len(),
-            half: Quantiles::of(until(proxy_count.div_ceil(2))),
-            p99: Quantiles::of(until((proxy_count * 99).div_ceil(100))),
-            all: Quantiles::of(until(proxy_count)),
+            reached_all: delays(proxy_count).len(),
+            half: Quantiles::of(delays(proxy_count.div_ceil(2))),
+            p99: Quantiles::of(delays((proxy_count * 99).div_ceil(100))),
+            all: Quantiles::of(delays(proxy_count)),
         })
     }
 }
 
-/// Returns the seconds until each change had reached `proxies` of the proxies, without the changes that did
-/// not reach as many.
+/// Returns the seconds until each change had reached `proxies` proxies, without the changes that reached fewer.
 fn delays_until(changes: &BTreeMap<u64, Change>, proxies: usize) -> Vec<f64> {
     let last = proxies.max(1) - 1;
     let mut delays = Vec::new();
--- a/lab/src/live/proxy_config.rs
+++ b/lab/src/live/proxy_config.rs
@@ -1,19 +1,19 @@
-//! The configuration files of real processes, and the settings of all proxies.
+//! Configuration files of real processes, and settings of real and simulated proxies.
 
 use super::scenario::{DiscoveryMode, LiveScenario};
 use crate::units::MICROS_PER_MILLISECOND;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Class of the requests that the lab's clients send; it is idempotent.
+/// Name of the class of all requests of the lab's clients; the class is idempotent.
 pub const REQUEST_CLASS: &str = "read";
-/// Timeout of the clients' requests, in milliseconds.
+/// Timeout of a client's request, in milliseconds.
 pub const CLIENT_TIMEOUT_MS: u64 = 2_000;
-/// The only machine type.
+/// Name of the machine type of all endpoints.
 pub const MACHINE_TYPE: &str = "standard";
 
-/// Returns the configuration of a real process whose discovery is at `discovery`. `cached_list` is the endpoint
-/// list that it starts with, as discovery serializes it.
+/// Returns the configuration of a real process. `discovery` is the address of discovery for this process;
+/// `cached_list` is its initial endpoint list, as discovery serializes it.
 #[must_use]
 pub fn configuration(
     scenario: &LiveScenario,
--- a/lab/src/live/quantiles.rs
+++ b/lab/src/live/quantiles.rs
@@ -2,17 +2,17 @@
 
 use serde::Serialize;
 
-/// Median and maximum.
+/// Median and maximum of a set of values.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Quantiles {
-    /// The median; the lower one of two.
+    /// The median; the lower of the two middle values if the number of values is even.
     pub median: f64,
     /// The maximum.
     pub max: f64,
 }
 
 impl Quantiles {
-    /// Computes the quantiles of the values; `None` where there are none.
+    /// Computes the quantiles of the values; `None` if there are none.
     #[must_use]
     pub fn of(mut values: Vec<f64>) -> Option<Self> {
         values.sort_unstable_by(f64::total_cmp);
--- a/lab/src/live/report.rs
+++ b/lab/src/live/report.rs
@@ -1,4 +1,4 @@
-//! The table on standard output.
+//! The report of a run as a table for standard output.
 
 use super::clients::RequestCounts;
 use super::figures::{LiveFigures, PhaseFigures, ProcessFigures, RestartFigures};
@@ -8,11 +8,11 @@
 use crate::units::{BYTES_PER_KIB, BYTES_PER_MEGABYTE, PERCENT};
 use std::fmt::{self, Write};
 
-/// Returns a table of the phases, each figure as median and maximum over the real processes.
+/// Formats a table of the phases, with the median and the maximum of each figure over the real processes.
 #[must_use]
 pub fn table(figures: &LiveFigures) -> String {
     let mut text = String::new();
-    write_table(&mut text, figures).expect("writing to a string does not fail");
+    write_table(&mut text, figures).expect("formatting into a string can't fail");
     text
 }
 
@@ -58,7 +58,7 @@
     write_notes(text, phase)
 }
 
-/// One line of the table: median and maximum of a figure.
+/// A row of the table: median and maximum of a figure.
 struct Row {
     name: &'static str,
     unit: &'static str,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Writes the line; nothing where there is no figure.
+    /// Writes the row, or nothing if the figure was not measured.
     fn write(&self, text: &mut String) -> fmt::Result {
         let Some(Quantiles { median, max }) = self.figure else {
             return Ok(());
@@ -95,24 +95,29 @@
 }
 
 fn process_rows(processes: &[ProcessFigures]) -> Vec<Row> {
-    let over = |figure: fn(&ProcessFigures) -> Option<f64>| {
+    let quantiles = |figure: fn(&ProcessFigures) -> Option<f64>| {
         Quantiles::of(processes.iter().filter_map(figure).collect())
     };
     let row = Row::new;
     vec![
-        row("processor time", "% of a core", 2, over(core_percent)),
-        row("resident memory", "MB", 1, over(resident_mb)),
-        row("peak resident memory", "MB", 1, over(peak_resident_mb)),
-        row("descriptors", "", 0, over(descriptors)),
-        row("discovery", "bytes/s", 0, over(discovery_rate)),
-        row("added to a request, p50", "us", 0, over(added_p50)),
-        row("added to a request, p99", "us", 0, over(added_p99)),
-        row("an idle connection, slope", "bytes", 0, over(idle_slope)),
+        row("processor time", "% of a core", 2, quantiles(core_percent)),
+        row("resident memory", "MB", 1, quantiles(resident_mb)),
+        row("peak resident memory", "MB", 1, quantiles(peak_resident_mb)),
+        row("descriptors", "", 0, quantiles(descriptors)),
+        row("discovery", "bytes/s", 0, quantiles(discovery_rate)),
+        row("added to a request, p50", "us", 0, quantiles(added_p50)),
+        row("added to a request, p99", "us", 0, quantiles(added_p99)),
+        row(
+            "an idle connection, slope",
+            "bytes",
+            0,
+            quantiles(idle_slope),
+        ),
         row(
             "an idle connection, steepest",
             "bytes",
             0,
-            over(idle_steepest),
+            quantiles(idle_steepest),
         ),
     ]
 }
@@ -196,7 +201,7 @@
     )
 }
 
-/// Writes how the requests of all processes ended; nothing where there were none.
+/// Writes the outcomes of the requests of all processes, or nothing if none was sent.
 fn write_requests(text: &mut String, processes: &[ProcessFigures]) -> fmt::Result {
     let mut total = RequestCounts::default();
     for process in processes {
@@ -222,7 +227,7 @@
     )
 }
 
-/// Writes what the lab and the machine did meanwhile.
+/// Writes processor time and timer lag of the lab, and the load average of the machine.
 fn write_lab(text: &mut String, phase: &PhaseFigures) -> fmt::Result {
     let load_average = match phase.load_average {
         Some(load) => format!("{load:.2}"),
--- a/lab/src/live/timer_lag.rs
+++ b/lab/src/live/timer_lag.rs
@@ -1,4 +1,4 @@
-//! How late the lab's own timers fire: the times that it measures are not exact beyond that.
+//! Measures the lag of the lab's own timers, which bounds the accuracy of its time measurements.
 
 use super::latency::LatencyHistogram;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,10 +6,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Length of the timer that is observed.
+/// Duration of each sampled timer.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Samples the lag of a timer until it is dropped.
+/// Samples the lag of a timer in the background. Dropping the monitor ends the sampling.
 #[derive(Debug)]
 pub struct TimerLagMonitor {
     samples: Arc<Mutex<LatencyHistogram>>,
@@ -17,7 +17,10 @@
 }
 
 impl TimerLagMonitor {
-    /// Starts sampling on the present runtime.
+    /// Starts sampling on the current Tokio runtime.
+    ///
+    /// # Panics
+    /// Called outside a runtime.
     #[must_use]
     pub fn start() -> Self {
         let samples = Arc::<Mutex<LatencyHistogram>>::default();
@@ -25,7 +28,7 @@
         Self { samples, task }
     }
 
-    /// Returns the samples since the last call.
+    /// Removes and returns the samples since the last call.
     #[must_use]
     pub fn take(&self) -> LatencyHistogram {
         let mut samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
--- a/lab/src/live/traffic.rs
+++ b/lab/src/live/traffic.rs
@@ -1,4 +1,4 @@
-//! Byte and call counters of the connections between a proxy and discovery.
+//! Counters of bytes and calls between a proxy and discovery.
 
 use std::io;
 use std::pin::Pin;
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Counters of one proxy's traffic with discovery, over all of its connections.
+/// Counters of the traffic between one proxy and discovery, over all connections.
 #[derive(Debug, Default)]
 pub struct TrafficCounters {
     bytes_from_proxy: AtomicU64,
@@ -16,12 +16,12 @@
     calls: AtomicU64,
 }
 
-/// The values of [`TrafficCounters`] at one moment.
+/// Values of [`TrafficCounters`] at one moment.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TrafficTotals {
-    /// Bytes in both directions.
+    /// Bytes sent in both directions.
     pub bytes: u64,
-    /// Calls to discovery.
+    /// Number of calls to discovery.
     pub calls: u64,
 }
 
@@ -43,7 +43,7 @@
         self.bytes_to_proxy.load(Ordering::Relaxed)
     }
 
-    /// Returns the present values.
+    /// Returns the current values.
     #[must_use]
     pub fn totals(&self) -> TrafficTotals {
         TrafficTotals {
@@ -53,16 +53,16 @@
     }
 }
 
-/// The end of a connection that a [`CountingStream`] is at.
+/// The end of the connection at which a [`CountingStream`] counts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Side {
-    /// Discovery's end: bytes read come from the proxy.
+    /// The end of discovery: bytes read were sent by the proxy.
     Discovery,
-    /// The proxy's end: bytes read go to the proxy.
+    /// The end of the proxy: bytes read were sent by discovery.
     Proxy,
 }
 
-/// A TCP stream that adds its bytes to a proxy's [`TrafficCounters`].
+/// A TCP stream that adds the bytes read and written to a proxy's [`TrafficCounters`].
 #[derive(Debug)]
 pub struct CountingStream {
     stream: TcpStream,
@@ -71,7 +71,7 @@
 }
 
 impl CountingStream {
-    /// Counts the bytes of `stream` from now on.
+    /// Wraps `stream`; bytes read or written from now on are counted.
     #[must_use]
     pub fn new(stream: TcpStream, counters: Arc<TrafficCounters>, side: Side) -> Self {
         Self {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Returns the underlying stream.
+    /// Unwraps the stream; its bytes are no longer counted.
     #[must_use]
     pub fn into_inner(self) -> TcpStream {
         self.stream
--- a/lab/src/live/usage.rs
+++ b/lab/src/live/usage.rs
@@ -1,30 +1,30 @@
-//! Resource usage of processes and load of the machine, read from `/proc`.
+//! Reads the resource usage of processes and the load average of the machine from `/proc`.
 
 use procfs::ProcResult;
 use procfs::process::Process;
 use serde::Serialize;
 use std::time::Duration;
 
-/// Resources of a process at one moment.
+/// Resource usage of a process at one moment.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Usage {
-    /// Its process id.
+    /// Process id.
     pub pid: u32,
-    /// Processor time since its start, user and system.
+    /// User and system processor time since the start of the process.
     pub processor_time: Duration,
     /// Resident memory in KiB.
     pub resident_kib: u64,
-    /// The most resident memory so far, in KiB.
+    /// Peak resident memory since the start of the process, in KiB.
     pub peak_resident_kib: u64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: usize,
 }
 
 impl Usage {
-    /// Reads the present usage of a process.
+    /// Reads the current usage of a process.
     ///
     /// # Errors
-    /// Where there is no such process, or `/proc` can't be read.
+    /// The process does not exist, or `/proc` can't be read.
     pub fn read(pid: u32) -> ProcResult<Self> {
         let process = Process::new(i32::try_from(pid).unwrap_or_default())?;
         let status = process.status()?;
@@ -38,22 +38,23 @@
     }
 }
 
-/// Reads the processor time of the lab itself so far.
+/// Reads the processor time of the lab itself since its start.
 ///
 /// # Errors
-/// Where `/proc` can't be read.
+/// `/proc` can't be read.
 pub fn own_processor_time() -> ProcResult<Duration> {
     processor_time(&Process::myself()?)
 }
 
-/// Reads the load average of the machine over one minute; `None` where it can't be read.
+/// Reads the load average of the machine over one minute; `None` if it can't be read.
 #[must_use]
 pub fn load_average() -> Option<f32> {
     use procfs::Current;
     procfs::LoadAverage::current().ok().map(|load| load.one)
 }
 
-/// Reads the processor time so far: exact for a single thread, else in ticks of the clock (10 ms).
+/// Reads the processor time since the start of a process: in nanoseconds for a process with a single thread, otherwise
+/// in clock ticks (10 ms).
 fn processor_time(process: &Process) -> ProcResult<Duration> {
     let stat = process.stat()?;
     if stat.num_threads == 1
