--- a/lab/src/live/clients/connection_pool.rs
+++ b/lab/src/live/clients/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Idle client connections to one address.
+//! Pool of idle client connections to one address.
 
 use crate::live::http::{self, HttpError};
 use bytes::Bytes;
@@ -8,10 +8,10 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A connection that has been idle for longer may be closed by the proxy at any moment.
+/// Idle time after which a connection is not reused, because the proxy may close it at any moment.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The idle connections to one address.
+/// Pool of idle connections to one address.
 #[derive(Debug)]
 pub(super) struct ConnectionPool {
     address: SocketAddr,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes the connection used last, or opens one where none is usable.
+    /// Takes the most recently used connection, or opens one if no idle connection is usable.
     pub(super) async fn take(&self) -> Result<SendRequest<Empty<Bytes>>, HttpError> {
         match self.take_idle() {
             Some(sender) => Ok(sender),
@@ -53,7 +53,7 @@
         Some(connection.sender)
     }
 
-    /// Returns a connection whose response has been read.
+    /// Puts a connection back after its response has been read.
     pub(super) fn put_back(&self, sender: SendRequest<Empty<Bytes>>) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.push(IdleConnection {
--- a/lab/src/live/clients/load_generator.rs
+++ b/lab/src/live/clients/load_generator.rs
@@ -1,4 +1,4 @@
-//! An open loop of requests: they are sent at random times, whether earlier ones were answered or not.
+//! Open-loop load generator: requests are sent at random times, independently of earlier responses.
 
 use super::connection_pool::ConnectionPool;
 use super::outcomes::{RequestOutcome, RequestOutcomes};
@@ -17,7 +17,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep_until, timeout};
 
-/// A load generator that runs until it is stopped.
+/// A load generator that runs until [`LoadGenerator::stop`].
 #[derive(Debug)]
 pub struct LoadGenerator {
     task: JoinHandle<RequestOutcomes>,
@@ -25,8 +25,11 @@
 }
 
 impl LoadGenerator {
-    /// Starts to send `requests_per_second` on average, at random times, each to one of the addresses at
-    /// random. The rate has to be above 0.
+    /// Starts sending `requests_per_second` requests on average (a Poisson process), each to a randomly drawn
+    /// address. `addresses` must not be empty.
+    ///
+    /// # Panics
+    /// The started task panics if the rate is not above 0.
     #[must_use]
     pub fn start(addresses: &[SocketAddr], requests_per_second: f64, seed: u64) -> Self {
         let pools: Arc<[ConnectionPool]> = addresses
@@ -38,7 +41,7 @@
         Self { task, stop }
     }
 
-    /// Sends no more requests, waits for those in flight, and returns how all of them ended.
+    /// Stops sending, waits for the requests in flight, and returns the outcomes of all requests.
     pub async fn stop(self) -> RequestOutcomes {
         self.stop.send_replace(true);
         self.task.await.unwrap_or_default()
@@ -52,7 +55,8 @@
     mut stopped: watch::Receiver<bool>,
 ) -> RequestOutcomes {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let intervals = Exp::new(requests_per_second).expect("the rate is above 0");
+    let intervals =
+        Exp::new(requests_per_second).expect("load generators are started only for rates above 0");
     let mut outcomes = RequestOutcomes::default();
     let mut in_flight = JoinSet::new();
     let mut next_at = tokio::time::Instant::now();
@@ -108,7 +112,7 @@
     Ok(classify(status, &body, latency))
 }
 
-/// Classifies a response. The body of a served one is the backend's service time in microseconds.
+/// Classifies a response. The body of a response with status 200 is the backend's service time in microseconds.
 fn classify(status: StatusCode, body: &Bytes, latency: Duration) -> RequestOutcome {
     match status {
         StatusCode::OK => {}
--- a/lab/src/live/clients/mod.rs
+++ b/lab/src/live/clients/mod.rs
@@ -1,7 +1,7 @@
-//! Clients: an open-loop load generator, through a proxy or directly to the backends.
+//! Clients of the experiment: open-loop load generators that send through a proxy or directly to the backends.
 //!
-//! - [`load_generator`]: sends requests at random times and counts how they end.
-//! - [`outcomes`]: the counts and latencies of one load generator.
+//! - [`load_generator`]: sends requests at random times and records their outcomes.
+//! - [`outcomes`]: counts and latencies of one load generator.
 
 mod connection_pool;
 pub mod load_generator;
--- a/lab/src/live/clients/outcomes.rs
+++ b/lab/src/live/clients/outcomes.rs
@@ -1,4 +1,4 @@
-//! How the requests of a load generator ended.
+//! Outcomes of the requests of a load generator.
 
 use crate::live::latency::LatencyHistogram;
 use serde::Serialize;
@@ -9,34 +9,34 @@
 pub struct RequestOutcomes {
     /// Latency of the served requests.
     pub latency: LatencyHistogram,
-    /// The part of it that the backend did not take.
+    /// Latency of the served requests without the service time of the backend.
     pub outside_backend: LatencyHistogram,
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub counts: RequestCounts,
 }
 
-/// Requests by how they ended.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct RequestCounts {
-    /// Sent.
+    /// Requests sent.
     pub sent: u64,
-    /// Answered with 200.
+    /// Requests answered with 200.
     pub served: u64,
-    /// Rejected: answered with 429 or 503.
+    /// Requests answered with 429 or 503.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Answered otherwise.
+    /// Requests answered with another status, or with 200 and a body that is not a service time.
     pub failed: u64,
-    /// The connection failed or broke.
+    /// Requests whose connection could not be opened or broke, or whose 200 response is not UTF-8.
     #[serde(rename = "broken")]
     pub disconnected: u64,
-    /// Not answered within the timeout.
+    /// Requests not answered within the timeout of the client.
     #[serde(rename = "late")]
     pub timed_out: u64,
 }
 
 impl RequestCounts {
-    /// Returns the sum of both.
+    /// Returns the sum of the counts.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -50,27 +50,28 @@
     }
 }
 
-/// How one request ended.
+/// Outcome of one request.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RequestOutcome {
     /// Answered with 200.
     Served {
-        /// Time from the request to the end of the response.
+        /// Time from sending the request to the end of the response.
         latency: Duration,
-        /// Time that the backend took.
+        /// Service time that the backend reported.
         service_time: Duration,
     },
     /// Answered with 429 or 503.
     Rejected,
-    /// Answered otherwise.
+    /// Answered with another status, or with 200 and a body that is not a service time.
     Failed,
-    /// The connection failed or broke.
+    /// The connection could not be opened or broke, or the 200 response is not UTF-8.
     Disconnected,
-    /// Not answered within the timeout.
+    /// Not answered within the timeout of the client.
     TimedOut,
 }
 
 impl RequestOutcomes {
+    /// Counts a request, and records the latency of a served one.
     pub(super) fn record(&mut self, outcome: RequestOutcome) {
         self.counts.sent += 1;
         match outcome {
--- a/lab/src/live/experiment/actions.rs
+++ b/lab/src/live/experiment/actions.rs
@@ -1,4 +1,4 @@
-//! What each kind of phase does: changes of the endpoint list, reloads, outages, restarts, and idle connections.
+//! Actions of each kind of phase: changes of the endpoint list, reloads, outages, restarts and idle connections.
 
 use super::Experiment;
 use crate::live::discovery::endpoint_list::{Endpoint, EndpointState};
@@ -12,26 +12,26 @@
 use std::time::{Duration, Instant, SystemTime};
 use tokio::task::JoinSet;
 
-/// Processes whose memory for idle connections is measured at the same time.
+/// Number of processes whose memory for idle connections is measured at the same time.
 pub(super) const IDLE_MEASUREMENTS_AT_ONCE: usize = 4;
 
-/// What some kinds of phase measure beside what every phase does.
+/// Results that only some kinds of phase have.
 #[derive(Default)]
 pub(super) struct PhaseResults {
     pub(super) restart: Option<RestartFigures>,
-    /// One for each real process, or none.
+    /// One entry for each real process in an `idle_connections` phase, otherwise empty.
     pub(super) idle_connections: Vec<IdleConnectionMemory>,
 }
 
-/// Single changes: endpoints restart one after another, each in three changes.
+/// Sequence of single changes: randomly drawn endpoints restart one after another, each in three changes.
 #[derive(Debug, Default)]
 pub(super) struct EndpointRestarts {
-    /// The endpoint that restarts now.
+    /// Index of the endpoint that is restarting.
     index: usize,
     next_step: RestartStep,
 }
 
-/// A step of an endpoint's restart.
+/// A step of the restart of an endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 enum RestartStep {
     #[default]
@@ -62,7 +62,8 @@
 }
 
 impl EndpointRestarts {
-    /// Returns the index of the endpoint that changes next, and its step. Each restart draws an endpoint.
+    /// Returns the index of the endpoint to change next and the step to apply. Draws another endpoint at the start
+    /// of each restart.
     fn advance(&mut self, endpoint_count: usize, rng: &mut SmallRng) -> (usize, RestartStep) {
         let step = self.next_step;
         if step == RestartStep::Drain {
@@ -74,7 +75,7 @@
 }
 
 impl Experiment {
-    /// Performs the actions of a phase that began at `began_at`; the caller waits for the rest of its time.
+    /// Runs the actions of a phase that began at `began_at`. The caller waits for the remaining time of the phase.
     pub(super) async fn run_actions(
         &mut self,
         phase: &Phase,
@@ -116,7 +117,7 @@
         Ok(results)
     }
 
-    /// Makes single changes at a constant rate.
+    /// Changes single endpoints at a constant rate.
     async fn change_endpoints(&mut self, began_at: Instant, seconds: f64, changes_per_s: f64) {
         let count = (seconds * changes_per_s).floor() as usize;
         for number in 0..count {
@@ -163,7 +164,7 @@
     }
 }
 
-/// Measures a few processes at the same time; returns the results in the order of the processes.
+/// Measures the processes of a batch at the same time and returns the results in their order.
 async fn measure_batch(
     batch: &[ProxyProcess],
     connections: u32,
--- a/lab/src/live/experiment/client_load.rs
+++ b/lab/src/live/experiment/client_load.rs
@@ -1,4 +1,4 @@
-//! The clients of a phase: one load generator for each real process, and one for the backends directly.
+//! Load generators of a phase: one for each real process, and one that sends directly to the backends.
 
 use super::Experiment;
 use crate::live::clients::LoadGenerator;
@@ -9,13 +9,15 @@
 
 /// The running load generators of a phase.
 pub(super) struct ClientLoad {
-    /// One for each real process; none where the rate is 0.
+    /// One load generator for each real process; empty if their rate is 0.
     through_proxies: Vec<LoadGenerator>,
-    /// Requests directly to the backends, against which those through the proxies are compared.
+    /// Load generator that sends directly to the backends; the latency through the proxies is compared with its
+    /// latency.
     direct: Option<LoadGenerator>,
 }
 
 impl Experiment {
+    /// Starts the load generators of a phase.
     pub(super) fn start_clients(&mut self) -> ClientLoad {
         let load = &self.scenario.load;
         let mut through_proxies = Vec::new();
@@ -35,7 +37,7 @@
     }
 }
 
-/// Starts a load generator with a random seed; `None` where the rate is 0.
+/// Starts a load generator with a random seed; `None` if the rate is 0.
 fn start_generator(
     addresses: &[SocketAddr],
     requests_per_s: f64,
@@ -53,7 +55,7 @@
 }
 
 impl ClientLoad {
-    /// Stops all clients and adds their figures.
+    /// Stops all load generators and adds their figures to those of the phase.
     pub(super) async fn stop(self, figures: &mut PhaseFigures) {
         let direct = match self.direct {
             Some(generator) => Some(generator.stop().await),
--- a/lab/src/live/experiment/measurement.rs
+++ b/lab/src/live/experiment/measurement.rs
@@ -1,4 +1,4 @@
-//! The figures of a phase, from counters read at its start and at its end.
+//! Figures of a phase, computed from counters read at its start and at its end.
 
 use super::Experiment;
 use super::actions::PhaseResults;
@@ -10,10 +10,10 @@
 use crate::live::usage::{self, Usage};
 use std::time::{Duration, Instant};
 
-/// The counters at one moment.
+/// Values of all counters at one moment.
 pub(super) struct CounterSnapshot {
     pub(super) taken_at: Instant,
-    /// Usage of each real process.
+    /// Resource usage of each real process.
     usage: Vec<Usage>,
     /// Traffic of each real process with discovery.
     real_traffic: Vec<TrafficTotals>,
@@ -24,7 +24,7 @@
 }
 
 impl Experiment {
-    /// Reads the counters at the start of a phase. What the timer lag was before does not count for it.
+    /// Reads the counters at the start of a phase and discards earlier samples of the timer lag.
     pub(super) fn snapshot(&self) -> Result<CounterSnapshot, LiveError> {
         drop(self.timer_lag.take());
         let simulated_traffic = self.proxies.simulated_traffic();
@@ -48,8 +48,8 @@
         Ok(usage)
     }
 
-    /// Computes the figures of a phase that began with the snapshot and ends now. What is measured once its
-    /// changes have propagated is left empty.
+    /// Computes the figures of a phase that began with the snapshot `before` and ends now. The caller fills in the
+    /// figures of the clients and those that are read after the changes of the phase have propagated.
     pub(super) fn phase_figures(
         &self,
         phase: &Phase,
@@ -123,7 +123,8 @@
     }
 }
 
-/// Returns the processor time between two readings; of a process that was started between them, all of it.
+/// Returns the processor time between two readings, or since the start of the process if another process was read
+/// before.
 fn processor_time_since(before: &Usage, now: &Usage) -> Duration {
     if before.pid == now.pid {
         now.processor_time.saturating_sub(before.processor_time)
--- a/lab/src/live/experiment/mod.rs
+++ b/lab/src/live/experiment/mod.rs
@@ -1,8 +1,9 @@
-//! A run: starts everything, plays the phases one after another, and measures each.
+//! A run of the experiment: starts discovery, backends and proxies, runs the phases one after another, and measures
+//! each.
 //!
-//! - `setup`: checks before the start, and the endpoint list.
-//! - `actions`: what each kind of phase does.
-//! - `client_load`: the clients of a phase.
+//! - `setup`: the check of the descriptor limit, the emulated backends, and the endpoint list.
+//! - `actions`: the actions of each kind of phase.
+//! - `client_load`: the load generators of a phase.
 //! - `measurement`: the figures of a phase.
 
 mod actions;
@@ -30,11 +31,11 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, sleep_until};
 
-/// How long the first list may take to reach every proxy.
+/// Longest wait for the first endpoint list to reach every proxy.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(180);
-/// How long the last changes of a phase are waited for before the next one begins.
+/// Longest wait after a phase for its changes to reach every proxy.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two looks at whether a change has propagated, and between two steps of the progress bar.
+/// Time between two checks of whether a change has propagated, and between two updates of the progress bar.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A run in progress.
@@ -51,11 +52,12 @@
 }
 
 impl Experiment {
-    /// Starts everything and waits until every proxy has the endpoint list; returns with it the figures so
-    /// far.
+    /// Starts backends, discovery and proxies, and waits until every proxy has the endpoint list or
+    /// [`FIRST_LIST_TIMEOUT`] has passed. Returns the run and the figures of its start.
     ///
     /// # Errors
-    /// Where something can't be started, or a real process does not serve in time.
+    /// The descriptor limit is too low, a server or a process can't be started, or no health check of a real process
+    /// succeeds in time.
     pub async fn start(
         scenario: LiveScenario,
         program: &Path,
@@ -91,17 +93,17 @@
         Ok((experiment, figures))
     }
 
-    /// Plays all phases and adds their figures.
+    /// Runs all phases and adds their figures.
     ///
     /// # Errors
-    /// Where a real process ends by itself, or a measurement fails.
+    /// A real process exits unexpectedly, an action of a phase fails, or a measurement fails.
     pub async fn run_phases(&mut self, figures: &mut LiveFigures) -> Result<(), LiveError> {
         let phases = self.scenario.phases.clone();
         for (number, phase) in phases.iter().enumerate() {
             self.progress
                 .set_message(format!("phase {number}, {}", phase.kind()));
             let phase_figures = self.run_phase(phase).await;
-            // A process that has ended by itself explains whatever else has failed.
+            // Checked first: an unexpected exit of a process is the cause of other errors of the phase.
             self.proxies.check_running()?;
             figures.phases.push(phase_figures?);
         }
@@ -109,7 +111,7 @@
         Ok(())
     }
 
-    /// Kills all real processes and waits for their end.
+    /// Kills all real processes and waits for their exit.
     pub async fn stop(&mut self) {
         self.proxies.kill().await;
     }
@@ -138,7 +140,7 @@
         Ok(figures)
     }
 
-    /// Returns the number of active and draining endpoints.
+    /// Returns the number of active and draining endpoints in the endpoint list.
     fn listed_endpoints(&self) -> usize {
         let list = self.discovery.service().endpoint_list();
         let endpoints = list.endpoints().iter();
@@ -147,11 +149,11 @@
             .count()
     }
 
-    /// Waits until every proxy has the present revision, for at most `limit`.
+    /// Waits until every proxy has the current revision, for at most `limit`.
     async fn wait_for_propagation(&self, limit: Duration) {
         let started_at = Instant::now();
         let proxy_count = self.scenario.proxy_count() as usize;
-        // A change gets its revision only after the notification delay.
+        // A change made just now gets its revision after the notification delay.
         let delay_ms = self.scenario.discovery.notification_delay_ms;
         sleep(Duration::from_millis(delay_ms)).await;
         loop {
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Waits and advances the progress bar.
+    /// Waits until `end` and advances the progress bar meanwhile.
     async fn wait_until(&self, end: Instant) {
         loop {
             let now = Instant::now();
--- a/lab/src/live/experiment/setup.rs
+++ b/lab/src/live/experiment/setup.rs
@@ -1,4 +1,4 @@
-//! What a run needs before its proxies start: file descriptors, backends and the endpoint list.
+//! Setup before the proxies start: descriptor limit, emulated backends and endpoint list.
 
 use super::actions::IDLE_MEASUREMENTS_AT_ONCE;
 use crate::live::backends;
@@ -12,19 +12,19 @@
 use std::time::Duration;
 use tokio::net::TcpSocket;
 
-/// Endpoints of a deduplication cell.
+/// Number of endpoints in a deduplication cell.
 const CELL_SIZE: usize = 8;
-/// Descriptors of the lab beside those that are counted one by one.
+/// Descriptors of the lab that are not counted one by one.
 const OTHER_DESCRIPTORS: u64 = 256;
-/// Descriptors of the lab for one connection over loopback and its listener.
+/// Descriptors of the lab for each loopback connection, including its listener.
 const DESCRIPTORS_PER_PROXY: u64 = 2;
 
-/// The backends that stand behind the endpoint list.
+/// The backends to which the addresses of the endpoint list lead.
 #[derive(Debug)]
 pub(super) struct EmulatedBackends {
     /// Addresses of the emulated backends.
     pub(super) answering: Vec<SocketAddr>,
-    /// Bound and not listening: connections to it are refused.
+    /// Reserves `refusing_address`: the socket is bound but does not listen, so connections are refused.
     _refusing_socket: TcpSocket,
     refusing_address: SocketAddr,
 }
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Returns the endpoint list: backends that answer first, zones in turn.
+    /// Returns the endpoint list. The emulated backends come first; zones are assigned in turn.
     pub(super) fn endpoints(&self, backends: &Backends) -> Vec<Endpoint> {
         let mut endpoints = Vec::new();
         for number in 0..backends.listed as usize {
@@ -79,7 +79,10 @@
     }
 }
 
-/// Checks that the lab may open as many file descriptors as the scenario needs.
+/// Checks that the descriptor limit of the lab suffices for the scenario.
+///
+/// # Errors
+/// [`LiveError::DescriptorLimit`] if it does not.
 pub(super) fn check_descriptor_limit(scenario: &LiveScenario) -> Result<(), LiveError> {
     let proxies = u64::from(scenario.proxy_count()) + u64::from(scenario.processes.real);
     let needed = DESCRIPTORS_PER_PROXY * proxies
@@ -92,13 +95,13 @@
     }
 }
 
-/// Returns the most idle connections that a phase holds at the same time.
+/// Returns the greatest number of idle connections that a phase holds at the same time.
 fn idle_connections_at_once(scenario: &LiveScenario) -> u64 {
-    let mut most = 0;
+    let mut max = 0;
     for phase in &scenario.phases {
         if let Phase::IdleConnections { connections } = phase {
-            most = most.max(u64::from(*connections) * IDLE_MEASUREMENTS_AT_ONCE as u64);
+            max = max.max(u64::from(*connections) * IDLE_MEASUREMENTS_AT_ONCE as u64);
         }
     }
-    most
+    max
 }
--- a/lab/src/live/proxies/mod.rs
+++ b/lab/src/live/proxies/mod.rs
@@ -1,4 +1,4 @@
-//! The proxies of a run: real processes and simulated proxies, started, reloaded and stopped together.
+//! All proxies of a run: starts, reloads, restarts and stops the real processes and the simulated proxies.
 
 mod restart;
 mod simulated;
@@ -21,33 +21,34 @@
 use tempfile::TempDir;
 use tokio::task::JoinSet;
 
-/// A process that starts has to serve within this time.
+/// Time within which a health check of a started process has to succeed.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// All proxies of a run.
 #[derive(Debug)]
 pub struct Proxies {
     program: PathBuf,
-    /// Holds the configuration files.
+    /// Temporary directory of the configuration files.
     directory: TempDir,
     real: Vec<ProxyProcess>,
     simulated: SimulatedProxies,
 }
 
-/// A process that was started, with the time until it served.
+/// A started process, and the time until its first successful health check.
 struct StartedProcess {
     proxy_index: u32,
     process: ProxyProcess,
-    /// `None` where it did not serve in time.
+    /// `None` if no health check succeeded within [`START_TIMEOUT`].
     serving_after: Option<Duration>,
 }
 
 impl Proxies {
-    /// Starts all proxies and waits until the real ones serve; returns with them the seconds that each took
-    /// for it.
+    /// Starts all proxies and waits until a health check of each real process has succeeded. Returns the proxies, and
+    /// the seconds that each real process took.
     ///
     /// # Errors
-    /// Where a process can't be started or does not serve in time.
+    /// A configuration file can't be written, a process can't be started, or no health check of a process succeeds in
+    /// time.
     pub async fn start(
         scenario: &LiveScenario,
         program: &Path,
@@ -73,7 +74,7 @@
         Ok((proxies, start_times))
     }
 
-    /// Starts `count` real processes at once; returns the seconds until each served.
+    /// Starts `count` real processes at once and returns the seconds until the first successful health check of each.
     async fn start_real(&mut self, count: u32) -> Result<Vec<f64>, LiveError> {
         let mut starting = JoinSet::new();
         for proxy_index in 0..count {
@@ -115,10 +116,10 @@
         self.simulated.traffic()
     }
 
-    /// Checks that all real processes run.
+    /// Checks that all real processes still run.
     ///
     /// # Errors
-    /// Where one has ended by itself.
+    /// A process has exited unexpectedly.
     pub fn check_running(&mut self) -> Result<(), ProcessError> {
         for process in &mut self.real {
             process.check_running()?;
@@ -126,10 +127,10 @@
         Ok(())
     }
 
-    /// Moves discovery and notifies every proxy: the real ones by a new configuration file and SIGHUP.
+    /// Moves discovery to new addresses and notifies every proxy, the real ones by a new configuration file and SIGHUP.
     ///
     /// # Errors
-    /// Where a listener can't be opened, a file can't be written, or a process has ended.
+    /// A listener can't be opened, a configuration file can't be written, or a process has exited.
     pub async fn reload(
         &mut self,
         scenario: &LiveScenario,
@@ -152,10 +153,10 @@
         Ok(())
     }
 
-    /// Ends all real processes by SIGTERM and starts each again as soon as it has ended.
+    /// Sends SIGTERM to all real processes and starts each again as soon as it has exited.
     ///
     /// # Errors
-    /// Where a process does not end, or can't be started again.
+    /// A process does not exit in time, or can't be started again.
     pub async fn restart(
         &mut self,
         scenario: &LiveScenario,
@@ -181,7 +182,7 @@
         Ok(figures)
     }
 
-    /// Kills all real processes and waits for their end.
+    /// Kills all real processes and waits for their exit.
     pub async fn kill(&mut self) {
         for process in &mut self.real {
             process.kill().await;
@@ -202,6 +203,7 @@
             .join(format!("proxy-{proxy_index}.json"))
     }
 
+    /// Writes the configuration file of each real process, with its address from `addresses`.
     fn write_configurations(
         &self,
         scenario: &LiveScenario,
@@ -223,7 +225,7 @@
     }
 }
 
-/// Starts a process and waits until it serves.
+/// Starts a process and waits until a health check succeeds, for at most [`START_TIMEOUT`].
 async fn start_process(
     proxy_index: u32,
     command: &ProxyCommand,
@@ -237,7 +239,7 @@
     })
 }
 
-/// Returns the complete endpoint list as discovery serializes it.
+/// Returns the current complete endpoint list as discovery serializes it.
 fn current_list(discovery: &DiscoveryStandIn) -> Result<Value, LiveError> {
     let body = discovery.service().endpoint_list().response_body(None)?;
     let list = serde_json::from_slice(&body)?;
--- a/lab/src/live/proxies/restart.rs
+++ b/lab/src/live/proxies/restart.rs
@@ -1,4 +1,4 @@
-//! The restart of a real process: SIGTERM, its end, and a new start.
+//! Restart of a real process: SIGTERM, exit, and start of a new process.
 
 use super::{StartedProcess, start_process};
 use crate::live::figures::RestartFigures;
@@ -8,17 +8,19 @@
 use std::process::ExitStatus;
 use std::time::{Duration, Instant};
 
-/// A process has to end within this time after SIGTERM.
+/// Time within which a process has to exit after SIGTERM.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A process that was restarted.
+/// A restarted process, and the exit of the one before it.
 pub(super) struct RestartedProcess {
     pub(super) started: StartedProcess,
+    /// Exit status of the previous process.
     exit_status: ExitStatus,
-    /// Time from SIGTERM to the end.
+    /// Time from SIGTERM to the exit of the previous process.
     ended_after: Duration,
 }
 
+/// Sends SIGTERM to a process, waits for its exit and starts a new one.
 pub(super) async fn restart_process(
     proxy_index: u32,
     mut process: ProxyProcess,
@@ -36,7 +38,7 @@
     })
 }
 
-/// Computes the figures of a restart.
+/// Computes the figures of a restart of all real processes.
 pub(super) fn figures(restarted: &[RestartedProcess]) -> RestartFigures {
     let mut ended_cleanly = 0;
     let mut ended_after = Vec::new();
--- a/lab/src/live/proxies/simulated.rs
+++ b/lab/src/live/proxies/simulated.rs
@@ -1,4 +1,4 @@
-//! All simulated proxies of a run.
+//! Starts all simulated proxies of a run and reads their traffic.
 
 use crate::live::discovery::DiscoveryStandIn;
 use crate::live::error::LiveError;
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// The simulated proxies. They end when this is dropped.
+/// The simulated proxies of a run. Dropping this ends their tasks.
 #[derive(Debug)]
 pub(super) struct SimulatedProxies {
     _tasks: JoinSet<()>,
@@ -22,6 +22,10 @@
 }
 
 impl SimulatedProxies {
+    /// Starts one task for each simulated proxy.
+    ///
+    /// # Errors
+    /// [`LiveError::Settings`] if the balancer rejects the settings of a proxy.
     pub(super) fn start(
         scenario: &LiveScenario,
         discovery: &DiscoveryStandIn,
@@ -60,7 +64,7 @@
         })
     }
 
-    /// Returns the traffic of each proxy with discovery so far.
+    /// Returns the traffic between each simulated proxy and discovery so far.
     pub(super) fn traffic(&self) -> Vec<TrafficTotals> {
         self.traffic
             .iter()
@@ -68,7 +72,7 @@
             .collect()
     }
 
-    /// Notifies all proxies of a new address of discovery.
+    /// Notifies all simulated proxies of a new address of discovery.
     pub(super) fn move_discovery(&self, address: SocketAddr) {
         self.discovery_address.send_replace(address);
     }
--- a/lab/src/live/simulated_proxy/connection.rs
+++ b/lab/src/live/simulated_proxy/connection.rs
@@ -12,17 +12,17 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Bytes at the start of a response's body that are searched for its revision.
+/// Number of bytes at the start of a response body that are searched for the revision.
 const REVISION_PREFIX_BYTES: usize = 64;
 
-/// A connection to discovery.
+/// An open connection to discovery.
 #[derive(Debug)]
 pub(super) struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     task: JoinHandle<()>,
 }
 
-/// Status and start of the body of a response that was read to its end.
+/// Status and first bytes of the body of a completely read response.
 #[derive(Debug)]
 pub(super) struct ListResponse {
     status: StatusCode,
@@ -30,7 +30,7 @@
 }
 
 impl ListResponse {
-    /// Returns the revision of the list; `None` where the response holds none.
+    /// Returns the revision of the list; `None` if the status is not 200 or the start of the body holds no revision.
     pub(super) fn revision(&self) -> Option<u64> {
         if self.status == StatusCode::OK {
             parse_revision(&self.body_start)
@@ -41,7 +41,7 @@
 }
 
 impl Connection {
-    /// Opens a connection; `None` where that fails.
+    /// Opens a connection whose bytes are added to `traffic`; `None` if that fails.
     pub(super) async fn open(address: SocketAddr, traffic: Arc<TrafficCounters>) -> Option<Self> {
         let stream = TcpStream::connect(address).await.ok()?;
         let _ = stream.set_nodelay(true);
@@ -53,7 +53,7 @@
         Some(Self { sender, task })
     }
 
-    /// Sends a GET and reads the response to its end; `None` where the connection breaks.
+    /// Sends a GET request and reads the complete response; `None` if the connection breaks.
     pub(super) async fn get(&mut self, address: SocketAddr, target: &str) -> Option<ListResponse> {
         self.sender.ready().await.ok()?;
         let request = Request::get(target)
@@ -67,8 +67,8 @@
         while let Some(frame) = body.frame().await {
             let frame = frame.ok()?;
             if let Some(data) = frame.data_ref() {
-                let missing = REVISION_PREFIX_BYTES - body_start.len();
-                let taken = data.len().min(missing);
+                let remaining = REVISION_PREFIX_BYTES - body_start.len();
+                let taken = data.len().min(remaining);
                 body_start.extend_from_slice(&data[..taken]);
             }
         }
@@ -82,7 +82,7 @@
     }
 }
 
-/// Parses the revision at the start of an endpoint list.
+/// Parses the revision from the first bytes of a serialized endpoint list; `None` if they do not contain it.
 #[must_use]
 pub fn parse_revision(body_start: &[u8]) -> Option<u64> {
     let text = String::from_utf8_lossy(body_start);
--- a/lab/src/live/simulated_proxy/mod.rs
+++ b/lab/src/live/simulated_proxy/mod.rs
@@ -1,8 +1,8 @@
 //! Simulated proxies: tasks that watch discovery as the real program does and serve no clients.
 //!
-//! They put the load of a large number of proxies on discovery without as many processes. They follow the
-//! schedule of `tillerproxy::proxy::discovery` (waits, timeouts, continued watches); the decision module says
-//! when a failed call is retried ([`schedule`]). They read no more than the revision of a response.
+//! They put the load of a large number of proxies on discovery without as many processes. Their calls follow the
+//! schedule of `tillerproxy::proxy::discovery` (waits, timeouts, continued watches), and the balancer decides when a
+//! failed call is retried ([`schedule`]). Of a response they parse only the revision.
 
 mod connection;
 pub mod schedule;
@@ -21,27 +21,27 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// What a simulated proxy starts with.
+/// Initial state and settings of a simulated proxy.
 #[derive(Clone, Debug)]
 pub struct SimulatedProxySettings {
-    /// Settings of its decision module; the proxy index is also its index in the propagation tracker.
+    /// Settings of the balancer; the proxy index is also the index in the propagation tracker.
     pub settings: Settings,
-    /// Revision of its cached endpoint list.
+    /// Revision of the cached endpoint list; `None` without a cached list.
     pub revision: Option<u64>,
-    /// Seed of its random numbers.
+    /// Seed of the balancer's random numbers.
     pub seed: u64,
 }
 
-/// Why a call brought no revision.
+/// A call returned no revision.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum CallError {
-    /// The call failed.
+    /// The connection failed, or the response holds no revision.
     Failed,
-    /// No response came in time.
+    /// The response did not arrive completely within the call timeout.
     TimedOut,
 }
 
-/// Whether the next call opens a watch.
+/// Whether the next call opens a watch or continues one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WatchPhase {
     /// The call opens a watch.
@@ -50,10 +50,10 @@
     Continued,
 }
 
-/// One simulated proxy.
+/// A simulated proxy.
 pub struct SimulatedProxy {
     proxy_index: usize,
-    /// Address of discovery.
+    /// Current address of discovery.
     discovery_address: watch::Receiver<SocketAddr>,
     traffic: Arc<TrafficCounters>,
     tracker: Arc<PropagationTracker>,
@@ -64,10 +64,10 @@
 }
 
 impl SimulatedProxy {
-    /// Makes a proxy that has made no call.
+    /// Creates a proxy that has made no call.
     ///
     /// # Errors
-    /// The first of its settings that makes no sense.
+    /// The balancer rejects the settings; the error names the first invalid one.
     pub fn new(
         start: SimulatedProxySettings,
         discovery_address: watch::Receiver<SocketAddr>,
@@ -86,17 +86,18 @@
         })
     }
 
-    /// Watches discovery until the task is aborted. Each new address begins with a complete list.
+    /// Watches discovery until the sender of the address is dropped. After each change of the address, the first call
+    /// fetches the complete list.
     pub async fn run(mut self) {
         if let Some(revision) = self.revision {
             self.tracker.record_revision(self.proxy_index, revision);
         }
         let mut address = self.discovery_address.clone();
         address.mark_unchanged();
-        let mut pause = self.schedule.initial_delay();
+        let mut delay = self.schedule.initial_delay();
         loop {
             tokio::select! {
-                () = self.make_calls(pause) => {}
+                () = self.make_calls(delay) => {}
                 changed = address.changed() => {
                     if changed.is_err() {
                         return;
@@ -106,16 +107,16 @@
                     self.watch_phase = WatchPhase::Opening;
                 }
             }
-            pause = Duration::ZERO;
+            delay = Duration::ZERO;
         }
     }
 
-    /// Makes one call after another, the first after a pause. Never returns.
+    /// Makes one call after another, the first after `initial_delay`. Never returns.
     async fn make_calls(&mut self, initial_delay: Duration) {
-        let mut pause = initial_delay;
+        let mut delay = initial_delay;
         loop {
-            sleep(pause).await;
-            pause = match self.call().await {
+            sleep(delay).await;
+            delay = match self.call().await {
                 Ok(revision) => {
                     self.handle_revision(revision);
                     Duration::ZERO
@@ -132,7 +133,7 @@
         self.tracker.record_revision(self.proxy_index, revision);
     }
 
-    /// Returns the pause before the next call.
+    /// Drops the connection and the watch, and returns the delay before the next call.
     fn handle_error(&mut self, error: CallError) -> Duration {
         self.connection = None;
         self.watch_phase = WatchPhase::Opening;
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Fetches a list on the open connection or a new one; `None` where that fails. The connection is kept
-    /// if the whole response was read.
+    /// Fetches a list on the open connection or on a new one, and returns its revision; `None` if that fails. The
+    /// connection is kept if the whole response was read.
     async fn fetch(&mut self, target: &str) -> Option<u64> {
         let address = *self.discovery_address.borrow();
         let mut connection = match self.connection.take() {
--- a/lab/src/live/simulated_proxy/schedule.rs
+++ b/lab/src/live/simulated_proxy/schedule.rs
@@ -1,7 +1,7 @@
-//! When a simulated proxy calls discovery.
+//! Schedule of the calls of a simulated proxy to discovery.
 //!
-//! The decision module, which has no backends here, says when a polled service is called; the timeouts are
-//! those of [`tillerproxy::proxy::discovery`].
+//! In mode `on_request`, a balancer without backends decides when discovery is called. The timeouts are those of
+//! [`tillerproxy::proxy::discovery`].
 
 use super::WatchPhase;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 pub struct CallSchedule {
     balancer: Balancer,
     mode: DiscoveryMode,
-    /// The long-poll timeout of a continued watch in mode `on_request`.
+    /// Long-poll timeout of a continued watch in mode `on_request`.
     long_poll_timeout: Duration,
 }
 
 impl CallSchedule {
-    /// Makes the schedule of a proxy that has made no call.
+    /// Creates the schedule of a proxy that has made no call.
     ///
     /// # Errors
-    /// The first of the settings that makes no sense.
+    /// The balancer rejects the settings; the error names the first invalid one.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         let long_poll_timeout =
             polled_long_poll_timeout(settings.proxy_index, settings.proxy_count);
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Returns the time from the start to the first call.
+    /// Returns the delay from the start of the proxy to the first call.
     pub fn initial_delay(&mut self) -> Duration {
         match self.mode {
             DiscoveryMode::Pushed => Duration::ZERO,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns the time from a failed call to the next one.
+    /// Returns the delay from a failed call to the next one.
     pub fn retry_delay(&mut self) -> Duration {
         match self.mode {
             DiscoveryMode::Pushed => PUSHED_RETRY_DELAY,
@@ -48,26 +48,27 @@
         }
     }
 
-    /// Records that a call succeeded, which ends the backoff.
+    /// Records a successful call, which resets the backoff.
     pub fn record_success(&mut self) {
         self.notify_balancer(MembershipEvent::Delta(&[]));
     }
 
-    /// Notifies the decision module of a membership event and returns how long it waits until the next call.
+    /// Notifies the balancer of a membership event and returns the delay until the next call: the longest of the
+    /// timers that it sets.
     fn notify_balancer(&mut self, event: MembershipEvent<'_>) -> Duration {
         let mut actions = Vec::new();
         self.balancer
             .handle(0, Event::Membership(event), &mut actions);
-        let mut pause = Duration::ZERO;
+        let mut delay = Duration::ZERO;
         for action in &actions {
             if let Action::SetTimer { after, .. } = action {
-                pause = pause.max(Duration::from_micros(*after));
+                delay = delay.max(Duration::from_micros(*after));
             }
         }
-        pause
+        delay
     }
 
-    /// Returns the times of a call that watches for changes.
+    /// Returns the timeouts of a call that watches for changes.
     #[must_use]
     pub fn watch_timing(&self, phase: WatchPhase) -> CallTiming {
         match (self.mode, phase) {
