--- a/lab/src/live/discovery/call_queue.rs
+++ b/lab/src/live/discovery/call_queue.rs
@@ -1,27 +1,27 @@
-//! A queue that limits how many calls a discovery service handles in a second.
+//! A queue that limits the rate at which a discovery service handles calls.
 //!
-//! Calls are handled one after another, each taking the same time, as by a service with one worker.
+//! Calls are handled one after another with a constant service time, as by a service with one worker.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// The queue of calls of one service.
+/// The call queue of one service.
 #[derive(Debug)]
 pub struct CallQueue {
     time_per_call: Duration,
     queue_timeout: Duration,
-    /// When the last call that was admitted so far has been handled.
+    /// Time at which the last admitted call will have been handled.
     busy_until: Mutex<Instant>,
 }
 
-/// A call was in the queue for the whole queue timeout.
+/// A call was not handled because the queue was longer than the queue timeout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("the call was queued for too long")]
+#[error("call was not handled within the queue timeout")]
 pub struct QueueTimeout;
 
 impl CallQueue {
-    /// Makes a queue that handles `calls_per_second` and lets a call wait for at most `queue_timeout`.
+    /// Creates a queue that handles `calls_per_second`, and in which a call waits for at most `queue_timeout`.
     #[must_use]
     pub fn new(calls_per_second: f64, queue_timeout: Duration) -> Self {
         Self {
@@ -31,10 +31,10 @@
         }
     }
 
-    /// Waits until this call has been handled. A call that times out takes no time of the service.
+    /// Waits until this call has been handled. A call that times out takes no service time.
     ///
     /// # Errors
-    /// [`QueueTimeout`], after the queue timeout, where the queue is longer than that.
+    /// [`QueueTimeout`], after the queue timeout, if the call would have to wait longer than that.
     pub async fn wait(&self) -> Result<(), QueueTimeout> {
         let Some(handled_from) = self.reserve() else {
             sleep(self.queue_timeout).await;
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Returns when this call will be handled, or `None` where that is too late.
+    /// Reserves the next service time and returns its start; `None` if it starts only after the queue timeout.
     fn reserve(&self) -> Option<Instant> {
         let mut busy_until = self
             .busy_until
--- a/lab/src/live/discovery/endpoint_list.rs
+++ b/lab/src/live/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of discovery: its entries, its revisions, and its serialized form.
+//! The endpoint list of discovery: entries, revisions, and serialized responses.
 
 use bytes::Bytes;
 use serde::{Serialize, Serializer};
@@ -8,40 +8,40 @@
 /// State of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     #[serde(rename = "active")]
     Active,
-    /// It finishes the requests in flight and takes no new ones.
+    /// The endpoint finishes the requests in flight and accepts no new ones.
     #[serde(rename = "leaving")]
     Draining,
-    /// It is removed; only deltas name it.
+    /// The endpoint is removed. Deltas contain it; complete lists do not.
     #[serde(rename = "left")]
     Removed,
 }
 
-/// One endpoint, serialized as the discovery protocol has it.
+/// An endpoint, serialized in the format of the discovery protocol.
 #[derive(Clone, Debug, Serialize)]
 pub struct Endpoint {
-    /// Its name.
+    /// Unique name.
     pub id: String,
-    /// Where it listens.
+    /// Listen address.
     #[serde(rename = "host_port")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of the zone.
     #[serde(rename = "locality")]
     pub zone: String,
-    /// Its machine type.
+    /// Name of the machine type.
     #[serde(rename = "flavor")]
     pub machine_type: &'static str,
-    /// Its deduplication cell.
+    /// Number of the deduplication cell.
     pub cell: u16,
-    /// Its state.
+    /// Current state.
     #[serde(rename = "phase")]
     pub state: EndpointState,
-    /// Its fraction of a whole machine.
+    /// Share of a whole machine, serialized with one decimal.
     #[serde(serialize_with = "serialize_one_decimal")]
     pub size: f64,
-    /// Unix time of its last start, in milliseconds; 0 where that was long ago.
+    /// Unix time of the last start, in milliseconds; 0 if the start was long ago.
     #[serde(rename = "up_since_ms")]
     pub started_at_ms: u64,
 }
@@ -50,7 +50,7 @@
     serializer.serialize_f64((size * 10.0).round() / 10.0)
 }
 
-/// The body of a response.
+/// Body of a response.
 #[derive(Serialize)]
 struct ListBody<'a> {
     revision: u64,
@@ -58,23 +58,23 @@
     members: Vec<&'a Endpoint>,
 }
 
-/// All endpoints, each with the revision that changed it last.
+/// All endpoints, each with the revision of its last change.
 ///
-/// Serialized responses are cached until the next change, as most callers ask for the same few.
+/// Serialized responses are cached until the next change, because most callers ask for the same few responses.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
     endpoints: Vec<Endpoint>,
     /// Revision of the last change of each endpoint.
     changed_at: Vec<u64>,
     revision: u64,
-    /// Revision of the first list; callers with an older one get the complete list.
+    /// First revision of this list. A caller with an older revision receives the complete list.
     first_revision: u64,
-    /// Bodies by the revision that the caller has; `None` for the complete list.
+    /// Response bodies by the revision of the caller; `None` for the complete list.
     cached_bodies: HashMap<Option<u64>, Bytes>,
 }
 
 impl EndpointList {
-    /// Makes a list whose first revision is `revision`.
+    /// Creates a list whose first revision is `revision`.
     #[must_use]
     pub fn new(endpoints: Vec<Endpoint>, revision: u64) -> Self {
         let changed_at = vec![revision; endpoints.len()];
@@ -87,19 +87,19 @@
         }
     }
 
-    /// Returns the list of a successor service: the same endpoints, with the next revision as its first.
+    /// Returns the list for a successor service: the same endpoints, with the next revision as the first one.
     #[must_use]
     pub fn successor(&self) -> Self {
         Self::new(self.endpoints.clone(), self.revision + 1)
     }
 
-    /// Returns the present revision.
+    /// Returns the current revision.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns the endpoints, removed ones included.
+    /// Returns all endpoints, including removed ones.
     #[must_use]
     pub fn endpoints(&self) -> &[Endpoint] {
         &self.endpoints
@@ -116,11 +116,11 @@
         self.revision
     }
 
-    /// Returns the body of the response to a caller that has revision `after`: the changes since then, or
-    /// the complete list where `after` is `None` or not a revision of this list.
+    /// Returns the body of the response to a caller that has revision `after`: the endpoints changed since then, or
+    /// the complete list if `after` is `None` or not a revision of this list.
     ///
     /// # Errors
-    /// Where the list can't be serialized.
+    /// The list can't be serialized.
     pub fn response_body(&mut self, after: Option<u64>) -> Result<Bytes, serde_json::Error> {
         let base = after.filter(|after| (self.first_revision..=self.revision).contains(after));
         if let Some(body) = self.cached_bodies.get(&base) {
@@ -140,11 +140,13 @@
         Ok(body)
     }
 
+    /// Returns the active and draining endpoints.
     fn listed(&self) -> Vec<&Endpoint> {
         let is_listed = |endpoint: &&Endpoint| endpoint.state != EndpointState::Removed;
         self.endpoints.iter().filter(is_listed).collect()
     }
 
+    /// Returns the endpoints changed after `revision`, including removed ones.
     fn changed_since(&self, revision: u64) -> Vec<&Endpoint> {
         let mut changed = Vec::new();
         for (endpoint, &changed_at) in self.endpoints.iter().zip(&self.changed_at) {
--- a/lab/src/live/discovery/list_query.rs
+++ b/lab/src/live/discovery/list_query.rs
@@ -1,21 +1,21 @@
-//! The query of a call to the endpoint list.
+//! Query parameters of a call for the endpoint list.
 
 use std::time::Duration;
 
-/// The longest wait that a watch may ask for.
+/// Longest wait of a watch; longer requested waits are shortened to it.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
-/// The query of a call.
+/// Parsed query parameters of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ListQuery {
-    /// The revision that the caller has; `None` for the complete list.
+    /// Revision that the caller has; `None` if it asks for the complete list.
     pub after: Option<u64>,
-    /// How long the call waits for a newer revision.
+    /// Longest wait for another revision.
     pub wait: Duration,
 }
 
 impl ListQuery {
-    /// Parses the query string; parameters that are missing or malformed are left out.
+    /// Parses the query string. A missing or malformed `after` is `None`, a missing or malformed `wait_ms` is 0.
     #[must_use]
     pub fn parse(query: &str) -> Self {
         let wait_ms = parameter(query, "wait_ms").unwrap_or(0);
@@ -26,7 +26,7 @@
     }
 }
 
-/// Returns the first parameter of this name, if it is a number.
+/// Returns the first parameter of this name; `None` if it is missing or not a number.
 fn parameter(query: &str, name: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(key, _)| *key == name)?;
--- a/lab/src/live/discovery/listener.rs
+++ b/lab/src/live/discovery/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners and connections of a discovery service, which end during outages as the scenario says.
+//! Listeners and connections of a discovery service, including their behavior during outages.
 
 use super::service::{Availability, Caller, ConnectionState, Service};
 use crate::live::scenario::OutageBehavior;
@@ -15,16 +15,16 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::sleep;
 
-/// Connections that wait to be accepted: all proxies may connect at once.
+/// Longest queue of connections that wait to be accepted; all proxies may connect at once.
 const ACCEPT_BACKLOG: u32 = 4_096;
-/// Pause after an accept that failed.
+/// Pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Opens a listener on loopback for one caller, serves it for as long as the service exists, and returns its
+/// Opens a listener on loopback for one caller, serves it until the service has been replaced, and returns its
 /// address.
 ///
 /// # Errors
-/// Where no port is left.
+/// The listener can't be opened, for example because no port is free.
 pub fn open(service: Arc<Service>, caller: Caller) -> io::Result<SocketAddr> {
     let socket = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
     let listener = socket.listen(ACCEPT_BACKLOG)?;
@@ -44,14 +44,14 @@
 ) -> io::Result<()> {
     let mut availability = service.availability();
     loop {
-        let now = *availability.borrow_and_update();
-        match now {
+        let current = *availability.borrow_and_update();
+        match current {
             Availability::Up
             | Availability::Down(OutageBehavior::Reset | OutageBehavior::Unavailable) => {
                 tokio::select! {
                     _ = availability.changed() => {}
                     accepted = listener.accept() => match accepted {
-                        Ok((stream, _)) => handle_accepted(&service, stream, now, &caller),
+                        Ok((stream, _)) => handle_accepted(&service, stream, current, &caller),
                         Err(error) => {
                             tracing::warn!(%error, "accept at discovery failed");
                             sleep(ACCEPT_BACKOFF).await;
@@ -62,7 +62,7 @@
             Availability::Down(OutageBehavior::Refused) => {
                 let address = listener.local_addr()?;
                 drop(listener);
-                // Bound and not listening: connections are refused, and no other process gets the port.
+                // A bound socket that does not listen refuses connections and reserves the port.
                 let reserved = bind(address)?;
                 let _ = availability.changed().await;
                 listener = reserved.listen(ACCEPT_BACKLOG)?;
@@ -86,7 +86,7 @@
     }
 }
 
-/// Serves one connection until it ends, or until the service closes or refuses connections.
+/// Serves one connection until it ends, the service is closed, or an outage ends it with a reset.
 async fn serve(service: Arc<Service>, stream: TcpStream, caller: Caller) {
     let _ = stream.set_nodelay(true);
     let traffic = match &caller {
@@ -108,8 +108,8 @@
     let mut connection = http1::Builder::new().serve_connection(TokioIo::new(stream), handler);
     let is_reset = tokio::select! {
         _ = std::future::poll_fn(|context| connection.poll_without_shutdown(context)) => false,
-        now = availability.wait_for(ends_connections) => {
-            now.is_ok_and(|now| *now != Availability::Closed)
+        ended = availability.wait_for(ends_connections) => {
+            ended.is_ok_and(|availability| *availability != Availability::Closed)
         }
     };
     if is_reset {
@@ -118,7 +118,7 @@
     }
 }
 
-/// Returns whether open connections end.
+/// Reports whether a service of this availability ends its open connections.
 fn ends_connections(availability: &Availability) -> bool {
     match availability {
         Availability::Closed
@@ -129,6 +129,7 @@
     }
 }
 
+/// Binds a socket to an address without listening.
 fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -136,7 +137,7 @@
     Ok(socket)
 }
 
-/// Closes a connection with a reset instead of a FIN.
+/// Closes a connection with RST instead of FIN.
 fn reset(stream: TcpStream) {
     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
--- a/lab/src/live/discovery/mod.rs
+++ b/lab/src/live/discovery/mod.rs
@@ -1,10 +1,10 @@
-//! The discovery stand-in: the real protocol over loopback, for real processes and simulated proxies alike.
+//! The discovery stand-in: serves the real protocol over loopback to real processes and simulated proxies.
 //!
-//! - [`endpoint_list`]: endpoints, revisions, and responses serialized once for all callers.
-//! - [`call_queue`]: limits the rate of the calls that begin a watch.
-//! - [`list_query`]: the query of a call.
-//! - [`service`]: one service, which answers calls.
-//! - [`listener`]: the listeners and connections of a service.
+//! - [`endpoint_list`]: endpoints, revisions, and responses that are serialized once for all callers.
+//! - [`call_queue`]: limits the rate of the calls that do not continue a watch.
+//! - [`list_query`]: query parameters of a call.
+//! - [`service`]: a service at fixed addresses that answers calls.
+//! - [`listener`]: listeners and connections of a service.
 
 pub mod call_queue;
 pub mod endpoint_list;
@@ -27,42 +27,42 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Revision of the first list.
+/// Revision of the first endpoint list.
 const FIRST_REVISION: u64 = 1;
 
-/// Discovery as the proxies see it: the present service, and the traffic of each real process with it.
+/// Discovery across moves: the current service, and the traffic between each real process and all services so far.
 #[derive(Debug)]
 pub struct DiscoveryStandIn {
     settings: Discovery,
     tracker: Arc<PropagationTracker>,
     service: Arc<Service>,
-    /// Traffic of each real process.
+    /// Traffic of each real process with discovery, by proxy index.
     traffic: Vec<Arc<TrafficCounters>>,
     addresses: DiscoveryAddresses,
 }
 
-/// Where a service listens.
+/// Listen addresses of a service.
 #[derive(Clone, Debug)]
 pub struct DiscoveryAddresses {
-    /// One address for each real process, which tells its traffic from that of others.
+    /// One address for each real process, so that its traffic is counted separately.
     pub real: Vec<SocketAddr>,
-    /// One address for all simulated proxies.
+    /// Address shared by all simulated proxies.
     pub simulated: SocketAddr,
 }
 
-/// A service that is about to replace the present one.
+/// A service that listens and is about to replace the current one.
 #[derive(Debug)]
 pub struct SuccessorService {
     service: Arc<Service>,
-    /// Where it listens.
+    /// Listen addresses of the service.
     pub addresses: DiscoveryAddresses,
 }
 
 impl DiscoveryStandIn {
-    /// Starts a service that lists these endpoints in its first revision.
+    /// Starts a service with these endpoints in its first revision. `real_count` is the number of real processes.
     ///
     /// # Errors
-    /// Where a listener can't be opened.
+    /// A listener can't be opened.
     pub async fn start(
         settings: Discovery,
         endpoints: Vec<Endpoint>,
@@ -81,19 +81,19 @@
         })
     }
 
-    /// Returns where the present service listens.
+    /// Returns the listen addresses of the current service.
     #[must_use]
     pub fn addresses(&self) -> &DiscoveryAddresses {
         &self.addresses
     }
 
-    /// Returns the present service.
+    /// Returns the current service.
     #[must_use]
     pub fn service(&self) -> &Arc<Service> {
         &self.service
     }
 
-    /// Returns the traffic of each real process with all services so far.
+    /// Returns the traffic between each real process and all services so far.
     #[must_use]
     pub fn traffic(&self) -> Vec<TrafficTotals> {
         self.traffic
@@ -102,8 +102,8 @@
             .collect()
     }
 
-    /// Changes the endpoints at `indices` in one revision, after the notification delay; does not wait for
-    /// that.
+    /// Schedules a change of the endpoints at `indices` in one revision and returns immediately. The change becomes
+    /// visible after the notification delay; its propagation is measured from now on.
     pub fn change(&self, indices: Vec<usize>, change: impl FnMut(&mut Endpoint) + Send + 'static) {
         let service = Arc::clone(&self.service);
         let delay = Duration::from_millis(self.settings.notification_delay_ms);
@@ -114,11 +114,11 @@
         });
     }
 
-    /// Opens a service at new addresses, with the same endpoints in a revision that the present one has not
-    /// had. No proxy learns of it before [`Self::complete_move`].
+    /// Opens a service at new addresses, with the same endpoints in the next revision. The current service stays in
+    /// place until [`Self::complete_move`].
     ///
     /// # Errors
-    /// Where a listener can't be opened.
+    /// A listener can't be opened.
     pub async fn prepare_move(&self) -> io::Result<SuccessorService> {
         let list = self.service.endpoint_list().successor();
         let (service, addresses) =
@@ -126,9 +126,9 @@
         Ok(SuccessorService { service, addresses })
     }
 
-    /// Replaces the present service. The old one accepts no new connection and closes the open ones after
-    /// the grace period. The move counts as a change, which reaches a proxy with the first list of the
-    /// successor.
+    /// Replaces the current service by `successor`. The old service accepts no new connections and closes the open
+    /// ones after [`RELOAD_GRACE_PERIOD`]. The move is recorded as a change, which reaches a proxy with the first list
+    /// of the successor.
     pub fn complete_move(&mut self, successor: SuccessorService) {
         let revision = successor.service.endpoint_list().revision();
         self.tracker.record_change(revision, Instant::now());
@@ -141,12 +141,13 @@
         });
     }
 
-    /// Begins an outage; watches end.
+    /// Begins an outage, which ends all watches.
     pub fn begin_outage(&self, behavior: OutageBehavior) {
         self.service.set_availability(Availability::Down(behavior));
     }
 
-    /// Ends the outage with one endpoint changed, so that a proxy that has the change has reconnected.
+    /// Ends the outage and records a change of one endpoint, so that the propagation of this change shows when each
+    /// proxy has reconnected.
     pub fn end_outage(&self) {
         self.service.change(&[0], |_| {}, Instant::now());
         self.service.set_availability(Availability::Up);
--- a/lab/src/live/discovery/service.rs
+++ b/lab/src/live/discovery/service.rs
@@ -1,4 +1,4 @@
-//! One discovery service: its endpoint list, its availability, and its responses.
+//! A discovery service: endpoint list, availability and responses.
 
 use super::call_queue::CallQueue;
 use super::endpoint_list::{Endpoint, EndpointList};
@@ -16,50 +16,50 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// A watch that follows the last response on its connection within this time continues the one before.
+/// Longest time between a response and the next watch on the same connection for that watch to be a continuation.
 const CONTINUATION_WINDOW: Duration = Duration::from_millis(200);
-/// Path of the endpoint list.
+/// URL path of the endpoint list.
 const LIST_PATH: &str = "/discovery/hosts";
 
-/// Whether a service answers.
+/// State of a service, which determines whether it accepts connections and answers calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Availability {
-    /// It answers.
+    /// The service answers calls.
     Up,
-    /// It has an outage.
+    /// The service has an outage with this behavior.
     Down(OutageBehavior),
-    /// It has been replaced: it accepts no new connection and answers on the open ones.
+    /// The service has been replaced: it accepts no new connections and answers calls on the open ones.
     Draining,
-    /// It has been replaced, and every connection ends.
+    /// The service has been replaced and closes every connection.
     Closed,
 }
 
-/// The caller at a listener.
+/// Kind of the callers at a listener.
 #[derive(Clone, Debug)]
 pub enum Caller {
     /// A real process.
     Real {
-        /// Its index, also in the propagation tracker.
+        /// Proxy index, also in the propagation tracker.
         process: usize,
-        /// Its traffic with discovery.
+        /// Traffic between the process and discovery.
         traffic: Arc<TrafficCounters>,
     },
-    /// Any simulated proxy; they count their own traffic.
+    /// Any simulated proxy. Simulated proxies count their own traffic and record their own revisions.
     Simulated,
 }
 
-/// One service.
+/// A discovery service.
 #[derive(Debug)]
 pub struct Service {
     list: Mutex<EndpointList>,
     revision: watch::Sender<u64>,
     availability: watch::Sender<Availability>,
-    /// `None` where the rate of calls is not limited.
+    /// `None` if the rate of calls is not limited.
     call_queue: Option<CallQueue>,
     tracker: Arc<PropagationTracker>,
 }
 
-/// What a service remembers of one connection.
+/// State of one connection to a service.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionState {
     last_response_at: Mutex<Option<Instant>>,
@@ -74,7 +74,7 @@
         *last = Some(Instant::now());
     }
 
-    /// Returns whether a watch that comes now continues the one before.
+    /// Reports whether a watch that arrives now continues the previous one.
     fn is_continuation(&self) -> bool {
         let last = self
             .last_response_at
@@ -85,7 +85,7 @@
 }
 
 impl Service {
-    /// Makes a service that is up and has no listener.
+    /// Creates a service that is up and has no listener.
     #[must_use]
     pub fn new(
         list: EndpointList,
@@ -108,27 +108,28 @@
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the endpoints at `indices` in one revision, as a change that was made at `made_at`.
+    /// Changes the endpoints at `indices` in one revision and notifies the watches. The propagation of the change is
+    /// measured from `made_at`.
     pub fn change(&self, indices: &[usize], change: impl FnMut(&mut Endpoint), made_at: Instant) {
         let mut list = self.endpoint_list();
         let revision = list.change(indices, change);
-        // Under the lock: no response may carry the revision before the tracker has it.
+        // Recorded under the lock, because no response may carry the revision before the tracker knows it.
         self.tracker.record_change(revision, made_at);
         drop(list);
         self.revision.send_replace(revision);
     }
 
-    /// Sets whether it answers.
+    /// Sets the availability of the service.
     pub fn set_availability(&self, availability: Availability) {
         self.availability.send_replace(availability);
     }
 
-    /// Follows its availability.
+    /// Subscribes to changes of the availability.
     pub(super) fn availability(&self) -> watch::Receiver<Availability> {
         self.availability.subscribe()
     }
 
-    /// Answers one call.
+    /// Responds to one call; with 503 as soon as an outage begins.
     pub(super) async fn respond(
         &self,
         request: &Request<Incoming>,
@@ -152,7 +153,7 @@
         response
     }
 
-    /// Records the call of a real process. It has the revision that it asks for changes after.
+    /// Records the call of a real process, and that the process has the revision after which it asks for changes.
     fn record_call(&self, query: ListQuery, caller: &Caller) {
         if let Caller::Real { process, traffic } = caller {
             traffic.record_call();
@@ -176,8 +177,8 @@
         }
         if let Some(after) = query.after {
             let mut revision = self.revision.subscribe();
-            // A watch without a change is answered at its end with an empty delta.
-            let _ = timeout(query.wait, revision.wait_for(|&now| now != after)).await;
+            // A watch that times out without a change is answered with an empty delta.
+            let _ = timeout(query.wait, revision.wait_for(|&current| current != after)).await;
         }
         match self.endpoint_list().response_body(query.after) {
             Ok(body) => json_response(body),
--- a/lab/src/live/scenario/mod.rs
+++ b/lab/src/live/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenario of the `live` experiment: what runs, what discovery lists, and the phases that are played.
+//! Scenario of the `live` experiment: proxies, backends, discovery, client load, and the phases of a run.
 
 mod phase;
 mod validation;
@@ -8,60 +8,60 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Most real processes; their memory and descriptors have to fit on one machine.
+/// Greatest number of real processes; their memory and descriptors have to fit on one machine.
 pub const MAX_REAL_PROXIES: u32 = 40;
-/// Most proxies, real and simulated.
+/// Greatest number of proxies, real and simulated.
 pub const MAX_PROXIES: u32 = 710;
-/// Steps in which idle connections are opened.
+/// Number of steps in which idle connections are opened.
 pub const IDLE_CONNECTION_STEPS: u32 = 4;
-/// Time from a reload until the old discovery closes its connections; a reload phase has to be longer.
+/// Time from a reload until the old discovery service closes its connections; a reload phase has to be longer.
 pub const RELOAD_GRACE_PERIOD: Duration = Duration::from_millis(1_500);
 
-/// What `live` plays.
+/// A scenario of the `live` experiment.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct LiveScenario {
-    /// Proxies, real and simulated.
+    /// Real and simulated proxies.
     pub processes: Processes,
-    /// Backends.
+    /// Endpoints that discovery lists, and the emulated backends.
     pub backends: Backends,
-    /// The discovery stand-in.
+    /// Settings of the discovery stand-in.
     pub discovery: Discovery,
     /// Limits in the configuration of each real process.
     pub limits: Limits,
-    /// Requests of clients.
+    /// Request rates of the clients.
     pub load: Load,
-    /// Phases in the order in which they are played.
+    /// Phases in the order in which they run.
     pub phases: Vec<Phase>,
 }
 
-/// Proxies of the run.
+/// Real and simulated proxies of a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Processes {
-    /// Processes of the real program, 1 to [`MAX_REAL_PROXIES`].
+    /// Number of processes of the proxy program, 1 to [`MAX_REAL_PROXIES`].
     pub real: u32,
-    /// Simulated proxies: tasks of the lab that watch discovery and serve no clients.
+    /// Number of simulated proxies: tasks of the lab that watch discovery and serve no clients.
     #[serde(rename = "hollow")]
     pub simulated: u32,
-    /// Whether a process finds the present list in its configuration, as one that restarts does.
+    /// Whether the configuration of a process contains the current endpoint list, as that of a restarted process does.
     #[serde(default)]
     pub start_with_list: bool,
 }
 
-/// Backends that discovery lists.
+/// Endpoints that discovery lists, and the emulated backends.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Backends {
-    /// Endpoints of the list.
+    /// Number of listed endpoints.
     pub listed: u32,
-    /// Emulated backends that answer requests.
+    /// Number of emulated backends that answer requests.
     pub answering: u32,
-    /// Addresses of the other endpoints.
+    /// Addresses of the endpoints without an emulated backend of their own.
     pub others: OtherBackends,
-    /// Names of the zones, which endpoints are assigned to in turn.
+    /// Names of the zones, to which endpoints are assigned in turn.
     pub zones: Vec<String>,
-    /// Time that an emulated backend takes for a request, in milliseconds.
+    /// Service time of an emulated backend, in milliseconds.
     pub service_ms: u64,
 }
 
@@ -69,39 +69,39 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OtherBackends {
-    /// They share the addresses of the emulated backends, so that every endpoint serves requests.
+    /// The endpoints share the addresses of the emulated backends, so that every endpoint serves requests.
     Shared,
-    /// Connections to them are refused.
+    /// Connections to the endpoints are refused.
     Refused,
 }
 
-/// How discovery is reached.
+/// Mode of access to discovery.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum DiscoveryMode {
-    /// The rate of calls is not limited, as with an agent on each machine (`membershipMode` `pushed`).
+    /// The rate of calls is not limited, as with a discovery agent on each machine (`membershipMode` `pushed`).
     #[serde(rename = "push")]
     Pushed,
-    /// One service for all proxies, which queues the calls that begin a watch (`on_request`).
+    /// One service for all proxies queues the calls that do not continue a watch (`membershipMode` `on_request`).
     #[serde(rename = "ask")]
     Polled,
 }
 
-/// The discovery stand-in.
+/// Settings of the discovery stand-in.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// How it is reached.
+    /// Mode of access.
     pub mode: DiscoveryMode,
-    /// Calls that begin a watch and are handled in a second; in mode `ask` alone.
+    /// Rate at which calls that do not continue a watch are handled, in calls per second; used only in mode `ask`.
     #[serde(default = "default_calls_per_s")]
     pub calls_per_s: f64,
-    /// A call that would be queued for longer ends with 503 after this time, in milliseconds.
+    /// Longest time in the queue, in milliseconds; a call that would wait longer is answered with 503 after it.
     #[serde(rename = "turn_timeout_ms", default = "default_queue_timeout_ms")]
     pub queue_timeout_ms: u64,
-    /// Time from a change until discovery notifies its callers, in milliseconds.
+    /// Delay from a change until discovery notifies its callers, in milliseconds.
     #[serde(rename = "notice_ms", default)]
     pub notification_delay_ms: u64,
-    /// `safety.askWithinUs` of the settings, in milliseconds; it bounds how far calls are spread.
+    /// Setting `safety.askWithinUs` of the proxies, in milliseconds; it bounds the spread of their calls over time.
     #[serde(rename = "ask_within_ms", default = "default_poll_interval_ms")]
     pub poll_interval_ms: u64,
 }
@@ -118,23 +118,23 @@
     10_000
 }
 
-/// Limits of a real process.
+/// Limits in the configuration of a real process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Memory in MB.
+    /// Memory limit in MB.
     pub memory_mb: u32,
-    /// Descriptors.
+    /// Limit on open file descriptors.
     pub sockets: u32,
 }
 
-/// Requests of clients.
+/// Request rates of the clients.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second to each real process while a phase has clients.
+    /// Requests per second to each real process in a phase with clients.
     pub requests_per_s: f64,
-    /// Requests a second directly to the backends meanwhile, all together.
+    /// Total requests per second directly to the backends in a phase with clients.
     pub direct_per_s: f64,
 }
 
--- a/lab/src/live/scenario/phase.rs
+++ b/lab/src/live/scenario/phase.rs
@@ -1,76 +1,76 @@
-//! The phases of a scenario.
+//! Phases of a scenario.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// One phase.
+/// A phase of a scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Phase {
-    /// Nothing changes.
+    /// The endpoint list and the proxies stay unchanged.
     Rest {
-        /// Length in seconds.
+        /// Length of the phase in seconds.
         seconds: f64,
-        /// Whether clients send requests meanwhile.
+        /// Whether clients send requests during the phase.
         #[serde(default)]
         clients: bool,
     },
-    /// Single endpoints change, one after another.
+    /// Single endpoints change at a constant rate.
     Changes {
-        /// Length in seconds.
+        /// Length of the phase in seconds.
         seconds: f64,
-        /// Changes a second.
+        /// Changes per second.
         per_s: f64,
-        /// Whether clients send requests meanwhile.
+        /// Whether clients send requests during the phase.
         #[serde(default)]
         clients: bool,
     },
-    /// All endpoints of a zone are removed in one change and return in another.
+    /// All endpoints of a zone are removed in one change and become active again in another.
     ZoneLoss {
-        /// Length in seconds.
+        /// Length of the phase in seconds.
         seconds: f64,
         /// Name of the zone.
         zone: String,
-        /// Seconds until it returns.
+        /// Seconds until the zone is active again.
         absent_s: f64,
-        /// Whether clients send requests meanwhile.
+        /// Whether clients send requests during the phase.
         #[serde(default)]
         clients: bool,
     },
-    /// Discovery moves; every process is notified by a new configuration and SIGHUP.
+    /// Discovery moves to new addresses. Every real process is notified by a new configuration file and SIGHUP.
     Reload {
-        /// Length in seconds.
+        /// Length of the phase in seconds.
         seconds: f64,
-        /// Whether clients send requests meanwhile.
+        /// Whether clients send requests during the phase.
         #[serde(default)]
         clients: bool,
     },
-    /// Discovery is down and returns; one endpoint changes meanwhile.
+    /// Discovery has an outage; one endpoint is recorded as changed when the outage ends.
     Outage {
-        /// Length in seconds.
+        /// Length of the phase in seconds.
         seconds: f64,
-        /// Seconds until it returns.
+        /// Length of the outage in seconds.
         down_s: f64,
-        /// What callers see meanwhile.
+        /// Behavior of discovery during the outage.
         #[serde(rename = "calls")]
         behavior: OutageBehavior,
-        /// Whether clients send requests meanwhile.
+        /// Whether clients send requests during the phase.
         #[serde(default)]
         clients: bool,
     },
-    /// Every real process ends on SIGTERM and is started again, all at once.
+    /// Every real process receives SIGTERM at the same time and is started again after its exit.
     Restart {
-        /// Length in seconds.
+        /// Length of the phase in seconds.
         seconds: f64,
     },
-    /// Idle client connections are opened step by step, to measure the memory that each takes.
+    /// Idle client connections are opened in steps, to measure the memory per connection.
     IdleConnections {
-        /// Connections to one process in the last step.
+        /// Number of connections to each process in the last step.
         connections: u32,
     },
 }
 
-/// What a caller of discovery sees during an outage.
+/// Behavior of discovery toward its callers during an outage.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutageBehavior {
@@ -83,7 +83,7 @@
 }
 
 impl Phase {
-    /// Returns the name of the kind, as scenarios have it.
+    /// Returns the name of the kind, as scenarios spell it.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the length in seconds; `None` where it depends on the measurement itself.
+    /// Returns the length in seconds; `None` if it depends on the measurement itself.
     #[must_use]
     pub fn seconds(&self) -> Option<f64> {
         match self {
@@ -111,13 +111,13 @@
         }
     }
 
-    /// Returns the length; `None` where it depends on the measurement itself.
+    /// Returns the length; `None` if it depends on the measurement itself.
     #[must_use]
     pub fn length(&self) -> Option<Duration> {
         self.seconds().map(Duration::from_secs_f64)
     }
 
-    /// Returns whether clients send requests meanwhile.
+    /// Reports whether clients send requests during the phase.
     #[must_use]
     pub fn has_clients(&self) -> bool {
         match self {
