--- a/lab/src/live/scenario/validation.rs
+++ b/lab/src/live/scenario/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of a scenario: which values can be played.
+//! Validation of a scenario: the range of each value.
 
 use super::phase::Phase;
 use super::{
@@ -6,25 +6,26 @@
     MAX_REAL_PROXIES, Processes, RELOAD_GRACE_PERIOD,
 };
 use crate::scenario::{InvalidValue, Scenario};
+use std::fmt::Display;
 use std::ops::RangeInclusive;
 
-/// Most endpoints that discovery lists.
+/// Greatest number of endpoints that discovery lists.
 const MAX_ENDPOINTS: u32 = 20_000;
-/// Most emulated backends that answer; each is a listener of the lab.
+/// Greatest number of emulated backends; each is a listener of the lab.
 const MAX_ANSWERING_BACKENDS: u32 = 500;
 /// Longest service time of an emulated backend, in milliseconds.
 const MAX_SERVICE_MS: u64 = 1_000;
-/// Most memory of all real processes together, in MB: of 12 GiB one is left to the lab itself.
+/// Greatest sum of the memory limits of all real processes, in MB: 12 GiB, less 1 GiB for the lab itself.
 const MAX_TOTAL_MEMORY_MB: u64 = 11 * 1024;
-/// Least memory limit of one process, in MB.
+/// Smallest memory limit of one process, in MB.
 const MIN_MEMORY_MB: u64 = 32;
 /// Greatest memory limit of one process, in MB.
 const MAX_MEMORY_MB: u64 = 4_096;
-/// Limits on descriptors of one process that the proxy can work with.
+/// Descriptor limits of one process with which the proxy can work.
 const SOCKET_LIMITS: RangeInclusive<u32> = 128..=16_384;
-/// Most requests a second at one real process.
+/// Greatest request rate, in requests per second.
 const MAX_REQUESTS_PER_S: f64 = 2_000.0;
-/// Most single changes a second.
+/// Greatest rate of single changes, in changes per second.
 const MAX_CHANGES_PER_S: f64 = 200.0;
 /// Longest phase, in seconds.
 const MAX_PHASE_S: f64 = 3_600.0;
@@ -36,7 +37,7 @@
         self.backends.validate()?;
         self.discovery.validate()?;
         self.load.validate()?;
-        require(!self.phases.is_empty(), "phases", "one phase or more")?;
+        require(!self.phases.is_empty(), "phases", "one phase or more", 0)?;
         for (index, phase) in self.phases.iter().enumerate() {
             phase.validate(&format!("phases[{index}]"), self)?;
         }
@@ -47,64 +48,52 @@
 impl Processes {
     fn validate(&self) -> Result<(), InvalidValue> {
         let real = self.real;
-        let allowed = format!("1 to {MAX_REAL_PROXIES} processes");
-        require(
-            (1..=MAX_REAL_PROXIES).contains(&real),
-            "processes.real",
-            &allowed,
-        )?;
-        let most = MAX_PROXIES - real;
-        let allowed = format!("0 to {most} beside {real} real ones");
-        require(self.simulated <= most, "processes.hollow", &allowed)
+        require_range(1..=MAX_REAL_PROXIES, real, "processes", "processes.real")?;
+        let unit = format!("beside {real} real ones");
+        require_range(
+            0..=MAX_PROXIES - real,
+            self.simulated,
+            &unit,
+            "processes.hollow",
+        )
     }
 }
 
 impl Limits {
     fn validate(&self, real_count: u32) -> Result<(), InvalidValue> {
-        let most = (MAX_TOTAL_MEMORY_MB / u64::from(real_count)).min(MAX_MEMORY_MB);
-        let allowed = format!("{MIN_MEMORY_MB} to {most} MB with {real_count} real processes");
-        require(
-            (MIN_MEMORY_MB..=most).contains(&u64::from(self.memory_mb)),
+        let max_mb = (MAX_TOTAL_MEMORY_MB / u64::from(real_count)).min(MAX_MEMORY_MB);
+        let unit = format!("MB with {real_count} real processes");
+        require_range(
+            MIN_MEMORY_MB..=max_mb,
+            u64::from(self.memory_mb),
+            &unit,
             "limits.memory_mb",
-            &allowed,
         )?;
-        let allowed = format!(
-            "{} to {} descriptors",
-            SOCKET_LIMITS.start(),
-            SOCKET_LIMITS.end()
-        );
-        require(
-            SOCKET_LIMITS.contains(&self.sockets),
-            "limits.sockets",
-            &allowed,
-        )
+        require_range(SOCKET_LIMITS, self.sockets, "descriptors", "limits.sockets")
     }
 }
 
 impl Backends {
     fn validate(&self) -> Result<(), InvalidValue> {
-        let allowed = format!("1 to {MAX_ENDPOINTS} entries");
-        require(
-            (1..=MAX_ENDPOINTS).contains(&self.listed),
-            "backends.listed",
-            &allowed,
-        )?;
-        let most = self.listed.min(MAX_ANSWERING_BACKENDS);
-        let allowed = format!("1 to {most} backends");
-        require(
-            (1..=most).contains(&self.answering),
+        require_range(1..=MAX_ENDPOINTS, self.listed, "entries", "backends.listed")?;
+        let max_answering = self.listed.min(MAX_ANSWERING_BACKENDS);
+        require_range(
+            1..=max_answering,
+            self.answering,
+            "backends",
             "backends.answering",
-            &allowed,
         )?;
-        require(
-            self.service_ms <= MAX_SERVICE_MS,
+        require_range(
+            0..=MAX_SERVICE_MS,
+            self.service_ms,
+            "ms",
             "backends.service_ms",
-            &format!("0 to {MAX_SERVICE_MS} ms"),
         )?;
         require(
             are_distinct_names(&self.zones),
             "backends.zones",
             "one or more names, none empty and none twice",
+            format!("{:?}", self.zones),
         )
     }
 }
@@ -116,39 +105,44 @@
 
 impl Discovery {
     fn validate(&self) -> Result<(), InvalidValue> {
-        require(
-            (0.1..=10_000.0).contains(&self.calls_per_s),
+        require_range(
+            0.1..=10_000.0,
+            self.calls_per_s,
+            "calls per second",
             "discovery.calls_per_s",
-            "0.1 to 10000 calls a second",
         )?;
-        require(
-            (10..=60_000).contains(&self.queue_timeout_ms),
+        require_range(
+            10..=60_000,
+            self.queue_timeout_ms,
+            "ms",
             "discovery.turn_timeout_ms",
-            "10 to 60000 ms",
         )?;
-        require(
-            self.notification_delay_ms <= 60_000,
+        require_range(
+            0..=60_000,
+            self.notification_delay_ms,
+            "ms",
             "discovery.notice_ms",
-            "0 to 60000 ms",
         )?;
-        require(
-            (100..=600_000).contains(&self.poll_interval_ms),
+        require_range(
+            100..=600_000,
+            self.poll_interval_ms,
+            "ms",
             "discovery.ask_within_ms",
-            "100 to 600000 ms",
         )
     }
 }
 
 impl Load {
     fn validate(&self) -> Result<(), InvalidValue> {
-        let is_allowed = |rate: f64| (0.0..=MAX_REQUESTS_PER_S).contains(&rate);
-        let allowed = format!("requests a second, 0 to {MAX_REQUESTS_PER_S}");
-        require(
-            is_allowed(self.requests_per_s),
+        let allowed = 0.0..=MAX_REQUESTS_PER_S;
+        let unit = "requests per second";
+        require_range(
+            allowed.clone(),
+            self.requests_per_s,
+            unit,
             "load.requests_per_s",
-            &allowed,
         )?;
-        require(is_allowed(self.direct_per_s), "load.direct_per_s", &allowed)
+        require_range(allowed, self.direct_per_s, unit, "load.direct_per_s")
     }
 }
 
@@ -160,7 +154,8 @@
         require(
             seconds > 0.0 && seconds <= MAX_PHASE_S,
             &format!("{key}.seconds"),
-            &format!("seconds, above 0 and at most {MAX_PHASE_S}"),
+            &format!("above 0 and at most {MAX_PHASE_S} seconds"),
+            seconds,
         )
     }
 
@@ -171,7 +166,8 @@
             Self::Changes { per_s, .. } => require(
                 *per_s > 0.0 && *per_s <= MAX_CHANGES_PER_S,
                 &format!("{key}.per_s"),
-                &format!("changes a second, above 0 and at most {MAX_CHANGES_PER_S}"),
+                &format!("above 0 and at most {MAX_CHANGES_PER_S} changes per second"),
+                per_s,
             ),
             Self::ZoneLoss {
                 seconds,
@@ -182,42 +178,72 @@
                 require_zone(zone, &scenario.backends.zones, &format!("{key}.zone"))?;
                 require_within_phase(*absent_s, *seconds, &format!("{key}.absent_s"))
             }
-            Self::Reload { seconds, .. } => require(
-                *seconds > RELOAD_GRACE_PERIOD.as_secs_f64(),
-                &format!("{key}.seconds"),
-                "above 1.5, when the old discovery closes its connections",
-            ),
+            Self::Reload { seconds, .. } => {
+                let grace_s = RELOAD_GRACE_PERIOD.as_secs_f64();
+                require(
+                    *seconds > grace_s,
+                    &format!("{key}.seconds"),
+                    &format!(
+                        "above {grace_s} seconds, when the old discovery closes its connections"
+                    ),
+                    seconds,
+                )
+            }
             Self::Outage {
                 seconds, down_s, ..
             } => require_within_phase(*down_s, *seconds, &format!("{key}.down_s")),
-            Self::IdleConnections { connections } => require(
-                (IDLE_CONNECTION_STEPS..scenario.limits.sockets).contains(connections),
-                &format!("{key}.connections"),
-                &format!("{IDLE_CONNECTION_STEPS} or more, and under `limits.sockets`"),
-            ),
+            Self::IdleConnections { connections } => {
+                let sockets = scenario.limits.sockets;
+                require(
+                    (IDLE_CONNECTION_STEPS..sockets).contains(connections),
+                    &format!("{key}.connections"),
+                    &format!(
+                        "{IDLE_CONNECTION_STEPS} or more, and below {sockets} (`limits.sockets`)"
+                    ),
+                    connections,
+                )
+            }
         }
     }
 }
 
-fn require(is_valid: bool, key: &str, allowed: &str) -> Result<(), InvalidValue> {
+/// Checks one value; `allowed` and `found` complete the error "must be ..., found ...".
+fn require(
+    is_valid: bool,
+    key: &str,
+    allowed: &str,
+    found: impl Display,
+) -> Result<(), InvalidValue> {
     if is_valid {
         return Ok(());
     }
     Err(InvalidValue {
         key: key.to_owned(),
-        problem: format!("must be {allowed}"),
+        problem: format!("must be {allowed}, found {found}"),
     })
 }
 
+/// Checks that a value is in a range; the error names the range with its unit.
+fn require_range<T: PartialOrd + Display>(
+    range: RangeInclusive<T>,
+    value: T,
+    unit: &str,
+    key: &str,
+) -> Result<(), InvalidValue> {
+    let allowed = format!("{} to {} {unit}", range.start(), range.end());
+    require(range.contains(&value), key, &allowed, value)
+}
+
 fn require_zone(zone: &String, zones: &[String], key: &str) -> Result<(), InvalidValue> {
-    let allowed = format!("a name of `backends.zones`: {}", zones.join(", "));
-    require(zones.contains(zone), key, &allowed)
+    let allowed = format!("a name of `backends.zones` ({})", zones.join(", "));
+    require(zones.contains(zone), key, &allowed, format!("`{zone}`"))
 }
 
 fn require_within_phase(value: f64, phase_s: f64, key: &str) -> Result<(), InvalidValue> {
     require(
         value > 0.0 && value < phase_s,
         key,
-        "seconds, above 0 and under the phase's `seconds`",
+        &format!("above 0 and below {phase_s} seconds (the length of the phase)"),
+        value,
     )
 }
--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -40,85 +40,85 @@
     assert_eq!((target.proxy_count(), target.backends.listed), (710, 6_000));
 }
 
-/// A line of the scenario, what it is replaced by, the key that the error names, and what the error says.
-const INVALID_FIGURES: [(&str, &str, &str, &str); 12] = [
+/// Invalid values: a line of the scenario, its replacement, and the key and the problem that the error names.
+const INVALID_VALUES: [(&str, &str, &str, &str); 12] = [
     (
         "real = 2",
         "real = 41",
         "processes.real",
-        "must be 1 to 40 processes",
+        "must be 1 to 40 processes, found 41",
     ),
     (
         "real = 2",
         "real = 0",
         "processes.real",
-        "must be 1 to 40 processes",
+        "must be 1 to 40 processes, found 0",
     ),
     (
         "hollow = 5",
         "hollow = 709",
         "processes.hollow",
-        "must be 0 to 708 beside 2 real ones",
+        "must be 0 to 708 beside 2 real ones, found 709",
     ),
     (
         "memory_mb = 64",
         "memory_mb = 6000",
         "limits.memory_mb",
-        "must be 32 to 4096 MB with 2 real processes",
+        "must be 32 to 4096 MB with 2 real processes, found 6000",
     ),
     (
         "sockets = 256",
         "sockets = 16",
         "limits.sockets",
-        "must be 128 to 16384 descriptors",
+        "must be 128 to 16384 descriptors, found 16",
     ),
     (
         "listed = 50",
         "listed = 0",
         "backends.listed",
-        "must be 1 to 20000 entries",
+        "must be 1 to 20000 entries, found 0",
     ),
     (
         "answering = 4",
         "answering = 51",
         "backends.answering",
-        "must be 1 to 50 backends",
+        "must be 1 to 50 backends, found 51",
     ),
     (
         "calls_per_s = 50.0",
         "calls_per_s = 0.0",
         "discovery.calls_per_s",
-        "must be 0.1 to 10000 calls a second",
+        "must be 0.1 to 10000 calls per second, found 0",
     ),
     (
         "zone = \"b\"",
         "zone = \"q\"",
         "phases[3].zone",
-        "must be a name of `backends.zones`: a, b, c, d, e",
+        "must be a name of `backends.zones` (a, b, c, d, e), found `q`",
     ),
     (
         "per_s = 10.0",
         "per_s = nan",
         "phases[2].per_s",
-        "must be changes a second, above 0 and at most 200",
+        "must be above 0 and at most 200 changes per second, found NaN",
     ),
     (
         "seconds = 1.0",
         "seconds = 0.0",
         "phases[0].seconds",
-        "must be seconds, above 0 and at most 3600",
+        "must be above 0 and at most 3600 seconds, found 0",
     ),
     (
         "connections = 40",
         "connections = 256",
         "phases[9].connections",
-        "must be 4 or more, and under `limits.sockets`",
+        "must be 4 or more, and below 256 (`limits.sockets`), found 256",
     ),
 ];
 
 #[test]
 fn figures_that_make_no_sense_are_named_with_what_is_allowed() {
-    for (line, replacement, key, problem) in INVALID_FIGURES {
+    for (line, replacement, key, problem) in INVALID_VALUES {
         assert_eq!(
             error_with(line, replacement),
             (key.to_owned(), problem.to_owned())
@@ -134,7 +134,7 @@
             .replacen("memory_mb = 64", "memory_mb = 282", 1);
     let error = parse(&text).expect_err("40 times 282 MB").to_string();
     assert!(
-        error.contains("must be 32 to 281 MB with 40 real processes"),
+        error.contains("must be 32 to 281 MB with 40 real processes, found 282"),
         "{error}"
     );
 }
--- a/lab/tests/live.rs
+++ b/lab/tests/live.rs
@@ -213,7 +213,8 @@
     assert_eq!(output.status.code(), Some(2));
     let error = error_of(&output);
     assert!(
-        error.contains("wrong.toml") && error.contains("`processes.real`: must be 1 to 40"),
+        error.contains("wrong.toml")
+            && error.contains("`processes.real`: must be 1 to 40 processes, found 41"),
         "{error}"
     );
     let output = lab()
