--- a/lab/src/live/discovery/tests.rs
+++ b/lab/src/live/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the discovery stand-in: its responses, its call queue, and its calls over loopback.
+//! Tests of the discovery stand-in: responses, call queue, and calls over loopback.
 
 use super::call_queue::{CallQueue, QueueTimeout};
 use super::endpoint_list::{Endpoint, EndpointList, EndpointState};
@@ -33,24 +33,30 @@
 }
 
 fn response(list: &mut EndpointList, after: Option<u64>) -> Value {
-    serde_json::from_slice(&list.response_body(after).expect("a body")).expect("JSON")
+    let body = list
+        .response_body(after)
+        .expect("the list can be serialized");
+    serde_json::from_slice(&body).expect("the body is JSON")
 }
 
-/// Revision, completeness and names of a list.
+/// Returns revision, completeness and endpoint names of a list.
 fn summary(list: &Value) -> (u64, bool, Vec<&str>) {
-    let members = list["members"].as_array().expect("members").iter();
+    let members = list["members"]
+        .as_array()
+        .expect("`members` is an array")
+        .iter();
     let names = members
-        .map(|member| member["id"].as_str().expect("a name"))
+        .map(|member| member["id"].as_str().expect("`id` is a string"))
         .collect();
     (
-        list["revision"].as_u64().expect("a revision"),
-        list["complete"].as_bool().expect("a word"),
+        list["revision"].as_u64().expect("`revision` is a number"),
+        list["complete"].as_bool().expect("`complete` is a boolean"),
         names,
     )
 }
 
 #[test]
-fn entries_have_the_form_of_the_protocol() {
+fn endpoint_is_serialized_in_the_protocol_format() {
     let list = response(&mut endpoint_list(1), None);
     let member = json!({"id": "b-0", "host_port": "127.0.0.1:9", "locality": "a", "flavor": "standard",
                         "cell": 0, "phase": "active", "size": 1.0, "up_since_ms": 0});
@@ -61,7 +67,7 @@
 }
 
 #[test]
-fn callers_get_what_changed_since_the_revision_that_they_hold() {
+fn response_contains_endpoints_changed_since_the_callers_revision() {
     let mut list = endpoint_list(3);
     assert_eq!(
         list.change(&[1], |endpoint| endpoint.state = EndpointState::Draining),
@@ -78,48 +84,56 @@
     );
     assert_eq!(summary(&response(&mut list, Some(7))), (7, false, vec![]));
     assert_eq!(response(&mut list, Some(6))["members"][0]["phase"], "left");
-    // Revisions of another service, or forgotten ones.
+    // Revisions that are not of this list are answered with the complete list.
     assert!(summary(&response(&mut list, Some(4))).1 && summary(&response(&mut list, Some(8))).1);
 }
 
 #[test]
-fn an_answer_is_serialized_once_until_the_next_change() {
+fn response_body_is_cached_until_the_next_change() {
     let mut list = endpoint_list(2);
-    let first = list.response_body(None).expect("an answer");
+    let first = list
+        .response_body(None)
+        .expect("the list can be serialized");
     assert_eq!(
         first.as_ptr(),
-        list.response_body(None).expect("an answer").as_ptr()
+        list.response_body(None)
+            .expect("the list can be serialized")
+            .as_ptr()
     );
     list.change(&[0], |endpoint| endpoint.cell = 9);
-    assert_ne!(first, list.response_body(None).expect("an answer"));
+    assert_ne!(
+        first,
+        list.response_body(None)
+            .expect("the list can be serialized")
+    );
 }
 
 #[test]
-fn the_list_of_a_successor_has_a_new_revision_and_no_older_one() {
+fn successor_list_has_the_next_revision_and_answers_older_ones_completely() {
     let mut successor = endpoint_list(2).successor();
     assert_eq!(successor.revision(), 6);
     assert!(summary(&response(&mut successor, Some(5))).1);
 }
 
 #[test]
-fn calls_are_read_leniently() {
-    let call = |after, wait_ms| ListQuery {
+fn malformed_query_parameters_are_ignored_and_long_waits_are_shortened() {
+    let query = |after, wait_ms| ListQuery {
         after,
         wait: Duration::from_millis(wait_ms),
     };
-    assert_eq!(ListQuery::parse(""), call(None, 0));
+    assert_eq!(ListQuery::parse(""), query(None, 0));
     assert_eq!(
         ListQuery::parse("after=41&wait_ms=20000"),
-        call(Some(41), 20_000)
+        query(Some(41), 20_000)
     );
     assert_eq!(
         ListQuery::parse("wait_ms=99999999&after=x"),
-        call(None, 60_000)
+        query(None, 60_000)
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn queued_calls_are_handled_one_after_another_and_not_too_late() {
+async fn call_queue_handles_calls_in_sequence_and_times_out_long_waits() {
     let queue = Arc::new(CallQueue::new(10.0, Duration::from_millis(150)));
     let calls: Vec<_> = (0..3)
         .map(|_| {
@@ -129,13 +143,17 @@
         .collect();
     let mut ended = Vec::new();
     for call in calls {
-        ended.push(call.await.expect("it ends"));
+        ended.push(call.await.expect("the task does not panic"));
     }
     assert_eq!(ended, [Ok(()), Ok(()), Err(QueueTimeout)]);
-    assert_eq!(queue.wait().await, Ok(()), "those before it are done");
+    assert_eq!(
+        queue.wait().await,
+        Ok(()),
+        "the calls before it have been handled"
+    );
 }
 
-/// A service with three entries, its address as a real process has it, and the spread tracker of one proxy.
+/// Starts a service with three endpoints; returns it, its address for a real process, and the tracker of one proxy.
 async fn serve() -> (Arc<Service>, SocketAddr, Arc<PropagationTracker>) {
     let tracker = Arc::new(PropagationTracker::new(1));
     let service = Service::new(endpoint_list(3), None, Arc::clone(&tracker));
@@ -143,24 +161,26 @@
         process: 0,
         traffic: Arc::default(),
     };
-    let address = listener::open(Arc::clone(&service), caller).expect("a port");
+    let address =
+        listener::open(Arc::clone(&service), caller).expect("the listener binds a loopback port");
     (service, address, tracker)
 }
 
+/// Fetches a list and checks that the status is 200.
 async fn list(address: SocketAddr, path: &str) -> Value {
-    let (status, body) = http::get(address, path).await.expect("an answer");
+    let (status, body) = http::get(address, path).await.expect("discovery responds");
     assert_eq!(status, StatusCode::OK);
-    serde_json::from_slice(&body).expect("JSON")
+    serde_json::from_slice(&body).expect("the body is JSON")
 }
 
 #[tokio::test]
-async fn a_watch_is_answered_by_the_next_change() {
+async fn watch_is_answered_at_the_next_change() {
     let (service, address, tracker) = serve().await;
     assert_eq!(summary(&list(address, "/discovery/hosts").await).2.len(), 3);
     assert_eq!(
         tracker.proxies_at(5),
         0,
-        "it has the list, and has not asked for more yet"
+        "a process counts as having a revision only when it asks for newer ones"
     );
     let watch =
         tokio::spawn(async move { list(address, "/discovery/hosts?after=5&wait_ms=20000").await });
@@ -172,12 +192,12 @@
         |endpoint| endpoint.state = EndpointState::Draining,
         Instant::now(),
     );
-    let list = watch.await.expect("an answer");
+    let list = watch.await.expect("the task does not panic");
     assert_eq!(summary(&list), (6, false, vec!["b-2"]));
 }
 
 #[tokio::test]
-async fn a_watch_ends_with_nothing_when_its_time_is_up() {
+async fn watch_without_a_change_ends_with_an_empty_delta() {
     let (_service, address, _) = serve().await;
     assert_eq!(
         summary(&list(address, "/discovery/hosts?after=5&wait_ms=1").await),
@@ -186,15 +206,16 @@
 }
 
 #[tokio::test]
-async fn calls_end_as_the_scenario_says_while_discovery_is_down() {
+async fn calls_during_an_outage_fail_with_the_configured_behavior() {
     let (service, address, _) = serve().await;
     let watch = tokio::spawn(http::get(address, "/discovery/hosts?after=5&wait_ms=20000"));
     service.set_availability(Availability::Down(OutageBehavior::Unavailable));
-    let (status, _) = watch.await.expect("it ends").expect("an answer");
+    let response = watch.await.expect("the task does not panic");
+    let (status, _) = response.expect("discovery responds with 503");
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     for behavior in [OutageBehavior::Reset, OutageBehavior::Refused] {
         service.set_availability(Availability::Down(behavior));
-        // The listener follows a moment later.
+        // The listener task applies the availability a moment later.
         while http::get(address, "/discovery/hosts").await.is_ok() {
             tokio::task::yield_now().await;
         }
@@ -206,21 +227,21 @@
 }
 
 #[tokio::test]
-async fn bytes_and_calls_of_a_process_are_counted() {
+async fn traffic_counters_count_bytes_and_calls_of_a_process() {
     let traffic = Arc::<TrafficCounters>::default();
     let service = Service::new(endpoint_list(3), None, Arc::new(PropagationTracker::new(1)));
     let caller = Caller::Real {
         process: 0,
         traffic: Arc::clone(&traffic),
     };
-    let address = listener::open(service, caller).expect("a port");
+    let address = listener::open(service, caller).expect("the listener binds a loopback port");
     let (_, body) = http::get(address, "/discovery/hosts")
         .await
-        .expect("an answer");
+        .expect("discovery responds");
     assert_eq!(traffic.totals().calls, 1);
     assert!(
         traffic.bytes_to_proxy() > body.len() as u64,
-        "a head comes with it"
+        "the response head is counted too"
     );
     assert!(traffic.bytes_from_proxy() > 0);
 }
--- a/lab/src/live/experiment/mod.rs
+++ b/lab/src/live/experiment/mod.rs
@@ -53,7 +53,7 @@
 
 impl Experiment {
     /// Starts backends, discovery and proxies, and waits until every proxy has the endpoint list or
-    /// [`FIRST_LIST_TIMEOUT`] has passed. Returns the run and the figures of its start.
+    /// `FIRST_LIST_TIMEOUT` has passed. Returns the run and the figures of its start.
     ///
     /// # Errors
     /// The descriptor limit is too low, a server or a process can't be started, or no health check of a real process
--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parts of `live` that need no process.
+//! Tests of the parts of the `live` experiment that need no proxy process.
 
 use super::clients::RequestOutcomes;
 use super::figures::{
@@ -24,9 +24,9 @@
     crate::scenario::parse(text, Path::new("live.toml"))
 }
 
-/// Key and problem of the error that the small scenario gives with one line replaced.
+/// Returns the key and the problem of the error for the small scenario with one line replaced.
 fn error_with(line: &str, replacement: &str) -> (String, String) {
-    assert!(SMALL.contains(line), "{line}");
+    assert!(SMALL.contains(line), "the small scenario contains {line}");
     match parse(&SMALL.replacen(line, replacement, 1)) {
         Err(LabError::Scenario { key, problem, .. }) => (key, problem),
         other => panic!("{replacement}: {other:?}"),
@@ -34,9 +34,10 @@
 }
 
 #[test]
-fn scenarios_that_come_with_the_lab_can_be_played() {
-    assert_eq!(parse(SMALL).expect("a scenario").proxy_count(), 7);
-    let target = parse(TARGET).expect("a scenario");
+fn bundled_scenarios_are_valid() {
+    let small = parse(SMALL).expect("live-small.toml is valid");
+    assert_eq!(small.proxy_count(), 7);
+    let target = parse(TARGET).expect("live-target.toml is valid");
     assert_eq!((target.proxy_count(), target.backends.listed), (710, 6_000));
 }
 
@@ -117,7 +118,7 @@
 ];
 
 #[test]
-fn figures_that_make_no_sense_are_named_with_what_is_allowed() {
+fn invalid_value_error_names_key_range_and_value() {
     for (line, replacement, key, problem) in INVALID_VALUES {
         assert_eq!(
             error_with(line, replacement),
@@ -127,12 +128,14 @@
 }
 
 #[test]
-fn memory_of_all_processes_together_is_bounded() {
+fn memory_limit_range_shrinks_with_the_number_of_processes() {
     let text =
         SMALL
             .replacen("real = 2", "real = 40", 1)
             .replacen("memory_mb = 64", "memory_mb = 282", 1);
-    let error = parse(&text).expect_err("40 times 282 MB").to_string();
+    let error = parse(&text)
+        .expect_err("40 times 282 MB exceeds the total of 11 GiB")
+        .to_string();
     assert!(
         error.contains("must be 32 to 281 MB with 40 real processes, found 282"),
         "{error}"
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn unknown_keys_and_kinds_are_errors() {
+fn unknown_keys_and_phase_kinds_are_rejected() {
     let (key, problem) = error_with("hollow = 5", "hollow = 5\nhollows = 5");
     assert_eq!(key, "processes.hollows");
     assert!(problem.contains("unknown field"), "{problem}");
@@ -153,42 +156,44 @@
 }
 
 #[test]
-fn a_change_has_reached_half_once_half_have_it_or_a_newer_one() {
+fn propagation_figure_counts_proxies_with_the_same_or_a_newer_revision() {
     let tracker = PropagationTracker::new(4);
-    assert!(tracker.take().is_none(), "nothing has changed");
-    let made = Instant::now()
+    assert!(tracker.take().is_none(), "no change was recorded");
+    let made_at = Instant::now()
         .checked_sub(Duration::from_secs(1))
-        .expect("a time");
-    tracker.record_change(2, made);
-    tracker.record_change(3, made);
+        .expect("the machine has been up for a second");
+    tracker.record_change(2, made_at);
+    tracker.record_change(3, made_at);
     tracker.record_revision(0, 1);
     tracker.record_revision(0, 2);
     tracker.record_revision(1, 3);
     tracker.record_revision(1, 2);
     assert_eq!((tracker.proxies_at(2), tracker.proxies_at(3)), (2, 1));
-    let figures = tracker.take().expect("two changes");
+    let figures = tracker.take().expect("two changes were recorded");
     assert_eq!((figures.changes, figures.reached_all), (2, 0));
-    let half = figures.half.expect("one change");
+    let half = figures
+        .half
+        .expect("revision 2 reached half of the proxies");
     assert!(half.median >= 1.0 && half.median == half.max, "{half:?}");
     assert!(figures.p99.is_none() && figures.all.is_none());
-    assert!(tracker.take().is_none(), "they are forgotten");
+    assert!(tracker.take().is_none(), "`take` removed the changes");
 }
 
 #[test]
-fn a_change_that_all_proxies_have_counts_for_every_figure() {
+fn change_that_reached_all_proxies_counts_in_every_propagation_figure() {
     let tracker = PropagationTracker::new(3);
     tracker.record_change(1, Instant::now());
     for proxy in 0..3 {
         tracker.record_revision(proxy, 1);
     }
-    let figures = tracker.take().expect("a change");
+    let figures = tracker.take().expect("a change was recorded");
     assert_eq!(figures.reached_all, 1);
-    let max = |quantiles: Option<Quantiles>| quantiles.expect("a figure").max;
+    let max = |quantiles: Option<Quantiles>| quantiles.expect("the change reached all proxies").max;
     assert!(max(figures.half) <= max(figures.p99) && max(figures.p99) <= max(figures.all));
 }
 
 #[test]
-fn quantiles_are_values_that_were_given() {
+fn quantiles_return_lower_median_and_maximum() {
     let of = |values: &[f64]| Quantiles::of(values.to_vec()).map(|q| (q.median, q.max));
     assert_eq!(of(&[]), None);
     assert_eq!(of(&[3.0, 1.0, 2.0]), Some((2.0, 3.0)));
@@ -196,13 +201,13 @@
 }
 
 #[test]
-fn the_slope_is_that_of_the_line_through_the_points() {
+fn slope_matches_the_least_squares_line() {
     assert!((slope(&[(0.0, 5.0), (1.0, 7.0), (2.0, 9.0)]) - 2.0).abs() < 1e-9);
     assert_eq!(slope(&[(1.0, 5.0), (1.0, 7.0)]), 0.0);
 }
 
 #[test]
-fn the_revision_is_read_from_the_start_of_a_list() {
+fn revision_is_parsed_from_the_start_of_a_list() {
     assert_eq!(
         parse_revision(br#"{"revision":41,"complete":true"#),
         Some(41)
@@ -215,30 +220,29 @@
     assert_eq!(parse_revision(br#"{"revision":"41"}"#), None);
 }
 
+/// Makes the schedule of proxy 3 of the target scenario in a discovery mode.
 fn schedule(mode: &str) -> CallSchedule {
     let scenario = TARGET.replace("mode = \"ask\"", &format!("mode = \"{mode}\""));
-    let settings = settings(&parse(&scenario).expect("a scenario"), 3).to_string();
-    CallSchedule::new(
-        parse_settings(settings.as_bytes()).expect("good settings"),
-        1,
-    )
-    .expect("good settings")
+    let scenario = parse(&scenario).expect("live-target.toml is valid in both modes");
+    let json = settings(&scenario, 3).to_string();
+    let settings = parse_settings(json.as_bytes()).expect("the lab's settings can be parsed");
+    CallSchedule::new(settings, 1).expect("the lab's settings are valid")
 }
 
 #[test]
-fn calls_of_many_proxies_are_spread_where_discovery_is_polled() {
-    // The decision module leaves a queued call the time to be answered.
-    const LONGEST: Duration = Duration::from_millis(2_500);
+fn polled_discovery_spreads_first_calls_and_backs_off_after_failures() {
+    // The balancer limits its delays to leave a queued call the time to be answered.
+    const MAX_DELAY: Duration = Duration::from_millis(2_500);
     let mut polled = schedule("ask");
     let first: Vec<Duration> = (0..50).map(|_| polled.initial_delay()).collect();
-    assert!(first.iter().all(|&pause| pause <= LONGEST), "{first:?}");
+    assert!(first.iter().all(|&delay| delay <= MAX_DELAY), "{first:?}");
     assert!(first.iter().max() > first.iter().min());
     for failures in 0..10_u32 {
-        let pause = polled.retry_delay();
-        let least = Duration::from_millis(125) * (1 << failures.min(3));
+        let delay = polled.retry_delay();
+        let min_delay = Duration::from_millis(125) * (1 << failures.min(3));
         assert!(
-            pause >= least && pause <= LONGEST,
-            "{failures} failures: {pause:?}"
+            delay >= min_delay && delay <= MAX_DELAY,
+            "{failures} failures: {delay:?}"
         );
     }
     let continued = polled.watch_timing(WatchPhase::Continued);
@@ -247,12 +251,12 @@
     let opening = polled.watch_timing(WatchPhase::Opening);
     assert!(
         opening.long_poll_timeout < continued.long_poll_timeout,
-        "a call that opens a watch waits less"
+        "a call that opens a watch has a shorter long-poll timeout"
     );
 }
 
 #[test]
-fn calls_come_at_once_where_discovery_is_pushed() {
+fn pushed_discovery_is_called_immediately_and_retried_after_a_constant_delay() {
     let mut pushed = schedule("push");
     assert_eq!(pushed.initial_delay(), Duration::ZERO);
     assert_eq!(pushed.retry_delay(), pushed.retry_delay());
@@ -263,9 +267,9 @@
 }
 
 #[test]
-fn keys_of_a_scenario_stay_as_they_are() {
-    let scenario = parse(SMALL).expect("a scenario");
-    let text = serde_json::to_string(&scenario).expect("JSON");
+fn scenario_keys_stay_unchanged() {
+    let scenario = parse(SMALL).expect("live-small.toml is valid");
+    let text = serde_json::to_string(&scenario).expect("scenarios can be serialized");
     let head = concat!(
         r#"{"processes":{"real":2,"hollow":5,"start_with_list":false},"#,
         r#""backends":{"listed":50,"answering":4,"others":"shared","#,
@@ -298,7 +302,7 @@
     }
 }
 
-/// Figures of a process of which everything was measured.
+/// Figures of a process with every optional measurement.
 fn process_figures() -> ProcessFigures {
     let mut outcomes = RequestOutcomes::default();
     outcomes.latency.record(Duration::from_micros(1));
@@ -359,7 +363,7 @@
 }
 
 #[test]
-fn keys_of_a_result_stay_as_they_are() {
+fn result_keys_stay_unchanged() {
     let latency = r#"{"p50_us":1,"p99_us":1,"max_us":1}"#;
     let spread = concat!(
         r#"{"changes":1,"known_to_all":1,"half":{"median":1.0,"max":1.0},"#,
@@ -393,6 +397,6 @@
         start_propagation: Some(propagation_figures()),
         phases: vec![phase_figures()],
     };
-    let text = serde_json::to_string(&figures).expect("JSON");
+    let text = serde_json::to_string(&figures).expect("figures can be serialized");
     assert_eq!(text, expected.concat());
 }
--- a/lab/tests/live.rs
+++ b/lab/tests/live.rs
@@ -1,4 +1,4 @@
-//! `tillerproxy-lab live` as a program, with real processes of the proxy.
+//! Runs the program `tillerproxy-lab live` with real processes of the proxy.
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::sync::LazyLock;
 
-/// The proxy's program. It belongs to another package, so cargo is asked to build it and to say where it is.
+/// Path of the proxy program. It belongs to another package, so cargo builds it and reports its path.
 static PROXY: LazyLock<PathBuf> = LazyLock::new(|| {
     let arguments = [
         "build",
@@ -22,7 +22,7 @@
         .args(["--message-format", "json"])
         .current_dir(env!("CARGO_MANIFEST_DIR"))
         .output()
-        .expect("cargo runs");
+        .expect("cargo can be started");
     assert!(
         output.status.success(),
         "{}",
@@ -31,21 +31,23 @@
     let messages = output.stdout.split(|&byte| byte == b'\n');
     let mut messages = messages.filter_map(|line| serde_json::from_slice::<Value>(line).ok());
     let program = messages.find_map(|message| message["executable"].as_str().map(PathBuf::from));
-    program.expect("cargo names the program")
+    program.expect("cargo reports the path of the program")
 });
 
+/// Returns the path of a bundled scenario.
 fn scenario(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("scenarios")
         .join(name)
 }
 
+/// Returns the command `tillerproxy-lab live --quiet`.
 fn lab() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tillerproxy-lab"));
     command
         .args(["live", "--quiet"])
         .env_remove("RUST_LOG")
-        // Log lines without escape codes, so that their fields can be read.
+        // The tests parse fields of log lines, which must not contain escape codes.
         .env("NO_COLOR", "1");
     command
 }
@@ -54,13 +56,21 @@
     Path::new("/proc").join(pid.to_string()).exists()
 }
 
+fn send_signal(pid: u32, signal: Signal) {
+    let pid = i32::try_from(pid)
+        .ok()
+        .and_then(Pid::from_raw)
+        .expect("process ids are positive and fit in an i32");
+    kill_process(pid, signal).expect("the process runs until it is signalled");
+}
+
 fn error_of(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[test]
-fn the_small_scenario_is_played_whole() {
-    let directory = tempfile::tempdir().expect("a directory");
+fn small_scenario_runs_all_phases_and_ends_all_processes() {
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let json = directory.path().join("live.json");
     let mut lab = lab();
     let output = lab
@@ -69,33 +79,43 @@
         .arg(&*PROXY)
         .arg("--json")
         .arg(&json);
-    let output = output.output().expect("the lab runs");
+    let output = output.output().expect("the lab program can be started");
     assert!(output.status.success(), "{}", error_of(&output));
-    let table = String::from_utf8(output.stdout).expect("a table");
-    let result: Value =
-        serde_json::from_slice(&std::fs::read(json).expect("a result")).expect("JSON");
+    let table = String::from_utf8(output.stdout).expect("the report is UTF-8");
+    let result = std::fs::read(json).expect("the lab wrote its result");
+    let result: Value = serde_json::from_slice(&result).expect("the result is JSON");
     assert_eq!(result["run"]["experiment"], "live");
-    let phases = result["measured"]["phases"].as_array().expect("phases");
+    let phases = result["measured"]["phases"]
+        .as_array()
+        .expect("`phases` is an array");
     assert_eq!(phases.len(), 10);
     for phase in phases {
-        let kind = phase["kind"].as_str().expect("a kind");
-        assert!(table.contains(kind), "{kind} is in the table");
+        let kind = phase["kind"].as_str().expect("`kind` is a string");
+        assert!(table.contains(kind), "the report contains {kind}");
         check_phase(phase, kind);
     }
-    let pids = phases
-        .iter()
-        .flat_map(|phase| phase["processes"].as_array().expect("processes"));
+    let pids = phases.iter().flat_map(|phase| {
+        phase["processes"]
+            .as_array()
+            .expect("`processes` is an array")
+    });
     let mut pids: Vec<u64> = pids
-        .map(|process| process["pid"].as_u64().expect("a process id"))
+        .map(|process| process["pid"].as_u64().expect("`pid` is a number"))
         .collect();
     pids.sort_unstable();
     pids.dedup();
-    assert_eq!(pids.len(), 4, "two, and two after the restart");
+    assert_eq!(
+        pids.len(),
+        4,
+        "two processes, and two more after the restart"
+    );
     assert!(!pids.into_iter().any(is_running), "every process has ended");
 }
 
 fn check_phase(phase: &Value, kind: &str) {
-    let processes = phase["processes"].as_array().expect("processes");
+    let processes = phase["processes"]
+        .as_array()
+        .expect("`processes` is an array");
     assert_eq!(processes.len(), 2, "{kind}");
     for process in processes {
         check_process(process, kind);
@@ -138,13 +158,17 @@
         propagation["known_to_all"], propagation["changes"],
         "{kind}"
     );
-    for process in phase["processes"].as_array().expect("processes") {
+    for process in phase["processes"]
+        .as_array()
+        .expect("`processes` is an array")
+    {
         let bytes = process["discovery_bytes_per_s"].as_f64();
         assert!(bytes > Some(0.0), "{kind}");
     }
 }
 
-/// The lab with the small scenario once both processes have started: itself, its log, and their process ids.
+/// Starts the lab with the small scenario and waits until both proxy processes have started. Returns the lab, the rest
+/// of its log, and the process ids of the proxies.
 fn start_lab() -> (Child, impl Iterator<Item = String>, Vec<u64>) {
     let mut lab = lab();
     lab.arg(scenario("live-small.toml"))
@@ -154,62 +178,63 @@
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the lab runs");
-    let log = BufReader::new(lab.stderr.take().expect("a log")).lines();
-    let mut log = log.map(|line| line.expect("text"));
+        .expect("the lab program can be started");
+    let log = BufReader::new(lab.stderr.take().expect("stderr is piped")).lines();
+    let mut log = log.map(|line| line.expect("the log is UTF-8"));
     let pid = |line: String| {
         let (_, fields) = line.split_once("proxy started ")?;
         let (_, pid) = fields.rsplit_once("pid=")?;
         pid.trim().parse::<u64>().ok()
     };
     let pids: Vec<u64> = log.by_ref().filter_map(pid).take(2).collect();
-    assert_eq!(pids.len(), 2, "both processes have started");
+    assert_eq!(pids.len(), 2, "the lab logs the start of both processes");
     (lab, log, pids)
 }
 
 #[test]
-fn processes_end_with_the_lab_when_it_is_told_to_end() {
+fn interrupted_lab_exits_with_1_and_ends_all_processes() {
     for (signal, name) in [(Signal::TERM, "SIGTERM"), (Signal::INT, "SIGINT")] {
         let (mut lab, log, pids) = start_lab();
-        let lab_pid = i32::try_from(lab.id())
-            .ok()
-            .and_then(Pid::from_raw)
-            .expect("a process id");
-        kill_process(lab_pid, signal).expect("it runs");
+        send_signal(lab.id(), signal);
         let rest: Vec<String> = log.collect();
-        assert_eq!(lab.wait().expect("it ends").code(), Some(1));
+        assert_eq!(
+            lab.wait().expect("the lab can be waited for").code(),
+            Some(1)
+        );
         assert!(rest.iter().any(|line| line.contains(name)), "{rest:?}");
         assert!(!pids.into_iter().any(is_running), "every process has ended");
     }
 }
 
 #[test]
-fn a_process_that_ends_by_itself_ends_the_run() {
+fn unexpected_exit_of_a_process_ends_the_run_and_the_other_process() {
     let (mut lab, log, pids) = start_lab();
-    let first = i32::try_from(pids[0])
-        .ok()
-        .and_then(Pid::from_raw)
-        .expect("a process id");
-    kill_process(first, Signal::KILL).expect("it runs");
+    let first = u32::try_from(pids[0]).expect("process ids fit in 32 bits");
+    send_signal(first, Signal::KILL);
     let rest: Vec<String> = log.collect();
-    assert_eq!(lab.wait().expect("it ends").code(), Some(1));
+    assert_eq!(
+        lab.wait().expect("the lab can be waited for").code(),
+        Some(1)
+    );
     assert!(
         rest.iter().any(|line| line.contains("exited unexpectedly")),
         "{rest:?}"
     );
-    assert!(
-        !pids.into_iter().any(is_running),
-        "the other process has ended too"
-    );
+    assert!(!pids.into_iter().any(is_running), "every process has ended");
 }
 
 #[test]
-fn a_scenario_that_makes_no_sense_is_refused_with_file_and_key() {
-    let directory = tempfile::tempdir().expect("a directory");
+fn invalid_or_missing_scenario_is_rejected_with_file_and_key() {
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let path = directory.path().join("wrong.toml");
-    let text = std::fs::read_to_string(scenario("live-small.toml")).expect("a scenario");
-    std::fs::write(&path, text.replacen("real = 2", "real = 41", 1)).expect("it is written");
-    let output = lab().arg(&path).output().expect("the lab runs");
+    let text = std::fs::read_to_string(scenario("live-small.toml"))
+        .expect("the small scenario can be read");
+    std::fs::write(&path, text.replacen("real = 2", "real = 41", 1))
+        .expect("the changed scenario can be written");
+    let output = lab()
+        .arg(&path)
+        .output()
+        .expect("the lab program can be started");
     assert_eq!(output.status.code(), Some(2));
     let error = error_of(&output);
     assert!(
@@ -220,17 +245,17 @@
     let output = lab()
         .arg(directory.path().join("none.toml"))
         .output()
-        .expect("the lab runs");
+        .expect("the lab program can be started");
     assert_eq!(output.status.code(), Some(2));
     assert!(error_of(&output).contains("none.toml"));
 }
 
 #[test]
-fn a_missing_proxy_is_named_with_what_to_do() {
+fn missing_proxy_program_error_names_path_and_build_command() {
     let mut lab = lab();
     lab.arg(scenario("live-small.toml"))
         .args(["--proxy", "no/such/program"]);
-    let output = lab.output().expect("the lab runs");
+    let output = lab.output().expect("the lab program can be started");
     assert_eq!(output.status.code(), Some(1));
     let error = error_of(&output);
     assert!(
@@ -240,13 +265,13 @@
 }
 
 #[test]
-fn a_proxy_that_ends_at_once_is_reported() {
+fn proxy_that_exits_before_it_listens_is_reported() {
     let mut lab = lab();
     let output = lab
         .arg(scenario("live-small.toml"))
         .args(["--proxy", "/bin/false"])
         .output();
-    let output = output.expect("the lab runs");
+    let output = output.expect("the lab program can be started");
     assert_eq!(output.status.code(), Some(1));
     assert!(
         error_of(&output).contains("closed its log before it logged its listen addresses"),
