--- a/lab/src/live/discovery/endpoint_list.rs
+++ b/lab/src/live/discovery/endpoint_list.rs
@@ -32,9 +32,9 @@
     pub zone: String,
     /// Name of the machine type.
     #[serde(rename = "flavor")]
-    pub machine_type: &'static str,
+    pub machine_type: String,
     /// Number of the deduplication cell.
-    pub cell: u16,
+    pub cell: u32,
     /// Current state.
     #[serde(rename = "phase")]
     pub state: EndpointState,
@@ -50,12 +50,35 @@
     serializer.serialize_f64((size * 10.0).round() / 10.0)
 }
 
-/// Body of a response.
-#[derive(Serialize)]
-struct ListBody<'a> {
-    revision: u64,
-    complete: bool,
-    members: Vec<&'a Endpoint>,
+impl Endpoint {
+    /// Returns the same endpoint in another state.
+    #[must_use]
+    pub fn in_state(&self, state: EndpointState) -> Self {
+        Self {
+            state,
+            ..self.clone()
+        }
+    }
+
+    /// Returns the same endpoint with a process that started at a Unix time in milliseconds.
+    #[must_use]
+    pub fn restarted_at(&self, unix_ms: u64) -> Self {
+        Self {
+            started_at_ms: unix_ms,
+            ..self.clone()
+        }
+    }
+}
+
+/// Body of a response of discovery; `Members` is a sequence of endpoints.
+#[derive(Debug, Serialize)]
+pub struct ListBody<Members> {
+    /// Revision of the list.
+    pub revision: u64,
+    /// Whether the body is a complete list; otherwise it is a delta.
+    pub complete: bool,
+    /// Endpoints of the list or of the delta.
+    pub members: Members,
 }
 
 /// All endpoints, each with the revision of its last change.
--- a/lab/src/live/discovery/tests.rs
+++ b/lab/src/live/discovery/tests.rs
@@ -20,7 +20,7 @@
         id: format!("b-{number}"),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         zone: "a".to_owned(),
-        machine_type: "standard",
+        machine_type: "standard".to_owned(),
         cell: 0,
         state: EndpointState::Active,
         size: 1.0,
--- a/lab/src/slopes/endpoints.rs
+++ b/lab/src/slopes/endpoints.rs
@@ -3,15 +3,18 @@
 
 use super::scenario::FleetShape;
 use super::setup::{machine_type_name, machine_type_names, zone_name, zone_names};
+use crate::live::discovery::endpoint_list::ListBody;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use serde::Serialize;
 use std::collections::HashSet;
+use std::net::{Ipv4Addr, SocketAddr};
 use tillerproxy::api::Backend;
 use tillerproxy::proxy::clock::Clock;
 use tillerproxy::proxy::discovery::{DiscoveryError, Translator};
 use tillerproxy::settings_json::Names;
 
+pub use crate::live::discovery::endpoint_list::{Endpoint, EndpointState};
+
 /// Backends of one deduplication cell.
 const CELL_BACKENDS: u32 = 50;
 /// Port of every backend.
@@ -19,46 +22,6 @@
 /// Backends of one `10.x.y.0/24` network.
 const HOSTS_PER_NETWORK: u32 = 254;
 
-/// State of an endpoint.
-#[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
-pub enum EndpointState {
-    /// It takes requests.
-    #[serde(rename = "active")]
-    Active,
-    /// It finishes the requests in flight and takes no new ones.
-    #[serde(rename = "leaving")]
-    Draining,
-    /// It is removed.
-    #[serde(rename = "left")]
-    Removed,
-}
-
-/// One endpoint, serialized as the discovery protocol has it.
-#[derive(Clone, Debug, Serialize)]
-pub struct Endpoint {
-    id: String,
-    #[serde(rename = "host_port")]
-    address: String,
-    #[serde(rename = "locality")]
-    zone: String,
-    #[serde(rename = "flavor")]
-    machine_type: String,
-    cell: u32,
-    #[serde(rename = "phase")]
-    state: EndpointState,
-    size: f64,
-    #[serde(rename = "up_since_ms")]
-    started_at_ms: u64,
-}
-
-/// The body of a response of discovery.
-#[derive(Serialize)]
-struct ListBody<'a> {
-    revision: u64,
-    complete: bool,
-    members: &'a [Endpoint],
-}
-
 /// The backends of a fleet.
 #[derive(Clone, Debug)]
 pub struct Endpoints {
@@ -66,26 +29,6 @@
     zones: u32,
 }
 
-impl Endpoint {
-    /// Returns the same endpoint in another state.
-    #[must_use]
-    pub fn in_state(&self, state: EndpointState) -> Self {
-        Self {
-            state,
-            ..self.clone()
-        }
-    }
-
-    /// Returns the same endpoint with a process that started at that Unix time, in milliseconds.
-    #[must_use]
-    pub fn restarted_at(&self, unix_ms: u64) -> Self {
-        Self {
-            started_at_ms: unix_ms,
-            ..self.clone()
-        }
-    }
-}
-
 impl Endpoints {
     /// Generates `count` endpoints that started long ago, with random names; the same seed gives the same.
     #[must_use]
@@ -133,11 +76,12 @@
 }
 
 fn endpoint(number: u32, id: u32, fleet: &FleetShape) -> Endpoint {
-    let network = number / HOSTS_PER_NETWORK;
-    let host = number % HOSTS_PER_NETWORK + 1;
+    let [_, _, network_high, network_low] = (number / HOSTS_PER_NETWORK).to_be_bytes();
+    let host = (number % HOSTS_PER_NETWORK + 1) as u8;
+    let ip = Ipv4Addr::new(10, network_high, network_low, host);
     Endpoint {
         id: format!("s-{id:08x}"),
-        address: format!("10.{}.{}.{host}:{PORT}", network / 256, network % 256),
+        address: SocketAddr::from((ip, PORT)),
         zone: zone_name(number % fleet.zones),
         machine_type: machine_type_name(number / fleet.zones % fleet.machine_types),
         cell: number / CELL_BACKENDS,
