--- a/lab/src/live/discovery/mod.rs
+++ b/lab/src/live/discovery/mod.rs
@@ -170,9 +170,9 @@
     let service = Service::new(list, call_queue, Arc::clone(tracker));
     let simulated = listener::open(Arc::clone(&service), Caller::Simulated)?;
     let mut real = Vec::with_capacity(traffic.len());
-    for (process, traffic) in traffic.iter().enumerate() {
+    for (proxy_index, traffic) in traffic.iter().enumerate() {
         let caller = Caller::Real {
-            process,
+            proxy_index,
             traffic: Arc::clone(traffic),
         };
         real.push(listener::open(Arc::clone(&service), caller)?);
--- a/lab/src/live/discovery/service.rs
+++ b/lab/src/live/discovery/service.rs
@@ -40,7 +40,7 @@
     /// A real process.
     Real {
         /// Proxy index, also in the propagation tracker.
-        process: usize,
+        proxy_index: usize,
         /// Traffic between the process and discovery.
         traffic: Arc<TrafficCounters>,
     },
@@ -155,10 +155,14 @@
 
     /// Records the call of a real process, and that the process has the revision after which it asks for changes.
     fn record_call(&self, query: ListQuery, caller: &Caller) {
-        if let Caller::Real { process, traffic } = caller {
+        if let Caller::Real {
+            proxy_index,
+            traffic,
+        } = caller
+        {
             traffic.record_call();
             if let Some(revision) = query.after {
-                self.tracker.record_revision(*process, revision);
+                self.tracker.record_revision(*proxy_index, revision);
             }
         }
     }
--- a/lab/src/live/discovery/tests.rs
+++ b/lab/src/live/discovery/tests.rs
@@ -158,7 +158,7 @@
     let tracker = Arc::new(PropagationTracker::new(1));
     let service = Service::new(endpoint_list(3), None, Arc::clone(&tracker));
     let caller = Caller::Real {
-        process: 0,
+        proxy_index: 0,
         traffic: Arc::default(),
     };
     let address =
@@ -231,7 +231,7 @@
     let traffic = Arc::<TrafficCounters>::default();
     let service = Service::new(endpoint_list(3), None, Arc::new(PropagationTracker::new(1)));
     let caller = Caller::Real {
-        process: 0,
+        proxy_index: 0,
         traffic: Arc::clone(&traffic),
     };
     let address = listener::open(service, caller).expect("the listener binds a loopback port");
--- a/lab/src/live/experiment/mod.rs
+++ b/lab/src/live/experiment/mod.rs
@@ -49,11 +49,13 @@
     rng: SmallRng,
     endpoint_restarts: EndpointRestarts,
     progress: ProgressBar,
+    /// Figures of the start and of the phases that have ended.
+    figures: LiveFigures,
 }
 
 impl Experiment {
     /// Starts backends, discovery and proxies, and waits until every proxy has the endpoint list or
-    /// `FIRST_LIST_TIMEOUT` has passed. Returns the run and the figures of its start.
+    /// `FIRST_LIST_TIMEOUT` has passed.
     ///
     /// # Errors
     /// The descriptor limit is too low, a server or a process can't be started, or no health check of a real process
@@ -63,16 +65,21 @@
         program: &Path,
         seed: u64,
         progress: ProgressBar,
-    ) -> Result<(Self, LiveFigures), LiveError> {
+    ) -> Result<Self, LiveError> {
         setup::check_descriptor_limit(&scenario)?;
         let load_average_before = usage::load_average();
         progress.set_message("starting");
         let backends = EmulatedBackends::start(&scenario.backends).await?;
         let tracker = Arc::new(PropagationTracker::new(scenario.proxy_count() as usize));
         let discovery = start_discovery(&scenario, &backends, &tracker).await?;
-        let (proxies, start_times) =
-            Proxies::start(&scenario, program, &discovery, &tracker, seed).await?;
-        let experiment = Self {
+        let proxies = Proxies::start(&scenario, program, &discovery, &tracker, seed).await?;
+        let figures = LiveFigures {
+            load_average_before,
+            start_times: Quantiles::of(proxies.start_times_s().to_vec()),
+            start_propagation: None,
+            phases: Vec::new(),
+        };
+        let mut experiment = Self {
             scenario,
             backends,
             discovery,
@@ -82,22 +89,18 @@
             rng: SmallRng::seed_from_u64(seed),
             endpoint_restarts: EndpointRestarts::default(),
             progress,
+            figures,
         };
         experiment.wait_for_propagation(FIRST_LIST_TIMEOUT).await;
-        let figures = LiveFigures {
-            load_average_before,
-            start_times: Quantiles::of(start_times),
-            start_propagation: experiment.tracker.take(),
-            phases: Vec::new(),
-        };
-        Ok((experiment, figures))
+        experiment.figures.start_propagation = experiment.tracker.take();
+        Ok(experiment)
     }
 
-    /// Runs all phases and adds their figures.
+    /// Runs all phases and records their figures.
     ///
     /// # Errors
     /// A real process exits unexpectedly, an action of a phase fails, or a measurement fails.
-    pub async fn run_phases(&mut self, figures: &mut LiveFigures) -> Result<(), LiveError> {
+    pub async fn run_phases(&mut self) -> Result<(), LiveError> {
         let phases = self.scenario.phases.clone();
         for (number, phase) in phases.iter().enumerate() {
             self.progress
@@ -105,7 +108,7 @@
             let phase_figures = self.run_phase(phase).await;
             // Checked first: an unexpected exit of a process is the cause of other errors of the phase.
             self.proxies.check_running()?;
-            figures.phases.push(phase_figures?);
+            self.figures.phases.push(phase_figures?);
         }
         self.progress.finish_and_clear();
         Ok(())
@@ -116,6 +119,12 @@
         self.proxies.kill().await;
     }
 
+    /// Returns the figures of the run.
+    #[must_use]
+    pub fn into_figures(self) -> LiveFigures {
+        self.figures
+    }
+
     async fn run_phase(&mut self, phase: &Phase) -> Result<PhaseFigures, LiveError> {
         let snapshot = self.snapshot()?;
         let clients = if phase.has_clients() {
--- a/lab/src/live/mod.rs
+++ b/lab/src/live/mod.rs
@@ -97,17 +97,17 @@
     progress: ProgressBar,
 ) -> Result<LiveFigures, LiveError> {
     let mut interruption = pin!(interruption());
-    let (mut experiment, mut figures) = tokio::select! {
+    let mut experiment = tokio::select! {
         started = Experiment::start(scenario.clone(), program, seed, progress) => started?,
         error = &mut interruption => return Err(error),
     };
     let result = tokio::select! {
-        result = experiment.run_phases(&mut figures) => result,
+        result = experiment.run_phases() => result,
         error = &mut interruption => Err(error),
     };
     experiment.stop().await;
     result?;
-    Ok(figures)
+    Ok(experiment.into_figures())
 }
 
 /// Waits for SIGINT or SIGTERM and returns the error with which the run ends.
--- a/lab/src/live/propagation.rs
+++ b/lab/src/live/propagation.rs
@@ -74,14 +74,14 @@
 
     /// Records that a proxy has this revision, and so every change up to it. A revision that is not newer than the
     /// proxy's newest one is ignored.
-    pub fn record_revision(&self, proxy: usize, revision: u64) {
+    pub fn record_revision(&self, proxy_index: usize, revision: u64) {
         let now = Instant::now();
         let mut state = self.state();
-        let previous = state.revisions[proxy];
+        let previous = state.revisions[proxy_index];
         if previous >= revision {
             return;
         }
-        state.revisions[proxy] = revision;
+        state.revisions[proxy_index] = revision;
         for (_, change) in state.changes.range_mut(previous + 1..=revision) {
             let delay = now.saturating_duration_since(change.made_at);
             change.delays.push(delay);
--- a/lab/src/live/proxies/mod.rs
+++ b/lab/src/live/proxies/mod.rs
@@ -31,6 +31,8 @@
     /// Temporary directory of the configuration files.
     directory: TempDir,
     real: Vec<ProxyProcess>,
+    /// Seconds from the first start of each real process until its first successful health check.
+    start_times_s: Vec<f64>,
     simulated: SimulatedProxies,
 }
 
@@ -43,8 +45,7 @@
 }
 
 impl Proxies {
-    /// Starts all proxies and waits until a health check of each real process has succeeded. Returns the proxies, and
-    /// the seconds that each real process took.
+    /// Starts all proxies and waits until a health check of each real process has succeeded.
     ///
     /// # Errors
     /// A configuration file can't be written, a process can't be started, or no health check of a process succeeds in
@@ -55,7 +56,7 @@
         discovery: &DiscoveryStandIn,
         tracker: &Arc<PropagationTracker>,
         seed: u64,
-    ) -> Result<(Self, Vec<f64>), LiveError> {
+    ) -> Result<Self, LiveError> {
         let directory = TempDir::with_prefix("tillerproxy-live-").map_err(|source| {
             LiveError::Configuration {
                 path: std::env::temp_dir(),
@@ -67,15 +68,16 @@
             program: program.to_owned(),
             directory,
             real: Vec::new(),
+            start_times_s: Vec::new(),
             simulated,
         };
         proxies.write_configurations(scenario, discovery, discovery.addresses())?;
-        let start_times = proxies.start_real(scenario.processes.real).await?;
-        Ok((proxies, start_times))
+        proxies.start_real(scenario.processes.real).await?;
+        Ok(proxies)
     }
 
-    /// Starts `count` real processes at once and returns the seconds until the first successful health check of each.
-    async fn start_real(&mut self, count: u32) -> Result<Vec<f64>, LiveError> {
+    /// Starts `count` real processes at once and records their start times.
+    async fn start_real(&mut self, count: u32) -> Result<(), LiveError> {
         let mut starting = JoinSet::new();
         for proxy_index in 0..count {
             let command = self.proxy_command(proxy_index);
@@ -96,12 +98,18 @@
             started.push(started_process);
         }
         started.sort_unstable_by_key(|process| process.proxy_index);
-        let mut start_times = Vec::new();
         for process in started {
-            start_times.extend(process.serving_after.map(|time| time.as_secs_f64()));
+            self.start_times_s
+                .extend(process.serving_after.map(|time| time.as_secs_f64()));
             self.real.push(process.process);
         }
-        Ok(start_times)
+        Ok(())
+    }
+
+    /// Returns the seconds that each real process took from its first start to its first successful health check.
+    #[must_use]
+    pub fn start_times_s(&self) -> &[f64] {
+        &self.start_times_s
     }
 
     /// Returns the real processes, in the order of their indices.
--- a/lab/tests/live.rs
+++ b/lab/tests/live.rs
@@ -42,7 +42,7 @@
 }
 
 /// Returns the command `tillerproxy-lab live --quiet`.
-fn lab() -> Command {
+fn lab_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tillerproxy-lab"));
     command
         .args(["live", "--quiet"])
@@ -64,7 +64,7 @@
     kill_process(pid, signal).expect("the process runs until it is signalled");
 }
 
-fn error_of(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
@@ -72,7 +72,7 @@
 fn small_scenario_runs_all_phases_and_ends_all_processes() {
     let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let json = directory.path().join("live.json");
-    let mut lab = lab();
+    let mut lab = lab_command();
     let output = lab
         .arg(scenario("live-small.toml"))
         .arg("--proxy")
@@ -80,7 +80,7 @@
         .arg("--json")
         .arg(&json);
     let output = output.output().expect("the lab program can be started");
-    assert!(output.status.success(), "{}", error_of(&output));
+    assert!(output.status.success(), "{}", stderr_text(&output));
     let table = String::from_utf8(output.stdout).expect("the report is UTF-8");
     let result = std::fs::read(json).expect("the lab wrote its result");
     let result: Value = serde_json::from_slice(&result).expect("the result is JSON");
@@ -170,7 +170,7 @@
 /// Starts the lab with the small scenario and waits until both proxy processes have started. Returns the lab, the rest
 /// of its log, and the process ids of the proxies.
 fn start_lab() -> (Child, impl Iterator<Item = String>, Vec<u64>) {
-    let mut lab = lab();
+    let mut lab = lab_command();
     lab.arg(scenario("live-small.toml"))
         .arg("--proxy")
         .arg(&*PROXY);
@@ -231,33 +231,33 @@
         .expect("the small scenario can be read");
     std::fs::write(&path, text.replacen("real = 2", "real = 41", 1))
         .expect("the changed scenario can be written");
-    let output = lab()
+    let output = lab_command()
         .arg(&path)
         .output()
         .expect("the lab program can be started");
     assert_eq!(output.status.code(), Some(2));
-    let error = error_of(&output);
+    let error = stderr_text(&output);
     assert!(
         error.contains("wrong.toml")
             && error.contains("`processes.real`: must be 1 to 40 processes, found 41"),
         "{error}"
     );
-    let output = lab()
+    let output = lab_command()
         .arg(directory.path().join("none.toml"))
         .output()
         .expect("the lab program can be started");
     assert_eq!(output.status.code(), Some(2));
-    assert!(error_of(&output).contains("none.toml"));
+    assert!(stderr_text(&output).contains("none.toml"));
 }
 
 #[test]
 fn missing_proxy_program_error_names_path_and_build_command() {
-    let mut lab = lab();
+    let mut lab = lab_command();
     lab.arg(scenario("live-small.toml"))
         .args(["--proxy", "no/such/program"]);
     let output = lab.output().expect("the lab program can be started");
     assert_eq!(output.status.code(), Some(1));
-    let error = error_of(&output);
+    let error = stderr_text(&output);
     assert!(
         error.contains("no/such/program") && error.contains("cargo build --release"),
         "{error}"
@@ -266,7 +266,7 @@
 
 #[test]
 fn proxy_that_exits_before_it_listens_is_reported() {
-    let mut lab = lab();
+    let mut lab = lab_command();
     let output = lab
         .arg(scenario("live-small.toml"))
         .args(["--proxy", "/bin/false"])
@@ -274,8 +274,8 @@
     let output = output.expect("the lab program can be started");
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        error_of(&output).contains("closed its log before it logged its listen addresses"),
+        stderr_text(&output).contains("closed its log before it logged its listen addresses"),
         "{}",
-        error_of(&output)
+        stderr_text(&output)
     );
 }
