--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -41,88 +41,95 @@
     assert_eq!((target.proxy_count(), target.backends.listed), (710, 6_000));
 }
 
-/// Invalid values: a line of the scenario, its replacement, and the key and the problem that the error names.
-const INVALID_VALUES: [(&str, &str, &str, &str); 12] = [
-    (
-        "real = 2",
-        "real = 41",
-        "processes.real",
-        "must be 1 to 40 processes, found 41",
-    ),
-    (
-        "real = 2",
-        "real = 0",
-        "processes.real",
-        "must be 1 to 40 processes, found 0",
-    ),
-    (
-        "hollow = 5",
-        "hollow = 709",
-        "processes.hollow",
-        "must be 0 to 708 beside 2 real ones, found 709",
-    ),
-    (
-        "memory_mb = 64",
-        "memory_mb = 6000",
-        "limits.memory_mb",
-        "must be 32 to 4096 MB with 2 real processes, found 6000",
-    ),
-    (
-        "sockets = 256",
-        "sockets = 16",
-        "limits.sockets",
-        "must be 128 to 16384 descriptors, found 16",
-    ),
-    (
-        "listed = 50",
-        "listed = 0",
-        "backends.listed",
-        "must be 1 to 20000 entries, found 0",
-    ),
-    (
-        "answering = 4",
-        "answering = 51",
-        "backends.answering",
-        "must be 1 to 50 backends, found 51",
-    ),
-    (
-        "calls_per_s = 50.0",
-        "calls_per_s = 0.0",
-        "discovery.calls_per_s",
-        "must be 0.1 to 10000 calls per second, found 0",
-    ),
-    (
-        "zone = \"b\"",
-        "zone = \"q\"",
-        "phases[3].zone",
-        "must be a name of `backends.zones` (a, b, c, d, e), found `q`",
-    ),
-    (
-        "per_s = 10.0",
-        "per_s = nan",
-        "phases[2].per_s",
-        "must be above 0 and at most 200 changes per second, found NaN",
-    ),
-    (
-        "seconds = 1.0",
-        "seconds = 0.0",
-        "phases[0].seconds",
-        "must be above 0 and at most 3600 seconds, found 0",
-    ),
-    (
-        "connections = 40",
-        "connections = 256",
-        "phases[9].connections",
-        "must be 4 or more, and below 256 (`limits.sockets`), found 256",
-    ),
+/// An invalid value in the small scenario, and the error that it causes.
+struct InvalidValueCase {
+    line: &'static str,
+    replacement: &'static str,
+    key: &'static str,
+    problem: &'static str,
+}
+
+const INVALID_VALUES: [InvalidValueCase; 12] = [
+    InvalidValueCase {
+        line: "real = 2",
+        replacement: "real = 41",
+        key: "processes.real",
+        problem: "must be 1 to 40 processes, found 41",
+    },
+    InvalidValueCase {
+        line: "real = 2",
+        replacement: "real = 0",
+        key: "processes.real",
+        problem: "must be 1 to 40 processes, found 0",
+    },
+    InvalidValueCase {
+        line: "hollow = 5",
+        replacement: "hollow = 709",
+        key: "processes.hollow",
+        problem: "must be 0 to 708 beside 2 real ones, found 709",
+    },
+    InvalidValueCase {
+        line: "memory_mb = 64",
+        replacement: "memory_mb = 6000",
+        key: "limits.memory_mb",
+        problem: "must be 32 to 4096 MB with 2 real processes, found 6000",
+    },
+    InvalidValueCase {
+        line: "sockets = 256",
+        replacement: "sockets = 16",
+        key: "limits.sockets",
+        problem: "must be 128 to 16384 descriptors, found 16",
+    },
+    InvalidValueCase {
+        line: "listed = 50",
+        replacement: "listed = 0",
+        key: "backends.listed",
+        problem: "must be 1 to 20000 entries, found 0",
+    },
+    InvalidValueCase {
+        line: "answering = 4",
+        replacement: "answering = 51",
+        key: "backends.answering",
+        problem: "must be 1 to 50 backends, found 51",
+    },
+    InvalidValueCase {
+        line: "calls_per_s = 50.0",
+        replacement: "calls_per_s = 0.0",
+        key: "discovery.calls_per_s",
+        problem: "must be 0.1 to 10000 calls per second, found 0",
+    },
+    InvalidValueCase {
+        line: "zone = \"b\"",
+        replacement: "zone = \"q\"",
+        key: "phases[3].zone",
+        problem: "must be a name of `backends.zones` (a, b, c, d, e), found `q`",
+    },
+    InvalidValueCase {
+        line: "per_s = 10.0",
+        replacement: "per_s = nan",
+        key: "phases[2].per_s",
+        problem: "must be above 0 and at most 200 changes per second, found NaN",
+    },
+    InvalidValueCase {
+        line: "seconds = 1.0",
+        replacement: "seconds = 0.0",
+        key: "phases[0].seconds",
+        problem: "must be above 0 and at most 3600 seconds, found 0",
+    },
+    InvalidValueCase {
+        line: "connections = 40",
+        replacement: "connections = 256",
+        key: "phases[9].connections",
+        problem: "must be 4 or more, and below 256 (`limits.sockets`), found 256",
+    },
 ];
 
 #[test]
 fn invalid_value_error_names_key_range_and_value() {
-    for (line, replacement, key, problem) in INVALID_VALUES {
+    for case in INVALID_VALUES {
         assert_eq!(
-            error_with(line, replacement),
-            (key.to_owned(), problem.to_owned())
+            error_with(case.line, case.replacement),
+            (case.key.to_owned(), case.problem.to_owned())
         );
     }
 }
