--- a/lab/src/live/experiment/actions.rs
+++ b/lab/src/live/experiment/actions.rs
@@ -1,4 +1,4 @@
-//! What each kind of phase does: changes of the endpoint list, reloads, outages, restarts, and idle connections.
+//! Actions of each kind of phase: changes of the endpoint list, reloads, outages, restarts and idle connections.
 
 use super::Experiment;
 use crate::live::discovery::endpoint_list::{Endpoint, EndpointState};
@@ -12,40 +12,40 @@
 use std::time::{Duration, Instant, SystemTime};
 use tokio::task::JoinSet;
 
-/// Processes whose memory for idle connections is measured at the same time.
+/// Number of processes whose memory for idle connections is measured at the same time.
 pub(super) const IDLE_MEASUREMENTS_AT_ONCE: usize = 4;
 
-/// What some kinds of phase measure beside what every phase does.
+/// Results that only some kinds of phase have.
 #[derive(Default)]
 pub(super) struct PhaseResults {
     pub(super) restart: Option<RestartFigures>,
-    /// One for each real process, or none.
+    /// One entry for each real process in an `idle_connections` phase, otherwise empty.
     pub(super) idle_connections: Vec<IdleConnectionMemory>,
 }
 
-/// Single changes: endpoints restart one after another, each in three changes.
+/// Sequence of single changes: randomly drawn endpoints restart one after another, each in three changes.
 #[derive(Debug, Default)]
 pub(super) struct EndpointRestarts {
-    /// The endpoint that restarts now.
+    /// Index of the endpoint that is restarting.
     index: usize,
     next_step: RestartStep,
 }
 
-/// A step of an endpoint's restart.
+/// A step of the restart of an endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 enum RestartStep {
     #[default]
     Drain,
     Remove,
-    Return,
+    Reactivate,
 }
 
 impl RestartStep {
     fn next(self) -> Self {
         match self {
             Self::Drain => Self::Remove,
-            Self::Remove => Self::Return,
-            Self::Return => Self::Drain,
+            Self::Remove => Self::Reactivate,
+            Self::Reactivate => Self::Drain,
         }
     }
 
@@ -53,7 +53,7 @@
         match self {
             Self::Drain => endpoint.state = EndpointState::Draining,
             Self::Remove => endpoint.state = EndpointState::Removed,
-            Self::Return => {
+            Self::Reactivate => {
                 endpoint.state = EndpointState::Active;
                 endpoint.started_at_ms = unix_time_ms();
             }
@@ -62,7 +62,8 @@
 }
 
 impl EndpointRestarts {
-    /// Returns the index of the endpoint that changes next, and its step. Each restart draws an endpoint.
+    /// Returns the index of the endpoint to change next and the step to apply. Draws another endpoint at the start
+    /// of each restart.
     fn advance(&mut self, endpoint_count: usize, rng: &mut SmallRng) -> (usize, RestartStep) {
         let step = self.next_step;
         if step == RestartStep::Drain {
@@ -74,8 +75,8 @@
 }
 
 impl Experiment {
-    /// Performs the actions of a phase that began at `began_at`; the caller waits for the rest of its time.
-    pub(super) async fn perform(
+    /// Runs the actions of a phase that began at `began_at`. The caller waits for the remaining time of the phase.
+    pub(super) async fn run_actions(
         &mut self,
         phase: &Phase,
         began_at: Instant,
@@ -116,7 +117,7 @@
         Ok(results)
     }
 
-    /// Makes single changes at a constant rate.
+    /// Changes single endpoints at a constant rate.
     async fn change_endpoints(&mut self, began_at: Instant, seconds: f64, changes_per_s: f64) {
         let count = (seconds * changes_per_s).floor() as usize;
         for number in 0..count {
@@ -154,8 +155,8 @@
         connections: u32,
     ) -> Result<Vec<IdleConnectionMemory>, LiveError> {
         let mut measured = Vec::new();
-        for group in self.proxies.real().chunks(IDLE_MEASUREMENTS_AT_ONCE) {
-            for result in measure_group(group, connections).await {
+        for batch in self.proxies.real().chunks(IDLE_MEASUREMENTS_AT_ONCE) {
+            for result in measure_batch(batch, connections).await {
                 measured.push(result?);
             }
         }
@@ -163,13 +164,13 @@
     }
 }
 
-/// Measures a few processes at the same time; returns the results in the order of the processes.
-async fn measure_group(
-    group: &[ProxyProcess],
+/// Measures the processes of a batch at the same time and returns the results in their order.
+async fn measure_batch(
+    batch: &[ProxyProcess],
     connections: u32,
 ) -> Vec<Result<IdleConnectionMemory, IdleConnectionsError>> {
     let mut tasks = JoinSet::new();
-    for (position, process) in group.iter().enumerate() {
+    for (position, process) in batch.iter().enumerate() {
         let address = process.address();
         let pid = process.pid();
         tasks.spawn(async move {
--- a/lab/src/live/experiment/mod.rs
+++ b/lab/src/live/experiment/mod.rs
@@ -1,8 +1,9 @@
-//! A run: starts everything, plays the phases one after another, and measures each.
+//! A run of the experiment: starts discovery, backends and proxies, runs the phases one after another, and measures
+//! each.
 //!
-//! - `setup`: checks before the start, and the endpoint list.
-//! - `actions`: what each kind of phase does.
-//! - `client_load`: the clients of a phase.
+//! - `setup`: the check of the descriptor limit, the emulated backends, and the endpoint list.
+//! - `actions`: the actions of each kind of phase.
+//! - `client_load`: the load generators of a phase.
 //! - `measurement`: the figures of a phase.
 
 mod actions;
@@ -24,23 +25,23 @@
 use indicatif::ProgressBar;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use setup::ListedBackends;
+use setup::EmulatedBackends;
 use std::path::Path;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, sleep_until};
 
-/// How long the first list may take to reach every proxy.
+/// Longest wait for the first endpoint list to reach every proxy.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(180);
-/// How long the last changes of a phase are waited for before the next one begins.
+/// Longest wait after a phase for its changes to reach every proxy.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between two looks at whether a change has propagated, and between two steps of the progress bar.
+/// Time between two checks of whether a change has propagated, and between two updates of the progress bar.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A run in progress.
 pub struct Experiment {
     scenario: LiveScenario,
-    backends: ListedBackends,
+    backends: EmulatedBackends,
     discovery: DiscoveryStandIn,
     tracker: Arc<PropagationTracker>,
     proxies: Proxies,
@@ -48,29 +49,37 @@
     rng: SmallRng,
     endpoint_restarts: EndpointRestarts,
     progress: ProgressBar,
+    /// Figures of the start and of the phases that have ended.
+    figures: LiveFigures,
 }
 
 impl Experiment {
-    /// Starts everything and waits until every proxy has the endpoint list; returns with it the figures so
-    /// far.
+    /// Starts backends, discovery and proxies, and waits until every proxy has the endpoint list or
+    /// `FIRST_LIST_TIMEOUT` has passed.
     ///
     /// # Errors
-    /// Where something can't be started, or a real process does not serve in time.
+    /// The descriptor limit is too low, a server or a process can't be started, or no health check of a real process
+    /// succeeds in time.
     pub async fn start(
         scenario: LiveScenario,
         program: &Path,
         seed: u64,
         progress: ProgressBar,
-    ) -> Result<(Self, LiveFigures), LiveError> {
+    ) -> Result<Self, LiveError> {
         setup::check_descriptor_limit(&scenario)?;
         let load_average_before = usage::load_average();
         progress.set_message("starting");
-        let backends = ListedBackends::start(&scenario.backends).await?;
+        let backends = EmulatedBackends::start(&scenario.backends).await?;
         let tracker = Arc::new(PropagationTracker::new(scenario.proxy_count() as usize));
         let discovery = start_discovery(&scenario, &backends, &tracker).await?;
-        let (proxies, start_times) =
-            Proxies::start(&scenario, program, &discovery, &tracker, seed).await?;
-        let experiment = Self {
+        let proxies = Proxies::start(&scenario, program, &discovery, &tracker, seed).await?;
+        let figures = LiveFigures {
+            load_average_before,
+            start_times: Quantiles::of(proxies.start_times_s().to_vec()),
+            start_propagation: None,
+            phases: Vec::new(),
+        };
+        let mut experiment = Self {
             scenario,
             backends,
             discovery,
@@ -80,48 +89,50 @@
             rng: SmallRng::seed_from_u64(seed),
             endpoint_restarts: EndpointRestarts::default(),
             progress,
+            figures,
         };
         experiment.wait_for_propagation(FIRST_LIST_TIMEOUT).await;
-        let figures = LiveFigures {
-            load_average_before,
-            start_times: Quantiles::of(start_times),
-            start_propagation: experiment.tracker.take(),
-            phases: Vec::new(),
-        };
-        Ok((experiment, figures))
+        experiment.figures.start_propagation = experiment.tracker.take();
+        Ok(experiment)
     }
 
-    /// Plays all phases and adds their figures.
+    /// Runs all phases and records their figures.
     ///
     /// # Errors
-    /// Where a real process ends by itself, or a measurement fails.
-    pub async fn play(&mut self, figures: &mut LiveFigures) -> Result<(), LiveError> {
+    /// A real process exits unexpectedly, an action of a phase fails, or a measurement fails.
+    pub async fn run_phases(&mut self) -> Result<(), LiveError> {
         let phases = self.scenario.phases.clone();
         for (number, phase) in phases.iter().enumerate() {
             self.progress
                 .set_message(format!("phase {number}, {}", phase.kind()));
-            let phase_figures = self.play_phase(phase).await;
-            // A process that has ended by itself explains whatever else has failed.
-            self.proxies.check()?;
-            figures.phases.push(phase_figures?);
+            let phase_figures = self.run_phase(phase).await;
+            // Checked first: an unexpected exit of a process is the cause of other errors of the phase.
+            self.proxies.check_running()?;
+            self.figures.phases.push(phase_figures?);
         }
         self.progress.finish_and_clear();
         Ok(())
     }
 
-    /// Kills all real processes and waits for their end.
+    /// Kills all real processes and waits for their exit.
     pub async fn stop(&mut self) {
         self.proxies.kill().await;
     }
 
-    async fn play_phase(&mut self, phase: &Phase) -> Result<PhaseFigures, LiveError> {
+    /// Returns the figures of the run.
+    #[must_use]
+    pub fn into_figures(self) -> LiveFigures {
+        self.figures
+    }
+
+    async fn run_phase(&mut self, phase: &Phase) -> Result<PhaseFigures, LiveError> {
         let snapshot = self.snapshot()?;
         let clients = if phase.has_clients() {
             Some(self.start_clients())
         } else {
             None
         };
-        let results = self.perform(phase, snapshot.taken_at).await?;
+        let results = self.run_actions(phase, snapshot.taken_at).await?;
         if let Some(length) = phase.length() {
             self.wait_until(snapshot.taken_at + length).await;
         }
@@ -138,7 +149,7 @@
         Ok(figures)
     }
 
-    /// Returns the number of active and draining endpoints.
+    /// Returns the number of active and draining endpoints in the endpoint list.
     fn listed_endpoints(&self) -> usize {
         let list = self.discovery.service().endpoint_list();
         let endpoints = list.endpoints().iter();
@@ -147,11 +158,11 @@
             .count()
     }
 
-    /// Waits until every proxy has the present revision, for at most `limit`.
+    /// Waits until every proxy has the current revision, for at most `limit`.
     async fn wait_for_propagation(&self, limit: Duration) {
         let started_at = Instant::now();
         let proxy_count = self.scenario.proxy_count() as usize;
-        // A change gets its revision only after the notification delay.
+        // A change made just now gets its revision after the notification delay.
         let delay_ms = self.scenario.discovery.notification_delay_ms;
         sleep(Duration::from_millis(delay_ms)).await;
         loop {
@@ -174,7 +185,7 @@
         }
     }
 
-    /// Waits and advances the progress bar.
+    /// Waits until `end` and advances the progress bar meanwhile.
     async fn wait_until(&self, end: Instant) {
         loop {
             let now = Instant::now();
@@ -191,7 +202,7 @@
 
 async fn start_discovery(
     scenario: &LiveScenario,
-    backends: &ListedBackends,
+    backends: &EmulatedBackends,
     tracker: &Arc<PropagationTracker>,
 ) -> Result<DiscoveryStandIn, LiveError> {
     let discovery = DiscoveryStandIn::start(
--- a/lab/src/live/proxies/mod.rs
+++ b/lab/src/live/proxies/mod.rs
@@ -1,4 +1,4 @@
-//! The proxies of a run: real processes and simulated proxies, started, reloaded and stopped together.
+//! All proxies of a run: starts, reloads, restarts and stops the real processes and the simulated proxies.
 
 mod restart;
 mod simulated;
@@ -6,7 +6,7 @@
 use super::discovery::{DiscoveryAddresses, DiscoveryStandIn};
 use super::error::LiveError;
 use super::figures::RestartFigures;
-use super::process::{Launch, ProcessError, ProxyProcess};
+use super::process::{ProcessError, ProxyCommand, ProxyProcess};
 use super::propagation::PropagationTracker;
 use super::proxy_config;
 use super::scenario::LiveScenario;
@@ -21,40 +21,42 @@
 use tempfile::TempDir;
 use tokio::task::JoinSet;
 
-/// A process that starts has to serve within this time.
+/// Time within which a health check of a started process has to succeed.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// All proxies of a run.
 #[derive(Debug)]
 pub struct Proxies {
     program: PathBuf,
-    /// Holds the configuration files.
+    /// Temporary directory of the configuration files.
     directory: TempDir,
     real: Vec<ProxyProcess>,
+    /// Seconds from the first start of each real process until its first successful health check.
+    start_times_s: Vec<f64>,
     simulated: SimulatedProxies,
 }
 
-/// A process that was started, with the time until it served.
+/// A started process, and the time until its first successful health check.
 struct StartedProcess {
     proxy_index: u32,
     process: ProxyProcess,
-    /// `None` where it did not serve in time.
+    /// `None` if no health check succeeded within [`START_TIMEOUT`].
     serving_after: Option<Duration>,
 }
 
 impl Proxies {
-    /// Starts all proxies and waits until the real ones serve; returns with them the seconds that each took
-    /// for it.
+    /// Starts all proxies and waits until a health check of each real process has succeeded.
     ///
     /// # Errors
-    /// Where a process can't be started or does not serve in time.
+    /// A configuration file can't be written, a process can't be started, or no health check of a process succeeds in
+    /// time.
     pub async fn start(
         scenario: &LiveScenario,
         program: &Path,
         discovery: &DiscoveryStandIn,
         tracker: &Arc<PropagationTracker>,
         seed: u64,
-    ) -> Result<(Self, Vec<f64>), LiveError> {
+    ) -> Result<Self, LiveError> {
         let directory = TempDir::with_prefix("tillerproxy-live-").map_err(|source| {
             LiveError::Configuration {
                 path: std::env::temp_dir(),
@@ -66,19 +68,20 @@
             program: program.to_owned(),
             directory,
             real: Vec::new(),
+            start_times_s: Vec::new(),
             simulated,
         };
         proxies.write_configurations(scenario, discovery, discovery.addresses())?;
-        let start_times = proxies.start_real(scenario.processes.real).await?;
-        Ok((proxies, start_times))
+        proxies.start_real(scenario.processes.real).await?;
+        Ok(proxies)
     }
 
-    /// Starts `count` real processes at once; returns the seconds until each served.
-    async fn start_real(&mut self, count: u32) -> Result<Vec<f64>, LiveError> {
+    /// Starts `count` real processes at once and records their start times.
+    async fn start_real(&mut self, count: u32) -> Result<(), LiveError> {
         let mut starting = JoinSet::new();
         for proxy_index in 0..count {
-            let launch = self.launch(proxy_index);
-            starting.spawn(async move { start_process(proxy_index, &launch).await });
+            let command = self.proxy_command(proxy_index);
+            starting.spawn(async move { start_process(proxy_index, &command).await });
         }
         let mut started = Vec::new();
         while let Some(joined) = starting.join_next().await {
@@ -95,12 +98,18 @@
             started.push(started_process);
         }
         started.sort_unstable_by_key(|process| process.proxy_index);
-        let mut start_times = Vec::new();
         for process in started {
-            start_times.extend(process.serving_after.map(|time| time.as_secs_f64()));
+            self.start_times_s
+                .extend(process.serving_after.map(|time| time.as_secs_f64()));
             self.real.push(process.process);
         }
-        Ok(start_times)
+        Ok(())
+    }
+
+    /// Returns the seconds that each real process took from its first start to its first successful health check.
+    #[must_use]
+    pub fn start_times_s(&self) -> &[f64] {
+        &self.start_times_s
     }
 
     /// Returns the real processes, in the order of their indices.
@@ -115,21 +124,21 @@
         self.simulated.traffic()
     }
 
-    /// Checks that all real processes run.
+    /// Checks that all real processes still run.
     ///
     /// # Errors
-    /// Where one has ended by itself.
-    pub fn check(&mut self) -> Result<(), ProcessError> {
+    /// A process has exited unexpectedly.
+    pub fn check_running(&mut self) -> Result<(), ProcessError> {
         for process in &mut self.real {
-            process.check()?;
+            process.check_running()?;
         }
         Ok(())
     }
 
-    /// Moves discovery and notifies every proxy: the real ones by a new configuration file and SIGHUP.
+    /// Moves discovery to new addresses and notifies every proxy, the real ones by a new configuration file and SIGHUP.
     ///
     /// # Errors
-    /// Where a listener can't be opened, a file can't be written, or a process has ended.
+    /// A listener can't be opened, a configuration file can't be written, or a process has exited.
     pub async fn reload(
         &mut self,
         scenario: &LiveScenario,
@@ -152,10 +161,10 @@
         Ok(())
     }
 
-    /// Ends all real processes by SIGTERM and starts each again as soon as it has ended.
+    /// Sends SIGTERM to all real processes and starts each again as soon as it has exited.
     ///
     /// # Errors
-    /// Where a process does not end, or can't be started again.
+    /// A process does not exit in time, or can't be started again.
     pub async fn restart(
         &mut self,
         scenario: &LiveScenario,
@@ -164,9 +173,9 @@
         self.write_configurations(scenario, discovery, discovery.addresses())?;
         let mut restarting = JoinSet::new();
         for (proxy_index, process) in (0..).zip(std::mem::take(&mut self.real)) {
-            let launch = self.launch(proxy_index);
+            let command = self.proxy_command(proxy_index);
             restarting.spawn(async move {
-                restart::restart_process(proxy_index, process, &launch).await
+                restart::restart_process(proxy_index, process, &command).await
             });
         }
         let mut restarted: Vec<RestartedProcess> = Vec::new();
@@ -181,15 +190,15 @@
         Ok(figures)
     }
 
-    /// Kills all real processes and waits for their end.
+    /// Kills all real processes and waits for their exit.
     pub async fn kill(&mut self) {
         for process in &mut self.real {
             process.kill().await;
         }
     }
 
-    fn launch(&self, proxy_index: u32) -> Launch {
-        Launch {
+    fn proxy_command(&self, proxy_index: u32) -> ProxyCommand {
+        ProxyCommand {
             name: format!("proxy-{proxy_index}"),
             program: self.program.clone(),
             config: self.config_path(proxy_index),
@@ -202,6 +211,7 @@
             .join(format!("proxy-{proxy_index}.json"))
     }
 
+    /// Writes the configuration file of each real process, with its address from `addresses`.
     fn write_configurations(
         &self,
         scenario: &LiveScenario,
@@ -209,7 +219,7 @@
         addresses: &DiscoveryAddresses,
     ) -> Result<(), LiveError> {
         let cached_list = if scenario.processes.start_with_list {
-            present_list(discovery)?
+            current_list(discovery)?
         } else {
             proxy_config::empty_list()
         };
@@ -223,9 +233,12 @@
     }
 }
 
-/// Starts a process and waits until it serves.
-async fn start_process(proxy_index: u32, launch: &Launch) -> Result<StartedProcess, ProcessError> {
-    let process = ProxyProcess::start(launch).await?;
+/// Starts a process and waits until a health check succeeds, for at most [`START_TIMEOUT`].
+async fn start_process(
+    proxy_index: u32,
+    command: &ProxyCommand,
+) -> Result<StartedProcess, ProcessError> {
+    let process = ProxyProcess::start(command).await?;
     let serving_after = process.wait_until_serving(START_TIMEOUT).await;
     Ok(StartedProcess {
         proxy_index,
@@ -234,8 +247,8 @@
     })
 }
 
-/// Returns the complete endpoint list as discovery serializes it.
-fn present_list(discovery: &DiscoveryStandIn) -> Result<Value, LiveError> {
+/// Returns the current complete endpoint list as discovery serializes it.
+fn current_list(discovery: &DiscoveryStandIn) -> Result<Value, LiveError> {
     let body = discovery.service().endpoint_list().response_body(None)?;
     let list = serde_json::from_slice(&body)?;
     Ok(list)
