--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -9,24 +9,24 @@
 #[derive(Debug, Parser)]
 #[command(version, about)]
 pub struct Arguments {
-    /// The experiment to run.
+    /// Experiment to run.
     #[command(subcommand)]
     pub experiment: Experiment,
 }
 
-/// One experiment of the lab.
+/// Experiments of the lab.
 #[derive(Debug, Subcommand)]
 pub enum Experiment {
-    /// Cost of one proxy's decisions, membership and state as the fleet grows.
+    /// Measure the cost of one proxy's decisions, membership updates and state as the fleet grows.
     Slopes(slopes::SlopesOptions),
-    /// A whole fleet in virtual time, the real decision module in every proxy.
+    /// Simulate a whole fleet in virtual time, with the real decision module in every proxy.
     Fleet(fleet::FleetOptions),
-    /// Real processes beside emulated ones before one discovery stand-in, over loopback.
+    /// Run real and emulated processes against one emulated discovery service, over loopback.
     Live(live::LiveOptions),
 }
 
 impl Arguments {
-    /// Sends log lines to standard error; `RUST_LOG` sets the level, `info` by default.
+    /// Installs a log subscriber that writes to standard error. `RUST_LOG` sets the level; the default is `info`.
     pub fn install_logging(&self) {
         let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
         tracing_subscriber::fmt()
@@ -36,10 +36,10 @@
             .init();
     }
 
-    /// Runs the experiment.
+    /// Runs the selected experiment.
     ///
     /// # Errors
-    /// Returns what kept it from running or its result from being written.
+    /// Returns an error if the experiment can't run or its result can't be written.
     pub fn run(&self) -> Result<(), LabError> {
         match &self.experiment {
             Experiment::Slopes(options) => slopes::run(options),
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -6,63 +6,63 @@
 use std::process::ExitCode;
 use tillerproxy::api::SettingsError;
 
-/// Exit code for input that makes no sense; other failures end with 1.
-const BAD_INPUT: u8 = 2;
+/// Exit code for a scenario that can't be read or is invalid; other failures exit with 1.
+const INVALID_INPUT_EXIT_CODE: u8 = 2;
 
-/// Why an experiment could not run, or its result could not be written.
+/// An error that ends an experiment.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
     /// A file can't be read.
     #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Error of the file system.
         source: io::Error,
     },
-    /// A scenario is not the TOML that is wanted, or has an unknown key.
+    /// A scenario is not valid TOML, has an unknown or missing key, or has a value out of range.
     #[error("{}: `{key}`: {problem}", path.display())]
     Scenario {
         /// The scenario file.
         path: PathBuf,
         /// Dotted path of the key, such as `backends.count`.
         key: String,
-        /// What is wrong, and what is allowed.
+        /// The value found and the values allowed, or the parser's message.
         problem: String,
     },
-    /// The result can't be written.
+    /// A result file can't be written.
     #[error("cannot write {}: {source}", path.display())]
     Unwritable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Error of the file system.
         source: io::Error,
     },
     /// A balancer rejects its settings.
     #[error("{subject}: {source}")]
     Settings {
-        /// Whose settings, such as `policy module`.
+        /// Owner of the settings, such as `policy module`.
         subject: String,
-        /// Which setting, and what is wrong with it.
+        /// The rejected setting and the reason.
         source: SettingsError,
     },
     /// A thread panicked.
     #[error("the thread of {subject} panicked")]
     Panicked {
-        /// What the thread did.
+        /// Task of the thread.
         subject: String,
     },
-    /// The experiment failed on the way.
+    /// An error of one experiment.
     #[error(transparent)]
     Failed(Box<dyn Error + Send + Sync>),
 }
 
 impl LabError {
-    /// Returns 2 for input that makes no sense, 1 for the rest.
+    /// Returns exit code 2 for a scenario that can't be read or is invalid, 1 for other errors.
     #[must_use]
     pub fn exit_code(&self) -> ExitCode {
         match self {
-            Self::Unreadable { .. } | Self::Scenario { .. } => ExitCode::from(BAD_INPUT),
+            Self::Unreadable { .. } | Self::Scenario { .. } => ExitCode::from(INVALID_INPUT_EXIT_CODE),
             Self::Unwritable { .. }
             | Self::Settings { .. }
             | Self::Panicked { .. }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,12 +1,12 @@
 //! Scale lab of tillerproxy.
 //!
-//! Three experiments measure how the proxy behaves at the size that it is built for:
+//! Three experiments measure how the proxy behaves at the size of its target fleet:
 //!
-//! - [`slopes`]: what one proxy's decisions, membership and state cost as the fleet grows.
-//! - [`fleet`]: a whole fleet in virtual time, with the real decision module in every proxy.
-//! - [`live`]: real processes beside emulated ones before one discovery stand-in, over loopback.
+//! - [`slopes`]: measures the cost of one proxy's decisions, membership updates and state as the fleet grows.
+//! - [`fleet`]: simulates a whole fleet in virtual time, with the real decision module in every proxy.
+//! - [`live`]: runs real and emulated processes against one emulated discovery service, over loopback.
 //!
-//! Every experiment reads a TOML scenario ([`scenario`]) and writes one JSON result ([`results`]).
+//! Each experiment reads a TOML scenario ([`scenario`]) and can write a JSON result ([`results`]).
 #![forbid(unsafe_code)]
 
 pub mod cli;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The `tillerproxy-lab` program: reads the command line, runs one experiment, reports its exit code.
+//! The `tillerproxy-lab` program: parses the command line, runs one experiment and returns its exit code.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use tillerproxy_lab::cli::Arguments;
 
-/// Counts allocated bytes, so that `slopes` can tell what the decisions hold.
+/// Global allocator that counts allocated bytes; `slopes` uses the counts to measure heap.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
--- a/lab/src/options.rs
+++ b/lab/src/options.rs
@@ -1,16 +1,16 @@
-//! Options that every experiment takes.
+//! Command-line options shared by all experiments.
 
 use crate::results::RunInfo;
 use clap::Args;
 use std::path::PathBuf;
 
-/// Options that every experiment takes.
+/// Command-line options shared by all experiments.
 #[derive(Args, Clone, Debug)]
 pub struct CommonOptions {
-    /// Seed of all random numbers; the same seed gives the same figures, processor time aside.
+    /// Seed of all random numbers; runs with the same seed differ only in processor time.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// File that the JSON result is written to.
+    /// Write the JSON result to this file.
     #[arg(long, value_name = "FILE")]
     pub json: Option<PathBuf>,
     /// Hide the progress bar.
@@ -19,7 +19,7 @@
 }
 
 impl CommonOptions {
-    /// Describes the run for the result.
+    /// Returns the description of this run for its result file.
     #[must_use]
     pub fn run_info(&self, experiment: &'static str) -> RunInfo {
         RunInfo::new(experiment, self.seed)
--- a/lab/src/results.rs
+++ b/lab/src/results.rs
@@ -1,25 +1,26 @@
-//! The JSON result of a run.
+//! JSON result files.
 
 use crate::error::LabError;
 use serde::Serialize;
 use std::path::Path;
 use std::process::Command;
 
-/// The run that produced a result.
+/// Describes the run that produced a result.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunInfo {
     /// Name of the experiment, such as `slopes`.
     pub experiment: &'static str,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// Version of the package.
+    /// Version of the lab's package.
     pub version: &'static str,
-    /// Commit of the checkout that the lab ran in, with `-dirty` where files had changed; `unknown` outside one.
+    /// Commit of the git checkout that the lab ran in, with `-dirty` if it had modified files; `unknown` without a
+    /// checkout.
     pub commit: String,
 }
 
 impl RunInfo {
-    /// Describes a run of `experiment`; asks git for the commit.
+    /// Creates the description of a run of `experiment`; reads the commit through `git describe`.
     #[must_use]
     pub fn new(experiment: &'static str, seed: u64) -> Self {
         Self {
@@ -31,7 +32,7 @@
     }
 }
 
-/// Returns the commit of the checkout; `None` outside one, or without git.
+/// Returns the commit of the checkout; `None` without a checkout or without git.
 fn current_commit() -> Option<String> {
     let output = Command::new("git")
         .args(["describe", "--always", "--dirty", "--abbrev=7"])
@@ -43,14 +44,14 @@
     Some(String::from_utf8_lossy(&output.stdout).trim().to_owned())
 }
 
-/// The result of a run: the run, its scenario, and what it measured.
+/// Result of a run, as written to its JSON file.
 #[derive(Debug, Serialize)]
 pub struct RunResult<'a, S, M> {
-    /// The run.
+    /// Experiment, seed, version and commit.
     pub run: RunInfo,
-    /// The scenario as it was read, defaults filled in.
+    /// Scenario of the run, with defaults filled in.
     pub scenario: &'a S,
-    /// What was measured.
+    /// Measured figures.
     pub measured: &'a M,
 }
 
@@ -58,7 +59,7 @@
     /// Writes the result as indented JSON.
     ///
     /// # Errors
-    /// [`LabError::Unwritable`] where the file can't be written.
+    /// [`LabError::Unwritable`] if the file can't be written.
     pub fn write(&self, path: &Path) -> Result<(), LabError> {
         let unwritable = |source| LabError::Unwritable {
             path: path.to_owned(),
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -1,32 +1,32 @@
-//! Reading of scenario files: TOML into typed settings, with errors that name the file and the key.
+//! Reads scenario files: TOML parsed into typed settings, with errors that name the file and the key.
 
 use crate::error::LabError;
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// A figure of a scenario that makes no sense.
+/// A scenario value outside its allowed range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidValue {
-    /// Dotted path of the key.
+    /// Dotted path of the key, such as `load.latency_ms`.
     pub key: String,
-    /// What is wrong, and what is allowed.
+    /// The value found and the values allowed.
     pub problem: String,
 }
 
-/// A scenario that can check its own figures.
+/// A scenario type that checks the ranges of its values.
 pub trait Scenario: DeserializeOwned {
-    /// Checks that the figures make sense.
+    /// Checks that every value is in its allowed range.
     ///
     /// # Errors
-    /// The first figure that makes no sense.
+    /// Returns the first value that is out of range.
     fn validate(&self) -> Result<(), InvalidValue>;
 }
 
-/// Reads and checks a scenario file.
+/// Reads, parses and validates a scenario file.
 ///
 /// # Errors
-/// [`LabError::Unreadable`] for a file that can't be read; [`LabError::Scenario`] for text that is no TOML, an
-/// unknown or missing key, a value of the wrong type, or a figure that makes no sense.
+/// [`LabError::Unreadable`] if the file can't be read; [`LabError::Scenario`] for invalid TOML, an unknown or missing
+/// key, a value of the wrong type, or a value out of range.
 pub fn read<S: Scenario>(path: &Path) -> Result<S, LabError> {
     let text = std::fs::read_to_string(path).map_err(|source| LabError::Unreadable {
         path: path.to_owned(),
@@ -35,10 +35,10 @@
     parse(&text, path)
 }
 
-/// Reads and checks a scenario's text; `path` is named in errors.
+/// Parses and validates the text of a scenario; errors name `path` as its file.
 ///
 /// # Errors
-/// As [`read`], but for the file itself.
+/// [`LabError::Scenario`], as for [`read`].
 pub fn parse<S: Scenario>(text: &str, path: &Path) -> Result<S, LabError> {
     let invalid = |key: String, problem: String| LabError::Scenario {
         path: path.to_owned(),
--- a/lab/src/units.rs
+++ b/lab/src/units.rs
@@ -1,4 +1,4 @@
-//! Factors between units, and conversions between the microseconds of virtual time and the seconds and
+//! Conversion factors between units, and conversions between microseconds (virtual time) and the seconds and
 //! milliseconds of scenarios and reports.
 
 use tillerproxy::api::Micros;
@@ -24,7 +24,7 @@
 /// Seconds in a day.
 pub const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Bytes in a KiB, the unit in which `/proc` gives memory.
+/// Bytes in a KiB, the unit of memory sizes in `/proc`.
 pub const BYTES_PER_KIB: f64 = 1024.0;
 
 /// Bytes in a kilobyte.
@@ -33,7 +33,7 @@
 /// Bytes in a megabyte.
 pub const BYTES_PER_MEGABYTE: f64 = 1e6;
 
-/// Percent in the whole.
+/// Percent of a whole: the factor from a fraction to percent.
 pub const PERCENT: f64 = 100.0;
 
 /// Converts seconds to microseconds.
