--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -62,7 +62,9 @@
     #[must_use]
     pub fn exit_code(&self) -> ExitCode {
         match self {
-            Self::Unreadable { .. } | Self::Scenario { .. } => ExitCode::from(INVALID_INPUT_EXIT_CODE),
+            Self::Unreadable { .. } | Self::Scenario { .. } => {
+                ExitCode::from(INVALID_INPUT_EXIT_CODE)
+            }
             Self::Unwritable { .. }
             | Self::Settings { .. }
             | Self::Panicked { .. }
--- a/lab/src/slopes/costs.rs
+++ b/lab/src/slopes/costs.rs
@@ -1,5 +1,5 @@
-//! Costs of the balancer's events: processor time of batches, and histograms of the processor time and of the
-//! wall time of single events.
+//! Measures the cost of the balancer's events: processor time of batches of events, and histograms of the processor
+//! time and the wall time of single events.
 
 use super::quantity::Quantity;
 use super::stopwatch::Stopwatch;
@@ -10,15 +10,15 @@
 
 /// Significant decimal digits of the histograms.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// The median.
+/// Quantile of the median.
 const P50: f64 = 0.5;
-/// The 99th percentile.
+/// Quantile of the 99th percentile.
 const P99: f64 = 0.99;
 
-/// How a batch is measured.
+/// How a batch of events is measured.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Timing {
-    /// Not at all.
+    /// The batch is not measured.
     None,
     /// Processor time of the batch as a whole.
     Batch,
@@ -28,7 +28,7 @@
     Wall,
 }
 
-/// Kinds of event whose costs are kept apart.
+/// Kinds of event whose costs are recorded separately.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EventKind {
     /// A request arrives.
@@ -39,17 +39,19 @@
     Timer,
 }
 
-/// Costs of one kind of event.
+/// Recorded costs of one kind of event.
 pub struct EventCosts {
-    /// Processor time of all batches measured as a whole.
-    batches: Duration,
-    /// Events of these batches.
-    events: u64,
+    /// Processor time of all batches that were measured as a whole.
+    batch_time: Duration,
+    /// Number of events in these batches.
+    batch_events: u64,
+    /// Processor time of single events, nanoseconds.
     processor: Histogram<u64>,
+    /// Wall time of single events, nanoseconds.
     wall: Histogram<u64>,
 }
 
-/// Costs of the events of requests.
+/// Recorded costs of the balancer's decisions on requests, by kind of event.
 #[derive(Default)]
 pub struct DecisionCosts {
     arrivals: EventCosts,
@@ -57,18 +59,18 @@
     timers: EventCosts,
 }
 
-/// Where the costs of a batch go, and how they are measured.
+/// Measures batches of events and records their costs.
 pub struct Meter<'a> {
-    /// How this batch is measured.
+    /// How the next batch is measured.
     pub timing: Timing,
-    /// The clock.
+    /// Clock of processor time.
     pub stopwatch: Stopwatch,
-    /// The costs so far.
+    /// Costs recorded so far.
     pub costs: &'a mut DecisionCosts,
 }
 
 impl Meter<'_> {
-    /// Hands each event to `handle` and measures that.
+    /// Passes each event to `handle` and records the cost under `kind`.
     pub fn measure(
         &mut self,
         kind: EventKind,
@@ -81,16 +83,19 @@
 }
 
 impl Timing {
-    /// The ways to measure, which batches take in turn.
-    pub const MEASURED: [Self; 3] = [Self::Batch, Self::Processor, Self::Wall];
+    /// Timings that successive measured batches use in rotation.
+    pub const ROTATION: [Self; 3] = [Self::Batch, Self::Processor, Self::Wall];
 }
 
 impl Default for EventCosts {
     fn default() -> Self {
-        let empty = || Histogram::new(HISTOGRAM_DIGITS).expect("up to five digits are allowed");
+        let empty = || {
+            Histogram::new(HISTOGRAM_DIGITS)
+                .expect("a histogram allows up to five significant digits")
+        };
         Self {
-            batches: Duration::ZERO,
-            events: 0,
+            batch_time: Duration::ZERO,
+            batch_events: 0,
             processor: empty(),
             wall: empty(),
         }
@@ -98,6 +103,7 @@
 }
 
 impl EventCosts {
+    /// Passes each event to `handle` and records the cost as `timing` says.
     fn measure(
         &mut self,
         events: &[Event<'_>],
@@ -113,12 +119,12 @@
             }
             Timing::Batch if events.is_empty() => {}
             Timing::Batch => {
-                self.batches += stopwatch.time(|| {
+                self.batch_time += stopwatch.time(|| {
                     for event in events {
                         handle(event);
                     }
                 });
-                self.events += events.len() as u64;
+                self.batch_events += events.len() as u64;
             }
             Timing::Processor => {
                 for event in events {
@@ -136,9 +142,9 @@
         }
     }
 
-    /// Returns the nanoseconds of processor time of one event on average.
+    /// Returns the mean processor time of an event in nanoseconds; `None` without events.
     fn mean(&self) -> Option<f64> {
-        nanoseconds_per(self.batches, self.events)
+        mean_nanoseconds(self.batch_time, self.batch_events)
     }
 }
 
@@ -151,7 +157,7 @@
         }
     }
 
-    /// Returns the figures in nanoseconds, without those that have no event.
+    /// Returns the costs in nanoseconds; quantities without a recorded event are left out.
     #[must_use]
     pub fn figures(&self) -> BTreeMap<Quantity, f64> {
         let Self { arrivals, ends, .. } = self;
@@ -175,25 +181,25 @@
         measured
     }
 
-    /// Returns the nanoseconds of all events of a request together.
+    /// Returns the mean processor time of all events of a request in nanoseconds; `None` without arrivals.
     fn whole_request(&self) -> Option<f64> {
-        let processor = self.arrivals.batches + self.ends.batches + self.timers.batches;
-        nanoseconds_per(processor, self.arrivals.events)
+        let total = self.arrivals.batch_time + self.ends.batch_time + self.timers.batch_time;
+        mean_nanoseconds(total, self.arrivals.batch_events)
     }
 }
 
-fn nanoseconds_per(time: Duration, events: u64) -> Option<f64> {
+fn mean_nanoseconds(time: Duration, events: u64) -> Option<f64> {
     if events == 0 {
         return None;
     }
     Some(time.as_nanos() as f64 / events as f64)
 }
 
-fn record(histogram: &mut Histogram<u64>, span: Duration) {
-    let nanoseconds = u64::try_from(span.as_nanos()).unwrap_or(u64::MAX);
+fn record(histogram: &mut Histogram<u64>, time: Duration) {
+    let nanoseconds = u64::try_from(time.as_nanos()).unwrap_or(u64::MAX);
     histogram
         .record(nanoseconds)
-        .expect("the histogram grows with its values");
+        .expect("an auto-resizing histogram accepts every value");
 }
 
 fn quantile(histogram: &Histogram<u64>, quantile: f64) -> Option<f64> {
--- a/lab/src/slopes/csv_file.rs
+++ b/lab/src/slopes/csv_file.rs
@@ -1,4 +1,4 @@
-//! The CSV file: one row for each quantity at each size.
+//! Writes the CSV file: one row for each quantity at each measured size.
 
 use super::measure::{Measurements, Point};
 use super::quantity::Unit;
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::path::Path;
 
-/// A row of the file.
+/// A row of the CSV file; the field names are its column titles.
 #[derive(Serialize)]
 struct Row {
     sweep: String,
@@ -24,10 +24,10 @@
     max: f64,
 }
 
-/// Writes all points of all sweeps and of the target.
+/// Writes the points of all sweeps and of the target.
 ///
 /// # Errors
-/// [`LabError::Unwritable`] where the file can't be written.
+/// [`LabError::Unwritable`] if the file can't be written.
 pub fn write(path: &Path, measurements: &Measurements) -> Result<(), LabError> {
     let unwritable = |source| LabError::Unwritable {
         path: path.to_owned(),
--- a/lab/src/slopes/error.rs
+++ b/lab/src/slopes/error.rs
@@ -4,16 +4,16 @@
 use tillerproxy::proxy::discovery::DiscoveryError;
 use tillerproxy::simulator::ParseSettingsError;
 
-/// Why a measurement of `slopes` failed.
+/// An error that ends a measurement.
 #[derive(Debug, thiserror::Error)]
 pub enum SlopesError {
-    /// The program rejects the settings that the lab made.
+    /// The settings parser or the balancer rejects the settings that the lab generated.
     #[error("the proxy rejects the settings: {0}")]
     Settings(#[from] ParseSettingsError),
-    /// The load of the scenario has no distribution of arrivals or tenants.
-    #[error("`load` has no distribution of arrivals or tenants")]
+    /// The random distributions of the load can't be constructed from the scenario's values.
+    #[error("`load`: cannot construct the distributions of arrivals, tenants and classes")]
     LoadDistribution,
-    /// The program rejects an endpoint list that the lab made.
+    /// The translator rejects an endpoint list that the lab generated.
     #[error("the proxy rejects an endpoint list: {0}")]
     EndpointList(#[from] DiscoveryError),
 }
--- a/lab/src/slopes/fit.rs
+++ b/lab/src/slopes/fit.rs
@@ -1,12 +1,12 @@
-//! Fits of a cost over a size: a straight line and a power law, and which of them describes it better.
+//! Fits a straight line and a power law to costs over sizes, and selects the better of the two.
 //!
-//! Costs span decades, so both models are judged by relative error: the line minimises the sum of
-//! `((a + b x - y) / y)^2` (least squares weighted by `1 / y^2`), the power law is the ordinary least squares
-//! line through `(ln x, ln y)`.
+//! Costs span several orders of magnitude, so both models are compared by relative error. The line minimises the sum
+//! of `((a + b x - y) / y)^2`, which is least squares weighted by `1 / y^2`. The power law is the ordinary least
+//! squares line through `(ln x, ln y)`.
 
 use serde::Serialize;
 
-/// Points that a fit needs; any two lie on a line.
+/// Least number of points of a fit; any two points lie on a line.
 const MIN_POINTS: usize = 3;
 
 /// A straight line `intercept + slope * x`.
@@ -14,7 +14,7 @@
 pub struct Line {
     /// Cost at size 0.
     pub intercept: f64,
-    /// Cost of one more.
+    /// Added cost for each unit of size.
     pub slope: f64,
     /// Root mean square of the relative errors.
     pub relative_error: f64,
@@ -25,34 +25,41 @@
 pub struct PowerLaw {
     /// Cost at size 1.
     pub factor: f64,
-    /// Slope in a log-log plot.
+    /// Exponent of the size: the slope in a log-log plot.
     pub exponent: f64,
     /// Root mean square of the relative errors.
     pub relative_error: f64,
 }
 
-/// The two models.
+/// Models that are fitted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Model {
-    /// [`Line`].
+    /// The straight line, [`Line`].
     Line,
-    /// [`PowerLaw`].
+    /// The power law, [`PowerLaw`].
     PowerLaw,
 }
 
-/// Both models of one curve.
+/// Both models, fitted to the same points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// The straight line.
+    /// Fitted straight line.
     pub line: Line,
-    /// The power law.
+    /// Fitted power law.
     pub power_law: PowerLaw,
-    /// The model of the smaller relative error.
+    /// Model with the smaller relative error; the line if both are equal.
     pub better: Model,
 }
 
-/// A pair of coefficients of `a + b x`.
+/// A point of a weighted least squares fit.
+struct WeightedPoint {
+    x: f64,
+    y: f64,
+    weight: f64,
+}
+
+/// Coefficients of `intercept + slope * x`.
 struct Coefficients {
     intercept: f64,
     slope: f64,
@@ -75,8 +82,8 @@
 }
 
 impl Fit {
-    /// Fits both models to points of (size, cost). `None` where fewer than three of them have a size and a
-    /// cost above 0, or all have the same size.
+    /// Fits both models to points of (size, cost). Points with a size or a cost of 0 or less are ignored. Returns `None`
+    /// if fewer than three points remain or all have the same size.
     #[must_use]
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         let usable: Vec<(f64, f64)> = points
@@ -112,8 +119,14 @@
 }
 
 fn fit_line(points: &[(f64, f64)]) -> Option<Line> {
-    let weighted: Vec<(f64, f64, f64)> =
-        points.iter().map(|&(x, y)| (x, y, 1.0 / (y * y))).collect();
+    let weighted: Vec<WeightedPoint> = points
+        .iter()
+        .map(|&(x, y)| WeightedPoint {
+            x,
+            y,
+            weight: 1.0 / (y * y),
+        })
+        .collect();
     let Coefficients { intercept, slope } = least_squares(&weighted)?;
     let relative_error = relative_error(points, |x| intercept + slope * x);
     Some(Line {
@@ -124,8 +137,14 @@
 }
 
 fn fit_power_law(points: &[(f64, f64)]) -> Option<PowerLaw> {
-    let logarithms: Vec<(f64, f64, f64)> =
-        points.iter().map(|&(x, y)| (x.ln(), y.ln(), 1.0)).collect();
+    let logarithms: Vec<WeightedPoint> = points
+        .iter()
+        .map(|&(x, y)| WeightedPoint {
+            x: x.ln(),
+            y: y.ln(),
+            weight: 1.0,
+        })
+        .collect();
     let Coefficients {
         intercept,
         slope: exponent,
@@ -139,20 +158,20 @@
     })
 }
 
-/// Weighted least squares over (x, y, weight); `None` where all x are the same.
-fn least_squares(points: &[(f64, f64, f64)]) -> Option<Coefficients> {
-    let weight: f64 = points.iter().map(|&(_, _, w)| w).sum();
-    let mean_x = points.iter().map(|&(x, _, w)| w * x).sum::<f64>() / weight;
-    let mean_y = points.iter().map(|&(_, y, w)| w * y).sum::<f64>() / weight;
+/// Fits a straight line by weighted least squares; `None` if all `x` are the same.
+fn least_squares(points: &[WeightedPoint]) -> Option<Coefficients> {
+    let total_weight: f64 = points.iter().map(|p| p.weight).sum();
+    let mean_x = points.iter().map(|p| p.weight * p.x).sum::<f64>() / total_weight;
+    let mean_y = points.iter().map(|p| p.weight * p.y).sum::<f64>() / total_weight;
     let variance: f64 = points
         .iter()
-        .map(|&(x, _, w)| w * (x - mean_x).powi(2))
+        .map(|p| p.weight * (p.x - mean_x).powi(2))
         .sum();
     let covariance: f64 = points
         .iter()
-        .map(|&(x, y, w)| w * (x - mean_x) * (y - mean_y))
+        .map(|p| p.weight * (p.x - mean_x) * (p.y - mean_y))
         .sum();
-    if variance <= f64::EPSILON * weight * mean_x * mean_x {
+    if variance <= f64::EPSILON * total_weight * mean_x * mean_x {
         return None;
     }
     let slope = covariance / variance;
@@ -162,6 +181,7 @@
     })
 }
 
+/// Returns the root mean square of the relative errors of a model.
 fn relative_error(points: &[(f64, f64)], model: impl Fn(f64) -> f64) -> f64 {
     let squares: f64 = points
         .iter()
--- a/lab/src/slopes/format.rs
+++ b/lab/src/slopes/format.rs
@@ -1,4 +1,4 @@
-//! Formats figures with about three significant digits and a unit that suits their size.
+//! Formats figures with about three significant digits and a unit chosen by their magnitude.
 
 use super::quantity::{Quantity, Unit};
 use crate::units::{
@@ -6,8 +6,8 @@
     NANOS_PER_SECOND,
 };
 
-/// Bytes from which sizes are shown in kilobytes.
-const KB_SHOWN_FROM: f64 = 1e4;
+/// Smallest size that is printed in kilobytes, bytes.
+const MIN_BYTES_IN_KILOBYTES: f64 = 1e4;
 
 /// Formats a value of a quantity with its unit.
 pub(super) fn value_text(quantity: Quantity, value: f64) -> String {
@@ -17,34 +17,34 @@
     }
 }
 
-/// Formats nanoseconds in the unit that suits their size.
+/// Formats nanoseconds as ns, us, ms or s.
 fn time_text(nanoseconds: f64) -> String {
     let size = nanoseconds.abs();
     if size < NANOS_PER_MICROSECOND {
-        format!("{} ns", digits(nanoseconds))
+        format!("{} ns", number_text(nanoseconds))
     } else if size < NANOS_PER_MILLISECOND {
-        format!("{} us", digits(nanoseconds / NANOS_PER_MICROSECOND))
+        format!("{} us", number_text(nanoseconds / NANOS_PER_MICROSECOND))
     } else if size < NANOS_PER_SECOND {
-        format!("{} ms", digits(nanoseconds / NANOS_PER_MILLISECOND))
+        format!("{} ms", number_text(nanoseconds / NANOS_PER_MILLISECOND))
     } else {
-        format!("{} s", digits(nanoseconds / NANOS_PER_SECOND))
+        format!("{} s", number_text(nanoseconds / NANOS_PER_SECOND))
     }
 }
 
-/// Formats bytes in the unit that suits their size.
+/// Formats bytes as B, kB or MB.
 pub(super) fn bytes_text(bytes: f64) -> String {
     let size = bytes.abs();
-    if size < KB_SHOWN_FROM {
-        format!("{} B", digits(bytes))
+    if size < MIN_BYTES_IN_KILOBYTES {
+        format!("{} B", number_text(bytes))
     } else if size < BYTES_PER_MEGABYTE {
-        format!("{} kB", digits(bytes / BYTES_PER_KILOBYTE))
+        format!("{} kB", number_text(bytes / BYTES_PER_KILOBYTE))
     } else {
-        format!("{} MB", digits(bytes / BYTES_PER_MEGABYTE))
+        format!("{} MB", number_text(bytes / BYTES_PER_MEGABYTE))
     }
 }
 
-/// Formats about three significant digits.
-pub(super) fn digits(value: f64) -> String {
+/// Formats a number with about three significant digits.
+pub(super) fn number_text(value: f64) -> String {
     let size = value.abs();
     if size > 0.0 && size < 0.095 {
         format!("{value:.2e}")
--- a/lab/src/slopes/measure/bench.rs
+++ b/lab/src/slopes/measure/bench.rs
@@ -6,7 +6,7 @@
 use crate::slopes::endpoints::{Endpoints, list_text, parse_backends, translator};
 use crate::slopes::error::SlopesError;
 use crate::slopes::membership::{Input, MembershipBench, wire_sizes};
-use crate::slopes::memory::heap_of;
+use crate::slopes::memory::heap_bytes;
 use crate::slopes::quantity::Quantity;
 use crate::slopes::scenario::SlopesScenario;
 use crate::slopes::setup::Setup;
@@ -230,8 +230,8 @@
     fn memory(&self, setup: &Setup, seed: u64) -> Result<BTreeMap<Quantity, f64>, SlopesError> {
         let mut subject = self.subject(setup, seed)?;
         subject.proxy.warm_up(self.scenario.load.warm_up_requests);
-        let balancer = heap_of(subject.proxy.into_balancer());
-        let translator = heap_of(subject.translator);
+        let balancer = heap_bytes(subject.proxy.into_balancer());
+        let translator = heap_bytes(subject.translator);
         let mut figures = BTreeMap::new();
         if let (Some(balancer), Some(translator)) = (balancer, translator) {
             figures.insert(Quantity::BalancerMemory, balancer);
@@ -252,7 +252,7 @@
         for &open_requests in &self.scenario.sweeps.open_requests {
             let mut subject = self.subject(&setup, self.seed)?;
             subject.proxy.open_requests(open_requests);
-            if let Some(balancer_memory) = heap_of(subject.proxy.into_balancer()) {
+            if let Some(balancer_memory) = heap_bytes(subject.proxy.into_balancer()) {
                 memory.push(OpenRequestMemory {
                     open_requests,
                     balancer_memory,
--- a/lab/src/slopes/memory.rs
+++ b/lab/src/slopes/memory.rs
@@ -1,24 +1,24 @@
-//! Heap of the decisions and of the translator, by a counting global allocator.
+//! Measures the heap that a value holds, through a counting global allocator.
 //!
-//! The program installs the allocator (`main.rs`); where it is missing, as in tests, nothing is measured.
+//! The `tillerproxy-lab` program installs the allocator (`main.rs`). Without it, as in tests, memory is not measured.
 
 use stats_alloc::INSTRUMENTED_SYSTEM;
 use std::hint::black_box;
 
-/// Bytes of the allocation by which the counting allocator is recognised.
+/// Bytes of the allocation that checks whether the counting allocator is installed.
 const TRIAL_BYTES: usize = 4_096;
 
-/// Returns the bytes that are allocated now, as counted by the allocator.
-fn live_bytes() -> usize {
+/// Returns the bytes allocated at present, as counted by the allocator.
+fn allocated_bytes() -> usize {
     let stats = INSTRUMENTED_SYSTEM.stats();
     stats
         .bytes_allocated
         .saturating_sub(stats.bytes_deallocated)
 }
 
-/// Returns whether the counting allocator is installed.
+/// Reports whether the counting allocator is installed.
 #[must_use]
-pub fn is_counted() -> bool {
+pub fn is_allocator_installed() -> bool {
     let before = INSTRUMENTED_SYSTEM.stats().bytes_allocated;
     let trial = black_box(Vec::<u8>::with_capacity(TRIAL_BYTES));
     let after = INSTRUMENTED_SYSTEM.stats().bytes_allocated;
@@ -26,14 +26,13 @@
     after >= before + TRIAL_BYTES
 }
 
-/// Returns the bytes of heap that `value` alone holds, which are those that its drop frees; `None` without the
-/// counting allocator.
+/// Drops `value` and returns the bytes of heap that the drop frees; `None` without the counting allocator.
 #[must_use]
-pub fn heap_of<T>(value: T) -> Option<f64> {
-    if !is_counted() {
+pub fn heap_bytes<T>(value: T) -> Option<f64> {
+    if !is_allocator_installed() {
         return None;
     }
-    let before = live_bytes();
+    let before = allocated_bytes();
     drop(value);
-    Some(before.saturating_sub(live_bytes()) as f64)
+    Some(before.saturating_sub(allocated_bytes()) as f64)
 }
--- a/lab/src/slopes/mod.rs
+++ b/lab/src/slopes/mod.rs
@@ -1,9 +1,9 @@
-//! The `slopes` experiment: what one proxy's decisions, membership and state cost as backends, proxies,
-//! tenants and classes grow, and what that comes to at the target.
+//! The `slopes` experiment: measures the cost of one proxy's decisions, membership updates and state as backends,
+//! proxies, tenants and classes grow, and compares the cost at the target size with budgets.
 //!
-//! Costs are processor time of the real decision module under load in virtual time ([`virtual_proxy`]) and of
-//! the real translator of discovery's responses ([`membership`]); memory is counted by the allocator
-//! ([`memory`]). Sockets are not part of it.
+//! Costs are the processor time of the real decision module under load in virtual time ([`virtual_proxy`]) and of
+//! the real translator of discovery's responses ([`membership`]). Memory is counted by the global allocator
+//! ([`memory`]). Sockets are not measured.
 
 pub mod analysis;
 pub mod costs;
@@ -36,49 +36,50 @@
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 
-/// Layout of the progress bar.
+/// Template of the progress bar, in the syntax of `indicatif`.
 const PROGRESS_TEMPLATE: &str = "{bar:40} {pos}/{len} {msg} (about {eta} left)";
 
-/// Options of `slopes`.
+/// Command-line options of `slopes`.
 #[derive(Args, Clone, Debug)]
 pub struct SlopesOptions {
     #[command(flatten)]
     common: CommonOptions,
-    /// TOML file with sizes, load, target and budgets; built-in values without one.
+    /// Read sizes, load, target and budgets from this TOML file in place of the built-in values.
     #[arg(long, value_name = "FILE")]
     scenario: Option<PathBuf>,
-    /// Numbers of backends to measure at, ascending, in place of the scenario's.
+    /// Measure at these numbers of backends, ascending, in place of the scenario's.
     #[arg(long, value_delimiter = ',', value_name = "N,N,...",
         value_parser = clap::value_parser!(u32).range(1..=i64::from(MAX_BACKENDS)))]
     sizes: Option<Vec<u32>>,
-    /// Repetitions of each measurement, in place of the scenario's.
+    /// Repeat each measurement this number of times, in place of the scenario's.
     #[arg(long, value_name = "N",
         value_parser = clap::value_parser!(u32).range(1..=i64::from(MAX_REPETITIONS)))]
     repetitions: Option<u32>,
-    /// File that the figures are written to as comma-separated values.
+    /// Write the figures to this file as comma-separated values.
     #[arg(long, value_name = "FILE")]
     csv: Option<PathBuf>,
-    /// SVG file that the costs over the number of backends are plotted to.
+    /// Plot the costs over the number of backends to this SVG file.
     #[arg(long, value_name = "FILE")]
     plot: Option<PathBuf>,
 }
 
-/// What the JSON result holds besides the run and the scenario.
+/// Measured part of the JSON result.
 #[derive(Clone, Debug, Serialize)]
 pub struct SlopesResult {
-    /// The measurements.
+    /// Figures at each measured size.
     pub measurements: Measurements,
-    /// Fits and budgets.
+    /// Fitted curves, and the figures at the target compared with their budgets.
     pub analysis: Analysis,
 }
 
-/// Runs the experiment.
+/// Runs the experiment, prints its report and writes the result files that the options name.
 ///
 /// # Errors
-/// A scenario that makes no sense, a file that can't be written, or settings that the program rejects.
+/// Returns an error if the scenario can't be read or is invalid, a result file can't be written, or the proxy rejects
+/// the settings or an endpoint list that the lab generated.
 pub fn run(options: &SlopesOptions) -> Result<(), LabError> {
     let scenario = options.scenario()?;
-    let progress = options.progress(&scenario);
+    let progress = options.progress_bar(&scenario);
     let result = measure(&scenario, options.common.seed, &progress)?;
     println!("{}", report::text(&result.measurements, &result.analysis));
     if let Some(path) = &options.common.json {
@@ -101,7 +102,7 @@
 /// Measures a scenario and analyses the figures.
 ///
 /// # Errors
-/// Where the program rejects the settings or a list that the lab made.
+/// Returns an error if the proxy rejects the settings or an endpoint list that the lab generated.
 pub fn measure(
     scenario: &SlopesScenario,
     seed: u64,
@@ -117,7 +118,7 @@
 }
 
 impl SlopesOptions {
-    /// Returns the scenario with the values that the command line replaces.
+    /// Reads the scenario and replaces the values that the command line sets.
     fn scenario(&self) -> Result<SlopesScenario, LabError> {
         let mut scenario = match &self.scenario {
             Some(path) => read(path)?,
@@ -137,7 +138,8 @@
         Ok(scenario)
     }
 
-    fn progress(&self, scenario: &SlopesScenario) -> ProgressBar {
+    /// Creates the progress bar, hidden with `--quiet`.
+    fn progress_bar(&self, scenario: &SlopesScenario) -> ProgressBar {
         if self.common.quiet {
             return ProgressBar::hidden();
         }
--- a/lab/src/slopes/plot.rs
+++ b/lab/src/slopes/plot.rs
@@ -1,4 +1,4 @@
-//! The log-log plot of costs over the number of backends, as SVG.
+//! Plots costs over the number of backends as an SVG file with logarithmic axes.
 
 use super::analysis::curve::series;
 use super::measure::{Measurements, Sweep};
@@ -16,15 +16,15 @@
 const LINE_WIDTH: u32 = 2;
 /// Margin around the chart, pixels.
 const PICTURE_MARGIN: u32 = 15;
-/// Family and size of the caption's font.
+/// Font family and size of the caption.
 const CAPTION_FONT: (&str, u32) = ("sans-serif", 20);
 /// Space for the labels of the axes, pixels.
 const LABEL_SPACE: u32 = 60;
-/// Factor by which the axes reach beyond the curves.
+/// Factor by which the axes extend beyond the smallest and the largest value.
 const AXIS_MARGIN: f64 = 1.5;
 
-/// The quantities of the plot.
-const PLOTTED: [Quantity; 7] = [
+/// Quantities that are plotted, in the order of the legend.
+const PLOTTED_QUANTITIES: [Quantity; 7] = [
     Quantity::Request,
     Quantity::RequestEnd,
     Quantity::Entry,
@@ -34,16 +34,17 @@
     Quantity::ListUnchangedFromText,
 ];
 
-/// One curve with its name.
-struct Curve {
+/// A curve of the plot and its label in the legend.
+struct PlottedCurve {
     label: &'static str,
+    /// Points of (backends, nanoseconds).
     points: Vec<(f64, f64)>,
 }
 
-/// Plots the sweep over backends.
+/// Plots the sweep over backends to an SVG file.
 ///
 /// # Errors
-/// [`LabError::Unwritable`] where the file can't be written.
+/// [`LabError::Unwritable`] if the file can't be written.
 pub fn write(path: &Path, measurements: &Measurements) -> Result<(), LabError> {
     draw(path, &curves(measurements)).map_err(|error| LabError::Unwritable {
         path: path.to_owned(),
@@ -51,16 +52,16 @@
     })
 }
 
-fn curves(measurements: &Measurements) -> Vec<Curve> {
+fn curves(measurements: &Measurements) -> Vec<PlottedCurve> {
     let Some(points) = measurements.sweeps.get(&Sweep::Backends) else {
         return Vec::new();
     };
     let mut curves = Vec::new();
-    for quantity in PLOTTED {
+    for quantity in PLOTTED_QUANTITIES {
         let mut points = series(Sweep::Backends, points, quantity);
-        // The axes are logarithmic.
+        // A logarithmic axis can't show 0.
         points.retain(|&(_, cost)| cost > 0.0);
-        curves.push(Curve {
+        curves.push(PlottedCurve {
             label: quantity.label(),
             points,
         });
@@ -68,7 +69,7 @@
     curves
 }
 
-fn draw(path: &Path, curves: &[Curve]) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(path: &Path, curves: &[PlottedCurve]) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(path, PICTURE_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let backends_axis = axis_range(curves, |point| point.0);
@@ -103,8 +104,11 @@
     Ok(())
 }
 
-/// Returns the range of an axis that holds all points.
-fn axis_range(curves: &[Curve], coordinate: impl Fn(&(f64, f64)) -> f64) -> std::ops::Range<f64> {
+/// Returns the range of an axis that contains all points; 1 to 10 without points.
+fn axis_range(
+    curves: &[PlottedCurve],
+    coordinate: impl Fn(&(f64, f64)) -> f64,
+) -> std::ops::Range<f64> {
     let values: Vec<f64> = curves
         .iter()
         .flat_map(|curve| &curve.points)
--- a/lab/src/slopes/quantity.rs
+++ b/lab/src/slopes/quantity.rs
@@ -1,71 +1,71 @@
-//! The quantities that are measured, with their units.
+//! Measured quantities and their units.
 
 use serde::Serialize;
 
-/// What a figure is. Costs are the processor time of one event unless the name says otherwise.
+/// A measured quantity. Costs are the processor time of one event unless the description says otherwise.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Quantity {
-    /// `Event::Request`: the arrival of a request.
+    /// Arrival of a request (`Event::Request`), mean.
     Request,
-    /// `Event::AttemptEnded`: the end of an attempt.
+    /// End of an attempt (`Event::AttemptEnded`), mean.
     RequestEnd,
-    /// All events of a request together: its arrival, its ends and its timers.
+    /// All events of a request together: its arrival, the ends of its attempts and its timers; mean.
     WholeRequest,
     /// Processor time of an arrival, median.
     RequestP50,
     /// Processor time of an arrival, 99th percentile.
     RequestP99,
-    /// Processor time of an end, 99th percentile.
+    /// Processor time of the end of an attempt, 99th percentile.
     RequestEndP99,
-    /// Wall time of an arrival, median. Wall time includes what other processes of the machine take.
+    /// Wall time of an arrival, median. Wall time includes the time that other processes take on the machine.
     RequestWallP50,
     /// Wall time of an arrival, 99th percentile.
     RequestWallP99,
-    /// Wall time of an end, 99th percentile.
+    /// Wall time of the end of an attempt, 99th percentile.
     RequestEndWallP99,
-    /// A delta of one endpoint, mean over the kinds of change below.
+    /// Membership delta of one endpoint, mean over the five kinds of change below.
     Entry,
-    /// A delta of one: a backend begins to drain.
+    /// Delta of one endpoint that begins to drain.
     EntryDrain,
-    /// A delta of one: a draining backend is ready again.
+    /// Delta of one draining endpoint that becomes ready again.
     EntryReady,
-    /// A delta of one: a backend has a new process.
+    /// Delta of one endpoint whose process has restarted.
     EntryRestart,
-    /// A delta of one: a backend is removed.
+    /// Delta of one endpoint that is removed.
     #[serde(rename = "entry_gone")]
     EntryRemove,
-    /// A delta of one: a backend joins.
+    /// Delta of one endpoint that joins.
     EntryJoin,
-    /// A delta of all endpoints of a zone, draining or ready again.
+    /// Delta of all endpoints of a zone, which begin to drain or become ready again.
     ZoneDelta,
-    /// A complete list without a change.
+    /// Complete list that equals the list before.
     ListUnchanged,
-    /// A complete list without any of the backends of the one before.
+    /// Complete list that has no backend in common with the list before.
     ListReplaced,
-    /// As [`Quantity::Entry`], from the JSON text of discovery's response.
+    /// [`Quantity::Entry`] including the translation of discovery's JSON response.
     EntryFromText,
-    /// As [`Quantity::ZoneDelta`], from text.
+    /// [`Quantity::ZoneDelta`] including the translation of the response.
     ZoneDeltaFromText,
-    /// As [`Quantity::ListUnchanged`], from text.
+    /// [`Quantity::ListUnchanged`] including the translation of the response.
     ListUnchangedFromText,
-    /// As [`Quantity::ListReplaced`], from text.
+    /// [`Quantity::ListReplaced`] including the translation of the response.
     ListReplacedFromText,
-    /// Bytes of one endpoint in a list.
+    /// Bytes of one endpoint in the body of a response.
     EntryBytes,
-    /// Bytes of the body of a delta of one.
+    /// Bytes of the body of a delta of one endpoint.
     DeltaOfOneBytes,
     /// Bytes of the body of a zone's delta.
     ZoneDeltaBytes,
     /// Bytes of the body of a complete list.
     ListBytes,
-    /// Heap of the decisions under load.
+    /// Bytes of heap of the balancer under load.
     BalancerMemory,
-    /// Heap of the translator of discovery's responses.
+    /// Bytes of heap of the translator of discovery's responses.
     TranslatorMemory,
 }
 
-/// Unit of a quantity.
+/// Unit of a [`Quantity`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unit {
@@ -108,7 +108,7 @@
         Self::TranslatorMemory,
     ];
 
-    /// Returns its unit.
+    /// Returns the unit of the quantity.
     #[must_use]
     pub fn unit(self) -> Unit {
         match self {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns its name in tables.
+    /// Returns the name of the quantity in tables.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Returns its name in files, as in the JSON result.
+    /// Returns the name of the quantity in result files, which is its serialized name.
     #[must_use]
     pub fn key(self) -> String {
         serde_json::to_value(self)
--- a/lab/src/slopes/report.rs
+++ b/lab/src/slopes/report.rs
@@ -4,7 +4,7 @@
 use super::analysis::assessment::{Assessment, Verdict};
 use super::analysis::curve::Curve;
 use super::fit::Model;
-use super::format::{bytes_text, digits, value_text};
+use super::format::{bytes_text, number_text, value_text};
 use super::measure::{Measurements, Point, Sweep};
 use super::quantity::{Quantity, Unit};
 use super::setup::Setup;
@@ -272,7 +272,7 @@
     for assessment in assessments {
         let unit = assessment.unit.label();
         let show = |value: Option<f64>| match value {
-            Some(value) => format!("{} {unit}", digits(value)),
+            Some(value) => format!("{} {unit}", number_text(value)),
             None => "-".to_owned(),
         };
         table.add_row(vec![
@@ -289,7 +289,7 @@
 fn verdict_text(verdict: Verdict) -> String {
     match verdict {
         Verdict::Within => "within".to_owned(),
-        Verdict::Over(times) => format!("over, {} times", digits(times)),
+        Verdict::Over(times) => format!("over, {} times", number_text(times)),
         Verdict::Unlimited => "no budget".to_owned(),
         Verdict::NotMeasured => "not measured".to_owned(),
     }
--- a/lab/src/slopes/setup.rs
+++ b/lab/src/slopes/setup.rs
@@ -1,4 +1,4 @@
-//! The size at which one measurement is made, and the module settings of a proxy at that size.
+//! The size of a measurement, and the settings of the measured proxy at that size.
 
 use super::scenario::{FleetShape, Load};
 use serde::Serialize;
@@ -6,32 +6,32 @@
 use tillerproxy::api::Settings;
 use tillerproxy::simulator::{ParseSettingsError, parse_settings};
 
-/// Sum of the tenants' quotas, as a multiple of the requests that all proxies get.
-const QUOTA_HEADROOM: f64 = 1.2;
+/// Sum of the tenants' quotas, as a multiple of the requests that all proxies receive.
+const QUOTA_HEADROOM_FACTOR: f64 = 1.2;
 
-/// Letters that name zones; the scenario allows no more zones.
-const LETTERS: u32 = 26;
+/// Number of letters, each of which names a zone; scenarios allow at most this number of zones.
+const ZONE_LETTERS: u32 = 26;
 
 /// The size of one measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Setup {
-    /// Backends.
+    /// Number of backends.
     pub backends: u32,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: u32,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: u32,
-    /// Request classes.
+    /// Number of request classes.
     pub classes: u32,
-    /// Mean arrivals a second at the measured proxy.
+    /// Mean arrival rate at the measured proxy, requests per second.
     pub requests_per_second: f64,
 }
 
 impl Setup {
-    /// Returns the settings of the measured proxy, parsed by the program's own parser.
+    /// Returns the settings of the measured proxy, parsed by tillerproxy's own parser.
     ///
     /// # Errors
-    /// The setting that the parser rejects.
+    /// Returns the setting that the parser rejects.
     pub fn settings(
         &self,
         fleet: &FleetShape,
@@ -70,12 +70,12 @@
         })
     }
 
-    /// Returns tenants whose quotas are in proportion to the requests that they send.
+    /// Returns the tenants' settings; each quota is in proportion to the requests that the tenant sends.
     fn tenants_json(&self, load: &Load) -> Vec<Value> {
         let weights: Vec<f64> = (1..=self.tenants)
             .map(|rank| f64::from(rank).powf(-load.tenant_skew))
             .collect();
-        let total_rate = self.requests_per_second * f64::from(self.proxies) * QUOTA_HEADROOM;
+        let total_rate = self.requests_per_second * f64::from(self.proxies) * QUOTA_HEADROOM_FACTOR;
         let total_weight: f64 = weights.iter().sum();
         weights
             .iter()
@@ -84,7 +84,7 @@
     }
 }
 
-/// Returns the names of the zones, from `a`.
+/// Returns the names of all zones: `a`, `b` and so on.
 #[must_use]
 pub fn zone_names(fleet: &FleetShape) -> Vec<String> {
     (0..fleet.zones).map(zone_name).collect()
@@ -93,12 +93,12 @@
 /// Returns the name of one zone.
 #[must_use]
 pub fn zone_name(zone: u32) -> String {
-    char::from_digit(10 + zone % LETTERS, 10 + LETTERS)
+    char::from_digit(10 + zone % ZONE_LETTERS, 10 + ZONE_LETTERS)
         .unwrap_or('a')
         .to_string()
 }
 
-/// Returns the names of the machine types, from `m1`.
+/// Returns the names of all machine types: `m1`, `m2` and so on.
 #[must_use]
 pub fn machine_type_names(fleet: &FleetShape) -> Vec<String> {
     (0..fleet.machine_types).map(machine_type_name).collect()
@@ -110,9 +110,9 @@
     format!("m{}", machine_type + 1)
 }
 
-/// Returns a class: idempotent, with idempotency keys, and not idempotent, in turn.
-fn class_json(number: u32) -> Value {
-    let (effect, group) = match number % 3 {
+/// Returns the settings of a class. Classes are idempotent, keyed and non-idempotent in turn.
+fn class_json(class: u32) -> Value {
+    let (effect, group) = match class % 3 {
         0 => ("retryable", ""),
         1 => ("dedup", "all"),
         _ => ("fragile", ""),
--- a/lab/src/slopes/stopwatch.rs
+++ b/lab/src/slopes/stopwatch.rs
@@ -1,13 +1,13 @@
-//! Processor time of the calling thread and its summary over repetitions.
+//! Measures processor time of the calling thread, and summarises values over repetitions.
 
 use cpu_time::ThreadTime;
 use serde::Serialize;
 use std::time::Duration;
 
-/// Readings of which the median is the cost of a reading.
+/// Clock readings in a calibration; odd, so that one of them is the median.
 const CALIBRATION_READINGS: usize = 1_001;
 
-/// Measures processor time (`CLOCK_THREAD_CPUTIME_ID`), less the cost of a reading of that clock. The default
+/// Measures processor time (`CLOCK_THREAD_CPUTIME_ID`), less the cost of reading that clock. The default stopwatch
 /// subtracts nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stopwatch {
@@ -15,7 +15,7 @@
 }
 
 impl Stopwatch {
-    /// Measures the cost of a reading: the median of many that have nothing between them.
+    /// Creates a stopwatch that subtracts the cost of a clock reading: the median of many back-to-back readings.
     #[must_use]
     pub fn calibrated() -> Self {
         let mut readings: Vec<Duration> = (0..CALIBRATION_READINGS)
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the cost of a reading, which is subtracted from every measured time.
+    /// Returns the cost of a clock reading, which is subtracted from every measured time.
     #[must_use]
     pub fn overhead(&self) -> Duration {
         self.overhead
@@ -41,23 +41,23 @@
     }
 }
 
-/// One quantity over the repetitions.
+/// Summary of one quantity over the repetitions.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
-    /// The median.
+    /// Median of the repetitions.
     pub median: f64,
-    /// The minimum.
+    /// Minimum of the repetitions.
     #[serde(rename = "least")]
     pub min: f64,
-    /// The maximum.
+    /// Maximum of the repetitions.
     #[serde(rename = "greatest")]
     pub max: f64,
-    /// Each repetition, in their order.
+    /// Value of each repetition, in order.
     pub values: Vec<f64>,
 }
 
 impl Summary {
-    /// Summarises the repetitions; `None` where there are none.
+    /// Summarises the values of the repetitions; `None` without values.
     #[must_use]
     pub fn of(values: Vec<f64>) -> Option<Self> {
         let mut sorted = values.clone();
@@ -65,14 +65,14 @@
         let min = *sorted.first()?;
         let max = *sorted.last()?;
         Some(Self {
-            median: median_of(&sorted),
+            median: median_of_sorted(&sorted),
             min,
             max,
             values,
         })
     }
 
-    /// Returns half the range over the median; 0 where the median is not above 0.
+    /// Returns half the range as a fraction of the median; 0 if the median is not above 0.
     #[must_use]
     pub fn spread(&self) -> f64 {
         if self.median > 0.0 {
@@ -83,8 +83,8 @@
     }
 }
 
-/// Returns the median of sorted values, of which there is at least one.
-fn median_of(sorted: &[f64]) -> f64 {
+/// Returns the median of at least one value, sorted.
+fn median_of_sorted(sorted: &[f64]) -> f64 {
     let middle = sorted.len() / 2;
     if sorted.len() % 2 == 0 {
         (sorted[middle - 1] + sorted[middle]) / 2.0
--- a/lab/src/slopes/virtual_proxy/mod.rs
+++ b/lab/src/slopes/virtual_proxy/mod.rs
@@ -88,7 +88,7 @@
     /// Lets this number of requests arrive, with all that happens meanwhile, and measures that.
     pub fn serve(&mut self, requests: u32, stopwatch: &Stopwatch, costs: &mut DecisionCosts) {
         let end = self.counts.requests + u64::from(requests);
-        for timing in Timing::MEASURED.into_iter().cycle() {
+        for timing in Timing::ROTATION.into_iter().cycle() {
             if self.counts.requests >= end {
                 return;
             }
