--- a/lab/src/slopes/membership/change.rs
+++ b/lab/src/slopes/membership/change.rs
@@ -1,4 +1,4 @@
-//! The changes of a single endpoint that are measured.
+//! Measured changes of a single endpoint.
 
 use crate::slopes::endpoints::{Endpoint, EndpointState};
 use crate::slopes::quantity::Quantity;
@@ -6,20 +6,20 @@
 /// A change of one endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum EndpointChange {
-    /// It begins to drain.
+    /// The endpoint begins to drain.
     Drain,
-    /// It takes requests again.
+    /// The draining endpoint becomes ready again.
     Ready,
-    /// It has a new process.
+    /// The endpoint's process restarts.
     Restart,
-    /// It is removed.
+    /// The endpoint is removed.
     Remove,
-    /// It joins.
+    /// The removed endpoint joins with a new process.
     Join,
 }
 
 impl EndpointChange {
-    /// In the order of a backend's life; after all of them the endpoint is listed again.
+    /// Every change, in the order in which they are applied to an endpoint; after the last one it is listed again.
     pub(super) const ALL: [Self; 5] = [
         Self::Drain,
         Self::Ready,
@@ -28,7 +28,7 @@
         Self::Join,
     ];
 
-    /// Returns the quantity that is its cost.
+    /// Returns the quantity that records the cost of the change.
     pub(super) fn quantity(self) -> Quantity {
         match self {
             Self::Drain => Quantity::EntryDrain,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the endpoint after the change, which happens at this Unix time.
+    /// Returns the endpoint after the change. `unix_ms` is the Unix time at which a new process starts.
     pub(super) fn apply(self, endpoint: &Endpoint, unix_ms: u64) -> Endpoint {
         match self {
             Self::Drain => endpoint.in_state(EndpointState::Draining),
--- a/lab/src/slopes/membership/mod.rs
+++ b/lab/src/slopes/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Cost of membership changes: of single endpoints, of a zone, and of whole lists.
+//! Measures the cost of membership changes: of single endpoints, of a zone, and of complete lists.
 //!
-//! Each is measured twice: for the decisions alone, and from the JSON text of discovery's response through the
-//! program's own translator.
+//! Each change is measured twice: for the decisions alone, and for the decisions together with tillerproxy's own
+//! translator of discovery's JSON responses.
 
 mod change;
 
@@ -18,25 +18,25 @@
 use tillerproxy::api::{Backend, MembershipEvent};
 use tillerproxy::proxy::discovery::{DiscoveryError, Translator};
 
-/// Requests between two changes, so that the load stays typical.
-const REQUESTS_BETWEEN: u32 = 20;
-/// Fleets smaller than this have their zones and lists measured more often, as that takes little time.
-const FULL_FLEET: u32 = 1_000;
-/// How many times as often at most.
-const MAX_REPEATS: u32 = 25;
-/// The zone that changes as a whole; the measured proxy is in zone 0.
+/// Requests that arrive between two measured batches of responses, which keep the proxy under load.
+const REQUESTS_BETWEEN_CHANGES: u32 = 20;
+/// Number of backends below which changes of zones and lists are measured more often, since they take little time.
+const LARGE_FLEET_BACKENDS: u32 = 1_000;
+/// Largest factor by which changes of zones and lists are measured more often in small fleets.
+const MAX_REPEAT_FACTOR: u32 = 25;
+/// Zone that changes as a whole; the measured proxy is in zone 0.
 const CHANGED_ZONE: u32 = 1;
 
-/// The form in which a change is handed to the program.
+/// Part of the proxy that is measured, by the form of its input.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Input {
-    /// Backends, for the decisions.
+    /// Parsed backends: measures the decisions alone.
     Backends,
-    /// The text of a response, for the translator.
+    /// Text of a response: measures the translator and the decisions.
     Text,
 }
 
-/// The quantities that changes of a zone and of whole lists are the cost of.
+/// Quantities that record the cost of changes of a zone and of complete lists.
 struct ListQuantities {
     zone_delta: Quantity,
     list_unchanged: Quantity,
@@ -44,6 +44,7 @@
 }
 
 impl Input {
+    /// Returns the quantities that record costs with this input.
     fn list_quantities(self) -> ListQuantities {
         match self {
             Self::Backends => ListQuantities {
@@ -60,13 +61,16 @@
     }
 }
 
-/// The body of one response of discovery.
+/// A response of discovery.
 struct Response {
+    /// Whether the response holds the complete list rather than a delta.
     complete: bool,
+    /// JSON body.
     text: Vec<u8>,
 }
 
 impl Response {
+    /// Returns the balancer's event for the backends parsed from this response.
     fn event<'a>(&self, backends: &'a [Backend]) -> MembershipEvent<'a> {
         if self.complete {
             MembershipEvent::Full(backends)
@@ -76,7 +80,7 @@
     }
 }
 
-/// Processor time summed over changes.
+/// Processor time of a number of changes.
 #[derive(Clone, Copy, Default)]
 struct TotalCost {
     time: Duration,
@@ -89,23 +93,24 @@
         self.changes += u32::try_from(changes).unwrap_or(u32::MAX);
     }
 
-    /// Returns the nanoseconds of one change on average.
-    fn mean(&self) -> f64 {
+    /// Returns the mean processor time of a change in nanoseconds; 0 without changes.
+    fn mean_nanoseconds(&self) -> f64 {
         self.time.as_nanos() as f64 / f64::from(self.changes.max(1))
     }
 }
 
-/// A measured proxy together with the state of discovery.
+/// Measures membership changes of one proxy.
 pub struct MembershipBench<'a> {
     proxy: &'a mut VirtualProxy,
     translator: &'a mut Translator,
     stopwatch: &'a Stopwatch,
     random: &'a mut SmallRng,
+    /// Revision of the latest response.
     revision: u64,
 }
 
 impl<'a> MembershipBench<'a> {
-    /// Makes a bench for a proxy that has read the list that `translator` has parsed, in revision 1.
+    /// Creates a bench for a proxy that has received the list in revision 1, parsed by `translator`.
     pub fn new(
         proxy: &'a mut VirtualProxy,
         translator: &'a mut Translator,
@@ -121,11 +126,11 @@
         }
     }
 
-    /// Measures the nanoseconds of processor time of each kind of change. `endpoints` are those that the proxy
-    /// has; `replacements` are as many others. Afterwards the proxy has `endpoints` again.
+    /// Measures the mean processor time of each kind of change in nanoseconds. `endpoints` are those that the proxy
+    /// has, before and after the measurement; `replacements` are the same number of other endpoints.
     ///
     /// # Errors
-    /// Where the translator rejects a response.
+    /// Returns an error if the translator rejects a response.
     pub fn measure(
         &mut self,
         input: Input,
@@ -133,23 +138,23 @@
         replacements: &Endpoints,
         changes: &Changes,
     ) -> Result<BTreeMap<Quantity, f64>, DiscoveryError> {
-        let repeats = repeats(endpoints);
-        let zone_count = changes.zones * repeats;
-        let list_count = changes.lists * repeats;
+        let repeat_factor = repeat_factor(endpoints);
+        let zone_count = changes.zones * repeat_factor;
+        let list_count = changes.lists * repeat_factor;
         let quantities = input.list_quantities();
-        let mut figures = self.endpoint_changes(input, endpoints, changes.entries)?;
-        let zone_delta = self.zone_changes(input, endpoints, zone_count)?;
-        let unchanged = self.unchanged_lists(input, endpoints, list_count)?;
-        let replaced = self.replaced_lists(input, endpoints, replacements, list_count)?;
+        let mut figures = self.measure_endpoint_changes(input, endpoints, changes.entries)?;
+        let zone_delta = self.measure_zone_changes(input, endpoints, zone_count)?;
+        let unchanged = self.measure_unchanged_lists(input, endpoints, list_count)?;
+        let replaced = self.measure_replaced_lists(input, endpoints, replacements, list_count)?;
         figures.insert(quantities.zone_delta, zone_delta);
         figures.insert(quantities.list_unchanged, unchanged);
         figures.insert(quantities.list_replaced, replaced);
         Ok(figures)
     }
 
-    /// Measures deltas of one endpoint, at least `min_count` of each kind. From text only the mean over the
-    /// kinds is returned.
-    fn endpoint_changes(
+    /// Measures deltas of one endpoint, at least `min_count` of each kind of change. With [`Input::Text`] only the mean
+    /// over the kinds is returned.
+    fn measure_endpoint_changes(
         &mut self,
         input: Input,
         endpoints: &Endpoints,
@@ -174,8 +179,9 @@
         Ok(endpoint_figures(input, &totals))
     }
 
-    /// Measures changes of a whole zone, which drains and is ready again in turn.
-    fn zone_changes(
+    /// Measures `count` changes of a whole zone, which alternately begins to drain and becomes ready again. Returns the
+    /// mean in nanoseconds.
+    fn measure_zone_changes(
         &mut self,
         input: Input,
         endpoints: &Endpoints,
@@ -191,11 +197,11 @@
             let response = self.delta(&endpoints.of_zone(CHANGED_ZONE, state));
             total.add(self.process(input, &[response])?, 1);
         }
-        Ok(total.mean())
+        Ok(total.mean_nanoseconds())
     }
 
-    /// Measures a whole list after the same list.
-    fn unchanged_lists(
+    /// Measures `count` complete lists that equal the list before. Returns the mean in nanoseconds.
+    fn measure_unchanged_lists(
         &mut self,
         input: Input,
         endpoints: &Endpoints,
@@ -208,8 +214,9 @@
         Ok(time.as_nanos() as f64 / f64::from(count))
     }
 
-    /// Measures a whole list after one that has no backend in common with it. Ends with `endpoints`.
-    fn replaced_lists(
+    /// Measures at least `count` complete lists that have no backend in common with the list before; the last one is
+    /// `endpoints`. Returns the mean in nanoseconds.
+    fn measure_replaced_lists(
         &mut self,
         input: Input,
         endpoints: &Endpoints,
@@ -223,9 +230,10 @@
                 total.add(self.process(input, &[response])?, 1);
             }
         }
-        Ok(total.mean())
+        Ok(total.mean_nanoseconds())
     }
 
+    /// Creates the next response, a delta of these endpoints.
     fn delta(&mut self, endpoints: &[Endpoint]) -> Response {
         self.revision += 1;
         Response {
@@ -234,6 +242,7 @@
         }
     }
 
+    /// Creates the next response, a complete list.
     fn complete_list(&mut self, endpoints: &Endpoints) -> Response {
         self.revision += 1;
         Response {
@@ -242,8 +251,8 @@
         }
     }
 
-    /// Hands these responses to the proxy, one after another, and returns the processor time that it takes.
-    /// Lets requests arrive afterwards.
+    /// Processes the responses in order and returns the processor time that this takes. Requests arrive afterwards,
+    /// which is not measured.
     fn process(
         &mut self,
         input: Input,
@@ -253,11 +262,11 @@
             Input::Backends => self.process_backends(responses)?,
             Input::Text => self.process_text(responses)?,
         };
-        self.proxy.warm_up(REQUESTS_BETWEEN);
+        self.proxy.warm_up(REQUESTS_BETWEEN_CHANGES);
         Ok(time)
     }
 
-    /// Measures the decisions alone; the responses are parsed before.
+    /// Measures the decisions alone; the responses are parsed beforehand.
     fn process_backends(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
         let mut parsed = Vec::new();
         for response in responses {
@@ -276,15 +285,16 @@
     fn process_text(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
         let proxy = &mut *self.proxy;
         let translator = &mut *self.translator;
-        let mut outcome = Ok(());
+        let mut result = Ok(());
         let time = self.stopwatch.time(|| {
-            outcome = process_texts(proxy, translator, responses);
+            result = process_texts(proxy, translator, responses);
         });
-        outcome?;
+        result?;
         Ok(time)
     }
 }
 
+/// Parses each response and updates the proxy's membership.
 fn process_texts(
     proxy: &mut VirtualProxy,
     translator: &mut Translator,
@@ -297,12 +307,12 @@
     Ok(())
 }
 
-/// Returns the mean cost of each kind of change, and that over the kinds.
+/// Returns the mean over the kinds of change and, with [`Input::Backends`], the mean of each kind, in nanoseconds.
 fn endpoint_figures(
     input: Input,
     totals: &[TotalCost; EndpointChange::ALL.len()],
 ) -> BTreeMap<Quantity, f64> {
-    let mean = totals.iter().map(TotalCost::mean).sum::<f64>() / totals.len() as f64;
+    let mean = totals.iter().map(TotalCost::mean_nanoseconds).sum::<f64>() / totals.len() as f64;
     let mut figures = BTreeMap::new();
     match input {
         Input::Text => {
@@ -311,28 +321,28 @@
         Input::Backends => {
             figures.insert(Quantity::Entry, mean);
             for (change, total) in EndpointChange::ALL.into_iter().zip(totals) {
-                figures.insert(change.quantity(), total.mean());
+                figures.insert(change.quantity(), total.mean_nanoseconds());
             }
         }
     }
     figures
 }
 
-/// Returns how many times as often as the scenario says zones and lists of a fleet are measured.
-fn repeats(endpoints: &Endpoints) -> u32 {
+/// Returns the factor by which changes of zones and lists are measured more often than the scenario says.
+fn repeat_factor(endpoints: &Endpoints) -> u32 {
     let backends = endpoints.all().len().max(1) as u32;
-    (FULL_FLEET / backends).clamp(1, MAX_REPEATS)
+    (LARGE_FLEET_BACKENDS / backends).clamp(1, MAX_REPEAT_FACTOR)
 }
 
-/// Returns the bytes of discovery's responses, without heads: an endpoint, a delta of one, a zone's delta, and
-/// a whole list.
+/// Returns the body sizes of discovery's responses in bytes: per endpoint, of a delta of one endpoint, of a delta of a
+/// zone, and of a complete list. HTTP heads are not included.
 #[must_use]
 pub fn wire_sizes(endpoints: &Endpoints) -> BTreeMap<Quantity, f64> {
     let length = |complete, members: &[Endpoint]| list_text(1, complete, members).len() as f64;
     let all = endpoints.all();
     let list = length(true, all);
     let empty_list = length(true, &[]);
-    // One more comma than the list has makes one for each endpoint.
+    // A list has one comma less than endpoints; adding 1 counts a comma for each endpoint.
     let per_endpoint = (list - empty_list + 1.0) / all.len() as f64;
     let zone = endpoints.of_zone(CHANGED_ZONE, EndpointState::Draining);
     BTreeMap::from([
--- a/lab/src/slopes/scenario/defaults.rs
+++ b/lab/src/slopes/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! The built-in values of a scenario, which `lab/scenarios/slopes.toml` repeats.
+//! Built-in values of a scenario. `lab/scenarios/slopes.toml` holds the same values.
 
 use super::{Budgets, Changes, FleetShape, Load, SlopesScenario, Sweeps, Target};
 
--- a/lab/src/slopes/scenario/mod.rs
+++ b/lab/src/slopes/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenario of the `slopes` experiment: what is swept, the load, the target and its budgets.
+//! Scenario of the `slopes` experiment: measured sizes, load, target size and budgets.
 
 mod defaults;
 mod validation;
@@ -7,85 +7,85 @@
 
 use serde::{Deserialize, Serialize};
 
-/// All figures of a run of `slopes`; keys that a file leaves out have the built-in values.
+/// Settings of a run of `slopes`. Keys that a scenario file leaves out have the built-in values.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SlopesScenario {
-    /// Numbers of backends to measure at, ascending.
+    /// Numbers of backends at which costs are measured, ascending.
     pub sizes: Vec<u32>,
-    /// How often each measurement is repeated, each time with a new balancer.
+    /// Number of repetitions of each measurement, each with a new balancer.
     pub repetitions: u32,
-    /// The requests of the measured proxy.
+    /// Requests of the measured proxy.
     pub load: Load,
-    /// Sizes of the fleet beside the swept number.
+    /// Sizes of the fleet that are not swept.
     pub fleet: FleetShape,
-    /// How many membership changes one repetition measures.
+    /// Numbers of membership changes in one repetition.
     pub changes: Changes,
     /// Sweeps over tenants, classes, proxies and open requests.
     pub sweeps: Sweeps,
-    /// The size that results are extrapolated to.
+    /// Size of the target fleet, which is measured and to which the fits are extrapolated.
     pub target: Target,
-    /// What the target may cost.
+    /// Budgets of the costs at the target.
     pub budgets: Budgets,
 }
 
-/// The requests of the measured proxy.
+/// Requests of the measured proxy.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Mean arrivals a second; they are a Poisson process.
+    /// Mean arrival rate of a Poisson process, requests per second.
     pub requests_per_second: f64,
-    /// Mean service time, milliseconds: half of it is constant, half exponentially distributed.
+    /// Mean service time in milliseconds; half of it is constant, half is exponentially distributed.
     pub latency_ms: f64,
-    /// Requests before the measurement begins.
+    /// Requests that arrive before the measurement begins.
     pub warm_up_requests: u32,
-    /// Requests that are measured in one repetition.
+    /// Least number of requests that one repetition measures.
     pub measured_requests: u32,
-    /// Mean number of requests that arrive between two readings of the clock; fewer where they take longer
-    /// than 50 ms to arrive.
+    /// Mean number of requests in a batch, which arrive at the same virtual time. Batches are at most 50 ms apart, so
+    /// they are smaller at low rates.
     pub batch_requests: f64,
-    /// Exponent of the Zipf distribution of requests over tenants; 0 spreads them evenly.
+    /// Exponent of the Zipf distribution of requests over tenants; 0 is a uniform distribution.
     pub tenant_skew: f64,
-    /// Time that the proxy has run when its first request arrives, in seconds. The tenants' token buckets start
-    /// nearly empty, and only a request without a token is compared with the demand of all tenants: at 0 that
-    /// is nearly every request of a small tenant.
+    /// Time since the proxy's start when its first request arrives, in seconds. The tenants' token buckets are nearly
+    /// empty at start, and a request is compared with the demand of all tenants only if it gets no token. At 0 seconds
+    /// this applies to nearly every request of a small tenant.
     pub proxy_age_seconds: f64,
 }
 
-/// Sizes of the fleet beside the swept number.
+/// Sizes of the fleet that are not swept.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetShape {
-    /// Zones; backends are assigned to them in turn.
+    /// Number of zones; backends are assigned to them in turn.
     pub zones: u32,
-    /// Machine types.
+    /// Number of machine types.
     #[serde(rename = "kinds")]
     pub machine_types: u32,
-    /// Tenants where they are not swept.
+    /// Number of tenants, outside the sweep over tenants.
     pub tenants: u32,
-    /// Request classes where they are not swept.
+    /// Number of request classes, outside the sweep over classes.
     pub classes: u32,
-    /// Least number of proxies; otherwise they are in proportion to the backends, as at the target.
+    /// Least number of proxies. Above it, proxies and backends have the same ratio as at the target.
     pub least_proxies: u32,
 }
 
-/// How many membership changes one repetition measures.
+/// Numbers of membership changes in one repetition.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Changes {
-    /// Changes of a single entry, of each kind.
+    /// Changes of a single endpoint, of each kind.
     pub entries: u32,
-    /// Changes of a whole zone; up to 25 times as many in fleets of under 1,000 backends.
+    /// Changes of a whole zone; up to 25 times this number in fleets of fewer than 1,000 backends.
     pub zones: u32,
-    /// Whole lists, of each kind; more in small fleets as well.
+    /// Complete lists, of each kind; up to 25 times this number in fleets of fewer than 1,000 backends.
     pub lists: u32,
 }
 
-/// Sweeps over other numbers than that of backends.
+/// Sweeps over sizes other than the number of backends.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Sweeps {
-    /// Backends while tenants and classes are swept.
+    /// Number of backends in the sweeps over tenants and classes.
     pub backends: u32,
     /// Numbers of tenants, ascending.
     pub tenants: Vec<u32>,
@@ -97,60 +97,60 @@
     pub open_requests: Vec<u32>,
 }
 
-/// The size that results are extrapolated to.
+/// Size of the target fleet, which is measured and to which the fits are extrapolated.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Target {
-    /// Backends.
+    /// Number of backends.
     pub backends: u32,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: u32,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: u32,
-    /// Request classes.
+    /// Number of request classes.
     pub classes: u32,
-    /// Requests a second at one proxy, in the mean over the proxies.
+    /// Requests per second at one proxy, mean over the proxies.
     pub requests_per_second: f64,
-    /// Rate of a hot proxy, as a multiple of the mean.
+    /// Request rate of a hot proxy, as a multiple of the mean rate.
     pub hot_factor: f64,
-    /// Changes of configuration a day.
+    /// Changes of configuration per day.
     pub configuration_changes_per_day: f64,
-    /// Changed entries of the list of backends a day.
+    /// Changed endpoints per day.
     pub entry_changes_per_day: f64,
-    /// Changed entries a second while many backends restart.
+    /// Changed endpoints per second while many backends restart.
     pub burst_changes_per_second: f64,
     /// The two numbers of backends whose costs are compared.
     pub ratio_sizes: [u32; 2],
 }
 
-/// What the target may cost.
+/// Budgets of the costs at the target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Budgets {
-    /// Milliseconds added to a request at its 99th percentile.
+    /// Latency that the proxy adds to a request, 99th percentile in milliseconds.
     pub added_ms: f64,
-    /// Percent of a core for control work.
+    /// Processor time of membership and configuration changes, percent of a core.
     pub control_core_percent: f64,
-    /// Memory of one proxy, megabytes of 10^6 bytes.
+    /// Memory of one proxy in megabytes (10^6 bytes).
     pub memory_mb: f64,
-    /// Control bytes a second to one proxy.
+    /// Traffic from discovery to one proxy, bytes per second.
     pub control_bytes_per_second: f64,
-    /// Seconds until a list is in force.
+    /// Time until a proxy has applied a list, seconds.
     pub list_seconds: f64,
     /// File descriptors of one proxy.
     pub descriptors: f64,
-    /// A request's cost at the larger of the two compared sizes over that at the smaller.
+    /// Cost of a request at the larger of the two compared sizes, as a multiple of the cost at the smaller.
     pub request_ratio: f64,
-    /// The same of one changed entry.
+    /// Cost of one changed endpoint at the larger of the two compared sizes, as a multiple of the cost at the smaller.
     pub entry_ratio: f64,
 }
 
 impl SlopesScenario {
-    /// Returns the number of proxies of a fleet with this number of backends: in proportion, as at the target.
+    /// Returns the number of proxies for this number of backends, at the target's ratio of proxies to backends.
     #[must_use]
     pub fn proxies_for(&self, backends: u32) -> u32 {
-        let per_backend = f64::from(self.target.proxies) / f64::from(self.target.backends);
-        let proportional = (f64::from(backends) * per_backend).round() as u32;
+        let proxies_per_backend = f64::from(self.target.proxies) / f64::from(self.target.backends);
+        let proportional = (f64::from(backends) * proxies_per_backend).round() as u32;
         proportional.max(self.fleet.least_proxies)
     }
 }
