--- a/lab/src/slopes/analysis/assessment.rs
+++ b/lab/src/slopes/analysis/assessment.rs
@@ -1,4 +1,4 @@
-//! A figure at the target beside its budget.
+//! Assessments: figures at the target, compared with their budgets.
 
 use serde::Serialize;
 
@@ -12,18 +12,18 @@
     PercentOfCore,
     /// Megabytes.
     Megabytes,
-    /// Bytes a second.
+    /// Bytes per second.
     BytesPerSecond,
     /// Seconds.
     Seconds,
-    /// A number of descriptors.
+    /// Number of file descriptors.
     Descriptors,
-    /// A ratio of two costs.
+    /// Ratio of two costs.
     Times,
 }
 
 impl FigureUnit {
-    /// Returns its abbreviation.
+    /// Returns the abbreviation of the unit in reports.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -38,38 +38,38 @@
     }
 }
 
-/// Whether a figure keeps its budget.
+/// Result of comparing a figure with its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It does.
+    /// The figure is at most the budget.
     Within,
-    /// It is that many times the budget.
+    /// The figure exceeds the budget; holds the figure as a multiple of the budget.
     Over(f64),
-    /// It has no budget.
+    /// The figure has no budget.
     Unlimited,
-    /// It was not measured.
+    /// The figure was neither measured nor fitted.
     NotMeasured,
 }
 
-/// A figure at the target beside its budget.
+/// A figure at the target, compared with its budget.
 #[derive(Clone, Debug, Serialize)]
 pub struct Assessment {
-    /// What it is.
+    /// Name of the figure in reports.
     pub name: &'static str,
-    /// The figure measured at the target; `None` where it was not.
+    /// Figure measured at the target; `None` if it was not measured.
     pub measured: Option<f64>,
-    /// The same figure by the fits over the sweeps; `None` where it has none.
+    /// Figure at the target by the fits over the sweeps; `None` without a fit.
     pub fitted: Option<f64>,
-    /// Its budget, if it has one.
+    /// Budget of the figure; `None` for a figure without a budget.
     pub budget: Option<f64>,
-    /// The unit of all three.
+    /// Unit of the figure and of its budget.
     pub unit: FigureUnit,
-    /// How the measured figure, or the fitted one where there is none, compares with the budget.
+    /// Comparison of the measured figure with the budget; of the fitted figure if none was measured.
     pub verdict: Verdict,
 }
 
-/// A figure at the target, measured there and by the fits.
+/// A figure at the target, both as measured there and as extrapolated by the fits.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TargetFigure {
     pub(super) measured: Option<f64>,
@@ -77,6 +77,7 @@
 }
 
 impl Assessment {
+    /// Compares a figure with its budget.
     pub(super) fn new(
         name: &'static str,
         figure: TargetFigure,
@@ -89,13 +90,13 @@
             fitted: figure.fitted,
             budget,
             unit,
-            verdict: Verdict::of(figure.measured.or(figure.fitted), budget),
+            verdict: Verdict::new(figure.measured.or(figure.fitted), budget),
         }
     }
 }
 
 impl Verdict {
-    fn of(figure: Option<f64>, budget: Option<f64>) -> Self {
+    fn new(figure: Option<f64>, budget: Option<f64>) -> Self {
         match (figure, budget) {
             (None, _) => Self::NotMeasured,
             (Some(_), None) => Self::Unlimited,
--- a/lab/src/slopes/analysis/assessor.rs
+++ b/lab/src/slopes/analysis/assessor.rs
@@ -1,4 +1,4 @@
-//! The assessed figures: latency, processor time, memory, traffic, descriptors and ratios at the target.
+//! Computes the assessed figures: latency, processor time, memory, traffic, descriptors and cost ratios at the target.
 
 use super::assessment::{Assessment, FigureUnit, TargetFigure};
 use super::curve::Curve;
@@ -9,33 +9,33 @@
     BYTES_PER_MEGABYTE, NANOS_PER_MILLISECOND, NANOS_PER_SECOND, PERCENT, SECONDS_PER_DAY,
 };
 
-/// Descriptors of the proxy that are neither clients nor backends.
+/// File descriptors of the proxy other than connections to clients and backends.
 const RESERVED_DESCRIPTORS: f64 = 24.0;
 
-/// Computes the assessed figures of a run.
+/// Computes the assessed figures of a run from its measurements and curves.
 pub(super) struct Assessor<'a> {
     pub(super) scenario: &'a SlopesScenario,
     pub(super) measurements: &'a Measurements,
     pub(super) curves: &'a [Curve],
 }
 
-/// Looks up the value of a quantity, either measured or fitted.
+/// A function that returns the value of a quantity at the target, either measured or fitted.
 type Lookup<'a> = &'a dyn Fn(Quantity) -> Option<f64>;
 
 impl Assessor<'_> {
     /// Returns all assessed figures, in the order of the report.
     pub(super) fn assessments(&self) -> Vec<Assessment> {
-        let mut all = self.added_latency();
-        all.extend(self.control_work());
-        all.extend(self.decision_work());
-        all.push(self.memory());
-        all.extend(self.control_traffic());
-        all.extend(self.descriptors());
-        all.extend(self.ratios());
+        let mut all = self.assess_added_latency();
+        all.extend(self.assess_control_work());
+        all.extend(self.assess_decision_work());
+        all.push(self.assess_memory());
+        all.extend(self.assess_control_traffic());
+        all.extend(self.assess_descriptors());
+        all.extend(self.assess_ratios());
         all
     }
 
-    /// Computes a figure at the target's mean rate, once of measured and once of fitted quantities.
+    /// Computes a figure at the target's mean request rate, from measured and from fitted quantities.
     fn at_mean_rate(&self, figure: impl Fn(Lookup<'_>) -> Option<f64>) -> TargetFigure {
         let measured = |quantity| self.measurements.target.mean.median(quantity);
         let fitted = |quantity| self.fitted(quantity);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Computes a figure of the hot proxy; its rate is not swept, so there is no fit.
+    /// Computes a figure of a hot proxy from measured quantities. The request rate is not swept, so there is no fit.
     fn at_hot_proxy(&self, figure: impl Fn(Lookup<'_>) -> Option<f64>) -> TargetFigure {
         let measured = |quantity| self.measurements.target.hot.median(quantity);
         TargetFigure {
@@ -54,14 +54,15 @@
         }
     }
 
+    /// Returns the curve of a quantity over a sweep, if it was fitted.
     fn curve(&self, sweep: Sweep, quantity: Quantity) -> Option<&Curve> {
         self.curves
             .iter()
             .find(|curve| curve.sweep == sweep && curve.quantity == quantity)
     }
 
-    /// Returns a quantity at the target's number of backends, plus what the target's further tenants and
-    /// classes add to it.
+    /// Returns the fitted value of a quantity at the target: the value at the target's number of backends, plus the
+    /// increase from the numbers of tenants and classes of the backend sweep to those of the target.
     fn fitted(&self, quantity: Quantity) -> Option<f64> {
         let added = |sweep, base: u32| match self.curve(sweep, quantity) {
             Some(curve) => curve.at_target - curve.fit.at(f64::from(base)),
@@ -74,9 +75,9 @@
         Some(backends + tenants + classes)
     }
 
-    /// The decisions' part of the latency that the proxy adds: arrival and end of a request, the 99th
-    /// percentile of each.
-    fn added_latency(&self) -> Vec<Assessment> {
+    /// Assesses the decisions' part of the latency that the proxy adds: the sum of the 99th percentiles of an arrival and
+    /// of the end of an attempt.
+    fn assess_added_latency(&self) -> Vec<Assessment> {
         let budget = Some(self.scenario.budgets.added_ms);
         let assess = |name, figure| Assessment::new(name, figure, budget, FigureUnit::Milliseconds);
         let sum = |arrival: Quantity, end: Quantity| {
@@ -98,8 +99,8 @@
         ]
     }
 
-    /// Processor time of membership changes. A change of configuration counts as a delta of one entry.
-    fn control_work(&self) -> Vec<Assessment> {
+    /// Assesses the processor time of membership changes. A change of configuration counts as a delta of one endpoint.
+    fn assess_control_work(&self) -> Vec<Assessment> {
         let budget = Some(self.scenario.budgets.control_core_percent);
         let assess = |name, quantity: Quantity, per_second: f64| {
             let figure =
@@ -131,13 +132,14 @@
         ]
     }
 
+    /// Returns the target's changes of configuration and of endpoints per second, mean over a day.
     fn changes_per_second(&self) -> f64 {
         let target = &self.scenario.target;
         (target.configuration_changes_per_day + target.entry_changes_per_day) / SECONDS_PER_DAY
     }
 
-    /// Processor time of the decisions of requests.
-    fn decision_work(&self) -> Vec<Assessment> {
+    /// Assesses the processor time of decisions on requests.
+    fn assess_decision_work(&self) -> Vec<Assessment> {
         let mean_rate = self.scenario.target.requests_per_second;
         let hot_rate = mean_rate * self.scenario.target.hot_factor;
         let mean = self
@@ -151,7 +153,8 @@
         ]
     }
 
-    fn memory(&self) -> Assessment {
+    /// Assesses the heap of the balancer and the translator together.
+    fn assess_memory(&self) -> Assessment {
         let heap = self.at_mean_rate(|value| {
             let bytes = value(Quantity::BalancerMemory)? + value(Quantity::TranslatorMemory)?;
             Some(bytes / BYTES_PER_MEGABYTE)
@@ -165,8 +168,8 @@
         )
     }
 
-    /// Bytes of discovery's responses, without heads, and the time until a large one is in force.
-    fn control_traffic(&self) -> Vec<Assessment> {
+    /// Assesses the bytes of discovery's responses, without HTTP heads, and the time until a large response is applied.
+    fn assess_control_traffic(&self) -> Vec<Assessment> {
         let budgets = &self.scenario.budgets;
         let byte_rate = budgets.control_bytes_per_second;
         let assess_bytes = |name, changes_per_second: f64| {
@@ -204,21 +207,22 @@
         ]
     }
 
-    /// A connection to each backend that was sent to during the measurement, one for each open request, and
-    /// the reserved ones; beside it, a connection to every backend.
-    fn descriptors(&self) -> Vec<Assessment> {
+    /// Assesses the file descriptors of a hot proxy: one connection for each backend that received a request during the
+    /// measurement, one for each open request, and [`RESERVED_DESCRIPTORS`]. A second figure assumes a connection to
+    /// every backend of the target.
+    fn assess_descriptors(&self) -> Vec<Assessment> {
         let counts = &self.measurements.target.hot.counts;
-        let used = counts.backends_used as f64 + counts.max_open as f64 + RESERVED_DESCRIPTORS;
-        let every = f64::from(self.scenario.target.backends) + RESERVED_DESCRIPTORS;
+        let in_use = counts.backends_used as f64 + counts.max_open as f64 + RESERVED_DESCRIPTORS;
+        let connected_to_all = f64::from(self.scenario.target.backends) + RESERVED_DESCRIPTORS;
         let budget = Some(self.scenario.budgets.descriptors);
         let unit = FigureUnit::Descriptors;
         let measured = TargetFigure {
-            measured: Some(used),
+            measured: Some(in_use),
             fitted: None,
         };
         let computed = TargetFigure {
             measured: None,
-            fitted: Some(every),
+            fitted: Some(connected_to_all),
         };
         vec![
             Assessment::new("descriptors in use, hot proxy", measured, budget, unit),
@@ -231,7 +235,8 @@
         ]
     }
 
-    fn ratios(&self) -> Vec<Assessment> {
+    /// Assesses the growth of costs between the two compared sizes.
+    fn assess_ratios(&self) -> Vec<Assessment> {
         let budgets = &self.scenario.budgets;
         let assess = |name, quantity: Quantity, budget: f64| {
             Assessment::new(name, self.ratio(quantity), Some(budget), FigureUnit::Times)
@@ -250,7 +255,7 @@
         ]
     }
 
-    /// Returns the cost at the larger of the two compared sizes over that at the smaller.
+    /// Returns the cost at the larger of the two compared sizes, as a multiple of the cost at the smaller.
     fn ratio(&self, quantity: Quantity) -> TargetFigure {
         let [small, large] = self.scenario.target.ratio_sizes;
         TargetFigure {
@@ -265,7 +270,7 @@
         }
     }
 
-    /// Returns the median measured with this number of backends, if that is one of the sizes.
+    /// Returns the median measured at this number of backends; `None` if it is not one of the measured sizes.
     fn measured_at(&self, backends: u32, quantity: Quantity) -> Option<f64> {
         let points = self.measurements.sweeps.get(&Sweep::Backends)?;
         let point = points
@@ -274,15 +279,16 @@
         point.median(quantity)
     }
 
+    /// Returns the fitted value at this number of backends; `None` without a fit.
     fn fitted_at(&self, backends: u32, quantity: Quantity) -> Option<f64> {
         let curve = self.curve(Sweep::Backends, quantity)?;
         Some(curve.fit.at(f64::from(backends)))
     }
 }
 
-/// Returns the part of a core that events of this cost take at this rate, in percent.
-fn core_percent(nanoseconds: f64, per_second: f64) -> f64 {
-    nanoseconds * per_second / NANOS_PER_SECOND * PERCENT
+/// Returns the processor time of events with this cost and rate, in percent of a core.
+fn core_percent(nanoseconds: f64, events_per_second: f64) -> f64 {
+    nanoseconds * events_per_second / NANOS_PER_SECOND * PERCENT
 }
 
 fn quotient(dividend: Option<f64>, divisor: Option<f64>) -> Option<f64> {
--- a/lab/src/slopes/analysis/curve.rs
+++ b/lab/src/slopes/analysis/curve.rs
@@ -1,4 +1,4 @@
-//! Quantities fitted over a sweep.
+//! Curves: quantities fitted over a sweep.
 
 use crate::slopes::fit::Fit;
 use crate::slopes::measure::{Measurements, Point, Sweep};
@@ -9,20 +9,20 @@
 /// A quantity fitted over a sweep.
 #[derive(Clone, Debug, Serialize)]
 pub struct Curve {
-    /// What was swept.
+    /// Sweep over which the quantity is fitted.
     pub sweep: Sweep,
-    /// What was measured.
+    /// Fitted quantity.
     pub quantity: Quantity,
-    /// Both models.
+    /// Fitted models.
     pub fit: Fit,
-    /// The swept number at the target.
+    /// Value of the swept size at the target.
     pub target_size: u32,
-    /// The value there, by the better model.
+    /// Value of the quantity at `target_size` by the better model, in the quantity's unit.
     pub at_target: f64,
 }
 
-/// Fits all quantities over all sweeps; those with too few points are left out.
-pub(super) fn curves(scenario: &SlopesScenario, measurements: &Measurements) -> Vec<Curve> {
+/// Fits all quantities over all sweeps; a quantity with too few points in a sweep is left out.
+pub(super) fn fit_curves(scenario: &SlopesScenario, measurements: &Measurements) -> Vec<Curve> {
     let mut curves = Vec::new();
     for (&sweep, points) in &measurements.sweeps {
         let target_size = target_size(sweep, &scenario.target);
@@ -42,7 +42,7 @@
     curves
 }
 
-/// Returns the medians of a quantity over a sweep, as points of (size, median).
+/// Returns the medians of a quantity over a sweep as points of (size, median).
 #[must_use]
 pub fn series(sweep: Sweep, points: &[Point], quantity: Quantity) -> Vec<(f64, f64)> {
     let mut series = Vec::new();
@@ -54,6 +54,7 @@
     series
 }
 
+/// Returns the value of the swept size at the target.
 fn target_size(sweep: Sweep, target: &Target) -> u32 {
     match sweep {
         Sweep::Backends => target.backends,
--- a/lab/src/slopes/analysis/mod.rs
+++ b/lab/src/slopes/analysis/mod.rs
@@ -1,9 +1,8 @@
-//! What the measurements say: fitted curves with their value at the target, and each figure beside its
-//! budget.
+//! Analyses the measurements: fits curves, extrapolates them to the target, and compares figures with their budgets.
 //!
 //! - [`curve`]: quantities fitted over a sweep.
 //! - [`assessment`]: a figure at the target, its budget and the verdict.
-//! - `assessor`: the assessed figures, made of measured and of fitted quantities.
+//! - `assessor`: computes the assessed figures from measured and from fitted quantities.
 
 pub mod assessment;
 mod assessor;
@@ -17,14 +16,14 @@
 use curve::Curve;
 use serde::Serialize;
 
-/// The analysis of a run.
+/// Analysis of a run's measurements.
 #[derive(Clone, Debug, Serialize)]
 pub struct Analysis {
-    /// Fitted curves.
+    /// Fitted curves of all quantities over all sweeps.
     pub curves: Vec<Curve>,
-    /// Bytes of heap for one more open request, by a straight line.
+    /// Bytes of heap per open request, by the slope of a fitted line; `None` without enough measurements.
     pub bytes_per_open_request: Option<f64>,
-    /// Figures at the target beside their budgets.
+    /// Figures at the target, compared with their budgets.
     pub assessments: Vec<Assessment>,
 }
 
@@ -32,7 +31,7 @@
     /// Analyses the measurements of a scenario.
     #[must_use]
     pub fn of(scenario: &SlopesScenario, measurements: &Measurements) -> Self {
-        let curves = curve::curves(scenario, measurements);
+        let curves = curve::fit_curves(scenario, measurements);
         let assessor = Assessor {
             scenario,
             measurements,
@@ -47,6 +46,7 @@
     }
 }
 
+/// Fits a line to the heap over the number of open requests and returns its slope.
 fn bytes_per_open_request(measurements: &Measurements) -> Option<f64> {
     let mut points = Vec::new();
     for memory in &measurements.open_request_memory {
--- a/lab/src/slopes/measure/bench.rs
+++ b/lab/src/slopes/measure/bench.rs
@@ -1,4 +1,4 @@
-//! Makes the measurements of a scenario, in repetitions over all sizes.
+//! Runs the measurements of a scenario, in repetitions over all sizes.
 
 use super::sweep::Extent;
 use super::{LoadAverage, Measurements, OpenRequestMemory, Point, Sweep, TargetPoints};
@@ -18,19 +18,19 @@
 use std::collections::BTreeMap;
 use tillerproxy::proxy::discovery::Translator;
 
-/// Backends of the proxy that memory by open requests is measured with. It is alone, so that each of them has
-/// at least one slot.
+/// Number of backends for measuring memory by open requests. The measured proxy is the only one of the fleet, so that
+/// it has at least one slot of each backend.
 const OPEN_REQUEST_BACKENDS: u32 = 2_000;
-/// Distance between the seeds of two repetitions.
+/// Difference between the seeds of two successive repetitions.
 const REPETITION_SEED_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Distinguishes the seed of the replacement backends from that of the fleet.
+/// Combined with the fleet's seed by exclusive or, gives the seed of the replacement endpoints.
 const REPLACEMENT_SEED_SALT: u64 = 0x517c_c1b7_2722_0a95;
-/// Revision of the first list.
+/// Revision of the first endpoint list.
 const FIRST_REVISION: u64 = 1;
-/// The target is measured at the mean rate and at that of a hot proxy.
-const TARGET_JOBS: u64 = 2;
+/// Number of jobs at the target: one at the mean request rate, one at the rate of a hot proxy.
+const TARGET_JOB_COUNT: u64 = 2;
 
-/// Makes all measurements of a scenario.
+/// Runs all measurements of a scenario.
 pub struct Bench<'a> {
     scenario: &'a SlopesScenario,
     seed: u64,
@@ -38,7 +38,7 @@
     progress: &'a ProgressBar,
 }
 
-/// A size that is measured, with the results of its repetitions so far.
+/// The measurement of one size, with the results of its repetitions so far.
 struct Job {
     setup: Setup,
     extent: Extent,
@@ -46,8 +46,8 @@
     values: BTreeMap<Quantity, Vec<f64>>,
 }
 
-/// A proxy that has read the list of a fleet, with the translator that read it.
-struct Subject {
+/// A proxy that has received the endpoint list of a fleet, and the translator that parsed the list.
+struct MeasuredProxy {
     proxy: VirtualProxy,
     translator: Translator,
     endpoints: Endpoints,
@@ -63,6 +63,7 @@
         }
     }
 
+    /// Summarises the repetitions.
     fn finish(self) -> Point {
         let mut figures = BTreeMap::new();
         for (quantity, values) in self.values {
@@ -79,7 +80,7 @@
 }
 
 impl<'a> Bench<'a> {
-    /// Makes a bench with this seed; `progress` advances by one with each repetition of a size.
+    /// Creates a bench with a calibrated stopwatch; `progress` advances by one for each repetition of a size.
     #[must_use]
     pub fn new(scenario: &'a SlopesScenario, seed: u64, progress: &'a ProgressBar) -> Self {
         Self {
@@ -90,32 +91,32 @@
         }
     }
 
-    /// Returns the number of repetitions of all sizes, for a progress bar.
+    /// Returns the number of steps of the progress bar: the repetitions of all sizes together.
     #[must_use]
-    pub fn steps(scenario: &SlopesScenario) -> u64 {
-        let mut jobs = TARGET_JOBS;
+    pub fn step_count(scenario: &SlopesScenario) -> u64 {
+        let mut jobs = TARGET_JOB_COUNT;
         for sweep in Sweep::ALL {
             jobs += sweep.setups(scenario).len() as u64;
         }
         jobs * u64::from(scenario.repetitions)
     }
 
-    /// Makes all measurements. Each repetition goes through all sizes, so that a machine that is busy for a
-    /// while does not affect all repetitions of a few sizes.
+    /// Runs all measurements. Each repetition measures all sizes in turn, so that a temporary load on the machine does
+    /// not affect all repetitions of a few sizes.
     ///
     /// # Errors
-    /// Where the program rejects the settings or a list that the lab made.
+    /// Returns an error if the proxy rejects the settings or an endpoint list that the lab generated.
     pub fn run(&self) -> Result<Measurements, SlopesError> {
         let load_before = load_average();
         let mut sweeps = self.sweep_jobs();
         let [mut mean, mut hot] = self.target_jobs();
         for repetition in 0..self.scenario.repetitions {
-            let swept = sweeps.values_mut().flatten();
-            for job in swept.chain([&mut mean, &mut hot]) {
-                self.repeat(job, repetition)?;
+            let sweep_jobs = sweeps.values_mut().flatten();
+            for job in sweep_jobs.chain([&mut mean, &mut hot]) {
+                self.run_repetition(job, repetition)?;
             }
         }
-        let open_request_memory = self.open_request_memory()?;
+        let open_request_memory = self.measure_open_request_memory()?;
         Ok(Measurements {
             clock_overhead_ns: self.stopwatch.overhead().as_nanos() as f64,
             sweeps: finish_sweeps(sweeps),
@@ -131,6 +132,7 @@
         })
     }
 
+    /// Creates the jobs of all sweeps.
     fn sweep_jobs(&self) -> BTreeMap<Sweep, Vec<Job>> {
         let mut sweeps = BTreeMap::new();
         for sweep in Sweep::ALL {
@@ -141,7 +143,7 @@
         sweeps
     }
 
-    /// Returns the target at the mean rate and at that of a hot proxy.
+    /// Creates the jobs of the target: at the mean request rate, and at the rate of a hot proxy.
     fn target_jobs(&self) -> [Job; 2] {
         let target = &self.scenario.target;
         let mean = Setup {
@@ -161,7 +163,8 @@
         ]
     }
 
-    fn repeat(&self, job: &mut Job, repetition: u32) -> Result<(), SlopesError> {
+    /// Runs one repetition of a job and records its figures.
+    fn run_repetition(&self, job: &mut Job, repetition: u32) -> Result<(), SlopesError> {
         let Setup {
             backends, proxies, ..
         } = job.setup;
@@ -174,7 +177,7 @@
         Ok(())
     }
 
-    /// Measures one repetition and adds its counts to the job. Memory is measured in the first one alone.
+    /// Measures one repetition and adds its counts to the job. Memory is measured in the first repetition only.
     fn measure(
         &self,
         job: &mut Job,
@@ -183,55 +186,59 @@
         let offset = u64::from(repetition).wrapping_mul(REPETITION_SEED_STRIDE);
         let seed = self.seed.wrapping_add(offset);
         let load = &self.scenario.load;
-        let mut subject = self.subject(&job.setup, seed)?;
-        subject.proxy.warm_up(load.warm_up_requests);
-        subject.proxy.take_counts();
+        let mut measured = self.start_proxy(&job.setup, seed)?;
+        measured.proxy.warm_up(load.warm_up_requests);
+        measured.proxy.take_counts();
         let mut costs = DecisionCosts::default();
-        subject
+        measured
             .proxy
             .serve(load.measured_requests, &self.stopwatch, &mut costs);
-        job.counts.add(&subject.proxy.take_counts());
+        job.counts.add(&measured.proxy.take_counts());
         let mut figures = costs.figures();
         if job.extent == Extent::Everything {
-            figures.extend(self.membership(&job.setup, seed, &mut subject)?);
+            figures.extend(self.measure_membership(&job.setup, seed, &mut measured)?);
         }
         if repetition == 0 {
-            figures.extend(self.memory(&job.setup, seed)?);
+            figures.extend(self.measure_memory(&job.setup, seed)?);
         }
         Ok(figures)
     }
 
-    fn membership(
+    /// Measures the cost of membership changes and the bytes of discovery's responses.
+    fn measure_membership(
         &self,
         setup: &Setup,
         seed: u64,
-        subject: &mut Subject,
+        measured: &mut MeasuredProxy,
     ) -> Result<BTreeMap<Quantity, f64>, SlopesError> {
         let replacement_seed = seed ^ REPLACEMENT_SEED_SALT;
         let replacements =
             Endpoints::generate(setup.backends, &self.scenario.fleet, replacement_seed);
         let mut random = SmallRng::seed_from_u64(seed);
-        let Subject {
+        let MeasuredProxy {
             proxy,
             translator,
             endpoints,
-        } = subject;
+        } = measured;
         let mut figures = wire_sizes(endpoints);
         let mut bench = MembershipBench::new(proxy, translator, &self.stopwatch, &mut random);
         for input in [Input::Backends, Input::Text] {
-            let measured =
-                bench.measure(input, endpoints, &replacements, &self.scenario.changes)?;
-            figures.extend(measured);
+            let costs = bench.measure(input, endpoints, &replacements, &self.scenario.changes)?;
+            figures.extend(costs);
         }
         Ok(figures)
     }
 
-    /// Measures the heap of a proxy that has served for a while, before any change of membership.
-    fn memory(&self, setup: &Setup, seed: u64) -> Result<BTreeMap<Quantity, f64>, SlopesError> {
-        let mut subject = self.subject(setup, seed)?;
-        subject.proxy.warm_up(self.scenario.load.warm_up_requests);
-        let balancer = heap_bytes(subject.proxy.into_balancer());
-        let translator = heap_bytes(subject.translator);
+    /// Measures the heap of a proxy after its warm-up, before any change of membership.
+    fn measure_memory(
+        &self,
+        setup: &Setup,
+        seed: u64,
+    ) -> Result<BTreeMap<Quantity, f64>, SlopesError> {
+        let mut measured = self.start_proxy(setup, seed)?;
+        measured.proxy.warm_up(self.scenario.load.warm_up_requests);
+        let balancer = heap_bytes(measured.proxy.into_balancer());
+        let translator = heap_bytes(measured.translator);
         let mut figures = BTreeMap::new();
         if let (Some(balancer), Some(translator)) = (balancer, translator) {
             figures.insert(Quantity::BalancerMemory, balancer);
@@ -240,7 +247,8 @@
         Ok(figures)
     }
 
-    fn open_request_memory(&self) -> Result<Vec<OpenRequestMemory>, SlopesError> {
+    /// Measures the heap of the balancer at each of the scenario's numbers of open requests.
+    fn measure_open_request_memory(&self) -> Result<Vec<OpenRequestMemory>, SlopesError> {
         let setup = Setup {
             backends: OPEN_REQUEST_BACKENDS,
             proxies: 1,
@@ -250,9 +258,9 @@
         };
         let mut memory = Vec::new();
         for &open_requests in &self.scenario.sweeps.open_requests {
-            let mut subject = self.subject(&setup, self.seed)?;
-            subject.proxy.open_requests(open_requests);
-            if let Some(balancer_memory) = heap_bytes(subject.proxy.into_balancer()) {
+            let mut measured = self.start_proxy(&setup, self.seed)?;
+            measured.proxy.open_requests(open_requests);
+            if let Some(balancer_memory) = heap_bytes(measured.proxy.into_balancer()) {
                 memory.push(OpenRequestMemory {
                     open_requests,
                     balancer_memory,
@@ -262,14 +270,15 @@
         Ok(memory)
     }
 
-    fn subject(&self, setup: &Setup, seed: u64) -> Result<Subject, SlopesError> {
+    /// Creates a proxy and hands it the list of a generated fleet.
+    fn start_proxy(&self, setup: &Setup, seed: u64) -> Result<MeasuredProxy, SlopesError> {
         let fleet = &self.scenario.fleet;
         let endpoints = Endpoints::generate(setup.backends, fleet, seed);
         let mut translator = translator(fleet);
         let text = list_text(FIRST_REVISION, true, endpoints.all());
         let backends = parse_backends(&mut translator, &text)?;
         let proxy = VirtualProxy::new(setup, fleet, &self.scenario.load, seed, &backends)?;
-        Ok(Subject {
+        Ok(MeasuredProxy {
             proxy,
             translator,
             endpoints,
@@ -277,6 +286,7 @@
     }
 }
 
+/// Summarises the jobs of all sweeps.
 fn finish_sweeps(sweeps: BTreeMap<Sweep, Vec<Job>>) -> BTreeMap<Sweep, Vec<Point>> {
     let mut finished = BTreeMap::new();
     for (sweep, jobs) in sweeps {
@@ -286,7 +296,7 @@
     finished
 }
 
-/// Reads the machine's load over the last minute from `/proc/loadavg`.
+/// Reads the machine's load average over the last minute from `/proc/loadavg`.
 fn load_average() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     text.split_whitespace().next()?.parse().ok()
--- a/lab/src/slopes/measure/mod.rs
+++ b/lab/src/slopes/measure/mod.rs
@@ -1,7 +1,7 @@
-//! The measurements: what is measured at each size, and the sweeps over sizes.
+//! Measurements of a scenario: the figures at each size, and the sweeps over sizes.
 //!
-//! - [`sweep`]: what is swept, and the sizes of each sweep.
-//! - `bench`: makes the measurements.
+//! - [`sweep`]: the sweeps and the sizes of each.
+//! - [`bench`]: runs the measurements.
 
 pub mod bench;
 pub mod sweep;
@@ -16,19 +16,19 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The figures at one size.
+/// Figures measured at one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point {
-    /// The size.
+    /// Measured size.
     pub setup: Setup,
-    /// What happened while requests were measured, over all repetitions.
+    /// Events counted while requests were measured, over all repetitions.
     pub counts: Counts,
-    /// The figures: nanoseconds or bytes, by [`Quantity::unit`].
+    /// Figures by quantity, in nanoseconds or bytes ([`Quantity::unit`]).
     pub figures: BTreeMap<Quantity, Summary>,
 }
 
 impl Point {
-    /// Returns the median of a figure; `None` where it was not measured.
+    /// Returns the median of a quantity over the repetitions; `None` if it was not measured.
     #[must_use]
     pub fn median(&self, quantity: Quantity) -> Option<f64> {
         let summary = self.figures.get(&quantity)?;
@@ -36,44 +36,44 @@
     }
 }
 
-/// Memory with a number of open requests.
+/// Memory of a proxy with a number of open requests.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct OpenRequestMemory {
-    /// Requests that are open.
+    /// Number of open requests.
     pub open_requests: u32,
-    /// Heap of the decisions, bytes.
+    /// Heap of the balancer, bytes.
     pub balancer_memory: f64,
 }
 
-/// The target, measured as it is.
+/// Figures measured at the target size.
 #[derive(Clone, Debug, Serialize)]
 pub struct TargetPoints {
-    /// With the mean rate of requests.
+    /// Figures at the mean request rate.
     pub mean: Point,
-    /// With the rate of a hot proxy; requests alone are measured.
+    /// Figures at the request rate of a hot proxy; membership changes are not measured.
     pub hot: Point,
 }
 
 /// All measurements of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measurements {
-    /// Load of the machine at the start and at the end: a busy machine makes every figure larger.
+    /// Load of the machine at the start and at the end. Load from other processes makes every figure larger.
     pub load_average: LoadAverage,
-    /// Nanoseconds that a reading of the clock takes; they are subtracted.
+    /// Cost of a clock reading in nanoseconds, which is subtracted from every measured processor time.
     pub clock_overhead_ns: f64,
-    /// The sweeps.
+    /// Points of each sweep.
     pub sweeps: BTreeMap<Sweep, Vec<Point>>,
-    /// Memory by open requests; empty without the counting allocator.
+    /// Memory by number of open requests; empty without the counting allocator.
     pub open_request_memory: Vec<OpenRequestMemory>,
-    /// The target.
+    /// Figures at the target size.
     pub target: TargetPoints,
 }
 
-/// The machine's load averages over one minute; `None` where the system gives none.
+/// The machine's load averages over one minute; `None` if `/proc/loadavg` can't be read.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LoadAverage {
     /// Before the first measurement.
     pub before: Option<f64>,
-    /// After the last one.
+    /// After the last measurement.
     pub after: Option<f64>,
 }
--- a/lab/src/slopes/measure/sweep.rs
+++ b/lab/src/slopes/measure/sweep.rs
@@ -1,29 +1,29 @@
-//! What is swept, and the sizes of each sweep.
+//! The sweeps and the sizes of each.
 
 use crate::slopes::scenario::SlopesScenario;
 use crate::slopes::setup::Setup;
 use serde::Serialize;
 
-/// What is measured at a size.
+/// Extent of the measurements at a size.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Extent {
-    /// Requests, and memory.
+    /// Decisions on requests, and memory.
     Decisions,
-    /// Membership changes and bytes as well.
+    /// Decisions on requests, memory, membership changes, and bytes of discovery's responses.
     Everything,
 }
 
-/// What is swept.
+/// A sweep over one size, with the others fixed.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Sweep {
-    /// Backends, and proxies in proportion.
+    /// Sweep over the number of backends, with proxies in proportion.
     Backends,
-    /// Tenants.
+    /// Sweep over the number of tenants.
     Tenants,
-    /// Request classes.
+    /// Sweep over the number of request classes.
     Classes,
-    /// Proxies, with the target's number of backends.
+    /// Sweep over the number of proxies, with the target's number of backends.
     Proxies,
 }
 
@@ -31,7 +31,7 @@
     /// Every sweep, in the order of reports.
     pub const ALL: [Self; 4] = [Self::Backends, Self::Tenants, Self::Classes, Self::Proxies];
 
-    /// Returns the swept number of a size.
+    /// Returns the value of the swept size in `setup`.
     #[must_use]
     pub fn size(self, setup: &Setup) -> u32 {
         match self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Returns the sizes that a scenario measures.
+    /// Returns the setups that a scenario measures in this sweep.
     #[must_use]
     pub fn setups(self, scenario: &SlopesScenario) -> Vec<Setup> {
         let sweeps = &scenario.sweeps;
@@ -58,7 +58,7 @@
             .collect()
     }
 
-    /// Returns one size, at which the swept number is `number`.
+    /// Returns the setup in which the swept size is `number`.
     fn setup(self, scenario: &SlopesScenario, number: u32) -> Setup {
         let base = setup_with_backends(scenario, scenario.sweeps.backends);
         match self {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns what is measured at each of its sizes.
+    /// Returns the extent of the measurements at each size of this sweep.
     pub(super) fn extent(self) -> Extent {
         if self == Self::Backends {
             Extent::Everything
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns the size with this number of backends, proxies in proportion, and the scenario's tenants and classes.
+/// Returns the setup with this number of backends, proxies in proportion, and the scenario's tenants and classes.
 fn setup_with_backends(scenario: &SlopesScenario, backends: u32) -> Setup {
     Setup {
         backends,
--- a/lab/src/slopes/mod.rs
+++ b/lab/src/slopes/mod.rs
@@ -144,7 +144,7 @@
             return ProgressBar::hidden();
         }
         let style = ProgressStyle::with_template(PROGRESS_TEMPLATE);
-        let bar = ProgressBar::new(Bench::steps(scenario));
+        let bar = ProgressBar::new(Bench::step_count(scenario));
         bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
     }
 }
--- a/lab/src/slopes/report.rs
+++ b/lab/src/slopes/report.rs
@@ -1,4 +1,4 @@
-//! The tables on standard output.
+//! Formats the report on standard output: tables of measurements, fits and budgets.
 
 use super::analysis::Analysis;
 use super::analysis::assessment::{Assessment, Verdict};
@@ -13,7 +13,7 @@
 use comfy_table::{CellAlignment, Table, presets};
 use std::fmt::Write;
 
-/// Quantities of the tables of tenants, classes and proxies.
+/// Quantities in the tables of the sweeps over tenants, classes and proxies.
 const DECISION_QUANTITIES: [Quantity; 8] = [
     Quantity::Request,
     Quantity::RequestEnd,
@@ -25,7 +25,7 @@
     Quantity::BalancerMemory,
 ];
 
-/// Quantities whose fits are shown; the JSON result has all.
+/// Quantities in the table of fits; the JSON result holds the fits of all quantities.
 const FITTED_QUANTITIES: [Quantity; 13] = [
     Quantity::Request,
     Quantity::RequestEnd,
@@ -42,7 +42,7 @@
     Quantity::TranslatorMemory,
 ];
 
-/// Returns the whole report.
+/// Formats the whole report.
 #[must_use]
 pub fn text(measurements: &Measurements, analysis: &Analysis) -> String {
     let mut report = load_text(measurements);
@@ -52,18 +52,18 @@
         } else {
             &DECISION_QUANTITIES
         };
-        section(
+        add_section(
             &mut report,
             &sweep_title(sweep, points),
             &sweep_table(sweep, points, quantities),
         );
     }
-    section(
+    add_section(
         &mut report,
         "Target, measured as it is",
         &target_table(measurements),
     );
-    section(
+    add_section(
         &mut report,
         "Fits, and their value at the target",
         &fit_table(&analysis.curves),
@@ -75,10 +75,11 @@
             bytes_text(bytes)
         );
     }
-    section(&mut report, "Budgets", &budget_table(&analysis.assessments));
+    add_section(&mut report, "Budgets", &budget_table(&analysis.assessments));
     report
 }
 
+/// Formats the machine's load averages; empty if they are not known.
 fn load_text(measurements: &Measurements) -> String {
     let load = measurements.load_average;
     let Some((before, after)) = load.before.zip(load.after) else {
@@ -87,19 +88,20 @@
     format!("Load of the machine: {before} at the start, {after} at the end\n\n")
 }
 
-fn section(report: &mut String, title: &str, table: &Table) {
+/// Appends a table with its title.
+fn add_section(report: &mut String, title: &str, table: &Table) {
     let _ = writeln!(report, "{title}\n{table}\n");
 }
 
 fn sweep_title(sweep: Sweep, points: &[Point]) -> String {
-    let swept = sweep_label(sweep);
-    let at = points
+    let label = sweep_label(sweep);
+    let sizes = points
         .first()
         .map_or_else(String::new, |point| fixed_sizes(sweep, point));
-    format!("By {swept}{at}: median of the repetitions, half their range in percent")
+    format!("By {label}{sizes}: median of the repetitions, half their range in percent")
 }
 
-/// Describes the sizes that a sweep does not change.
+/// Formats the sizes that are the same at all points of a sweep.
 fn fixed_sizes(sweep: Sweep, point: &Point) -> String {
     let Setup {
         backends,
@@ -131,6 +133,7 @@
     }
 }
 
+/// Creates a table whose columns are right-aligned except for the first.
 fn new_table(header: Vec<String>) -> Table {
     let mut table = Table::new();
     table
@@ -170,8 +173,8 @@
     table
 }
 
-/// Adds the part of the requests that were rejected or failed, which shows whether the load of a point exceeds
-/// its capacity.
+/// Adds the fraction of requests that were rejected or failed, which shows whether the load of a point exceeds its
+/// capacity.
 fn add_unserved_row(table: &mut Table, points: &[Point]) {
     let mut row = vec!["rejected or failed".to_owned()];
     for point in points {
@@ -182,7 +185,7 @@
     table.add_row(row);
 }
 
-/// Adds one row for each quantity that was measured at any of the points.
+/// Adds a row for each quantity that was measured at one or more of the points.
 fn add_rows(table: &mut Table, points: &[Point], quantities: &[Quantity]) {
     for &quantity in quantities {
         let is_measured = |point: &Point| point.figures.contains_key(&quantity);
@@ -197,6 +200,7 @@
     }
 }
 
+/// Formats the median and, for times with several repetitions, half the range in percent.
 fn summary_text(quantity: Quantity, summary: Option<&Summary>) -> String {
     let Some(summary) = summary else {
         return "-".to_owned();
@@ -253,7 +257,8 @@
     ]
 }
 
-/// Returns whether the fit is in the table. The translator depends on the number of backends alone.
+/// Reports whether a curve is in the table of fits. The translator's heap depends on the number of backends only, so its
+/// other curves are left out.
 fn is_shown(curve: &Curve) -> bool {
     let depends_on_sweep =
         curve.sweep == Sweep::Backends || curve.quantity != Quantity::TranslatorMemory;
--- a/lab/src/slopes/virtual_proxy/attempt.rs
+++ b/lab/src/slopes/virtual_proxy/attempt.rs
@@ -1,29 +1,30 @@
-//! Attempts and timers of a virtual proxy, ordered by their time.
+//! Attempts and timers of a virtual proxy, ordered by the time at which they are due.
 
 use crate::units::MICROS_PER_MILLISECOND;
 use tillerproxy::api::{AttemptEnd, BackendId, Micros, Outcome, RequestId};
 
-/// An attempt in flight, ordered by its end.
+/// An attempt in flight, ordered by the time at which it ends.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Attempt {
     pub(super) ends_at: Micros,
     pub(super) request: RequestId,
+    /// Number of earlier attempts of the same request.
     pub(super) number: u16,
     pub(super) backend: BackendId,
     pub(super) sent_at: Micros,
-    pub(super) end: End,
+    pub(super) end_reason: EndReason,
 }
 
-/// How an attempt ends.
+/// Why an attempt ends.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) enum End {
-    /// Its deadline passes.
+pub(super) enum EndReason {
+    /// The attempt's deadline passes first.
     DeadlineExceeded,
-    /// The backend answers.
+    /// The backend answers before the attempt's deadline.
     Answered,
 }
 
-/// A timer that the balancer has set, ordered by its time.
+/// A timer set by the balancer, ordered by the time at which it fires.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Timer {
     pub(super) due_at: Micros,
@@ -31,18 +32,19 @@
 }
 
 impl Attempt {
+    /// Returns the duration of the attempt.
     fn elapsed(&self) -> Micros {
         self.ends_at - self.sent_at
     }
 
-    /// Returns the time from the attempt to its end, milliseconds.
+    /// Returns the duration of the attempt in milliseconds.
     pub(super) fn elapsed_ms(&self) -> f32 {
         self.elapsed() as f32 / MICROS_PER_MILLISECOND as f32
     }
 
-    /// Returns the event of its end, with the load report of its backend.
+    /// Returns the balancer's event for the end of the attempt. An answer carries the backend's load report.
     pub(super) fn end_event<'a>(&self, load_report: &'a [f32]) -> AttemptEnd<'a> {
-        let is_answered = self.end == End::Answered;
+        let is_answered = self.end_reason == EndReason::Answered;
         AttemptEnd {
             request: self.request,
             backend: self.backend,
--- a/lab/src/slopes/virtual_proxy/counts.rs
+++ b/lab/src/slopes/virtual_proxy/counts.rs
@@ -1,8 +1,8 @@
-//! What happened in a run of a virtual proxy.
+//! Counts of events in a run of a virtual proxy.
 
 use serde::Serialize;
 
-/// What happened in a run; the same seed gives the same counts.
+/// Counts of events in a run; the same seed gives the same counts.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Counts {
     /// Requests that arrived.
@@ -10,24 +10,24 @@
     /// Attempts sent.
     #[serde(rename = "sends")]
     pub attempts: u64,
-    /// Requests that were answered by a backend.
+    /// Requests answered by a backend.
     pub served: u64,
-    /// Requests rejected.
+    /// Requests rejected by the balancer.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Requests that failed.
+    /// Requests that failed after at least one attempt.
     pub failed: u64,
     /// Timers that fired.
     pub timers: u64,
-    /// Most requests open at a time.
+    /// Largest number of requests open at the same time.
     #[serde(rename = "most_open")]
     pub max_open: u64,
-    /// Backends that were sent to at least once.
+    /// Backends that received at least one attempt.
     pub backends_used: u64,
 }
 
 impl Counts {
-    /// Adds another run; of figures that are not sums, the greater one is kept.
+    /// Adds the counts of another run; `max_open` and `backends_used` become the greater of both runs.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.attempts += other.attempts;
--- a/lab/src/slopes/virtual_proxy/mod.rs
+++ b/lab/src/slopes/virtual_proxy/mod.rs
@@ -1,7 +1,7 @@
-//! One balancer under load in virtual time: arrivals, ends and timers in batches whose cost is measured.
+//! Simulates one proxy's balancer under load in virtual time. Arrivals, ends of attempts and timers are handled in
+//! batches, whose cost is measured.
 //!
-//! Service times are those of backends with capacity to spare; how the balancer's decisions load the backends
-//! is not modelled.
+//! Service times are those of backends with capacity to spare; they do not depend on the balancer's decisions.
 
 mod attempt;
 mod counts;
@@ -15,29 +15,30 @@
 use super::setup::Setup;
 use super::stopwatch::Stopwatch;
 use crate::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
-use attempt::{Attempt, End, Timer};
+use attempt::{Attempt, EndReason, Timer};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use tillerproxy::api::{
-    Action, Backend, BackendId, Event, MembershipEvent, Micros, RequestId, Settings,
+    Action, Backend, BackendId, Event, MembershipEvent, Micros, Request, RequestId, Settings,
 };
 use tillerproxy::balancer::Balancer;
 use tillerproxy::simulator::ParseSettingsError;
 use traffic::Traffic;
 
-/// Start of virtual time: 1 January 2025, so that starts of processes lie before the translator's clock.
+/// Unix time at which virtual time starts: 1 January 2025, so that the start times of backends' processes are earlier
+/// than the time of the translator's clock.
 const EPOCH: Micros = 1_735_689_600 * MICROS_PER_SECOND;
-/// Longest time between two batches: short beside the time that requests are queued for.
-const MAX_STEP: Micros = 50 * MICROS_PER_MILLISECOND;
+/// Longest time between two batches; short compared with the time for which requests are queued.
+const MAX_BATCH_INTERVAL: Micros = 50 * MICROS_PER_MILLISECOND;
 /// Weight of the latest request in the mean service time of a load report.
 const LOAD_REPORT_WEIGHT: f32 = 0.125;
 
-/// A balancer, and the clients and backends around it.
+/// A balancer together with simulated clients and backends.
 pub struct VirtualProxy {
     balancer: Balancer,
+    /// Virtual Unix time.
     now: Micros,
-    /// Time between two batches.
-    step: Micros,
+    batch_interval: Micros,
     traffic: Traffic,
     next_request: u32,
     attempts: BinaryHeap<Reverse<Attempt>>,
@@ -52,11 +53,10 @@
 }
 
 impl VirtualProxy {
-    /// Makes a proxy that has run for the scenario's `proxy_age_seconds` and has just read the complete list
-    /// `backends`.
+    /// Creates a proxy that started `proxy_age_seconds` ago and has just received the complete list `backends`.
     ///
     /// # Errors
-    /// The setting that the balancer rejects, or a load without a distribution.
+    /// Returns the setting that the balancer rejects, or [`SlopesError::LoadDistribution`].
     pub fn new(
         setup: &Setup,
         fleet: &FleetShape,
@@ -65,13 +65,14 @@
         backends: &[Backend],
     ) -> Result<Self, SlopesError> {
         let settings: Settings = setup.settings(fleet, load)?;
-        let step = step_between_batches(setup, load);
+        let batch_interval = batch_interval(setup, load);
         let age = (load.proxy_age_seconds * MICROS_PER_SECOND as f64) as Micros;
         let mut proxy = Self {
             balancer: Balancer::new(settings, seed, EPOCH).map_err(ParseSettingsError::from)?,
             now: EPOCH + age,
-            step,
-            traffic: Traffic::new(setup, load, step, seed).ok_or(SlopesError::LoadDistribution)?,
+            batch_interval,
+            traffic: Traffic::new(setup, load, batch_interval, seed)
+                .ok_or(SlopesError::LoadDistribution)?,
             next_request: 0,
             attempts: BinaryHeap::new(),
             timers: BinaryHeap::new(),
@@ -85,7 +86,7 @@
         Ok(proxy)
     }
 
-    /// Lets this number of requests arrive, with all that happens meanwhile, and measures that.
+    /// Simulates until at least this number of requests has arrived, and measures the cost of all events.
     pub fn serve(&mut self, requests: u32, stopwatch: &Stopwatch, costs: &mut DecisionCosts) {
         let end = self.counts.requests + u64::from(requests);
         for timing in Timing::ROTATION.into_iter().cycle() {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Lets this number of requests arrive without measuring.
+    /// Simulates until at least this number of requests has arrived, without measuring.
     pub fn warm_up(&mut self, requests: u32) {
         let end = self.counts.requests + u64::from(requests);
         let mut ignored = DecisionCosts::default();
@@ -114,18 +115,17 @@
         }
     }
 
-    /// Lets this number of requests arrive without any of them ending, other than by rejection.
+    /// Opens this number of requests. No attempt ends; requests that the balancer rejects are not replaced.
     pub fn open_requests(&mut self, count: u32) {
         for _ in 0..count {
-            let request = self.traffic.request(RequestId(self.next_request));
-            self.next_request += 1;
+            let request = self.draw_request();
             self.balancer
                 .handle(self.now, Event::Request(request), &mut self.actions);
         }
         self.actions.clear();
     }
 
-    /// Notifies the balancer of a change of membership; time advances by a millisecond.
+    /// Notifies the balancer of a membership update; virtual time advances by a millisecond.
     pub fn update(&mut self, membership: MembershipEvent<'_>) {
         self.now += MICROS_PER_MILLISECOND;
         self.balancer
@@ -133,33 +133,34 @@
         self.perform_actions();
     }
 
-    /// Returns the present Unix time in milliseconds.
+    /// Returns the virtual Unix time in milliseconds.
     #[must_use]
     pub fn unix_ms(&self) -> u64 {
         self.now / MICROS_PER_MILLISECOND
     }
 
-    /// Returns what happened since the last call.
+    /// Returns the counts since the last call and resets them.
     pub fn take_counts(&mut self) -> Counts {
         self.counts.backends_used = self.backends_used.len() as u64;
         self.backends_used.clear();
         std::mem::take(&mut self.counts)
     }
 
-    /// Returns the balancer alone, so that its heap can be measured.
+    /// Returns the balancer without the simulated clients and backends, so that its heap can be measured.
     #[must_use]
     pub fn into_balancer(self) -> Balancer {
         self.balancer
     }
 
-    /// Advances time to the next batch.
+    /// Advances virtual time to the next batch and handles the batch.
     fn advance(&mut self, meter: &mut Meter<'_>) {
-        self.now += self.step;
+        self.now += self.batch_interval;
         self.end_attempts(meter);
         self.fire_timers(meter);
         self.admit_requests(meter);
     }
 
+    /// Notifies the balancer of the attempts that have ended by now.
     fn end_attempts(&mut self, meter: &mut Meter<'_>) {
         let ended = self.take_ended_attempts();
         let load_reports: Vec<[f32; 3]> = ended
@@ -172,7 +173,7 @@
         }
         self.handle_all(EventKind::End, &events, meter);
         for attempt in &ended {
-            if attempt.end == End::Answered {
+            if attempt.end_reason == EndReason::Answered {
                 self.counts.served += 1;
                 self.open.remove(&attempt.request);
             }
@@ -180,7 +181,7 @@
         self.perform_actions();
     }
 
-    /// Removes the attempts that have ended by now, in the order of their ends.
+    /// Removes and returns the attempts that have ended by now, in the order of their ends.
     fn take_ended_attempts(&mut self) -> Vec<Attempt> {
         let mut ended = Vec::new();
         while let Some(&Reverse(attempt)) = self.attempts.peek() {
@@ -193,8 +194,8 @@
         ended
     }
 
-    /// Returns the load report of an attempt's backend: requests in flight, requests queued, and its mean
-    /// service time of late in milliseconds.
+    /// Updates the mean service time of an attempt's backend and returns the backend's load report: requests in flight,
+    /// requests queued, and the moving average of the service time in milliseconds.
     fn load_report(&mut self, attempt: &Attempt) -> [f32; 3] {
         let initial_mean = self.traffic.mean_service_ms();
         let mean = self
@@ -205,6 +206,7 @@
         [1.0, 0.0, *mean]
     }
 
+    /// Notifies the balancer of the timers that are due.
     fn fire_timers(&mut self, meter: &mut Meter<'_>) {
         let mut events = Vec::new();
         while let Some(&Reverse(timer)) = self.timers.peek() {
@@ -219,14 +221,13 @@
         self.perform_actions();
     }
 
+    /// Draws a batch of requests and notifies the balancer of their arrival.
     fn admit_requests(&mut self, meter: &mut Meter<'_>) {
         let mut events = Vec::new();
         for _ in 0..self.traffic.batch_size() {
-            events.push(Event::Request(
-                self.traffic.request(RequestId(self.next_request)),
-            ));
-            self.open.insert(RequestId(self.next_request), 0);
-            self.next_request += 1;
+            let request = self.draw_request();
+            self.open.insert(request.id, 0);
+            events.push(Event::Request(request));
         }
         self.counts.requests += events.len() as u64;
         self.handle_all(EventKind::Arrival, &events, meter);
@@ -234,7 +235,14 @@
         self.counts.max_open = self.counts.max_open.max(self.open.len() as u64);
     }
 
-    /// Hands a batch of events to the balancer and measures that.
+    /// Draws a request with the next id.
+    fn draw_request(&mut self) -> Request {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
+        self.traffic.request(id)
+    }
+
+    /// Passes a batch of events to the balancer and records the cost.
     fn handle_all(&mut self, kind: EventKind, events: &[Event<'_>], meter: &mut Meter<'_>) {
         let now = self.now;
         let balancer = &mut self.balancer;
@@ -242,12 +250,13 @@
         meter.measure(kind, events, |event| balancer.handle(now, *event, actions));
     }
 
+    /// Performs and removes the actions that the balancer has returned.
     fn perform_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             self.perform(&action);
         }
-        // Puts the emptied vector back for its capacity.
+        // Keeps the allocated capacity for the next batch.
         self.actions = actions;
     }
 
@@ -275,15 +284,16 @@
         }
     }
 
+    /// Starts an attempt, whose end is drawn from the service times.
     fn send(&mut self, request: RequestId, backend: BackendId, deadline: Micros) {
         let attempts_made = self.open.entry(request).or_default();
         let number = *attempts_made;
         *attempts_made += 1;
         let answered_at = self.now + self.traffic.service_time();
-        let end = if answered_at <= deadline {
-            End::Answered
+        let end_reason = if answered_at <= deadline {
+            EndReason::Answered
         } else {
-            End::DeadlineExceeded
+            EndReason::DeadlineExceeded
         };
         self.attempts.push(Reverse(Attempt {
             ends_at: answered_at.min(deadline).max(self.now),
@@ -291,16 +301,17 @@
             number,
             backend,
             sent_at: self.now,
-            end,
+            end_reason,
         }));
         self.backends_used.insert(backend);
         self.counts.attempts += 1;
     }
 }
 
-/// Returns the time in which the scenario's batch of requests arrives on average, within bounds.
-fn step_between_batches(setup: &Setup, load: &Load) -> Micros {
+/// Returns the time between two batches: the mean time in which a batch of the scenario's size arrives, from 1 us to
+/// [`MAX_BATCH_INTERVAL`].
+fn batch_interval(setup: &Setup, load: &Load) -> Micros {
     let seconds = load.batch_requests / setup.requests_per_second;
-    let step = (seconds * MICROS_PER_SECOND as f64) as Micros;
-    step.clamp(1, MAX_STEP)
+    let interval = (seconds * MICROS_PER_SECOND as f64) as Micros;
+    interval.clamp(1, MAX_BATCH_INTERVAL)
 }
--- a/lab/src/slopes/virtual_proxy/traffic.rs
+++ b/lab/src/slopes/virtual_proxy/traffic.rs
@@ -1,4 +1,4 @@
-//! The random requests of a virtual proxy and their service times.
+//! Random requests of a virtual proxy and their service times.
 
 use crate::slopes::scenario::Load;
 use crate::slopes::setup::Setup;
@@ -8,33 +8,34 @@
 use rand_distr::{Distribution, Exp1, Poisson, Zipf};
 use tillerproxy::api::{ClassIndex, Micros, Request, RequestId, TenantIndex};
 
-/// Timeout of the clients.
+/// Timeout of the clients' requests.
 const CLIENT_TIMEOUT: Micros = 2 * MICROS_PER_SECOND;
-/// Part of the mean service time that is constant.
-const CONSTANT_PART: f64 = 0.5;
+/// Constant fraction of the mean service time; the rest is exponentially distributed.
+const CONSTANT_FRACTION: f64 = 0.5;
 
 /// Draws requests and their service times.
 pub(super) struct Traffic {
     random: SmallRng,
-    /// Requests of a batch.
+    /// Number of requests in a batch.
     batch: Poisson<f64>,
-    /// Rank of a tenant, from 1.
+    /// Rank of a request's tenant, from 1.
     tenant: Zipf<f64>,
+    /// Number of request classes.
     classes: u8,
-    /// Microseconds.
-    mean_service_time: f64,
+    mean_service_micros: f64,
 }
 
 impl Traffic {
-    /// Makes the traffic of batches that are `step` apart; `None` where the load has no distribution.
+    /// Creates the traffic of batches that are `step` apart. Returns `None` if a distribution rejects the load's values or
+    /// the classes exceed the range of a class index.
     pub(super) fn new(setup: &Setup, load: &Load, step: Micros, seed: u64) -> Option<Self> {
-        let batch = setup.requests_per_second * step as f64 / MICROS_PER_SECOND as f64;
+        let mean_batch = setup.requests_per_second * step as f64 / MICROS_PER_SECOND as f64;
         Some(Self {
             random: SmallRng::seed_from_u64(seed),
-            batch: Poisson::new(batch).ok()?,
+            batch: Poisson::new(mean_batch).ok()?,
             tenant: Zipf::new(f64::from(setup.tenants), load.tenant_skew).ok()?,
             classes: u8::try_from(setup.classes).ok()?,
-            mean_service_time: load.latency_ms * MICROS_PER_MILLISECOND as f64,
+            mean_service_micros: load.latency_ms * MICROS_PER_MILLISECOND as f64,
         })
     }
 
@@ -43,7 +44,7 @@
         self.batch.sample(&mut self.random) as usize
     }
 
-    /// Draws a request.
+    /// Draws the tenant and the class of a request.
     pub(super) fn request(&mut self, id: RequestId) -> Request {
         let tenant_rank = self.tenant.sample(&mut self.random);
         let class = self.random.random_range(0..self.classes);
@@ -61,12 +62,12 @@
     /// Draws a service time.
     pub(super) fn service_time(&mut self) -> Micros {
         let exponential: f64 = Exp1.sample(&mut self.random);
-        let factor = CONSTANT_PART + (1.0 - CONSTANT_PART) * exponential;
-        (self.mean_service_time * factor) as Micros
+        let factor = CONSTANT_FRACTION + (1.0 - CONSTANT_FRACTION) * exponential;
+        (self.mean_service_micros * factor) as Micros
     }
 
-    /// Returns the mean service time, milliseconds.
+    /// Returns the mean service time in milliseconds.
     pub(super) fn mean_service_ms(&self) -> f32 {
-        (self.mean_service_time / MICROS_PER_MILLISECOND as f64) as f32
+        (self.mean_service_micros / MICROS_PER_MILLISECOND as f64) as f32
     }
 }
