--- a/lab/src/slopes/virtual_proxy/counts.rs
+++ b/lab/src/slopes/virtual_proxy/counts.rs
@@ -15,7 +15,7 @@
     /// Requests rejected by the balancer.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Requests that failed after at least one attempt.
+    /// Requests with the final answer "failed".
     pub failed: u64,
     /// Timers that fired.
     pub timers: u64,
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! The `slopes` experiment: a small run of the program, its errors, its fits and its repeatability.
+//! Tests of the `slopes` experiment: a small run of the program, its errors, its fits and its repeatability.
 
 use indicatif::ProgressBar;
 use serde_json::Value;
@@ -16,7 +16,7 @@
 use tillerproxy_lab::slopes::stopwatch::Summary;
 use tillerproxy_lab::slopes::{SlopesResult, measure};
 
-/// A fleet that is measured within a second, also by an unoptimised build.
+/// Scenario of a fleet that even an unoptimised build measures within a second.
 const SMALL: &str = r"
 sizes = [4, 8, 16]
 repetitions = 1
@@ -50,16 +50,19 @@
 ";
 
 fn measure_small(seed: u64) -> SlopesResult {
-    let scenario = parse(SMALL, Path::new("small.toml")).expect("the small scenario is sound");
-    measure(&scenario, seed, &ProgressBar::hidden()).expect("a measurement")
+    let scenario = parse(SMALL, Path::new("small.toml")).expect("the small scenario is valid");
+    measure(&scenario, seed, &ProgressBar::hidden())
+        .expect("the proxy accepts the generated settings and lists")
 }
 
-fn scenario_file(directory: &TempDir, text: &str) -> PathBuf {
+/// Writes a scenario file `given.toml` in the directory and returns its path.
+fn write_scenario(directory: &TempDir, text: &str) -> PathBuf {
     let path = directory.path().join("given.toml");
-    std::fs::write(&path, text).expect("a file in a new directory");
+    std::fs::write(&path, text).expect("a file can be written in a new directory");
     path
 }
 
+/// Runs `tillerproxy-lab slopes` with these arguments until it exits.
 fn run_lab(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tillerproxy-lab"));
     command
@@ -67,30 +70,33 @@
         .args(arguments)
         .env_remove("RUST_LOG")
         .output()
-        .expect("the lab runs")
+        .expect("the lab's program starts")
 }
 
-/// The message of a scenario that must be refused with exit code 2.
-fn refusal(text: &str) -> String {
-    let directory = TempDir::new().expect("a directory");
-    let path = scenario_file(&directory, text);
-    let output = run_lab(&["--scenario", path.to_str().expect("a plain path")]);
+/// Runs the lab with an invalid scenario, checks that it exits with 2 and names the file, and returns its error message.
+fn invalid_scenario_message(text: &str) -> String {
+    let directory = TempDir::new().expect("a temporary directory can be created");
+    let path = write_scenario(&directory, text);
+    let output = run_lab(&[
+        "--scenario",
+        path.to_str().expect("a temporary path is UTF-8"),
+    ]);
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{message}");
     assert!(message.contains("given.toml"), "{message}");
     message
 }
 
-/// A path in the directory, as an option's value.
+/// Returns the path of a file in the directory as text for an option.
 fn path_in(directory: &TempDir, name: &str) -> String {
     let path = directory.path().join(name);
-    path.to_str().expect("a plain path").to_owned()
+    path.to_str().expect("a temporary path is UTF-8").to_owned()
 }
 
 #[test]
-fn a_small_run_reports_tables_json_csv_and_plot() {
-    let directory = TempDir::new().expect("a directory");
-    scenario_file(&directory, SMALL);
+fn small_run_writes_report_json_csv_and_plot() {
+    let directory = TempDir::new().expect("a temporary directory can be created");
+    write_scenario(&directory, SMALL);
     let scenario = path_in(&directory, "given.toml");
     let json = path_in(&directory, "out.json");
     let csv = path_in(&directory, "out.csv");
@@ -103,14 +109,16 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    check_report(&String::from_utf8_lossy(&output.stdout));
-    check_json(&std::fs::read_to_string(&json).expect("the JSON result"));
-    check_csv(&std::fs::read_to_string(&csv).expect("the CSV file"));
-    let picture = std::fs::read_to_string(&plot).expect("the plot");
-    assert!(picture.contains("<svg"));
+    assert_report_has_titles_and_verdict(&String::from_utf8_lossy(&output.stdout));
+    assert_json_figures_and_keys(
+        &std::fs::read_to_string(&json).expect("the run writes its JSON result"),
+    );
+    assert_csv_header_and_row(&std::fs::read_to_string(&csv).expect("the run writes its CSV file"));
+    let picture = std::fs::read_to_string(&plot).expect("the run writes its plot");
+    assert!(picture.contains("<svg"), "the plot is an SVG file");
 }
 
-fn check_report(report: &str) {
+fn assert_report_has_titles_and_verdict(report: &str) {
     for title in [
         "By backends",
         "By tenants",
@@ -120,11 +128,14 @@
         "Budgets",
         "within",
     ] {
-        assert!(report.contains(title), "no `{title}` in\n{report}");
+        assert!(
+            report.contains(title),
+            "the report contains `{title}`:\n{report}"
+        );
     }
 }
 
-fn check_csv(rows: &str) {
+fn assert_csv_header_and_row(rows: &str) {
     let header = "sweep,backends,proxies,tenants,classes,requests_per_second,\
                   quantity,unit,median,least,greatest\n";
     assert!(rows.starts_with(header), "{rows}");
@@ -134,24 +145,24 @@
     );
 }
 
-/// The keys of a JSON object, which stay as they are for those who read results.
-fn keys(object: &Value) -> BTreeSet<&str> {
-    let object = object.as_object().expect("an object");
+/// Returns the keys of a JSON object. Readers of result files depend on these names.
+fn object_keys(object: &Value) -> BTreeSet<&str> {
+    let object = object.as_object().expect("the value is a JSON object");
     object.keys().map(String::as_str).collect()
 }
 
-fn check_json(text: &str) {
-    let result: Value = serde_json::from_str(text).expect("JSON");
+fn assert_json_figures_and_keys(text: &str) {
+    let result: Value = serde_json::from_str(text).expect("the result is valid JSON");
     assert_eq!(result["run"]["experiment"], "slopes");
     assert_eq!(result["scenario"]["sizes"], serde_json::json!([4, 8, 16]));
     let measurements = &result["measured"]["measurements"];
     let points = measurements["sweeps"]["backends"]
         .as_array()
-        .expect("points");
+        .expect("a sweep is an array of points");
     assert_eq!(points.len(), 3);
     for quantity in Quantity::ALL {
         let median = points[2]["figures"][quantity.key()]["median"].as_f64();
-        assert!(median.is_some(), "{} is missing", quantity.key());
+        assert!(median.is_some(), "`{}` was measured", quantity.key());
     }
     let counts = [
         "requests",
@@ -163,17 +174,17 @@
         "most_open",
         "backends_used",
     ];
-    assert_eq!(keys(&points[0]["counts"]), BTreeSet::from(counts));
+    assert_eq!(object_keys(&points[0]["counts"]), BTreeSet::from(counts));
     let summary = ["median", "least", "greatest", "values"];
     assert_eq!(
-        keys(&points[0]["figures"]["request"]),
+        object_keys(&points[0]["figures"]["request"]),
         BTreeSet::from(summary)
     );
     assert!(points[0]["figures"]["entry_gone"].is_object());
     let heap = |point: &Value| point["figures"]["balancer_memory"]["median"].as_f64();
     assert!(
         heap(&points[2]) > heap(&points[0]),
-        "more backends need more memory"
+        "the balancer's heap grows with the number of backends"
     );
     assert_eq!(
         measurements["open_request_memory"].as_array().map(Vec::len),
@@ -182,33 +193,33 @@
 }
 
 #[test]
-fn a_scenario_that_makes_no_sense_is_named_with_what_is_allowed() {
-    let unknown = refusal("[load]\nlatency = 50.0\n");
+fn invalid_scenario_exits_with_2_and_names_key_and_allowed_values() {
+    let unknown_key = invalid_scenario_message("[load]\nlatency = 50.0\n");
     assert!(
-        unknown.contains("load") && unknown.contains("latency_ms"),
-        "{unknown}"
+        unknown_key.contains("load") && unknown_key.contains("latency_ms"),
+        "{unknown_key}"
     );
-    let range = refusal("[target]\ntenants = 70000\n");
+    let range = invalid_scenario_message("[target]\ntenants = 70000\n");
     assert!(
         range.contains("target.tenants") && range.contains("1 to 65535"),
         "{range}"
     );
-    let order = refusal("sizes = [100, 10]\n");
+    let order = invalid_scenario_message("sizes = [100, 10]\n");
     assert!(
         order.contains("sizes") && order.contains("ascending"),
         "{order}"
     );
-    let kind = refusal("repetitions = \"five\"\n");
+    let wrong_type = invalid_scenario_message("repetitions = \"five\"\n");
     assert!(
-        kind.contains("repetitions") && kind.contains("u32"),
-        "{kind}"
+        wrong_type.contains("repetitions") && wrong_type.contains("u32"),
+        "{wrong_type}"
     );
-    let rate = refusal("[load]\nrequests_per_second = nan\n");
+    let rate = invalid_scenario_message("[load]\nrequests_per_second = nan\n");
     assert!(
         rate.contains("load.requests_per_second") && rate.contains("1 to 1000000"),
         "{rate}"
     );
-    let sign = refusal("[budgets]\nadded_ms = -1.0\n");
+    let sign = invalid_scenario_message("[budgets]\nadded_ms = -1.0\n");
     assert!(
         sign.contains("budgets.added_ms") && sign.contains("above 0"),
         "{sign}"
@@ -216,7 +227,7 @@
 }
 
 #[test]
-fn a_missing_scenario_and_bad_options_end_with_exit_code_2() {
+fn missing_scenario_file_and_invalid_options_exit_with_2() {
     let missing = run_lab(&["--scenario", "no/such/file.toml"]);
     assert_eq!(missing.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&missing.stderr).contains("no/such/file.toml"));
@@ -235,17 +246,17 @@
 }
 
 #[test]
-fn the_scenario_file_holds_the_built_in_values() {
+fn scenario_file_equals_built_in_values() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/slopes.toml");
     let scenario: Result<SlopesScenario, LabError> = read(&path);
     assert_eq!(
-        scenario.expect("a sound scenario"),
+        scenario.expect("the scenario file is valid"),
         SlopesScenario::default()
     );
 }
 
 #[test]
-fn proxies_are_in_proportion_to_the_backends() {
+fn proxies_for_backends_keep_target_ratio_above_minimum() {
     let scenario = SlopesScenario::default();
     assert_eq!(scenario.proxies_for(6_000), 710);
     assert_eq!(scenario.proxies_for(300), 36);
@@ -253,9 +264,9 @@
 }
 
 #[test]
-fn a_line_is_found_and_preferred() {
+fn fit_of_points_on_a_line_selects_the_line() {
     let points = [10.0, 100.0, 1_000.0].map(|x| (x, 50.0 + 2.0 * x));
-    let fit = Fit::of(&points).expect("a fit");
+    let fit = Fit::of(&points).expect("three sizes have a fit");
     assert_eq!(fit.better, Model::Line);
     assert!((fit.line.intercept - 50.0).abs() < 1e-6, "{fit:?}");
     assert!((fit.line.slope - 2.0).abs() < 1e-9, "{fit:?}");
@@ -263,33 +274,33 @@
 }
 
 #[test]
-fn a_power_law_is_found_and_preferred() {
+fn fit_of_points_on_a_power_law_selects_the_power_law() {
     let points = [10.0_f64, 100.0, 1_000.0].map(|x| (x, 3.0 * x.powf(1.5)));
-    let fit = Fit::of(&points).expect("a fit");
+    let fit = Fit::of(&points).expect("three sizes have a fit");
     assert_eq!(fit.better, Model::PowerLaw);
     assert!((fit.power_law.exponent - 1.5).abs() < 1e-9, "{fit:?}");
     assert!((fit.power_law.factor - 3.0).abs() < 1e-9, "{fit:?}");
 }
 
 #[test]
-fn too_few_sizes_have_no_fit() {
+fn fit_requires_three_different_sizes_with_costs_above_zero() {
     assert_eq!(Fit::of(&[(1.0, 1.0), (2.0, 2.0)]), None);
     assert_eq!(Fit::of(&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)]), None);
     assert_eq!(Fit::of(&[(1.0, 1.0), (2.0, 2.0), (3.0, 0.0)]), None);
 }
 
 #[test]
-fn a_summary_has_median_and_range() {
-    let odd = Summary::of(vec![5.0, 1.0, 3.0]).expect("values");
+fn summary_has_median_and_range() {
+    let odd = Summary::of(vec![5.0, 1.0, 3.0]).expect("there are three values");
     assert_eq!((odd.median, odd.min, odd.max), (3.0, 1.0, 5.0));
-    let even = Summary::of(vec![4.0, 1.0, 2.0, 3.0]).expect("values");
+    let even = Summary::of(vec![4.0, 1.0, 2.0, 3.0]).expect("there are four values");
     assert_eq!(even.median, 2.5);
     assert!((even.spread() - 0.6).abs() < 1e-9);
     assert_eq!(Summary::of(Vec::new()), None);
 }
 
 #[test]
-fn the_same_seed_gives_the_same_events_and_another_seed_others() {
+fn same_seed_repeats_event_counts_and_another_seed_changes_them() {
     let counts = |seed| {
         let sweeps = measure_small(seed).measurements.sweeps.into_iter();
         let points = sweeps.flat_map(|(sweep, points): (Sweep, Vec<Point>)| {
@@ -311,12 +322,13 @@
 }
 
 #[test]
-fn the_translator_takes_every_entry_of_a_generated_list() {
+fn translator_parses_every_endpoint_of_a_generated_list() {
     let fleet = SlopesScenario::default().fleet;
     let endpoints = Endpoints::generate(300, &fleet, 1);
     let text = list_text(1, true, endpoints.all());
-    let entries = parse_backends(&mut translator(&fleet), &text).expect("a list");
-    assert_eq!(entries.len(), 300);
-    let zones: BTreeSet<u16> = entries.iter().map(|entry| entry.zone.0).collect();
+    let backends =
+        parse_backends(&mut translator(&fleet), &text).expect("a generated list can be parsed");
+    assert_eq!(backends.len(), 300);
+    let zones: BTreeSet<u16> = backends.iter().map(|backend| backend.zone.0).collect();
     assert_eq!(zones.len(), 5);
 }
