--- a/lab/src/slopes/analysis/assessor.rs
+++ b/lab/src/slopes/analysis/assessor.rs
@@ -75,8 +75,8 @@
         Some(backends + tenants + classes)
     }
 
-    /// Assesses the decisions' part of the latency that the proxy adds: the sum of the 99th percentiles of an arrival and
-    /// of the end of an attempt.
+    /// Assesses the decisions' part of the latency that the proxy adds: the sum of the 99th percentiles of an arrival
+    /// and of the end of an attempt.
     fn assess_added_latency(&self) -> Vec<Assessment> {
         let budget = Some(self.scenario.budgets.added_ms);
         let assess = |name, figure| Assessment::new(name, figure, budget, FigureUnit::Milliseconds);
--- a/lab/src/slopes/fit.rs
+++ b/lab/src/slopes/fit.rs
@@ -82,8 +82,8 @@
 }
 
 impl Fit {
-    /// Fits both models to points of (size, cost). Points with a size or a cost of 0 or less are ignored. Returns `None`
-    /// if fewer than three points remain or all have the same size.
+    /// Fits both models to points of (size, cost). Points with a size or a cost of 0 or less are ignored. Returns
+    /// `None` if fewer than three points remain or all have the same size.
     #[must_use]
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         let usable: Vec<(f64, f64)> = points
--- a/lab/src/slopes/measure/bench.rs
+++ b/lab/src/slopes/measure/bench.rs
@@ -23,7 +23,7 @@
 const OPEN_REQUEST_BACKENDS: u32 = 2_000;
 /// Difference between the seeds of two successive repetitions.
 const REPETITION_SEED_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Combined with the fleet's seed by exclusive or, gives the seed of the replacement endpoints.
+/// Salt that turns the fleet's seed into the seed of the replacement endpoints, by exclusive or.
 const REPLACEMENT_SEED_SALT: u64 = 0x517c_c1b7_2722_0a95;
 /// Revision of the first endpoint list.
 const FIRST_REVISION: u64 = 1;
--- a/lab/src/slopes/measure/mod.rs
+++ b/lab/src/slopes/measure/mod.rs
@@ -1,7 +1,7 @@
 //! Measurements of a scenario: the figures at each size, and the sweeps over sizes.
 //!
 //! - [`sweep`]: the sweeps and the sizes of each.
-//! - [`bench`]: runs the measurements.
+//! - [`mod@bench`]: runs the measurements.
 
 pub mod bench;
 pub mod sweep;
--- a/lab/src/slopes/plot.rs
+++ b/lab/src/slopes/plot.rs
@@ -34,6 +34,9 @@
     Quantity::ListUnchangedFromText,
 ];
 
+/// A chart with two logarithmic axes.
+type LogChart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<LogCoord<f64>, LogCoord<f64>>>;
+
 /// A curve of the plot and its label in the legend.
 struct PlottedCurve {
     label: &'static str,
@@ -69,6 +72,7 @@
     curves
 }
 
+/// Draws the chart with its axes, curves and legend.
 fn draw(path: &Path, curves: &[PlottedCurve]) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(path, PICTURE_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
@@ -86,14 +90,7 @@
         .y_desc("nanoseconds")
         .draw()?;
     for (number, curve) in curves.iter().enumerate() {
-        let color = Palette99::pick(number).to_rgba();
-        let line = LineSeries::new(curve.points.iter().copied(), color.stroke_width(LINE_WIDTH));
-        chart.draw_series(line)?;
-        let circle = move |at| Circle::new(at, POINT_RADIUS, color.filled());
-        chart
-            .draw_series(curve.points.iter().copied().map(circle))?
-            .label(curve.label)
-            .legend(move |at| Circle::new(at, POINT_RADIUS, color.filled()));
+        draw_curve(&mut chart, curve, Palette99::pick(number).to_rgba())?;
     }
     chart
         .configure_series_labels()
@@ -104,6 +101,22 @@
     Ok(())
 }
 
+/// Draws the line and the points of a curve, and its entry in the legend.
+fn draw_curve(
+    chart: &mut LogChart<'_>,
+    curve: &PlottedCurve,
+    color: RGBAColor,
+) -> Result<(), Box<dyn std::error::Error>> {
+    let line = LineSeries::new(curve.points.iter().copied(), color.stroke_width(LINE_WIDTH));
+    chart.draw_series(line)?;
+    let circle = move |at| Circle::new(at, POINT_RADIUS, color.filled());
+    chart
+        .draw_series(curve.points.iter().copied().map(circle))?
+        .label(curve.label)
+        .legend(move |at| Circle::new(at, POINT_RADIUS, color.filled()));
+    Ok(())
+}
+
 /// Returns the range of an axis that contains all points; 1 to 10 without points.
 fn axis_range(
     curves: &[PlottedCurve],
--- a/lab/src/slopes/virtual_proxy/traffic.rs
+++ b/lab/src/slopes/virtual_proxy/traffic.rs
@@ -26,10 +26,16 @@
 }
 
 impl Traffic {
-    /// Creates the traffic of batches that are `step` apart. Returns `None` if a distribution rejects the load's values or
-    /// the classes exceed the range of a class index.
-    pub(super) fn new(setup: &Setup, load: &Load, step: Micros, seed: u64) -> Option<Self> {
-        let mean_batch = setup.requests_per_second * step as f64 / MICROS_PER_SECOND as f64;
+    /// Creates the traffic of batches that are `batch_interval` apart. Returns `None` if a distribution rejects the
+    /// load's values or the classes exceed the range of a class index.
+    pub(super) fn new(
+        setup: &Setup,
+        load: &Load,
+        batch_interval: Micros,
+        seed: u64,
+    ) -> Option<Self> {
+        let mean_batch =
+            setup.requests_per_second * batch_interval as f64 / MICROS_PER_SECOND as f64;
         Some(Self {
             random: SmallRng::seed_from_u64(seed),
             batch: Poisson::new(mean_batch).ok()?,
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -73,7 +73,8 @@
         .expect("the lab's program starts")
 }
 
-/// Runs the lab with an invalid scenario, checks that it exits with 2 and names the file, and returns its error message.
+/// Runs the lab with an invalid scenario, checks that it exits with 2 and names the file, and returns its error
+/// message.
 fn invalid_scenario_message(text: &str) -> String {
     let directory = TempDir::new().expect("a temporary directory can be created");
     let path = write_scenario(&directory, text);
