--- a/lab/src/options.rs
+++ b/lab/src/options.rs
@@ -7,7 +7,7 @@
 /// Command-line options shared by all experiments.
 #[derive(Args, Clone, Debug)]
 pub struct CommonOptions {
-    /// Seed of all random numbers; runs with the same seed differ only in processor time.
+    /// Seed of all random numbers; the same seed gives the same figures, except for processor time.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Write the JSON result to this file.
