--- a/lab/src/slopes/plot.rs
+++ b/lab/src/slopes/plot.rs
@@ -1,4 +1,4 @@
-//! The log-log plot of costs over the number of backends, as SVG.
+//! Plots costs over the number of backends as an SVG file with logarithmic axes.
 
 use super::analysis::curve::series;
 use super::measure::{Measurements, Sweep};
@@ -16,15 +16,15 @@
 const LINE_WIDTH: u32 = 2;
 /// Margin around the chart, pixels.
 const PICTURE_MARGIN: u32 = 15;
-/// Family and size of the caption's font.
+/// Font family and size of the caption.
 const CAPTION_FONT: (&str, u32) = ("sans-serif", 20);
 /// Space for the labels of the axes, pixels.
 const LABEL_SPACE: u32 = 60;
-/// Factor by which the axes reach beyond the curves.
+/// Factor by which the axes extend beyond the smallest and the largest value.
 const AXIS_MARGIN: f64 = 1.5;
 
-/// The quantities of the plot.
-const PLOTTED: [Quantity; 7] = [
+/// Quantities that are plotted, in the order of the legend.
+const PLOTTED_QUANTITIES: [Quantity; 7] = [
     Quantity::Request,
     Quantity::RequestEnd,
     Quantity::Entry,
@@ -34,16 +34,20 @@
     Quantity::ListUnchangedFromText,
 ];
 
-/// One curve with its name.
-struct Curve {
+/// A chart with two logarithmic axes.
+type LogChart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<LogCoord<f64>, LogCoord<f64>>>;
+
+/// A curve of the plot and its label in the legend.
+struct PlottedCurve {
     label: &'static str,
+    /// Points of (backends, nanoseconds).
     points: Vec<(f64, f64)>,
 }
 
-/// Plots the sweep over backends.
+/// Plots the sweep over backends to an SVG file.
 ///
 /// # Errors
-/// [`LabError::Unwritable`] where the file can't be written.
+/// [`LabError::Unwritable`] if the file can't be written.
 pub fn write(path: &Path, measurements: &Measurements) -> Result<(), LabError> {
     draw(path, &curves(measurements)).map_err(|error| LabError::Unwritable {
         path: path.to_owned(),
@@ -51,16 +55,16 @@
     })
 }
 
-fn curves(measurements: &Measurements) -> Vec<Curve> {
+fn curves(measurements: &Measurements) -> Vec<PlottedCurve> {
     let Some(points) = measurements.sweeps.get(&Sweep::Backends) else {
         return Vec::new();
     };
     let mut curves = Vec::new();
-    for quantity in PLOTTED {
+    for quantity in PLOTTED_QUANTITIES {
         let mut points = series(Sweep::Backends, points, quantity);
-        // The axes are logarithmic.
+        // A logarithmic axis can't show 0.
         points.retain(|&(_, cost)| cost > 0.0);
-        curves.push(Curve {
+        curves.push(PlottedCurve {
             label: quantity.label(),
             points,
         });
@@ -68,7 +72,8 @@
     curves
 }
 
-fn draw(path: &Path, curves: &[Curve]) -> Result<(), Box<dyn std::error::Error>> {
+/// Draws the chart with its axes, curves and legend.
+fn draw(path: &Path, curves: &[PlottedCurve]) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(path, PICTURE_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let backends_axis = axis_range(curves, |point| point.0);
@@ -85,14 +90,7 @@
         .y_desc("nanoseconds")
         .draw()?;
     for (number, curve) in curves.iter().enumerate() {
-        let color = Palette99::pick(number).to_rgba();
-        let line = LineSeries::new(curve.points.iter().copied(), color.stroke_width(LINE_WIDTH));
-        chart.draw_series(line)?;
-        let circle = move |at| Circle::new(at, POINT_RADIUS, color.filled());
-        chart
-            .draw_series(curve.points.iter().copied().map(circle))?
-            .label(curve.label)
-            .legend(move |at| Circle::new(at, POINT_RADIUS, color.filled()));
+        draw_curve(&mut chart, curve, Palette99::pick(number).to_rgba())?;
     }
     chart
         .configure_series_labels()
@@ -103,8 +101,27 @@
     Ok(())
 }
 
-/// Returns the range of an axis that holds all points.
-fn axis_range(curves: &[Curve], coordinate: impl Fn(&(f64, f64)) -> f64) -> std::ops::Range<f64> {
+/// Draws the line and the points of a curve, and its entry in the legend.
+fn draw_curve(
+    chart: &mut LogChart<'_>,
+    curve: &PlottedCurve,
+    color: RGBAColor,
+) -> Result<(), Box<dyn std::error::Error>> {
+    let line = LineSeries::new(curve.points.iter().copied(), color.stroke_width(LINE_WIDTH));
+    chart.draw_series(line)?;
+    let circle = move |at| Circle::new(at, POINT_RADIUS, color.filled());
+    chart
+        .draw_series(curve.points.iter().copied().map(circle))?
+        .label(curve.label)
+        .legend(move |at| Circle::new(at, POINT_RADIUS, color.filled()));
+    Ok(())
+}
+
+/// Returns the range of an axis that contains all points; 1 to 10 without points.
+fn axis_range(
+    curves: &[PlottedCurve],
+    coordinate: impl Fn(&(f64, f64)) -> f64,
+) -> std::ops::Range<f64> {
     let values: Vec<f64> = curves
         .iter()
         .flat_map(|curve| &curve.points)
