--- a/lab/src/fleet/policy/baseline.rs
+++ b/lab/src/fleet/policy/baseline.rs
@@ -192,7 +192,7 @@
             self.open_requests.remove(&end.request);
             return;
         }
-        if !end.outcome.is_not_executed() && open.maybe_executed_since.is_none() {
+        if !end.outcome.proves_not_executed() && open.maybe_executed_since.is_none() {
             open.maybe_executed_since = Some(open.sent_at);
         }
         let open = *open;
--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -295,7 +295,7 @@
 }
 
 fn state_after(outcome: Outcome) -> AttemptState {
-    if outcome.is_not_executed() {
+    if outcome.proves_not_executed() {
         AttemptState::NotExecuted
     } else {
         AttemptState::MaybeExecuted
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -91,7 +91,7 @@
 impl Outcome {
     /// Reports whether this outcome proves that the backend did not execute the request.
     #[must_use]
-    pub fn is_not_executed(self) -> bool {
+    pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -212,7 +212,7 @@
         if attempt.state != AttemptState::InFlight {
             return;
         }
-        let is_not_executed = end.outcome.is_not_executed();
+        let is_not_executed = end.outcome.proves_not_executed();
         attempt.state = if is_not_executed {
             AttemptState::NotExecuted
         } else {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -374,7 +374,7 @@
             AttemptState::InFlight,
             "attempt {number} of request {request} has ended before"
         );
-        attempt.state = if outcome.is_not_executed() {
+        attempt.state = if outcome.proves_not_executed() {
             AttemptState::NotExecuted
         } else {
             AttemptState::MayHaveExecuted
