--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -129,7 +129,7 @@
         let overdue_after = self.latencies.overdue_after(index, class);
         let backend = &self.backends[backend];
         let is_unresponsive = backend.in_flight.is_unresponsive(now, overdue_after);
-        backend.health.is_ejected() || is_unresponsive
+        backend.outlier_detector.is_ejected() || is_unresponsive
     }
 
     /// Updates the state of a backend for an attempt that starts now and occupies one of the backend's slots.
@@ -143,7 +143,7 @@
         backend.slow_start = backend
             .slow_start
             .filter(|budget| !budget.is_over(now, safety));
-        backend.health.start_attempt(attempt.is_trial);
+        backend.outlier_detector.start_attempt(attempt.is_trial);
         backend.in_flight.start(now, attempt.overdue_at);
         let in_flight = backend.in_flight.count();
         backend.limit.record_in_flight(in_flight, slots);
--- a/src/balancer/backends.rs
+++ b/src/balancer/backends.rs
@@ -5,7 +5,7 @@
 use super::index::IndexEntry;
 use super::latency::RecentLatency;
 use super::limits::BackendLimit;
-use super::outliers::Health;
+use super::outliers::OutlierDetector;
 use super::slow_start::SlowStartBudget;
 use crate::api::{BackendId, Cell, MachineType, Micros, Zone};
 use rustc_hash::FxHashMap;
@@ -48,7 +48,7 @@
     pub(crate) in_flight: InFlight,
     pub(crate) limit: BackendLimit,
     pub(crate) recent_latency: RecentLatency,
-    pub(crate) health: Health,
+    pub(crate) outlier_detector: OutlierDetector,
     /// Time until which the backend counts as having no capacity because it rejected a request.
     pub(crate) rejecting_until: Micros,
     /// Budget of this proxy for the backend; `None` if the backend is not in slow start.
@@ -66,7 +66,7 @@
     pub(crate) fn restart(&mut self, now: Micros, slow_start: Option<SlowStartBudget>) {
         self.limit.reset(now);
         self.connections.clear();
-        self.health.reset();
+        self.outlier_detector.reset();
         self.slow_start = slow_start;
     }
 }
--- a/src/balancer/index/mod.rs
+++ b/src/balancer/index/mod.rs
@@ -208,7 +208,7 @@
         valid_until: Option<Micros>,
     ) {
         let has_own_limit = backend.limit.source() != LimitSource::MachineType;
-        let is_ejected = backend.health.is_ejected();
+        let is_ejected = backend.outlier_detector.is_ejected();
         set_member(
             &mut self.with_own_limit,
             key,
--- a/src/balancer/indexing.rs
+++ b/src/balancer/indexing.rs
@@ -4,7 +4,7 @@
 use super::backends::{BackendKey, BackendState};
 use super::index::{Change, Group, Position};
 use super::limits::LimitSource;
-use super::outliers::HealthState;
+use super::outliers::OutlierState;
 use crate::api::Micros;
 use crate::spread::GOLDEN_RATIO_FRACTION;
 
@@ -76,10 +76,10 @@
     if backend.in_flight.count() > 0 {
         return (Position::Compared, None);
     }
-    match backend.health.state(now) {
-        HealthState::Ejected(until) => return (Position::Excluded, Some(until)),
-        HealthState::HalfOpen => return (Position::Compared, None),
-        HealthState::Healthy => {}
+    match backend.outlier_detector.state(now) {
+        OutlierState::Ejected(until) => return (Position::Excluded, Some(until)),
+        OutlierState::HalfOpen => return (Position::Compared, None),
+        OutlierState::Healthy => {}
     }
     if now < backend.rejecting_until {
         return (Position::Excluded, Some(backend.rejecting_until));
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -171,7 +171,7 @@
             .unwrap_or_default();
         let is_avoided = |backend: &&BackendState| {
             !backend.ready
-                || backend.health.is_ejected()
+                || backend.outlier_detector.is_ejected()
                 || backend.in_flight.is_unresponsive(now, overdue_after)
                 || now < backend.rejecting_until
         };
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -4,7 +4,7 @@
 use super::backends::BackendKey;
 use super::limits::MAX_SAMPLE;
 use super::outcome::{Classification, Effect, LimitEvidence, classify};
-use super::outliers::{HealthChange, HealthSample, may_eject_another};
+use super::outliers::{OutlierChange, OutlierSample, may_eject_another};
 use super::requests::Attempt;
 use crate::api::{Action, AttemptEnd, BackendId, ClassIndex, LogEvent, Micros};
 
@@ -74,7 +74,7 @@
         let sample = classification.effect.sample(latency, prior.threshold);
         let sample = sample.min(MAX_SAMPLE);
         self.backends[key].recent_latency.record(now, sample);
-        self.record_health(now, attempt, classification, out);
+        self.record_outlier_sample(now, attempt, classification, out);
         if classification.limit_evidence == LimitEvidence::None {
             return;
         }
@@ -97,7 +97,7 @@
     fn free_slot(&mut self, attempt: &Attempt) {
         let backend = &mut self.backends[attempt.backend];
         backend.in_flight.end(attempt.overdue_at);
-        backend.health.end_attempt(attempt.is_trial);
+        backend.outlier_detector.end_attempt(attempt.is_trial);
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
@@ -145,7 +145,7 @@
     /// Updates outlier detection with an outcome, and logs an ejection or readmission.
     ///
     /// Each call draws one random number, also for outcomes that eject no backend.
-    fn record_health(
+    fn record_outlier_sample(
         &mut self,
         now: Micros,
         attempt: &Attempt,
@@ -154,13 +154,15 @@
     ) {
         let may_eject = may_eject_another(self.index.ejected_count(), self.index.ready_count());
         let jitter = MIN_EJECTION_JITTER + self.rng.f64() / 2.0;
-        let sample = HealthSample {
+        let sample = OutlierSample {
             failed: classification.effect.is_failure(),
             weight: classification.effect.weight(),
             is_trial: attempt.is_trial,
         };
         let backend = &mut self.backends[attempt.backend];
-        let change = backend.health.record(now, sample, may_eject, jitter);
+        let change = backend
+            .outlier_detector
+            .record(now, sample, may_eject, jitter);
         let event = change.and_then(|change| log_event(backend.id, change));
         out.extend(event.map(Action::Log));
     }
@@ -188,10 +190,10 @@
 }
 
 /// Returns the log event of a change in a backend's health. A repeated ejection is not logged.
-fn log_event(backend: BackendId, change: HealthChange) -> Option<LogEvent> {
+fn log_event(backend: BackendId, change: OutlierChange) -> Option<LogEvent> {
     match change {
-        HealthChange::Ejected { duration } => Some(LogEvent::Ejected { backend, duration }),
-        HealthChange::EjectedAgain => None,
-        HealthChange::Readmitted => Some(LogEvent::Readmitted { backend }),
+        OutlierChange::Ejected { duration } => Some(LogEvent::Ejected { backend, duration }),
+        OutlierChange::EjectedAgain => None,
+        OutlierChange::Readmitted => Some(LogEvent::Readmitted { backend }),
     }
 }
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -30,7 +30,7 @@
 
 /// Outcome of an attempt as input of outlier detection.
 #[derive(Clone, Copy)]
-pub(crate) struct HealthSample {
+pub(crate) struct OutlierSample {
     /// Whether the backend failed.
     pub(crate) failed: bool,
     /// Weight of this outcome relative to that of an ordinary one.
@@ -41,7 +41,7 @@
 
 /// Change of a backend's ejection that an outcome caused.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum HealthChange {
+pub(crate) enum OutlierChange {
     /// The backend was ejected.
     Ejected {
         /// Duration of the ejection.
@@ -56,7 +56,7 @@
 
 /// State of a backend in outlier detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum HealthState {
+pub(crate) enum OutlierState {
     /// The backend may receive requests.
     Healthy,
     /// The backend receives no request until this time.
@@ -67,7 +67,7 @@
 
 /// Failures and ejections of one backend.
 #[derive(Default)]
-pub(crate) struct Health {
+pub(crate) struct OutlierDetector {
     /// Exponentially weighted share of failures among the latest outcomes.
     failure_rate: f64,
     /// End of the ejection time; `None` if the backend is not ejected. Stays set until the backend is readmitted.
@@ -77,7 +77,7 @@
     trial_in_flight: bool,
 }
 
-impl Health {
+impl OutlierDetector {
     /// Clears the failures and ejections of the backend's previous process.
     pub(crate) fn reset(&mut self) {
         self.failure_rate = 0.0;
@@ -86,11 +86,11 @@
     }
 
     /// Returns whether the backend is healthy, ejected or half open.
-    pub(crate) fn state(&self, now: Micros) -> HealthState {
+    pub(crate) fn state(&self, now: Micros) -> OutlierState {
         match self.ejected_until {
-            None => HealthState::Healthy,
-            Some(until) if now < until => HealthState::Ejected(until),
-            Some(_) => HealthState::HalfOpen,
+            None => OutlierState::Healthy,
+            Some(until) if now < until => OutlierState::Ejected(until),
+            Some(_) => OutlierState::HalfOpen,
         }
     }
 
@@ -124,10 +124,10 @@
     pub(crate) fn record(
         &mut self,
         now: Micros,
-        sample: HealthSample,
+        sample: OutlierSample,
         may_eject: bool,
         jitter: f64,
-    ) -> Option<HealthChange> {
+    ) -> Option<OutlierChange> {
         let target = f64::from(u8::from(sample.failed));
         self.failure_rate += (target - self.failure_rate) * OUTCOME_WEIGHT * sample.weight;
         if self.failure_rate < RECOVERED_FAILURE_RATE {
@@ -139,7 +139,7 @@
         let is_outlier = self.failure_rate >= EJECTION_FAILURE_RATE;
         if sample.failed && is_outlier && may_eject {
             let duration = self.eject(now, jitter);
-            return Some(HealthChange::Ejected { duration });
+            return Some(OutlierChange::Ejected { duration });
         }
         None
     }
@@ -148,19 +148,19 @@
     fn record_while_ejected(
         &mut self,
         now: Micros,
-        sample: HealthSample,
+        sample: OutlierSample,
         jitter: f64,
-    ) -> Option<HealthChange> {
+    ) -> Option<OutlierChange> {
         if !sample.failed {
             self.ejected_until = None;
             self.failure_rate = self.failure_rate.min(READMISSION_FAILURE_RATE);
-            return Some(HealthChange::Readmitted);
+            return Some(OutlierChange::Readmitted);
         }
         if !sample.is_trial {
             return None;
         }
         self.eject(now, jitter);
-        Some(HealthChange::EjectedAgain)
+        Some(OutlierChange::EjectedAgain)
     }
 
     /// Ejects the backend and returns the duration of the ejection.
--- a/src/balancer/outliers/tests.rs
+++ b/src/balancer/outliers/tests.rs
@@ -2,38 +2,42 @@
 
 use super::*;
 
-const FAILURE: HealthSample = HealthSample {
+const FAILURE: OutlierSample = OutlierSample {
     failed: true,
     weight: 1.0,
     is_trial: false,
 };
-const SUCCESS: HealthSample = HealthSample {
+const SUCCESS: OutlierSample = OutlierSample {
     failed: false,
     ..FAILURE
 };
-const FAILED_TRIAL: HealthSample = HealthSample {
+const FAILED_TRIAL: OutlierSample = OutlierSample {
     is_trial: true,
     ..FAILURE
 };
-const SUCCESSFUL_TRIAL: HealthSample = HealthSample {
+const SUCCESSFUL_TRIAL: OutlierSample = OutlierSample {
     is_trial: true,
     ..SUCCESS
 };
 const NO_JITTER: f64 = 1.0;
 
 /// Records a sample of a backend that may be ejected.
-fn record(health: &mut Health, now: Micros, sample: HealthSample) -> Option<HealthChange> {
+fn record(
+    health: &mut OutlierDetector,
+    now: Micros,
+    sample: OutlierSample,
+) -> Option<OutlierChange> {
     health.record(now, sample, true, NO_JITTER)
 }
 
-fn ejected_for(seconds: u64) -> Option<HealthChange> {
+fn ejected_for(seconds: u64) -> Option<OutlierChange> {
     let duration = seconds * SECOND;
-    Some(HealthChange::Ejected { duration })
+    Some(OutlierChange::Ejected { duration })
 }
 
 /// Records failures at one time until the backend is ejected. Returns the number of failures.
-fn fail_until_ejected(health: &mut Health, now: Micros, weight: f64) -> u32 {
-    let failure = HealthSample { weight, ..FAILURE };
+fn fail_until_ejected(health: &mut OutlierDetector, now: Micros, weight: f64) -> u32 {
+    let failure = OutlierSample { weight, ..FAILURE };
     let mut failures = 0;
     while !health.is_ejected() {
         failures += 1;
@@ -46,39 +50,45 @@
 #[test]
 fn a_backend_is_ejected_when_its_failure_rate_reaches_the_threshold() {
     // After n failures in a row the rate is 1 - 0.75^n: 0.44 after two, 0.58 after three.
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     assert_eq!(record(&mut health, 0, FAILURE), None);
     assert_eq!(record(&mut health, 0, FAILURE), None);
-    assert_eq!(health.state(0), HealthState::Healthy);
+    assert_eq!(health.state(0), OutlierState::Healthy);
     assert_eq!(record(&mut health, 0, FAILURE), ejected_for(1));
-    assert_eq!(health.state(0), HealthState::Ejected(SECOND));
+    assert_eq!(health.state(0), OutlierState::Ejected(SECOND));
 }
 
 #[test]
 fn the_weight_of_a_failure_scales_its_effect_on_the_failure_rate() {
     // After n failures of weight w the rate is 1 - (1 - w/4)^n: 0.5 after one of weight 2, 0.49 after five of weight
     // 1/2.
-    assert_eq!(fail_until_ejected(&mut Health::default(), 0, 2.0), 1);
-    assert_eq!(fail_until_ejected(&mut Health::default(), 0, 0.5), 6);
+    assert_eq!(
+        fail_until_ejected(&mut OutlierDetector::default(), 0, 2.0),
+        1
+    );
+    assert_eq!(
+        fail_until_ejected(&mut OutlierDetector::default(), 0, 0.5),
+        6
+    );
 }
 
 #[test]
 fn a_success_does_not_eject_a_backend_with_a_high_failure_rate() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     for _ in 0..10 {
         health.record(0, FAILURE, false, NO_JITTER);
     }
     assert_eq!(record(&mut health, 0, SUCCESS), None);
-    assert_eq!(health.state(0), HealthState::Healthy);
+    assert_eq!(health.state(0), OutlierState::Healthy);
 }
 
 #[test]
 fn a_backend_is_not_ejected_while_too_many_others_are() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     for _ in 0..100 {
         assert_eq!(health.record(0, FAILURE, false, NO_JITTER), None);
     }
-    assert_eq!(health.state(0), HealthState::Healthy);
+    assert_eq!(health.state(0), OutlierState::Healthy);
 }
 
 #[test]
@@ -97,42 +107,42 @@
 #[test]
 fn jitter_scales_the_duration_of_an_ejection() {
     for (jitter, duration) in [(0.75, 3 * SECOND / 4), (1.25, 5 * SECOND / 4)] {
-        let refused_connection = HealthSample {
+        let refused_connection = OutlierSample {
             weight: 2.0,
             ..FAILURE
         };
-        let change = Health::default().record(0, refused_connection, true, jitter);
-        assert_eq!(change, Some(HealthChange::Ejected { duration }));
+        let change = OutlierDetector::default().record(0, refused_connection, true, jitter);
+        assert_eq!(change, Some(OutlierChange::Ejected { duration }));
     }
 }
 
 #[test]
 fn consecutive_ejections_double_in_duration_up_to_16_seconds() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     fail_until_ejected(&mut health, 0, 1.0);
     let mut now = SECOND;
     for seconds in [2, 4, 8, 16, 16, 16] {
-        assert_eq!(health.state(now), HealthState::HalfOpen);
+        assert_eq!(health.state(now), OutlierState::HalfOpen);
         let change = record(&mut health, now, FAILED_TRIAL);
-        assert_eq!(change, Some(HealthChange::EjectedAgain));
+        assert_eq!(change, Some(OutlierChange::EjectedAgain));
         let until = now + seconds * SECOND;
-        assert_eq!(health.state(now), HealthState::Ejected(until));
+        assert_eq!(health.state(now), OutlierState::Ejected(until));
         now = until;
     }
 }
 
 #[test]
 fn an_ejected_backend_is_half_open_after_its_ejection_time() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     fail_until_ejected(&mut health, 0, 1.0);
-    assert_eq!(health.state(SECOND - 1), HealthState::Ejected(SECOND));
-    assert_eq!(health.state(SECOND), HealthState::HalfOpen);
+    assert_eq!(health.state(SECOND - 1), OutlierState::Ejected(SECOND));
+    assert_eq!(health.state(SECOND), OutlierState::HalfOpen);
     assert!(health.is_ejected(), "ejected until it is readmitted");
 }
 
 #[test]
 fn a_trial_request_is_in_flight_until_it_ends() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     health.start_attempt(false);
     assert!(!health.is_trial_in_flight());
     health.start_attempt(true);
@@ -145,27 +155,27 @@
 
 #[test]
 fn a_failed_attempt_other_than_a_trial_does_not_prolong_an_ejection() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     fail_until_ejected(&mut health, 0, 1.0);
     assert_eq!(record(&mut health, SECOND / 2, FAILURE), None);
-    assert_eq!(health.state(SECOND / 2), HealthState::Ejected(SECOND));
+    assert_eq!(health.state(SECOND / 2), OutlierState::Ejected(SECOND));
 }
 
 #[test]
 fn a_success_readmits_an_ejected_backend() {
     for success in [SUCCESSFUL_TRIAL, SUCCESS] {
-        let mut health = Health::default();
+        let mut health = OutlierDetector::default();
         fail_until_ejected(&mut health, 0, 1.0);
         let change = record(&mut health, SECOND, success);
-        assert_eq!(change, Some(HealthChange::Readmitted));
-        assert_eq!(health.state(SECOND), HealthState::Healthy);
+        assert_eq!(change, Some(OutlierChange::Readmitted));
+        assert_eq!(health.state(SECOND), OutlierState::Healthy);
         assert!(!health.is_ejected());
     }
 }
 
 #[test]
 fn a_readmitted_backend_is_not_ejected_for_its_next_failure() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     for _ in 0..20 {
         record(&mut health, 0, FAILURE);
     }
@@ -179,7 +189,7 @@
 fn a_low_failure_rate_resets_the_ejection_duration() {
     // After the readmission the rate is 0.3, then 0.13 after three successes and 0.09 after four.
     for (successes, seconds) in [(3, 2), (4, 1)] {
-        let mut health = Health::default();
+        let mut health = OutlierDetector::default();
         for _ in 0..20 {
             record(&mut health, 0, FAILURE);
         }
@@ -191,7 +201,7 @@
         let until = SECOND + seconds * SECOND;
         assert_eq!(
             health.state(SECOND),
-            HealthState::Ejected(until),
+            OutlierState::Ejected(until),
             "after {successes} successes"
         );
     }
@@ -199,10 +209,10 @@
 
 #[test]
 fn a_reset_clears_ejections_and_failures() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     fail_until_ejected(&mut health, 0, 1.0);
     health.reset();
-    assert_eq!(health.state(0), HealthState::Healthy);
+    assert_eq!(health.state(0), OutlierState::Healthy);
     assert_eq!(fail_until_ejected(&mut health, 0, 1.0), 3);
-    assert_eq!(health.state(0), HealthState::Ejected(SECOND));
+    assert_eq!(health.state(0), OutlierState::Ejected(SECOND));
 }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -6,7 +6,7 @@
 use super::Balancer;
 use super::backends::{BackendKey, BackendState};
 use super::index::{Candidates, Group, GroupKey, TiedCandidates};
-use super::outliers::HealthState;
+use super::outliers::OutlierState;
 use super::requests::RequestKey;
 use super::retries::RetryScope;
 use crate::api::{Cell, Idempotency, Micros, Zone};
@@ -274,13 +274,13 @@
     /// Backends that may not receive any request are already left out of the index (see `indexing`), but not out of the
     /// set of a cell's backends.
     fn is_eligible(&self, now: Micros, backend: &BackendState, criteria: &Criteria) -> bool {
-        let is_trial_in_flight = backend.health.is_trial_in_flight();
-        match backend.health.state(now) {
-            HealthState::Healthy => {}
-            HealthState::Ejected(_) => return false,
+        let is_trial_in_flight = backend.outlier_detector.is_trial_in_flight();
+        match backend.outlier_detector.state(now) {
+            OutlierState::Healthy => {}
+            OutlierState::Ejected(_) => return false,
             // Deviation: a backend whose ejection time is over receives a single trial request, which must be
             // repeatable.
-            HealthState::HalfOpen => return !is_trial_in_flight && criteria.is_repeatable,
+            OutlierState::HalfOpen => return !is_trial_in_flight && criteria.is_repeatable,
         }
         // Deviation: an unresponsive backend may be hanging and receives nothing more, except a single trial request if
         // the loss of that request would be detected early: the attempts in flight may have been lost on the way.
