--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -65,7 +65,7 @@
         let backend = &mut self.backends[key];
         let in_flight = backend.in_flight.count();
         let idle = backend.connections.take(now, in_flight, per_connection);
-        if !self.idle_trust.is_suspect(now, idle) {
+        if !self.trusted_idle_time.exceeds_trusted_idle(now, idle) {
             return idle;
         }
         backend.connections.close_idle(in_flight, per_connection);
--- a/src/balancer/connections.rs
+++ b/src/balancer/connections.rs
@@ -21,13 +21,13 @@
 const TRUSTED_IDLE_DOUBLING_TIME: Micros = 60 * SECOND;
 
 /// Time for which a connection may have been idle and is still trusted to deliver a request.
-pub(crate) struct IdleTrust {
+pub(crate) struct TrustedIdleTime {
     /// Trusted idle time at `updated_at`, microseconds.
     trusted_idle: f64,
     updated_at: Micros,
 }
 
-impl IdleTrust {
+impl TrustedIdleTime {
     /// Returns a trusted idle time equal to the idle timeout of connections.
     pub(crate) fn new(idle_timeout: Micros, now: Micros) -> Self {
         Self {
@@ -37,7 +37,7 @@
     }
 
     /// Reports whether a connection that has been idle for the time `idle` should be closed instead of used.
-    pub(crate) fn is_suspect(&self, now: Micros, idle: Micros) -> bool {
+    pub(crate) fn exceeds_trusted_idle(&self, now: Micros, idle: Micros) -> bool {
         idle > MIN_SUSPECT_IDLE && idle as f64 > self.trusted_idle(now)
     }
 
--- a/src/balancer/connections/tests.rs
+++ b/src/balancer/connections/tests.rs
@@ -6,52 +6,55 @@
 const NOW: Micros = 1_000 * SECOND;
 
 /// Asserts that the trusted idle time is exactly `idle`.
-fn assert_trusted_idle(trust: &IdleTrust, now: Micros, idle: Micros) {
-    assert!(!trust.is_suspect(now, idle), "{idle} us must be trusted");
+fn assert_trusted_idle(trusted: &TrustedIdleTime, now: Micros, idle: Micros) {
     assert!(
-        trust.is_suspect(now, idle + 1),
+        !trusted.exceeds_trusted_idle(now, idle),
+        "{idle} us must be trusted"
+    );
+    assert!(
+        trusted.exceeds_trusted_idle(now, idle + 1),
         "more than {idle} us must be suspect"
     );
 }
 
 #[test]
 fn the_initial_trusted_idle_time_is_the_idle_timeout() {
-    let trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
-    assert_trusted_idle(&trust, NOW, IDLE_TIMEOUT);
+    let trusted = TrustedIdleTime::new(IDLE_TIMEOUT, NOW);
+    assert_trusted_idle(&trusted, NOW, IDLE_TIMEOUT);
 }
 
 #[test]
 fn a_lost_request_reduces_the_trusted_idle_time_to_half_of_the_connections_idle_time() {
-    let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
-    assert!(trust.record_lost_request(NOW, 2 * SECOND));
-    assert_trusted_idle(&trust, NOW, SECOND);
+    let mut trusted = TrustedIdleTime::new(IDLE_TIMEOUT, NOW);
+    assert!(trusted.record_lost_request(NOW, 2 * SECOND));
+    assert_trusted_idle(&trusted, NOW, SECOND);
 }
 
 #[test]
 fn a_loss_on_a_connection_idle_for_up_to_500_ms_is_not_attributed_to_it() {
-    let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
+    let mut trusted = TrustedIdleTime::new(IDLE_TIMEOUT, NOW);
     for idle in [0, SECOND / 4, SECOND / 2] {
-        assert!(!trust.record_lost_request(NOW, idle));
+        assert!(!trusted.record_lost_request(NOW, idle));
     }
-    assert_trusted_idle(&trust, NOW, IDLE_TIMEOUT);
-    assert!(trust.record_lost_request(NOW, SECOND / 2 + 1));
-    assert_trusted_idle(&trust, NOW, SECOND / 2);
+    assert_trusted_idle(&trusted, NOW, IDLE_TIMEOUT);
+    assert!(trusted.record_lost_request(NOW, SECOND / 2 + 1));
+    assert_trusted_idle(&trusted, NOW, SECOND / 2);
 }
 
 #[test]
 fn a_loss_after_a_longer_idle_time_does_not_raise_the_trusted_idle_time() {
-    let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
-    trust.record_lost_request(NOW, 2 * SECOND);
-    assert!(trust.record_lost_request(NOW, 10 * SECOND));
-    assert_trusted_idle(&trust, NOW, SECOND);
+    let mut trusted = TrustedIdleTime::new(IDLE_TIMEOUT, NOW);
+    trusted.record_lost_request(NOW, 2 * SECOND);
+    assert!(trusted.record_lost_request(NOW, 10 * SECOND));
+    assert_trusted_idle(&trusted, NOW, SECOND);
 }
 
 #[test]
 fn the_trusted_idle_time_doubles_each_minute() {
-    let mut trust = IdleTrust::new(IDLE_TIMEOUT, NOW);
-    trust.record_lost_request(NOW, 2 * SECOND);
-    assert_trusted_idle(&trust, NOW + 60 * SECOND, 2 * SECOND);
-    assert_trusted_idle(&trust, NOW + 120 * SECOND, 4 * SECOND);
+    let mut trusted = TrustedIdleTime::new(IDLE_TIMEOUT, NOW);
+    trusted.record_lost_request(NOW, 2 * SECOND);
+    assert_trusted_idle(&trusted, NOW + 60 * SECOND, 2 * SECOND);
+    assert_trusted_idle(&trusted, NOW + 120 * SECOND, 4 * SECOND);
 }
 
 #[test]
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -59,7 +59,7 @@
 use crate::api::{Action, ClassIndex, Event, Micros, RequestId, Settings, SettingsError};
 use backends::{BackendState, BackendTable};
 use capacity::ProxyCapacity;
-use connections::IdleTrust;
+use connections::TrustedIdleTime;
 use index::SelectionIndex;
 use latency::LatencyTable;
 use limits::MachineTypeLimit;
@@ -106,7 +106,7 @@
     capacity: ProxyCapacity,
     quotas: TenantQuotas,
     retry_budget: RetryBudget,
-    idle_trust: IdleTrust,
+    trusted_idle_time: TrustedIdleTime,
     /// Peak rate of the requests of this proxy that backends served.
     throughput: PeakRate,
 }
@@ -133,7 +133,7 @@
             capacity: ProxyCapacity::unbounded(),
             quotas: TenantQuotas::from_settings(&settings, now),
             retry_budget: RetryBudget::new(),
-            idle_trust: IdleTrust::new(settings.permissions.idle_timeout, now),
+            trusted_idle_time: TrustedIdleTime::new(settings.permissions.idle_timeout, now),
             throughput: PeakRate::new(now),
             settings,
         })
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -66,7 +66,7 @@
         }
         if classification.is_lost
             && self
-                .idle_trust
+                .trusted_idle_time
                 .record_lost_request(now, attempt.connection_idle)
         {
             return;
