--- a/src/balancer/backends.rs
+++ b/src/balancer/backends.rs
@@ -1,6 +1,6 @@
 //! The table of backends, and the state that the policies keep of each backend.
 
-use super::connections::ConnectionUse;
+use super::connections::ConnectionIdleTimes;
 use super::in_flight::InFlight;
 use super::index::IndexEntry;
 use super::latency::RecentLatency;
@@ -53,7 +53,7 @@
     pub(crate) rejecting_until: Micros,
     /// Budget of this proxy for the backend; `None` if the backend is not in slow start.
     pub(crate) slow_start: Option<SlowStartBudget>,
-    pub(crate) connections: ConnectionUse,
+    pub(crate) connections: ConnectionIdleTimes,
     pub(crate) index_entry: IndexEntry,
 }
 
--- a/src/balancer/connections.rs
+++ b/src/balancer/connections.rs
@@ -66,12 +66,12 @@
 /// methods, `in_flight` is the number of attempts in flight at the backend and `per_connection` the number of requests
 /// that one connection carries at the same time.
 #[derive(Default)]
-pub(crate) struct ConnectionUse {
+pub(crate) struct ConnectionIdleTimes {
     /// Time of the last use of each connection, by connection number.
     used_at: Vec<Micros>,
 }
 
-impl ConnectionUse {
+impl ConnectionIdleTimes {
     /// Removes all connections.
     pub(crate) fn clear(&mut self) {
         self.used_at.clear();
--- a/src/balancer/connections/tests.rs
+++ b/src/balancer/connections/tests.rs
@@ -59,14 +59,14 @@
 
 #[test]
 fn the_idle_time_of_a_new_connection_is_zero() {
-    let mut connections = ConnectionUse::default();
+    let mut connections = ConnectionIdleTimes::default();
     assert_eq!(connections.take(10, 0, 1), 0);
     assert_eq!(connections.take(20, 1, 1), 0);
 }
 
 #[test]
 fn the_idle_time_is_measured_from_the_end_of_the_last_attempt() {
-    let mut connections = ConnectionUse::default();
+    let mut connections = ConnectionIdleTimes::default();
     connections.take(10, 0, 1);
     connections.release(40, 0, 1);
     assert_eq!(connections.take(100, 0, 1), 60);
@@ -74,7 +74,7 @@
 
 #[test]
 fn attempts_use_connections_from_the_first_one_on() {
-    let mut connections = ConnectionUse::default();
+    let mut connections = ConnectionIdleTimes::default();
     connections.take(10, 0, 1);
     connections.take(10, 1, 1);
     connections.release(30, 1, 1);
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_connection_that_carries_other_attempts_is_not_idle() {
-    let mut connections = ConnectionUse::default();
+    let mut connections = ConnectionIdleTimes::default();
     connections.take(10, 0, 2);
     connections.release(40, 0, 2);
     assert_eq!(connections.take(100, 0, 2), 60);
@@ -95,7 +95,7 @@
 
 #[test]
 fn close_idle_removes_all_idle_connections_except_the_next_one() {
-    let mut connections = ConnectionUse::default();
+    let mut connections = ConnectionIdleTimes::default();
     for in_flight in 0..3 {
         connections.take(10, in_flight, 1);
     }
@@ -110,7 +110,7 @@
 
 #[test]
 fn all_connections_are_new_after_clear() {
-    let mut connections = ConnectionUse::default();
+    let mut connections = ConnectionIdleTimes::default();
     connections.take(10, 0, 1);
     connections.release(20, 0, 1);
     connections.clear();
