--- a/src/balancer/in_flight.rs
+++ b/src/balancer/in_flight.rs
@@ -63,7 +63,7 @@
 
     /// Reports whether the backend has served an attempt since `time`, which must be the send time of an attempt that
     /// is still in flight.
-    pub(crate) fn has_answered_since(&self, time: Micros) -> bool {
+    pub(crate) fn has_served_since(&self, time: Micros) -> bool {
         self.unserved_since > time
     }
 
--- a/src/balancer/in_flight/tests.rs
+++ b/src/balancer/in_flight/tests.rs
@@ -84,9 +84,9 @@
     let mut in_flight = InFlight::new(0);
     in_flight.start(100, 1_000);
     in_flight.start(110, 1_000);
-    assert!(!in_flight.has_answered_since(100));
+    assert!(!in_flight.has_served_since(100));
     in_flight.record_response(300, 100);
-    assert!(in_flight.has_answered_since(110));
-    assert!(in_flight.has_answered_since(299));
-    assert!(!in_flight.has_answered_since(300));
+    assert!(in_flight.has_served_since(110));
+    assert!(in_flight.has_served_since(299));
+    assert!(!in_flight.has_served_since(300));
 }
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -18,7 +18,7 @@
     /// Latency threshold of the class on the backend's machine type, microseconds.
     threshold: f64,
     /// Whether the backend has served another attempt since this one was sent.
-    backend_answered: bool,
+    backend_has_served: bool,
 }
 
 impl Balancer {
@@ -50,7 +50,7 @@
     ) {
         let key = attempt.backend;
         let prior = self.prior_state(class, attempt);
-        let classification = classify(end.outcome, attempt, prior.backend_answered);
+        let classification = classify(end.outcome, attempt, prior.backend_has_served);
         self.free_slot(attempt);
         if classification.effect == Effect::Ignored {
             return;
@@ -89,7 +89,7 @@
         PriorState {
             is_base_known: estimate.is_base_known(),
             threshold: estimate.threshold(objective),
-            backend_answered: backend.in_flight.has_answered_since(attempt.sent_at),
+            backend_has_served: backend.in_flight.has_served_since(attempt.sent_at),
         }
     }
 
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -87,14 +87,14 @@
     pub(crate) limit_evidence: LimitEvidence,
 }
 
-/// Classifies the end of an attempt. `backend_answered` states whether the backend has served another attempt since
+/// Classifies the end of an attempt. `backend_has_served` states whether the backend has served another attempt since
 /// this one was sent.
 pub(crate) fn classify(
     outcome: Outcome,
     attempt: &Attempt,
-    backend_answered: bool,
+    backend_has_served: bool,
 ) -> Classification {
-    let effect = effect_of(outcome, backend_answered);
+    let effect = effect_of(outcome, backend_has_served);
     let may_be_lost = matches!(outcome, Outcome::Timeout | Outcome::Reset);
     Classification {
         effect,
@@ -103,12 +103,12 @@
     }
 }
 
-fn effect_of(outcome: Outcome, backend_answered: bool) -> Effect {
+fn effect_of(outcome: Outcome, backend_has_served: bool) -> Effect {
     match outcome {
         Outcome::NotSent => Effect::Ignored,
         Outcome::Ok => Effect::Responded,
         Outcome::Rejected => Effect::Rejected,
-        Outcome::Timeout | Outcome::Cancelled if backend_answered => Effect::Slow,
+        Outcome::Timeout | Outcome::Cancelled if backend_has_served => Effect::Slow,
         Outcome::Timeout | Outcome::Cancelled | Outcome::Error | Outcome::CorruptResponse => {
             Effect::Failed {
                 weight: ORDINARY_WEIGHT,
