--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -33,7 +33,7 @@
 /// Initial estimate of a class's mean latency, as a fraction of its latency objective.
 const INITIAL_MEAN_OVER_OBJECTIVE: f64 = 1.0 / 4.0;
 /// Weight of a new value in an exponentially weighted mean.
-pub(crate) const LATENCY_WEIGHT: f64 = 1.0 / 16.0;
+pub(crate) const MEAN_SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
 /// Growth of the base latency per second, as a fraction of it. The growth lets the base follow if all backends become
 /// slower.
 const BASE_GROWTH_PER_SECOND: f64 = 0.01;
@@ -82,11 +82,11 @@
     pub(crate) fn record(&mut self, now: Micros, latency: f64) {
         self.samples += 1;
         let samples = f64::from(self.samples);
-        self.mean += (latency - self.mean) * LATENCY_WEIGHT.max(1.0 / samples);
+        self.mean += (latency - self.mean) * MEAN_SAMPLE_WEIGHT.max(1.0 / samples);
         let elapsed = (now - self.base_updated_at) as f64;
         let growth = 1.0 + BASE_GROWTH_PER_SECOND * elapsed / SECOND as f64;
         self.base_updated_at = now;
-        let has_enough_samples = samples * LATENCY_WEIGHT >= 1.0;
+        let has_enough_samples = samples * MEAN_SAMPLE_WEIGHT >= 1.0;
         if has_enough_samples {
             self.base = (self.base * growth).min(self.mean);
         }
--- a/src/balancer/limits/machine_type.rs
+++ b/src/balancer/limits/machine_type.rs
@@ -5,7 +5,7 @@
     MIN_WINDOW, Window,
 };
 use crate::api::Micros;
-use crate::balancer::latency::LATENCY_WEIGHT;
+use crate::balancer::latency::MEAN_SAMPLE_WEIGHT;
 
 /// Limit of one backend of a machine type, for all proxies together.
 ///
@@ -78,7 +78,7 @@
     pub(crate) fn record_service_time(&mut self, reported_ms: f64) -> f64 {
         let mean = self.service_time_ms.unwrap_or(reported_ms);
         let capped = reported_ms.min(mean * MAX_SAMPLE);
-        self.service_time_ms = Some(mean + (capped - mean) * LATENCY_WEIGHT);
+        self.service_time_ms = Some(mean + (capped - mean) * MEAN_SAMPLE_WEIGHT);
         mean
     }
 }
