--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -224,7 +224,7 @@
         if !attempt.response_started {
             self.observe(now, class, &attempt, &end, out);
         } else if end.outcome == Outcome::Ok {
-            self.follow_load_report(now, attempt.backend, end.load_report);
+            self.apply_load_report(now, attempt.backend, end.load_report);
         }
         self.reindex(now, attempt.backend);
         if end.request_answered || self.requests[key].closed {
--- a/src/balancer/limit_updates.rs
+++ b/src/balancer/limit_updates.rs
@@ -46,22 +46,22 @@
             .filter(is_of_type)
             .collect();
         for key in individual {
-            self.follow_machine_type(now, key);
+            self.use_machine_type_limit(now, key);
         }
     }
 
     /// Returns a backend with a limit of its own to the limit of its machine type, if its state permits that.
-    fn follow_machine_type(&mut self, now: Micros, key: BackendKey) {
+    fn use_machine_type_limit(&mut self, now: Micros, key: BackendKey) {
         let machine_type_limit = self.machine_type_limit_of(key);
         let slots = self.slots(key, self.capacity.limit_factor());
         let limit = &mut self.backends[key].limit;
-        if limit.follow_machine_type(now, slots, machine_type_limit) {
+        if limit.use_machine_type_limit(now, slots, machine_type_limit) {
             self.reindex(now, key);
         }
     }
 
     /// Updates the limit of a backend with its load report, if the report contains a service time.
-    pub(super) fn follow_load_report(&mut self, now: Micros, key: BackendKey, report: &[f32]) {
+    pub(super) fn apply_load_report(&mut self, now: Micros, key: BackendKey, report: &[f32]) {
         let Some(reported_ms) = self.reported_service_time_ms(report) else {
             return;
         };
--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -145,7 +145,7 @@
     /// determine the limit. Reports whether the limit was changed.
     ///
     /// Windows still determine it while the backend has a slot, or while its window is at most [`UNSAMPLED_AFTER`] old.
-    pub(crate) fn follow_machine_type(
+    pub(crate) fn use_machine_type_limit(
         &mut self,
         now: Micros,
         slots: i64,
--- a/src/balancer/limits/tests/backend.rs
+++ b/src/balancer/limits/tests/backend.rs
@@ -213,10 +213,10 @@
 fn an_own_limit_is_kept_with_a_slot_or_for_2_seconds_after_its_last_window() {
     let mut limit = new_backend_limit(NOW);
     let end = complete_window(&mut limit, NOW, SLOW, 10.0);
-    assert!(!limit.follow_machine_type(end + 60 * SECOND, 1, 10.0));
-    assert!(!limit.follow_machine_type(end + 2 * SECOND, 0, 10.0));
+    assert!(!limit.use_machine_type_limit(end + 60 * SECOND, 1, 10.0));
+    assert!(!limit.use_machine_type_limit(end + 2 * SECOND, 0, 10.0));
     assert_eq!(limit.source(), LimitSource::Windows);
-    assert!(limit.follow_machine_type(end + 2 * SECOND + 1, 0, 10.0));
+    assert!(limit.use_machine_type_limit(end + 2 * SECOND + 1, 0, 10.0));
     assert_eq!(limit.source(), LimitSource::MachineType);
     assert_eq!(limit.value(10.0), 10.0);
 }
@@ -225,10 +225,10 @@
 fn a_load_report_scales_the_followed_machine_type_limit_for_5_seconds() {
     let mut limit = new_backend_limit(NOW);
     limit.record_service_time(NOW, 200.0, 100.0, 0.5);
-    assert!(limit.follow_machine_type(NOW + 5 * SECOND - 1, 0, 0.8));
+    assert!(limit.use_machine_type_limit(NOW + 5 * SECOND - 1, 0, 0.8));
     assert_eq!(limit.source(), LimitSource::LoadReport);
     assert_close(limit.value(0.8), 0.4);
-    assert!(limit.follow_machine_type(NOW + 5 * SECOND, 0, 0.8));
+    assert!(limit.use_machine_type_limit(NOW + 5 * SECOND, 0, 0.8));
     assert_eq!(limit.source(), LimitSource::MachineType);
     assert_close(limit.value(0.8), 0.8);
 }
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -79,7 +79,7 @@
             return;
         }
         self.update_limits(now, key, sample, classification.limit_evidence, &prior);
-        self.follow_load_report(now, key, end.load_report);
+        self.apply_load_report(now, key, end.load_report);
     }
 
     fn prior_state(&self, class: ClassIndex, attempt: &Attempt) -> PriorState {
