--- a/src/balancer/index/mod.rs
+++ b/src/balancer/index/mod.rs
@@ -261,7 +261,7 @@
     }
 
     /// Returns one of the candidates at random, each with the same probability.
-    pub(crate) fn sample(&self, candidates: &Candidates, rng: &mut Rng) -> Option<BackendKey> {
+    pub(crate) fn pick_random(&self, candidates: &Candidates, rng: &mut Rng) -> Option<BackendKey> {
         match candidates {
             Candidates::One(backend) => Some(*backend),
             Candidates::Members { count, group, runs } => {
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -66,7 +66,7 @@
         let mut rng = self.rng.clone();
         let best = self
             .most_available(now, &criteria, &tried, &mut rng)
-            .and_then(|candidates| self.index.sample(&candidates, &mut rng));
+            .and_then(|candidates| self.index.pick_random(&candidates, &mut rng));
         self.rng = rng;
         // Deviation: a proxy that has no slot on any backend would never serve a request, so it sends one if it has
         // nothing in flight.
