--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -43,7 +43,7 @@
         }
         let is_over_quota = self.requests[key].over_quota;
         if is_over_quota || !self.can_answer_in_time(now, key) {
-            self.send_or_give_up(now, key, out);
+            self.send_or_answer(now, key, out);
         } else {
             self.enqueue(now, key, out);
         }
@@ -51,7 +51,7 @@
 
     /// Handles a request that must not be queued, or no longer: sends it if a backend has available capacity now and
     /// its response would still be useful, and otherwise answers it unless an attempt is in flight.
-    pub(super) fn send_or_give_up(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
+    pub(super) fn send_or_answer(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         if !self.is_past_objective(now, key)
             && let Some(backend) = self.select_backend(now, key)
         {
@@ -137,7 +137,7 @@
         }
         let request = open.id;
         let idempotency = self.settings.class(open.class).idempotency;
-        let action = if retries::is_rejection_harmless(now, open, idempotency) {
+        let action = if retries::may_client_retry(now, open, idempotency) {
             let retry_after = self.retry_after(open.class);
             Action::Reject {
                 request,
@@ -147,7 +147,7 @@
             Action::Fail { request }
         };
         out.push(action);
-        self.close(key);
+        self.close_request(key);
     }
 
     /// Returns the time for which a rejected client should wait before it retries.
@@ -168,7 +168,7 @@
 
     /// Closes a request that has its final answer or whose client has disconnected. The entry in the request table is
     /// removed once all its attempts have ended.
-    pub(super) fn close(&mut self, key: RequestKey) {
+    pub(super) fn close_request(&mut self, key: RequestKey) {
         self.dequeue(key);
         let request = &mut self.requests[key];
         request.closed = true;
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -228,7 +228,7 @@
         }
         self.reindex(now, attempt.backend);
         if end.request_answered || self.requests[key].closed {
-            self.close(key);
+            self.close_request(key);
         } else {
             self.retry(now, key, is_not_executed, out);
         }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -181,7 +181,7 @@
 
     fn on_client_disconnected(&mut self, request: RequestId) {
         if let Some(key) = self.requests.find(request) {
-            self.close(key);
+            self.close_request(key);
         }
     }
 
@@ -189,7 +189,7 @@
         match Timer::from_token(token) {
             Some(Timer::Subscribe) => out.push(Action::Subscribe),
             Some(Timer::QueueTimeout(request)) if self.has_waited(now, request) => {
-                self.send_or_give_up(now, request, out);
+                self.send_or_answer(now, request, out);
             }
             Some(Timer::QueueTimeout(_)) | None => {}
         }
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -91,7 +91,7 @@
 }
 
 /// Reports whether a request may be rejected: a rejection promises the client that a retry is harmless (rule 2).
-pub(crate) fn is_rejection_harmless(
+pub(crate) fn may_client_retry(
     now: Micros,
     request: &OpenRequest,
     idempotency: Idempotency,
--- a/src/balancer/retries/tests.rs
+++ b/src/balancer/retries/tests.rs
@@ -92,7 +92,7 @@
             for now in [BEFORE_EXPIRY, AT_EXPIRY] {
                 let scope = backends.scope(now, &request, idempotency);
                 assert_eq!(scope, RetryScope::Anywhere, "{idempotency:?}");
-                assert!(is_rejection_harmless(now, &request, idempotency));
+                assert!(may_client_retry(now, &request, idempotency));
                 assert_eq!(key_expires_at(&request, idempotency), None);
             }
         }
@@ -135,7 +135,7 @@
     for state in [AttemptState::MayHaveExecuted, AttemptState::InFlight] {
         let request = open_request(vec![attempt(backends.first, SENT_AT, state)]);
         for (idempotency, (before, after)) in ALL.into_iter().zip(expected) {
-            let is_harmless_at = |now| is_rejection_harmless(now, &request, idempotency);
+            let is_harmless_at = |now| may_client_retry(now, &request, idempotency);
             assert_eq!(is_harmless_at(BEFORE_EXPIRY), before, "{idempotency:?}");
             assert_eq!(is_harmless_at(AT_EXPIRY), after, "{idempotency:?}");
         }
@@ -201,7 +201,7 @@
         backends.scope(AT_EXPIRY, &request, endless),
         RetryScope::Anywhere
     );
-    assert!(is_rejection_harmless(AT_EXPIRY, &request, endless));
+    assert!(may_client_retry(AT_EXPIRY, &request, endless));
 }
 
 #[test]
