--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -64,7 +64,7 @@
         } else {
             1.0
         };
-        self.max_in_flight = self.has_scaled_limits().then(|| {
+        self.max_in_flight = self.are_limits_scaled_up().then(|| {
             let bound = limit_sum + limit_sum.sqrt() + golden_ratio_position(proxy_index);
             (bound as u32).max(1)
         });
@@ -81,7 +81,7 @@
     }
 
     /// Reports whether limits are scaled up, because their sum is positive and below [`MIN_SLOTS`].
-    pub(crate) fn has_scaled_limits(&self) -> bool {
+    pub(crate) fn are_limits_scaled_up(&self) -> bool {
         self.limit_factor > 1.0
     }
 
--- a/src/balancer/capacity/tests.rs
+++ b/src/balancer/capacity/tests.rs
@@ -22,7 +22,7 @@
 fn limits_that_add_up_to_at_least_three_are_neither_scaled_nor_bounded() {
     for limit_sum in [3.0, 100.0] {
         let capacity = capacity(limit_sum, 0);
-        assert!(!capacity.has_scaled_limits());
+        assert!(!capacity.are_limits_scaled_up());
         assert_eq!(capacity.limit_factor(), 1.0);
         assert_eq!(capacity.max_in_flight(), None);
         assert_eq!(capacity.limit_sum(), limit_sum);
@@ -33,7 +33,7 @@
 fn limits_that_add_up_to_less_than_three_are_scaled_to_three() {
     for (limit_sum, limit_factor) in [(1.5, 2.0), (0.75, 4.0), (2.4, 1.25)] {
         let capacity = capacity(limit_sum, 0);
-        assert!(capacity.has_scaled_limits());
+        assert!(capacity.are_limits_scaled_up());
         assert_close(capacity.limit_factor(), limit_factor);
     }
 }
@@ -58,7 +58,7 @@
 #[test]
 fn a_limit_sum_of_zero_is_neither_scaled_nor_bounded() {
     let capacity = capacity(0.0, 0);
-    assert!(!capacity.has_scaled_limits());
+    assert!(!capacity.are_limits_scaled_up());
     assert_eq!(capacity.max_in_flight(), None);
 }
 
--- a/src/balancer/indexing.rs
+++ b/src/balancer/indexing.rs
@@ -85,9 +85,9 @@
         return (Position::Excluded, Some(backend.rejecting_until));
     }
     if let Some(budget) = &backend.slow_start
-        && !budget.had_token()
+        && !budget.has_stored_token()
     {
-        return (Position::Excluded, Some(budget.next_check_at()));
+        return (Position::Excluded, Some(budget.next_token_check_at()));
     }
     if backend.recent_latency.value(now) > 1.0 {
         let expires_at = backend.recent_latency.expires_at();
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -156,7 +156,7 @@
         let jitter = MIN_EJECTION_JITTER + self.rng.f64() / 2.0;
         let sample = OutlierSample {
             failed: classification.effect.is_failure(),
-            weight: classification.effect.weight(),
+            weight: classification.effect.failure_weight(),
             is_trial: attempt.is_trial,
         };
         let backend = &mut self.backends[attempt.backend];
@@ -180,7 +180,7 @@
         prior: &PriorState,
     ) {
         let updates_machine_type = evidence == LimitEvidence::BackendAndMachineType
-            && (prior.is_base_known || self.capacity.has_scaled_limits());
+            && (prior.is_base_known || self.capacity.are_limits_scaled_up());
         if updates_machine_type {
             let machine_type = self.backends[key].machine_type;
             self.update_machine_type_limit(now, machine_type, sample);
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns the weight of the outcome in the backend's failure rate.
-    pub(crate) fn weight(self) -> f64 {
+    pub(crate) fn failure_weight(self) -> f64 {
         match self {
             Self::Failed { weight } => weight,
             _ => ORDINARY_WEIGHT,
--- a/src/balancer/outcome/tests.rs
+++ b/src/balancer/outcome/tests.rs
@@ -124,8 +124,8 @@
     for effect in [FAILED, REFUSED_CONNECTION, BROKEN_CONNECTION] {
         assert!(effect.is_failure(), "{effect:?}");
     }
-    assert_eq!(REFUSED_CONNECTION.weight(), 2.0);
-    assert_eq!(BROKEN_CONNECTION.weight(), 0.5);
+    assert_eq!(REFUSED_CONNECTION.failure_weight(), 2.0);
+    assert_eq!(BROKEN_CONNECTION.failure_weight(), 0.5);
     for effect in [
         Effect::Ignored,
         Effect::Responded,
@@ -133,7 +133,7 @@
         Effect::Slow,
     ] {
         assert!(!effect.is_failure(), "{effect:?}");
-        assert_eq!(effect.weight(), 1.0, "{effect:?}");
+        assert_eq!(effect.failure_weight(), 1.0, "{effect:?}");
     }
 }
 
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -68,7 +68,7 @@
     }
 
     /// Reports whether the budget held a token at its last refill, after the withdrawals and deposits since then.
-    pub(crate) fn had_token(&self) -> bool {
+    pub(crate) fn has_stored_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
@@ -92,7 +92,7 @@
 
     /// Returns the time at which to check the budget again: when it will hold a token, or after [`MIN_WINDOW`] if that
     /// is earlier, since the rate may have changed by then.
-    pub(crate) fn next_check_at(&self) -> Micros {
+    pub(crate) fn next_token_check_at(&self) -> Micros {
         let rate = self.rate_per_s.max(f64::MIN_POSITIVE);
         let wait = ((1.0 - self.tokens) / rate * SECOND as f64).ceil() as Micros;
         self.refilled_at + wait.clamp(1, MIN_WINDOW)
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -84,20 +84,20 @@
 #[test]
 fn withdraw_removes_one_token_and_deposit_adds_one() {
     let mut budget = SlowStartBudget::new(STARTED_AT, STARTED_AT, 1.0);
-    assert!(budget.had_token() && budget.has_token(STARTED_AT));
+    assert!(budget.has_stored_token() && budget.has_token(STARTED_AT));
     budget.withdraw();
-    assert!(!budget.had_token() && !budget.has_token(STARTED_AT));
+    assert!(!budget.has_stored_token() && !budget.has_token(STARTED_AT));
     budget.deposit();
-    assert!(budget.had_token() && budget.has_token(STARTED_AT));
+    assert!(budget.has_stored_token() && budget.has_token(STARTED_AT));
 }
 
 #[test]
 fn a_refill_adds_the_tokens_accrued_at_the_previous_rate() {
     let mut budget = empty_budget(STARTED_AT, &SAFETY);
     budget.refill(STARTED_AT + 250 * MS, &SAFETY, &CAPACITY);
-    assert!(!budget.had_token(), "half a token");
+    assert!(!budget.has_stored_token(), "half a token");
     budget.refill(STARTED_AT + 500 * MS, &SAFETY, &CAPACITY);
-    assert!(budget.had_token());
+    assert!(budget.has_stored_token());
 }
 
 /// Returns the whole tokens that a budget holds an hour after its refill, if this proxy's share of the warm backend is
@@ -113,7 +113,7 @@
     budget.refill(warm, &SAFETY, &capacity);
     budget.refill(warm + HOUR, &SAFETY, &capacity);
     let mut tokens = 0;
-    while budget.had_token() {
+    while budget.has_stored_token() {
         budget.withdraw();
         tokens += 1;
     }
@@ -145,11 +145,11 @@
     let check_after = |tokens| {
         let mut budget = SlowStartBudget::new(STARTED_AT, STARTED_AT, tokens);
         budget.refill(STARTED_AT, &SAFETY, &CAPACITY);
-        budget.next_check_at() - STARTED_AT
+        budget.next_token_check_at() - STARTED_AT
     };
     assert_eq!(check_after(0.0), MIN_WINDOW, "the token is due later");
     assert_eq!(check_after(0.75), 125 * MS);
     assert_eq!(check_after(1.0), 1, "the earliest later time");
     let without_rate = SlowStartBudget::new(STARTED_AT, STARTED_AT, 0.0);
-    assert_eq!(without_rate.next_check_at(), STARTED_AT + MIN_WINDOW);
+    assert_eq!(without_rate.next_token_check_at(), STARTED_AT + MIN_WINDOW);
 }
