--- a/src/balancer/outliers/tests.rs
+++ b/src/balancer/outliers/tests.rs
@@ -23,11 +23,11 @@
 
 /// Records a sample of a backend that may be ejected.
 fn record(
-    health: &mut OutlierDetector,
+    detector: &mut OutlierDetector,
     now: Micros,
     sample: OutlierSample,
 ) -> Option<OutlierChange> {
-    health.record(now, sample, true, NO_JITTER)
+    detector.record(now, sample, true, NO_JITTER)
 }
 
 fn ejected_for(seconds: u64) -> Option<OutlierChange> {
@@ -36,13 +36,13 @@
 }
 
 /// Records failures at one time until the backend is ejected. Returns the number of failures.
-fn fail_until_ejected(health: &mut OutlierDetector, now: Micros, weight: f64) -> u32 {
+fn fail_until_ejected(detector: &mut OutlierDetector, now: Micros, weight: f64) -> u32 {
     let failure = OutlierSample { weight, ..FAILURE };
     let mut failures = 0;
-    while !health.is_ejected() {
+    while !detector.is_ejected() {
         failures += 1;
         assert!(failures < 100, "100 failures must eject the backend");
-        record(health, now, failure);
+        record(detector, now, failure);
     }
     failures
 }
@@ -50,12 +50,12 @@
 #[test]
 fn a_backend_is_ejected_when_its_failure_rate_reaches_the_threshold() {
     // After n failures in a row the rate is 1 - 0.75^n: 0.44 after two, 0.58 after three.
-    let mut health = OutlierDetector::default();
-    assert_eq!(record(&mut health, 0, FAILURE), None);
-    assert_eq!(record(&mut health, 0, FAILURE), None);
-    assert_eq!(health.state(0), OutlierState::Healthy);
-    assert_eq!(record(&mut health, 0, FAILURE), ejected_for(1));
-    assert_eq!(health.state(0), OutlierState::Ejected(SECOND));
+    let mut detector = OutlierDetector::default();
+    assert_eq!(record(&mut detector, 0, FAILURE), None);
+    assert_eq!(record(&mut detector, 0, FAILURE), None);
+    assert_eq!(detector.state(0), OutlierState::Healthy);
+    assert_eq!(record(&mut detector, 0, FAILURE), ejected_for(1));
+    assert_eq!(detector.state(0), OutlierState::Ejected(SECOND));
 }
 
 #[test]
@@ -74,21 +74,21 @@
 
 #[test]
 fn a_success_does_not_eject_a_backend_with_a_high_failure_rate() {
-    let mut health = OutlierDetector::default();
+    let mut detector = OutlierDetector::default();
     for _ in 0..10 {
-        health.record(0, FAILURE, false, NO_JITTER);
+        detector.record(0, FAILURE, false, NO_JITTER);
     }
-    assert_eq!(record(&mut health, 0, SUCCESS), None);
-    assert_eq!(health.state(0), OutlierState::Healthy);
+    assert_eq!(record(&mut detector, 0, SUCCESS), None);
+    assert_eq!(detector.state(0), OutlierState::Healthy);
 }
 
 #[test]
 fn a_backend_is_not_ejected_while_too_many_others_are() {
-    let mut health = OutlierDetector::default();
+    let mut detector = OutlierDetector::default();
     for _ in 0..100 {
-        assert_eq!(health.record(0, FAILURE, false, NO_JITTER), None);
+        assert_eq!(detector.record(0, FAILURE, false, NO_JITTER), None);
     }
-    assert_eq!(health.state(0), OutlierState::Healthy);
+    assert_eq!(detector.state(0), OutlierState::Healthy);
 }
 
 #[test]
@@ -118,89 +118,89 @@
 
 #[test]
 fn consecutive_ejections_double_in_duration_up_to_16_seconds() {
-    let mut health = OutlierDetector::default();
-    fail_until_ejected(&mut health, 0, 1.0);
+    let mut detector = OutlierDetector::default();
+    fail_until_ejected(&mut detector, 0, 1.0);
     let mut now = SECOND;
     for seconds in [2, 4, 8, 16, 16, 16] {
-        assert_eq!(health.state(now), OutlierState::HalfOpen);
-        let change = record(&mut health, now, FAILED_TRIAL);
+        assert_eq!(detector.state(now), OutlierState::HalfOpen);
+        let change = record(&mut detector, now, FAILED_TRIAL);
         assert_eq!(change, Some(OutlierChange::EjectedAgain));
         let until = now + seconds * SECOND;
-        assert_eq!(health.state(now), OutlierState::Ejected(until));
+        assert_eq!(detector.state(now), OutlierState::Ejected(until));
         now = until;
     }
 }
 
 #[test]
 fn an_ejected_backend_is_half_open_after_its_ejection_time() {
-    let mut health = OutlierDetector::default();
-    fail_until_ejected(&mut health, 0, 1.0);
-    assert_eq!(health.state(SECOND - 1), OutlierState::Ejected(SECOND));
-    assert_eq!(health.state(SECOND), OutlierState::HalfOpen);
-    assert!(health.is_ejected(), "ejected until it is readmitted");
+    let mut detector = OutlierDetector::default();
+    fail_until_ejected(&mut detector, 0, 1.0);
+    assert_eq!(detector.state(SECOND - 1), OutlierState::Ejected(SECOND));
+    assert_eq!(detector.state(SECOND), OutlierState::HalfOpen);
+    assert!(detector.is_ejected(), "ejected until it is readmitted");
 }
 
 #[test]
 fn a_trial_request_is_in_flight_until_it_ends() {
-    let mut health = OutlierDetector::default();
-    health.start_attempt(false);
-    assert!(!health.is_trial_in_flight());
-    health.start_attempt(true);
-    health.start_attempt(false);
-    health.end_attempt(false);
-    assert!(health.is_trial_in_flight());
-    health.end_attempt(true);
-    assert!(!health.is_trial_in_flight());
+    let mut detector = OutlierDetector::default();
+    detector.start_attempt(false);
+    assert!(!detector.is_trial_in_flight());
+    detector.start_attempt(true);
+    detector.start_attempt(false);
+    detector.end_attempt(false);
+    assert!(detector.is_trial_in_flight());
+    detector.end_attempt(true);
+    assert!(!detector.is_trial_in_flight());
 }
 
 #[test]
 fn a_failed_attempt_other_than_a_trial_does_not_prolong_an_ejection() {
-    let mut health = OutlierDetector::default();
-    fail_until_ejected(&mut health, 0, 1.0);
-    assert_eq!(record(&mut health, SECOND / 2, FAILURE), None);
-    assert_eq!(health.state(SECOND / 2), OutlierState::Ejected(SECOND));
+    let mut detector = OutlierDetector::default();
+    fail_until_ejected(&mut detector, 0, 1.0);
+    assert_eq!(record(&mut detector, SECOND / 2, FAILURE), None);
+    assert_eq!(detector.state(SECOND / 2), OutlierState::Ejected(SECOND));
 }
 
 #[test]
 fn a_success_readmits_an_ejected_backend() {
     for success in [SUCCESSFUL_TRIAL, SUCCESS] {
-        let mut health = OutlierDetector::default();
-        fail_until_ejected(&mut health, 0, 1.0);
-        let change = record(&mut health, SECOND, success);
+        let mut detector = OutlierDetector::default();
+        fail_until_ejected(&mut detector, 0, 1.0);
+        let change = record(&mut detector, SECOND, success);
         assert_eq!(change, Some(OutlierChange::Readmitted));
-        assert_eq!(health.state(SECOND), OutlierState::Healthy);
-        assert!(!health.is_ejected());
+        assert_eq!(detector.state(SECOND), OutlierState::Healthy);
+        assert!(!detector.is_ejected());
     }
 }
 
 #[test]
 fn a_readmitted_backend_is_not_ejected_for_its_next_failure() {
-    let mut health = OutlierDetector::default();
+    let mut detector = OutlierDetector::default();
     for _ in 0..20 {
-        record(&mut health, 0, FAILURE);
+        record(&mut detector, 0, FAILURE);
     }
-    record(&mut health, SECOND, SUCCESSFUL_TRIAL);
+    record(&mut detector, SECOND, SUCCESSFUL_TRIAL);
     // After the readmission the rate is 0.3, then 0.48 after one failure and 0.61 after two.
-    assert_eq!(record(&mut health, SECOND, FAILURE), None);
-    assert_eq!(record(&mut health, SECOND, FAILURE), ejected_for(2));
+    assert_eq!(record(&mut detector, SECOND, FAILURE), None);
+    assert_eq!(record(&mut detector, SECOND, FAILURE), ejected_for(2));
 }
 
 #[test]
 fn a_low_failure_rate_resets_the_ejection_duration() {
     // After the readmission the rate is 0.3, then 0.13 after three successes and 0.09 after four.
     for (successes, seconds) in [(3, 2), (4, 1)] {
-        let mut health = OutlierDetector::default();
+        let mut detector = OutlierDetector::default();
         for _ in 0..20 {
-            record(&mut health, 0, FAILURE);
+            record(&mut detector, 0, FAILURE);
         }
-        record(&mut health, SECOND, SUCCESSFUL_TRIAL);
+        record(&mut detector, SECOND, SUCCESSFUL_TRIAL);
         for _ in 0..successes {
-            assert_eq!(record(&mut health, SECOND, SUCCESS), None);
+            assert_eq!(record(&mut detector, SECOND, SUCCESS), None);
         }
-        fail_until_ejected(&mut health, SECOND, 1.0);
+        fail_until_ejected(&mut detector, SECOND, 1.0);
         let until = SECOND + seconds * SECOND;
         assert_eq!(
-            health.state(SECOND),
+            detector.state(SECOND),
             OutlierState::Ejected(until),
             "after {successes} successes"
         );
@@ -209,10 +209,10 @@
 
 #[test]
 fn a_reset_clears_ejections_and_failures() {
-    let mut health = OutlierDetector::default();
-    fail_until_ejected(&mut health, 0, 1.0);
-    health.reset();
-    assert_eq!(health.state(0), OutlierState::Healthy);
-    assert_eq!(fail_until_ejected(&mut health, 0, 1.0), 3);
-    assert_eq!(health.state(0), OutlierState::Ejected(SECOND));
+    let mut detector = OutlierDetector::default();
+    fail_until_ejected(&mut detector, 0, 1.0);
+    detector.reset();
+    assert_eq!(detector.state(0), OutlierState::Healthy);
+    assert_eq!(fail_until_ejected(&mut detector, 0, 1.0), 3);
+    assert_eq!(detector.state(0), OutlierState::Ejected(SECOND));
 }
