--- a/src/balancer/index/group.rs
+++ b/src/balancer/index/group.rs
@@ -1,11 +1,12 @@
-//! Groups: the ready backends of one zone and machine type, which share a limit and differ in their slot offsets.
+//! Groups: the ready backends of one zone and machine type. Members of a group have the same limit unless they have one
+//! of their own, and differ in their slot offsets, the fractions that are added to limits before rounding.
 
-use super::ranked_set::RankedSet;
-use crate::api::{BackendId, MachineType, Zone};
+use super::ranked_set::{MemberChange, RankedSet};
+use crate::api::{MachineType, Zone};
 use crate::balancer::backends::BackendKey;
 use std::ops::Range;
 
-/// Two ranges of ranks in a group, each with ascending slot offsets.
+/// Two ranges of ranks in a [`Group`]. Within each range, the members' slot offsets ascend.
 pub(crate) type Runs = [Range<usize>; 2];
 
 /// The ready backends of one zone and machine type, in the order of their ids.
@@ -14,13 +15,15 @@
 /// ascending offsets, and the members with the highest offsets are at the ends of these runs.
 ///
 /// For example, four members with the offsets 0.618, 0.868, 0.118 and 0.368 form the runs of ranks 0 to 1 and 2 to 3.
-/// At a limit of 1.2, members with an offset of at least 0.8 have two slots (here the end of the first run) and the
-/// others have one.
+/// At a limit of 1.2, members with an offset of at least 0.8 have two slots (here the member at rank 1, the end of the
+/// first run) and the others have one.
 pub(crate) struct Group {
     zone: Zone,
     machine_type: MachineType,
-    /// Members in the order of their ids. The flag marks indexed members, which selection finds by rank.
+    /// Members in the order of their ids. The flag of a member is set while its position is
+    /// [`Position::Indexed`](super::Position::Indexed).
     members: RankedSet<BackendKey>,
+    /// Number of batches of changes applied so far.
     version: u32,
     /// First rank of the second run: the first whose slot offset has wrapped.
     wrap_rank: usize,
@@ -53,22 +56,22 @@
         &self.members
     }
 
-    /// Returns the members for changes of their flags.
+    /// Returns the members, for setting their flags.
     pub(super) fn members_mut(&mut self) -> &mut RankedSet<BackendKey> {
         &mut self.members
     }
 
-    /// Returns a number that increases with each batch of changes. Ranks and slot offsets of an earlier version are out
-    /// of date.
+    /// Returns the version of the group, which increases with each batch of changes. Ranks and slot offsets that were
+    /// computed for an earlier version are out of date.
     pub(crate) fn version(&self) -> u32 {
         self.version
     }
 
-    /// Applies a batch of membership changes and recomputes the runs. `unwrapped_offset` returns the slot offset
-    /// before it is wrapped to 0..1, given a rank and the number of members.
+    /// Applies a batch of membership changes and recomputes the runs. Given a rank and the number of members,
+    /// `unwrapped_offset` returns the slot offset before it is wrapped to 0..1.
     pub(super) fn apply(
         &mut self,
-        batch: Vec<(BackendId, Option<BackendKey>)>,
+        batch: Vec<MemberChange<BackendKey>>,
         unwrapped_offset: impl Fn(usize, usize) -> f64,
     ) {
         self.members.apply(batch);
@@ -87,15 +90,16 @@
         });
     }
 
-    /// Returns the two runs that hold all members.
+    /// Returns the two runs, which together cover the ranks of all members.
     pub(crate) fn runs(&self) -> Runs {
         [0..self.wrap_rank, self.wrap_rank..self.members.len()]
     }
 
     /// Returns the part of each run whose ranks satisfy `is_high`.
     ///
-    /// `is_high` must hold for all offsets from some bound on, so the ranks are at the ends of the runs. The search
-    /// starts from a guess based on `expected_count`, about how many ranks there are.
+    /// `is_high` must be true exactly for the ranks whose slot offset is at least some bound, so that these ranks are at the
+    /// ends of the runs. `expected_count` is an estimate of their number, from which the search starts; it affects the
+    /// duration of the search and not its result.
     pub(crate) fn highest_offsets(
         &self,
         expected_count: usize,
@@ -125,7 +129,7 @@
         rank.map(|rank| self.members.value(rank))
     }
 
-    /// Returns the indexed member with the highest slot offset in each run.
+    /// Returns the indexed member with the highest slot offset of each run that has indexed members.
     pub(crate) fn highest_of_runs(&self) -> impl Iterator<Item = BackendKey> {
         self.runs().into_iter().filter_map(|run| {
             let last = self.members.count(run.clone()).checked_sub(1)?;
@@ -135,10 +139,10 @@
     }
 }
 
-/// Returns the first of these ranks that satisfies `predicate`, or the end of the range if none does. If the predicate
+/// Returns the first rank of a range that satisfies `predicate`, or the end of the range if none does. If the predicate
 /// holds for a rank, it must hold for all later ones.
 ///
-/// The search moves one rank a step from `guess`, so it is fast only if the guess is off by a few ranks.
+/// The search moves from `guess` by one rank per step, so it is fast only if the guess is off by a few ranks.
 fn first_rank(ranks: Range<usize>, guess: usize, predicate: impl Fn(usize) -> bool) -> usize {
     let mut first = guess.clamp(ranks.start, ranks.end);
     while first > ranks.start && predicate(first - 1) {
--- a/src/balancer/index/mod.rs
+++ b/src/balancer/index/mod.rs
@@ -20,6 +20,7 @@
 use crate::api::{BackendId, Cell, MachineType, Micros, Zone};
 use fastrand::Rng;
 use indexmap::IndexSet;
+use ranked_set::MemberChange;
 use rustc_hash::{FxBuildHasher, FxHashMap};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -191,7 +192,10 @@
         };
         let members = changes
             .iter()
-            .map(|change| (change.id, backends.find(change.id).filter(is_member)))
+            .map(|change| MemberChange {
+                id: change.id,
+                value: backends.find(change.id).filter(is_member),
+            })
             .collect();
         let group = &mut self.groups[key.0];
         self.ready -= group.members().len();
--- a/src/balancer/index/ranked_set.rs
+++ b/src/balancer/index/ranked_set.rs
@@ -4,16 +4,26 @@
 use std::ops::Range;
 
 const WORD_BITS: usize = u64::BITS as usize;
-/// Fewest changes of a batch that is merged in one pass over the set. The batch must also have at least one change for
-/// every [`MAX_MEMBERS_PER_MERGED_CHANGE`] members.
+/// Minimum number of changes in a batch that is merged in one pass over the set. The changes of a smaller batch are
+/// applied one by one.
 const MIN_MERGED_BATCH: usize = 8;
-/// Most members of the set for each change of a batch that is merged.
+/// Maximum ratio of the set's members to the changes of a batch that is merged in one pass. The changes of a batch that
+/// is small compared with the set are applied one by one.
 const MAX_MEMBERS_PER_MERGED_CHANGE: usize = 64;
 
+/// A change of one backend in a [`RankedSet`].
+#[derive(Clone, Copy)]
+pub(crate) struct MemberChange<V> {
+    pub(crate) id: BackendId,
+    /// Value to insert or to replace the present one with; `None` to remove the backend from the set.
+    pub(crate) value: Option<V>,
+}
+
 /// A set of backends in the order of their ids, each with a value and a flag.
 ///
 /// The rank of a member is its position in that order. Finding a rank takes logarithmic time; reading or setting a flag
-/// by rank takes constant time. Counting flags and finding the nth flagged member read one 64-bit word for 64 members.
+/// by rank takes constant time. Counting the flagged members of a range and finding the nth of them read one 64-bit word
+/// for every 64 members of the range.
 pub(crate) struct RankedSet<V> {
     ids: Vec<BackendId>,
     values: Vec<V>,
@@ -41,17 +51,17 @@
         self.ids.binary_search(&id).ok()
     }
 
-    /// Returns the value of the member of this rank.
+    /// Returns the value of the member at `rank`.
     pub(crate) fn value(&self, rank: usize) -> V {
         self.values[rank]
     }
 
-    /// Returns the flag of the member of this rank.
+    /// Returns the flag of the member at `rank`.
     pub(crate) fn flag(&self, rank: usize) -> bool {
         self.flags[rank / WORD_BITS] >> (rank % WORD_BITS) & 1 == 1
     }
 
-    /// Sets the flag of the member of this rank.
+    /// Sets the flag of the member at `rank`.
     pub(crate) fn set_flag(&mut self, rank: usize, flag: bool) {
         let bit = 1 << (rank % WORD_BITS);
         let word = &mut self.flags[rank / WORD_BITS];
@@ -62,19 +72,19 @@
         }
     }
 
-    /// Applies a batch of changes: an id with a value becomes a member or has its value replaced, an id with `None` is
-    /// removed. The batch must not contain an id twice.
+    /// Applies a batch of changes, which must not contain an id twice. Removing an id that is not in the set has no
+    /// effect.
     ///
     /// Members that stay keep their flags; the flag of a new member is not set.
-    pub(crate) fn apply(&mut self, mut batch: Vec<(BackendId, Option<V>)>) {
+    pub(crate) fn apply(&mut self, mut batch: Vec<MemberChange<V>>) {
         let is_large = batch.len() >= MIN_MERGED_BATCH
             && batch.len() >= self.len() / MAX_MEMBERS_PER_MERGED_CHANGE;
         if is_large {
-            batch.sort_unstable_by_key(|&(id, _)| id);
+            batch.sort_unstable_by_key(|change| change.id);
             self.merge(&batch);
             return;
         }
-        for (id, value) in batch {
+        for MemberChange { id, value } in batch {
             match (self.ids.binary_search(&id), value) {
                 (Ok(rank), Some(value)) => self.values[rank] = value,
                 (Ok(rank), None) => self.remove(rank),
@@ -117,25 +127,25 @@
     }
 
     /// Applies a batch in the order of its ids in one pass over the set.
-    fn merge(&mut self, batch: &[(BackendId, Option<V>)]) {
+    fn merge(&mut self, batch: &[MemberChange<V>]) {
         let old = std::mem::take(self);
         let mut changes = batch.iter().peekable();
         for (rank, &id) in old.ids.iter().enumerate() {
-            while let Some(&(new_id, value)) = changes.next_if(|&&(new_id, _)| new_id < id) {
-                self.push(new_id, value, false);
+            while let Some(change) = changes.next_if(|change| change.id < id) {
+                self.push(change.id, change.value, false);
             }
-            let value = match changes.next_if(|&&(changed, _)| changed == id) {
-                Some(&(_, value)) => value,
+            let value = match changes.next_if(|change| change.id == id) {
+                Some(change) => change.value,
                 None => Some(old.values[rank]),
             };
             self.push(id, value, old.flag(rank));
         }
-        for &(new_id, value) in changes {
-            self.push(new_id, value, false);
+        for change in changes {
+            self.push(change.id, change.value, false);
         }
     }
 
-    /// Appends a member after all others, unless its value is `None`.
+    /// Appends a member after all others. Does nothing if `value` is `None`.
     fn push(&mut self, id: BackendId, value: Option<V>, flag: bool) {
         let Some(value) = value else {
             return;
@@ -146,14 +156,14 @@
         self.set_flag(self.len() - 1, flag);
     }
 
-    /// Returns the number of flagged members among these ranks.
+    /// Returns the number of flagged members in a range of ranks.
     pub(crate) fn count(&self, ranks: Range<usize>) -> usize {
         self.words(ranks)
             .map(|(_, word)| word.count_ones() as usize)
             .sum()
     }
 
-    /// Returns the rank of the `nth` flagged member among these ranks, counted from 0, or `None` if there are fewer.
+    /// Returns the rank of the `nth` flagged member in a range of ranks, counted from 0, or `None` if there are fewer.
     pub(crate) fn select(&self, ranks: Range<usize>, nth: usize) -> Option<usize> {
         let mut to_skip = nth;
         for (position, mut word) in self.words(ranks) {
@@ -171,8 +181,8 @@
         None
     }
 
-    /// Returns the words of flags that cover these ranks, with their positions in `flags`. The bits of other ranks are
-    /// cleared.
+    /// Returns the words of `flags` that cover a range of ranks, each with its position. The bits of ranks outside the
+    /// range are cleared.
     fn words(&self, ranks: Range<usize>) -> impl Iterator<Item = (usize, u64)> {
         let first = ranks.start / WORD_BITS;
         let end = if ranks.is_empty() {
--- a/src/balancer/index/tests.rs
+++ b/src/balancer/index/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the ranked set (compared with an ordered map), of groups, and of the order of rechecks.
 
-use super::ranked_set::RankedSet;
+use super::ranked_set::{MemberChange, RankedSet};
 use super::*;
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -20,11 +20,11 @@
 }
 
 impl ModelledSet {
-    fn apply(&mut self, batch: Vec<(BackendId, Option<usize>)>) {
-        for &(id, value) in &batch {
-            match value {
-                Some(value) => self.insert_into_model(id, value),
-                None => drop(self.model.remove(&id)),
+    fn apply(&mut self, batch: Vec<MemberChange<usize>>) {
+        for change in &batch {
+            match change.value {
+                Some(value) => self.insert_into_model(change.id, value),
+                None => drop(self.model.remove(&change.id)),
             }
         }
         self.set.apply(batch);
@@ -94,7 +94,10 @@
             ids.sort_unstable();
             ids.dedup();
             rng.shuffle(&mut ids);
-            let change = |id| (id, (rng.u8(0..5) < 3).then(|| rng.usize(0..1_000)));
+            let change = |id| MemberChange {
+                id,
+                value: (rng.u8(0..5) < 3).then(|| rng.usize(0..1_000)),
+            };
             modelled.apply(ids.into_iter().map(change).collect());
             for _ in 0..20 {
                 modelled.set_flag(BackendId(rng.u32(0..300)), rng.bool());
