--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -14,11 +14,11 @@
         backend: BackendId,
         /// Time at which the attempt times out.
         deadline: Micros,
-        /// Time at which the idempotency key expires: unless the request is written completely before, it must not be
-        /// sent. `None` if there is no such time. (Real sockets only.)
+        /// Time at which the request's idempotency key expires. The request must be written completely before this
+        /// time, or else not be sent. `None` if it may be sent at any time. (Real sockets only.)
         write_deadline: Option<Micros>,
     },
-    /// Give the client the final answer "rejected". Whatever the cause, a retry by the client is harmless.
+    /// Give the client the final answer "rejected", which promises that a retry by the client is harmless.
     Reject {
         /// Request to reject.
         request: RequestId,
@@ -41,7 +41,7 @@
     SetTimer {
         /// Time from now until the timer fires.
         after: Micros,
-        /// Token that the event returns.
+        /// Token that identifies the timer in that event.
         token: u32,
     },
     /// Subscribe to changes of the endpoint list at discovery.
@@ -54,7 +54,7 @@
     Log(LogEvent),
 }
 
-/// A change in a backend's ejection that is logged for operators.
+/// An ejection or readmission of a backend, logged for operators.
 ///
 /// `Display` is the text in the simulator's replies; the proxy logs its own message with fields instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -26,11 +26,11 @@
     pub cell: Cell,
     /// Whether the backend accepts new requests.
     pub readiness: Readiness,
-    /// Time of the last start of the backend's process; `None` if it was long ago.
+    /// Time of the last start of the backend's process; `None` if it was too long ago to matter.
     pub started_at: Option<Micros>,
 }
 
-/// A change of the listed backends, or of the watch on the endpoint list.
+/// A change of the listed backends, or a failure of the watch on the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub enum MembershipEvent<'a> {
     /// The endpoints that changed.
@@ -54,13 +54,13 @@
     pub class: ClassIndex,
     /// Tenant that sent the request.
     pub tenant: TenantIndex,
-    /// Key of the data that the request accesses. (Not used by the decisions.)
+    /// Key of the data that the request accesses. (Not used by the balancer.)
     pub key: Option<u64>,
     /// Time from the request's arrival to the client's timeout.
     pub timeout: Micros,
-    /// Expected work of the request, as time on a standard core. (Not used by the decisions.)
+    /// Expected work of the request: the time that it takes on a core of speed 1. (Not used by the balancer.)
     pub expected_work: Option<Micros>,
-    /// Whether the client marked the request as a retry. (Not used by the decisions.)
+    /// Whether the client marked the request as a retry. (Not used by the balancer.)
     pub is_retry: bool,
 }
 
@@ -99,20 +99,20 @@
     }
 }
 
-/// The end of one attempt. Each [`Action::Send`](super::Action::Send) is followed by exactly one.
+/// The end of one attempt. For each [`Action::Send`](super::Action::Send), the balancer receives exactly one.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd<'a> {
     /// Request that the attempt belongs to.
     pub request: RequestId,
     /// Backend that the attempt was sent to.
     pub backend: BackendId,
-    /// Number of the attempt within its request, from 0 in the order of the sends.
+    /// Number of the attempt within its request, counted from 0 in the order in which attempts are sent.
     pub attempt: u16,
     /// Outcome of the attempt.
     pub outcome: Outcome,
     /// Whether the client has its final answer or has disconnected.
     pub request_answered: bool,
-    /// Time from the send to the end of the attempt.
+    /// Time from sending the attempt to its end.
     pub elapsed: Micros,
     /// Load report that came with the response; empty if there was none.
     pub load_report: &'a [f32],
@@ -123,7 +123,7 @@
 /// An input of a balancer.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// The listed backends changed, or the watch on the endpoint list did.
+    /// The listed backends changed, or the watch on the endpoint list failed.
     Membership(MembershipEvent<'a>),
     /// A request arrived.
     Request(Request),
@@ -133,7 +133,7 @@
         request: RequestId,
         /// Number of the attempt within its request.
         attempt: u16,
-        /// Time from the send to the start of the response.
+        /// Time from sending the attempt to the start of the response.
         elapsed: Micros,
     },
     /// An attempt ended.
@@ -149,6 +149,6 @@
         /// Load report that came with the response; empty if there was none.
         load_report: &'a [f32],
     },
-    /// A timer that was set with [`Action::SetTimer`](super::Action::SetTimer) fired; holds its token.
+    /// A timer that was set with [`Action::SetTimer`](super::Action::SetTimer) fired. Contains the timer's token.
     Timer(u32),
 }
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers and units of the interface.
+//! Identifiers and the unit of time of the balancer's API.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
         pub struct $name(pub u32);
 
         impl $name {
-            /// Returns the number as a list index, for callers that number from 0.
+            /// Returns the number as a list index, for callers whose ids are consecutive from 0.
             #[must_use]
             pub fn index(self) -> usize {
                 self.0 as usize
@@ -88,6 +88,6 @@
 }
 
 index_type! {
-    /// A cell: backends that share their idempotency keys. Cells are numbered across all zones.
+    /// Index of a cell, a set of backends that share their idempotency keys. The index is unique across zones.
     Cell(u16)
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,7 +1,7 @@
 //! The interface of the balancer: the input ([`Settings`], [`Event`]) and the output ([`Action`]) of a
 //! [`Balancer`](crate::balancer::Balancer).
 //!
-//! Nothing here does I/O or reads a clock. The caller passes the current time with each call, in microseconds.
+//! The balancer does no I/O and reads no clock. The caller passes the current time with each call, in microseconds.
 
 mod action;
 mod event;
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -9,8 +9,8 @@
 use super::timers::Timer;
 use crate::api::{Action, ClassIndex, Micros, Request};
 
-/// Slots of a proxy from which on `Retry-After` is the class's whole latency objective. With fewer slots it is
-/// proportionally shorter.
+/// Minimum sum of a proxy's limits, in slots, at which `Retry-After` is the class's whole latency objective. With a
+/// smaller sum, `Retry-After` is proportionally shorter.
 const FULL_RETRY_AFTER_SLOTS: f64 = 16.0;
 /// Shortest `Retry-After`, as a fraction of the latency objective.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.125;
@@ -34,8 +34,8 @@
         self.dispatch(now, key, out);
     }
 
-    /// Sends a request to a backend with available capacity, or else queues or answers it. A request over its tenant's
-    /// quota is never queued.
+    /// Sends a request to a backend with available capacity. If there is none, queues the request, or answers it if its
+    /// tenant was over its quota, no further attempt is permitted, or a response would come too late.
     fn dispatch(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         if let Some(backend) = self.select_backend(now, key) {
             self.send(now, key, backend, out);
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Handles a request that must not be queued, or no longer: sends it if a backend has available capacity now and
-    /// its response would still be useful, and otherwise answers it unless an attempt is in flight.
+    /// Sends a request that must not wait, or wait any longer, in the queue. The request is answered instead if no
+    /// backend has available capacity or the response would come too late, unless an attempt is still in flight.
     pub(super) fn send_or_answer(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         if !self.is_past_objective(now, key)
             && let Some(backend) = self.select_backend(now, key)
@@ -62,28 +62,28 @@
         self.answer_unless_in_flight(now, key, out);
     }
 
-    /// Retries a request after a failed attempt, if the rules and the retry budget allow it, and otherwise answers it.
+    /// Retries a request after a failed attempt, if the rules and the retry budget permit it, and otherwise answers it.
     /// Does nothing while another attempt is in flight or the request is queued.
     ///
-    /// A retry takes a token from the budget only if the failed attempt may have been executed.
+    /// `may_have_executed` states whether the backend may have executed the failed attempt. Only then does a retry take
+    /// a token from the budget.
     pub(super) fn retry(
         &mut self,
         now: Micros,
         key: RequestKey,
-        is_not_executed: bool,
+        may_have_executed: bool,
         out: &mut Vec<Action>,
     ) {
         let request = &self.requests[key];
         if request.is_in_flight() || request.queued_until.is_some() {
             return;
         }
-        let needs_token = !is_not_executed;
-        let is_allowed = !needs_token || self.retry_budget.has_token();
+        let is_allowed = !may_have_executed || self.retry_budget.has_token();
         if !self.can_answer_in_time(now, key) || !is_allowed {
             self.answer_unless_in_flight(now, key, out);
             return;
         }
-        if needs_token {
+        if may_have_executed {
             self.retry_budget.withdraw();
         }
         self.dispatch(now, key, out);
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Gives the final answer to a request, if it has none (rule 1, one final answer). No other function gives one.
+    /// Gives a request its final answer, if it has none (rule 1, one final answer). No other function of the balancer
+    /// gives a final answer.
     ///
     /// The answer is a rejection wherever a retry by the client is harmless (rule 2, idempotency). An idempotent
     /// request is therefore always rejected, however its attempts failed.
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Closes a request that has its final answer or whose client has disconnected. The entry in the request table is
-    /// removed once all its attempts have ended.
+    /// Closes a request that has its final answer or whose client has disconnected. While an attempt is in flight, the
+    /// request stays in the table; it is removed when this is called again after the last attempt has ended.
     pub(super) fn close_request(&mut self, key: RequestKey) {
         self.dequeue(key);
         let request = &mut self.requests[key];
@@ -181,8 +182,8 @@
         self.requests.remove(key);
     }
 
-    /// Queues a request until a backend has available capacity, for at most the maximum wait. This counts as reaching
-    /// the limits of all machine types, so that they may grow.
+    /// Queues a request until a backend has available capacity, for at most the maximum wait. The limits of all machine
+    /// types then count as nearly reached, so that they may grow.
     fn enqueue(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
         let wait = max_wait(now, self.requests[key].deadline);
         for limit in &mut self.machine_type_limits {
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -55,11 +55,11 @@
         self.reindex(now, backend);
     }
 
-    /// Assigns the connection of the next attempt on a backend and returns the connection's estimated idle time; 0 for
-    /// a new connection.
+    /// Assigns a connection to the next attempt on a backend and returns the connection's estimated idle time, which is
+    /// 0 for a new connection.
     ///
-    /// If the connection has been idle for too long to be trusted, the idle connections to the backend are closed
-    /// first, so that the attempt uses a new one.
+    /// If the connection has been idle for longer than the trusted idle time, the idle connections to the backend are
+    /// closed first, so that the attempt uses a new one.
     fn take_connection(&mut self, now: Micros, key: BackendKey, out: &mut Vec<Action>) -> Micros {
         let per_connection = self.requests_per_connection();
         let backend = &mut self.backends[key];
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Returns the time at which an attempt that starts now is overdue. In a class that is not quick, that is the
-    /// class's timeout.
+    /// Returns the time at which an attempt that starts now is overdue. An attempt of a class that is not quick is
+    /// overdue after the class's timeout.
     fn overdue_at(&self, now: Micros, request: RequestKey) -> Micros {
         let index = self.requests[request].class;
         let class = self.settings.class(index);
@@ -195,7 +195,7 @@
     /// Handles the end of an attempt: updates the policies, and closes or retries the request. The end of an attempt
     /// that is unknown or has already ended is ignored.
     ///
-    /// If the response was streamed, the policies were updated when it started; only the load report is new.
+    /// If the response was streamed, the policies were updated when it started, and only the load report is applied.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -212,11 +212,11 @@
         if attempt.state != AttemptState::InFlight {
             return;
         }
-        let is_not_executed = end.outcome.proves_not_executed();
-        attempt.state = if is_not_executed {
-            AttemptState::NotExecuted
-        } else {
+        let may_have_executed = !end.outcome.proves_not_executed();
+        attempt.state = if may_have_executed {
             AttemptState::MayHaveExecuted
+        } else {
+            AttemptState::NotExecuted
         };
         let attempt = *attempt;
         let class = request.class;
@@ -230,7 +230,7 @@
         if end.request_answered || self.requests[key].closed {
             self.close_request(key);
         } else {
-            self.retry(now, key, is_not_executed, out);
+            self.retry(now, key, may_have_executed, out);
         }
         self.serve_queue(now, out);
     }
--- a/src/balancer/backends.rs
+++ b/src/balancer/backends.rs
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Key of a backend in the [`BackendTable`], valid while the backend is in the table.
+/// Table key of a backend, valid while the backend is in the [`BackendTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct BackendKey(u32);
 
@@ -39,11 +39,11 @@
     pub(crate) started_at: Option<Micros>,
     /// Whether discovery lists the backend. A backend that is not listed is removed once no request refers to it.
     pub(crate) listed: bool,
-    /// Whether the backend may receive requests: listed and neither draining nor removed.
+    /// Whether the backend may receive requests: it is listed and not draining.
     pub(crate) ready: bool,
-    /// Number of complete lists received when a list last contained the backend.
+    /// Number of complete lists that had been received when a list last contained the backend.
     pub(crate) last_seen_generation: u32,
-    /// Number of attempts of open requests that refer to the backend's key.
+    /// Number of attempts, of all open requests, that refer to the backend by its table key.
     pub(crate) references: u32,
     pub(crate) in_flight: InFlight,
     pub(crate) limit: BackendLimit,
@@ -51,7 +51,7 @@
     pub(crate) outlier_detector: OutlierDetector,
     /// Time until which the backend counts as having no capacity because it rejected a request.
     pub(crate) rejecting_until: Micros,
-    /// Budget of this proxy for the backend; `None` if the backend is not in slow start.
+    /// Slow-start budget of this proxy for the backend; `None` if the backend is not in slow start.
     pub(crate) slow_start: Option<SlowStartBudget>,
     pub(crate) connections: ConnectionIdleTimes,
     pub(crate) index_entry: IndexEntry,
@@ -83,7 +83,7 @@
 }
 
 impl BackendTable {
-    /// Returns the key of a backend, or `None` if it is not in the table.
+    /// Returns the table key of a backend, or `None` if it is not in the table.
     pub(crate) fn find(&self, id: BackendId) -> Option<BackendKey> {
         self.by_id.get(&id).copied()
     }
--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -1,5 +1,5 @@
-//! The capacity that this proxy may use: its share of each backend, its limits and slots, and its bound on attempts in
-//! flight at all backends together.
+//! The capacity that this proxy may use: its share of each backend's capacity, its limits and slots, and its bound on
+//! attempts in flight at all backends together.
 
 use super::Balancer;
 use super::backends::BackendKey;
@@ -13,11 +13,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Least sum of the limits on which slots are based. A proxy whose limits add up to less has them scaled up to this
-/// sum, so that its slots are spread over about as many backends.
+/// Minimum sum of a proxy's limits, in slots. If the limits add up to less, they are scaled up to this sum, so that the
+/// proxy has a slot on each of about three backends.
 const MIN_SLOTS: f64 = 3.0;
 
-/// The sum of this proxy's limits, and what follows from it if the sum is small.
+/// The sum of this proxy's limits, and the scaling and the bound that apply if the sum is small.
 ///
 /// Deviation from plain AIMD: with many proxies that have little traffic each, the limits of a proxy may add up to
 /// fewer than [`MIN_SLOTS`]. Two rules then apply:
@@ -27,9 +27,9 @@
 pub(crate) struct ProxyCapacity {
     /// Sum of the limits of all ready backends, before they are rounded to slots.
     limit_sum: f64,
-    /// Factor on every limit before it is rounded to slots.
+    /// Factor by which every limit is scaled before it is rounded to slots.
     limit_factor: f64,
-    /// Most attempts in flight at all backends; `None` if there is no bound.
+    /// Maximum number of attempts in flight at all backends together; `None` if there is no bound.
     max_in_flight: Option<u32>,
     /// Time of the last evaluation; `None` if there was none yet.
     evaluated_at: Option<Micros>,
@@ -51,8 +51,8 @@
         self.evaluated_at.is_none_or(|at| now >= at + age)
     }
 
-    /// Updates the factor on limits and the bound on attempts in flight from the sum of the limits of all ready
-    /// backends.
+    /// Updates the factor by which limits are scaled, and the bound on attempts in flight, from the sum of the limits
+    /// of all ready backends.
     ///
     /// Whether the bound is rounded up or down depends on the proxy's index, so that its average over all proxies is
     /// about the unrounded bound.
@@ -75,7 +75,7 @@
         self.limit_sum
     }
 
-    /// Returns the factor on every limit before it is rounded to slots.
+    /// Returns the factor by which every limit is scaled before it is rounded to slots.
     pub(crate) fn limit_factor(&self) -> f64 {
         self.limit_factor
     }
@@ -91,7 +91,8 @@
     }
 }
 
-/// Returns this proxy's share of a backend in a zone: 1 divided by the number of proxies that use the backend.
+/// Returns this proxy's share of the capacity of a backend in a zone: 1 divided by the number of proxies that use the
+/// backend.
 ///
 /// Deviation from plain AIMD: the bounds and steps of a limit apply to the backend as a whole and each proxy has its
 /// share of them. Otherwise the load that all proxies admit would grow with their number.
@@ -106,7 +107,7 @@
 }
 
 impl Balancer {
-    /// Evaluates the capacity from the present limits.
+    /// Updates the proxy's capacity from the present limits.
     ///
     /// All members of a group are first counted with the limit of their machine type; for backends with a limit of
     /// their own, the difference from it is then added.
@@ -131,7 +132,7 @@
             .evaluate(now, limit_sum, self.settings.proxy_index);
     }
 
-    /// Returns this proxy's share of the limit that backends of a machine type in a zone have.
+    /// Returns this proxy's share of the limit of a machine type, for the backends of one zone.
     pub(super) fn machine_type_limit(&self, zone: Zone, machine_type: MachineType) -> f64 {
         let limit = self.machine_type_limits[machine_type.index()].limit();
         limit * proxy_fraction(&self.settings, zone)
@@ -144,7 +145,7 @@
         backend.limit.value(machine_type_limit)
     }
 
-    /// Returns a backend's slots at this proxy, where its limit is multiplied by `factor` before it is rounded.
+    /// Returns a backend's slots at this proxy: its limit, multiplied by `factor` and rounded to whole slots.
     pub(super) fn slots(&self, key: BackendKey, factor: f64) -> i64 {
         whole_slots(self.limit(key) * factor, self.slot_offset(key))
     }
@@ -180,7 +181,7 @@
     /// slots.
     ///
     /// Deviation: if the limit is below one slot, only some proxies have a slot on the backend. Proxies without a slot
-    /// cannot use their share of its budget, so proxies with a slot receive a greater one.
+    /// cannot use their share of its budget, so proxies with a slot receive a greater share.
     fn rounding_gain(&self, key: BackendKey) -> f64 {
         let limit_factor = self.capacity.limit_factor();
         let limit = self.limit(key) * limit_factor;
--- a/src/balancer/connections.rs
+++ b/src/balancer/connections.rs
@@ -1,4 +1,4 @@
-//! Idle connections: the time for which a connection may have been idle and is still used.
+//! Idle connections: the time for which a connection may be idle and still be used for an attempt.
 //!
 //! The balancer does not see the sockets. It estimates the idle time of each connection from the attempts in flight.
 //!
@@ -12,15 +12,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Idle time up to which a connection is not suspected to have caused the loss of a request: nothing drops idle
-/// connections so soon.
+/// Maximum idle time at which a connection is not suspected to have caused the loss of a request: middleboxes do not
+/// drop idle connections so soon.
 const MIN_SUSPECT_IDLE: Micros = SECOND / 2;
 /// Trusted idle time after a lost request, as a fraction of the time for which its connection had been idle.
 const TRUSTED_IDLE_BACKOFF: f64 = 0.5;
 /// Time in which the trusted idle time doubles.
 const TRUSTED_IDLE_DOUBLING_TIME: Micros = 60 * SECOND;
 
-/// Time for which a connection may have been idle and is still trusted to deliver a request.
+/// Trusted idle time: the time for which a connection may be idle and still be trusted to deliver a request.
 pub(crate) struct TrustedIdleTime {
     /// Trusted idle time at `updated_at`, microseconds.
     trusted_idle: f64,
@@ -28,7 +28,7 @@
 }
 
 impl TrustedIdleTime {
-    /// Returns a trusted idle time equal to the idle timeout of connections.
+    /// Returns a trusted idle time that starts at the idle timeout of connections.
     pub(crate) fn new(idle_timeout: Micros, now: Micros) -> Self {
         Self {
             trusted_idle: idle_timeout as f64,
@@ -62,9 +62,9 @@
 
 /// Estimated time of the last use of each connection from this proxy to one backend.
 ///
-/// Attempts use the connections of a backend from the first one on, so the last connections are idle longest. In all
-/// methods, `in_flight` is the number of attempts in flight at the backend and `per_connection` the number of requests
-/// that one connection carries at the same time.
+/// An attempt uses the connection with the lowest number that can carry one more request, so connections with high
+/// numbers are idle longest. In all methods, `in_flight` is the number of attempts in flight at the backend and
+/// `per_connection` the number of requests that one connection carries at the same time.
 #[derive(Default)]
 pub(crate) struct ConnectionIdleTimes {
     /// Time of the last use of each connection, by connection number.
--- a/src/balancer/index/candidates.rs
+++ b/src/balancer/index/candidates.rs
@@ -1,4 +1,4 @@
-//! Backends with the greatest preference in a selection.
+//! Candidates of a selection: the backends with the greatest preference.
 
 use super::GroupKey;
 use super::group::Runs;
@@ -9,13 +9,13 @@
 pub(crate) enum Candidates {
     /// A single backend.
     One(BackendKey),
-    /// The indexed members in runs of a group.
+    /// The indexed members of a group whose ranks are in `runs`.
     Members {
-        /// Number of these members.
+        /// Number of the members.
         count: usize,
-        /// Group of these members.
+        /// Group that the members belong to.
         group: GroupKey,
-        /// Runs of ranks that include them.
+        /// Ranges of ranks that contain the members.
         runs: Runs,
     },
 }
@@ -32,7 +32,7 @@
 /// Keeps candidates with the greatest preference offered so far.
 ///
 /// If several offers tie, one of them is kept, with a probability proportional to its number of backends (reservoir
-/// sampling). Sampling a backend from it uniformly then gives every tied backend the same chance.
+/// sampling). Every tied backend then has the same chance if one is picked at random from the kept candidates.
 #[derive(Default)]
 pub(crate) struct TiedCandidates {
     preference: i64,
--- a/src/balancer/index/mod.rs
+++ b/src/balancer/index/mod.rs
@@ -6,7 +6,7 @@
 //! | --- | --- | --- |
 //! | indexed | idle, healthy, with the limit of their machine type | found by rank in their [`Group`] |
 //! | compared | with attempts in flight, slow recently, half open, or with a limit of their own | compared one by one |
-//! | excluded | that may not receive a request until some time | left out until that time |
+//! | excluded | not allowed to receive requests at present | left out until their position is evaluated again |
 
 mod candidates;
 mod group;
@@ -28,7 +28,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Key of a group in the [`SelectionIndex`].
+/// Key of a [`Group`] in the [`SelectionIndex`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GroupKey(usize);
 
@@ -36,7 +36,8 @@
 #[derive(Default)]
 pub(crate) struct IndexEntry {
     pub(crate) group: GroupKey,
-    /// Slot offset that follows from the backend's rank in its group, from 0 to 1.
+    /// Slot offset, from 0 to 1: the fraction that is added to the backend's limit before it is rounded down to slots.
+    /// It is computed from the backend's rank in its group.
     pub(crate) slot_offset: f64,
     /// Version of the group for which `slot_offset` was computed.
     pub(crate) slot_offset_version: u32,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Position of a backend in the index, which says how selection finds it.
+/// Position of a backend in the index, which determines how selection finds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Position {
     /// Selection finds the backend by its rank in its group.
@@ -73,7 +74,8 @@
     pub(crate) id: BackendId,
 }
 
-/// A set of backends whose order of iteration depends only on the history of insertions and removals.
+/// A set of backends whose order of iteration depends only on the history of insertions and removals, so that the same
+/// events lead to the same actions.
 pub(crate) type BackendSet = IndexSet<BackendKey, FxBuildHasher>;
 
 /// The ready backends by their position.
@@ -83,9 +85,9 @@
 pub(crate) struct SelectionIndex {
     groups: Vec<Group>,
     group_keys: FxHashMap<(Zone, MachineType), GroupKey>,
-    /// Backends whose position is [`Position::Compared`].
+    /// Backends that selection compares one by one: their position is [`Position::Compared`].
     compared: BackendSet,
-    /// Ready backends whose limit is not simply that of their machine type.
+    /// Ready backends that have a limit of their own instead of that of their machine type.
     with_own_limit: BackendSet,
     /// Ready backends that are ejected and not readmitted yet.
     ejected: BackendSet,
@@ -157,7 +159,7 @@
 
     /// Applies a batch of changes to the groups and returns the backends whose position must be evaluated again.
     ///
-    /// `unwrapped_offset` returns the slot offset before it is wrapped to 0..1, given a rank and the number of members.
+    /// Given a rank and the number of members, `unwrapped_offset` returns the slot offset before it is wrapped to 0..1.
     pub(crate) fn apply(
         &mut self,
         mut batch: Vec<Change>,
@@ -179,6 +181,7 @@
         to_evaluate
     }
 
+    /// Applies the changes of one group, and updates the number of ready backends.
     fn apply_to_group(
         &mut self,
         key: GroupKey,
--- a/src/balancer/indexing.rs
+++ b/src/balancer/indexing.rs
@@ -1,4 +1,5 @@
-//! Evaluation of each backend's position in the selection index and of its slot offset.
+//! Evaluation of each backend's position in the selection index and of its slot offset, the fraction from 0 to 1 that
+//! is added to its limit before it is rounded down to slots.
 
 use super::Balancer;
 use super::backends::{BackendKey, BackendState};
@@ -9,8 +10,8 @@
 use crate::spread::GOLDEN_RATIO_FRACTION;
 
 impl Balancer {
-    /// Evaluates a backend's position and slot offset again. Must be called after every change of state that
-    /// [`position`] reads.
+    /// Evaluates a backend's position and slot offset again. Must be called whenever state that [`position`] reads has
+    /// changed.
     pub(super) fn reindex(&mut self, now: Micros, key: BackendKey) {
         if self.backends[key].in_flight.count() == 0 {
             self.refill_slow_start(now, key);
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Returns the slot offset of the member of a rank in a group, from 0 to 1.
+    /// Returns the slot offset, from 0 to 1, of the member at `rank` in a group.
     pub(super) fn slot_offset_of_rank(&self, group: &Group, rank: usize) -> f64 {
         let members = group.members().len();
         unwrapped_slot_offset(self.settings.proxy_index, rank, members).fract()
@@ -49,8 +50,8 @@
 
     /// Returns a backend's slot offset, from 0 to 1.
     ///
-    /// The offset is computed from the present members of the backend's group. A backend that is not a member keeps the
-    /// offset that it had last.
+    /// The offset is computed from the present members of the backend's group. A backend that is no longer a member
+    /// keeps its last offset.
     pub(super) fn slot_offset(&self, key: BackendKey) -> f64 {
         let backend = &self.backends[key];
         let entry = &backend.index_entry;
@@ -67,8 +68,8 @@
     }
 }
 
-/// Returns a backend's position, and the time at which it must be evaluated again if it expires. Conditions that depend
-/// on the request are checked in `selection`.
+/// Returns a backend's position and the time until which it is valid; `None` if it is valid until the state changes.
+/// Conditions that depend on the request are checked in `selection`.
 fn position(now: Micros, backend: &BackendState) -> (Position, Option<Micros>) {
     if !backend.ready {
         return (Position::Excluded, None);
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -6,7 +6,7 @@
 //! | quick class | its work takes a small part of its latency objective, so lost attempts differ from slow ones |
 //! | overdue attempt | had no response for several mean latencies; if its class is not quick, for the class's timeout |
 //! | overtaken attempt | was overdue already when the backend was sent an attempt that it has served (`in_flight`) |
-//! | lost attempt | had no response for so long that none is expected; times out then if it may be repeated |
+//! | lost attempt | had no response for so long that none is expected; if it may be repeated, it then times out |
 //! | unresponsive backend | has attempts in flight, and served none for several mean latencies of the request's class |
 
 use super::time::SECOND;
@@ -17,8 +17,7 @@
 
 /// Latency threshold as a multiple of the base latency. Above it, requests queue at the backend.
 const THRESHOLD_OVER_BASE: f64 = 1.8;
-/// Greatest latency threshold as a fraction of the latency objective. Limits must decrease before objectives are
-/// missed.
+/// Maximum latency threshold as a fraction of the latency objective. Limits must decrease before objectives are missed.
 const MAX_THRESHOLD_OVER_OBJECTIVE: f64 = 0.4;
 /// Time after which an attempt is overdue, as a multiple of its class's mean latency.
 const OVERDUE_OVER_MEAN: f64 = 4.0;
@@ -28,14 +27,14 @@
 const MAX_OVERDUE_OVER_OBJECTIVE: f64 = 0.8;
 /// Time after which an attempt of a quick class counts as lost, as a fraction of the latency objective.
 const LOST_OVER_OBJECTIVE: f64 = 0.25;
-/// Least ratio, in a quick class, of the time after which an attempt counts as lost to the mean latency.
+/// Minimum ratio of the time after which an attempt counts as lost to the mean latency, for a class to be quick.
 const QUICK_LOST_OVER_MEAN: f64 = 5.0;
 /// Initial estimate of a class's mean latency, as a fraction of its latency objective.
 const INITIAL_MEAN_OVER_OBJECTIVE: f64 = 1.0 / 4.0;
-/// Weight of a new value in an exponentially weighted mean.
+/// Weight of a new sample in the exponentially weighted means of latencies and of service times.
 pub(crate) const MEAN_SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
-/// Growth of the base latency per second, as a fraction of it. The growth lets the base follow if all backends become
-/// slower.
+/// Growth of the base latency per second, as a fraction of it. Without growth, the base latency would stay too low
+/// after all backends have become slower.
 const BASE_GROWTH_PER_SECOND: f64 = 0.01;
 /// Time for which a backend that was slow is preferred less than others with the same available capacity.
 const RECENT_LATENCY_TTL: Micros = 5 * SECOND;
@@ -78,7 +77,7 @@
         from_base.min(latency_objective as f64 * MAX_THRESHOLD_OVER_OBJECTIVE)
     }
 
-    /// Adds the latency of one response, in microseconds.
+    /// Records the latency of one response, in microseconds.
     pub(crate) fn record(&mut self, now: Micros, latency: f64) {
         self.samples += 1;
         let samples = f64::from(self.samples);
@@ -116,7 +115,7 @@
         &self.estimates[class.index() * self.machine_types + machine.index()]
     }
 
-    /// Returns the estimate of a class on a machine type for an update.
+    /// Returns a mutable reference to the estimate of a class on a machine type.
     pub(crate) fn estimate_mut(
         &mut self,
         class: ClassIndex,
@@ -163,7 +162,7 @@
 }
 
 impl RecentLatency {
-    /// Adds a sample, which has half of the weight in the new mean.
+    /// Records a sample, which has half of the weight in the new mean.
     pub(crate) fn record(&mut self, now: Micros, sample: f64) {
         self.mean = (self.value(now) + sample) / 2.0;
         self.updated_at = now;
@@ -178,7 +177,7 @@
         }
     }
 
-    /// Returns the time at which the mean expires, unless another sample comes before.
+    /// Returns the time at which the mean expires, unless another sample is recorded earlier.
     pub(crate) fn expires_at(&self) -> Micros {
         self.updated_at + RECENT_LATENCY_TTL
     }
--- a/src/balancer/limit_updates.rs
+++ b/src/balancer/limit_updates.rs
@@ -6,12 +6,12 @@
 use crate::api::{MachineType, Micros};
 
 impl Balancer {
-    /// Returns the fraction of a backend that this proxy may use.
+    /// Returns the fraction of a backend's capacity that this proxy may use.
     pub(super) fn proxy_fraction(&self, key: BackendKey) -> f64 {
         proxy_fraction(&self.settings, self.backends[key].zone)
     }
 
-    /// Returns this proxy's part of the limit of a backend's machine type.
+    /// Returns this proxy's share of the limit of a backend's machine type.
     fn machine_type_limit_of(&self, key: BackendKey) -> f64 {
         let backend = &self.backends[key];
         self.machine_type_limit(backend.zone, backend.machine_type)
@@ -26,7 +26,7 @@
     }
 
     /// Updates the limit of a machine type with a sample. If the sample completes a window, backends of the type that
-    /// have a limit of their own may return to the limit of the type.
+    /// have a limit of their own may receive the limit of the type again.
     pub(super) fn update_machine_type_limit(
         &mut self,
         now: Micros,
@@ -38,19 +38,20 @@
             return;
         }
         let is_of_type = |&key: &BackendKey| self.backends[key].machine_type == machine_type;
-        let individual: Vec<BackendKey> = self
+        let with_own_limit: Vec<BackendKey> = self
             .index
             .with_own_limit()
             .iter()
             .copied()
             .filter(is_of_type)
             .collect();
-        for key in individual {
+        for key in with_own_limit {
             self.use_machine_type_limit(now, key);
         }
     }
 
-    /// Returns a backend with a limit of its own to the limit of its machine type, if its state permits that.
+    /// Replaces a backend's own limit with that of its machine type, unless the backend's windows still determine its
+    /// limit.
     fn use_machine_type_limit(&mut self, now: Micros, key: BackendKey) {
         let machine_type_limit = self.machine_type_limit_of(key);
         let slots = self.slots(key, self.capacity.limit_factor());
--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -7,12 +7,11 @@
 use crate::api::Micros;
 use crate::balancer::time::SECOND;
 
-/// Age of a window after which a backend without a slot returns to the limit of its machine type.
+/// Age of a window after which a backend without a slot receives the limit of its machine type again.
 const UNSAMPLED_AFTER: Micros = 2 * SECOND;
-/// Least factor of a load report on the limit of the machine type, for a backend much slower than the mean.
+/// Minimum factor of a load report on the limit of the machine type, for a backend much slower than the mean.
 const MIN_REPORT_FACTOR: f64 = 0.1;
-/// Greatest factor of a load report on the limit of the machine type. However short a service time a backend reports,
-/// its limit is at most half as much again as that of its machine type.
+/// Maximum factor of a load report on the limit of the machine type, however short the reported service time.
 const MAX_REPORT_FACTOR: f64 = 1.5;
 /// Time for which the factor of a load report holds.
 const REPORT_TTL: Micros = 5 * SECOND;
@@ -47,7 +46,7 @@
 }
 
 impl BackendLimit {
-    /// Returns to the limit of the machine type, without the windows and load reports of the backend's previous
+    /// Resets the limit to that of the machine type, and clears the window and load report of the backend's previous
     /// process.
     pub(crate) fn reset(&mut self, now: Micros) {
         self.source = LimitSource::MachineType;
@@ -78,8 +77,8 @@
         }
     }
 
-    /// Adds a sample, and evaluates the limit if the window is complete. `proxy_fraction` is this proxy's share of the
-    /// backend.
+    /// Records a sample, and evaluates the limit if the window is complete. `proxy_fraction` is this proxy's share of
+    /// the backend's capacity.
     ///
     /// Deviation from plain AIMD: a window stays open until it has [`MIN_WINDOW_SAMPLES`](super::MIN_WINDOW_SAMPLES)
     /// samples, up to an age of [`MAX_WINDOW_AGE`].
@@ -106,8 +105,8 @@
         self.window = Window::new(now);
     }
 
-    /// Lowers or raises the limit as the samples of the window require. A limit that still follows the machine type is
-    /// only lowered.
+    /// Lowers or raises the limit as the samples of the window require. A limit that is still that of the machine type
+    /// is only lowered.
     fn evaluate(&mut self, limit: f64, proxy_fraction: f64) {
         if self.window.mean() > 1.0 {
             self.own_limit = limit * DECREASE_FACTOR;
@@ -141,10 +140,11 @@
         }
     }
 
-    /// Returns to the limit of the machine type, scaled by a recent load report, unless the backend's own windows still
-    /// determine the limit. Reports whether the limit was changed.
+    /// Sets the limit to that of the machine type, scaled by a recent load report, unless the backend's own windows
+    /// still determine the limit. Reports whether the limit was set.
     ///
-    /// Windows still determine it while the backend has a slot, or while its window is at most [`UNSAMPLED_AFTER`] old.
+    /// The windows determine the limit, once they have lowered it, while the backend has a slot or its window is at
+    /// most [`UNSAMPLED_AFTER`] old.
     pub(crate) fn use_machine_type_limit(
         &mut self,
         now: Micros,
--- a/src/balancer/limits/machine_type.rs
+++ b/src/balancer/limits/machine_type.rs
@@ -1,4 +1,4 @@
-//! Limit that all backends of one machine type share.
+//! The limit that all backends of one machine type share.
 
 use super::{
     DECREASE_FACTOR, INITIAL_LIMIT, MAX_LIMIT, MAX_SAMPLE, MIN_INCREASE_FRACTION, MIN_LIMIT,
@@ -45,7 +45,7 @@
         self.window.mark_near_limit();
     }
 
-    /// Adds a sample. Reports whether it completed the window, so that the limit was evaluated.
+    /// Records a sample. Reports whether it completed the window, so that the limit was evaluated.
     pub(crate) fn record(&mut self, now: Micros, sample: f64) -> bool {
         self.window.add(sample);
         let is_long_enough = self.doubling || self.window.age(now) >= MIN_WINDOW;
--- a/src/balancer/limits/mod.rs
+++ b/src/balancer/limits/mod.rs
@@ -20,30 +20,31 @@
 #[cfg(test)]
 mod tests;
 
-/// Shortest duration of a window; short enough for limits to follow a load that changes within seconds.
+/// Minimum duration of a window, short enough for limits to adapt to a load that changes within seconds.
 pub(crate) const MIN_WINDOW: Micros = SECOND / 4;
-/// Greatest value of a sample, as a multiple of the latency threshold; greater samples are reduced to it.
+/// Maximum value of a sample, as a multiple of the latency threshold; greater samples are reduced to it.
 pub(crate) const MAX_SAMPLE: f64 = 3.0;
 
-/// Fewest samples for which a window is evaluated. The mean of fewer samples says too little if the work of requests
-/// has a standard deviation as great as its mean.
+/// Minimum number of samples for which a window is evaluated. The mean of fewer samples says too little if the work of
+/// requests has a standard deviation as great as its mean.
 const MIN_WINDOW_SAMPLES: u32 = 6;
 /// Age at which a window without enough samples is discarded and a new one starts.
 const MAX_WINDOW_AGE: Micros = 40 * MIN_WINDOW;
 /// Factor on a limit whose window had a mean above 1.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Least increase as a fraction of the limit.
+/// Minimum increase as a fraction of the limit.
 ///
 /// Deviation from plain AIMD: on a large backend, an increase by 1 would be negligible beside a decrease.
 const MIN_INCREASE_FRACTION: f64 = 0.15;
-/// Initial limit of one backend for all proxies together; it must not starve large backends.
+/// Initial limit of one backend for all proxies together. A lower limit would starve large backends.
 const INITIAL_LIMIT: f64 = 1.5;
-/// Least limit of one backend for all proxies together. A lower one could leave the backend without samples.
+/// Minimum limit of one backend for all proxies together. A lower limit could leave the backend without samples.
 const MIN_LIMIT: f64 = 1.0;
-/// Greatest limit of one backend for all proxies together.
+/// Maximum limit of one backend for all proxies together.
 const MAX_LIMIT: f64 = 64.0;
 
-/// Rounds a limit to slots, the number of attempts that may be in flight.
+/// Returns a limit in slots, the number of attempts that may be in flight: the sum of limit and slot offset, rounded
+/// down.
 ///
 /// Deviation from plain AIMD: with many proxies and small backends, limits are below 1. The slot offset then decides
 /// which proxies have a slot, so that the load that all proxies admit does not grow with their number.
--- a/src/balancer/limits/window.rs
+++ b/src/balancer/limits/window.rs
@@ -1,8 +1,8 @@
-//! Windows of samples.
+//! Windows of samples, from which limits are evaluated.
 
 use crate::api::Micros;
 
-/// Sum of the samples since a limit was last evaluated or its window discarded.
+/// Window of a limit: the samples since the limit was last evaluated or its previous window discarded.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Window {
     started_at: Micros,
@@ -26,8 +26,8 @@
         self.sum += sample;
     }
 
-    /// Records that the attempts in flight nearly reached the limit. Only then may quick samples raise the limit:
-    /// otherwise they do not show that it is too low.
+    /// Records that the attempts in flight nearly reached the limit. Only then may a window raise the limit: quick
+    /// samples far below the limit do not show that it is too low.
     pub(crate) fn mark_near_limit(&mut self) {
         self.near_limit = true;
     }
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -57,7 +57,7 @@
         self.serve_queue(now, out);
     }
 
-    /// Marks the listed backends that the last complete list lacks as removed.
+    /// Marks backends as removed that are not on the last complete list.
     fn remove_unlisted(&mut self, changes: &mut Vec<Change>) {
         let generation = self.list_generation;
         for key in self.backends.keys() {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Adds or updates one backend of a list. The backend is added to `changes` if its position in the index may
-    /// change.
+    /// Adds or updates one backend of a list. Adds the backend to `changes` if it became ready, stopped being ready or
+    /// restarted.
     fn update_backend(&mut self, now: Micros, update: &Backend, changes: &mut Vec<Change>) {
         let key = match self.backends.find(update.id) {
             Some(key) => key,
@@ -86,7 +86,8 @@
         self.set_readiness(key, update.readiness, changes);
     }
 
-    /// Adds a backend that is not in the table yet. An unknown machine type is replaced by the last known one.
+    /// Adds a backend that is not in the table yet. A machine type that the settings do not know is replaced by the
+    /// last one that they know.
     fn insert_backend(&mut self, now: Micros, update: &Backend) -> BackendKey {
         let last_machine_type = MachineType(self.settings.machine_type_count.saturating_sub(1));
         let machine_type = update.machine_type.min(last_machine_type);
@@ -118,8 +119,8 @@
         self.backends.remove_if_unused(key);
     }
 
-    /// Resets the state of a backend whose process is new. The backend is in slow start if the process started within
-    /// the duration of slow start.
+    /// Resets the state of a backend that is new or whose process has restarted. The backend is in slow start if its
+    /// process started within the duration of slow start.
     fn restart_backend(&mut self, now: Micros, key: BackendKey) {
         let tokens = self.rng.f64();
         let backend = &mut self.backends[key];
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,7 +1,7 @@
-//! The decisions of the load balancer: which backend receives a request, whether the request is queued, retried or
-//! rejected, and the concurrency limit of each backend. The interface (settings, events, actions) is [`crate::api`].
+//! The load balancer of a proxy. It selects the backend of each request, queues, retries or rejects requests, and
+//! maintains the concurrency limit of each backend. Its interface (settings, events, actions) is [`crate::api`].
 //!
-//! # Decision path
+//! # Path of a request
 //!
 //! For every ready backend, each proxy tracks its requests in flight and a concurrency limit that follows windowed
 //! latency (AIMD, `limits`). A request is sent to the backend with the most available capacity, which is the limit less
@@ -82,7 +82,8 @@
 /// use tillerproxy::balancer::Balancer;
 ///
 /// fn start(settings: Settings, now: Micros) -> Result<Balancer, SettingsError> {
-///     let mut balancer = Balancer::new(settings, 7, now)?;
+///     let seed = 7;
+///     let mut balancer = Balancer::new(settings, seed, now)?;
 ///     let mut actions = Vec::new();
 ///     balancer.handle(now, Event::Membership(MembershipEvent::Full(&[])), &mut actions);
 ///     assert!(actions.is_empty());
@@ -112,7 +113,7 @@
 }
 
 impl Balancer {
-    /// Returns a balancer without backends.
+    /// Returns a balancer without backends. `seed` initializes its random number generator.
     ///
     /// # Errors
     /// Returns the first setting that is outside its allowed range.
@@ -157,8 +158,9 @@
         }
     }
 
-    /// Returns the number of listed backends that are draining, ejected and not yet readmitted, unresponsive, or
-    /// counted as without capacity after a rejection. Backends at their limit or in slow start are not included.
+    /// Returns the number of avoided backends. A listed backend is avoided while it is draining, ejected and not yet
+    /// readmitted, unresponsive, or counted as without capacity after a rejection. Backends at their limit or in slow
+    /// start are not included.
     #[must_use]
     pub fn avoided_backends(&self, now: Micros) -> usize {
         let classes = self.settings.classes.iter().enumerate();
@@ -195,8 +197,8 @@
         }
     }
 
-    /// Reports whether a queued request has waited for its maximum time. A timer's key may by now belong to a later
-    /// request, whose own time has not passed, or to an unused entry.
+    /// Reports whether a queued request has waited for its maximum time. When a timer fires, its table key may belong
+    /// to a later request, whose own time has not passed, or to an unused entry.
     fn has_waited(&self, now: Micros, request: RequestKey) -> bool {
         let queued_until = self
             .requests
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -8,10 +8,10 @@
 use super::requests::Attempt;
 use crate::api::{Action, AttemptEnd, BackendId, ClassIndex, LogEvent, Micros};
 
-/// Lower bound of the random factor on the duration of an ejection. The upper bound is as far above 1.
+/// Minimum of the random factor on the duration of an ejection. The factor is distributed uniformly from it to 1.25.
 const MIN_EJECTION_JITTER: f64 = 0.75;
 
-/// State that the end of an attempt is compared with, as it is before the end updates it.
+/// State that the end of an attempt is compared with, read before the end updates it.
 struct PriorState {
     /// Whether the base latency of the class on the backend's machine type is known.
     is_base_known: bool,
@@ -28,14 +28,14 @@
     /// The steps run in this order:
     ///
     /// 1. Read the prior state: the sample is compared with the threshold that held before it, and whether the backend
-    ///    answered must not include this attempt's own response.
+    ///    has served another attempt must not include this attempt's own response.
     /// 2. Classify the outcome.
-    /// 3. Free the slot. The attempt no longer counts as in flight, even if it was never sent; one that was never sent
-    ///    says nothing else about the backend, so the steps below are skipped.
+    /// 3. Free the slot: the attempt no longer counts as in flight. If it was never sent, it says nothing else about the
+    ///    backend, and the steps below are skipped.
     /// 4. Release the connection. This depends on the remaining attempts in flight, so it follows step 3.
     /// 5. Record the response, or the rejection.
-    /// 6. If the attempt was lost on a connection that had been idle for long, reduce the trust in idle connections and
-    ///    skip the steps below: the connection is to blame and not the backend.
+    /// 6. If the attempt was lost on a connection that had been idle for long, reduce the trusted idle time and skip the
+    ///    steps below: the loss is attributed to the connection and not to the backend.
     /// 7. Record the sample as recent latency.
     /// 8. Record the outcome for outlier detection.
     /// 9. Update the limits with the sample and then with the load report, unless the outcome is no evidence for
@@ -101,7 +101,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Marks the connection of an attempt that has ended as idle from now on.
+    /// Records that the connection of an attempt that has ended is idle since `now`.
     fn release_connection(&mut self, now: Micros, key: BackendKey) {
         let per_connection = self.requests_per_connection();
         let backend = &mut self.backends[key];
@@ -144,7 +144,7 @@
 
     /// Updates outlier detection with an outcome, and logs an ejection or readmission.
     ///
-    /// Each call draws one random number, also for outcomes that eject no backend.
+    /// Each call draws one random number, even if the outcome ejects no backend.
     fn record_outlier_sample(
         &mut self,
         now: Micros,
@@ -167,10 +167,10 @@
         out.extend(event.map(Action::Log));
     }
 
-    /// Updates the limits of the backend and of its machine type with a sample, as far as it is evidence for them.
+    /// Updates the limit of the backend with a sample, and that of its machine type if the sample is evidence for both.
     ///
-    /// While the base latency is unknown, the sample updates the limit of the machine type only at a proxy with few
-    /// slots.
+    /// While the base latency is unknown, the limit of the machine type is updated only if this proxy's limits are
+    /// scaled up because their sum is small.
     fn update_limits(
         &mut self,
         now: Micros,
@@ -189,7 +189,7 @@
     }
 }
 
-/// Returns the log event of a change in a backend's health. A repeated ejection is not logged.
+/// Returns the log event of an ejection or readmission, or `None` for a repeated ejection, which is not logged.
 fn log_event(backend: BackendId, change: OutlierChange) -> Option<LogEvent> {
     match change {
         OutlierChange::Ejected { duration } => Some(LogEvent::Ejected { backend, duration }),
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -11,7 +11,7 @@
 
 /// Minimum sample of an outcome other than a response, as a multiple of the latency threshold.
 const MIN_FAILURE_SAMPLE: f64 = 2.0;
-/// Weight of a failed connect in a backend's failure rate: a backend that accepts no connection is down.
+/// Weight of a refused connection in a backend's failure rate: a backend that accepts no connection is down.
 const REFUSED_CONNECTION_WEIGHT: f64 = 2.0;
 /// Weight of a broken connection in the failure rate: something between the proxy and the backend may have broken it.
 const BROKEN_CONNECTION_WEIGHT: f64 = 0.5;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the sample for the limits: the latency as a multiple of the latency threshold.
+    /// Returns the sample for limits and recent latency: the latency as a multiple of the latency threshold.
     ///
     /// Deviation from plain AIMD: every outcome other than a response is a slow sample, however early it came, so that
     /// quick errors cannot raise a limit.
@@ -103,6 +103,7 @@
     }
 }
 
+/// Returns the effect of an outcome on the state of the backend.
 fn effect_of(outcome: Outcome, backend_has_served: bool) -> Effect {
     match outcome {
         Outcome::NotSent => Effect::Ignored,
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -9,18 +9,18 @@
 
 /// Weight of a new outcome, a failure or a success, in a backend's failure rate.
 const OUTCOME_WEIGHT: f64 = 0.25;
-/// Failure rate from which a backend is ejected.
+/// Minimum failure rate at which a backend is ejected.
 const EJECTION_FAILURE_RATE: f64 = 0.5;
-/// Greatest failure rate of a backend that was just readmitted. It is low enough for one more ordinary failure not to
+/// Maximum failure rate of a backend that was just readmitted. It is low enough for one more ordinary failure not to
 /// eject the backend again.
 const READMISSION_FAILURE_RATE: f64 = 0.6 * EJECTION_FAILURE_RATE;
 /// Failure rate below which earlier ejections no longer count as consecutive.
 const RECOVERED_FAILURE_RATE: f64 = 0.1;
 /// Duration of a first ejection; each consecutive one lasts twice as long.
 const BASE_EJECTION_DURATION: Micros = SECOND;
-/// Greatest number of times that the duration of an ejection is doubled.
+/// Maximum number of times that the duration doubles: the longest ejections last 16 times as long as a first one.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Greatest fraction of the ready backends that may be ejected at the same time.
+/// Maximum fraction of the ready backends that may be ejected at the same time.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
 
 /// Reports whether one more backend may be ejected, given the numbers of ejected and of ready backends.
@@ -65,7 +65,7 @@
     HalfOpen,
 }
 
-/// Failures and ejections of one backend.
+/// Detects whether one backend is an outlier, from its failure rate, and keeps the state of its ejection.
 #[derive(Default)]
 pub(crate) struct OutlierDetector {
     /// Exponentially weighted share of failures among the latest outcomes.
@@ -74,6 +74,7 @@
     ejected_until: Option<Micros>,
     /// Ejections since the failure rate was last below [`RECOVERED_FAILURE_RATE`].
     consecutive_ejections: u32,
+    /// Whether a trial request is in flight.
     trial_in_flight: bool,
 }
 
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A request waits for its remaining time divided by this.
+/// Divisor of a request's remaining time that gives its maximum wait in the queue.
 const WAIT_DIVISOR: Micros = 10;
 
 /// Returns the maximum wait of a request whose client times out at `deadline`.
--- a/src/balancer/quotas.rs
+++ b/src/balancer/quotas.rs
@@ -1,7 +1,7 @@
 //! Tenants' quotas: a token bucket for each tenant, and the recent requests of all tenants.
 //!
-//! The cost of a request does not depend on the number of tenants: the sum over all tenants is updated with each
-//! request instead of being computed anew.
+//! The time to charge a request does not depend on the number of tenants: the sum over all tenants is updated with each
+//! request instead of being computed again.
 
 use super::time::{MICROS_PER_SECOND, SECOND};
 use crate::api::{Micros, Settings, TenantIndex};
@@ -12,7 +12,8 @@
 
 /// Time for which a request counts as recent. Its weight falls linearly to 0 over this time.
 const RECENT_REQUEST_TTL: Micros = 4 * SECOND;
-/// Recent requests are counted in integer units, this many to a request, so that sums have no rounding error.
+/// Number of units that one recent request counts as. Recent requests are counted in integer units instead of as
+/// floats, so that sums have no rounding error.
 const UNITS_PER_REQUEST: i128 = 1 << 20;
 
 /// The quota and the recent requests of one tenant at this proxy.
@@ -20,9 +21,10 @@
 struct Tenant {
     /// Requests per second within the quota at this proxy.
     rate_per_s: f64,
+    /// Tokens in the bucket at `last_request_at`.
     tokens: f64,
     last_request_at: Micros,
-    /// Recent requests as of `last_request_at`, in units.
+    /// Recent requests as of `last_request_at`, with [`UNITS_PER_REQUEST`] for each.
     recent: i128,
 }
 
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Returns the recent requests as of now, in units.
+    /// Returns the recent requests as of `now`, with [`UNITS_PER_REQUEST`] for each.
     fn recent(&self, now: Micros) -> i128 {
         let age = now
             .saturating_sub(self.last_request_at)
@@ -61,7 +63,7 @@
     }
 }
 
-/// An entry of the queue of requests by time.
+/// Time and tenant of a request, used to find the tenants whose requests are no longer recent.
 struct RequestTime {
     at: Micros,
     tenant: TenantIndex,
@@ -70,11 +72,13 @@
 /// The quotas of all tenants.
 pub(crate) struct TenantQuotas {
     tenants: Vec<Tenant>,
-    /// Sum of the recent requests of the tenants that sent one within [`RECENT_REQUEST_TTL`], in units.
+    /// Sum of the recent requests of the tenants that sent one within [`RECENT_REQUEST_TTL`], in the units of
+    /// [`UNITS_PER_REQUEST`].
     recent_sum: i128,
-    /// The same sum with each tenant's recent requests multiplied by the time of its last request.
+    /// The same sum with each tenant's recent requests multiplied by the time of its last request. The part of
+    /// `recent_sum` that has expired is computed from it.
     recent_moment: i128,
-    /// Requests in order of time. Entries other than a tenant's last request are stale.
+    /// Requests in the order of their times. Entries other than a tenant's last request are out of date.
     by_request_time: VecDeque<RequestTime>,
     /// Sum of the quotas of all tenants at this proxy, requests per second.
     total_rate_per_s: f64,
@@ -91,7 +95,8 @@
         Self::new(rates, now)
     }
 
-    /// Returns quotas of this many requests per second at this proxy. Each bucket starts with the tokens of one second.
+    /// Returns quotas from the requests per second that each tenant may send to this proxy. Each bucket starts with the
+    /// tokens of one second.
     pub(crate) fn new(rates_per_s: impl Iterator<Item = f64>, now: Micros) -> Self {
         let tenants: Vec<Tenant> = rates_per_s.map(|rate| Tenant::new(rate, now)).collect();
         let total_rate_per_s = tenants.iter().map(|tenant| tenant.rate_per_s).sum();
@@ -114,8 +119,8 @@
         !self.withdraw(now, tenant) && self.is_above_average(now, tenant)
     }
 
-    /// Counts a request and removes a token for it; reports whether there was one. An unknown tenant has no quota and
-    /// always gets `true`.
+    /// Counts a request, removes a token for it and reports whether there was one. Returns `true` for an unknown
+    /// tenant, which has no quota.
     fn withdraw(&mut self, now: Micros, index: TenantIndex) -> bool {
         self.expire(now);
         let Some(tenant) = self.tenants.get_mut(index.index()) else {
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -8,23 +8,24 @@
 #[cfg(test)]
 mod tests;
 
-/// Key of a request in the [`RequestTable`]. It is stable while the request is open and is reused afterwards.
+/// Table key of a request, not its idempotency key. The key is stable while the request is in the [`RequestTable`] and
+/// is reused afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RequestKey(u32);
 
 impl RequestKey {
-    /// Returns the key with this index in the table.
+    /// Returns the table key of the entry at `index`.
     pub(crate) fn from_index(index: usize) -> Self {
         Self(index as u32)
     }
 
-    /// Returns the index in the table.
+    /// Returns the index of the request's entry in the table.
     pub(crate) fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// Whether an attempt is in flight, or may have been executed.
+/// State of an attempt: in flight, or ended, and whether it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AttemptState {
     /// The attempt has not ended. The backend may have executed the request.
@@ -42,7 +43,7 @@
     pub(crate) sent_at: Micros,
     /// Estimated idle time of the connection before the attempt; 0 for a new connection.
     pub(crate) connection_idle: Micros,
-    /// Whether a timeout means that the attempt was lost: it times out late compared with the usual latency.
+    /// Whether a timeout means that the attempt was lost, because its timeout is long compared with the usual latency.
     pub(crate) timeout_means_lost: bool,
     /// Time from which the attempt is overdue.
     pub(crate) overdue_at: Micros,
@@ -126,7 +127,7 @@
     }
 }
 
-/// The open requests by key and by id. The keys of removed requests are reused.
+/// The open requests by table key and by id. The table keys of removed requests are reused.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     entries: Vec<OpenRequest>,
@@ -135,7 +136,7 @@
 }
 
 impl RequestTable {
-    /// Returns the key of an open request.
+    /// Returns the table key of an open request, or `None` if no open request has this id.
     pub(crate) fn find(&self, id: RequestId) -> Option<RequestKey> {
         self.by_id.get(&id).copied()
     }
@@ -146,7 +147,7 @@
         self.entries.get(key.index())
     }
 
-    /// Adds a request and returns its key.
+    /// Adds a request and returns its table key.
     pub(crate) fn insert(&mut self, mut request: OpenRequest) -> RequestKey {
         let next = RequestKey::from_index(self.entries.len());
         let key = self.free.pop().unwrap_or(next);
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -1,5 +1,5 @@
-//! Retries: the scope of backends for a further attempt and whether a rejection is harmless (rule 2, idempotency), and
-//! the retry budget of this proxy.
+//! Retries: the scope of backends for a further attempt, whether the client may retry (rule 2, idempotency), and the
+//! retry budget of this proxy.
 
 use super::backends::BackendTable;
 use super::requests::OpenRequest;
@@ -90,7 +90,8 @@
     }
 }
 
-/// Reports whether a request may be rejected: a rejection promises the client that a retry is harmless (rule 2).
+/// Reports whether a retry by the client is harmless (rule 2). Only then may the request be rejected, because
+/// a rejection promises this to the client.
 pub(crate) fn may_client_retry(
     now: Micros,
     request: &OpenRequest,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -15,14 +15,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Share of a backend's limit that requests over their tenant's quota may use.
+/// Fraction of a backend's limit that requests over their tenant's quota may use.
 const OVER_QUOTA_LIMIT_FACTOR: f64 = 0.6;
-/// Greatest cost of crossing zones, as a fraction of a request's priority weight, at which every zone counts as near.
+/// Maximum cost of crossing zones, as a fraction of a request's priority weight, at which every zone counts as near.
 const MAX_NEGLIGIBLE_CROSSING_COST: f64 = 0.01;
-/// Available capacity, in slots, that an unresponsive backend counts with: room for its single trial request.
+/// Available capacity, in slots, of an unresponsive backend that may receive a trial request: room for that one
+/// request.
 const TRIAL_CAPACITY: i64 = 1;
 
-/// Conditions that a request sets for the backend of its next attempt.
+/// Conditions that the backend of a request's next attempt must meet.
 struct Criteria {
     /// Backends to which the request's idempotency allows the attempt.
     scope: RetryScope,
@@ -32,13 +33,13 @@
     detects_loss_early: bool,
     /// Time after which an attempt of the request's class is overdue.
     overdue_after: Micros,
-    /// Factor on the limit of each backend before it is rounded to slots.
+    /// Factor by which the limit of each backend is scaled before it is rounded to slots.
     limit_factor: f64,
 }
 
 impl Criteria {
-    /// Reports whether backends of this zone and cell are in scope. Without a cell, only a scope that is not limited to
-    /// one cell can include them.
+    /// Reports whether backends of this zone and cell are in scope. If `cell` is `None`, a scope that is limited to one
+    /// cell does not cover them.
     fn covers(&self, zone: Zone, cell: Option<Cell>) -> bool {
         match self.scope {
             RetryScope::Zone(only) => zone == only,
@@ -49,8 +50,8 @@
 }
 
 impl Balancer {
-    /// Selects the backend of a request's next attempt. Returns `None` if no eligible backend has available capacity,
-    /// unless this proxy has nothing in flight at all.
+    /// Selects the backend of a request's next attempt. Returns `None` if no attempt may start now, or if no eligible
+    /// backend has available capacity and this proxy has attempts in flight.
     pub(super) fn select_backend(
         &mut self,
         now: Micros,
@@ -62,7 +63,8 @@
         for &backend in &tried {
             self.index.set_indexed(&self.backends[backend], false);
         }
-        // The methods below borrow `self`, so they draw from a copy that replaces the generator afterwards.
+        // The methods below borrow `self`, so they draw random numbers from a copy of the generator, which then
+        // replaces the generator.
         let mut rng = self.rng.clone();
         let best = self
             .most_available(now, &criteria, &tried, &mut rng)
@@ -121,7 +123,8 @@
         self.index.compared().iter().map(not_overdue).sum::<u32>() >= max_in_flight
     }
 
-    /// Returns the backends with the greatest preference, those of near zones first.
+    /// Returns the backends with the greatest preference in near zones or, if none there is available, in the other
+    /// zones.
     ///
     /// Deviation from comparison of capacity: if crossing zones has a cost, backends of other zones are selected only
     /// when none of the proxy's own zone has available capacity.
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -14,15 +14,15 @@
 /// Fraction of the load at which a backend collapses that all proxies together may send it. The rest is a margin for
 /// estimates that are too high and for requests that arrive together.
 const MAX_FRACTION_OF_COLLAPSE_LOAD: f64 = 0.3;
-/// Divisor of the rate that gives the capacity of the bucket: it holds the tokens of a quarter of a second, and at
-/// least one token.
+/// Divisor of the rate that gives the capacity of the bucket: the tokens of a quarter of a second, but at least one
+/// token.
 const BURST_DIVISOR: f64 = 4.0;
 
 /// Capacity of a backend after slow start, from which the rate of a [`SlowStartBudget`] is computed.
 pub(crate) struct WarmCapacity {
     /// Requests per second that a warm backend serves.
     pub(crate) requests_per_s: f64,
-    /// This proxy's share of the backend.
+    /// This proxy's share of the backend's capacity.
     pub(crate) proxy_fraction: f64,
     /// Factor on this proxy's share that makes up for rounding the limit to whole slots.
     pub(crate) rounding_gain: f64,
@@ -67,7 +67,7 @@
         self.available(now) >= 1.0
     }
 
-    /// Reports whether the budget held a token at its last refill, after the withdrawals and deposits since then.
+    /// Reports whether the budget holds a token without those that have accrued since its last refill.
     pub(crate) fn has_stored_token(&self) -> bool {
         self.tokens >= 1.0
     }
@@ -90,8 +90,8 @@
         self.refilled_at = now;
     }
 
-    /// Returns the time at which to check the budget again: when it will hold a token, or after [`MIN_WINDOW`] if that
-    /// is earlier, since the rate may have changed by then.
+    /// Returns the time at which to check again whether the budget holds a token: when a token is due at the present
+    /// rate, but at most [`MIN_WINDOW`] after the last refill, since the rate may change.
     pub(crate) fn next_token_check_at(&self) -> Micros {
         let rate = self.rate_per_s.max(f64::MIN_POSITIVE);
         let wait = ((1.0 - self.tokens) / rate * SECOND as f64).ceil() as Micros;
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -1,6 +1,6 @@
 //! Delays before calls to discovery.
 //!
-//! These apply to all calls except those after a stalled watch, which `membership` starts at once.
+//! The delays apply to all calls except those after a stalled watch, which `membership` starts at once.
 //!
 //! Deviation: a call is made after a random delay instead of at once. All proxies may start at the same time and see
 //! the same calls fail; calls of all of them at once would keep discovery overloaded.
@@ -14,18 +14,18 @@
 
 /// Average interval between the first calls of all proxies together.
 const FIRST_CALL_INTERVAL: Micros = SECOND / 50;
-/// Average interval between the repeated calls of all proxies together.
+/// Average interval between the calls that all proxies together repeat after a failure.
 const RETRY_INTERVAL: Micros = SECOND / 5;
 /// Backoff after a first failed call; each further failure doubles it.
 const BASE_BACKOFF: Micros = SECOND / 8;
-/// Greatest number of times that the backoff is doubled.
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// Sum of the longest delay before a call (2.5 s) and the longest duration of a call (3.5 s), with a margin.
 const DELAY_AND_CALL_DURATION: Micros = 8 * SECOND;
-/// Number of poll intervals that a proxy without a watch is allowed to take after a failed call.
+/// Number of poll intervals within which a proxy without a watch must receive a list after a failed call.
 const POLL_INTERVALS_AFTER_FAILURE: u64 = 4;
-/// Longest delay before a call. A change counts as known to a proxy 6 s after discovery had it and could be reached,
-/// and a call takes up to 3.5 s of that time.
+/// Longest delay before a call. From 6 s after discovery has a change and can be reached, the change counts as known to
+/// every proxy, which must have received it by that time. The call takes up to 3.5 s of the 6 s.
 const MAX_DELAY: Micros = 5 * SECOND / 2;
 
 /// Backoff of calls to discovery, which grows with the failures since the last list.
--- a/src/balancer/time.rs
+++ b/src/balancer/time.rs
@@ -2,10 +2,10 @@
 
 use crate::api::Micros;
 
-/// One second, in microseconds.
+/// One second as a duration, in microseconds.
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// Microseconds per second, for rates.
+/// [`SECOND`] as a floating-point number, for conversions between microseconds and rates per second.
 pub(crate) const MICROS_PER_SECOND: f64 = SECOND as f64;
 
 /// Converts a duration to seconds.
--- a/src/balancer/timers.rs
+++ b/src/balancer/timers.rs
@@ -5,10 +5,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of low bits of a token that hold the purpose of the timer. The other bits hold the request's key.
+/// Number of low bits of a token that hold the purpose of the timer. The other bits hold the index of the request's
+/// table key.
 const PURPOSE_BITS: u32 = 2;
 const PURPOSE_MASK: u32 = (1 << PURPOSE_BITS) - 1;
+/// Purpose of a [`Timer::QueueTimeout`].
 const QUEUE_TIMEOUT: u32 = 0;
+/// Purpose of a [`Timer::Subscribe`].
 const SUBSCRIBE: u32 = 1;
 
 /// A timer that the balancer sets.
@@ -21,7 +24,7 @@
 }
 
 impl Timer {
-    /// Returns the token that the timer event returns.
+    /// Returns the token that identifies the timer in its action and its event.
     pub(crate) fn token(self) -> u32 {
         match self {
             Self::QueueTimeout(request) => (request.index() as u32) << PURPOSE_BITS | QUEUE_TIMEOUT,
@@ -29,7 +32,7 @@
         }
     }
 
-    /// Returns the timer of a token; `None` if the token has an unknown purpose.
+    /// Returns the timer that a token identifies; `None` if the purpose in the token is unknown.
     pub(crate) fn from_token(token: u32) -> Option<Self> {
         let index = (token >> PURPOSE_BITS) as usize;
         match token & PURPOSE_MASK {
