--- a/src/balancer/capacity/tests.rs
+++ b/src/balancer/capacity/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a proxy's capacity: its share of a backend, and its bound if its limits add up to few slots.
+//! Tests of a proxy's capacity: its share of a backend, and the scaling and bound if its limits add up to few slots.
 
 use super::*;
 use crate::balancer::tests::{assert_close, settings};
@@ -71,7 +71,8 @@
 }
 
 #[test]
-fn backends_are_shared_by_the_proxies_of_the_own_zone_and_by_all_proxies_in_other_zones() {
+fn the_share_of_a_backend_is_one_over_the_proxies_of_the_zone_or_over_all_proxies_in_another_zone()
+{
     for (proxy_count, zone_count, own_zone, other_zone) in [
         (1, 1, 1.0, 1.0),
         (12, 3, 0.25, 1.0 / 12.0),
--- a/src/balancer/connections/tests.rs
+++ b/src/balancer/connections/tests.rs
@@ -13,7 +13,7 @@
     );
     assert!(
         trusted.exceeds_trusted_idle(now, idle + 1),
-        "more than {idle} us must be suspect"
+        "more than {idle} us must not be trusted"
     );
 }
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_loss_on_a_connection_idle_for_up_to_500_ms_is_not_attributed_to_it() {
+fn a_loss_is_not_attributed_to_a_connection_that_was_idle_for_at_most_500_ms() {
     let mut trusted = TrustedIdleTime::new(IDLE_TIMEOUT, NOW);
     for idle in [0, SECOND / 4, SECOND / 2] {
         assert!(!trusted.record_lost_request(NOW, idle));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn attempts_use_connections_from_the_first_one_on() {
+fn attempts_in_flight_use_the_connections_with_the_lowest_numbers() {
     let mut connections = ConnectionIdleTimes::default();
     connections.take(10, 0, 1);
     connections.take(10, 1, 1);
--- a/src/balancer/in_flight/tests.rs
+++ b/src/balancer/in_flight/tests.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_response_counts_as_an_answer_since_every_earlier_time() {
+fn has_served_since_is_true_only_for_times_before_the_last_response() {
     let mut in_flight = InFlight::new(0);
     in_flight.start(100, 1_000);
     in_flight.start(110, 1_000);
--- a/src/balancer/index/tests.rs
+++ b/src/balancer/index/tests.rs
@@ -12,7 +12,7 @@
     is_flagged: bool,
 }
 
-/// A ranked set and an ordered map to which the same changes are applied.
+/// A ranked set, and an ordered map as its model, to which the same changes are applied.
 #[derive(Default)]
 struct ModelledSet {
     set: RankedSet<usize>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Asserts that set and model have the same members, and the same flagged ones among these ranks.
+    /// Asserts that set and model have the same members, and the same flagged members in a range of ranks.
     fn check(&self, ranks: Range<usize>) {
         assert_eq!(self.set.len(), self.model.len());
         for (rank, (&id, &expected)) in self.model.iter().enumerate() {
--- a/src/balancer/latency/tests.rs
+++ b/src/balancer/latency/tests.rs
@@ -6,7 +6,7 @@
 const OBJECTIVE: Micros = 500 * MS;
 const CLASS: ClassIndex = ClassIndex(0);
 const MACHINE_TYPE: MachineType = MachineType(0);
-/// Samples needed for a base latency; each further one has a weight of a sixteenth.
+/// Number of samples needed for a base latency. Each further sample has a weight of a sixteenth in the mean.
 const SAMPLES_FOR_BASE: u32 = 16;
 
 /// Returns the estimate of a class after `samples` equal latencies, all recorded at time 0.
--- a/src/balancer/limits/tests/backend.rs
+++ b/src/balancer/limits/tests/backend.rs
@@ -43,7 +43,7 @@
     end
 }
 
-/// Records that three quarters of the slots are taken.
+/// Records that three quarters of the slots are taken, so that the limit counts as nearly reached.
 fn nearly_reach(limit: &mut BackendLimit) {
     limit.record_in_flight(6, 8);
 }
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_window_is_not_evaluated_before_the_shortest_duration() {
+fn a_window_is_not_evaluated_before_its_minimum_duration() {
     let mut limit = new_backend_limit(NOW);
     for _ in 0..100 {
         record(&mut limit, NOW + MIN_WINDOW - 1, SLOW, 10.0);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_quick_window_raises_an_own_limit_only_if_it_was_nearly_reached() {
+fn a_quick_window_raises_a_backends_own_limit_only_if_it_was_nearly_reached() {
     let mut limit = new_backend_limit(NOW);
     let end = complete_window(&mut limit, NOW, SLOW, 10.0);
     let end = complete_window(&mut limit, end, QUICK, 10.0);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_quick_window_does_not_raise_a_limit_that_follows_the_machine_type() {
+fn a_quick_window_does_not_raise_the_limit_of_a_backend_without_a_limit_of_its_own() {
     let mut limit = new_backend_limit(NOW);
     nearly_reach(&mut limit);
     complete_window(&mut limit, NOW, QUICK, 10.0);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn an_own_limit_stays_between_1_and_64() {
+fn a_backends_own_limit_stays_between_1_and_64() {
     let mut low = new_backend_limit(NOW);
     complete_window(&mut low, NOW, SLOW, 1.2);
     assert_close(low.value(1.2), 1.0);
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_load_report_changes_neither_a_machine_type_limit_of_one_nor_an_own_limit() {
+fn a_load_report_changes_neither_a_machine_type_limit_of_one_nor_a_backends_own_limit() {
     let mut shared = new_backend_limit(NOW);
     shared.record_service_time(NOW, 200.0, 100.0, 1.0);
     assert_eq!(shared.source(), LimitSource::MachineType);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn an_own_limit_is_kept_with_a_slot_or_for_2_seconds_after_its_last_window() {
+fn a_backends_own_limit_is_kept_with_a_slot_or_for_2_seconds_after_its_last_window() {
     let mut limit = new_backend_limit(NOW);
     let end = complete_window(&mut limit, NOW, SLOW, 10.0);
     assert!(!limit.use_machine_type_limit(end + 60 * SECOND, 1, 10.0));
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_load_report_scales_the_followed_machine_type_limit_for_5_seconds() {
+fn a_load_report_scales_a_restored_machine_type_limit_for_5_seconds() {
     let mut limit = new_backend_limit(NOW);
     limit.record_service_time(NOW, 200.0, 100.0, 0.5);
     assert!(limit.use_machine_type_limit(NOW + 5 * SECOND - 1, 0, 0.8));
--- a/src/balancer/limits/tests/machine_type.rs
+++ b/src/balancer/limits/tests/machine_type.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_limit_doubles_without_a_shortest_window_until_its_first_decrease() {
+fn the_limit_doubles_without_a_minimum_window_until_its_first_decrease() {
     let mut limit = MachineTypeLimit::new(NOW);
     for expected in [3.0, 6.0, 12.0] {
         limit.mark_near_limit();
@@ -36,7 +36,7 @@
     limit.mark_near_limit();
     assert!(
         !record_six(&mut limit, NOW, QUICK),
-        "the window is shorter than the shortest one"
+        "the window is shorter than the minimum"
     );
     assert!(limit.record(NOW + MIN_WINDOW, QUICK));
     assert_close(limit.limit(), 9.66);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_nearly_reached_limit_is_raised_by_one_window_only() {
+fn a_limit_nearly_reached_in_one_window_is_not_raised_by_the_next_window() {
     let mut limit = MachineTypeLimit::new(NOW);
     limit.mark_near_limit();
     record_six(&mut limit, NOW, QUICK);
--- a/src/balancer/limits/tests/window.rs
+++ b/src/balancer/limits/tests/window.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_window_has_enough_samples_from_the_sixth_on() {
+fn a_window_has_enough_samples_once_it_has_six() {
     let mut window = Window::new(NOW);
     for _ in 0..5 {
         window.add(QUICK);
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -101,7 +101,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Records that the connection of an attempt that has ended is idle since `now`.
+    /// Records that the connection of an attempt that has ended has been idle since `now`.
     fn release_connection(&mut self, now: Micros, key: BackendKey) {
         let per_connection = self.requests_per_connection();
         let backend = &mut self.backends[key];
--- a/src/balancer/outcome/tests.rs
+++ b/src/balancer/outcome/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the classification, for every outcome.
+//! Tests of the classification of outcomes, for every outcome.
 
 use super::*;
 use crate::balancer::backends::{BackendState, BackendTable};
@@ -17,7 +17,7 @@
     /// Effect if the backend has served no other attempt since this one was sent.
     effect: Effect,
     /// Effect if the backend has served another attempt since this one was sent.
-    effect_if_answered: Effect,
+    effect_if_served: Effect,
     /// Limits that the sample updates if a timeout does not mean that the attempt was lost.
     limit_evidence: LimitEvidence,
     /// Limits that the sample updates if a timeout means that the attempt was lost.
@@ -29,7 +29,7 @@
     Row {
         outcome,
         effect,
-        effect_if_answered: effect,
+        effect_if_served: effect,
         limit_evidence,
         evidence_if_timeout_means_lost: limit_evidence,
     }
@@ -41,14 +41,14 @@
     row(Outcome::CorruptResponse, FAILED, NO_LIMIT),
     row(Outcome::Rejected, Effect::Rejected, BOTH_LIMITS),
     Row {
-        effect_if_answered: Effect::Slow,
+        effect_if_served: Effect::Slow,
         evidence_if_timeout_means_lost: NO_LIMIT,
         ..row(Outcome::Timeout, FAILED, BOTH_LIMITS)
     },
     row(Outcome::ConnectFailed, REFUSED_CONNECTION, BACKEND),
     row(Outcome::Reset, BROKEN_CONNECTION, NO_LIMIT),
     Row {
-        effect_if_answered: Effect::Slow,
+        effect_if_served: Effect::Slow,
         ..row(Outcome::Cancelled, FAILED, BOTH_LIMITS)
     },
     row(Outcome::NotSent, Effect::Ignored, NO_LIMIT),
@@ -63,16 +63,16 @@
 }
 
 #[test]
-fn the_effect_of_every_outcome_is_as_in_the_table() {
+fn the_effect_of_an_outcome_depends_on_whether_the_backend_served_another_attempt() {
     for row in TABLE {
         for timeout_means_lost in [false, true] {
             let attempt = attempt(timeout_means_lost);
-            let effect_where = |answered| classify(row.outcome, &attempt, answered).effect;
-            assert_eq!(effect_where(false), row.effect, "{:?}", row.outcome);
+            let effect_if = |has_served| classify(row.outcome, &attempt, has_served).effect;
+            assert_eq!(effect_if(false), row.effect, "{:?}", row.outcome);
             assert_eq!(
-                effect_where(true),
-                row.effect_if_answered,
-                "{:?}, answered meanwhile",
+                effect_if(true),
+                row.effect_if_served,
+                "{:?}, another attempt was served",
                 row.outcome
             );
         }
@@ -80,23 +80,18 @@
 }
 
 #[test]
-fn the_limit_evidence_of_every_outcome_is_as_in_the_table() {
+fn the_limits_that_an_outcome_updates_depend_on_whether_a_timeout_means_a_loss() {
     for row in TABLE {
-        for answered in [false, true] {
-            let evidence_where = |timeout_means_lost| {
+        for has_served in [false, true] {
+            let evidence_if = |timeout_means_lost| {
                 let attempt = attempt(timeout_means_lost);
-                classify(row.outcome, &attempt, answered).limit_evidence
+                classify(row.outcome, &attempt, has_served).limit_evidence
             };
+            assert_eq!(evidence_if(false), row.limit_evidence, "{:?}", row.outcome);
             assert_eq!(
-                evidence_where(false),
-                row.limit_evidence,
-                "{:?}",
-                row.outcome
-            );
-            assert_eq!(
-                evidence_where(true),
+                evidence_if(true),
                 row.evidence_if_timeout_means_lost,
-                "{:?}, a timeout means that it was lost",
+                "{:?}, a timeout means that the attempt was lost",
                 row.outcome
             );
         }
@@ -104,23 +99,23 @@
 }
 
 #[test]
-fn a_reset_and_a_timeout_of_a_backend_that_served_nothing_meanwhile_count_as_lost() {
+fn a_reset_or_a_timeout_counts_as_lost_unless_another_attempt_was_served_before_the_timeout() {
     for row in TABLE {
-        let is_lost_where = |answered| classify(row.outcome, &attempt(false), answered).is_lost;
+        let is_lost_if = |has_served| classify(row.outcome, &attempt(false), has_served).is_lost;
         let is_reset = row.outcome == Outcome::Reset;
         let is_timeout = row.outcome == Outcome::Timeout;
         assert_eq!(
-            is_lost_where(false),
+            is_lost_if(false),
             is_reset || is_timeout,
             "{:?}",
             row.outcome
         );
-        assert_eq!(is_lost_where(true), is_reset, "{:?}", row.outcome);
+        assert_eq!(is_lost_if(true), is_reset, "{:?}", row.outcome);
     }
 }
 
 #[test]
-fn only_failures_are_failures_and_other_effects_have_weight_one() {
+fn failed_effects_are_failures_with_their_weight_and_all_others_have_weight_one() {
     for effect in [FAILED, REFUSED_CONNECTION, BROKEN_CONNECTION] {
         assert!(effect.is_failure(), "{effect:?}");
     }
--- a/src/balancer/queue/tests.rs
+++ b/src/balancer/queue/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the queue.
+//! Tests of the queue.
 
 use super::*;
 
--- a/src/balancer/quotas/tests.rs
+++ b/src/balancer/quotas/tests.rs
@@ -1,9 +1,9 @@
-//! Unit tests of the quotas, which are compared with a model that sums over all tenants.
+//! Tests of the quotas, which are compared with a model that sums over all tenants.
 
 use super::*;
 use fastrand::Rng;
 
-/// A tenant of the model.
+/// Quota and recent requests of one tenant in the model, computed with floats.
 #[derive(Clone, Copy)]
 struct ModelTenant {
     rate: f64,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn tenants_are_compared_as_in_a_model_that_sums_over_all_tenants() {
+fn quotas_and_their_average_use_match_a_model_that_sums_over_all_tenants() {
     let mut compared = 0;
     let mut above = 0;
     for seed in 0..30 {
--- a/src/balancer/requests/tests.rs
+++ b/src/balancer/requests/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of open requests and the request table.
+//! Tests of open requests and the request table.
 
 use super::*;
 use crate::balancer::backends::{BackendState, BackendTable};
--- a/src/balancer/retries/tests.rs
+++ b/src/balancer/retries/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the retry budget, and of rule 2 (idempotency) for every idempotency and key scope.
+//! Tests of the retry budget, and of rule 2 (idempotency) for every idempotency and key scope.
 
 use super::*;
 use crate::api::{BackendId, ClassIndex, RequestId};
@@ -100,13 +100,13 @@
 }
 
 #[test]
-fn a_request_that_may_have_been_executed_is_limited_to_the_scope_of_its_idempotency() {
+fn the_scope_after_a_possible_execution_depends_on_idempotency_and_key_expiry() {
     let backends = Backends::new();
     let executed = attempt(backends.first, SENT_AT, AttemptState::MayHaveExecuted);
     let request = open_request(vec![executed]);
     let zone = RetryScope::Zone(Zone(2));
     let cell = RetryScope::Cell(Cell(5));
-    // Scopes before the key expires and from its expiry on.
+    // Scopes before the key expires, and at or after its expiry.
     let expected = [
         (RetryScope::Anywhere, RetryScope::Anywhere),
         (RetryScope::Nowhere, RetryScope::Nowhere),
@@ -122,9 +122,10 @@
 }
 
 #[test]
-fn a_rejection_is_harmless_only_while_every_backend_drops_a_repeated_key() {
+fn a_client_may_retry_after_a_possible_execution_if_the_request_is_idempotent_or_all_backends_know_its_key()
+ {
     let backends = Backends::new();
-    // Whether a rejection is harmless before the key expires and from its expiry on.
+    // Whether the client may retry before the key expires, and at or after its expiry.
     let expected = [
         (true, true),
         (false, false),
@@ -135,15 +136,15 @@
     for state in [AttemptState::MayHaveExecuted, AttemptState::InFlight] {
         let request = open_request(vec![attempt(backends.first, SENT_AT, state)]);
         for (idempotency, (before, after)) in ALL.into_iter().zip(expected) {
-            let is_harmless_at = |now| may_client_retry(now, &request, idempotency);
-            assert_eq!(is_harmless_at(BEFORE_EXPIRY), before, "{idempotency:?}");
-            assert_eq!(is_harmless_at(AT_EXPIRY), after, "{idempotency:?}");
+            let may_retry_at = |now| may_client_retry(now, &request, idempotency);
+            assert_eq!(may_retry_at(BEFORE_EXPIRY), before, "{idempotency:?}");
+            assert_eq!(may_retry_at(AT_EXPIRY), after, "{idempotency:?}");
         }
     }
 }
 
 #[test]
-fn scope_and_expiry_follow_the_first_attempt_that_may_have_been_executed() {
+fn scope_and_key_expiry_depend_on_the_first_attempt_that_may_have_been_executed() {
     let backends = Backends::new();
     let request = open_request(vec![
         attempt(backends.second, SENT_AT - SECOND, AttemptState::NotExecuted),
@@ -188,7 +189,7 @@
 }
 
 #[test]
-fn the_longest_time_to_live_of_a_key_does_not_overflow() {
+fn the_expiry_of_a_key_with_the_maximum_ttl_does_not_overflow() {
     let backends = Backends::new();
     let executed = attempt(backends.first, SENT_AT, AttemptState::MayHaveExecuted);
     let request = open_request(vec![executed]);
@@ -235,9 +236,9 @@
 }
 
 #[test]
-fn a_closed_streaming_or_consumed_request_gets_no_further_attempt() {
+fn a_request_that_is_closed_or_streaming_or_has_no_body_left_gets_no_further_attempt() {
     let backends = Backends::new();
-    let answered = OpenRequest {
+    let closed_request = OpenRequest {
         closed: true,
         ..open_request(vec![])
     };
@@ -249,7 +250,7 @@
         body_consumed: true,
         ..open_request(vec![])
     };
-    for request in [answered, streaming, without_body] {
+    for request in [closed_request, streaming, without_body] {
         for idempotency in ALL {
             let scope = backends.scope(SENT_AT, &request, idempotency);
             assert_eq!(scope, RetryScope::Nowhere);
@@ -286,14 +287,14 @@
 }
 
 #[test]
-fn ten_requests_add_one_retry() {
+fn ten_requests_add_one_token() {
     let mut budget = RetryBudget::new();
     empty(&mut budget);
     for _ in 0..9 {
         budget.deposit();
     }
     assert!(!budget.has_token());
-    // Ten deposits of 0.1 may add up to slightly less than 1, so the last deposit of a token may fall short.
+    // Ten deposits of 0.1 may add up to slightly less than one token because of rounding, so an eleventh is made.
     budget.deposit();
     budget.deposit();
     assert_eq!(empty(&mut budget), 1);
--- a/src/balancer/selection/tests.rs
+++ b/src/balancer/selection/tests.rs
@@ -1,4 +1,4 @@
-//! Compares the indexed selection with a plain scan of every backend, on random events.
+//! Tests of selection: the indexed selection is compared with a scan of every backend after random events.
 
 mod random_proxy;
 
@@ -11,13 +11,13 @@
 enum Found {
     /// The backends that tie for the greatest preference.
     Tied(BTreeSet<BackendKey>),
-    /// Backends without a slot that tie for the greatest limit; a proxy with nothing in flight may use one of them.
+    /// Backends that tie for the greatest limit but have no slot. A proxy with nothing in flight may use one of them.
     WithoutSlot(BTreeSet<BackendKey>),
     /// No backend may be selected.
     Nothing,
 }
 
-/// Results of the scan and of the indexed selection that differ for the same request.
+/// Results of the scan and of the indexed selection that differ although the request is the same.
 struct Mismatch {
     scanned: Found,
     selected: BTreeSet<BackendKey>,
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn indexed_selection_returns_exactly_the_tied_backends_that_a_plain_scan_finds() {
+fn indexed_selection_returns_exactly_the_tied_backends_that_a_full_scan_finds() {
     let mut compared = 0;
     let mut with_ties = 0;
     for seed in 0..60 {
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -7,8 +7,8 @@
 const DURATION: Micros = 10 * SECOND;
 const HOUR: Micros = 3_600 * SECOND;
 
-/// Limits with an initial capacity of a quarter. The collapse load factor is high enough for a load up to the whole
-/// present capacity to be safe.
+/// Safety limits with an initial capacity of a quarter. The collapse load factor is so high that a load of the whole
+/// present capacity is safe.
 const SAFETY: SafetyLimits = SafetyLimits {
     poll_interval: SECOND,
     slow_start_initial_capacity: 0.25,
@@ -31,7 +31,7 @@
     budget
 }
 
-/// Asserts that a budget which is empty at `now` has its first token after exactly `wait`.
+/// Asserts that a budget that is empty at `now` holds its first token after exactly `wait`.
 fn assert_first_token_after(now: Micros, safety: &SafetyLimits, wait: Micros) {
     let budget = empty_budget(now, safety);
     assert!(!budget.has_token(now + wait - 1), "before {wait} us");
@@ -40,7 +40,7 @@
 
 #[test]
 fn tokens_accrue_at_a_rate_that_grows_with_the_backends_age() {
-    // A quarter of 8 requests per second at the start, five eighths of them halfway, all of them from the end on.
+    // The rate is a quarter of 8 requests per second at the start, five eighths of it halfway and all of it from the end on.
     assert_first_token_after(STARTED_AT, &SAFETY, 500 * MS);
     assert_first_token_after(STARTED_AT + DURATION / 2, &SAFETY, 200 * MS);
     assert_first_token_after(STARTED_AT + DURATION, &SAFETY, 125 * MS);
@@ -100,8 +100,8 @@
     assert!(budget.has_stored_token());
 }
 
-/// Returns the whole tokens that a budget holds an hour after its refill, if this proxy's share of the warm backend is
-/// `requests_per_s`.
+/// Returns the number of whole tokens that a budget holds one hour after it was empty, for a warm backend of which this
+/// proxy's share is `requests_per_s`.
 fn tokens_after_an_hour(requests_per_s: f64) -> u32 {
     let warm = STARTED_AT + DURATION;
     let capacity = WarmCapacity {
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn the_next_check_is_when_a_token_is_due_and_within_one_window() {
+fn the_next_token_check_is_when_a_token_is_due_or_after_the_minimum_window_if_earlier() {
     let check_after = |tokens| {
         let mut budget = SlowStartBudget::new(STARTED_AT, STARTED_AT, tokens);
         budget.refill(STARTED_AT, &SAFETY, &CAPACITY);
@@ -149,7 +149,11 @@
     };
     assert_eq!(check_after(0.0), MIN_WINDOW, "the token is due later");
     assert_eq!(check_after(0.75), 125 * MS);
-    assert_eq!(check_after(1.0), 1, "the earliest later time");
+    assert_eq!(
+        check_after(1.0),
+        1,
+        "the check must be later than the refill"
+    );
     let without_rate = SlowStartBudget::new(STARTED_AT, STARTED_AT, 0.0);
     assert_eq!(without_rate.next_token_check_at(), STARTED_AT + MIN_WINDOW);
 }
--- a/src/balancer/subscription/tests.rs
+++ b/src/balancer/subscription/tests.rs
@@ -13,7 +13,8 @@
     settings
 }
 
-/// Asserts that all delays are within `bounds` and that the least and the greatest are close to its ends.
+/// Asserts that all delays are within `bounds`, and that the least and the greatest are within a tenth of the width of
+/// `bounds` from its start and its end.
 fn assert_spread(delays: &[Micros], bounds: RangeInclusive<Micros>) {
     for delay in delays {
         assert!(
@@ -41,7 +42,7 @@
         .collect()
 }
 
-/// Returns, for each seed, the delay after a failure that `failures` others precede.
+/// Returns, for each seed, the delay after a failure that follows `failures` earlier ones.
 fn next_delays(settings: &Settings, failures: u32) -> Vec<Micros> {
     let next_delay = |seed| {
         let mut rng = Rng::with_seed(seed);
--- a/src/balancer/throughput/tests.rs
+++ b/src/balancer/throughput/tests.rs
@@ -4,7 +4,7 @@
 use crate::balancer::tests::assert_close;
 use crate::balancer::time::SECOND;
 
-/// Counts `events` events in a span: the last one at its end, all others at its start.
+/// Records `events` events in a span: the last one at its end, all others at its start.
 fn record_span(rate: &mut PeakRate, start: Micros, end: Micros, events: u32) {
     for _ in 1..events {
         rate.record(start);
--- a/src/balancer/timers/tests.rs
+++ b/src/balancer/timers/tests.rs
@@ -1,9 +1,9 @@
-//! Unit tests of the tokens of timers.
+//! Tests of the tokens of timers.
 
 use super::*;
 use std::collections::BTreeSet;
 
-/// Indices of request keys, up to the greatest that fits into a token.
+/// Indices of table keys of requests, up to the greatest that fits into a token.
 const INDICES: [usize; 5] = [0, 1, 2, 1_000_000, (1 << 30) - 1];
 
 fn all_timers() -> Vec<Timer> {
