--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -52,7 +52,7 @@
     /// Sends a request that must not wait, or wait any longer, in the queue. The request is answered instead if no
     /// backend has available capacity or the response would come too late, unless an attempt is still in flight.
     pub(super) fn send_or_answer(&mut self, now: Micros, key: RequestKey, out: &mut Vec<Action>) {
-        if !self.is_past_objective(now, key)
+        if !self.would_respond_too_late(now, key)
             && let Some(backend) = self.select_backend(now, key)
         {
             self.send(now, key, backend, out);
@@ -92,13 +92,13 @@
     /// Reports whether another attempt is permitted and its response could come in time to be useful.
     fn can_answer_in_time(&self, now: Micros, key: RequestKey) -> bool {
         let scope = self.next_attempt_scope(now, key);
-        scope != RetryScope::Nowhere && !self.is_past_objective(now, key)
+        scope != RetryScope::Nowhere && !self.would_respond_too_late(now, key)
     }
 
     /// Reports whether the response to an attempt that starts now would come too late to earn any priority weight:
     /// after the latency objective if a late response of the class earns nothing, and after the client's timeout
     /// otherwise. The response is expected after half the mean latency.
-    fn is_past_objective(&self, now: Micros, key: RequestKey) -> bool {
+    fn would_respond_too_late(&self, now: Micros, key: RequestKey) -> bool {
         let request = &self.requests[key];
         let class = self.settings.class(request.class);
         let last_useful = if class.late_weight_factor > 0.0 {
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Returns the time at which an attempt that starts now is overdue. An attempt of a class that is not quick is
+    /// Returns the time after which an attempt that starts now is overdue. An attempt of a class that is not quick is
     /// overdue after the class's timeout.
     fn overdue_at(&self, now: Micros, request: RequestKey) -> Micros {
         let index = self.requests[request].class;
--- a/src/balancer/backends.rs
+++ b/src/balancer/backends.rs
@@ -61,8 +61,8 @@
     /// Clears the limit, connections, failures and ejection of the backend's previous process, and sets its slow-start
     /// budget.
     ///
-    /// Attempts in flight stay counted until they end, also as a trial request. The time of the last rejection and the
-    /// recent latency are kept.
+    /// Attempts in flight still count until they end, and a trial request stays in flight. The time of the last
+    /// rejection and the recent latency are kept.
     pub(crate) fn restart(&mut self, now: Micros, slow_start: Option<SlowStartBudget>) {
         self.limit.reset(now);
         self.connections.clear();
@@ -112,7 +112,7 @@
         self.entries.iter()
     }
 
-    /// Removes the reference of one attempt to a backend, and then the backend itself if it is no longer used.
+    /// Removes the reference of one attempt to a backend, and the backend itself if it is then no longer used.
     pub(crate) fn release(&mut self, key: BackendKey) {
         self[key].references -= 1;
         self.remove_if_unused(key);
--- a/src/balancer/in_flight.rs
+++ b/src/balancer/in_flight.rs
@@ -10,7 +10,7 @@
 #[derive(Default)]
 pub(crate) struct InFlight {
     count: u32,
-    /// Time at which each attempt in flight is overdue.
+    /// Time after which each attempt in flight is overdue.
     overdue_at: Vec<Micros>,
     /// Latest send time of all attempts that were served.
     latest_served_sent_at: Micros,
@@ -32,7 +32,7 @@
         self.count
     }
 
-    /// Adds an attempt that is sent at `now`.
+    /// Adds an attempt that is sent at `now` and is overdue after `overdue_at`.
     pub(crate) fn start(&mut self, now: Micros, overdue_at: Micros) {
         if self.count == 0 {
             self.unserved_since = now;
@@ -41,7 +41,8 @@
         self.count += 1;
     }
 
-    /// Removes an attempt that has ended with any outcome. `overdue_at` is the time that it was started with.
+    /// Removes an attempt that has ended with any outcome. `overdue_at` is the time that was passed to
+    /// [`start`](Self::start).
     pub(crate) fn end(&mut self, overdue_at: Micros) {
         self.count = self.count.saturating_sub(1);
         let position = self.overdue_at.iter().position(|&at| at == overdue_at);
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -132,6 +132,7 @@
     }
 }
 
+/// Returns the change of a backend for the index.
 fn change_of(key: BackendKey, backend: &BackendState) -> Change {
     Change {
         backend: key,
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -34,8 +34,8 @@
     ///    backend, and the steps below are skipped.
     /// 4. Release the connection. This depends on the remaining attempts in flight, so it follows step 3.
     /// 5. Record the response, or the rejection.
-    /// 6. If the attempt was lost on a connection that had been idle for long, reduce the trusted idle time and skip the
-    ///    steps below: the loss is attributed to the connection and not to the backend.
+    /// 6. If the attempt may have been lost on a connection that had been idle for long, reduce the trusted idle time and
+    ///    skip the steps below: the loss is attributed to the connection and not to the backend.
     /// 7. Record the sample as recent latency.
     /// 8. Record the outcome for outlier detection.
     /// 9. Update the limits with the sample and then with the load report, unless the outcome is no evidence for
@@ -64,7 +64,7 @@
             Effect::Rejected => self.record_rejection(now, class, key),
             Effect::Ignored | Effect::Slow | Effect::Failed { .. } => {}
         }
-        if classification.is_lost
+        if classification.may_be_lost
             && self
                 .trusted_idle_time
                 .record_lost_request(now, attempt.connection_idle)
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -82,7 +82,7 @@
     pub(crate) effect: Effect,
     /// Whether the attempt may have been lost on its connection: it timed out while the backend served no other
     /// attempt, or its connection broke. If the connection had been idle, that may be the cause.
-    pub(crate) is_lost: bool,
+    pub(crate) may_be_lost: bool,
     /// Limits that the sample updates.
     pub(crate) limit_evidence: LimitEvidence,
 }
@@ -95,10 +95,10 @@
     backend_has_served: bool,
 ) -> Classification {
     let effect = effect_of(outcome, backend_has_served);
-    let may_be_lost = matches!(outcome, Outcome::Timeout | Outcome::Reset);
+    let has_no_response = matches!(outcome, Outcome::Timeout | Outcome::Reset);
     Classification {
         effect,
-        is_lost: may_be_lost && effect.is_failure(),
+        may_be_lost: has_no_response && effect.is_failure(),
         limit_evidence: limit_evidence_of(outcome, attempt),
     }
 }
--- a/src/balancer/outcome/tests.rs
+++ b/src/balancer/outcome/tests.rs
@@ -101,16 +101,17 @@
 #[test]
 fn a_reset_or_a_timeout_counts_as_lost_unless_another_attempt_was_served_before_the_timeout() {
     for row in TABLE {
-        let is_lost_if = |has_served| classify(row.outcome, &attempt(false), has_served).is_lost;
+        let may_be_lost_if =
+            |has_served| classify(row.outcome, &attempt(false), has_served).may_be_lost;
         let is_reset = row.outcome == Outcome::Reset;
         let is_timeout = row.outcome == Outcome::Timeout;
         assert_eq!(
-            is_lost_if(false),
+            may_be_lost_if(false),
             is_reset || is_timeout,
             "{:?}",
             row.outcome
         );
-        assert_eq!(is_lost_if(true), is_reset, "{:?}", row.outcome);
+        assert_eq!(may_be_lost_if(true), is_reset, "{:?}", row.outcome);
     }
 }
 
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -45,7 +45,7 @@
     pub(crate) connection_idle: Micros,
     /// Whether a timeout means that the attempt was lost, because its timeout is long compared with the usual latency.
     pub(crate) timeout_means_lost: bool,
-    /// Time from which the attempt is overdue.
+    /// Time after which the attempt is overdue.
     pub(crate) overdue_at: Micros,
     /// Whether the attempt is a trial request, whose outcome shows whether its backend has recovered.
     pub(crate) is_trial: bool,
