--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -17,7 +17,7 @@
 struct AttemptTimeout {
     /// Time at which the attempt times out.
     deadline: Micros,
-    /// Whether an attempt that times out counts as lost on the way rather than as slow.
+    /// Whether an attempt that times out counts as lost between proxy and backend rather than as slow.
     means_lost: bool,
 }
 
--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -19,8 +19,8 @@
 
 /// The sum of this proxy's limits, and the scaling and the bound that apply if the sum is small.
 ///
-/// Deviation from plain AIMD: with many proxies that have little traffic each, the limits of a proxy may add up to
-/// fewer than [`MIN_SLOTS`]. Two rules then apply:
+/// Deviation from plain AIMD: with many proxies that have little traffic each, the limits of a proxy may add up to less
+/// than [`MIN_SLOTS`]. Two rules then apply:
 /// - Each limit is scaled up before it is rounded to slots, which spreads the slots over more backends.
 /// - The attempts in flight at all backends are bounded by the sum of the unscaled limits plus its square root. The
 ///   square root leaves room for requests that arrive at the same time by chance.
--- a/src/balancer/index/group.rs
+++ b/src/balancer/index/group.rs
@@ -11,8 +11,8 @@
 
 /// The ready backends of one zone and machine type, in the order of their ids.
 ///
-/// A member's slot offset increases with its rank and wraps from 1 to 0 once. The ranks therefore form two runs with
-/// ascending offsets, and the members with the highest offsets are at the ends of these runs.
+/// A member's slot offset increases with its rank and wraps from 1 to 0 at most once. The ranks therefore form two runs
+/// with ascending offsets, and the members with the highest offsets are at the ends of these runs.
 ///
 /// For example, four members with the offsets 0.618, 0.868, 0.118 and 0.368 form the runs of ranks 0 to 1 and 2 to 3.
 /// At a limit of 1.2, members with an offset of at least 0.8 have two slots (here the member at rank 1, the end of the
@@ -97,9 +97,9 @@
 
     /// Returns the part of each run whose ranks satisfy `is_high`.
     ///
-    /// `is_high` must be true exactly for the ranks whose slot offset is at least some bound, so that these ranks are at the
-    /// ends of the runs. `expected_count` is an estimate of their number, from which the search starts; it affects the
-    /// duration of the search and not its result.
+    /// `is_high` must hold exactly for the ranks whose slot offset is at least some bound, so that these ranks are at
+    /// the ends of the runs. `expected_count` is an estimate of their number, from which the search starts; it affects
+    /// the duration of the search and not its result.
     pub(crate) fn highest_offsets(
         &self,
         expected_count: usize,
--- a/src/balancer/index/ranked_set.rs
+++ b/src/balancer/index/ranked_set.rs
@@ -22,8 +22,8 @@
 /// A set of backends in the order of their ids, each with a value and a flag.
 ///
 /// The rank of a member is its position in that order. Finding a rank takes logarithmic time; reading or setting a flag
-/// by rank takes constant time. Counting the flagged members of a range and finding the nth of them read one 64-bit word
-/// for every 64 members of the range.
+/// by rank takes constant time. To count the flagged members of a range or to find the nth of them reads one 64-bit
+/// word for every 64 members of the range.
 pub(crate) struct RankedSet<V> {
     ids: Vec<BackendId>,
     values: Vec<V>,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -70,8 +70,8 @@
             .most_available(now, &criteria, &tried, &mut rng)
             .and_then(|candidates| self.index.pick_random(&candidates, &mut rng));
         self.rng = rng;
-        // Deviation: a proxy that has no slot on any backend would never serve a request, so it sends one if it has
-        // nothing in flight.
+        // Deviation: a proxy that has no slot on any backend would never serve a request, so it sends a request to a
+        // backend without a slot if it has nothing in flight.
         let selected = if best.is_none() && self.in_flight == 0 {
             self.backend_with_greatest_limit(now, &criteria, &tried)
         } else {
@@ -286,7 +286,8 @@
             OutlierState::HalfOpen => return !is_trial_in_flight && criteria.is_repeatable,
         }
         // Deviation: an unresponsive backend may be hanging and receives nothing more, except a single trial request if
-        // the loss of that request would be detected early: the attempts in flight may have been lost on the way.
+        // the loss of that request would be detected early: the attempts in flight may have been lost between proxy and
+        // backend.
         if backend
             .in_flight
             .is_unresponsive(now, criteria.overdue_after)
@@ -308,7 +309,7 @@
 
 /// Returns how many slots of a backend are taken.
 ///
-/// Deviation: an overtaken attempt of a quick class takes no slot, because it was lost on the way.
+/// Deviation: an overtaken attempt of a quick class takes no slot, because it was lost between proxy and backend.
 fn taken_slots(backend: &BackendState) -> i64 {
     i64::from(backend.in_flight.count()) - backend.in_flight.overtaken_count() as i64
 }
