--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -306,7 +306,7 @@
 
 /// Returns what a proxy knows of the execution of an attempt with this outcome.
 fn state_after(outcome: Outcome) -> AttemptState {
-    if outcome.is_not_executed() {
+    if outcome.proves_not_executed() {
         AttemptState::NotExecuted
     } else {
         AttemptState::MaybeExecuted
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -17,7 +17,7 @@
 struct AttemptTimeout {
     /// Time at which the attempt times out.
     deadline: Micros,
-    /// Whether an attempt that times out counts as lost on the way rather than as slow.
+    /// Whether an attempt that times out counts as lost between proxy and backend rather than as slow.
     means_lost: bool,
 }
 
@@ -55,17 +55,17 @@
         self.reindex(now, backend);
     }
 
-    /// Assigns the connection of the next attempt on a backend and returns the connection's estimated idle time; 0 for
-    /// a new connection.
+    /// Assigns a connection to the next attempt on a backend and returns the connection's estimated idle time, which is
+    /// 0 for a new connection.
     ///
-    /// If the connection has been idle for too long to be trusted, the idle connections to the backend are closed
-    /// first, so that the attempt uses a new one.
+    /// If the connection has been idle for longer than the trusted idle time, the idle connections to the backend are
+    /// closed first, so that the attempt uses a new one.
     fn take_connection(&mut self, now: Micros, key: BackendKey, out: &mut Vec<Action>) -> Micros {
         let per_connection = self.requests_per_connection();
         let backend = &mut self.backends[key];
         let in_flight = backend.in_flight.count();
         let idle = backend.connections.take(now, in_flight, per_connection);
-        if !self.idle_trust.is_suspect(now, idle) {
+        if !self.trusted_idle_time.exceeds_trusted_idle(now, idle) {
             return idle;
         }
         backend.connections.close_idle(in_flight, per_connection);
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Returns the time at which an attempt that starts now is overdue. In a class that is not quick, that is the
-    /// class's timeout.
+    /// Returns the time after which an attempt that starts now is overdue. An attempt of a class that is not quick is
+    /// overdue after the class's timeout.
     fn overdue_at(&self, now: Micros, request: RequestKey) -> Micros {
         let index = self.requests[request].class;
         let class = self.settings.class(index);
@@ -129,7 +129,7 @@
         let overdue_after = self.latencies.overdue_after(index, class);
         let backend = &self.backends[backend];
         let is_unresponsive = backend.in_flight.is_unresponsive(now, overdue_after);
-        backend.health.is_ejected() || is_unresponsive
+        backend.outlier_detector.is_ejected() || is_unresponsive
     }
 
     /// Updates the state of a backend for an attempt that starts now and occupies one of the backend's slots.
@@ -143,7 +143,7 @@
         backend.slow_start = backend
             .slow_start
             .filter(|budget| !budget.is_over(now, safety));
-        backend.health.start_attempt(attempt.is_trial);
+        backend.outlier_detector.start_attempt(attempt.is_trial);
         backend.in_flight.start(now, attempt.overdue_at);
         let in_flight = backend.in_flight.count();
         backend.limit.record_in_flight(in_flight, slots);
@@ -195,7 +195,7 @@
     /// Handles the end of an attempt: updates the policies, and closes or retries the request. The end of an attempt
     /// that is unknown or has already ended is ignored.
     ///
-    /// If the response was streamed, the policies were updated when it started; only the load report is new.
+    /// If the response was streamed, the policies were updated when it started, and only the load report is applied.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -212,11 +212,11 @@
         if attempt.state != AttemptState::InFlight {
             return;
         }
-        let is_not_executed = end.outcome.is_not_executed();
-        attempt.state = if is_not_executed {
-            AttemptState::NotExecuted
-        } else {
+        let may_have_executed = !end.outcome.proves_not_executed();
+        attempt.state = if may_have_executed {
             AttemptState::MayHaveExecuted
+        } else {
+            AttemptState::NotExecuted
         };
         let attempt = *attempt;
         let class = request.class;
@@ -224,13 +224,13 @@
         if !attempt.response_started {
             self.observe(now, class, &attempt, &end, out);
         } else if end.outcome == Outcome::Ok {
-            self.follow_load_report(now, attempt.backend, end.load_report);
+            self.apply_load_report(now, attempt.backend, end.load_report);
         }
         self.reindex(now, attempt.backend);
         if end.request_answered || self.requests[key].closed {
-            self.close(key);
+            self.close_request(key);
         } else {
-            self.retry(now, key, is_not_executed, out);
+            self.retry(now, key, may_have_executed, out);
         }
         self.serve_queue(now, out);
     }
--- a/src/balancer/backends.rs
+++ b/src/balancer/backends.rs
@@ -1,11 +1,11 @@
 //! The table of backends, and the state that the policies keep of each backend.
 
-use super::connections::ConnectionUse;
+use super::connections::ConnectionIdleTimes;
 use super::in_flight::InFlight;
 use super::index::IndexEntry;
 use super::latency::RecentLatency;
 use super::limits::BackendLimit;
-use super::outliers::Health;
+use super::outliers::OutlierDetector;
 use super::slow_start::SlowStartBudget;
 use crate::api::{BackendId, Cell, MachineType, Micros, Zone};
 use rustc_hash::FxHashMap;
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Key of a backend in the [`BackendTable`], valid while the backend is in the table.
+/// Table key of a backend, valid while the backend is in the [`BackendTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct BackendKey(u32);
 
@@ -39,21 +39,21 @@
     pub(crate) started_at: Option<Micros>,
     /// Whether discovery lists the backend. A backend that is not listed is removed once no request refers to it.
     pub(crate) listed: bool,
-    /// Whether the backend may receive requests: listed and neither draining nor removed.
+    /// Whether the backend may receive requests: it is listed and not draining.
     pub(crate) ready: bool,
-    /// Number of complete lists received when a list last contained the backend.
+    /// Number of complete lists that had been received when a list last contained the backend.
     pub(crate) last_seen_generation: u32,
-    /// Number of attempts of open requests that refer to the backend's key.
+    /// Number of attempts, of all open requests, that refer to the backend by its table key.
     pub(crate) references: u32,
     pub(crate) in_flight: InFlight,
     pub(crate) limit: BackendLimit,
     pub(crate) recent_latency: RecentLatency,
-    pub(crate) health: Health,
+    pub(crate) outlier_detector: OutlierDetector,
     /// Time until which the backend counts as having no capacity because it rejected a request.
     pub(crate) rejecting_until: Micros,
-    /// Budget of this proxy for the backend; `None` if the backend is not in slow start.
+    /// Slow-start budget of this proxy for the backend; `None` if the backend is not in slow start.
     pub(crate) slow_start: Option<SlowStartBudget>,
-    pub(crate) connections: ConnectionUse,
+    pub(crate) connections: ConnectionIdleTimes,
     pub(crate) index_entry: IndexEntry,
 }
 
@@ -61,12 +61,12 @@
     /// Clears the limit, connections, failures and ejection of the backend's previous process, and sets its slow-start
     /// budget.
     ///
-    /// Attempts in flight stay counted until they end, also as a trial request. The time of the last rejection and the
-    /// recent latency are kept.
+    /// Attempts in flight still count until they end, and a trial request stays in flight. The time of the last
+    /// rejection and the recent latency are kept.
     pub(crate) fn restart(&mut self, now: Micros, slow_start: Option<SlowStartBudget>) {
         self.limit.reset(now);
         self.connections.clear();
-        self.health.reset();
+        self.outlier_detector.reset();
         self.slow_start = slow_start;
     }
 }
@@ -83,7 +83,7 @@
 }
 
 impl BackendTable {
-    /// Returns the key of a backend, or `None` if it is not in the table.
+    /// Returns the table key of a backend, or `None` if it is not in the table.
     pub(crate) fn find(&self, id: BackendId) -> Option<BackendKey> {
         self.by_id.get(&id).copied()
     }
@@ -112,7 +112,7 @@
         self.entries.iter()
     }
 
-    /// Removes the reference of one attempt to a backend, and then the backend itself if it is no longer used.
+    /// Removes the reference of one attempt to a backend, and the backend itself if it is then no longer used.
     pub(crate) fn release(&mut self, key: BackendKey) {
         self[key].references -= 1;
         self.remove_if_unused(key);
--- a/src/balancer/capacity/tests.rs
+++ b/src/balancer/capacity/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a proxy's capacity: its share of a backend, and its bound if its limits add up to few slots.
+//! Tests of a proxy's capacity: its share of a backend, and the scaling and bound if its limits add up to few slots.
 
 use super::*;
 use crate::balancer::tests::{assert_close, settings};
@@ -22,7 +22,7 @@
 fn limits_that_add_up_to_at_least_three_are_neither_scaled_nor_bounded() {
     for limit_sum in [3.0, 100.0] {
         let capacity = capacity(limit_sum, 0);
-        assert!(!capacity.has_scaled_limits());
+        assert!(!capacity.are_limits_scaled_up());
         assert_eq!(capacity.limit_factor(), 1.0);
         assert_eq!(capacity.max_in_flight(), None);
         assert_eq!(capacity.limit_sum(), limit_sum);
@@ -33,7 +33,7 @@
 fn limits_that_add_up_to_less_than_three_are_scaled_to_three() {
     for (limit_sum, limit_factor) in [(1.5, 2.0), (0.75, 4.0), (2.4, 1.25)] {
         let capacity = capacity(limit_sum, 0);
-        assert!(capacity.has_scaled_limits());
+        assert!(capacity.are_limits_scaled_up());
         assert_close(capacity.limit_factor(), limit_factor);
     }
 }
@@ -58,7 +58,7 @@
 #[test]
 fn a_limit_sum_of_zero_is_neither_scaled_nor_bounded() {
     let capacity = capacity(0.0, 0);
-    assert!(!capacity.has_scaled_limits());
+    assert!(!capacity.are_limits_scaled_up());
     assert_eq!(capacity.max_in_flight(), None);
 }
 
@@ -71,7 +71,8 @@
 }
 
 #[test]
-fn backends_are_shared_by_the_proxies_of_the_own_zone_and_by_all_proxies_in_other_zones() {
+fn the_share_of_a_backend_is_one_over_the_proxies_of_the_zone_or_over_all_proxies_in_another_zone()
+{
     for (proxy_count, zone_count, own_zone, other_zone) in [
         (1, 1, 1.0, 1.0),
         (12, 3, 0.25, 1.0 / 12.0),
--- a/src/balancer/limits/machine_type.rs
+++ b/src/balancer/limits/machine_type.rs
@@ -1,11 +1,11 @@
-//! Limit that all backends of one machine type share.
+//! The limit that all backends of one machine type share.
 
 use super::{
     DECREASE_FACTOR, INITIAL_LIMIT, MAX_LIMIT, MAX_SAMPLE, MIN_INCREASE_FRACTION, MIN_LIMIT,
     MIN_WINDOW, Window,
 };
 use crate::api::Micros;
-use crate::balancer::latency::LATENCY_WEIGHT;
+use crate::balancer::latency::MEAN_SAMPLE_WEIGHT;
 
 /// Limit of one backend of a machine type, for all proxies together.
 ///
@@ -45,7 +45,7 @@
         self.window.mark_near_limit();
     }
 
-    /// Adds a sample. Reports whether it completed the window, so that the limit was evaluated.
+    /// Records a sample. Reports whether it completed the window, so that the limit was evaluated.
     pub(crate) fn record(&mut self, now: Micros, sample: f64) -> bool {
         self.window.add(sample);
         let is_long_enough = self.doubling || self.window.age(now) >= MIN_WINDOW;
@@ -78,7 +78,7 @@
     pub(crate) fn record_service_time(&mut self, reported_ms: f64) -> f64 {
         let mean = self.service_time_ms.unwrap_or(reported_ms);
         let capped = reported_ms.min(mean * MAX_SAMPLE);
-        self.service_time_ms = Some(mean + (capped - mean) * LATENCY_WEIGHT);
+        self.service_time_ms = Some(mean + (capped - mean) * MEAN_SAMPLE_WEIGHT);
         mean
     }
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,7 +1,7 @@
-//! The decisions of the load balancer: which backend receives a request, whether the request is queued, retried or
-//! rejected, and the concurrency limit of each backend. The interface (settings, events, actions) is [`crate::api`].
+//! The load balancer of a proxy. It selects the backend of each request, queues, retries or rejects requests, and
+//! maintains the concurrency limit of each backend. Its interface (settings, events, actions) is [`crate::api`].
 //!
-//! # Decision path
+//! # Path of a request
 //!
 //! For every ready backend, each proxy tracks its requests in flight and a concurrency limit that follows windowed
 //! latency (AIMD, `limits`). A request is sent to the backend with the most available capacity, which is the limit less
@@ -59,7 +59,7 @@
 use crate::api::{Action, ClassIndex, Event, Micros, RequestId, Settings, SettingsError};
 use backends::{BackendState, BackendTable};
 use capacity::ProxyCapacity;
-use connections::IdleTrust;
+use connections::TrustedIdleTime;
 use index::SelectionIndex;
 use latency::LatencyTable;
 use limits::MachineTypeLimit;
@@ -82,7 +82,8 @@
 /// use tillerproxy::balancer::Balancer;
 ///
 /// fn start(settings: Settings, now: Micros) -> Result<Balancer, SettingsError> {
-///     let mut balancer = Balancer::new(settings, 7, now)?;
+///     let seed = 7;
+///     let mut balancer = Balancer::new(settings, seed, now)?;
 ///     let mut actions = Vec::new();
 ///     balancer.handle(now, Event::Membership(MembershipEvent::Full(&[])), &mut actions);
 ///     assert!(actions.is_empty());
@@ -106,13 +107,13 @@
     capacity: ProxyCapacity,
     quotas: TenantQuotas,
     retry_budget: RetryBudget,
-    idle_trust: IdleTrust,
+    trusted_idle_time: TrustedIdleTime,
     /// Peak rate of the requests of this proxy that backends served.
     throughput: PeakRate,
 }
 
 impl Balancer {
-    /// Returns a balancer without backends.
+    /// Returns a balancer without backends. `seed` initializes its random number generator.
     ///
     /// # Errors
     /// Returns the first setting that is outside its allowed range.
@@ -133,7 +134,7 @@
             capacity: ProxyCapacity::unbounded(),
             quotas: TenantQuotas::from_settings(&settings, now),
             retry_budget: RetryBudget::new(),
-            idle_trust: IdleTrust::new(settings.permissions.idle_timeout, now),
+            trusted_idle_time: TrustedIdleTime::new(settings.permissions.idle_timeout, now),
             throughput: PeakRate::new(now),
             settings,
         })
@@ -157,8 +158,9 @@
         }
     }
 
-    /// Returns the number of listed backends that are draining, ejected and not yet readmitted, unresponsive, or
-    /// counted as without capacity after a rejection. Backends at their limit or in slow start are not included.
+    /// Returns the number of avoided backends. A listed backend is avoided while it is draining, ejected and not yet
+    /// readmitted, unresponsive, or counted as without capacity after a rejection. Backends at their limit or in slow
+    /// start are not included.
     #[must_use]
     pub fn avoided_backends(&self, now: Micros) -> usize {
         let classes = self.settings.classes.iter().enumerate();
@@ -171,7 +173,7 @@
             .unwrap_or_default();
         let is_avoided = |backend: &&BackendState| {
             !backend.ready
-                || backend.health.is_ejected()
+                || backend.outlier_detector.is_ejected()
                 || backend.in_flight.is_unresponsive(now, overdue_after)
                 || now < backend.rejecting_until
         };
@@ -181,7 +183,7 @@
 
     fn on_client_disconnected(&mut self, request: RequestId) {
         if let Some(key) = self.requests.find(request) {
-            self.close(key);
+            self.close_request(key);
         }
     }
 
@@ -189,14 +191,14 @@
         match Timer::from_token(token) {
             Some(Timer::Subscribe) => out.push(Action::Subscribe),
             Some(Timer::QueueTimeout(request)) if self.has_waited(now, request) => {
-                self.send_or_give_up(now, request, out);
+                self.send_or_answer(now, request, out);
             }
             Some(Timer::QueueTimeout(_)) | None => {}
         }
     }
 
-    /// Reports whether a queued request has waited for its maximum time. A timer's key may by now belong to a later
-    /// request, whose own time has not passed, or to an unused entry.
+    /// Reports whether a queued request has waited for its maximum time. When a timer fires, its table key may belong
+    /// to a later request, whose own time has not passed, or to an unused entry.
     fn has_waited(&self, now: Micros, request: RequestKey) -> bool {
         let queued_until = self
             .requests
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -4,21 +4,21 @@
 use super::backends::BackendKey;
 use super::limits::MAX_SAMPLE;
 use super::outcome::{Classification, Effect, LimitEvidence, classify};
-use super::outliers::{HealthChange, HealthSample, may_eject_another};
+use super::outliers::{OutlierChange, OutlierSample, may_eject_another};
 use super::requests::Attempt;
 use crate::api::{Action, AttemptEnd, BackendId, ClassIndex, LogEvent, Micros};
 
-/// Lower bound of the random factor on the duration of an ejection. The upper bound is as far above 1.
+/// Minimum of the random factor on the duration of an ejection. The factor is distributed uniformly from it to 1.25.
 const MIN_EJECTION_JITTER: f64 = 0.75;
 
-/// State that the end of an attempt is compared with, as it is before the end updates it.
+/// State that the end of an attempt is compared with, read before the end updates it.
 struct PriorState {
     /// Whether the base latency of the class on the backend's machine type is known.
     is_base_known: bool,
     /// Latency threshold of the class on the backend's machine type, microseconds.
     threshold: f64,
     /// Whether the backend has served another attempt since this one was sent.
-    backend_answered: bool,
+    backend_has_served: bool,
 }
 
 impl Balancer {
@@ -28,14 +28,14 @@
     /// The steps run in this order:
     ///
     /// 1. Read the prior state: the sample is compared with the threshold that held before it, and whether the backend
-    ///    answered must not include this attempt's own response.
+    ///    has served another attempt must not include this attempt's own response.
     /// 2. Classify the outcome.
-    /// 3. Free the slot. The attempt no longer counts as in flight, even if it was never sent; one that was never sent
-    ///    says nothing else about the backend, so the steps below are skipped.
+    /// 3. Free the slot: the attempt no longer counts as in flight. If it was never sent, it says nothing else about the
+    ///    backend, and the steps below are skipped.
     /// 4. Release the connection. This depends on the remaining attempts in flight, so it follows step 3.
     /// 5. Record the response, or the rejection.
-    /// 6. If the attempt was lost on a connection that had been idle for long, reduce the trust in idle connections and
-    ///    skip the steps below: the connection is to blame and not the backend.
+    /// 6. If the attempt may have been lost on a connection that had been idle for long, reduce the trusted idle time and
+    ///    skip the steps below: the loss is attributed to the connection and not to the backend.
     /// 7. Record the sample as recent latency.
     /// 8. Record the outcome for outlier detection.
     /// 9. Update the limits with the sample and then with the load report, unless the outcome is no evidence for
@@ -50,7 +50,7 @@
     ) {
         let key = attempt.backend;
         let prior = self.prior_state(class, attempt);
-        let classification = classify(end.outcome, attempt, prior.backend_answered);
+        let classification = classify(end.outcome, attempt, prior.backend_has_served);
         self.free_slot(attempt);
         if classification.effect == Effect::Ignored {
             return;
@@ -64,9 +64,9 @@
             Effect::Rejected => self.record_rejection(now, class, key),
             Effect::Ignored | Effect::Slow | Effect::Failed { .. } => {}
         }
-        if classification.is_lost
+        if classification.may_be_lost
             && self
-                .idle_trust
+                .trusted_idle_time
                 .record_lost_request(now, attempt.connection_idle)
         {
             return;
@@ -74,12 +74,12 @@
         let sample = classification.effect.sample(latency, prior.threshold);
         let sample = sample.min(MAX_SAMPLE);
         self.backends[key].recent_latency.record(now, sample);
-        self.record_health(now, attempt, classification, out);
+        self.record_outlier_sample(now, attempt, classification, out);
         if classification.limit_evidence == LimitEvidence::None {
             return;
         }
         self.update_limits(now, key, sample, classification.limit_evidence, &prior);
-        self.follow_load_report(now, key, end.load_report);
+        self.apply_load_report(now, key, end.load_report);
     }
 
     fn prior_state(&self, class: ClassIndex, attempt: &Attempt) -> PriorState {
@@ -89,7 +89,7 @@
         PriorState {
             is_base_known: estimate.is_base_known(),
             threshold: estimate.threshold(objective),
-            backend_answered: backend.in_flight.has_answered_since(attempt.sent_at),
+            backend_has_served: backend.in_flight.has_served_since(attempt.sent_at),
         }
     }
 
@@ -97,11 +97,11 @@
     fn free_slot(&mut self, attempt: &Attempt) {
         let backend = &mut self.backends[attempt.backend];
         backend.in_flight.end(attempt.overdue_at);
-        backend.health.end_attempt(attempt.is_trial);
+        backend.outlier_detector.end_attempt(attempt.is_trial);
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Marks the connection of an attempt that has ended as idle from now on.
+    /// Records that the connection of an attempt that has ended has been idle since `now`.
     fn release_connection(&mut self, now: Micros, key: BackendKey) {
         let per_connection = self.requests_per_connection();
         let backend = &mut self.backends[key];
@@ -144,8 +144,8 @@
 
     /// Updates outlier detection with an outcome, and logs an ejection or readmission.
     ///
-    /// Each call draws one random number, also for outcomes that eject no backend.
-    fn record_health(
+    /// Each call draws one random number, even if the outcome ejects no backend.
+    fn record_outlier_sample(
         &mut self,
         now: Micros,
         attempt: &Attempt,
@@ -154,21 +154,23 @@
     ) {
         let may_eject = may_eject_another(self.index.ejected_count(), self.index.ready_count());
         let jitter = MIN_EJECTION_JITTER + self.rng.f64() / 2.0;
-        let sample = HealthSample {
+        let sample = OutlierSample {
             failed: classification.effect.is_failure(),
-            weight: classification.effect.weight(),
+            weight: classification.effect.failure_weight(),
             is_trial: attempt.is_trial,
         };
         let backend = &mut self.backends[attempt.backend];
-        let change = backend.health.record(now, sample, may_eject, jitter);
+        let change = backend
+            .outlier_detector
+            .record(now, sample, may_eject, jitter);
         let event = change.and_then(|change| log_event(backend.id, change));
         out.extend(event.map(Action::Log));
     }
 
-    /// Updates the limits of the backend and of its machine type with a sample, as far as it is evidence for them.
+    /// Updates the limit of the backend with a sample, and that of its machine type if the sample is evidence for both.
     ///
-    /// While the base latency is unknown, the sample updates the limit of the machine type only at a proxy with few
-    /// slots.
+    /// While the base latency is unknown, the limit of the machine type is updated only if this proxy's limits are
+    /// scaled up because their sum is small.
     fn update_limits(
         &mut self,
         now: Micros,
@@ -178,7 +180,7 @@
         prior: &PriorState,
     ) {
         let updates_machine_type = evidence == LimitEvidence::BackendAndMachineType
-            && (prior.is_base_known || self.capacity.has_scaled_limits());
+            && (prior.is_base_known || self.capacity.are_limits_scaled_up());
         if updates_machine_type {
             let machine_type = self.backends[key].machine_type;
             self.update_machine_type_limit(now, machine_type, sample);
@@ -187,11 +189,11 @@
     }
 }
 
-/// Returns the log event of a change in a backend's health. A repeated ejection is not logged.
-fn log_event(backend: BackendId, change: HealthChange) -> Option<LogEvent> {
+/// Returns the log event of an ejection or readmission, or `None` for a repeated ejection, which is not logged.
+fn log_event(backend: BackendId, change: OutlierChange) -> Option<LogEvent> {
     match change {
-        HealthChange::Ejected { duration } => Some(LogEvent::Ejected { backend, duration }),
-        HealthChange::EjectedAgain => None,
-        HealthChange::Readmitted => Some(LogEvent::Readmitted { backend }),
+        OutlierChange::Ejected { duration } => Some(LogEvent::Ejected { backend, duration }),
+        OutlierChange::EjectedAgain => None,
+        OutlierChange::Readmitted => Some(LogEvent::Readmitted { backend }),
     }
 }
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -11,7 +11,7 @@
 
 /// Minimum sample of an outcome other than a response, as a multiple of the latency threshold.
 const MIN_FAILURE_SAMPLE: f64 = 2.0;
-/// Weight of a failed connect in a backend's failure rate: a backend that accepts no connection is down.
+/// Weight of a refused connection in a backend's failure rate: a backend that accepts no connection is down.
 const REFUSED_CONNECTION_WEIGHT: f64 = 2.0;
 /// Weight of a broken connection in the failure rate: something between the proxy and the backend may have broken it.
 const BROKEN_CONNECTION_WEIGHT: f64 = 0.5;
@@ -43,14 +43,14 @@
     }
 
     /// Returns the weight of the outcome in the backend's failure rate.
-    pub(crate) fn weight(self) -> f64 {
+    pub(crate) fn failure_weight(self) -> f64 {
         match self {
             Self::Failed { weight } => weight,
             _ => ORDINARY_WEIGHT,
         }
     }
 
-    /// Returns the sample for the limits: the latency as a multiple of the latency threshold.
+    /// Returns the sample for limits and recent latency: the latency as a multiple of the latency threshold.
     ///
     /// Deviation from plain AIMD: every outcome other than a response is a slow sample, however early it came, so that
     /// quick errors cannot raise a limit.
@@ -82,33 +82,34 @@
     pub(crate) effect: Effect,
     /// Whether the attempt may have been lost on its connection: it timed out while the backend served no other
     /// attempt, or its connection broke. If the connection had been idle, that may be the cause.
-    pub(crate) is_lost: bool,
+    pub(crate) may_be_lost: bool,
     /// Limits that the sample updates.
     pub(crate) limit_evidence: LimitEvidence,
 }
 
-/// Classifies the end of an attempt. `backend_answered` states whether the backend has served another attempt since
+/// Classifies the end of an attempt. `backend_has_served` states whether the backend has served another attempt since
 /// this one was sent.
 pub(crate) fn classify(
     outcome: Outcome,
     attempt: &Attempt,
-    backend_answered: bool,
+    backend_has_served: bool,
 ) -> Classification {
-    let effect = effect_of(outcome, backend_answered);
-    let may_be_lost = matches!(outcome, Outcome::Timeout | Outcome::Reset);
+    let effect = effect_of(outcome, backend_has_served);
+    let has_no_response = matches!(outcome, Outcome::Timeout | Outcome::Reset);
     Classification {
         effect,
-        is_lost: may_be_lost && effect.is_failure(),
+        may_be_lost: has_no_response && effect.is_failure(),
         limit_evidence: limit_evidence_of(outcome, attempt),
     }
 }
 
-fn effect_of(outcome: Outcome, backend_answered: bool) -> Effect {
+/// Returns the effect of an outcome on the state of the backend.
+fn effect_of(outcome: Outcome, backend_has_served: bool) -> Effect {
     match outcome {
         Outcome::NotSent => Effect::Ignored,
         Outcome::Ok => Effect::Responded,
         Outcome::Rejected => Effect::Rejected,
-        Outcome::Timeout | Outcome::Cancelled if backend_answered => Effect::Slow,
+        Outcome::Timeout | Outcome::Cancelled if backend_has_served => Effect::Slow,
         Outcome::Timeout | Outcome::Cancelled | Outcome::Error | Outcome::CorruptResponse => {
             Effect::Failed {
                 weight: ORDINARY_WEIGHT,
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -9,18 +9,18 @@
 
 /// Weight of a new outcome, a failure or a success, in a backend's failure rate.
 const OUTCOME_WEIGHT: f64 = 0.25;
-/// Failure rate from which a backend is ejected.
+/// Minimum failure rate at which a backend is ejected.
 const EJECTION_FAILURE_RATE: f64 = 0.5;
-/// Greatest failure rate of a backend that was just readmitted. It is low enough for one more ordinary failure not to
+/// Maximum failure rate of a backend that was just readmitted. It is low enough for one more ordinary failure not to
 /// eject the backend again.
 const READMISSION_FAILURE_RATE: f64 = 0.6 * EJECTION_FAILURE_RATE;
 /// Failure rate below which earlier ejections no longer count as consecutive.
 const RECOVERED_FAILURE_RATE: f64 = 0.1;
 /// Duration of a first ejection; each consecutive one lasts twice as long.
 const BASE_EJECTION_DURATION: Micros = SECOND;
-/// Greatest number of times that the duration of an ejection is doubled.
+/// Maximum number of times that the duration doubles: the longest ejections last 16 times as long as a first one.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Greatest fraction of the ready backends that may be ejected at the same time.
+/// Maximum fraction of the ready backends that may be ejected at the same time.
 const MAX_EJECTED_FRACTION: f64 = 0.6;
 
 /// Reports whether one more backend may be ejected, given the numbers of ejected and of ready backends.
@@ -30,7 +30,7 @@
 
 /// Outcome of an attempt as input of outlier detection.
 #[derive(Clone, Copy)]
-pub(crate) struct HealthSample {
+pub(crate) struct OutlierSample {
     /// Whether the backend failed.
     pub(crate) failed: bool,
     /// Weight of this outcome relative to that of an ordinary one.
@@ -41,7 +41,7 @@
 
 /// Change of a backend's ejection that an outcome caused.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum HealthChange {
+pub(crate) enum OutlierChange {
     /// The backend was ejected.
     Ejected {
         /// Duration of the ejection.
@@ -56,7 +56,7 @@
 
 /// State of a backend in outlier detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum HealthState {
+pub(crate) enum OutlierState {
     /// The backend may receive requests.
     Healthy,
     /// The backend receives no request until this time.
@@ -65,19 +65,20 @@
     HalfOpen,
 }
 
-/// Failures and ejections of one backend.
+/// Detects whether one backend is an outlier, from its failure rate, and keeps the state of its ejection.
 #[derive(Default)]
-pub(crate) struct Health {
+pub(crate) struct OutlierDetector {
     /// Exponentially weighted share of failures among the latest outcomes.
     failure_rate: f64,
     /// End of the ejection time; `None` if the backend is not ejected. Stays set until the backend is readmitted.
     ejected_until: Option<Micros>,
     /// Ejections since the failure rate was last below [`RECOVERED_FAILURE_RATE`].
     consecutive_ejections: u32,
+    /// Whether a trial request is in flight.
     trial_in_flight: bool,
 }
 
-impl Health {
+impl OutlierDetector {
     /// Clears the failures and ejections of the backend's previous process.
     pub(crate) fn reset(&mut self) {
         self.failure_rate = 0.0;
@@ -86,11 +87,11 @@
     }
 
     /// Returns whether the backend is healthy, ejected or half open.
-    pub(crate) fn state(&self, now: Micros) -> HealthState {
+    pub(crate) fn state(&self, now: Micros) -> OutlierState {
         match self.ejected_until {
-            None => HealthState::Healthy,
-            Some(until) if now < until => HealthState::Ejected(until),
-            Some(_) => HealthState::HalfOpen,
+            None => OutlierState::Healthy,
+            Some(until) if now < until => OutlierState::Ejected(until),
+            Some(_) => OutlierState::HalfOpen,
         }
     }
 
@@ -124,10 +125,10 @@
     pub(crate) fn record(
         &mut self,
         now: Micros,
-        sample: HealthSample,
+        sample: OutlierSample,
         may_eject: bool,
         jitter: f64,
-    ) -> Option<HealthChange> {
+    ) -> Option<OutlierChange> {
         let target = f64::from(u8::from(sample.failed));
         self.failure_rate += (target - self.failure_rate) * OUTCOME_WEIGHT * sample.weight;
         if self.failure_rate < RECOVERED_FAILURE_RATE {
@@ -139,7 +140,7 @@
         let is_outlier = self.failure_rate >= EJECTION_FAILURE_RATE;
         if sample.failed && is_outlier && may_eject {
             let duration = self.eject(now, jitter);
-            return Some(HealthChange::Ejected { duration });
+            return Some(OutlierChange::Ejected { duration });
         }
         None
     }
@@ -148,19 +149,19 @@
     fn record_while_ejected(
         &mut self,
         now: Micros,
-        sample: HealthSample,
+        sample: OutlierSample,
         jitter: f64,
-    ) -> Option<HealthChange> {
+    ) -> Option<OutlierChange> {
         if !sample.failed {
             self.ejected_until = None;
             self.failure_rate = self.failure_rate.min(READMISSION_FAILURE_RATE);
-            return Some(HealthChange::Readmitted);
+            return Some(OutlierChange::Readmitted);
         }
         if !sample.is_trial {
             return None;
         }
         self.eject(now, jitter);
-        Some(HealthChange::EjectedAgain)
+        Some(OutlierChange::EjectedAgain)
     }
 
     /// Ejects the backend and returns the duration of the ejection.
