--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -229,7 +229,7 @@
             body: ServedBody::Streamed(streamed),
             content_type: head.content_type(),
         });
-        relay_body(sender, body, cancel, &self.call.over).await
+        relay_body(sender, body, cancel, &self.call.request_ended).await
     }
 
     /// Returns the result of an attempt whose response arrived before the request was completely written. A 200
@@ -281,7 +281,7 @@
     async fn wait_for_write_cutoff(&self) {
         let write_deadline = self.deadlines.write_deadline;
         tokio::select! {
-            () = self.call.over.wait() => {}
+            () = self.call.request_ended.wait() => {}
             () = sleep_until(write_deadline.unwrap_or_else(Instant::now)), if write_deadline.is_some() => {}
         }
     }
--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -15,21 +15,21 @@
 /// the latest time of the final answer has passed, even if a streamed response has begun. A complete response does
 /// not set it. The balancer cancels a single attempt through a separate channel.
 #[derive(Debug, Default)]
-pub struct RequestOver {
-    is_over: Cell<bool>,
+pub struct RequestEnded {
+    has_ended: Cell<bool>,
     changed: Notify,
 }
 
-impl RequestOver {
+impl RequestEnded {
     /// Marks the request as over. Repeated calls have no effect.
     pub fn set(&self) {
-        self.is_over.set(true);
+        self.has_ended.set(true);
         self.changed.notify_waiters();
     }
 
     /// Waits until the request is over.
     pub async fn wait(&self) {
-        while !self.is_over.get() {
+        while !self.has_ended.get() {
             self.changed.notified().await;
         }
     }
@@ -47,7 +47,7 @@
     /// The client's body, unchanged.
     pub body: CallBody,
     /// Set when the request is over. An attempt that is not completely written by then is abandoned.
-    pub over: RequestOver,
+    pub request_ended: RequestEnded,
 }
 
 impl Call {
--- a/src/proxy/backends/health_check.rs
+++ b/src/proxy/backends/health_check.rs
@@ -2,7 +2,7 @@
 
 use super::BackendClient;
 use super::backend_connections::BackendConnections;
-use super::call::{AttemptResult, Call, RequestOver};
+use super::call::{AttemptResult, Call, RequestEnded};
 use super::connection::Connection;
 use super::error::BackendError;
 use super::exchange::exchange;
@@ -88,7 +88,7 @@
         target: Uri::from_static(path),
         headers: HeaderMap::new(),
         body: BufferedBody::default().into(),
-        over: RequestOver::default(),
+        request_ended: RequestEnded::default(),
     }
 }
 
--- a/src/proxy/backends/mod.rs
+++ b/src/proxy/backends/mod.rs
@@ -31,7 +31,7 @@
 mod stray_bytes;
 
 pub use backend_connections::BackendConnections;
-pub use call::{AttemptDeadlines, AttemptResult, CORRELATION_ID, Call, RequestOver, Served};
+pub use call::{AttemptDeadlines, AttemptResult, CORRELATION_ID, Call, RequestEnded, Served};
 
 use super::counters::Counters;
 use crate::api::{BackendId, Micros, Readiness};
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -1,6 +1,6 @@
 //! Relaying of a streamed response to its client.
 
-use super::call::RequestOver;
+use super::call::RequestEnded;
 use super::error::BackendError;
 use super::response::PartialBody;
 use crate::api::Outcome;
@@ -24,7 +24,7 @@
     sender: ResponseSender,
     body: PartialBody,
     cancel: oneshot::Receiver<()>,
-    request_over: &RequestOver,
+    request_ended: &RequestEnded,
 ) -> Outcome {
     let mut relay = Relay {
         sender,
@@ -35,7 +35,7 @@
             grace_ends: Instant::now() + GRACE,
         },
         cancel,
-        request_over,
+        request_ended,
     };
     match relay.run(body.first).await {
         Ok(()) => {
@@ -55,7 +55,7 @@
     forwarded: u64,
     deadline: BodyDeadline,
     cancel: oneshot::Receiver<()>,
-    request_over: &'a RequestOver,
+    request_ended: &'a RequestEnded,
 }
 
 impl Relay<'_> {
@@ -75,11 +75,11 @@
     /// # Errors
     /// The outcome of the attempt if the body fails, is cut off, or is no longer wanted.
     async fn receive(&mut self) -> Result<Option<Bytes>, Outcome> {
-        let request_over = self.request_over;
+        let request_ended = self.request_ended;
         let late_at = self.deadline.after(self.forwarded);
         // All received data is forwarded before this waits, so a slow client does not count against the backend.
         let too_slow = async {
-            request_over.wait().await;
+            request_ended.wait().await;
             sleep_until(late_at).await;
         };
         let may_be_endless = self.length.is_none() && self.forwarded <= BUFFERED_BODY_BYTES as u64;
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -7,7 +7,7 @@
 };
 use super::{Class, Clients};
 use crate::api::{Micros, TenantIndex};
-use crate::proxy::backends::{CORRELATION_ID, Call, RequestOver};
+use crate::proxy::backends::{CORRELATION_ID, Call, RequestEnded};
 use crate::proxy::bodies::{BodyBuffer, BodyDeadline, CallBody, Upload, next_data};
 use crate::proxy::budget::Reservation;
 use crate::proxy::clock::MICROS_PER_MILLI;
@@ -51,7 +51,7 @@
             target,
             headers,
             body,
-            over: RequestOver::default(),
+            request_ended: RequestEnded::default(),
         };
         // A request arrives with the last byte that is buffered; its timeout counts from then.
         let arrived = self.clock.now();
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -46,7 +46,7 @@
             self.timers.set(due, DriverTimer::FinalAnswer(request));
             return;
         }
-        open.call.over.set();
+        open.call.request_ended.set();
         if self.answer(request, Answer::Failed) {
             self.handle_event(now, Event::ClientDisconnected(request));
             self.requests.remove_if_finished(request);
@@ -79,7 +79,7 @@
         request_log::client_disconnected(request);
         // An attempt that still waits for its connection must not be sent any more (rule 1: nothing is started for a
         // request after its end).
-        open.call.over.set();
+        open.call.request_ended.set();
         self.handle_event(now, Event::ClientDisconnected(request));
         self.requests.remove_if_finished(request);
     }
--- a/src/proxy/driver/requests/tests.rs
+++ b/src/proxy/driver/requests/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::proxy::backends::RequestOver;
+use crate::proxy::backends::RequestEnded;
 use crate::proxy::bodies::BufferedBody;
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
@@ -13,7 +13,7 @@
         target: Uri::from_static("/"),
         headers: HeaderMap::new(),
         body: BufferedBody::default().into(),
-        over: RequestOver::default(),
+        request_ended: RequestEnded::default(),
     };
     let (client, answer) = oneshot::channel();
     (PendingRequest::new(call, client, 1_000_000), answer)
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tillerproxy::api::{BackendId, Outcome, Readiness};
-use tillerproxy::proxy::backends::{AttemptDeadlines, BackendClient, Call, RequestOver, Served};
+use tillerproxy::proxy::backends::{AttemptDeadlines, BackendClient, Call, RequestEnded, Served};
 use tillerproxy::proxy::bodies::{BufferedBody, CallBody, ResponseBody, ServedBody};
 use tillerproxy::proxy::counters::Counters;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -59,7 +59,7 @@
         target: Uri::from_static(path),
         headers: HeaderMap::new(),
         body: CallBody::from(BufferedBody::from(Bytes::new())),
-        over: RequestOver::default(),
+        request_ended: RequestEnded::default(),
     })
 }
 
@@ -204,7 +204,7 @@
     let timed_out_call = Rc::clone(&call);
     spawn_local(async move {
         sleep(request_timeout).await;
-        timed_out_call.over.set();
+        timed_out_call.request_ended.set();
     });
     let client = spawn_local(response.read(body));
     let on_response_start = |served: Served| assert!(body_sender.send(served.body.into()).is_ok());
