--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::BackendClient;
 use super::backend_connections::BackendConnections;
-use super::call::{AttemptDeadlines, AttemptResult, Call, Served};
+use super::call::{AttemptDeadlines, AttemptResult, Call, ServedResponse};
 use super::connection::Connection;
 use super::error::BackendError;
 use super::exchange::exchange;
@@ -31,7 +31,7 @@
         call: Rc<Call>,
         deadlines: AttemptDeadlines,
         cancel: oneshot::Receiver<()>,
-        on_response_start: impl FnOnce(Served),
+        on_response_start: impl FnOnce(ServedResponse),
     ) -> AttemptResult {
         let attempt = Attempt {
             backend_client: &self,
@@ -71,7 +71,7 @@
     async fn run(
         &self,
         mut cancel: oneshot::Receiver<()>,
-        on_response_start: impl FnOnce(Served),
+        on_response_start: impl FnOnce(ServedResponse),
     ) -> AttemptResult {
         let mut connection = match self.connect(&mut cancel).await {
             Ok(connection) => connection,
@@ -192,7 +192,7 @@
         response: BackendResponse,
         connection: Connection,
         cancel: oneshot::Receiver<()>,
-        on_response_start: impl FnOnce(Served),
+        on_response_start: impl FnOnce(ServedResponse),
     ) -> AttemptResult {
         let load_reports = &self.backend_client.load_reports;
         match response.body {
@@ -222,10 +222,10 @@
         body: PartialBody,
         head: &ResponseHead,
         cancel: oneshot::Receiver<()>,
-        on_response_start: impl FnOnce(Served),
+        on_response_start: impl FnOnce(ServedResponse),
     ) -> Outcome {
         let (sender, streamed) = StreamedResponse::channel(body.length);
-        on_response_start(Served {
+        on_response_start(ServedResponse {
             body: ServedBody::Streamed(streamed),
             content_type: head.content_type(),
         });
--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -63,7 +63,7 @@
 
 /// A backend's 200 response.
 #[derive(Debug)]
-pub struct Served {
+pub struct ServedResponse {
     /// The body, unchanged.
     pub body: ServedBody,
     /// The value of its `Content-Type` header.
@@ -85,7 +85,7 @@
     /// The outcome that is reported to the balancer.
     pub outcome: Outcome,
     /// The response if the outcome is [`Outcome::Ok`] and the response was not streamed.
-    pub served: Option<Served>,
+    pub served: Option<ServedResponse>,
     /// The load report of the response, with its fields in the order of the settings; empty if there was none.
     pub load_report: Vec<f32>,
     /// Whether a part of the request's body was forwarded and is no longer held, so that the body cannot be sent again.
--- a/src/proxy/backends/mod.rs
+++ b/src/proxy/backends/mod.rs
@@ -31,7 +31,9 @@
 mod stray_bytes;
 
 pub use backend_connections::BackendConnections;
-pub use call::{AttemptDeadlines, AttemptResult, CORRELATION_ID, Call, RequestEnded, Served};
+pub use call::{
+    AttemptDeadlines, AttemptResult, CORRELATION_ID, Call, RequestEnded, ServedResponse,
+};
 
 use super::counters::Counters;
 use crate::api::{BackendId, Micros, Readiness};
--- a/src/proxy/backends/response.rs
+++ b/src/proxy/backends/response.rs
@@ -1,6 +1,6 @@
 //! A backend's response and its conversion into the result of an attempt.
 
-use super::call::{AttemptResult, Served};
+use super::call::{AttemptResult, ServedResponse};
 use super::load_report::LoadReportParser;
 use crate::api::Outcome;
 use crate::proxy::bodies::{BufferedBody, ServedBody};
@@ -53,7 +53,7 @@
         if result.outcome == Outcome::Ok
             && let BackendBody::Complete(body) = self.body
         {
-            result.served = Some(Served {
+            result.served = Some(ServedResponse {
                 body: ServedBody::Buffered(body),
                 content_type: self.head.content_type(),
             });
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -4,7 +4,7 @@
 use super::error::InvalidRequest;
 use super::headers::SERVICE_CLASS;
 use crate::api::RequestId;
-use crate::proxy::backends::{CORRELATION_ID, Served};
+use crate::proxy::backends::{CORRELATION_ID, ServedResponse};
 use crate::proxy::bodies::{BodyDeadline, BufferedBody, ResponseBody, ServedBody};
 use crate::proxy::connections::ClientConnection;
 use crate::proxy::counters::{RequestOutcome, RequestTicket};
@@ -173,7 +173,7 @@
 }
 
 /// Returns the response to a request that a backend has served.
-fn served_response(served: Served, ticket: RequestTicket) -> Response<ResponseBody> {
+fn served_response(served: ServedResponse, ticket: RequestTicket) -> Response<ResponseBody> {
     let mut body = served.body;
     match &mut body {
         ServedBody::Buffered(_) => ticket.set_outcome(RequestOutcome::Served),
--- a/src/proxy/driver/attempts.rs
+++ b/src/proxy/driver/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::Driver;
 use crate::api::{AttemptEnd, BackendId, Event, Micros, Outcome, RequestId};
-use crate::proxy::backends::{AttemptDeadlines, AttemptResult, Served};
+use crate::proxy::backends::{AttemptDeadlines, AttemptResult, ServedResponse};
 use crate::proxy::messages::{Answer, Message};
 use crate::proxy::request_log;
 use std::rc::Rc;
@@ -117,7 +117,7 @@
         now: Micros,
         request: RequestId,
         attempt: u16,
-        response: Served,
+        response: ServedResponse,
     ) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -1,6 +1,6 @@
 //! The messages that other tasks of the proxy send to the driver, and the answers that the driver sends back.
 
-use super::backends::{AttemptResult, Call, Served};
+use super::backends::{AttemptResult, Call, ServedResponse};
 use crate::api::{Backend, BackendId, Micros, Request, RequestId};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub enum Answer {
     /// A backend served the request; this is its response.
-    Served(Served),
+    Served(ServedResponse),
     /// The request was rejected, and a retry by the client is harmless. An idempotent request may have been executed.
     Rejected {
         /// The time for which the client should wait before it retries; 0 if none is stated.
@@ -93,7 +93,7 @@
         /// The number of the attempt within the request, counted from 0.
         attempt: u16,
         /// The response. Its body is still being streamed.
-        response: Served,
+        response: ServedResponse,
     },
     /// An attempt ended.
     AttemptEnded {
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -8,7 +8,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tillerproxy::api::{BackendId, Outcome, Readiness};
-use tillerproxy::proxy::backends::{AttemptDeadlines, BackendClient, Call, RequestEnded, Served};
+use tillerproxy::proxy::backends::{
+    AttemptDeadlines, BackendClient, Call, RequestEnded, ServedResponse,
+};
 use tillerproxy::proxy::bodies::{BufferedBody, CallBody, ResponseBody, ServedBody};
 use tillerproxy::proxy::counters::Counters;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -207,7 +209,8 @@
         timed_out_call.request_ended.set();
     });
     let client = spawn_local(response.read(body));
-    let on_response_start = |served: Served| assert!(body_sender.send(served.body.into()).is_ok());
+    let on_response_start =
+        |served: ServedResponse| assert!(body_sender.send(served.body.into()).is_ok());
     let started_at = Instant::now();
     let ended = backend_client
         .attempt(connections, call, deadlines, cancel, on_response_start)
