--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -115,7 +115,7 @@
     }
 
     /// Reads and discards the rest of the body, until its end or its deadline.
-    pub async fn drain(mut self) {
+    pub async fn discard_rest(mut self) {
         while let Some(Ok(_)) = self.frame().await {}
     }
 
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -122,7 +122,7 @@
         ticket.set_outcome(outcome);
         // A response before the last byte of the body would cut off a client that is still sending.
         if let Some(upload) = upload.and_then(|upload| upload.take()) {
-            upload.drain().await;
+            upload.discard_rest().await;
         }
         Ok(response.map(ResponseBody::Buffered))
     }
