--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -20,7 +20,7 @@
 use tillerproxy::proxy::lifecycle::Lifecycle;
 use tillerproxy::proxy::listener::listen;
 use tillerproxy::proxy::logging::{self, LogControl, LogOptions};
-use tillerproxy::proxy::operator::Operator;
+use tillerproxy::proxy::operator::OperatorServer;
 use tillerproxy::proxy::shutdown::drain;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -127,7 +127,7 @@
     watcher: Watcher,
     discovery_address: watch::Sender<SocketAddr>,
     backend_client: Rc<BackendClient>,
-    operator: Rc<Operator>,
+    operator: Rc<OperatorServer>,
     clients: Rc<Clients>,
     lifecycle: Rc<Lifecycle>,
 }
@@ -155,7 +155,7 @@
             watch_request_sender,
             Rc::clone(&lifecycle),
         );
-        let operator = Operator::new(
+        let operator = OperatorServer::new(
             Rc::clone(&lifecycle),
             Rc::clone(&counters),
             Rc::clone(&backend_client),
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -85,14 +85,14 @@
 }
 
 /// Server for the calls of operators.
-pub struct Operator {
+pub struct OperatorServer {
     lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
     backend_client: Rc<BackendClient>,
     handle: DriverHandle,
 }
 
-impl Operator {
+impl OperatorServer {
     /// Creates the server of what these parts hold.
     #[must_use]
     pub fn new(
