--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -174,7 +174,7 @@
     /// Accepts one connection from the kernel's queue, if it has any, and returns whether more may be queued.
     ///
     /// The accept is made on the listener itself: the runtime may not have been notified of the connection yet.
-    pub fn accept_waiting(self: &Rc<Self>, listener: &TcpListener) -> bool {
+    pub fn accept_queued(self: &Rc<Self>, listener: &TcpListener) -> bool {
         match socket2::SockRef::from(listener).accept() {
             Ok((socket, _)) => {
                 let stream = socket
--- a/src/proxy/shutdown.rs
+++ b/src/proxy/shutdown.rs
@@ -45,7 +45,7 @@
             return;
         }
         // The end of the process would reset a connection that was queued in the meantime.
-        let more_may_be_queued = listener.is_some_and(|listener| clients.accept_waiting(listener));
+        let more_may_be_queued = listener.is_some_and(|listener| clients.accept_queued(listener));
         if !more_may_be_queued {
             return;
         }
