--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -65,7 +65,7 @@
     ) -> Result<Response<ResponseBody>, InvalidRequest> {
         // A backend that finds another end of the body would execute a part of the body as a request that no client
         // sent (rule 2, idempotency).
-        if connection.is_ambiguous(number) {
+        if connection.has_ambiguous_body_length(number) {
             return Err(InvalidRequest::AmbiguousBody);
         }
         let inbound = self.read_request(request, deadline).await?;
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -159,8 +159,8 @@
 
     /// Returns whether the end of the body of request `number` is ambiguous.
     #[must_use]
-    pub fn is_ambiguous(&self, number: u64) -> bool {
-        self.framing.borrow().is_ambiguous(number)
+    pub fn has_ambiguous_body_length(&self, number: u64) -> bool {
+        self.framing.borrow().has_ambiguous_body_length(number)
     }
 
     /// Returns whether the connection has neither an open request nor a part of one, including unread bytes in the
--- a/src/proxy/framing.rs
+++ b/src/proxy/framing.rs
@@ -77,7 +77,7 @@
     /// Returns whether head number `head`, counted from 1, states the length of its body more than once or in a form
     /// that is not understood.
     #[must_use]
-    pub fn is_ambiguous(&self, head: u64) -> bool {
+    pub fn has_ambiguous_body_length(&self, head: u64) -> bool {
         self.ambiguous_head == Some(head)
     }
 
--- a/src/proxy/framing/tests.rs
+++ b/src/proxy/framing/tests.rs
@@ -85,7 +85,7 @@
             "{POST}Content-Length: 1\r\n\r\nx{POST}{fields}\r\n0\r\n\r\n{POST}"
         ));
         assert!(
-            framing.is_ambiguous(2) && !framing.is_ambiguous(1),
+            framing.has_ambiguous_body_length(2) && !framing.has_ambiguous_body_length(1),
             "{fields}"
         );
         assert_eq!(framing.heads(), 2, "nothing is parsed after it: {fields}");
