--- a/src/proxy/driver/margins.rs
+++ b/src/proxy/driver/margins.rs
@@ -20,9 +20,9 @@
     remaining.saturating_sub(FINAL_ANSWER_MARGIN.min(remaining / 4))
 }
 
-/// Returns the latest time at which a request is answered in a process that ends at `process_end`.
-pub(super) fn last_answer_before(process_end: Micros) -> Micros {
-    process_end.saturating_sub(SHUTDOWN_MARGIN)
+/// Returns the latest time at which a request is answered in a process that ends at `process_ends_at`.
+pub(super) fn answer_deadline_before_process_end(process_ends_at: Micros) -> Micros {
+    process_ends_at.saturating_sub(SHUTDOWN_MARGIN)
 }
 
 #[cfg(test)]
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -1,7 +1,7 @@
 //! The events of a request: it arrives, its final answer is due, its client disconnects.
 
 use super::Driver;
-use super::margins::{balancer_timeout, final_answer_timeout, last_answer_before};
+use super::margins::{answer_deadline_before_process_end, balancer_timeout, final_answer_timeout};
 use super::requests::PendingRequest;
 use super::timers::DriverTimer;
 use crate::api::{Event, Micros, RequestId};
@@ -62,8 +62,10 @@
             None => now,
         };
         let due = complete_at + final_answer_timeout(open.remaining);
-        match self.lifecycle.process_end() {
-            Some(process_end) => Some(due.min(last_answer_before(self.clock.at(process_end)))),
+        match self.lifecycle.process_ends_at() {
+            Some(process_ends_at) => Some(due.min(answer_deadline_before_process_end(
+                self.clock.at(process_ends_at),
+            ))),
             None => Some(due),
         }
     }
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -41,7 +41,7 @@
     /// The time by which requests that arrive during the shutdown must be answered: the process may be killed later.
     pub last_answer_at: Instant,
     /// The time at which the process ends, even if connections are still open.
-    pub process_end: Instant,
+    pub process_ends_at: Instant,
 }
 
 /// The state machine of the process, shared by all parts of the proxy.
@@ -148,8 +148,8 @@
 
     /// Returns the time at which the process ends, or `None` before the shutdown.
     #[must_use]
-    pub fn process_end(&self) -> Option<Instant> {
-        self.shutdown.get().map(|times| times.process_end)
+    pub fn process_ends_at(&self) -> Option<Instant> {
+        self.shutdown.get().map(|times| times.process_ends_at)
     }
 
     /// Returns the time at which a client connection that has been idle since `idle_since` is closed: after a grace
--- a/src/proxy/lifecycle/tests.rs
+++ b/src/proxy/lifecycle/tests.rs
@@ -60,12 +60,12 @@
     let end = |ms| Instant::now() + Duration::from_millis(ms);
     lifecycle.shut_down(ShutdownTimes {
         last_answer_at: end(3_000),
-        process_end: end(5_000),
+        process_ends_at: end(5_000),
     });
     assert_eq!(
         (
             lifecycle.idle_close_at(Instant::now()),
-            lifecycle.process_end()
+            lifecycle.process_ends_at()
         ),
         (Some(end(1_500)), Some(end(5_000)))
     );
--- a/src/proxy/shutdown.rs
+++ b/src/proxy/shutdown.rs
@@ -32,16 +32,16 @@
     listener: Option<&TcpListener>,
 ) {
     let start = Instant::now();
-    let process_end = start + longest_timeout + PROCESS_END_MARGIN;
+    let process_ends_at = start + longest_timeout + PROCESS_END_MARGIN;
     lifecycle.shut_down(ShutdownTimes {
         last_answer_at: start + longest_timeout.min(MAX_ANSWER_TIME) + PROCESS_END_MARGIN,
-        process_end,
+        process_ends_at,
     });
     if listener.is_some() {
         wait_until_quiet(clients, start, longest_timeout).await;
     }
     loop {
-        if !all_disconnected_by(process_end, clients).await {
+        if !all_disconnected_by(process_ends_at, clients).await {
             return;
         }
         // The end of the process would reset a connection that was queued in the meantime.
