--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -1,8 +1,8 @@
 //! Timing of the calls to discovery.
 //!
 //! The operators' terms set a deadline after which a change counts as known to the proxy although its watch did not
-//! deliver the change: [`KNOWN_AFTER_STALL`] after the watch stalled, or [`KNOWN_AFTER_LONG_POLL`] after its long-poll
-//! timeout if that is later; [`KNOWN_AFTER_ADDRESS_CHANGE`] after a change of discovery's address. The watch must be open
+//! deliver the change: [`MAX_CHANGE_DELAY_AFTER_STALL`] after the watch stalled, or [`MAX_CHANGE_DELAY_AFTER_LONG_POLL`] after its long-poll
+//! timeout if that is later; [`MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE`] after a change of discovery's address. The watch must be open
 //! again before this deadline, although the call that opens it may be queued at discovery for 2 s. The timeouts below
 //! allow for that.
 
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 /// Operators' term: time from the stall of a watch until a change counts as known.
-pub const KNOWN_AFTER_STALL: Duration = Duration::from_secs(6);
+pub const MAX_CHANGE_DELAY_AFTER_STALL: Duration = Duration::from_secs(6);
 /// Operators' term: least time from the long-poll timeout of a stalled watch until a change counts as known.
-pub const KNOWN_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
+pub const MAX_CHANGE_DELAY_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
 /// Operators' term: time from a change of discovery's address until a change of the list counts as known.
-pub const KNOWN_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
+pub const MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
 /// Long-poll timeout if discovery is an agent on the same machine. It limits how long a broken call goes unnoticed.
 const PUSHED_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -41,15 +41,15 @@
         + WATCH_STALL_DELAY.as_millis()
         + PUSHED_RETRY_DELAY.as_millis();
     assert!(
-        pushed_retry_ms < KNOWN_AFTER_STALL.as_millis(),
+        pushed_retry_ms < MAX_CHANGE_DELAY_AFTER_STALL.as_millis(),
         "a stalled watch on an agent must be opened again before its changes count as known"
     );
     assert!(
-        WATCH_STALL_DELAY.as_millis() < KNOWN_AFTER_LONG_POLL.as_millis(),
+        WATCH_STALL_DELAY.as_millis() < MAX_CHANGE_DELAY_AFTER_LONG_POLL.as_millis(),
         "a stalled watch on a shared discovery must fail before its changes count as known"
     );
     assert!(
-        QUEUED_CALL_TIMEOUT.as_millis() < KNOWN_AFTER_ADDRESS_CHANGE.as_millis(),
+        QUEUED_CALL_TIMEOUT.as_millis() < MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE.as_millis(),
         "the first call to a new address must end before its changes count as known"
     );
 };
--- a/src/proxy/discovery/mod.rs
+++ b/src/proxy/discovery/mod.rs
@@ -26,8 +26,8 @@
 
 pub use error::DiscoveryError;
 pub use intervals::{
-    CallTiming, KNOWN_AFTER_ADDRESS_CHANGE, KNOWN_AFTER_LONG_POLL, KNOWN_AFTER_STALL,
-    PUSHED_RETRY_DELAY, polled_long_poll_timeout,
+    CallTiming, MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE, MAX_CHANGE_DELAY_AFTER_LONG_POLL,
+    MAX_CHANGE_DELAY_AFTER_STALL, PUSHED_RETRY_DELAY, polled_long_poll_timeout,
 };
 pub use translator::{EndpointList, Translator};
 pub use watcher::{Polling, Watcher};
--- a/tests/watch/discovery.rs
+++ b/tests/watch/discovery.rs
@@ -8,12 +8,12 @@
 use tokio::time::{Instant, timeout};
 
 /// The time after a watch has stalled at which a missed change counts as known to the proxy, unless
-/// `KNOWN_AFTER_LONG_POLL` ends later.
-const KNOWN_AFTER_STALL: Duration = Duration::from_secs(6);
+/// `MAX_CHANGE_DELAY_AFTER_LONG_POLL` ends later.
+const MAX_CHANGE_DELAY_AFTER_STALL: Duration = Duration::from_secs(6);
 
 /// The time after the long-poll timeout of a stalled watch at which a missed change counts as known to the proxy,
-/// unless `KNOWN_AFTER_STALL` ends later.
-const KNOWN_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
+/// unless `MAX_CHANGE_DELAY_AFTER_STALL` ends later.
+const MAX_CHANGE_DELAY_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
 
 /// A call that discovery has received and not yet answered.
 pub struct Call {
@@ -61,8 +61,8 @@
 
     /// Returns when a change that the call misses counts as known to the proxy, if the call stalls from its start.
     pub fn counts_as_known_at(&self) -> Instant {
-        let after_long_poll = self.long_poll_timeout + KNOWN_AFTER_LONG_POLL;
-        self.received_at + KNOWN_AFTER_STALL.max(after_long_poll)
+        let after_long_poll = self.long_poll_timeout + MAX_CHANGE_DELAY_AFTER_LONG_POLL;
+        self.received_at + MAX_CHANGE_DELAY_AFTER_STALL.max(after_long_poll)
     }
 }
 
--- a/tests/watch/failures.rs
+++ b/tests/watch/failures.rs
@@ -9,7 +9,7 @@
 
 /// The time after which a change counts as known to a proxy once discovery has it and can be reached, whichever calls
 /// failed before.
-const KNOWN_AFTER_REACHABLE: Duration = Duration::from_secs(6);
+const MAX_CHANGE_DELAY_AFTER_REACHABLE: Duration = Duration::from_secs(6);
 
 /// The largest number of proxies that the program is designed for.
 const MAX_PROXY_COUNT: u32 = 710;
@@ -50,7 +50,7 @@
         for proxy_index in (0..MAX_PROXY_COUNT).step_by(71) {
             latest = latest.max(run_on_local_set(known_after_failures(proxy_index, failure)).await);
         }
-        let max_delay = KNOWN_AFTER_REACHABLE + SHORTEST_GRACE_PERIOD;
+        let max_delay = MAX_CHANGE_DELAY_AFTER_REACHABLE + SHORTEST_GRACE_PERIOD;
         assert!(
             latest <= max_delay,
             "{failure:?}: known {latest:?} after discovery had it, at most {max_delay:?} expected"
@@ -95,7 +95,7 @@
         });
         latest = latest.max(known.await);
     }
-    let max_delay = KNOWN_AFTER_REACHABLE + SHORTEST_GRACE_PERIOD;
+    let max_delay = MAX_CHANGE_DELAY_AFTER_REACHABLE + SHORTEST_GRACE_PERIOD;
     assert!(
         latest <= max_delay,
         "known {latest:?} after the return of discovery, at most {max_delay:?} expected"
--- a/tests/watch/stalls.rs
+++ b/tests/watch/stalls.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep};
 
 /// The time after a change of discovery's address at which the list of the new discovery counts as known.
-const KNOWN_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
+const MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
 /// The watch stalls right after a call, which leaves the least time, both when it opens and when it continues. If
 /// discovery is polled, the call that opens the watch again has to queue. A draining backend must not receive requests
@@ -62,7 +62,7 @@
             let proxy = Proxy::start(0, 1, mode, address);
             let _watch = old.next_call().await;
             let (new, address) = Discovery::start().await;
-            let counts_as_known_at = Instant::now() + KNOWN_AFTER_ADDRESS_CHANGE;
+            let counts_as_known_at = Instant::now() + MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE;
             proxy.discovery_address.send_replace(address);
             let stalled = new.next_call().await;
             assert_eq!(
