--- a/src/proxy/clients/headers.rs
+++ b/src/proxy/clients/headers.rs
@@ -9,7 +9,7 @@
 pub(super) const ACCOUNT: HeaderName = HeaderName::from_static("x-account");
 pub(super) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 pub(super) const RETRY: HeaderName = HeaderName::from_static("x-repeat");
-pub(super) const WEIGHT_HINT: HeaderName = HeaderName::from_static("x-weight-hint");
+pub(super) const EXPECTED_WORK: HeaderName = HeaderName::from_static("x-weight-hint");
 
 /// Headers that identify or classify a request. A request must not repeat any of them.
 pub(super) const SINGLE_HEADERS: [HeaderName; 5] = [
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -2,7 +2,7 @@
 
 use super::error::InvalidRequest;
 use super::headers::{
-    ACCOUNT, IDEMPOTENCY_KEY, RETRY, SERVICE_CLASS, SINGLE_HEADERS, WEIGHT_HINT,
+    ACCOUNT, EXPECTED_WORK, IDEMPOTENCY_KEY, RETRY, SERVICE_CLASS, SINGLE_HEADERS,
     end_to_end_headers, origin_form,
 };
 use super::{Class, Clients};
@@ -123,7 +123,7 @@
             id: self.handle.next_request_id(),
             class: class.index,
             key: head.uri.query().and_then(affinity_key),
-            expected_work: ascii_header(head, &WEIGHT_HINT)
+            expected_work: ascii_header(head, &EXPECTED_WORK)
                 .and_then(|value| value.trim().parse().ok()),
             is_retry: ascii_header(head, &RETRY) == Some("1"),
         })
