--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -139,7 +139,7 @@
         let lifecycle = Lifecycle::start();
         let counters = Counters::new(&config.names.classes);
         let backend_client = BackendClient::new(
-            config.budget.backends,
+            config.budget.max_backend_connections,
             config.connect_timeout,
             settings.permissions.idle_timeout,
             config.names.load_report_fields.clone(),
--- a/src/proxy/budget.rs
+++ b/src/proxy/budget.rs
@@ -8,40 +8,61 @@
 pub const MAX_OPERATOR_CALLS: usize = 12;
 const BYTES_PER_MB: usize = 1 << 20;
 
+/// The limits on memory and descriptors that the processes of a proxy share: two processes during an upgrade.
+#[derive(Clone, Copy, Debug)]
+pub struct SharedLimits {
+    /// The number of descriptors of all processes together.
+    pub descriptors: usize,
+    /// The memory of all processes together, in units of 2^20 bytes.
+    pub memory_mb: usize,
+    /// The number of descriptors that each process sets aside for other uses than client and backend connections.
+    pub reserved_descriptors: usize,
+    /// The number of processes that share the limits, at least 1.
+    pub process_count: usize,
+}
+
 /// The limits of one process.
 #[derive(Clone, Debug)]
 pub struct Budget {
     /// The largest number of client connections that are open at a time.
-    pub clients: usize,
+    pub max_client_connections: usize,
     /// The largest number of backend connections that are open at a time, idle ones included.
-    pub backends: usize,
+    pub max_backend_connections: usize,
     /// Memory for the parts of bodies beyond the [`BUFFERED_BODY_BYTES`] that each connection may hold.
-    pub bodies: MemoryBudget,
+    pub body_memory: MemoryBudget,
 }
 
 impl Budget {
-    /// Returns the budget of one of `processes` processes that share the limits `descriptors` and `memory_mb`. Each
-    /// process sets `reserved` descriptors aside for other uses.
+    /// Returns the budget of one of the processes that share the limits.
     ///
     /// The memory must suffice for all connections at once: two fifths of it are for heads and bodies from clients, one
     /// fifth for heads and bodies from backends, one fifth for larger bodies, and one fifth for everything else.
+    ///
+    /// # Panics
+    /// If `process_count` is 0.
     #[must_use]
-    pub fn of(descriptors: usize, memory_mb: usize, reserved: usize, processes: usize) -> Self {
-        let own_descriptors = (descriptors / processes).max(2 * reserved);
-        let sockets = own_descriptors - reserved;
-        let fifth_bytes = memory_mb.saturating_mul(BYTES_PER_MB) / processes / 5;
+    pub fn for_process(limits: SharedLimits) -> Self {
+        let SharedLimits {
+            descriptors,
+            memory_mb,
+            reserved_descriptors,
+            process_count,
+        } = limits;
+        let own_descriptors = (descriptors / process_count).max(2 * reserved_descriptors);
+        let sockets = own_descriptors - reserved_descriptors;
+        let fifth_bytes = memory_mb.saturating_mul(BYTES_PER_MB) / process_count / 5;
         // Clients get more sockets than backends, because a request that waits for a backend connection already holds
         // a client connection.
         let client_sockets = sockets * 3 / 5;
         let backend_sockets = sockets - client_sockets;
-        let clients =
+        let max_client_connections =
             client_sockets.min(2 * fifth_bytes / (MAX_CLIENT_HEAD_BYTES + BUFFERED_BODY_BYTES));
-        let backends =
+        let max_backend_connections =
             backend_sockets.min(fifth_bytes / (MAX_BACKEND_HEAD_BYTES + BUFFERED_BODY_BYTES));
         Self {
-            clients: clients.max(1),
-            backends: backends.max(1),
-            bodies: MemoryBudget::new(fifth_bytes),
+            max_client_connections: max_client_connections.max(1),
+            max_backend_connections: max_backend_connections.max(1),
+            body_memory: MemoryBudget::new(fifth_bytes),
         }
     }
 }
--- a/src/proxy/budget/tests.rs
+++ b/src/proxy/budget/tests.rs
@@ -2,22 +2,31 @@
 
 #[test]
 fn all_connections_together_stay_within_the_limits() {
-    for (descriptors, memory_mb, processes) in [
+    for (descriptors, memory_mb, process_count) in [
         (256, 32, 1),
         (1_024, 32, 2),
         (1_024, 192, 1),
         (65_536, 64, 2),
     ] {
-        let budget = Budget::of(descriptors, memory_mb, 37, processes);
-        let bodies = budget.bodies.available.load(Ordering::Relaxed);
-        let held = budget.clients * (MAX_CLIENT_HEAD_BYTES + BUFFERED_BODY_BYTES)
-            + budget.backends * (MAX_BACKEND_HEAD_BYTES + BUFFERED_BODY_BYTES)
+        let budget = Budget::for_process(SharedLimits {
+            descriptors,
+            memory_mb,
+            reserved_descriptors: 37,
+            process_count,
+        });
+        let bodies = budget.body_memory.available.load(Ordering::Relaxed);
+        let held = budget.max_client_connections * (MAX_CLIENT_HEAD_BYTES + BUFFERED_BODY_BYTES)
+            + budget.max_backend_connections * (MAX_BACKEND_HEAD_BYTES + BUFFERED_BODY_BYTES)
             + bodies;
         assert!(
-            processes * held <= (memory_mb << 20) / 5 * 4,
+            process_count * held <= (memory_mb << 20) / 5 * 4,
             "{held} bytes of {memory_mb} MB for {descriptors} descriptors"
         );
-        assert!(processes * (budget.clients + budget.backends + 37) <= descriptors);
+        let connections = budget.max_client_connections + budget.max_backend_connections;
+        assert!(
+            process_count * (connections + 37) <= descriptors,
+            "{connections} connections and 37 reserved descriptors in each of {process_count} processes, of {descriptors}"
+        );
     }
 }
 
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -100,7 +100,7 @@
     /// the bytes arrive, so that a slow client takes no more than it has sent.
     fn reserve_memory(&self, buffered: usize, reserved: &mut Vec<Reservation>) -> bool {
         while buffered > (reserved.len() + 1) * BUFFERED_BODY_BYTES {
-            let Some(memory) = self.budget.bodies.reserve(BUFFERED_BODY_BYTES) else {
+            let Some(memory) = self.budget.body_memory.reserve(BUFFERED_BODY_BYTES) else {
                 return false;
             };
             reserved.push(memory);
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -147,7 +147,7 @@
             // While the maximum number of connections is open, further clients wait in the kernel's queue: they must
             // not take the descriptors that are reserved for backends. Connections without a request would keep them
             // waiting, so the one that is cheapest to close is closed.
-            while self.open_connections.get() >= self.budget.clients {
+            while self.open_connections.get() >= self.budget.max_client_connections {
                 self.connections.borrow().evict_one();
                 self.is_full.set(true);
                 self.connection_freed.notified().await;
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -149,7 +149,7 @@
             if is_upload {
                 connection.socket().closed_by_peer().await;
             } else {
-                connection.closed_by_client(&self.budget.bodies).await;
+                connection.closed_by_client(&self.budget.body_memory).await;
             }
         };
         // hyper notices a disconnect only after it has read all earlier bytes, so the connection is watched here.
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -1,6 +1,6 @@
 //! Configuration of the proxy: the file that `EDGE_CONFIG` names, and environment variables for fields that it lacks.
 
-use super::budget::{Budget, MAX_OPERATOR_CALLS};
+use super::budget::{Budget, MAX_OPERATOR_CALLS, SharedLimits};
 use super::logging::{InvalidLogOption, parse_filter};
 use crate::api::{Micros, Settings};
 use crate::settings_json::{
@@ -203,12 +203,12 @@
         } else {
             0
         };
-        Budget::of(
-            self.descriptors.unwrap_or(DEFAULT_DESCRIPTORS),
-            self.memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
-            RESERVED_DESCRIPTORS + operator_descriptors,
+        Budget::for_process(SharedLimits {
+            descriptors: self.descriptors.unwrap_or(DEFAULT_DESCRIPTORS),
+            memory_mb: self.memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
+            reserved_descriptors: RESERVED_DESCRIPTORS + operator_descriptors,
             process_count,
-        )
+        })
     }
 }
 
--- a/src/proxy/read_ahead/tests.rs
+++ b/src/proxy/read_ahead/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::proxy::budget::{Budget, MemoryBudget};
+use crate::proxy::budget::{Budget, MemoryBudget, SharedLimits};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::task::Wake;
@@ -13,9 +13,20 @@
     }
 }
 
-/// Returns the memory for bodies of a process with 5 MB in all: a fifth, 1 MB.
+/// Returns the memory for bodies of a process with `memory_mb` MB in all: a fifth.
+fn body_memory(memory_mb: usize) -> MemoryBudget {
+    let limits = SharedLimits {
+        descriptors: 100,
+        memory_mb,
+        reserved_descriptors: 10,
+        process_count: 1,
+    };
+    Budget::for_process(limits).body_memory
+}
+
+/// Returns the memory for bodies of a process with 5 MB in all: 1 MB.
 fn memory() -> MemoryBudget {
-    Budget::of(100, 5, 10, 1).bodies
+    body_memory(5)
 }
 
 /// Adds pieces until no more memory can be reserved, and returns the number of added bytes.
@@ -48,7 +59,7 @@
 
 #[test]
 fn one_connection_holds_at_most_the_maximum() {
-    let (memory, mut ahead) = (Budget::of(100, 200, 10, 1).bodies, ReadAhead::default());
+    let (memory, mut ahead) = (body_memory(200), ReadAhead::default());
     assert_eq!(fill(&mut ahead, &memory), MAX_READ_AHEAD_BYTES);
 }
 
