--- a/src/simulator/frames/record.rs
+++ b/src/simulator/frames/record.rs
@@ -4,29 +4,17 @@
 use crate::api::{
     AttemptEnd, BackendId, ClassIndex, Event, Micros, Outcome, Request, RequestId, TenantIndex,
 };
+use crate::index_type;
 
-/// Number of a proxy in the simulation.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ProxyId(pub u16);
-
-impl ProxyId {
-    /// Returns the number as an index into a table of proxies.
-    #[must_use]
-    pub fn index(self) -> usize {
-        usize::from(self.0)
-    }
+index_type! {
+    /// Number of a proxy in the simulation, which is its index in a table of proxies.
+    ProxyId(u16)
 }
 
-/// Number of an endpoint list. A later list with the same number replaces it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListId(pub u16);
-
-impl ListId {
-    /// Returns the number as an index into a table of endpoint lists.
-    #[must_use]
-    pub fn index(self) -> usize {
-        usize::from(self.0)
-    }
+index_type! {
+    /// Number of an endpoint list, which is its index in a table of lists. A later list with the same number replaces
+    /// it.
+    ListId(u16)
 }
 
 /// The kind of a membership update: which endpoints its list has.
