--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -205,7 +205,7 @@
                 }
                 AttemptResult {
                     outcome,
-                    ..response.head.result(load_reports)
+                    ..response.head.attempt_result(load_reports)
                 }
             }
             BackendBody::Complete(_) => {
--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -7,7 +7,7 @@
 use crate::proxy::dial::connect;
 use crate::proxy::size_limits::MAX_BACKEND_HEAD_BYTES;
 use crate::proxy::socket::{Socket, Unread};
-use crate::proxy::socket_io::{ObservedSocket, SocketIo};
+use crate::proxy::socket_io::{SocketIo, SocketObserver};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use std::cell::Cell;
@@ -82,7 +82,7 @@
     }
 }
 
-impl ObservedSocket for BackendSocket {
+impl SocketObserver for BackendSocket {
     fn socket(&self) -> &Socket {
         &self.socket
     }
--- a/src/proxy/backends/health_check.rs
+++ b/src/proxy/backends/health_check.rs
@@ -49,7 +49,7 @@
         };
         let text = String::from_utf8_lossy(&body.joined()).into_owned();
         self.pool.keep(&backend, connection);
-        let mut result = response.head.result(&self.load_reports);
+        let mut result = response.head.attempt_result(&self.load_reports);
         // A backend may send its load report in the body instead of in a header.
         if with_load_report
             && !text.is_empty()
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -32,7 +32,7 @@
         length: body.length,
         forwarded: 0,
         deadline: BodyDeadline {
-            grace_ends: Instant::now() + GRACE,
+            grace_ends_at: Instant::now() + GRACE,
         },
         cancel,
         request_ended,
@@ -76,7 +76,7 @@
     /// The outcome of the attempt if the body fails, is cut off, or is no longer wanted.
     async fn receive(&mut self) -> Result<Option<Bytes>, Outcome> {
         let request_ended = self.request_ended;
-        let late_at = self.deadline.after(self.forwarded);
+        let late_at = self.deadline.after_receiving(self.forwarded);
         // All received data is forwarded before this waits, so a slow client does not count against the backend.
         let too_slow = async {
             request_ended.wait().await;
--- a/src/proxy/backends/response.rs
+++ b/src/proxy/backends/response.rs
@@ -49,7 +49,7 @@
 impl BackendResponse {
     /// Converts the response into the result of its attempt.
     pub(super) fn into_result(self, load_reports: &LoadReportParser) -> AttemptResult {
-        let mut result = self.head.result(load_reports);
+        let mut result = self.head.attempt_result(load_reports);
         if result.outcome == Outcome::Ok
             && let BackendBody::Complete(body) = self.body
         {
@@ -64,7 +64,7 @@
 
 impl ResponseHead {
     /// Returns the result of an attempt with this response, without its body.
-    pub(super) fn result(&self, load_reports: &LoadReportParser) -> AttemptResult {
+    pub(super) fn attempt_result(&self, load_reports: &LoadReportParser) -> AttemptResult {
         let load_report = self
             .headers
             .get(LOAD)
--- a/src/proxy/bodies/deadline.rs
+++ b/src/proxy/bodies/deadline.rs
@@ -12,14 +12,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct BodyDeadline {
     /// The end of the grace period: the deadline of a body of which nothing was received.
-    pub grace_ends: Instant,
+    pub grace_ends_at: Instant,
 }
 
 impl BodyDeadline {
     /// Returns the deadline of a body of which `bytes` bytes were received.
     #[must_use]
-    pub fn after(&self, bytes: u64) -> Instant {
+    pub fn after_receiving(&self, bytes: u64) -> Instant {
         let transfer_micros = bytes.saturating_mul(MICROS_PER_SECOND) / MIN_BYTES_PER_SECOND;
-        self.grace_ends + Duration::from_micros(transfer_micros)
+        self.grace_ends_at + Duration::from_micros(transfer_micros)
     }
 }
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -107,7 +107,7 @@
             reserved,
             rest,
             deadline,
-            sleep: Box::pin(sleep_until(deadline.after(received))),
+            sleep: Box::pin(sleep_until(deadline.after_receiving(received))),
             length: StreamLength::new(total),
             progress: Rc::default(),
             counters,
@@ -149,7 +149,7 @@
 
     /// Ends the body with an error once its deadline has passed.
     fn poll_deadline(&mut self, cx: &mut Context<'_>) -> FramePoll {
-        let deadline = self.deadline.after(self.length.forwarded());
+        let deadline = self.deadline.after_receiving(self.length.forwarded());
         if self.sleep.deadline() < deadline {
             self.sleep.as_mut().reset(deadline);
         }
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -80,7 +80,7 @@
         let mut buffer = BodyBuffer::default();
         let mut reserved = Vec::new();
         while may_fit && buffer.len() <= MAX_BUFFERED_BYTES {
-            let late_at = deadline.after(buffer.len() as u64);
+            let late_at = deadline.after_receiving(buffer.len() as u64);
             let received = timeout_at(late_at, next_data(&mut body))
                 .await
                 .map_err(|_| InvalidRequest::BodyTimedOut)?;
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -10,7 +10,7 @@
 use crate::proxy::counters::{RequestOutcome, RequestTicket};
 use crate::proxy::messages::{Answer, DriverHandle, InboundRequest, Message};
 use crate::proxy::responses::{close, plain, rejected};
-use crate::proxy::socket_io::ObservedSocket;
+use crate::proxy::socket_io::SocketObserver;
 use crate::proxy::time_limits::REQUEST_TIMEOUT;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -40,7 +40,7 @@
             now + REQUEST_TIMEOUT
         };
         let deadline = BodyDeadline {
-            grace_ends: late_at.max(now + MIN_BODY_TIME),
+            grace_ends_at: late_at.max(now + MIN_BODY_TIME),
         };
         let mut response = if self.is_health_check(&request) {
             self.health().map(ResponseBody::Buffered)
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -4,7 +4,7 @@
 use crate::proxy::bodies::ResponseBody;
 use crate::proxy::connections::ClientConnection;
 use crate::proxy::size_limits::MAX_CLIENT_HEAD_BYTES;
-use crate::proxy::socket_io::{ObservedSocket, SocketIo};
+use crate::proxy::socket_io::{SocketIo, SocketObserver};
 use crate::proxy::time_limits::CLIENT_IDLE_TIMEOUT;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -41,14 +41,14 @@
 
     /// Converts an instant of the runtime to a time of this clock.
     #[must_use]
-    pub fn at(&self, instant: Instant) -> Micros {
+    pub fn to_micros(self, instant: Instant) -> Micros {
         self.origin_unix + micros(instant.saturating_duration_since(self.origin))
     }
 
     /// Converts a time of this clock to an instant of the runtime.
     #[must_use]
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.origin + Duration::from_micros(at.saturating_sub(self.origin_unix))
+    pub fn to_instant(self, time: Micros) -> Instant {
+        self.origin + Duration::from_micros(time.saturating_sub(self.origin_unix))
     }
 
     /// Converts the start time of a backend from Unix milliseconds, or returns `None` for 0, which means long ago.
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -5,7 +5,7 @@
 use super::framing::Framing;
 use super::read_ahead::{READ_PIECE_BYTES, ReadAhead};
 use super::socket::{Socket, Unread};
-use super::socket_io::ObservedSocket;
+use super::socket_io::SocketObserver;
 use super::time_limits::{CLIENT_IDLE_TIMEOUT, RESPONSE_STALL_TIMEOUT};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -334,7 +334,7 @@
     }
 }
 
-impl ObservedSocket for ClientConnection {
+impl SocketObserver for ClientConnection {
     fn socket(&self) -> &Socket {
         &self.socket
     }
--- a/src/proxy/driver/attempts.rs
+++ b/src/proxy/driver/attempts.rs
@@ -63,8 +63,8 @@
             return;
         };
         let deadlines = AttemptDeadlines {
-            deadline: self.clock.instant(deadline),
-            write_deadline: write_deadline.map(|at| self.clock.instant(at)),
+            deadline: self.clock.to_instant(deadline),
+            write_deadline: write_deadline.map(|at| self.clock.to_instant(at)),
         };
         let backend_client = Rc::clone(&self.backend_client);
         let handle = self.handle.clone();
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -97,7 +97,7 @@
     /// process ends.
     pub async fn run(mut self) {
         loop {
-            let next_due = self.timers.next_due().map(|due| self.clock.instant(due));
+            let next_due = self.timers.next_due().map(|due| self.clock.to_instant(due));
             let message = match next_due {
                 None => self.messages.recv().await,
                 Some(due) => tokio::select! {
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -58,13 +58,13 @@
     fn streamed_answer_due(&self, now: Micros, open: &PendingRequest) -> Option<Micros> {
         let progress = open.call.body.progress()?;
         let complete_at = match progress.finished_at() {
-            Some(at) => self.clock.at(at),
+            Some(at) => self.clock.to_micros(at),
             None => now,
         };
         let due = complete_at + final_answer_timeout(open.remaining);
         match self.lifecycle.process_ends_at() {
             Some(process_ends_at) => Some(due.min(answer_deadline_before_process_end(
-                self.clock.at(process_ends_at),
+                self.clock.to_micros(process_ends_at),
             ))),
             None => Some(due),
         }
--- a/src/proxy/driver/requests.rs
+++ b/src/proxy/driver/requests.rs
@@ -131,7 +131,7 @@
     fn body_complete_at(&self, clock: &Clock) -> Option<Micros> {
         let progress = self.call.body.progress()?;
         let complete_at = progress.finished_at()?;
-        Some(clock.at(complete_at))
+        Some(clock.to_micros(complete_at))
     }
 
     /// Reports whether the client needs no answer any more and all attempts have ended.
--- a/src/proxy/socket_io.rs
+++ b/src/proxy/socket_io.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// A connection that observes what the HTTP library reads from its socket and writes to it.
-pub(super) trait ObservedSocket {
+pub(super) trait SocketObserver {
     /// Returns the connection's socket.
     fn socket(&self) -> &Socket;
 
@@ -28,13 +28,13 @@
 /// Reads and writes the socket of a connection for the HTTP library.
 pub(super) struct SocketIo<C>(Rc<C>);
 
-impl<C: ObservedSocket> SocketIo<C> {
+impl<C: SocketObserver> SocketIo<C> {
     pub(super) fn new(connection: &Rc<C>) -> Self {
         Self(Rc::clone(connection))
     }
 }
 
-impl<C: ObservedSocket> AsyncRead for SocketIo<C> {
+impl<C: SocketObserver> AsyncRead for SocketIo<C> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -50,7 +50,7 @@
     }
 }
 
-impl<C: ObservedSocket> AsyncWrite for SocketIo<C> {
+impl<C: SocketObserver> AsyncWrite for SocketIo<C> {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
