--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -18,13 +18,13 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until};
 
-/// The least time until the deadline with which a request is still sent.
+/// Minimum time until the deadline of an attempt for its request to be sent.
 const MIN_REMAINING: Duration = Duration::from_millis(1);
 
 impl BackendClient {
-    /// Makes one attempt of a request on a backend. The attempt ends early at its deadlines or when `cancel`
-    /// receives a message. A streamed response is passed to `on_response_start` when it starts, and the attempt ends
-    /// together with the response.
+    /// Makes one attempt of a request on a backend. The attempt ends early at one of its deadlines, or when
+    /// `cancel` receives a message. A streamed response is passed to `on_response_start` when it starts, and the
+    /// attempt ends together with the response.
     pub async fn attempt(
         self: Rc<Self>,
         backend: Rc<BackendConnections>,
@@ -56,18 +56,18 @@
     deadlines: AttemptDeadlines,
 }
 
-/// A request that is built for one connection and not yet written.
+/// A request that has been built for one connection and not been written yet.
 struct PreparedRequest {
     request: Request<RequestBody>,
-    /// The time until the deadline, which is also sent to the backend.
+    /// The time until the deadline, which the request states in a header for the backend.
     remaining: Duration,
-    /// The number of bytes written on the connection, earlier requests included, at which this request is complete;
-    /// `None` for a body of unknown length.
+    /// The number of bytes written on the connection, earlier requests included, at which this request is completely
+    /// written; `None` for a body of unknown length.
     complete_at: Option<u64>,
 }
 
 impl Attempt<'_> {
-    /// Connects, writes the request and reads the response.
+    /// Connects, writes the request, reads the response and returns the result of the attempt.
     async fn run(
         &self,
         mut cancel: oneshot::Receiver<()>,
@@ -95,9 +95,9 @@
         };
         let complete_at = prepared.complete_at;
         let exchanged = self.exchange(&mut connection, prepared, &mut cancel).await;
-        // Rule 2 (idempotency): a request that was written only in part cannot run, a complete one may have run. There
-        // is no await between this check and the drop of the connection of an incomplete request, so no further bytes
-        // are written.
+        // Rule 2 (idempotency): a request that was written only in part cannot run, and a complete one may have run.
+        // There is no await between this check and the drop of the connection of an incomplete request, so no further
+        // bytes are written.
         let is_completely_written =
             self.is_completely_written(connection.socket.written(), complete_at);
         match exchanged {
@@ -113,8 +113,8 @@
     /// Returns a connection to the backend.
     ///
     /// # Errors
-    /// The outcome of the attempt if no connection is established, or if the attempt is cancelled or must no longer
-    /// be sent.
+    /// The outcome of the attempt if no connection is established, if the attempt is cancelled, or if its request must
+    /// no longer be sent.
     async fn connect(&self, cancel: &mut oneshot::Receiver<()>) -> Result<Connection, Outcome> {
         let pool = &self.backend_client.pool;
         let connected = tokio::select! {
@@ -159,7 +159,7 @@
         socket.begin_request(complete_at);
         let cutoff_before_complete = async {
             self.wait_for_write_cutoff().await;
-            // A complete request may run, and the balancer needs its outcome: wait for the response.
+            // A completely written request may run, and the balancer needs its outcome, so the response is awaited.
             if self.is_completely_written(socket.written(), complete_at) {
                 std::future::pending::<()>().await;
             }
@@ -235,8 +235,8 @@
     /// Returns the result of an attempt whose response arrived before the request was completely written. A 200
     /// response cannot belong to such a request and counts as corrupt.
     ///
-    /// The caller drops the connection instead of keeping it: the rest of the request would still be written, and
-    /// the backend would run a request that is over (rule 2).
+    /// The caller drops the connection instead of keeping it. Otherwise the rest of the request would still be written,
+    /// and the backend would run a request whose attempt has ended (rule 2).
     fn early_response(&self, response: BackendResponse) -> AttemptResult {
         let result = response.into_result(&self.backend_client.load_reports);
         if result.outcome == Outcome::Ok {
@@ -250,10 +250,11 @@
     fn failure_outcome(&self, error: &BackendError, is_completely_written: bool) -> Outcome {
         tracing::debug!(backend = %self.backend.address(), %error, "attempt failed");
         if !is_completely_written && self.has_body_failed() {
-            // The fault is the client's and must not count against the backend.
+            // A body that failed is the client's fault and must not count against the backend.
             Outcome::NotSent
         } else if error.is_malformed() {
-            // This holds for an incomplete request as well: the meaning of such a response is unknown.
+            // A malformed response counts as corrupt even if the request is incomplete, because it does not show
+            // whether the backend ran the request.
             Outcome::CorruptResponse
         } else if error.is_cancelled() && is_completely_written {
             Outcome::Cancelled
@@ -276,7 +277,7 @@
             .is_some_and(|progress| progress.has_failed())
     }
 
-    /// Waits until an incompletely written request must no longer be sent, because the request is over or its write
+    /// Waits until a request that is not completely written must no longer be sent, because it has ended or its write
     /// deadline has passed.
     async fn wait_for_write_cutoff(&self) {
         let write_deadline = self.deadlines.write_deadline;
@@ -286,8 +287,8 @@
         }
     }
 
-    /// Waits until the attempt times out. The time of a request counts from its last byte, so an attempt with a
-    /// streamed body times out `remaining` after the end of the body instead of at its deadline.
+    /// Waits until the attempt times out: at its deadline, or `remaining` after the end of a streamed body. The timeout of
+    /// a request with a streamed body counts from the last byte of the body.
     async fn wait_for_timeout(&self, remaining: Duration) {
         match self.call.body.progress() {
             None => sleep_until(self.deadlines.deadline).await,
--- a/src/proxy/backends/backend_connections.rs
+++ b/src/proxy/backends/backend_connections.rs
@@ -19,8 +19,8 @@
     address: Cell<SocketAddr>,
     started_at: Cell<Option<Micros>>,
     ready: Cell<bool>,
-    /// Number of times that the backend restarted, moved or was removed. A connection of an earlier generation is not
-    /// used again.
+    /// Number of times that the backend restarted, changed its address or was removed. A connection of an earlier
+    /// generation is not used again.
     generation: Cell<u64>,
     /// The idle connections, the most recently used one last.
     idle: RefCell<Vec<IdleConnection>>,
@@ -59,13 +59,13 @@
     ) {
         self.ready.set(readiness == Readiness::Ready);
         let has_restarted = self.started_at.replace(started_at) != started_at;
-        // Connections to the previous process are dead or will be reset.
+        // The connections lead to the previous process of the backend, so they are broken or will be reset.
         if has_restarted || self.address.replace(address) != address {
             self.begin_generation();
         }
     }
 
-    /// Marks the backend as removed: it is sent no new requests, and none of its connections is kept, not even those
+    /// Marks the backend as removed. It is sent no new requests, and none of its connections is kept, including those
     /// in use.
     pub(super) fn remove(&self) {
         self.ready.set(false);
--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -1,4 +1,4 @@
-//! The inputs and the result of an attempt.
+//! The request that the attempts send to backends, the deadlines of an attempt, and its result.
 
 use crate::api::Outcome;
 use crate::proxy::bodies::{CallBody, ServedBody};
@@ -11,9 +11,9 @@
 /// The header with the client's id of a request. Each attempt forwards it.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 
-/// Notifies the attempts of a request that the request is over: the client disconnected before it had a response, or
-/// the latest time of the final answer has passed, even if a streamed response has begun. A complete response does
-/// not set it. The balancer cancels a single attempt through a separate channel.
+/// Notifies the attempts of a request that the request has ended: the client disconnected before it had a response, or
+/// the latest time of the final answer has passed, even if a streamed response has begun. A complete response does not
+/// set this flag. The balancer cancels a single attempt through a separate channel.
 #[derive(Debug, Default)]
 pub struct RequestEnded {
     has_ended: Cell<bool>,
@@ -21,13 +21,13 @@
 }
 
 impl RequestEnded {
-    /// Marks the request as over. Repeated calls have no effect.
+    /// Marks the request as ended. Repeated calls have no effect.
     pub fn set(&self) {
         self.has_ended.set(true);
         self.changed.notify_waiters();
     }
 
-    /// Waits until the request is over.
+    /// Waits until the request has ended.
     pub async fn wait(&self) {
         while !self.has_ended.get() {
             self.changed.notified().await;
@@ -35,7 +35,8 @@
     }
 }
 
-/// A request as it is sent to a backend. All attempts send the same.
+/// A client's request in the form in which it is sent to backends. All attempts of the request send the same call. The
+/// calls of operators and the calls to discovery have types of their own.
 #[derive(Debug)]
 pub struct Call {
     /// The client's method.
@@ -46,7 +47,7 @@
     pub headers: HeaderMap,
     /// The client's body, unchanged.
     pub body: CallBody,
-    /// Set when the request is over. An attempt that is not completely written by then is abandoned.
+    /// Set when the request ends. An attempt whose request is not completely written by then is abandoned.
     pub request_ended: RequestEnded,
 }
 
@@ -66,20 +67,20 @@
 pub struct ServedResponse {
     /// The body, unchanged.
     pub body: ServedBody,
-    /// The value of its `Content-Type` header.
+    /// The value of the `Content-Type` header, if the response has one.
     pub content_type: Option<HeaderValue>,
 }
 
-/// The latest times of an attempt.
+/// The deadlines of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadlines {
     /// When the attempt times out.
     pub deadline: Instant,
-    /// When the attempt is abandoned unless its request is completely written; `None`: only at `deadline`.
+    /// When the attempt is abandoned unless its request is completely written; `None` if only `deadline` applies.
     pub write_deadline: Option<Instant>,
 }
 
-/// How an attempt or a health check ended.
+/// The result of an attempt or a health check.
 #[derive(Debug)]
 pub struct AttemptResult {
     /// The outcome that is reported to the balancer.
@@ -88,7 +89,8 @@
     pub served: Option<ServedResponse>,
     /// The load report of the response, with its fields in the order of the settings; empty if there was none.
     pub load_report: Vec<f32>,
-    /// Whether a part of the request's body was forwarded and is no longer held, so that the body cannot be sent again.
+    /// Whether a part of the request's body was forwarded and is no longer in memory, so that the body cannot be sent
+    /// again.
     pub body_consumed: bool,
 }
 
--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -23,8 +23,8 @@
 enum ExchangeState {
     /// No request is in flight; bytes that arrive belong to no request.
     Idle,
-    /// A request is being written. It is complete once `complete_at` bytes were written on the connection, those of
-    /// earlier requests included.
+    /// A request is being written. It is completely written once `complete_at` bytes were written on the connection,
+    /// those of earlier requests included.
     Writing { complete_at: u64 },
     /// A request is completely written or has an unknown length. Bytes that arrive may belong to its response.
     AwaitingResponse,
@@ -56,8 +56,8 @@
         self.written.get()
     }
 
-    /// Begins a request. It is complete once `complete_at` bytes were written on the connection; `None` for a request
-    /// of unknown length.
+    /// Begins a request, which is completely written once `complete_at` bytes were written on the connection; `None` for
+    /// a request of unknown length.
     pub(super) fn begin_request(&self, complete_at: Option<u64>) {
         self.state.set(match complete_at {
             Some(complete_at) => ExchangeState::Writing { complete_at },
@@ -70,7 +70,7 @@
         self.state.set(ExchangeState::Idle);
     }
 
-    /// Counts written bytes, and the attempt once its request is completely written.
+    /// Counts written bytes, and counts the attempt once its request is completely written.
     fn record_written(&self, bytes: u64) {
         self.written.set(self.written.get() + bytes);
         if let ExchangeState::Writing { complete_at } = self.state.get()
@@ -142,7 +142,7 @@
         &self.stray_bytes
     }
 
-    /// Connects to a backend. `generation` is the present generation of its connections.
+    /// Connects to a backend. `generation` is the current generation of its connections.
     ///
     /// # Errors
     /// [`BackendError`] if no connection is established by the deadline.
@@ -169,7 +169,7 @@
             .await
             .map_err(BackendError::Handshake)?;
         let task = tokio::task::spawn_local(async move {
-            // The exchange that is in flight on the connection returns the error.
+            // An error of the connection is also returned to the exchange in flight, which reports it.
             let _ = connection.await;
         });
         Ok(Connection {
@@ -196,7 +196,7 @@
     /// Waits until the connection can take another request.
     ///
     /// # Errors
-    /// [`hyper::Error`] if the backend has closed the connection or closes it after the present response.
+    /// [`hyper::Error`] if the backend has closed the connection or closes it after the current response.
     pub(super) async fn ready(&mut self) -> Result<(), hyper::Error> {
         self.sender.ready().await
     }
@@ -206,17 +206,17 @@
         self.socket.end_request();
     }
 
-    /// Returns whether the connection can take a request, as last seen by the runtime.
+    /// Returns whether the connection can take a request, as far as the runtime has been notified.
     pub(super) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Returns whether the connection has ended, as last seen by the runtime.
+    /// Returns whether the connection has ended, as far as the runtime has been notified.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Returns what has arrived on the socket and was not read yet.
+    /// Returns what has arrived on the socket and has not been read yet.
     pub(super) fn unread(&self) -> Unread {
         self.socket.socket.unread()
     }
--- a/src/proxy/backends/exchange.rs
+++ b/src/proxy/backends/exchange.rs
@@ -12,11 +12,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// A 200 response of unknown length that is not complete this long after its head is streamed.
+/// How long after its head a 200 response of unknown length is buffered before it is streamed.
 const STREAM_AFTER: Duration = Duration::from_millis(250);
 
 /// Writes a request and reads the response. A body that fits in the buffer is read completely, so that a client never
-/// receives a part of one that breaks off.
+/// receives only a part of such a body.
 ///
 /// # Errors
 /// [`BackendError`] if the connection breaks, or if the response is malformed or cannot become complete.
@@ -52,7 +52,7 @@
     while may_fit(length, &buffer) {
         let data = match timeout_at(stream_at, next_data(&mut incoming)).await {
             Ok(data) => data,
-            // A body of known length that fits in the buffer is useful only if it is complete.
+            // A body of known length that fits in the buffer is passed on only when it is complete.
             Err(_) if length.is_some() => next_data(&mut incoming).await,
             Err(_) => break,
         };
@@ -88,9 +88,9 @@
         && buffer.len() <= BUFFERED_BODY_BYTES
 }
 
-/// Returns whether the response can become complete. If it cannot, failing at once leaves time for another attempt:
-/// otherwise gigabytes might be read in vain. A response that ends with its connection must announce the close, as it
-/// could otherwise not be distinguished from a response whose length was lost.
+/// Returns whether the response can become complete. A response that cannot fails at once, which leaves time for another
+/// attempt instead of reading up to gigabytes without a result. A response that ends with its connection must announce
+/// the close, because it could otherwise not be distinguished from a response whose length was lost.
 fn can_become_complete(response: &Response<Incoming>) -> bool {
     let length = response.body().size_hint();
     let has_end = length.exact().is_some()
--- a/src/proxy/backends/health_check.rs
+++ b/src/proxy/backends/health_check.rs
@@ -17,13 +17,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The time limit of a health check, in addition to the connect timeout.
+/// The time that a health check may take in addition to the connect timeout.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 const LIVENESS_PATH: &str = "/alive";
 const LOAD_PATH: &str = "/metrics/load";
 
 impl BackendClient {
-    /// Checks whether a backend is alive, and requests its load report if `with_load_report` is set.
+    /// Checks whether a backend is alive and returns the result. If `with_load_report` is set, the health check also
+    /// requests the load report.
     pub async fn health_check(
         self: Rc<Self>,
         backend: Rc<BackendConnections>,
@@ -81,7 +82,7 @@
         .unwrap_or(Err(BackendError::TimedOut))
 }
 
-/// Returns the request of a health check.
+/// Returns the call of a health check: a GET request without headers or body.
 fn health_check_call(path: &'static str) -> Call {
     Call {
         method: Method::GET,
--- a/src/proxy/backends/listed_backends.rs
+++ b/src/proxy/backends/listed_backends.rs
@@ -32,8 +32,8 @@
     ) {
         let mut by_id = self.by_id.borrow_mut();
         if readiness == Readiness::Removed {
-            // Attempts in flight keep the value until they end. A backend that is listed with the same id later gets a
-            // new one.
+            // Attempts in flight keep the `BackendConnections` until they end. A backend that is listed with the same
+            // id later gets a new value.
             if let Some(backend) = by_id.remove(&id) {
                 backend.remove();
             }
@@ -63,8 +63,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest among those of all backends. Returns whether there was an
-    /// idle connection.
+    /// Closes the connection to any backend that has been idle for longest. Returns whether there was an idle connection.
     pub(super) fn close_oldest_idle(&self) -> bool {
         let by_id = self.by_id.borrow();
         let idle_since = by_id.values().filter_map(|backend| {
--- a/src/proxy/backends/load_report.rs
+++ b/src/proxy/backends/load_report.rs
@@ -11,7 +11,7 @@
         Self { fields }
     }
 
-    /// Returns the values in the order of the fields. A field that is missing or not a number is NaN.
+    /// Returns the values in the order of the fields. The value of a field that is missing or not a number is NaN.
     pub(super) fn parse(&self, report: &str) -> Vec<f32> {
         self.fields
             .iter()
@@ -20,7 +20,7 @@
     }
 }
 
-/// Returns the value of one field, if the report has it as a number.
+/// Returns the value of one field; `None` if the field is missing or not a number.
 fn value_of(field: &str, report: &str) -> Option<f32> {
     let mut pairs = report.split(',').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(name, _)| name.trim() == field)?;
--- a/src/proxy/backends/mod.rs
+++ b/src/proxy/backends/mod.rs
@@ -1,7 +1,7 @@
 //! Connections to the backends, and the attempts and health checks that are sent on them.
 //!
-//! An attempt writes its request once. Retries are decided by the balancer, which must know whether the last byte of a
-//! request was written, so each connection counts the bytes that are written to its socket.
+//! An attempt writes its request once. The balancer decides on retries and must know whether the last byte of a request
+//! was written, so each connection counts the bytes that are written to its socket.
 //!
 //! | module | job |
 //! | --- | --- |
@@ -9,11 +9,11 @@
 //! | `pool` | reuse, keeping and closing of idle connections |
 //! | `connection` | connecting; one connection and its socket |
 //! | `stray_bytes` | bytes that belong to no request, and the reuse delay that follows them |
-//! | `call` | the inputs and the result of an attempt |
+//! | `call` | the request that attempts send; the deadlines and the result of an attempt |
 //! | `attempt`, `health_check` | one attempt of a request; one health check |
 //! | `request`, `exchange`, `relay` | building a request; its exchange for a response; relaying a streamed response |
 //! | `response`, `load_report` | converting a response into the result of an attempt |
-//! | `error` | the failures of an exchange |
+//! | `error` | the errors of connecting and of an exchange |
 
 mod attempt;
 mod backend_connections;
@@ -51,8 +51,8 @@
 
 impl BackendClient {
     /// Creates a client without listed backends. At most `max_sockets` sockets to backends are open at a time, idle
-    /// ones included. `idle_timeout` is how long backends keep an idle connection, `load_report_fields` are the fields
-    /// of a load report in the order in which the balancer expects their values.
+    /// ones included. Backends keep an idle connection for `idle_timeout`. `load_report_fields` are the names of the
+    /// fields of a load report, in the order in which the balancer expects their values.
     #[must_use]
     pub fn new(
         max_sockets: usize,
--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -12,18 +12,18 @@
 
 /// Interval between two sweeps for connections that have been idle for too long.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// A connection is closed unless it is ready for another request this long after its response: until it is, it takes
-/// one of the sockets but can be neither used nor closed to make room.
+/// How long after a response the pool waits until the connection is ready for another request; the connection is closed
+/// if it is not. Meanwhile it occupies one of the sockets, but can be neither used nor closed to make room.
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
-/// An idle connection is not used in this time before the backend's idle timeout ends: the backend started to count
-/// earlier than the proxy.
+/// How long before the end of the backend's idle timeout the pool stops using an idle connection: the backend's timeout
+/// starts earlier than the proxy's.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
 /// The limits of a [`ConnectionPool`].
 pub(super) struct PoolLimits {
-    /// The most sockets to backends that may be open at a time, idle ones included.
+    /// The largest number of sockets to backends that may be open at a time, idle ones included.
     pub(super) max_sockets: usize,
-    /// The time limit of a connect.
+    /// The longest time that connecting to a backend may take.
     pub(super) connect_timeout: Duration,
     /// How long backends keep an idle connection.
     pub(super) idle_timeout: Duration,
@@ -35,7 +35,7 @@
     connector: Connector,
     max_sockets: usize,
     connect_timeout: Duration,
-    /// How long a connection may be idle before it is no longer used.
+    /// The longest time for which a connection may be idle and still be used.
     max_idle: Duration,
 }
 
@@ -88,8 +88,8 @@
         self.connect(backend, deadline).await
     }
 
-    /// Keeps a connection as idle once it is ready for another request. A connection of an earlier generation is
-    /// closed instead.
+    /// Keeps a connection as idle once it is ready for another request, or closes it if it belongs to an earlier
+    /// generation.
     pub(super) fn keep(&self, backend: &Rc<BackendConnections>, mut connection: Connection) {
         connection.end_request();
         let backend = Rc::clone(backend);
@@ -109,8 +109,8 @@
         !idle.connection.is_closed() && idle.since.elapsed() < self.max_idle
     }
 
-    /// Returns whether a connection is usable and nothing has arrived on it since its last response, neither the
-    /// backend's close nor stray bytes. Stray bytes are recorded.
+    /// Returns whether a connection is usable and nothing has arrived on it since its last response: neither the
+    /// backend's close nor stray bytes, whose arrival is recorded.
     fn is_clean(&self, idle: &IdleConnection) -> bool {
         if !self.is_usable(idle) || !idle.connection.is_ready() {
             return false;
@@ -122,7 +122,7 @@
         unread == Unread::Nothing
     }
 
-    /// Takes the most recently used clean connection, so that surplus connections stay idle and are closed.
+    /// Takes the most recently used clean connection. Connections that are not needed therefore stay idle and are closed.
     fn take_idle(&self, backend: &BackendConnections) -> Option<IdleConnection> {
         while let Some(idle) = backend.pop_idle() {
             if self.is_clean(&idle) {
@@ -132,8 +132,8 @@
         None
     }
 
-    /// Makes room for one more socket by closing an idle connection if the limit is reached. Returns false if every
-    /// socket is in use.
+    /// Closes an idle connection if the limit of sockets is reached. Returns whether another socket may be opened; it may
+    /// not if every socket is in use.
     fn make_room(&self) -> bool {
         self.connector.open_sockets() < self.max_sockets || self.listed_backends.close_oldest_idle()
     }
@@ -141,14 +141,16 @@
     /// Connects to a backend.
     ///
     /// # Errors
-    /// [`BackendError::SocketLimit`] if every socket is in use; otherwise the error of the connect.
+    /// [`BackendError::SocketLimit`] if every socket is in use; otherwise the reason why connecting failed.
     async fn connect(
         &self,
         backend: &BackendConnections,
         deadline: Instant,
     ) -> Result<Connection, BackendError> {
         if !self.make_room() {
-            return Err(BackendError::SocketLimit);
+            return Err(BackendError::SocketLimit {
+                max_sockets: self.max_sockets,
+            });
         }
         let connect_deadline = deadline.min(Instant::now() + self.connect_timeout);
         let address = backend.address();
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying of a streamed response to its client.
+//! Relays a streamed response to its client.
 
 use super::call::RequestEnded;
 use super::error::BackendError;
@@ -18,8 +18,8 @@
 
 /// Relays a body at the rate at which the client reads it, and returns the outcome of the attempt.
 ///
-/// A body of unknown length counts as endless and is cut off if it arrives too slowly after its request is over, as
-/// long as no more than [`BUFFERED_BODY_BYTES`] of it were forwarded.
+/// A body of unknown length may be endless. It is cut off if it arrives too slowly after its request has ended, unless
+/// more than [`BUFFERED_BODY_BYTES`] of it have been forwarded.
 pub(super) async fn relay_body(
     sender: ResponseSender,
     body: PartialBody,
@@ -51,7 +51,7 @@
     sender: ResponseSender,
     rest: Incoming,
     length: Option<u64>,
-    /// Number of bytes passed to the client's side.
+    /// Number of bytes passed to the [`ResponseSender`].
     forwarded: u64,
     deadline: BodyDeadline,
     cancel: oneshot::Receiver<()>,
@@ -73,11 +73,13 @@
     /// Returns the next data of the body, or `None` at its end.
     ///
     /// # Errors
-    /// The outcome of the attempt if the body fails, is cut off, or is no longer wanted.
+    /// The outcome of the attempt if the body fails or is cut off, if the client no longer reads it, or if the attempt is
+    /// cancelled.
     async fn receive(&mut self) -> Result<Option<Bytes>, Outcome> {
         let request_ended = self.request_ended;
         let late_at = self.deadline.after_receiving(self.forwarded);
-        // All received data is forwarded before this waits, so a slow client does not count against the backend.
+        // All data received so far has been forwarded by now, so the time that a slow client takes does not count
+        // against the backend.
         let too_slow = async {
             request_ended.wait().await;
             sleep_until(late_at).await;
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Forwards data to the client's side and waits until it is accepted.
+    /// Passes data to the [`ResponseSender`] and waits until it is accepted.
     ///
     /// # Errors
     /// The outcome of the attempt if the body is too large or the client does not read it.
@@ -112,7 +114,7 @@
     }
 }
 
-/// Returns the outcome of an attempt whose body failed.
+/// Returns the outcome of an attempt whose response body failed.
 fn failure_outcome(error: hyper::Error) -> Outcome {
     if BackendError::from(error).is_malformed() {
         Outcome::CorruptResponse
--- a/src/proxy/backends/request.rs
+++ b/src/proxy/backends/request.rs
@@ -1,4 +1,4 @@
-//! Building of the HTTP request of an attempt or a health check.
+//! Builds the HTTP request of an attempt or a health check.
 
 use super::call::Call;
 use crate::proxy::bodies::RequestBody;
@@ -9,7 +9,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Builds the request of a call to the backend at `address`, and tells the backend that it has `remaining` to respond.
+/// Builds the request that sends a call to the backend at `address`. A header states that the backend has `remaining` to
+/// respond.
 pub(super) fn build_request(
     call: &Call,
     body: RequestBody,
@@ -37,8 +38,8 @@
     request
 }
 
-/// Returns the least number of bytes that a request takes on the wire. If fewer were written, the backend cannot have
-/// begun to run it.
+/// Returns the minimum number of bytes that a request with a body of `body_size` bytes takes on the wire. If fewer bytes
+/// were written, the backend cannot have begun to run the request.
 pub(super) fn minimum_size(request: &Request<RequestBody>, body_size: u64) -> u64 {
     let target_size = request
         .uri()
--- a/src/proxy/backends/response.rs
+++ b/src/proxy/backends/response.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName, HeaderValue};
 
-/// The header by which a backend says that it did not run the request.
+/// The header with the value `1` by which a backend states that it did not run the request.
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 /// The header with a backend's load report.
 const LOAD: HeaderName = HeaderName::from_static("x-backend-load");
@@ -29,14 +29,14 @@
 pub(super) enum BackendBody {
     /// The complete body.
     Complete(BufferedBody),
-    /// The body of a 200 response of which the beginning was read; it is relayed to the client.
+    /// The body of a 200 response of which only the beginning was read. The response is relayed to the client.
     Partial(PartialBody),
-    /// The body of a response other than 200 that does not fit in the buffer. It is not forwarded, and its connection
-    /// is not kept.
+    /// The body of a response other than 200 that does not fit in the buffer. The body is not forwarded, and the
+    /// connection is not kept.
     Unread,
 }
 
-/// A body of which the beginning has arrived.
+/// A body of which only the beginning has arrived.
 pub(super) struct PartialBody {
     /// The part that was read.
     pub(super) first: BufferedBody,
@@ -63,7 +63,7 @@
 }
 
 impl ResponseHead {
-    /// Returns the result of an attempt with this response, without its body.
+    /// Returns the result of an attempt that received this head, without the body of the response.
     pub(super) fn attempt_result(&self, load_reports: &LoadReportParser) -> AttemptResult {
         let load_report = self
             .headers
@@ -83,7 +83,7 @@
         self.headers.get(CONTENT_TYPE).cloned()
     }
 
-    /// Returns the outcome by the status, and by whether the backend says that it did not run the request.
+    /// Returns the outcome that follows from the status and from the header [`UNPROCESSED`].
     fn outcome(&self) -> Outcome {
         match self.status {
             StatusCode::OK => Outcome::Ok,
--- a/src/proxy/backends/stray_bytes.rs
+++ b/src/proxy/backends/stray_bytes.rs
@@ -5,7 +5,8 @@
 use tokio::time::Instant;
 
 /// How long a connection is not used again after a response, while stray bytes are recent. A second response arrives
-/// some milliseconds after the first and would be taken for the response of a request that was sent in between.
+/// some milliseconds after the first. If another request was sent in between, the second response would be taken for its
+/// response.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 /// How long stray bytes count as recent.
 const RECENT_STRAY_BYTES: Duration = Duration::from_secs(60);
@@ -21,7 +22,7 @@
     }
 
     /// Returns how long a connection is not used again after a response. Deviation: there is a delay only while stray
-    /// bytes are recent, because it costs capacity.
+    /// bytes are recent, because a delay costs capacity.
     pub(super) fn reuse_delay(&self) -> Duration {
         let are_recent = self
             .0
