--- a/src/proxy/bodies/buffered.rs
+++ b/src/proxy/bodies/buffered.rs
@@ -65,8 +65,9 @@
     }
 }
 
-/// Collects the pieces of a body as they arrive. A single piece is held without a copy. Several are copied to pieces of
-/// [`BUFFERED_BODY_BYTES`] bytes, because one growing buffer could leave as much memory unused as a large body takes.
+/// Collects the pieces of a body as they arrive. A single piece is held without a copy. Several pieces are copied to
+/// pieces of [`BUFFERED_BODY_BYTES`] bytes, because a single growing buffer could leave as much memory unused as a large
+/// body takes.
 #[derive(Default)]
 pub struct BodyBuffer {
     /// The completed pieces.
@@ -86,7 +87,7 @@
             && self.full.pieces.len() == 1
             && self.full.remaining < BUFFERED_BODY_BYTES as u64
         {
-            // The first piece was held without a copy.
+            // The first piece was held without a copy and is now copied, because a second one follows it.
             let first = std::mem::take(&mut self.full);
             for piece in &first.pieces {
                 self.copy(piece);
@@ -95,10 +96,10 @@
         self.copy(&data);
     }
 
-    /// Copies data to the piece that is being filled, and to new pieces as it becomes full.
+    /// Copies data to the piece that is being filled. Whenever the piece is full, a new one is begun.
     fn copy(&mut self, mut data: &[u8]) {
         while !data.is_empty() {
-            // The first piece grows as needed because most bodies are small. Later ones are allocated whole.
+            // The first piece grows as needed, because most bodies are small. Later pieces are allocated in full.
             if self.last.is_empty() && !self.full.pieces.is_empty() {
                 self.last.reserve_exact(BUFFERED_BODY_BYTES);
             }
--- a/src/proxy/bodies/message_bodies.rs
+++ b/src/proxy/bodies/message_bodies.rs
@@ -1,4 +1,4 @@
-//! The bodies of requests, of their attempts and of responses: each is buffered completely or streamed.
+//! The bodies of requests, attempts and responses. Each is buffered completely or streamed.
 
 use super::stream::{BodyError, FramePoll};
 use super::{BufferedBody, StreamedResponse, Upload, UploadProgress};
@@ -11,12 +11,12 @@
 use std::rc::Rc;
 use std::task::Context;
 
-/// A streamed body that the first attempt takes; `None` from then on.
+/// A shared cell with a streamed request body, which the first attempt takes; `None` from then on.
 pub type PendingUpload = Rc<RefCell<Option<Upload>>>;
 
-/// The body of a client's request, from which attempts take theirs.
+/// The body of a client's request. If it is buffered, each attempt sends a copy; if it is streamed, one attempt takes it.
 pub enum CallBody {
-    /// A buffered body, which can be sent any number of times. The reservations hold the memory that it takes.
+    /// A buffered body, which can be sent any number of times. The reservations account for its memory.
     Buffered(BufferedBody, Vec<Reservation>),
     /// A streamed body. The first attempt that has a connection takes it.
     Streamed(PendingUpload, Rc<UploadProgress>),
@@ -45,7 +45,7 @@
 }
 
 impl CallBody {
-    /// Returns the progress of a streamed body; `None` for a buffered one.
+    /// Returns the progress of a streamed body; `None` for a buffered body.
     #[must_use]
     pub fn progress(&self) -> Option<&Rc<UploadProgress>> {
         match self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns the slot from which an attempt takes a streamed body; `None` for a buffered one.
+    /// Returns the shared cell from which an attempt takes a streamed body; `None` for a buffered body.
     #[must_use]
     pub fn pending_upload(&self) -> Option<PendingUpload> {
         match self {
--- a/src/proxy/bodies/mod.rs
+++ b/src/proxy/bodies/mod.rs
@@ -1,13 +1,13 @@
-//! Bodies of requests and responses: buffered completely or streamed piece by piece. A streamed body is read only as
-//! fast as it is forwarded, so it takes the memory of a few pieces whatever its size.
+//! Bodies of requests and responses, which are buffered completely or streamed piece by piece. A streamed body is read
+//! only as fast as it is forwarded, so it takes the memory of a few pieces whatever its size.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | `buffered` | bodies that are held completely |
-//! | `upload`, `streamed` | streamed bodies of requests; of responses |
+//! | `upload`, `streamed` | streamed bodies of requests; streamed bodies of responses |
 //! | `stream` | length and errors of streamed bodies |
 //! | `message_bodies` | the bodies of requests, attempts and responses, each buffered or streamed |
-//! | `deadline` | the deadline of a body that is received |
+//! | `deadline` | the deadline by which the next bytes of a body must arrive |
 
 mod buffered;
 mod deadline;
--- a/src/proxy/bodies/stream.rs
+++ b/src/proxy/bodies/stream.rs
@@ -1,5 +1,6 @@
 //! The length and the errors of streamed bodies.
 
+use super::deadline::MIN_BYTES_PER_SECOND;
 use crate::proxy::size_limits::MAX_FORWARDED_BODY_BYTES;
 use bytes::Bytes;
 use hyper::body::{Frame, SizeHint};
@@ -18,7 +19,9 @@
     #[error("body exceeds {max} bytes", max = MAX_FORWARDED_BODY_BYTES)]
     TooLarge,
     /// The body arrived too slowly.
-    #[error("body arrived too slowly")]
+    #[error(
+        "body arrived at less than {MIN_BYTES_PER_SECOND} bytes per second after its grace period"
+    )]
     TimedOut,
 }
 
@@ -30,7 +33,7 @@
     }
 }
 
-/// The length of a streamed body, and the number of its bytes that were forwarded.
+/// The length of a streamed body and the number of its bytes that have been forwarded.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StreamLength {
     /// Length in bytes; `None` if the sender does not announce it.
@@ -55,12 +58,12 @@
         self.forwarded
     }
 
-    /// Returns the number of bytes that are not forwarded yet; `None` for a body of unknown length.
+    /// Returns the number of bytes that have not been forwarded yet; `None` for a body of unknown length.
     pub(super) fn remaining(&self) -> Option<u64> {
         self.total.map(|total| total.saturating_sub(self.forwarded))
     }
 
-    /// Returns whether the length is known and all bytes were forwarded.
+    /// Returns whether the length is known and all bytes have been forwarded.
     pub(super) fn is_complete(&self) -> bool {
         self.remaining() == Some(0)
     }
--- a/src/proxy/bodies/streamed.rs
+++ b/src/proxy/bodies/streamed.rs
@@ -22,13 +22,13 @@
 /// The backend's end of a streamed response.
 pub struct ResponseSender(mpsc::Sender<Piece>);
 
-/// The client has disconnected, or has read nothing for the timeout.
+/// The error of a response whose client has disconnected or has read nothing for the timeout.
 #[derive(Debug, thiserror::Error)]
 #[error("client no longer reads the response")]
 pub struct ReceiverClosed;
 
 impl ResponseSender {
-    /// Forwards data as soon as the client has read the data before.
+    /// Forwards data, once the client has read the data that was sent before it.
     ///
     /// # Errors
     /// [`ReceiverClosed`] if the client has disconnected, or does not read within `timeout`.
@@ -54,9 +54,9 @@
 pub struct StreamedResponse {
     pieces: mpsc::Receiver<Piece>,
     length: StreamLength,
-    /// The ticket of the request, which is counted as served with the last byte.
+    /// The [`RequestTicket`] of the request, which is counted as served with the last byte of the response.
     ticket: Option<RequestTicket>,
-    /// The client's connection, whose present request ends when the response is dropped.
+    /// The client's connection, whose current request ends when the response is dropped.
     connection: Option<Rc<ClientConnection>>,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl StreamedResponse {
-    /// Creates both ends of a response with a body of `length` bytes; `None` if the length is unknown.
+    /// Creates both ends of a response with a body of `length` bytes. `None` stands for an unknown length.
     #[must_use]
     pub fn channel(length: Option<u64>) -> (ResponseSender, Self) {
         let (sender, pieces) = mpsc::channel(1);
@@ -88,7 +88,7 @@
         (ResponseSender(sender), streamed)
     }
 
-    /// Sets the ticket that counts the request when the response ends.
+    /// Sets the [`RequestTicket`] that counts the request when the response ends.
     pub fn set_ticket(&mut self, ticket: RequestTicket) {
         self.ticket = Some(ticket);
     }
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests that are streamed from a client to a backend.
+//! Request bodies that are streamed from a client to a backend.
 
 use super::stream::{BodyError, FramePoll, StreamLength};
 use super::{BodyDeadline, BufferedBody};
@@ -18,7 +18,7 @@
 /// The state of an upload.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum UploadState {
-    /// The last byte was not forwarded yet.
+    /// The last byte has not been forwarded yet.
     #[default]
     Sending,
     /// The last byte was forwarded at this time.
@@ -31,13 +31,13 @@
 #[derive(Debug, Default)]
 pub struct UploadProgress {
     state: Cell<UploadState>,
-    /// Whether a part of the body was forwarded and is no longer held.
+    /// Whether a part of the body was forwarded and is no longer in memory.
     consumed: Cell<bool>,
     finished: Notify,
 }
 
 impl UploadProgress {
-    /// Returns when the last byte was forwarded; `None` if it was not.
+    /// Returns when the last byte was forwarded; `None` if it has not been forwarded.
     #[must_use]
     pub fn finished_at(&self) -> Option<Instant> {
         match self.state.get() {
@@ -58,7 +58,7 @@
         self.state.get() == UploadState::Failed
     }
 
-    /// Waits until the last byte is forwarded, and returns when it was.
+    /// Waits until the last byte has been forwarded, and returns the time at which it was.
     pub async fn finished(&self) -> Instant {
         loop {
             if let Some(at) = self.finished_at() {
@@ -77,7 +77,7 @@
     }
 }
 
-/// A streamed body of a request: the part that was received before the upload began, and the rest.
+/// A streamed request body: the part that was received before the upload began, and the rest.
 pub struct Upload {
     first: BufferedBody,
     /// Memory for `first`, one reservation for each piece.
@@ -91,7 +91,7 @@
 }
 
 impl Upload {
-    /// Creates an upload of which `first` was received. `reserved` is the memory of `first`.
+    /// Creates an upload of which `first` has been received. `reserved` accounts for the memory of `first`.
     #[must_use]
     pub fn new(
         first: BufferedBody,
@@ -119,7 +119,7 @@
         while let Some(Ok(_)) = self.frame().await {}
     }
 
-    /// Passes data to the writer and counts it.
+    /// Passes data to hyper, which writes it to the backend, and counts it.
     fn forward(&mut self, data: Bytes) -> FramePoll {
         self.progress.consumed.set(true);
         self.length.forward(data.len());
@@ -140,7 +140,7 @@
 
     /// Ends the body after its last byte.
     fn finish(&self) {
-        // For a body of unknown length, the request is complete only now.
+        // The request of a body of unknown length is completely written only at the end of the body.
         if self.length.remaining().is_none() && self.progress.finished_at().is_none() {
             self.counters.record_attempt();
         }
@@ -164,7 +164,7 @@
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
         if let Some(piece) = self.first.pieces.pop_front() {
-            // The writer polls for a piece only after it has written the previous one, whose memory is released.
+            // hyper polls for a piece only after it has written the previous one, whose memory can be released.
             self.reserved.pop();
             return self.forward(piece);
         }
@@ -172,7 +172,7 @@
         loop {
             match Pin::new(&mut self.rest).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    // Trailers are not forwarded: backends do not need them.
+                    // Trailers are not forwarded, because backends do not need them.
                     if let Ok(data) = frame.into_data() {
                         return self.forward(data);
                     }
