--- a/src/proxy/read_ahead.rs
+++ b/src/proxy/read_ahead.rs
@@ -1,7 +1,7 @@
-//! Bytes that are read from a client's connection before the HTTP library asks for them.
+//! Bytes that are read from a client's connection before hyper asks for them.
 //!
-//! The end of a connection is only seen after all bytes before it were read, and the HTTP library reads nothing after
-//! an open request. The bytes that a client sends then are held here, so that its disconnect is noticed.
+//! The end of a connection is seen only after all bytes before it have been read, and hyper reads nothing while a request
+//! is open. The bytes that a client sends in the meantime are held here, so that its disconnect is noticed.
 
 use super::budget::{MemoryBudget, Reservation};
 use super::size_limits::BUFFERED_BODY_BYTES;
@@ -11,7 +11,7 @@
 
 /// The largest number of bytes that are read ahead on one connection.
 const MAX_READ_AHEAD_BYTES: usize = 2 << 20;
-/// The largest number of bytes of one read.
+/// The largest number of bytes that one read takes from the socket.
 pub const READ_PIECE_BYTES: usize = 16 * 1024;
 
 /// The bytes that were read ahead on one connection, in order.
@@ -20,7 +20,7 @@
     bytes: BytesMut,
     /// Memory for the bytes, in units of [`BUFFERED_BODY_BYTES`].
     reserved: Vec<Reservation>,
-    /// The waker of the HTTP library, if it waits for bytes.
+    /// The waker of hyper's read, if one waits for bytes.
     reader: Option<Waker>,
 }
 
@@ -47,7 +47,7 @@
         true
     }
 
-    /// Appends bytes that were read, and wakes the HTTP library if it waits for bytes.
+    /// Appends bytes that were read, and wakes a read of hyper that waits for bytes.
     pub fn add(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
         if let Some(reader) = self.reader.take() {
@@ -67,7 +67,7 @@
             .truncate(self.bytes.len().div_ceil(BUFFERED_BODY_BYTES));
     }
 
-    /// Registers the HTTP library's waker to be called when bytes are added. Used when a read finds no bytes.
+    /// Registers the waker of a read by hyper that found no bytes. It is called when bytes are added.
     pub fn register_reader(&mut self, reader: &Waker) {
         self.reader = Some(reader.clone());
     }
--- a/src/proxy/socket.rs
+++ b/src/proxy/socket.rs
@@ -1,4 +1,4 @@
-//! The socket of a connection, which is read and closed by the HTTP library and by the connection itself.
+//! The socket of a connection. hyper reads and writes it, and the connection itself also reads and closes it.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -10,22 +10,22 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A closing connection is read until nothing has arrived for this long: the kernel would answer late bytes with a
-/// reset, which destroys a response that the peer has not read yet.
+/// A connection that is being closed is read until nothing has arrived for this long. Otherwise the kernel would answer
+/// late bytes with a reset, which destroys a response that the peer has not read yet.
 const LINGER_QUIET_TIME: Duration = Duration::from_millis(500);
-/// How long a closing connection is read at most.
+/// The longest time for which a connection that is being closed is read.
 const MAX_LINGER_TIME: Duration = Duration::from_secs(2);
-/// Size of the buffer with which a closing connection is read.
+/// Size of the buffer for the bytes that are read from a connection that is being closed, and discarded.
 const LINGER_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What has arrived on a socket and was not read yet.
+/// What has arrived on a socket and has not been read yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
     /// Nothing, and the connection is open.
     Nothing,
     /// At least one byte.
     Bytes,
-    /// The end: the peer has closed the connection, or it broke.
+    /// The end of the connection: the peer has closed it, or it broke.
     End,
 }
 
@@ -34,13 +34,13 @@
 pub struct Socket(Rc<TcpStream>);
 
 impl Socket {
-    /// Creates a socket of a connected stream.
+    /// Creates a socket from a connected stream.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
         Self(Rc::new(stream))
     }
 
-    /// Returns what can be read, by a system call: the runtime may not have been notified of it yet.
+    /// Returns what can be read. This takes a system call, because the runtime may not have been notified yet.
     #[must_use]
     pub fn unread(&self) -> Unread {
         let mut byte = [MaybeUninit::uninit()];
@@ -53,7 +53,7 @@
 
     /// Waits until the peer has closed its sending side or the connection broke, even if there are unread bytes.
     pub async fn closed_by_peer(&self) {
-        // The kernel reports no urgent data, so only the close makes the socket ready for this interest.
+        // The kernel reports no urgent data, so only the close makes the socket ready for `Interest::PRIORITY`.
         while self
             .0
             .ready(Interest::PRIORITY)
@@ -67,7 +67,7 @@
         matches!(self.0.peek(&mut [0]).await, Ok(1..))
     }
 
-    /// Reads without waiting. Returns the number of bytes, or `None` if there are none or the connection has ended.
+    /// Reads without waiting. Returns the number of bytes read, or `None` if there are none or the connection has ended.
     pub fn read_now(&self, buffer: &mut [u8]) -> Option<usize> {
         self.0.try_read(buffer).ok().filter(|&read| read > 0)
     }
@@ -85,7 +85,7 @@
         let _ = socket2::SockRef::from(&*self.0).set_linger(Some(Duration::ZERO));
     }
 
-    /// Waits for bytes and reads them. Returns the number of bytes, or `None` at the end of the connection.
+    /// Waits for bytes and reads them. Returns the number of bytes read, or `None` at the end of the connection.
     pub async fn read(&self, buffer: &mut [u8]) -> Option<usize> {
         loop {
             self.0.readable().await.ok()?;
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Closes the sending side, then reads and discards bytes until none arrive for `LINGER_QUIET_TIME`
-    /// or `MAX_LINGER_TIME` has passed.
+    /// Closes the sending side, then reads and discards bytes until none have arrived for `LINGER_QUIET_TIME` or
+    /// `MAX_LINGER_TIME` has passed.
     pub async fn linger(&self) {
         if self.end_sending().is_err() {
             return;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Calls `write` when the socket is writable, until it does not return [`io::ErrorKind::WouldBlock`].
+    /// Calls `write` when the socket is writable. A `write` that fails with [`io::ErrorKind::WouldBlock`] is repeated.
     pub fn poll_write(
         &self,
         cx: &mut Context<'_>,
--- a/src/proxy/socket_io.rs
+++ b/src/proxy/socket_io.rs
@@ -1,5 +1,4 @@
-//! The reader and writer that the HTTP library is given for a [`Socket`]. The connection observes what is read and
-//! written.
+//! The reader and writer that hyper is given for a [`Socket`]. They notify the connection of what hyper reads and writes.
 
 use super::socket::Socket;
 use std::io;
@@ -8,24 +7,24 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A connection that observes what the HTTP library reads from its socket and writes to it.
+/// A connection that observes what hyper reads from its socket and writes to it.
 pub(super) trait SocketObserver {
     /// Returns the connection's socket.
     fn socket(&self) -> &Socket;
 
-    /// Reads for the HTTP library, by default from the socket.
+    /// Reads bytes for hyper, by default from the socket.
     fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         self.socket().poll_read(cx, buf)
     }
 
-    /// Observes bytes that the HTTP library has read.
+    /// Is called with the bytes that hyper has read.
     fn on_read(&self, bytes: &[u8]);
 
-    /// Observes the result of a write of the HTTP library: the number of bytes that were written.
+    /// Is called with the result of a write by hyper: the number of bytes written.
     fn on_write(&self, written: &Poll<io::Result<usize>>);
 }
 
-/// Reads and writes the socket of a connection for the HTTP library.
+/// Reads and writes the socket of a connection for hyper.
 pub(super) struct SocketIo<C>(Rc<C>);
 
 impl<C: SocketObserver> SocketIo<C> {
