--- a/src/proxy/clients/error.rs
+++ b/src/proxy/clients/error.rs
@@ -5,10 +5,11 @@
 use hyper::header::HeaderValue;
 use hyper::{Method, Response, StatusCode};
 
-/// The reason for which a request is not passed to the balancer. The message is the body of the response.
+/// The reason for which a request is not passed to the balancer: it is invalid, another open request has its id, or its
+/// client has disconnected. The message is the body of the response.
 ///
-/// A valid request that the balancer sheds is rejected instead:
-/// [`Answer::Rejected`](crate::proxy::messages::Answer::Rejected).
+/// A valid request that the balancer sheds has the answer
+/// [`Answer::Rejected`](crate::proxy::messages::Answer::Rejected) instead.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum InvalidRequest {
     #[error("the body may end in two places")]
@@ -37,7 +38,7 @@
     BodyIncomplete(#[from] hyper::Error),
     #[error("a request of this id is open")]
     DuplicateRequest,
-    /// The client has disconnected, so nobody reads this response.
+    /// The client has disconnected, so it does not receive this response.
     #[error("the client has left")]
     ClientDisconnected,
 }
--- a/src/proxy/clients/headers.rs
+++ b/src/proxy/clients/headers.rs
@@ -40,7 +40,7 @@
         .filter_map(|name| name.parse().ok())
         .collect();
     for name in named_by_connection {
-        // A client must not be able to remove the headers that identify its request.
+        // The headers that identify a request are kept, so that a client cannot have them removed.
         if name != CORRELATION_ID && name != IDEMPOTENCY_KEY {
             headers.remove(name);
         }
@@ -51,7 +51,7 @@
     headers
 }
 
-/// Converts a request target to origin form. A host that the target names replaces the `Host` header.
+/// Converts a request target to origin form. If the target names a host, it replaces the `Host` header.
 pub(super) fn origin_form(target: Uri, mut headers: HeaderMap) -> (Uri, HeaderMap) {
     let parts = target.into_parts();
     if let Some(authority) = parts.authority
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -30,7 +30,7 @@
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
 impl Clients {
-    /// Reads and checks a request. A body that is too large to buffer is read as it is forwarded.
+    /// Reads and checks a request. The rest of a body that is too large to buffer is read while it is forwarded.
     ///
     /// # Errors
     /// The request is invalid, or its body is too large, late or incomplete.
@@ -53,7 +53,7 @@
             body,
             request_ended: RequestEnded::default(),
         };
-        // A request arrives with the last byte that is buffered; its timeout counts from then.
+        // A request counts as arrived, and its timeout starts, with the last byte that is buffered.
         let arrived = self.clock.now();
         if let Some(remaining) = self.lifecycle.remaining_time() {
             let remaining = remaining.as_micros().try_into().unwrap_or(Micros::MAX);
@@ -66,8 +66,8 @@
         })
     }
 
-    /// Reads the buffered part of a request's body. A body that is too large for the buffer or the memory budget is
-    /// streamed from there on.
+    /// Reads the buffered part of a request's body. The rest of a body that is too large for the buffer or the memory
+    /// budget is streamed.
     async fn read_body(
         &self,
         mut body: Incoming,
@@ -96,8 +96,8 @@
         Ok(Upload::new(buffer.take(), reserved, body, deadline, counters).into())
     }
 
-    /// Reserves memory for `buffered` bytes of a body, and returns `false` if none is left. The memory is reserved as
-    /// the bytes arrive, so that a slow client takes no more than it has sent.
+    /// Reserves memory for `buffered` bytes of a body, and returns whether enough was available. The memory is reserved as
+    /// the bytes arrive, so that a slow client takes no more of it than it has sent.
     fn reserve_memory(&self, buffered: usize, reserved: &mut Vec<Reservation>) -> bool {
         while buffered > (reserved.len() + 1) * BUFFERED_BODY_BYTES {
             let Some(memory) = self.budget.body_memory.reserve(BUFFERED_BODY_BYTES) else {
@@ -110,7 +110,7 @@
 
     /// Checks the head of a request and describes the request for the balancer.
     fn describe(&self, head: &Parts) -> Result<crate::api::Request, InvalidRequest> {
-        // Of two headers with the same name, a backend may use the one that the proxy ignores.
+        // If a header is repeated, a backend may use the value that the proxy ignores.
         let is_duplicate = |name| head.headers.get_all(name).iter().nth(1).is_some();
         if SINGLE_HEADERS.iter().any(is_duplicate) {
             return Err(InvalidRequest::DuplicateHeader);
@@ -144,7 +144,8 @@
         Ok(class)
     }
 
-    /// Returns the tenant whose account the header names, or the first tenant if the settings name none.
+    /// Returns the tenant whose account the header names. If the settings define no tenants, all requests belong to
+    /// tenant 0.
     fn tenant(&self, head: &Parts) -> Result<TenantIndex, InvalidRequest> {
         if self.tenants.is_empty() {
             return Ok(TenantIndex(0));
@@ -156,12 +157,13 @@
     }
 }
 
-/// Returns the value of a header, if it consists of visible ASCII characters.
+/// Returns the value of a header; `None` if the header is missing or not visible ASCII.
 fn ascii_header<'a>(head: &'a Parts, name: &HeaderName) -> Option<&'a str> {
     head.headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Returns the value of a header, if it is UTF-8. Names that customers choose may contain letters beyond ASCII.
+/// Returns the value of a header; `None` if the header is missing or not UTF-8. Names that customers choose may contain
+/// letters beyond ASCII.
 fn utf8_header<'a>(head: &'a Parts, name: &HeaderName) -> Option<&'a str> {
     head.headers
         .get(name)
@@ -175,7 +177,7 @@
             allowed: class.method.clone(),
         });
     }
-    // Without the key, a backend would execute a repeated request again (rule 2, idempotency).
+    // Without the key, a backend would execute a request again that is sent twice (rule 2, idempotency).
     if class.needs_key && ascii_header(head, &IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
         return Err(InvalidRequest::MissingIdempotencyKey);
     }
@@ -195,7 +197,7 @@
 }
 
 /// Returns the `key` parameter of a query as a number: the value itself if it is hexadecimal, otherwise a hash of it.
-/// The request description carries the number, but no decision of the balancer uses it.
+/// The request passes the number to the balancer, which does not use it.
 fn affinity_key(query: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(name, _)| *name == "key")?;
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Serves clients: accepts their connections, reads their requests and writes the responses.
+//! Serving of clients: accepts their connections, reads their requests and writes the responses.
 //!
 //! | module | purpose |
 //! | --- | --- |
@@ -34,7 +34,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// The settings of a class of requests that are checked when a request arrives.
+/// The settings of a request class against which a request is checked when it arrives.
 struct Class {
     index: ClassIndex,
     /// The longest time that a client waits for a response.
@@ -74,7 +74,8 @@
     budget: Budget,
     /// The number of open connections.
     open_connections: Cell<usize>,
-    /// Notified when a connection has ended, or may have become cheaper to close.
+    /// Notified when a connection has ended, or when the accept loop must select another connection to evict because a
+    /// request has ended or the selected connection is no longer evictable.
     connection_freed: Notify,
     /// Whether the accept loop waits for a connection to end, because the maximum number is open.
     is_full: Cell<bool>,
@@ -135,8 +136,8 @@
         self.last_accepted_at.get().elapsed()
     }
 
-    /// Waits until a client connection has ended, or may have become cheaper to close. The caller must check the
-    /// number of open connections again: it may be unchanged.
+    /// Waits until a client connection has ended or may have become evictable. The number of open connections may be
+    /// unchanged, so the caller must check it again.
     pub async fn connection_freed(&self) {
         self.connection_freed.notified().await;
     }
@@ -144,9 +145,9 @@
     /// Accepts connections for as long as the proxy runs.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
-            // While the maximum number of connections is open, further clients wait in the kernel's queue: they must
-            // not take the descriptors that are reserved for backends. Connections without a request would keep them
-            // waiting, so the one that is cheapest to close is closed.
+            // While the maximum number of connections is open, further clients wait in the kernel's queue, because they
+            // must not take the descriptors that are reserved for backends. So that connections without a request do
+            // not keep them waiting, the connection with the lowest eviction cost is evicted.
             while self.open_connections.get() >= self.budget.max_client_connections {
                 self.connections.borrow().evict_one();
                 self.is_full.set(true);
@@ -155,8 +156,8 @@
             self.is_full.set(false);
             match listener.accept().await {
                 Ok((stream, _)) => self.spawn_connection(stream),
-                // The proxy continues after a failure to accept, such as a lack of descriptors or a connection that
-                // its client has already closed.
+                // A failure to accept, such as a lack of descriptors or a connection that its client has already
+                // closed, does not end the proxy.
                 Err(error) => {
                     tracing::warn!(%error, "cannot accept a client connection");
                     sleep(ACCEPT_BACKOFF).await;
@@ -171,9 +172,9 @@
         tokio::task::spawn_local(Rc::clone(self).serve_connection(stream));
     }
 
-    /// Accepts one connection from the kernel's queue, if it has any, and returns whether more may be queued.
+    /// Accepts one connection from the kernel's queue, if there is any. Returns whether more connections may be queued.
     ///
-    /// The accept is made on the listener itself: the runtime may not have been notified of the connection yet.
+    /// This calls the system's accept directly, because the runtime may not have been notified of the connection yet.
     pub fn accept_queued(self: &Rc<Self>, listener: &TcpListener) -> bool {
         match socket2::SockRef::from(listener).accept() {
             Ok((socket, _)) => {
@@ -185,19 +186,19 @@
                 }
                 true
             }
-            // The client has already closed the connection; more may be queued after it.
+            // The first queued connection has already been closed by its client. More may be queued behind it.
             Err(error) => error.kind() == io::ErrorKind::ConnectionAborted,
         }
     }
 
-    /// Notifies the accept loop, if it waits, that a connection may have become cheaper to close.
+    /// Notifies the accept loop, if it waits for a connection to end, that another connection may have become evictable.
     fn notify_if_full(&self) {
         if self.is_full.get() {
             self.connection_freed.notify_waiters();
         }
     }
 
-    /// Serves a connection until it ends. The connection can be evicted in the meantime.
+    /// Serves a connection until it ends or is evicted.
     async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let connection = Rc::new(ClientConnection::new(stream, MAX_CLIENT_HEAD_BYTES));
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -1,4 +1,4 @@
-//! Produces the response to one request of a client.
+//! Creates the response to one request of a client.
 
 use super::Clients;
 use super::error::InvalidRequest;
@@ -21,8 +21,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The shortest time that a body has to arrive after its head, however late the head was. [`BodyDeadline`] extends it
-/// by the bytes that have arrived.
+/// The minimum time after its head in which a body may arrive, even if the head was late. [`BodyDeadline`] extends it
+/// according to the bytes that have arrived.
 const MIN_BODY_TIME: Duration = Duration::from_millis(300);
 
 impl Clients {
@@ -63,8 +63,8 @@
         number: u64,
         deadline: BodyDeadline,
     ) -> Result<Response<ResponseBody>, InvalidRequest> {
-        // A backend that finds another end of the body would execute a part of the body as a request that no client
-        // sent (rule 2, idempotency).
+        // A backend that finds the end of the body elsewhere would execute a part of the body as a request that no
+        // client sent (rule 2, idempotency).
         if connection.has_ambiguous_body_length(number) {
             return Err(InvalidRequest::AmbiguousBody);
         }
@@ -72,9 +72,10 @@
         self.forward(inbound, connection).await
     }
 
-    /// Returns whether this is the health check of the load balancer in front of the proxies.
+    /// Returns whether a request is the health check of the load balancer in front of the proxies.
     ///
-    /// A class may be named `up` like the path of the health check. Its requests are told apart by the class header.
+    /// A class may be named `up` like the path of the health check. The class header distinguishes its requests from
+    /// health checks.
     fn is_health_check(&self, request: &Request<Incoming>) -> bool {
         let names_a_class =
             self.classes.contains_key("up") && request.headers().contains_key(SERVICE_CLASS);
@@ -90,7 +91,10 @@
         }
     }
 
-    /// Hands a request to the driver and returns the response to its client.
+    /// Forwards a request to the driver and returns the response to its client.
+    ///
+    /// # Errors
+    /// [`InvalidRequest`] if the client has disconnected or an open request has the same id.
     async fn forward(
         &self,
         inbound: InboundRequest,
@@ -120,15 +124,19 @@
             ),
         };
         ticket.set_outcome(outcome);
-        // A response before the last byte of the body would cut off a client that is still sending.
+        // The rest of the body is read before the response is sent, because a response before the last byte would cut off
+        // a client that is still sending.
         if let Some(upload) = upload.and_then(|upload| upload.take()) {
             upload.discard_rest().await;
         }
         Ok(response.map(ResponseBody::Buffered))
     }
 
-    /// Sends a request to the driver and waits for its answer until the client disconnects. Returns `None` if the
-    /// driver drops the request without an answer.
+    /// Sends a request to the driver and waits for its answer. Returns `None` if the driver drops the request without an
+    /// answer.
+    ///
+    /// # Errors
+    /// [`InvalidRequest::ClientDisconnected`] if the client disconnects first.
     async fn wait_for_answer(
         &self,
         inbound: InboundRequest,
@@ -152,7 +160,7 @@
                 connection.closed_by_client(&self.budget.body_memory).await;
             }
         };
-        // hyper notices a disconnect only after it has read all earlier bytes, so the connection is watched here.
+        // The connection is watched here, because hyper notices a disconnect only after it has read all earlier bytes.
         let answer = tokio::select! {
             biased;
             answer = answer => answer,
@@ -190,7 +198,7 @@
 
 /// Notifies the driver when a client disconnects while its request is open.
 ///
-/// A disconnect drops the future of the response, and with it this guard.
+/// A disconnect drops the future that responds to the request, and this guard with it.
 struct DisconnectGuard<'a> {
     handle: &'a DriverHandle,
     request: RequestId,
@@ -213,7 +221,7 @@
     }
 }
 
-/// The correlation id of an open request. It can be claimed again after this is dropped.
+/// The claimed correlation id of an open request. Dropping it releases the id for another request.
 struct OpenId<'a> {
     open_ids: &'a RefCell<FxHashSet<HeaderValue>>,
     id: HeaderValue,
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// How often a connection that is due to be closed is checked again while it may still have a request.
+/// Interval at which a connection that is due to be closed is checked again while it may still have a request.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How the HTTP exchange on a connection ended.
@@ -35,19 +35,20 @@
     fn from(result: hyper::Result<()>) -> Self {
         match result {
             Err(error) if error.is_user() => Self::ResponseFailed,
-            // The client caused any other error. The `DisconnectGuard` of its request reports a disconnect.
+            // The client caused any other error. If a request is open, its `DisconnectGuard` notifies the driver.
             Ok(()) | Err(_) => Self::Finished,
         }
     }
 }
 
 impl Clients {
-    /// Serves one connection until it ends, and closes it as the way in which it ended requires.
+    /// Serves one connection until it ends. Then reads until the client closes it, or resets it, as its
+    /// [`ConnectionEnd`] requires.
     pub(super) async fn serve(self: &Rc<Self>, connection: &Rc<ClientConnection>) {
         match self.serve_requests(connection).await {
             ConnectionEnd::Closed => {}
             ConnectionEnd::Finished => connection.socket().linger().await,
-            // After an ordinary close, a response whose length the client does not know would seem complete.
+            // After an ordinary close, an incomplete response of unknown length would seem complete to the client.
             ConnectionEnd::ResponseFailed => connection.socket().reset_on_close(),
         }
     }
@@ -153,7 +154,8 @@
     }
 }
 
-/// Returns the earlier of two times at which a connection is to be closed, or `None` if there is no `new` time.
+/// Returns the earlier of two times at which a connection is to be closed; `None` if `new` is `None`, even if `current` is
+/// not.
 fn earlier_of(new: Option<Instant>, current: Option<Instant>) -> Option<Instant> {
     let new = new?;
     Some(current.map_or(new, |current| current.min(new)))
@@ -187,8 +189,8 @@
         let now = Instant::now();
         let deadline = self.connection.deadline();
         let is_late = deadline.is_some_and(|deadline| deadline <= now);
-        // Unread bytes may be a request, so hyper gets until the next check to read them. Bytes that are still unread
-        // then are not going to be read.
+        // Unread bytes may be a request, so hyper has until the next check to read them. If bytes are still unread at
+        // that check, hyper is not going to read them.
         if is_late && (self.was_late || !self.connection.has_unread()) {
             return DeadlineState::Passed;
         }
