--- a/src/proxy/budget.rs
+++ b/src/proxy/budget.rs
@@ -1,4 +1,4 @@
-//! Division of the limits on memory and descriptors among clients, backends and bodies.
+//! Divides the limits on memory and descriptors among client connections, backend connections and bodies.
 
 use super::size_limits::{BUFFERED_BODY_BYTES, MAX_BACKEND_HEAD_BYTES, MAX_CLIENT_HEAD_BYTES};
 use std::sync::Arc;
@@ -94,7 +94,7 @@
     }
 }
 
-/// Reserved memory of a [`MemoryBudget`], which is released on drop.
+/// Memory reserved from a [`MemoryBudget`], which is released on drop.
 #[derive(Debug)]
 pub struct Reservation {
     bytes: usize,
--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -1,4 +1,4 @@
-//! The clock for all event times: monotonic, in microseconds since the Unix epoch.
+//! The monotonic clock for the times of all events, in microseconds since the Unix epoch.
 
 use crate::api::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -16,12 +16,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
-    /// The Unix time at `origin`.
+    /// The Unix time at `origin`, in microseconds.
     origin_unix: Micros,
 }
 
 impl Clock {
-    /// Creates a clock that starts at the system time.
+    /// Creates a clock that starts at the current system time.
     #[must_use]
     pub fn start() -> Self {
         let unix_time = SystemTime::now()
@@ -39,19 +39,21 @@
         self.origin_unix + micros(self.origin.elapsed())
     }
 
-    /// Converts an instant of the runtime to a time of this clock.
+    /// Converts an instant of the runtime to a time of this clock, in microseconds since the Unix epoch. An instant before
+    /// the start of the clock is converted to the start.
     #[must_use]
     pub fn to_micros(self, instant: Instant) -> Micros {
         self.origin_unix + micros(instant.saturating_duration_since(self.origin))
     }
 
-    /// Converts a time of this clock to an instant of the runtime.
+    /// Converts a time of this clock to an instant of the runtime. A time before the start of the clock is converted to
+    /// the start.
     #[must_use]
     pub fn to_instant(self, time: Micros) -> Instant {
         self.origin + Duration::from_micros(time.saturating_sub(self.origin_unix))
     }
 
-    /// Converts the start time of a backend from Unix milliseconds, or returns `None` for 0, which means long ago.
+    /// Converts the start time of a backend from Unix milliseconds. Returns `None` for 0: the backend started long ago.
     ///
     /// A start time in the future is replaced by the current time, because the clock of another machine may be ahead.
     #[must_use]
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -79,15 +79,15 @@
     pub discovery: SocketAddr,
     /// The seed of the balancer's random numbers.
     pub seed: u64,
-    /// The last known endpoint list, in the JSON format of discovery.
+    /// The cached endpoint list, in the JSON format of discovery.
     pub cached_endpoints: Value,
     /// The settings of the balancer.
     pub settings: Settings,
-    /// The names that the settings define.
+    /// The names of the classes, tenants, zones, machine types and load report fields.
     pub names: Names,
     /// The timeout for connecting to a backend.
     pub connect_timeout: Micros,
-    /// The memory and the descriptors that the process may use.
+    /// The numbers of connections and the memory that the process may use.
     pub budget: Budget,
     /// The log filter; `None` if the filter of the environment applies.
     pub log_filter: Option<Targets>,
@@ -129,8 +129,8 @@
 }
 
 impl Config {
-    /// Reads the file that the environment names. `process_count` is the number of processes that share the limits of
-    /// the file: two during an upgrade.
+    /// Reads the file that `EDGE_CONFIG` names. `process_count` is the number of processes that share the limits of the
+    /// file: two during an upgrade.
     ///
     /// # Errors
     /// The file cannot be read, or a field or variable is missing or malformed. Only the first problem is reported.
@@ -224,7 +224,8 @@
     parse_filter(&value).map_err(|source| ConfigError::LogFilter { value, source })
 }
 
-/// Returns the seed that the field holds as hexadecimal text or as a number, or a random seed if it holds neither.
+/// Returns the seed of the balancer's random numbers: the value of the field, as hexadecimal text or a number, or a random
+/// seed if the field holds neither.
 fn parse_seed(value: &Value) -> u64 {
     value
         .as_str()
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -1,5 +1,5 @@
-//! Client connections: their state, the deadlines that follow from it, and the choice of the connection to close
-//! when another client needs its place.
+//! Client connections: their state, the deadlines that follow from it, and the selection of a connection to evict so that
+//! another client can be accepted.
 
 use super::budget::MemoryBudget;
 use super::framing::Framing;
@@ -19,21 +19,22 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The longest time that a request head may take, or that bytes that belong to no open request are read.
+/// The longest time in which a request head must be complete, and for which bytes that belong to no open request are
+/// read.
 ///
 /// The time counts from the accept for the first head of a connection, and from the first byte for later heads. It
 /// exceeds [`CLIENT_IDLE_TIMEOUT`], which also counts from the accept on a new connection: a first head that begins
 /// just before that timeout still has 250 ms to complete.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_750);
 
-/// The time since its last activity during which a connection that is new or has received a partial head counts as
-/// active. An active connection is evicted after all others, because a request may still be arriving.
+/// How long after its last activity a connection that is new or has received a partial head counts as active. Active
+/// connections are evicted after all others, because a request may still be arriving on them.
 const ACTIVE_WINDOW: Duration = Duration::from_millis(500);
 
 /// The state of a connection, which determines its deadline and its eviction cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// The kernel takes no more bytes of the response, because the client reads it too slowly.
+    /// The kernel accepts no more bytes of the response, because the client reads it too slowly.
     WriteBlocked,
     /// A request has no complete response yet.
     Serving,
@@ -43,11 +44,12 @@
     Idle,
     /// A part of a head has been received.
     ReadingHead,
-    /// The bytes received are malformed, or the rest of a body whose request already has its response.
+    /// The received bytes are malformed, or belong to a body whose request already has its response.
     Discarding,
 }
 
-/// The cost of closing a connection that has no complete request, in ascending order.
+/// The classes of connections that may be evicted, in the order of eviction. The later a class, the more likely is it
+/// that a request is lost. A connection with a complete request has no eviction cost, because it must not be evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionCost {
     /// No byte has been received, and the connection is not active.
@@ -56,8 +58,8 @@
     Idle,
     /// A part of a head has been received, and the connection is not active.
     PartialHead,
-    /// A request may still be arriving: the last activity is within [`ACTIVE_WINDOW`], and the connection is new or has
-    /// received a part of a head.
+    /// The connection is new or has received a part of a head, and its last activity is within [`ACTIVE_WINDOW`], so a
+    /// request may still be arriving.
     Active,
 }
 
@@ -76,11 +78,11 @@
     requests: Cell<u64>,
     /// The number of requests that have their responses.
     responses: Cell<u64>,
-    /// Whether the last write had to wait until the client reads.
+    /// Whether the last write has to wait until the client reads.
     write_blocked: Cell<bool>,
     /// Notifies the connection's task that it should close the connection, so that another client can be accepted.
     eviction: Notify,
-    /// Whether the task has been notified and has not yet checked whether it may close the connection.
+    /// Whether the task was asked to close the connection and has not yet checked whether it may.
     eviction_pending: Cell<bool>,
 }
 
@@ -115,9 +117,9 @@
 
     /// Waits until the client has closed the connection.
     ///
-    /// Bytes that the client sends in the meantime are read ahead while `memory` has room: behind more bytes than the
-    /// kernel buffers, the end would not be seen. The current request must have been read completely, because the rest
-    /// of it would be read ahead as well.
+    /// Bytes that the client sends in the meantime are read ahead while `memory` has room. Otherwise the close would not be
+    /// seen if the client sent more bytes before it than the kernel buffers. The current request must have been read
+    /// completely, because the rest of it would be read ahead as well.
     pub async fn closed_by_client(&self, memory: &MemoryBudget) {
         tokio::select! {
             () = self.socket.closed_by_peer() => {}
@@ -152,12 +154,12 @@
         self.requests.get()
     }
 
-    /// Records the end of the current request: its response has been written, or is completely in memory.
+    /// Records the end of the current request, whose response has been written or is completely in memory.
     pub fn end_request(&self) {
         self.responses.set(self.responses.get() + 1);
     }
 
-    /// Returns whether the end of the body of request `number` is ambiguous.
+    /// Returns whether the length of the body of request `number` is ambiguous.
     #[must_use]
     pub fn has_ambiguous_body_length(&self, number: u64) -> bool {
         self.framing.borrow().has_ambiguous_body_length(number)
@@ -174,8 +176,8 @@
         is_idle && !self.has_unread()
     }
 
-    /// Returns whether the connection may be closed so that another client can be accepted: it has no complete
-    /// request, and no unread bytes that may be one.
+    /// Returns whether the connection may be closed so that another client can be accepted. It must have neither a
+    /// complete request nor unread bytes that may be one.
     #[must_use]
     pub fn is_evictable(&self) -> bool {
         self.eviction_cost().is_some() && !self.has_unread()
@@ -199,8 +201,8 @@
             ConnectionState::Unused | ConnectionState::Idle => {
                 Some(self.last_activity.get() + CLIENT_IDLE_TIMEOUT)
             }
-            // hyper rejects malformed bytes. The time for discarding is limited like that for a head, because the
-            // connection could otherwise stay open forever.
+            // hyper rejects malformed bytes. Discarding bytes has the same time limit as reading a head; without a limit,
+            // the connection could stay open forever.
             ConnectionState::ReadingHead | ConnectionState::Discarding => {
                 let started_at = if self.requests.get() == 0 {
                     self.connected_at
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Waits until the connection should be closed so that another client can be accepted.
+    /// Waits until the eviction of the connection is requested so that another client can be accepted.
     pub async fn eviction_requested(&self) {
         self.eviction.notified().await;
         self.eviction_pending.set(false);
@@ -224,7 +226,7 @@
         self.eviction.notify_one();
     }
 
-    /// Derives the state from the bytes read, the requests with responses and the last write.
+    /// Returns the state, which follows from the bytes read, the numbers of requests and responses, and the last write.
     fn state(&self) -> ConnectionState {
         let framing = self.framing.borrow();
         if self.write_blocked.get() {
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Returns the cost of closing the connection, or `None` if it must not be closed for another client.
+    /// Returns the eviction cost of the connection, or `None` if it must not be evicted.
     fn eviction_cost(&self) -> Option<EvictionCost> {
         let is_active = self.last_activity.get().elapsed() < ACTIVE_WINDOW;
         match self.state() {
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Updates the framing and the times with bytes that hyper has read.
+    /// Updates the framing and the times of the connection for bytes that hyper has read.
     fn record_read(&self, bytes: &[u8]) {
         let mut framing = self.framing.borrow_mut();
         let was_in_head = framing.is_in_head();
@@ -275,7 +277,7 @@
 pub struct ClientConnections {
     /// The connections by number.
     open: FxHashMap<u64, Rc<ClientConnection>>,
-    /// The number that was last given to a connection.
+    /// The number that was last assigned to a connection.
     last_number: u64,
 }
 
@@ -299,8 +301,8 @@
         self.open.remove(&number);
     }
 
-    /// Requests the eviction of the connection that is cheapest to close; among equally cheap ones, of the one that
-    /// has been without activity for longest. A connection with a request is never evicted.
+    /// Requests the eviction of the connection with the lowest [`EvictionCost`], and among several with the same cost, of
+    /// the one that has been without activity for longest. A connection with a request is never evicted.
     ///
     /// The task of the connection is notified and closes the connection, unless a request has arrived in the meantime.
     pub fn evict_one(&self) {
@@ -310,7 +312,7 @@
             .filter_map(|connection| EvictionCandidate::new(connection))
             .collect();
         candidates.sort_unstable_by_key(|candidate| (candidate.cost, candidate.last_activity));
-        // The check for unread bytes takes a system call, so it is made in order and ends at the first match.
+        // The check for unread bytes takes a system call, so it is made only until a connection without any is found.
         let evicted = candidates
             .into_iter()
             .find(|candidate| !candidate.connection.has_unread());
@@ -339,7 +341,7 @@
         &self.socket
     }
 
-    /// Reads the bytes that were read ahead before it reads from the socket.
+    /// Returns the bytes that were read ahead, and reads from the socket once there are none.
     fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut read_ahead = self.read_ahead.borrow_mut();
         if !read_ahead.is_empty() {
--- a/src/proxy/counters.rs
+++ b/src/proxy/counters.rs
@@ -34,7 +34,7 @@
 }
 
 impl Counters {
-    /// Creates counters for requests of these classes, all at 0.
+    /// Creates counters for requests of the classes with these names, all at 0.
     #[must_use]
     pub fn new(classes: &[String]) -> Rc<Self> {
         let classes = classes
@@ -156,7 +156,7 @@
     }
 }
 
-/// Escapes a label value for the text format.
+/// Escapes a label value for the Prometheus text format.
 fn escape_label(value: &str) -> String {
     value
         .replace('\\', "\\\\")
@@ -168,8 +168,8 @@
     counter.set(counter.get() + 1);
 }
 
-/// A request in progress, which ends when the ticket is dropped. It is then counted by the outcome that was set, or not
-/// at all if none was set, because its client has disconnected.
+/// Counts a request as in progress until it is dropped. The request is then counted by the outcome that was set. If none
+/// was set, its client disconnected, and the request is not counted.
 pub struct RequestTicket {
     counters: Rc<Counters>,
     class: ClassIndex,
--- a/src/proxy/framing.rs
+++ b/src/proxy/framing.rs
@@ -1,8 +1,8 @@
 //! Tracks where the messages on a client connection begin and end.
 //!
 //! hyper parses the same bytes, but it ignores a `Content-Length` beside a `Transfer-Encoding` and merges repeated
-//! lengths, which a backend may read otherwise (request smuggling). It also does not report whether a head has begun,
-//! which determines the cost of closing the connection.
+//! lengths, which a backend may interpret differently (request smuggling). hyper also does not report whether a head has
+//! begun, which determines the eviction cost of the connection.
 
 use super::header_values::parse_decimal;
 
@@ -26,7 +26,7 @@
 /// The part of a message that the next byte belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reading {
-    /// A head, or the start of one.
+    /// A head that has begun, or the first byte of a head.
     Head,
     /// A body of known length, of which this many bytes remain.
     Body(u64),
@@ -36,7 +36,7 @@
     Chunk(u64),
     /// The trailers of a chunked body.
     Trailers,
-    /// None: the bytes cannot be parsed, and hyper rejects them.
+    /// No part of a message: the bytes cannot be parsed, and hyper rejects them.
     Malformed,
 }
 
@@ -50,7 +50,7 @@
     max_head_bytes: usize,
     /// The number of complete heads.
     heads: u64,
-    /// The number of the head whose body may end in two places. Nothing is parsed after it.
+    /// The number of the head whose body has an ambiguous length. Nothing is parsed after it.
     ambiguous_head: Option<u64>,
 }
 
@@ -140,7 +140,7 @@
         let already_read = self.partial.len();
         let taken = bytes.len().min(self.max_head_bytes);
         self.partial.extend_from_slice(&bytes[..taken]);
-        // Up to three bytes of the end may have been received before.
+        // Up to three of the four bytes that end a head may have been received before.
         let Some(end) = head_end(&self.partial, already_read.saturating_sub(3)) else {
             if self.partial.len() >= self.max_head_bytes {
                 self.reading = Reading::Malformed;
@@ -218,8 +218,8 @@
         let found = if name.eq_ignore_ascii_case(b"content-length") {
             BodyLength::Known(parse_decimal(value)?)
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            // Any other coding is ambiguous: the proxy does not decode it, and `Transfer-Encoding` is not forwarded, so
-            // the backend would not know of it.
+            // Any other coding is ambiguous: the proxy does not decode it and does not forward `Transfer-Encoding`, so the
+            // backend would not be told of the coding.
             value
                 .eq_ignore_ascii_case(b"chunked")
                 .then_some(BodyLength::Chunked)?
@@ -234,7 +234,7 @@
     Some(length)
 }
 
-/// Returns the size that the line of a chunk states, without regard to extensions.
+/// Returns the size that the first line of a chunk states. Chunk extensions are ignored.
 fn chunk_size(line: &[u8]) -> Option<u64> {
     let digit_count = line
         .iter()
--- a/src/proxy/inherited.rs
+++ b/src/proxy/inherited.rs
@@ -1,4 +1,4 @@
-//! The client listener that the process may inherit from the platform.
+//! The client listener that the process may inherit from its process supervisor (socket activation).
 
 use socket2::{Socket, Type};
 use std::net::TcpListener;
@@ -9,13 +9,13 @@
 /// The environment variable with the number of the listener's descriptor.
 const DESCRIPTOR_VARIABLE: &str = "EDGE_FD";
 
-/// The reason why the descriptor of the environment cannot be used.
+/// The reason why the descriptor that the environment names is not a usable client listener.
 #[derive(Debug, Error)]
 pub enum InheritedError {
     /// The value of the variable is not the number of a descriptor.
     #[error("{DESCRIPTOR_VARIABLE} is `{0}`, but must be a descriptor number of 0 or more")]
     NotANumber(String),
-    /// The descriptor cannot be used, most likely because it is not open.
+    /// The descriptor cannot be duplicated or set to non-blocking mode, most likely because it is not open.
     #[error("{DESCRIPTOR_VARIABLE} names descriptor {descriptor}, which cannot be used: {source}")]
     Unusable {
         /// The number of the descriptor.
@@ -30,8 +30,8 @@
 
 /// Returns the client listener that the environment names, or `None` if it names none.
 ///
-/// Must be called before the process opens any descriptor, because one that it opened itself could be mistaken for the
-/// inherited one.
+/// This must be called before the process opens any descriptor, because a descriptor that the process opened itself could
+/// be mistaken for the inherited one.
 ///
 /// # Errors
 /// The environment names something other than a listening TCP socket.
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -9,11 +9,11 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The time for which an idle client connection stays open while the proxy drains. With a shorter time, the close would
-/// often cross a request that is on its way.
+/// How long an idle client connection stays open while the proxy drains. After a shorter time, a connection would often be
+/// closed while a request of its client is in transit.
 const IDLE_GRACE_PERIOD: Duration = Duration::from_millis(1_500);
-/// The time between the close of idle client connections and the last answer of a shutdown. A request that arrives on
-/// such a connection just before the close is still answered.
+/// How long before the last answer of a shutdown idle client connections are closed at the latest. A request that arrives
+/// on such a connection just before the close is still answered.
 const IDLE_CLOSE_MARGIN: Duration = Duration::from_millis(100);
 
 /// A stage in the lifecycle of the process.
@@ -38,7 +38,7 @@
 /// The deadlines of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownTimes {
-    /// The time by which requests that arrive during the shutdown must be answered: the process may be killed later.
+    /// The time by which requests that arrive during the shutdown must be answered. The process may be killed after it.
     pub last_answer_at: Instant,
     /// The time at which the process ends, even if connections are still open.
     pub process_ends_at: Instant,
@@ -129,14 +129,13 @@
         }
     }
 
-    /// Begins the shutdown, with these deadlines.
+    /// Begins the shutdown with the given deadlines.
     pub fn shut_down(&self, times: ShutdownTimes) {
         self.shutdown.set(Some(times));
         self.enter(Stage::ShuttingDown);
     }
 
-    /// Returns the time until the last answer is due, by which every request must be answered, or `None` before the
-    /// shutdown.
+    /// Returns the remaining time in which every request must be answered, or `None` before the shutdown.
     #[must_use]
     pub fn remaining_time(&self) -> Option<Duration> {
         let shutdown = self.shutdown.get()?;
--- a/src/proxy/logging/mod.rs
+++ b/src/proxy/logging/mod.rs
@@ -1,6 +1,6 @@
 //! The log: structured lines on standard error, limited to a number of lines per second.
 //!
-//! Events are emitted with the macros of `tracing`. Events of single requests have the target [`REQUEST_TARGET`] and
+//! Events are emitted with the macros of `tracing`. Events of individual requests have the target [`REQUEST_TARGET`] and
 //! the level `debug`, so that they cost almost nothing unless the filter enables them.
 
 mod options;
@@ -16,18 +16,18 @@
 use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 use tracing_subscriber::{Layer, fmt as lines, reload};
 
-/// The target of log events of single requests.
+/// The target of the log events of individual requests.
 pub const REQUEST_TARGET: &str = "tillerproxy::request";
 
 /// Handle that changes the log filter of a running process.
 pub struct LogControl {
     filter: reload::Handle<Targets, Registry>,
-    /// The filter that applies while the configuration names none.
+    /// The filter with which the log was initialized. It applies while the configuration names none.
     default_filter: Targets,
 }
 
 impl LogControl {
-    /// Replaces the filter; `None` restores the filter of the start.
+    /// Replaces the filter. `None` restores the filter with which the log was initialized.
     pub fn set_filter(&self, filter: Option<Targets>) {
         let filter = filter.unwrap_or_else(|| self.default_filter.clone());
         // This fails only if the subscriber has been dropped, and the subscriber lives as long as the process.
--- a/src/proxy/logging/options.rs
+++ b/src/proxy/logging/options.rs
@@ -18,7 +18,7 @@
 /// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Time, level, target, message and fields as text for people.
+    /// One line of plain text with time, level, target, message and fields.
     #[default]
     Text,
     /// One JSON object per line.
@@ -64,7 +64,7 @@
     /// The filter is malformed.
     #[error("must be a level or `TARGET=LEVEL` pairs separated by commas: {0}")]
     Filter(#[from] ParseError),
-    /// The format does not exist.
+    /// The format is neither `text` nor `json`.
     #[error("must be `text` or `json`")]
     Format,
     /// The number is malformed or out of range.
--- a/src/proxy/logging/rate_limit.rs
+++ b/src/proxy/logging/rate_limit.rs
@@ -17,10 +17,10 @@
     lines: u32,
 }
 
-/// The decision about one line.
+/// Whether a line is written.
 #[derive(Debug, PartialEq, Eq)]
 enum Admission {
-    /// The line is written; `suppressed` lines directly before it were not.
+    /// The line is written. `suppressed` lines directly before it were not written.
     Admitted { suppressed: u32 },
     /// The line is not written.
     Suppressed,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Creates a writer for each line, under one limit.
+/// Creates a [`LineWriter`] for each line. All clones share one limit.
 #[derive(Clone, Debug)]
 pub(super) struct RateLimitedWriter(Arc<Mutex<LineLimit>>);
 
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// An entry of the endpoint list: a backend and its address. Its sockets are held by
-/// [`BackendConnections`](super::backends::BackendConnections).
+/// An entry of the endpoint list: a backend and its address.
+/// [`BackendConnections`](super::backends::BackendConnections) holds the connections to the backend.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
     /// The backend as the balancer knows it.
@@ -24,7 +24,7 @@
     Delta(Vec<Endpoint>),
     /// The complete list.
     Full(Vec<Endpoint>),
-    /// The list that the configuration caches. It may be out of date, and is treated as complete.
+    /// The list that the configuration caches, which may be out of date. It is treated as complete.
     Cached(Vec<Endpoint>),
     /// A call to discovery failed.
     WatchFailed,
@@ -52,7 +52,7 @@
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// A backend served the request; this is its response.
+    /// A backend served the request with this response.
     Served(ServedResponse),
     /// The request was rejected, and a retry by the client is harmless. An idempotent request may have been executed.
     Rejected {
@@ -66,11 +66,11 @@
 /// A request that was received from a client.
 #[derive(Debug)]
 pub struct InboundRequest {
-    /// The description of the request for the balancer. Its timeout counts from `arrived`.
+    /// The description of the request for the balancer. The timeout in it counts from `arrived`.
     pub request: Request,
     /// When the request arrived.
     pub arrived: Micros,
-    /// The request to send to a backend.
+    /// The call to send to a backend.
     pub call: Call,
 }
 
@@ -113,7 +113,9 @@
     },
     /// The endpoint list or the state of its watch changed.
     Membership(MembershipUpdate),
-    /// Requests the number of listed backends that the balancer currently avoids.
+    /// Requests the number of listed backends that the balancer avoids, because they are draining, ejected, unresponsive
+    /// or without capacity after a rejection
+    /// ([`Balancer::avoided_backends`](crate::balancer::Balancer::avoided_backends)).
     CountAvoidedBackends(oneshot::Sender<usize>),
 }
 
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,5 +1,5 @@
-//! The proxy on real sockets. It executes the decisions of the [`Balancer`](crate::balancer::Balancer) and reports the
-//! results to it.
+//! The proxy process, which serves clients and calls backends over the network. It executes the actions of the
+//! [`Balancer`](crate::balancer::Balancer) and notifies the balancer of the results.
 //!
 //! Only the balancer selects backends and retries, queues or sheds requests. The proxy itself answers requests that are
 //! invalid or still open at their timeout.
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -1,6 +1,6 @@
-//! Serves operators: readiness, counters, and taking the proxy out of service.
+//! Serving of operator calls: readiness, counters, and taking the proxy out of service.
 //!
-//! Each connection carries one call, which is answered from memory.
+//! Each connection carries one call, which is answered from the state in memory.
 
 use super::backends::BackendClient;
 use super::bodies::BufferedBody;
@@ -84,7 +84,7 @@
     }
 }
 
-/// Server for the calls of operators.
+/// Serves the calls of operators.
 pub struct OperatorServer {
     lifecycle: Rc<Lifecycle>,
     counters: Rc<Counters>,
@@ -93,7 +93,8 @@
 }
 
 impl OperatorServer {
-    /// Creates the server of what these parts hold.
+    /// Creates a server that reports the state of the lifecycle, the counters and the backends, and that changes the
+    /// stage of the lifecycle.
     #[must_use]
     pub fn new(
         lifecycle: Rc<Lifecycle>,
@@ -109,8 +110,8 @@
         })
     }
 
-    /// Accepts and serves calls while the proxy runs. At most [`MAX_OPERATOR_CALLS`] are open: a further one ends the
-    /// oldest, which has had the most time to arrive.
+    /// Accepts and serves calls while the proxy runs. At most [`MAX_OPERATOR_CALLS`] calls are open. A further call ends
+    /// the oldest one, which has had the most time to arrive.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut open_calls: VecDeque<AbortHandle> = VecDeque::new();
         loop {
--- a/src/proxy/request_log.rs
+++ b/src/proxy/request_log.rs
@@ -1,6 +1,6 @@
-//! Log events of single requests, from arrival to final answer.
+//! Log events of individual requests, from arrival to final answer.
 //!
-//! Each event has the request id, which is local to this process. The first event of a request also has its
+//! Each event states the request id, which is local to this process. The first event of a request also states its
 //! correlation id.
 
 use super::backends::AttemptResult;
--- a/src/proxy/responses.rs
+++ b/src/proxy/responses.rs
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Creates the response to a request whose method the path does not support. `allowed` lists the methods that it
-    /// supports, as the `Allow` header names them.
+    /// Creates the response to a request whose method the path does not support. `allowed` is the value of the `Allow`
+    /// header: the methods that the path supports.
     pub(super) const fn method_not_allowed(allowed: &'static str) -> Self {
         Self {
             status: StatusCode::METHOD_NOT_ALLOWED,
@@ -62,7 +62,7 @@
     response
 }
 
-/// Creates the response to a request that the balancer rejected. It does not state why.
+/// Creates the response to a request that the balancer rejected. The response does not state the reason.
 ///
 /// `retry_after` is the time for which the client should wait before it retries; 0 omits the header.
 pub(super) fn rejected(retry_after: Micros) -> Response<BufferedBody> {
--- a/src/proxy/shutdown.rs
+++ b/src/proxy/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: the proxy finishes its open requests and those that still arrive.
+//! Graceful shutdown: the proxy serves its open requests and those that still arrive, until no client is connected or the
+//! process must end.
 
 use super::clients::Clients;
 use super::lifecycle::{Lifecycle, ShutdownTimes};
@@ -7,24 +8,25 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// The shortest time for which connections are still accepted, because clients notice the shutdown late.
+/// The minimum time after the start of a shutdown for which connections are accepted, because clients notice the shutdown
+/// late.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(800);
 /// After [`MIN_ACCEPT_TIME`], connections are accepted until none has arrived for this time.
 const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(300);
-/// How often the end of accepting is checked.
+/// Interval at which the proxy checks whether to stop accepting connections.
 const ACCEPT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The time after the longest client timeout at which the process ends, even if clients are still connected. The last
-/// answer has the same margin.
+/// Time from the longest client timeout until the process ends, even if clients are still connected. The time of the last
+/// answer is calculated with the same margin.
 const PROCESS_END_MARGIN: Duration = Duration::from_millis(500);
-/// The upper limit of the client timeout from which the time of the last answer is calculated, because the platform may
-/// kill the process 0.7 s after this time.
+/// Upper limit of the client timeout in the calculation of the last answer's time. The process supervisor may kill the
+/// process 0.7 s after this time.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(3);
 
-/// Drains the proxy. Returns when no client connection is left, and at the latest half a second after
-/// `longest_timeout`, the longest time that a client waits for a response.
+/// Drains the proxy. Returns when no client connection is left, but at the latest [`PROCESS_END_MARGIN`] after
+/// `longest_timeout`, which is the longest time that a client waits for a response.
 ///
-/// `listener` is the client listener if it belongs to this process alone. The connections queued at a shared listener
-/// are left to the other processes.
+/// `listener` is the client listener if it belongs to this process alone, otherwise `None`: the connections queued at a
+/// shared listener are left to the other processes.
 pub async fn drain(
     clients: &Rc<Clients>,
     lifecycle: &Lifecycle,
@@ -44,7 +46,7 @@
         if !all_disconnected_by(process_ends_at, clients).await {
             return;
         }
-        // The end of the process would reset a connection that was queued in the meantime.
+        // A connection that was queued in the meantime is accepted, because the end of the process would reset it.
         let more_may_be_queued = listener.is_some_and(|listener| clients.accept_queued(listener));
         if !more_may_be_queued {
             return;
