--- a/src/proxy/driver/attempts.rs
+++ b/src/proxy/driver/attempts.rs
@@ -2,10 +2,13 @@
 
 use super::Driver;
 use crate::api::{AttemptEnd, BackendId, Event, Micros, Outcome, RequestId};
-use crate::proxy::backends::{AttemptDeadlines, AttemptResult, ServedResponse};
+use crate::proxy::backends::{
+    AttemptDeadlines, AttemptResult, BackendConnections, Call, ServedResponse,
+};
 use crate::proxy::messages::{Answer, Message};
 use crate::proxy::request_log;
 use std::rc::Rc;
+use tokio::sync::oneshot;
 
 /// An attempt or a health check that ended.
 #[derive(Debug)]
@@ -32,6 +35,18 @@
     pub(super) write_deadline: Option<Micros>,
 }
 
+/// An attempt whose backend is listed and that may be sent.
+struct PreparedAttempt {
+    request: RequestId,
+    /// Number of the attempt within the request, counted from 0.
+    attempt: u16,
+    connections: Rc<BackendConnections>,
+    call: Rc<Call>,
+    deadlines: AttemptDeadlines,
+    /// Receives a value when the balancer cancels the attempt.
+    cancelled: oneshot::Receiver<()>,
+}
+
 impl Driver {
     /// Starts an attempt. It ends at once with [`Outcome::NotSent`] if its request is answered, the maximum number of
     /// attempts is reached, its deadline has passed or its backend is not listed.
@@ -40,7 +55,7 @@
             request,
             backend,
             deadline,
-            write_deadline,
+            ..
         } = start;
         let Some(open) = self.requests.get_mut(request) else {
             return;
@@ -54,22 +69,47 @@
             .backend_client
             .connections(backend)
             .filter(|_| may_be_sent);
-        let Some(connections) = connections else {
-            self.completions.push_back(Completion::Attempt {
+        match connections {
+            Some(connections) => {
+                let prepared = PreparedAttempt {
+                    request,
+                    attempt,
+                    connections,
+                    call,
+                    deadlines: self.attempt_deadlines(&start),
+                    cancelled,
+                };
+                self.spawn_attempt(prepared);
+            }
+            None => self.completions.push_back(Completion::Attempt {
                 request,
                 attempt,
                 result: Outcome::NotSent.into(),
-            });
-            return;
-        };
-        let deadlines = AttemptDeadlines {
-            deadline: self.clock.to_instant(deadline),
-            write_deadline: write_deadline.map(|at| self.clock.to_instant(at)),
-        };
+            }),
+        }
+    }
+
+    fn attempt_deadlines(&self, start: &AttemptStart) -> AttemptDeadlines {
+        AttemptDeadlines {
+            deadline: self.clock.to_instant(start.deadline),
+            write_deadline: start.write_deadline.map(|at| self.clock.to_instant(at)),
+        }
+    }
+
+    /// Spawns the task that makes an attempt and notifies the driver of its response and its end.
+    fn spawn_attempt(&self, prepared: PreparedAttempt) {
+        let PreparedAttempt {
+            request,
+            attempt,
+            connections,
+            call,
+            deadlines,
+            cancelled,
+        } = prepared;
         let backend_client = Rc::clone(&self.backend_client);
         let handle = self.handle.clone();
         tokio::task::spawn_local(async move {
-            let on_response = |response| {
+            let on_response_start = |response| {
                 handle.send(Message::ResponseStarted {
                     request,
                     attempt,
@@ -77,7 +117,7 @@
                 });
             };
             let result = backend_client
-                .attempt(connections, call, deadlines, cancelled, on_response)
+                .attempt(connections, call, deadlines, cancelled, on_response_start)
                 .await;
             handle.send(Message::AttemptEnded {
                 request,
