--- a/src/proxy/driver/actions.rs
+++ b/src/proxy/driver/actions.rs
@@ -1,4 +1,4 @@
-//! Execution of the balancer's actions.
+//! Executes the actions of the balancer.
 
 use super::Driver;
 use super::attempts::AttemptStart;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Driver {
-    /// Executes the actions that the balancer decided on for the last event, in order.
+    /// Executes the actions that the balancer returned for the last event, in order.
     pub(super) fn execute_actions(&mut self, now: Micros) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -45,7 +45,7 @@
                 self.timers.set(due, DriverTimer::Balancer(token));
             }
             Action::Subscribe => {
-                // The send fails if discovery is an agent: a watch on an agent is always open, so there is no receiver.
+                // If discovery is an agent, a watch is always open, so there is no receiver and the send fails.
                 let _ = self.watch_requests.send(());
             }
             Action::HealthCheck(backend) => self.start_health_check(backend),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sends a request's final answer if its client still waits for one. Returns whether the client did.
+    /// Sends the final answer to a request if its client still waits for one. Returns whether the client was waiting.
     pub(super) fn answer(&mut self, request: RequestId, answer: Answer) -> bool {
         self.requests
             .get_mut(request)
--- a/src/proxy/driver/attempts.rs
+++ b/src/proxy/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks, from their start to their outcome.
+//! Attempts and health checks from their start to their end.
 
 use super::Driver;
 use crate::api::{AttemptEnd, BackendId, Event, Micros, Outcome, RequestId};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// An attempt or a health check that ended.
+/// An attempt or a health check that has ended, with its result.
 #[derive(Debug)]
 pub(super) enum Completion {
     Attempt {
@@ -127,14 +127,14 @@
         });
     }
 
-    /// Cancels an attempt. Its outcome follows in a [`Message::AttemptEnded`].
+    /// Cancels an attempt. The attempt ends with a [`Message::AttemptEnded`], which reports its outcome.
     pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: u16) {
         if let Some(open) = self.requests.get_mut(request) {
             open.cancel_attempt(attempt);
         }
     }
 
-    /// Sends a health check to a backend, if the backend is listed.
+    /// Sends a health check to a backend. Does nothing if the backend is not listed.
     pub(super) fn start_health_check(&self, backend: BackendId) {
         let Some(connections) = self.backend_client.connections(backend) else {
             return;
@@ -150,8 +150,8 @@
         });
     }
 
-    /// Answers the client with a streamed response whose head was received. If the client has disconnected or has its
-    /// answer, the response is dropped, which ends the attempt.
+    /// Answers the client with a streamed response whose head has been received, and notifies the balancer. If the client
+    /// has disconnected or has been answered, the response is dropped, which ends the attempt.
     pub(super) fn on_response_started(
         &mut self,
         now: Micros,
@@ -176,13 +176,13 @@
         self.handle_event(now, event);
     }
 
-    /// Notifies the balancer of an attempt or a health check that ended.
+    /// Notifies the balancer of the end of an attempt or a health check.
     pub(super) fn on_completion(&mut self, now: Micros, completion: Completion) {
         self.completions.push_back(completion);
         self.handle_completions(now);
     }
 
-    /// Notifies the balancer of all completions in the queue, including those that its actions add meanwhile.
+    /// Notifies the balancer of all completions in the queue, including those that its actions add in the meantime.
     pub(super) fn handle_completions(&mut self, now: Micros) {
         while let Some(completion) = self.completions.pop_front() {
             match completion {
@@ -208,7 +208,8 @@
         self.execute_actions(now);
     }
 
-    /// Notifies the balancer of the end of an attempt. A second end of the same attempt is ignored.
+    /// Sends the response of an attempt to the client and notifies the balancer of the end of the attempt. A second end of
+    /// the same attempt is ignored.
     fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -226,7 +227,8 @@
             .attempt_elapsed(attempt, &self.clock, now)
             .unwrap_or_default();
         request_log::attempt_ended(request, attempt, backend, elapsed, &result);
-        // The first response of a backend is the final answer; the balancer does not decide on it.
+        // The first 200 response is the final answer. It is sent without a decision of the balancer, which is notified by
+        // `request_answered`.
         if let Some(response) = result.served {
             open.answer(request, Answer::Served(response));
         }
--- a/src/proxy/driver/margins.rs
+++ b/src/proxy/driver/margins.rs
@@ -1,26 +1,26 @@
-//! Time margins: how long before a client's timeout its request must be answered.
+//! Time margins between the answer to a request and its client's timeout or the end of the process.
 
 use crate::api::Micros;
 
-/// Time between the timeout that the balancer is given and the client's: the response must be written and transmitted in
-/// it.
+/// Time between the timeout that the balancer is given and the client's timeout, in which the response must be written
+/// and transmitted.
 const BALANCER_MARGIN: Micros = 20_000;
-/// Time before the client's timeout at which a request fails that the balancer has not answered.
+/// How long before the client's timeout a request fails that has not been answered.
 const FINAL_ANSWER_MARGIN: Micros = 10_000;
-/// Time before the end of the process by which all requests are answered.
+/// How long before the end of the process all requests must be answered.
 const SHUTDOWN_MARGIN: Micros = 100_000;
 
-/// Returns the timeout that the balancer is given for a request with this remaining time: at least half of it.
+/// Returns the timeout that the balancer is given for a request whose client waits for `remaining`: at least half of it.
 pub(super) fn balancer_timeout(remaining: Micros) -> Micros {
     remaining.saturating_sub(BALANCER_MARGIN.min(remaining / 2))
 }
 
-/// Returns the time after which a request with this remaining time fails: at least three quarters of it.
+/// Returns the time after which a request fails whose client waits for `remaining`: at least three quarters of it.
 pub(super) fn final_answer_timeout(remaining: Micros) -> Micros {
     remaining.saturating_sub(FINAL_ANSWER_MARGIN.min(remaining / 4))
 }
 
-/// Returns the latest time at which a request is answered in a process that ends at `process_ends_at`.
+/// Returns the time by which every request must be answered in a process that ends at `process_ends_at`.
 pub(super) fn answer_deadline_before_process_end(process_ends_at: Micros) -> Micros {
     process_ends_at.saturating_sub(SHUTDOWN_MARGIN)
 }
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -6,7 +6,7 @@
 //! | --- | --- |
 //! | `requests` | the table of pending requests and their attempts |
 //! | `timers` | timers of the balancer and of final answers |
-//! | `margins` | how long before a client's timeout its request must be answered |
+//! | `margins` | the time between an answer and the client's timeout or the end of the process |
 //! | `request_events` | a request arrives, its final answer is due, its client disconnects |
 //! | `attempts` | attempts and health checks, from their start to their outcome |
 //! | `membership` | membership updates from discovery |
@@ -34,7 +34,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 
-/// Settings that the driver itself applies.
+/// The settings that the driver applies itself, without the balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct DriverSettings {
     /// Maximum number of attempts for one request, including the first.
@@ -43,7 +43,7 @@
     pub load_report_by_health_check: bool,
 }
 
-/// Owns the balancer and executes its decisions.
+/// Owns the balancer, passes events to it and executes its actions.
 pub struct Driver {
     balancer: Balancer,
     clock: Clock,
@@ -52,13 +52,13 @@
     lifecycle: Rc<Lifecycle>,
     handle: DriverHandle,
     messages: mpsc::UnboundedReceiver<Message>,
-    /// Requests to the discovery watcher to open a watch. They have a receiver only if discovery is polled.
+    /// Sends requests for a watch to the discovery watcher. There is a receiver only if discovery is polled.
     watch_requests: mpsc::UnboundedSender<()>,
     requests: PendingRequests,
     timers: DriverTimers,
-    /// Attempts and health checks that ended and of which the balancer has not been notified yet.
+    /// Attempts and health checks that have ended without the balancer having been notified yet.
     completions: VecDeque<Completion>,
-    /// Actions of the balancer that have not been executed yet; empty between events.
+    /// Actions of the balancer that have not been executed yet. It is empty between events.
     actions: Vec<Action>,
 }
 
@@ -93,7 +93,7 @@
         (driver, handle)
     }
 
-    /// Handles messages and timers until all handles are dropped. The driver holds one itself, so it runs until the
+    /// Handles messages and timers until all handles are dropped. The driver holds a handle itself, so it runs until the
     /// process ends.
     pub async fn run(mut self) {
         loop {
@@ -160,7 +160,8 @@
         }
     }
 
-    /// Passes an event to the balancer, executes its actions, and handles the attempts that ended at once in doing so.
+    /// Passes an event to the balancer, executes its actions, and then handles the attempts that ended during their
+    /// execution.
     fn handle_event(&mut self, now: Micros, event: Event<'_>) {
         self.balancer.handle(now, event, &mut self.actions);
         self.execute_actions(now);
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -34,8 +34,8 @@
         self.handle_event(now, Event::Request(request));
     }
 
-    /// Fails a request that has no answer yet, so that its client gets one before its timeout (rule 1: one final
-    /// answer). The timer is set again if a streamed body has moved the time at which the answer is due.
+    /// Fails a request that has no answer yet, so that its client receives one before its timeout (rule 1: one final
+    /// answer). If a streamed body has postponed the final answer, the timer is set again instead.
     pub(super) fn on_final_answer_due(&mut self, now: Micros, request: RequestId) {
         let Some(open) = self.requests.get(request) else {
             return;
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Returns the latest time at which a request with a streamed body is answered: its client's timeout starts with the
-    /// last byte of the body. `None` if the body is not streamed.
+    /// Returns the time at which the final answer to a request with a streamed body is due; `None` if the body is not
+    /// streamed. The client's timeout starts with the last byte of the body.
     fn streamed_answer_due(&self, now: Micros, open: &PendingRequest) -> Option<Micros> {
         let progress = open.call.body.progress()?;
         let complete_at = match progress.finished_at() {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Records that a client disconnected and notifies the balancer, unless the client has its answer.
+    /// Records that a client disconnected and notifies the balancer. Does nothing if the request has been answered.
     pub(super) fn on_client_disconnected(&mut self, now: Micros, request: RequestId) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
@@ -79,8 +79,8 @@
             return;
         }
         request_log::client_disconnected(request);
-        // An attempt that still waits for its connection must not be sent any more (rule 1: nothing is started for a
-        // request after its end).
+        // An attempt that still waits for its connection must no longer be sent (rule 1: nothing is started for a request
+        // after its end).
         open.call.request_ended.set();
         self.handle_event(now, Event::ClientDisconnected(request));
         self.requests.remove_if_finished(request);
--- a/src/proxy/driver/requests.rs
+++ b/src/proxy/driver/requests.rs
@@ -9,10 +9,10 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Progress of an attempt on the sockets.
+/// State of an attempt that was passed to the backend client.
 #[derive(Debug)]
-enum SocketAttemptState {
-    /// The attempt is in progress; a value sent here cancels it.
+enum AttemptState {
+    /// The attempt is in progress. A value sent on the channel cancels it.
     Running(oneshot::Sender<()>),
     /// The attempt was cancelled and has not ended yet.
     Cancelled,
@@ -20,12 +20,12 @@
     Ended,
 }
 
-/// The driver's record of an attempt. The balancer keeps one of its own.
+/// The driver's record of an attempt. The balancer keeps a record of its own.
 #[derive(Debug)]
-struct SocketAttempt {
+struct AttemptRecord {
     backend: BackendId,
     sent_at: Micros,
-    state: SocketAttemptState,
+    state: AttemptState,
 }
 
 /// A request that has no answer yet, or has an attempt that has not ended.
@@ -34,9 +34,9 @@
     pub(super) call: Rc<Call>,
     /// Channel for the final answer; `None` once it was sent or the client disconnected.
     client: Option<oneshot::Sender<Answer>>,
-    /// Time until the client's timeout, counted from the time at which the driver received the request.
+    /// Time until the client's timeout, from the time at which the driver received the request.
     pub(super) remaining: Micros,
-    attempts: Vec<SocketAttempt>,
+    attempts: Vec<AttemptRecord>,
 }
 
 impl PendingRequest {
@@ -49,23 +49,23 @@
         }
     }
 
-    /// Reports whether the client still waits for its answer.
+    /// Returns whether the client still waits for its answer.
     pub(super) fn is_unanswered(&self) -> bool {
         self.client.is_some()
     }
 
-    /// Sends the final answer if the client still waits for one. Returns whether the client did.
+    /// Sends the final answer if the client still waits for one. Returns whether the client was waiting.
     pub(super) fn answer(&mut self, request: RequestId, answer: Answer) -> bool {
         let Some(client) = self.client.take() else {
             return false;
         };
         request_log::answered(request, &answer);
-        // The send fails if the client has just disconnected; no answer is needed then.
+        // The send fails if the client has just disconnected and needs no answer.
         let _ = client.send(answer);
         true
     }
 
-    /// Records that the client disconnected. Returns whether the client still waited for an answer.
+    /// Records that the client disconnected. Returns whether the client was waiting for an answer.
     pub(super) fn disconnect(&mut self) -> bool {
         self.client.take().is_some()
     }
@@ -78,40 +78,40 @@
     ) -> (u16, oneshot::Receiver<()>) {
         let number = self.attempts.len() as u16;
         let (cancel, cancelled) = oneshot::channel();
-        self.attempts.push(SocketAttempt {
+        self.attempts.push(AttemptRecord {
             backend,
             sent_at: now,
-            state: SocketAttemptState::Running(cancel),
+            state: AttemptState::Running(cancel),
         });
         (number, cancelled)
     }
 
-    /// Cancels an attempt that is in progress. The attempt has an outcome all the same, which arrives later.
+    /// Cancels an attempt that is in progress. The end of the attempt is still reported later, with an outcome.
     pub(super) fn cancel_attempt(&mut self, number: u16) {
         let Some(attempt) = self.attempts.get_mut(usize::from(number)) else {
             return;
         };
-        match std::mem::replace(&mut attempt.state, SocketAttemptState::Cancelled) {
-            SocketAttemptState::Running(cancel) => {
+        match std::mem::replace(&mut attempt.state, AttemptState::Cancelled) {
+            AttemptState::Running(cancel) => {
                 let _ = cancel.send(());
             }
-            SocketAttemptState::Cancelled => {}
-            SocketAttemptState::Ended => attempt.state = SocketAttemptState::Ended,
+            AttemptState::Cancelled => {}
+            AttemptState::Ended => attempt.state = AttemptState::Ended,
         }
     }
 
-    /// Records the end of an attempt and returns its backend. `None` if there is no such attempt or it had ended before.
+    /// Records the end of an attempt and returns its backend; `None` if there is no such attempt or it had already ended.
     pub(super) fn end_attempt(&mut self, number: u16) -> Option<BackendId> {
         let attempt = self.attempts.get_mut(usize::from(number))?;
-        if matches!(attempt.state, SocketAttemptState::Ended) {
+        if matches!(attempt.state, AttemptState::Ended) {
             return None;
         }
-        attempt.state = SocketAttemptState::Ended;
+        attempt.state = AttemptState::Ended;
         Some(attempt.backend)
     }
 
-    /// Returns how long an attempt has taken so far, without the time in which the client was still sending the request's
-    /// body: the backend is not responsible for it.
+    /// Returns how long an attempt has taken so far. The time in which the client was still sending the request's body is
+    /// not included, because the backend does not cause it.
     pub(super) fn attempt_elapsed(
         &self,
         number: u16,
@@ -134,12 +134,12 @@
         Some(clock.to_micros(complete_at))
     }
 
-    /// Reports whether the client needs no answer any more and all attempts have ended.
+    /// Returns whether the client no longer waits for an answer and all attempts have ended.
     pub(super) fn is_finished(&self) -> bool {
         let all_ended = self
             .attempts
             .iter()
-            .all(|attempt| matches!(attempt.state, SocketAttemptState::Ended));
+            .all(|attempt| matches!(attempt.state, AttemptState::Ended));
         self.client.is_none() && all_ended
     }
 }
--- a/src/proxy/driver/timers.rs
+++ b/src/proxy/driver/timers.rs
@@ -1,20 +1,20 @@
-//! The driver's timers, ordered by the time at which they are due: those that the balancer sets, and those of final
-//! answers.
+//! The driver's timers, ordered by the time at which they are due: the timers that the balancer sets, and the timers of
+//! final answers.
 
 use crate::api::{Micros, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A timer of the driver, and what is done when it fires.
+/// A timer of the driver, named by what it triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum DriverTimer {
-    /// The balancer receives a timer event with this token.
+    /// Notifies the balancer with a timer event that has this token.
     Balancer(u32),
-    /// The request fails unless it has been answered.
+    /// Fails the request unless it has been answered.
     FinalAnswer(RequestId),
 }
 
-/// All timers that are set. A timer cannot be cancelled; its handler ignores it if it is no longer needed.
+/// All timers that are set. A timer cannot be cancelled. A handler ignores a timer that is no longer needed.
 #[derive(Debug, Default)]
 pub(super) struct DriverTimers(BinaryHeap<Reverse<(Micros, DriverTimer)>>);
 
