--- a/lab/src/live/simulated_proxy/schedule.rs
+++ b/lab/src/live/simulated_proxy/schedule.rs
@@ -72,7 +72,7 @@
     pub fn watch_timing(&self, phase: WatchPhase) -> CallTiming {
         match (self.mode, phase) {
             (DiscoveryMode::Pushed, _) => CallTiming::PUSHED,
-            (DiscoveryMode::Polled, WatchPhase::Opening) => CallTiming::OPENING,
+            (DiscoveryMode::Polled, WatchPhase::Opening) => CallTiming::OPEN_WATCH,
             (DiscoveryMode::Polled, WatchPhase::Continued) => {
                 CallTiming::continued(self.long_poll_timeout)
             }
--- a/src/proxy/discovery/backend_ids.rs
+++ b/src/proxy/discovery/backend_ids.rs
@@ -13,11 +13,12 @@
 #[derive(Debug, Default)]
 pub(super) struct BackendIds {
     by_name: FxHashMap<String, BackendId>,
+    /// The ids of all names.
     assigned: FxHashSet<BackendId>,
 }
 
 impl BackendIds {
-    /// Returns the id of a name. A new name is assigned one.
+    /// Returns the id of a name. A name without an id is assigned one.
     pub(super) fn get_or_assign(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.by_name.get(name) {
             return id;
@@ -30,7 +31,7 @@
         id
     }
 
-    /// Returns the id of a name; `None` if it has none.
+    /// Returns the id of a name; `None` if none was assigned.
     pub(super) fn get(&self, name: &str) -> Option<BackendId> {
         self.by_name.get(name).copied()
     }
@@ -48,11 +49,13 @@
         self.assigned.retain(|id| listed.contains(id));
     }
 
+    /// Returns the number of names that have an id.
     #[cfg(test)]
     pub(super) fn name_count(&self) -> usize {
         self.by_name.len()
     }
 
+    /// Returns the number of ids in use, which equals the number of names unless a removal left an id behind.
     #[cfg(test)]
     pub(super) fn assigned_count(&self) -> usize {
         self.assigned.len()
--- a/src/proxy/discovery/client.rs
+++ b/src/proxy/discovery/client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 client for calls to discovery.
+//! The HTTP/1.1 client for calls to discovery.
 
 use super::error::DiscoveryError;
 use crate::proxy::connect;
@@ -26,7 +26,7 @@
     /// connection.
     ///
     /// # Errors
-    /// Any [`DiscoveryError`] of the connection, the request or the response; also a status other than 200.
+    /// [`DiscoveryError`] if connecting, the request or the response fails, or the status is not 200.
     pub(super) async fn fetch(
         &mut self,
         address: SocketAddr,
@@ -56,7 +56,7 @@
         self.connection = None;
     }
 
-    /// Returns the connection of the last call if it is still open, otherwise a new one.
+    /// Returns the connection of the last call if it is still open, otherwise a new connection.
     async fn ready_connection(
         &mut self,
         address: SocketAddr,
@@ -83,7 +83,7 @@
             .await
             .map_err(DiscoveryError::Connection)?;
         let task = tokio::task::spawn_local(async move {
-            // The call that uses the connection reports its error.
+            // An error of the connection is also returned to the call in flight, which reports it.
             let _ = connection.await;
         });
         Ok(Self { sender, task })
--- a/src/proxy/discovery/error.rs
+++ b/src/proxy/discovery/error.rs
@@ -1,9 +1,10 @@
-//! Errors of calls to discovery and of the lists that they return.
+//! Errors of calls to discovery and of the endpoint lists in the responses.
 
 use hyper::StatusCode;
 use std::error::Error as StdError;
 use std::io;
 use std::net::AddrParseError;
+use std::time::Duration;
 use thiserror::Error;
 
 /// Why a call to discovery returned no endpoint list.
@@ -22,8 +23,11 @@
     #[error("cannot read the response body: {0}")]
     ResponseBody(#[source] Box<dyn StdError + Send + Sync>),
     /// The call timeout expired before the response was complete.
-    #[error("no complete response within the call timeout")]
-    Timeout,
+    #[error("no complete response within the call timeout of {call_timeout:?}")]
+    Timeout {
+        /// The call timeout.
+        call_timeout: Duration,
+    },
     /// The response has a status other than 200.
     #[error("response has status {0}, expected 200 OK")]
     Status(StatusCode),
@@ -47,12 +51,23 @@
     #[error("malformed endpoint: {0}")]
     Malformed(#[source] serde_json::Error),
     /// The address is not an IP address with a port.
-    #[error("`host_port` is {address:?}, expected an IP address and a port: {source}")]
+    #[error(
+        "`host_port` of {backend:?} is {address:?}, expected an IP address and a port: {source}"
+    )]
     Address {
+        /// The name of the backend.
+        backend: String,
+        /// The value found.
         address: String,
+        /// The error of the parser.
         source: AddrParseError,
     },
     /// The settings lack the zone.
-    #[error("`locality` is {0:?}, expected a zone of `failureDomains`")]
-    UnknownZone(String),
+    #[error("`locality` of {backend:?} is {zone:?}, expected a zone of `failureDomains`")]
+    UnknownZone {
+        /// The name of the backend.
+        backend: String,
+        /// The value found.
+        zone: String,
+    },
 }
--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -1,39 +1,42 @@
 //! Timing of the calls to discovery.
 //!
-//! The operators' terms set a deadline after which a change counts as known to the proxy although its watch did not
-//! deliver the change: [`MAX_CHANGE_DELAY_AFTER_STALL`] after the watch stalled, or [`MAX_CHANGE_DELAY_AFTER_LONG_POLL`] after its long-poll
-//! timeout if that is later; [`MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE`] after a change of discovery's address. The watch must be open
-//! again before this deadline, although the call that opens it may be queued at discovery for 2 s. The timeouts below
-//! allow for that.
+//! The operators require that the proxy applies a change of the endpoint list by a deadline even if its watch does not
+//! deliver the change: [`MAX_CHANGE_DELAY_AFTER_STALL`] after the watch stalled, or [`MAX_CHANGE_DELAY_AFTER_LONG_POLL`]
+//! after the long-poll timeout of the stalled watch if that is later; [`MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE`] after a
+//! change of discovery's address. From this deadline on, the proxy counts as knowing the change. The watch must be open
+//! again before the deadline, although the call that opens it may be queued at discovery for 2 s. The timeouts below allow
+//! for that.
 
 use crate::spread::golden_ratio_position;
 use std::time::Duration;
 
-/// Operators' term: time from the stall of a watch until a change counts as known.
+/// The operators' bound on the time from the stall of a watch until the proxy must have applied a change of the list.
 pub const MAX_CHANGE_DELAY_AFTER_STALL: Duration = Duration::from_secs(6);
-/// Operators' term: least time from the long-poll timeout of a stalled watch until a change counts as known.
+/// The operators' bound on the time from the long-poll timeout of a stalled watch until the proxy must have applied a
+/// change of the list. It replaces [`MAX_CHANGE_DELAY_AFTER_STALL`] if it ends later.
 pub const MAX_CHANGE_DELAY_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
-/// Operators' term: time from a change of discovery's address until a change of the list counts as known.
+/// The operators' bound on the time from a change of discovery's address until the proxy must have applied a change of the
+/// list.
 pub const MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
-/// Long-poll timeout if discovery is an agent on the same machine. It limits how long a broken call goes unnoticed.
+/// Long-poll timeout if discovery is an agent on the same machine. It limits how long a broken connection goes unnoticed.
 const PUSHED_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Mean long-poll timeout if all proxies share discovery. It is long so that discovery receives fewer calls.
+/// Mean long-poll timeout if all proxies share discovery. A long timeout reduces the number of calls to discovery.
 const POLLED_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time that each proxy adds to the range of the proxies' long-poll timeouts. The timeouts differ so that watches that
-/// stall at the same time are not opened again at the same time.
+/// Time by which each further proxy widens the range of the long-poll timeouts of all proxies. The timeouts differ, so
+/// that watches that stall at the same time are not opened again at the same time.
 const LONG_POLL_SPREAD_PER_PROXY: Duration = Duration::from_secs(1);
-/// Maximum size of that range.
+/// Maximum width of the range of the long-poll timeouts of all proxies.
 const MAX_LONG_POLL_SPREAD: Duration = Duration::from_secs(30);
-/// Long-poll timeout of a call that opens a watch on a shared discovery. The call may also be queued there.
-const OPENING_LONG_POLL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Long-poll timeout of a call that opens a watch on a shared discovery. The call may be queued at discovery in addition.
+const OPEN_WATCH_LONG_POLL_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout of a call that may be queued at discovery. Discovery keeps dropped calls in its queue, so a shorter timeout
 /// would make the queue longer.
 const QUEUED_CALL_TIMEOUT: Duration = Duration::from_millis(3_500);
 /// Time from the long-poll timeout of a call that is not queued until its watch counts as stalled. Discovery answers at
-/// the long-poll timeout, so this is the time allowed for the transmission of the response.
+/// the long-poll timeout, so this delay allows for the transmission of the response.
 const WATCH_STALL_DELAY: Duration = Duration::from_millis(250);
-/// Time between a failed call to an agent and the next one: less than the shortest drain grace period, 250 ms.
+/// Time between a failed call to an agent and the next call. It is less than the shortest drain grace period, 250 ms.
 pub const PUSHED_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 const _: () = {
@@ -42,22 +45,22 @@
         + PUSHED_RETRY_DELAY.as_millis();
     assert!(
         pushed_retry_ms < MAX_CHANGE_DELAY_AFTER_STALL.as_millis(),
-        "a stalled watch on an agent must be opened again before its changes count as known"
+        "a stalled watch on an agent must be opened again before its changes must have been applied"
     );
     assert!(
         WATCH_STALL_DELAY.as_millis() < MAX_CHANGE_DELAY_AFTER_LONG_POLL.as_millis(),
-        "a stalled watch on a shared discovery must fail before its changes count as known"
+        "a stalled watch on a shared discovery must fail before its changes must have been applied"
     );
     assert!(
         QUEUED_CALL_TIMEOUT.as_millis() < MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE.as_millis(),
-        "the first call to a new address must end before its changes count as known"
+        "the first call to a new address must end before its changes must have been applied"
     );
 };
 
 /// The timeouts of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallTiming {
-    /// Time for which discovery may wait for a change before it answers.
+    /// Time for which discovery may wait for a change of the list before it answers.
     pub long_poll_timeout: Duration,
     /// Time after which the call fails.
     pub call_timeout: Duration,
@@ -70,12 +73,12 @@
         call_timeout: QUEUED_CALL_TIMEOUT,
     };
 
-    /// The timeouts of a watch on an agent.
+    /// The timeouts of each call of a watch on an agent.
     pub const PUSHED: Self = Self::continued(PUSHED_LONG_POLL_TIMEOUT);
 
     /// The timeouts of a call that opens a watch on a shared discovery.
-    pub const OPENING: Self = Self {
-        long_poll_timeout: OPENING_LONG_POLL_TIMEOUT,
+    pub const OPEN_WATCH: Self = Self {
+        long_poll_timeout: OPEN_WATCH_LONG_POLL_TIMEOUT,
         call_timeout: QUEUED_CALL_TIMEOUT,
     };
 
@@ -89,7 +92,8 @@
     }
 }
 
-/// Returns the long-poll timeout of a proxy if all proxies share discovery.
+/// Returns the long-poll timeout with which a proxy continues a watch if all proxies share discovery. The timeouts of all
+/// proxies are distributed evenly around their mean.
 #[must_use]
 pub fn polled_long_poll_timeout(proxy_index: u32, proxy_count: u32) -> Duration {
     let other_proxies = proxy_count.saturating_sub(1);
--- a/src/proxy/discovery/mod.rs
+++ b/src/proxy/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery of the backends: keeps the proxy's endpoint list current.
+//! Discovery of the backends, which keeps the proxy's endpoint list up to date.
 //!
 //! The [`Watcher`] fetches the complete list once and then follows its changes by long polling: each call states the
 //! revision that the proxy holds, and discovery answers once it has a newer one or the long-poll timeout expires.
@@ -11,7 +11,7 @@
 //! | `intervals` | long-poll timeouts, call timeouts, delays |
 //! | `client` | one HTTP call |
 //! | `wire` | the JSON form of endpoint lists |
-//! | `translator` | conversion of endpoint lists to the terms of the decisions |
+//! | `translator` | conversion of endpoint lists to the types of the balancer |
 //! | `backend_ids` | ids for backend names |
 //! | `start_times` | start times of backends on the proxy's clock |
 
--- a/src/proxy/discovery/start_times.rs
+++ b/src/proxy/discovery/start_times.rs
@@ -6,7 +6,7 @@
 
 /// Converts start times to the proxy's clock, and keeps the results.
 ///
-/// A start time ahead of the proxy's clock is converted to the present. A second conversion would give a later time,
+/// A start time ahead of the proxy's clock is converted to the current time. A second conversion would give a later time,
 /// which would look like a restart of the backend.
 #[derive(Debug)]
 pub(super) struct StartTimes {
@@ -18,7 +18,7 @@
 struct StartTime {
     /// Start time as discovery lists it, in Unix milliseconds.
     unix_ms: u64,
-    /// Start time on the proxy's clock; `None`: long ago.
+    /// Start time on the proxy's clock; `None` if the backend started long ago.
     started_at: Option<Micros>,
 }
 
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Returns the start time of a backend on the proxy's clock; `None`: long ago. It is converted only if discovery lists
-    /// another start time than before, because the backend restarted.
+    /// Returns the start time of a backend on the proxy's clock; `None` if the backend started long ago. The time is
+    /// converted only if it differs from the one that discovery listed before, because the backend restarted.
     pub(super) fn convert(&mut self, id: BackendId, unix_ms: u64) -> Option<Micros> {
         if let Some(known) = self.converted.get(&id)
             && known.unix_ms == unix_ms
--- a/src/proxy/discovery/translator.rs
+++ b/src/proxy/discovery/translator.rs
@@ -1,4 +1,4 @@
-//! Conversion of endpoint lists to the terms of the decisions.
+//! Converts endpoint lists from discovery's JSON format to the types of the balancer.
 
 use super::backend_ids::BackendIds;
 use super::error::{DiscoveryError, EndpointError};
@@ -18,13 +18,14 @@
 pub struct EndpointList {
     /// Revision of the list.
     pub revision: u64,
-    /// Whether the list has all endpoints; otherwise it has those that changed.
+    /// Whether the list has all endpoints, rather than only those that changed.
     pub is_complete: bool,
-    /// The endpoints, without malformed ones.
+    /// The endpoints. Malformed ones are left out.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Converts endpoint lists: replaces the names of backends, zones and machine types with numbers.
+/// Converts endpoint lists from discovery's JSON format to [`EndpointList`]s, in which backends, zones and machine types
+/// have numbers instead of names.
 #[derive(Debug)]
 pub struct Translator {
     zones: FxHashMap<String, Zone>,
@@ -90,7 +91,7 @@
         self.parse(json.to_string().as_bytes())
     }
 
-    /// Converts an endpoint. Returns it with the name of its backend.
+    /// Converts an endpoint, and returns it together with the name of its backend.
     fn endpoint<'a>(
         &mut self,
         json: &'a RawValue,
@@ -101,15 +102,17 @@
             .address
             .parse()
             .map_err(|source| EndpointError::Address {
+                backend: raw.name.to_string(),
                 address: raw.address.to_string(),
                 source,
             })?;
-        let zone = self
-            .zones
-            .get(raw.zone.as_ref())
-            .copied()
-            .ok_or_else(|| EndpointError::UnknownZone(raw.zone.to_string()))?;
-        // A backend whose machine type is not in the settings can serve requests too; it gets the default type.
+        let zone = self.zones.get(raw.zone.as_ref()).copied().ok_or_else(|| {
+            EndpointError::UnknownZone {
+                backend: raw.name.to_string(),
+                zone: raw.zone.to_string(),
+            }
+        })?;
+        // A backend whose machine type is not in the settings gets the default type, because it can serve requests too.
         let machine_type = self
             .machine_types
             .get(raw.machine_type.as_ref())
@@ -127,8 +130,8 @@
         Ok((Endpoint { backend, address }, raw.name))
     }
 
-    /// Removes the names and start times of backends that are no longer listed. Backend names are not reused, so these
-    /// would take memory forever. The work is proportional to the length of the list, also for a list of changes.
+    /// Removes the names and start times of backends that are no longer listed. Backend names are not reused, so they would
+    /// take memory forever. The work is proportional to the length of `list`, even if it has only changes.
     fn forget_removed(&mut self, list: &EndpointList, removed_names: &[Cow<'_, str>]) {
         if !list.is_complete && removed_names.is_empty() {
             return;
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery, which follows the endpoint list by long polling.
+//! The watch on discovery, which follows the changes of the endpoint list by long polling.
 
 use super::client::DiscoveryClient;
 use super::error::DiscoveryError;
@@ -54,7 +54,7 @@
         self.discard_requests();
     }
 
-    /// Discards the queued requests: one call serves all requests that were made before its end.
+    /// Discards the queued requests, because one call serves all requests that were made before its end.
     fn discard_requests(&mut self) {
         while self.watch_requests.try_recv().is_ok() {}
     }
@@ -69,7 +69,7 @@
     Watching,
     /// The last call failed.
     Failed,
-    /// Discovery has a new address. The next call is made at once, also if discovery is polled.
+    /// Discovery has a new address. The next call is made at once, even if discovery is polled.
     AddressChanged,
 }
 
@@ -84,7 +84,7 @@
     lifecycle: Rc<Lifecycle>,
     /// `None` if discovery is an agent on the same machine.
     polling: Option<Polling>,
-    /// Revision of the list that the proxy holds. `None`: the next call asks for the complete list.
+    /// Revision of the list that the proxy holds; `None` if the next call must request the complete list.
     revision: Option<u64>,
     state: WatchState,
 }
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Starts with the endpoint list that the configuration contains. It may be out of date, but a list with a ready
-    /// backend is enough to serve requests. If such a list is complete, the first call asks for changes only, which
+    /// Starts with the endpoint list that the configuration contains. The list may be out of date, but if it has a ready
+    /// backend, the proxy can serve requests. If such a list is complete, the first call asks for changes only, which
     /// saves discovery work when all proxies start at once.
     pub fn start_from_cache(&mut self, cached: &Value) {
         let mut endpoints = Vec::new();
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Disconnects from the old address at once. Revisions of two services are not comparable, so the next call asks the
-    /// new one for the complete list; the proxy uses the old list until the new one arrives.
+    /// Disconnects from the old address. Revisions of two services are not comparable, so the next call requests the
+    /// complete list from the new address. The proxy uses the old list until the new one arrives.
     fn on_address_changed(&mut self) {
         self.client.disconnect();
         self.revision = None;
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Waits until the next call is due: at once if a watch is continued or discovery is an agent, otherwise when the
-    /// balancer requests a watch.
+    /// Waits until the next call is due. It is due at once if it continues a watch, if the address has changed or if
+    /// discovery is an agent, and otherwise when the balancer requests a watch.
     async fn wait_for_next_call(&mut self) {
         match self.state {
             WatchState::Watching | WatchState::AddressChanged => {}
@@ -204,8 +204,8 @@
         self.state = WatchState::Failed;
     }
 
-    /// Prepares the call after a failed one. On a shared discovery the balancer decides when a watch is opened again, so
-    /// it is notified of the failure; on an agent the call is repeated after a short delay.
+    /// Prepares the call after a failed one. If discovery is polled, the balancer decides when a watch is opened again, so
+    /// it is notified of the failure. If discovery is an agent, the call is repeated after [`PUSHED_RETRY_DELAY`].
     async fn prepare_retry(&mut self, error: &DiscoveryError) {
         match &mut self.polling {
             None => sleep(PUSHED_RETRY_DELAY).await,
@@ -218,7 +218,7 @@
 
     fn notify_of_failure(&self, error: &DiscoveryError) {
         let update = match error {
-            DiscoveryError::Timeout => MembershipUpdate::WatchStalled,
+            DiscoveryError::Timeout { .. } => MembershipUpdate::WatchStalled,
             _ => MembershipUpdate::WatchFailed,
         };
         self.send(update);
@@ -229,18 +229,23 @@
     }
 
     /// Calls discovery once, for the complete list or for the changes since the revision that the proxy holds.
+    ///
+    /// # Errors
+    /// [`DiscoveryError`] if the call fails or returns a list that is older than the one that the proxy holds.
     async fn call(&mut self) -> Result<EndpointList, DiscoveryError> {
         let timing = self.next_timing();
         let target = self.next_target(timing);
         let address = *self.addresses.borrow();
         let response = timeout(timing.call_timeout, self.client.fetch(address, &target))
             .await
-            .map_err(|_| DiscoveryError::Timeout)?;
+            .map_err(|_| DiscoveryError::Timeout {
+                call_timeout: timing.call_timeout,
+            })?;
         let list = self.translator.parse(&response?)?;
         if let Some(held) = self.revision
             && list.revision < held
         {
-            // Another service, with revisions of its own, answers at this address. The next call asks it for the complete
+            // Another service with revisions of its own answers at this address. The next call requests its complete
             // list.
             self.revision = None;
             return Err(DiscoveryError::OutdatedRevision {
@@ -260,7 +265,7 @@
             Some(polling) if self.state == WatchState::Watching => {
                 CallTiming::continued(polling.long_poll_timeout)
             }
-            Some(_) => CallTiming::OPENING,
+            Some(_) => CallTiming::OPEN_WATCH,
         }
     }
 
--- a/src/proxy/discovery/wire.rs
+++ b/src/proxy/discovery/wire.rs
@@ -1,6 +1,6 @@
 //! The JSON form of endpoint lists, as the discovery protocol defines it.
 //!
-//! The protocol's names are mapped to the terms of the decisions here and nowhere else.
+//! Only this module maps the protocol's names to the terms of the balancer.
 
 use crate::api::Readiness;
 use serde::Deserialize;
@@ -8,7 +8,8 @@
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// An endpoint list whose endpoints are not parsed yet, so that a malformed one does not make the others unusable.
+/// An endpoint list whose endpoints have not been parsed yet, so that a malformed endpoint does not make the others
+/// unusable.
 #[derive(Deserialize)]
 pub(super) struct RawEndpointList<'a> {
     pub(super) revision: u64,
@@ -33,7 +34,7 @@
     pub(super) cell: u16,
     #[serde(rename = "phase")]
     pub(super) readiness: RawReadiness,
-    /// Start time of the backend's process in Unix milliseconds; 0: long ago.
+    /// Start time of the backend's process in Unix milliseconds; 0 if it started long ago.
     #[serde(default, rename = "up_since_ms")]
     pub(super) started_at_unix_ms: u64,
 }
@@ -48,7 +49,7 @@
 
 const PHASES: &[&str] = &["active", "leaving", "left"];
 
-/// Accepts a phase only as text. A derived implementation would also accept `{"active": null}`.
+/// Accepts a phase only as text: a derived implementation would also accept `{"active": null}`.
 impl<'de> Deserialize<'de> for RawReadiness {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let phase = Cow::<str>::deserialize(deserializer)?;
