--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,10 +1,10 @@
-//! Settings of a balancer, fixed while it runs.
+//! The settings of a balancer, which do not change while it runs.
 
 use super::{ClassIndex, Micros, Zone};
 use std::fmt;
 use thiserror::Error;
 
-/// The backends that share their idempotency keys: each drops a request if one of them has executed its key before.
+/// The backends that share their idempotency keys. Each of them drops a request whose key one of them has executed before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// Every backend.
@@ -36,7 +36,7 @@
 pub struct Class {
     /// The latency objective: a response within this time earns the full priority weight.
     pub latency_objective: Micros,
-    /// Factor by which a request's own expected work extends the latency objective. (Not used by the decisions.)
+    /// Part of a request's own expected work by which its latency objective is extended, as a factor. (The balancer does not use it.)
     pub objective_work_factor: f64,
     /// Total time for which a client waits for its answer.
     pub timeout: Micros,
@@ -55,12 +55,12 @@
     pub quota_per_s: f64,
 }
 
-/// The positions, in a load report, of the values that the decisions know. `None`: the reports lack the value.
+/// The positions of the known values in a load report; `None` for a value that the reports lack.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReportFields {
-    /// Position of the number of requests in flight at the backend. (Not used by the decisions.)
+    /// Position of the number of requests in flight at the backend. (The balancer does not use it.)
     pub in_flight: Option<usize>,
-    /// Position of the number of requests in the backend's queue. (Not used by the decisions.)
+    /// Position of the number of requests in the backend's queue. (The balancer does not use it.)
     pub queued: Option<usize>,
     /// Position of the recent service time, in milliseconds.
     pub service_time_ms: Option<usize>,
@@ -71,11 +71,12 @@
 pub struct Permissions {
     /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u16,
-    /// Whether requests may be hedged: two attempts in flight at once. (Not used by the decisions: they hedge none.)
+    /// Whether requests may be hedged: two attempts in flight at once. (The balancer does not hedge.)
     pub hedging: bool,
-    /// Whether attempts may be cancelled. (Not used by the decisions: they cancel none.)
+    /// Whether attempts may be cancelled. (The balancer does not cancel attempts.)
     pub cancellation: bool,
-    /// Whether health checks may be sent to backends. (Not used by the decisions: they send none.)
+    /// Whether health checks may be sent to backends. (The balancer does not send
+    /// health checks.)
     pub health_checks: bool,
     /// Time after which an idle connection is closed.
     pub idle_timeout: Micros,
@@ -88,28 +89,28 @@
 /// Parameters of the safety rules.
 #[derive(Clone, Copy, Debug)]
 pub struct SafetyLimits {
-    /// Maximum time between two polls of the endpoint list by a proxy without a watch. The rules assume that such a
-    /// proxy knows the list as it was this long ago.
+    /// Maximum time between two polls of the endpoint list by a proxy without a watch. The rules assume that the list which
+    /// such a proxy has is at most this old.
     pub poll_interval: Micros,
     /// Fraction of its capacity that a backend has when its slow start begins, 0 to 1.
     pub slow_start_initial_capacity: f64,
     /// Time from a backend's start until it has its full capacity.
     pub slow_start_duration: Micros,
-    /// Multiple of its present capacity above which the load on a backend in slow start makes it collapse, if the load
+    /// Multiple of its current capacity above which the load on a backend in slow start makes it collapse, if the load
     /// lasts for `collapse_time`.
     pub collapse_load_factor: f64,
-    /// Time for which that load must last until the backend collapses. (Not used by the decisions.)
+    /// Time for which a load above `collapse_load_factor` must last until the backend collapses. (The balancer does not use it.)
     pub collapse_time: Micros,
 }
 
 /// How the endpoint list reaches the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// The balancer receives the list and each change without asking. (On real sockets: discovery is an agent on the
-    /// same machine, and the proxy always holds a watch on it.)
+    /// The balancer receives the list and each change without requesting them. In the proxy process, discovery is an agent
+    /// on the same machine on which the proxy always holds a watch.
     Pushed,
-    /// The balancer receives the list only after [`Action::Subscribe`](super::Action::Subscribe). (On real sockets:
-    /// discovery is a service that all proxies share.)
+    /// The balancer receives the list only after [`Action::Subscribe`](super::Action::Subscribe). In the proxy process,
+    /// discovery is a service that all proxies share.
     Polled,
 }
 
@@ -128,18 +129,18 @@
     pub machine_type_count: u8,
     /// How the endpoint list reaches the balancer.
     pub discovery_mode: DiscoveryMode,
-    /// Whether a backend does less work for a key that it served recently. (Not used by the decisions.)
+    /// Whether a backend does less work for a request whose key it served recently. (The balancer does not use it.)
     pub key_affinity: bool,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Priority weight of a request over its tenant's quota, as a fraction of its class's weight, 0 to 1. (Not used by
-    /// the decisions: such a request is never queued.)
+    /// Priority weight of a request over its tenant's quota, as a fraction of its class's weight, 0 to 1. (The balancer
+    /// does not use it, because it never queues such a request.)
     pub over_quota_weight: f64,
     /// Cost of an attempt in another zone, as a fraction of a mean request's priority weight.
     pub cross_zone_cost: f64,
-    /// Cost of a health check, as a fraction of a mean request's priority weight. (Not used by the decisions.)
+    /// Cost of a health check, as a fraction of a mean request's priority weight. (The balancer does not use it.)
     pub health_check_cost: f64,
     /// Positions of the values in a load report.
     pub load_report: LoadReportFields,
@@ -206,11 +207,11 @@
     AtLeastOne,
     /// Any finite number above 0.
     AboveZero,
-    /// Any finite number from 0 on.
+    /// Any finite number that is 0 or more.
     ZeroOrMore,
     /// 0 to 1, both included.
     ZeroToOne,
-    /// At least the latency objective of the same class, which has this value.
+    /// At least the latency objective of the same class, which is given in microseconds.
     AtLeastLatencyObjective(Micros),
 }
 
@@ -239,21 +240,21 @@
     pub setting: SettingKind,
     /// The value found, as text.
     pub found: String,
-    /// The values that are allowed in its place.
+    /// The values that are allowed for the setting.
     pub allowed: AllowedValues,
 }
 
 impl Settings {
-    /// Returns a class.
+    /// Returns the class with an index.
     ///
     /// # Panics
-    /// If there is no such class.
+    /// If the settings have no class with this index.
     #[must_use]
     pub fn class(&self, index: ClassIndex) -> &Class {
         &self.classes[index.index()]
     }
 
-    /// Checks that each value lies in the range that the decisions need.
+    /// Checks that each setting has an allowed value.
     ///
     /// # Errors
     /// The first setting whose value is not allowed.
