--- a/src/settings_json/mod.rs
+++ b/src/settings_json/mod.rs
@@ -1,10 +1,10 @@
 //! Reads the settings of a proxy from JSON text.
 //!
-//! The simulator sends them when it starts a proxy; the real proxy has them in its configuration. `raw` has the keys of
-//! the decisions' settings as they are written; this module converts them to the terms and types of [`crate::api`].
-//! `proxy` has the keys that only the proxy on real sockets needs. They are deserialized separately because the
-//! simulator's settings need not have names, and because the errors of both parts are reported in the order in which
-//! the configuration is checked.
+//! The simulator sends the settings when it starts a proxy; the proxy process has them in its configuration. `raw` has the
+//! keys of the balancer's settings as they are written, and this module converts them to the types of [`crate::api`].
+//! `proxy` has the keys that only the proxy process needs. These are deserialized separately, because the simulator's
+//! settings need not have names, and because the errors of both parts are reported in the order in which the configuration
+//! is checked.
 //!
 //! Errors name each setting by the path of its key in the JSON text.
 
@@ -22,7 +22,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Why settings in JSON cannot be used.
+/// The reason why settings in JSON are invalid.
 #[derive(Debug, Error)]
 pub enum ParseSettingsError {
     /// The text is not JSON, a key is missing, or a value has the wrong type.
@@ -35,7 +35,7 @@
         key: String,
         /// The value found. Text is quoted.
         found: String,
-        /// The values that are allowed in its place.
+        /// The values that are allowed for the key.
         allowed: String,
     },
 }
@@ -79,7 +79,7 @@
     Ok(settings)
 }
 
-/// Deserializes the settings that only the proxy on real sockets needs.
+/// Deserializes the settings that only the proxy process needs.
 ///
 /// # Errors
 /// The key that is malformed, with its path.
--- a/src/settings_json/proxy.rs
+++ b/src/settings_json/proxy.rs
@@ -1,29 +1,30 @@
-//! The settings that only the proxy on real sockets needs: the names of classes, tenants, zones, machine types and load
-//! report fields, which the decisions identify by index, and the connect timeout.
+//! The settings that only the proxy process needs: the connect timeout, and the names of classes, tenants, zones, machine
+//! types and load report fields, which the balancer identifies by index.
 
 use super::ParseSettingsError;
 use crate::api::Micros;
 use serde::Deserialize;
 
-/// Connect timeout if the settings have none.
+/// Connect timeout if the settings have none or 0.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
-/// The names that the protocols use. The decisions identify the same things by their index in these lists.
+/// The names that requests, discovery and load reports use. The balancer identifies what they name by the index in these
+/// lists.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Request classes.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// Tenants; may be empty.
+    /// Names of the tenants; may be empty.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Machine types.
+    /// Names of the machine types.
     pub machine_types: Vec<String>,
-    /// Fields of a load report.
+    /// Names of the fields of a load report.
     pub load_report_fields: Vec<String>,
 }
 
-/// The settings that only the proxy on real sockets needs.
+/// The settings that only the proxy process needs.
 #[derive(Deserialize)]
 pub(crate) struct RawProxySettings {
     #[serde(default)]
@@ -67,7 +68,7 @@
 }
 
 impl RawProxySettings {
-    /// Returns the connect timeout.
+    /// Returns the timeout for connecting to a backend.
     pub(crate) fn connect_timeout(&self) -> Micros {
         self.permissions.connect_timeout()
     }
@@ -75,7 +76,7 @@
     /// Returns the names that the settings define.
     ///
     /// # Errors
-    /// The first class or tenant whose name is empty or taken.
+    /// The first class or tenant whose name is empty, or equal to an earlier one.
     pub(crate) fn into_names(self) -> Result<Names, ParseSettingsError> {
         Ok(Names {
             classes: distinct_names("classes", self.classes)?,
--- a/src/settings_json/raw.rs
+++ b/src/settings_json/raw.rs
@@ -1,4 +1,4 @@
-//! The JSON form of the decisions' settings: each key beside the term that the code uses for it. Durations are
+//! The JSON form of the balancer's settings: each key next to the term that the code uses for it. Durations are in
 //! microseconds.
 
 use crate::api::{Micros, SettingKind};
