--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,9 +1,9 @@
-//! Errors in the simulator's input.
+//! Errors in the batches of records that the simulator writes.
 
 use super::frames::{BATCH_HEADER_LENGTH, ListId, ProxyId};
 use thiserror::Error;
 
-/// Input that does not follow the protocol.
+/// An error in a batch of records, which does not follow the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("invalid input at byte {offset} of the batch: {kind}")]
 pub struct FrameError {
@@ -13,8 +13,7 @@
     pub kind: FrameErrorKind,
 }
 
-/// The kinds of errors in the input, with the value found and the values expected. The texts use the protocol's own
-/// names.
+/// The kinds of errors in a batch, with the value found and the values expected. The texts use the protocol's own names.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameErrorKind {
     /// The input ends within a batch's header.
@@ -26,12 +25,12 @@
         /// Number of bytes after the header, as the header states it.
         length: usize,
     },
-    /// The header states another length than the batch has.
+    /// The length in the header differs from the length of the batch.
     #[error("the batch header states {stated} bytes, expected {actual}")]
     BatchLength {
-        /// Number of bytes after the header.
+        /// Number of bytes that follow the header.
         actual: usize,
-        /// Number of bytes after the header, as the header states it.
+        /// Number of bytes that should follow the header, as the header states it.
         stated: usize,
     },
     /// A record ends before the end of a field.
@@ -42,9 +41,12 @@
         /// Length of the whole record in bytes.
         available: usize,
     },
-    /// The batch has more bytes than the number of records in its header accounts for.
-    #[error("bytes after the last record, expected the end of the batch")]
-    TrailingBytes,
+    /// Bytes follow the last of the records that the header of the batch announces.
+    #[error("{length} bytes after the last record, expected the end of the batch")]
+    TrailingBytes {
+        /// Number of bytes after the last record.
+        length: usize,
+    },
     /// An unknown code of an outcome.
     #[error("outcome is {0}, expected 100 or 301 to 307")]
     UnknownOutcome(u16),
@@ -54,7 +56,7 @@
     /// An unknown code of a readiness.
     #[error("readiness of an endpoint is {0}, expected 0 to 2")]
     UnknownReadiness(u8),
-    /// A record for a proxy, but no record has selected one.
+    /// A record for a proxy without an earlier record that selects one.
     #[error("record for a proxy, expected a `switch_to` record before it")]
     NoProxySelected,
     /// An event for a proxy that is not running.
--- a/src/simulator/frames/endpoints.rs
+++ b/src/simulator/frames/endpoints.rs
@@ -21,7 +21,7 @@
     /// Parses the endpoints.
     ///
     /// # Errors
-    /// [`FrameErrorKind::UnknownReadiness`] at the first endpoint with an unknown code of its readiness.
+    /// [`FrameErrorKind::UnknownReadiness`] at the first endpoint whose code of its readiness is unknown.
     pub fn parse(&self) -> Result<Vec<Backend>, FrameError> {
         let mut backends = Vec::with_capacity(self.bytes.len() / endpoint::LENGTH);
         let mut start = self.start;
@@ -40,7 +40,7 @@
         machine_type: MachineType(fields.u8(endpoint::MACHINE_TYPE)?),
         cell: Cell(fields.u16(endpoint::CELL)?),
         readiness: parse_readiness(fields)?,
-        // 0: the backend started before the simulation.
+        // 0 stands for a backend that started before the simulation.
         started_at: Some(fields.u64(endpoint::STARTED_AT)?).filter(|&time| time != 0),
     })
 }
--- a/src/simulator/frames/fields.rs
+++ b/src/simulator/frames/fields.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of one record by their offsets.
+//! Reads fields of one record by their offsets in it.
 
 use super::layout::outcome_code;
 use crate::api::Outcome;
@@ -7,7 +7,7 @@
 /// The bytes of one record, its header included.
 pub(super) struct Fields<'a> {
     bytes: &'a [u8],
-    /// Offset of the record in the batch, which errors report.
+    /// Offset of the record in the batch, from which errors calculate theirs.
     start: usize,
 }
 
--- a/src/simulator/frames/reader.rs
+++ b/src/simulator/frames/reader.rs
@@ -17,7 +17,7 @@
     u32::from_be_bytes(length) as usize
 }
 
-/// Reads the records of one batch in order.
+/// Reads the records of one batch, in order.
 #[derive(Debug)]
 pub struct BatchReader<'a> {
     bytes: &'a [u8],
@@ -66,8 +66,8 @@
     /// Reads the next record. Returns `None` after the last one.
     ///
     /// # Errors
-    /// A record that is truncated or contains an unknown code of an outcome or of a kind of update, or bytes after the
-    /// last record.
+    /// [`FrameErrorKind`] of a record that is truncated or contains an unknown code of an outcome or of a kind of update, or
+    /// of bytes after the last record.
     pub fn next_record(&mut self) -> Result<Option<Record<'a>>, FrameError> {
         let remaining_bytes = &self.bytes[self.offset..];
         let remaining = Fields::new(remaining_bytes, self.offset);
@@ -75,7 +75,10 @@
             if remaining_bytes.is_empty() {
                 return Ok(None);
             }
-            return Err(remaining.error(record::CODE, FrameErrorKind::TrailingBytes));
+            let kind = FrameErrorKind::TrailingBytes {
+                length: remaining_bytes.len(),
+            };
+            return Err(remaining.error(record::CODE, kind));
         }
         let fields_length = remaining.u32(record::LENGTH)? as usize;
         let length = record::FIELDS.saturating_add(fields_length);
@@ -160,7 +163,7 @@
         request: RequestId(fields.u32(request_received::REQUEST)?),
         class: ClassIndex(fields.u8(request_received::CLASS)?),
         tenant: TenantIndex(fields.u16(request_received::TENANT)?),
-        // 0: the request has no key.
+        // 0 stands for a request without a key.
         key: (key != 0).then_some(key),
         timeout: fields.u32(request_received::TIMEOUT)?.into(),
         expected_work: has_expected_work.then_some(expected_work.into()),
--- a/src/simulator/frames/record.rs
+++ b/src/simulator/frames/record.rs
@@ -1,4 +1,4 @@
-//! The records of a batch, and their events for the decisions.
+//! The records of a batch, and the events that they report to a balancer.
 
 use super::EndpointFrames;
 use crate::api::{
@@ -30,7 +30,7 @@
     WatchFailed,
 }
 
-/// One record of a batch. The protocol's own name of the record is in brackets.
+/// One record of a batch. The name that the protocol has for a record stands in brackets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
     /// Selects the proxy that the following records are for (`switch_to`).
@@ -124,8 +124,8 @@
 }
 
 impl Record<'_> {
-    /// Returns the event that the record reports to the selected proxy; `None` if it reports none. A membership update
-    /// returns `None` too: its event needs the endpoint list, which the record does not contain.
+    /// Returns the event that the record reports to the balancer of the selected proxy; `None` if it reports none. The
+    /// result is also `None` for a membership update, whose event needs an endpoint list that the record does not contain.
     #[must_use]
     pub fn event(&self) -> Option<Event<'_>> {
         match *self {
--- a/src/simulator/frames/writer.rs
+++ b/src/simulator/frames/writer.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub struct ReplyWriter {
     bytes: Vec<u8>,
-    /// The proxy of the last record, as the reply states it.
+    /// The proxy that the records of the reply have selected last.
     selected: Option<ProxyId>,
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Appends a record that the decisions of a proxy failed and cannot continue, with the reason.
+    /// Appends a record which reports that the balancer of a proxy failed and cannot continue, with the reason.
     pub fn fatal(&mut self, proxy: ProxyId, text: &str) {
         self.select(proxy);
         self.text(reply_code::FATAL, text);
@@ -85,7 +85,7 @@
         reply
     }
 
-    /// Appends a record that selects the proxy of the following records, unless it is selected already.
+    /// Appends a record that selects the proxy of the following records, unless that proxy is already selected.
     fn select(&mut self, proxy: ProxyId) {
         if self.selected != Some(proxy) {
             self.selected = Some(proxy);
@@ -110,7 +110,7 @@
     }
 }
 
-/// Encodes a duration in microseconds. A duration that does not fit is encoded as the longest one that does.
+/// Encodes a duration in microseconds. A duration that does not fit into 32 bits is encoded as the longest that does.
 fn duration_bytes(duration: Micros) -> [u8; 4] {
     u32::try_from(duration).unwrap_or(u32::MAX).to_be_bytes()
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -134,7 +134,7 @@
         ),
         (
             16,
-            "bytes after the last record, expected the end of the batch"
+            "7 bytes after the last record, expected the end of the batch"
         )
     );
     let wrong_length = parse_records("00000000 00000009 0000000000805c5a")
