--- a/src/bin/tillerproxy-simhost.rs
+++ b/src/bin/tillerproxy-simhost.rs
@@ -1,4 +1,4 @@
-//! Runs the decisions of many proxies for the simulator: reads batches on standard input and writes replies to standard
+//! Runs the balancers of many proxies for the simulator: reads batches on standard input and writes replies to standard
 //! output.
 #![forbid(unsafe_code)]
 
@@ -20,7 +20,7 @@
 /// Size in bytes of the buffer for standard input.
 const INPUT_BUFFER_LENGTH: usize = 64 * 1024;
 
-/// Why the program ends before the end of its input.
+/// The reason why the program ends before the end of its input.
 #[derive(Debug, Error)]
 enum HostError {
     /// The input does not follow the protocol.
@@ -29,7 +29,7 @@
     /// Reading standard input or writing standard output failed.
     #[error("cannot read standard input or write standard output: {0}")]
     Io(#[from] io::Error),
-    /// The settings of a proxy are invalid, or its decisions panicked. The reply has a record with the reason.
+    /// The settings of a proxy are invalid, or its balancer panicked. The reply has a record with the reason.
     #[error("proxy {} failed: {reason}", proxy.0)]
     ProxyFailed { proxy: ProxyId, reason: String },
 }
@@ -37,9 +37,9 @@
 /// The proxies of a simulation.
 #[derive(Default)]
 struct Host {
-    /// Balancers by the ids of their proxies; `None` if a proxy is not running.
+    /// Balancers by the numbers of their proxies; `None` if a proxy is not running.
     proxies: Vec<Option<Balancer>>,
-    /// Endpoint lists by their ids; `None` if a list has not been received.
+    /// Endpoint lists by their numbers; `None` if a list has not been received.
     endpoint_lists: Vec<Option<Rc<[Backend]>>>,
     /// Actions of the last event; kept so that the allocation is reused.
     actions: Vec<Action>,
@@ -48,7 +48,7 @@
     reported_codes: BTreeSet<u8>,
 }
 
-/// The selected proxy, and the record that is handled for it.
+/// The proxy that a record is for, and the offset and time of the record.
 #[derive(Clone, Copy)]
 struct Target {
     proxy: ProxyId,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Returns the endpoints that a membership update refers to; none if it reports a failure of the watch.
+    /// Returns the endpoints that a membership update refers to; an empty list if the update reports a failure of the watch.
     fn endpoints_of_update(
         &mut self,
         kind: UpdateKind,
@@ -146,8 +146,10 @@
         self.handle_event(target, Event::Membership(event))
     }
 
-    /// Passes an event to the decisions of a proxy and writes their actions to the reply. A panic of the decisions is
-    /// reported in the reply.
+    /// Passes an event to the balancer of a proxy and writes its actions to the reply.
+    ///
+    /// # Errors
+    /// [`FrameErrorKind::ProxyNotRunning`], or [`HostError::ProxyFailed`] if the balancer panics, which the reply reports.
     fn handle_event(&mut self, target: Target, event: Event<'_>) -> Result<(), HostError> {
         let Target { proxy, offset, now } = target;
         let Some(balancer) = entry(&mut self.proxies, proxy.index()) else {
@@ -156,10 +158,11 @@
         };
         let actions = &mut self.actions;
         actions.clear();
-        // The assertion holds because the program ends after a panic: state that is half updated is never used.
+        // `AssertUnwindSafe` is sound because the program ends after a panic, so that state which was updated only in part
+        // is never used.
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
         if let Err(panic) = handled {
-            let reason = format!("the decision module panicked: {}", panic_text(&*panic));
+            let reason = format!("the balancer panicked: {}", panic_text(&*panic));
             return Err(self.fail(proxy, reason));
         }
         for action in &self.actions {
@@ -190,7 +193,7 @@
     Ok(Balancer::new(settings, seed, now)?)
 }
 
-/// Returns the entry at `index` of a table, which is extended if it is too short.
+/// Returns the entry at `index` of a table. A table that is too short is extended.
 fn entry<T>(table: &mut Vec<Option<T>>, index: usize) -> &mut Option<T> {
     if table.len() <= index {
         table.resize_with(index + 1, || None);
@@ -214,10 +217,13 @@
     if let Some(text) = panic.downcast_ref::<String>() {
         return text;
     }
-    panic.downcast_ref::<&str>().copied().unwrap_or("no text")
+    panic
+        .downcast_ref::<&str>()
+        .copied()
+        .unwrap_or("a panic without a message")
 }
 
-/// Reads one batch into `bytes`. Returns whether there was one; `false` means the end of the input.
+/// Reads one batch into `bytes`. Returns whether there was one, or `false` at the end of the input.
 fn read_batch(input: &mut impl Read, bytes: &mut Vec<u8>) -> Result<bool, HostError> {
     bytes.clear();
     input.take(BATCH_HEADER_LENGTH as u64).read_to_end(bytes)?;
--- a/src/bin/tillerproxy.rs
+++ b/src/bin/tillerproxy.rs
@@ -1,4 +1,4 @@
-//! The proxy process: reads the configuration, connects the parts of the proxy, and runs until SIGTERM.
+//! The proxy process, which reads the configuration, connects the parts of the proxy and runs until SIGTERM.
 #![forbid(unsafe_code)]
 
 use std::error::Error;
@@ -31,7 +31,7 @@
     let log = match init_log() {
         Ok(log) => log,
         Err(error) => {
-            // A failure to write is ignored, because standard error may be closed.
+            // A failure of the write is ignored, because standard error may be closed.
             let _ = writeln!(io::stderr(), "tillerproxy: {error}");
             return ExitCode::FAILURE;
         }
@@ -39,7 +39,7 @@
     match run(log) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!(%error, "stopped by an error");
+            tracing::error!(%error, "proxy stopped");
             ExitCode::FAILURE
         }
     }
@@ -81,7 +81,7 @@
 }
 
 impl Signals {
-    /// Installs the signal handlers. Until then, either signal kills the process.
+    /// Installs the signal handlers. Before this, either signal kills the process.
     fn install() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -94,7 +94,7 @@
 struct Listeners {
     operators: Option<TcpListener>,
     clients: Rc<TcpListener>,
-    /// Whether other processes may also hold the client listener.
+    /// Whether other processes may also accept from the client listener.
     is_shared: bool,
 }
 
@@ -121,7 +121,7 @@
     }
 }
 
-/// The connected parts of a proxy that does not run yet.
+/// The connected parts of a proxy that has not been started.
 struct Proxy {
     driver: Driver,
     watcher: Watcher,
@@ -266,7 +266,7 @@
 }
 
 /// Reads the configuration again at each SIGHUP, and applies the address of discovery and the log filter. Other fields
-/// take effect only at the next start. A configuration that cannot be used has no effect.
+/// take effect only at the next start. An invalid configuration has no effect.
 async fn reload_configuration_on_signal(
     mut reload: Signal,
     discovery_address: watch::Sender<SocketAddr>,
