--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -4,7 +4,8 @@
 use std::fmt;
 use thiserror::Error;
 
-/// The backends that share their idempotency keys. Each of them drops a request whose key one of them has executed before.
+/// The backends that share their idempotency keys. Each of them drops a request whose key one of them has executed
+/// before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// Every backend.
@@ -36,7 +37,8 @@
 pub struct Class {
     /// The latency objective: a response within this time earns the full priority weight.
     pub latency_objective: Micros,
-    /// Part of a request's own expected work by which its latency objective is extended, as a factor. (The balancer does not use it.)
+    /// The latency objective of a request is extended by its expected work times this factor. (The balancer does not
+    /// use it.)
     pub objective_work_factor: f64,
     /// Total time for which a client waits for its answer.
     pub timeout: Micros,
@@ -89,8 +91,8 @@
 /// Parameters of the safety rules.
 #[derive(Clone, Copy, Debug)]
 pub struct SafetyLimits {
-    /// Maximum time between two polls of the endpoint list by a proxy without a watch. The rules assume that the list which
-    /// such a proxy has is at most this old.
+    /// Maximum time between two polls of the endpoint list by a proxy without a watch. The rules assume that the list
+    /// which such a proxy has is at most this old.
     pub poll_interval: Micros,
     /// Fraction of its capacity that a backend has when its slow start begins, 0 to 1.
     pub slow_start_initial_capacity: f64,
@@ -99,15 +101,16 @@
     /// Multiple of its current capacity above which the load on a backend in slow start makes it collapse, if the load
     /// lasts for `collapse_time`.
     pub collapse_load_factor: f64,
-    /// Time for which a load above `collapse_load_factor` must last until the backend collapses. (The balancer does not use it.)
+    /// Time for which a load above `collapse_load_factor` must last until the backend collapses. (The balancer does not
+    /// use it.)
     pub collapse_time: Micros,
 }
 
 /// How the endpoint list reaches the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// The balancer receives the list and each change without requesting them. In the proxy process, discovery is an agent
-    /// on the same machine on which the proxy always holds a watch.
+    /// The balancer receives the list and each change without requesting them. In the proxy process, discovery is an
+    /// agent on the same machine on which the proxy always holds a watch.
     Pushed,
     /// The balancer receives the list only after [`Action::Subscribe`](super::Action::Subscribe). In the proxy process,
     /// discovery is a service that all proxies share.
--- a/src/bin/tillerproxy-simhost.rs
+++ b/src/bin/tillerproxy-simhost.rs
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Returns the endpoints that a membership update refers to; an empty list if the update reports a failure of the watch.
+    /// Returns the endpoints that a membership update refers to; an empty list if the update reports a failure of the
+    /// watch.
     fn endpoints_of_update(
         &mut self,
         kind: UpdateKind,
@@ -149,7 +150,8 @@
     /// Passes an event to the balancer of a proxy and writes its actions to the reply.
     ///
     /// # Errors
-    /// [`FrameErrorKind::ProxyNotRunning`], or [`HostError::ProxyFailed`] if the balancer panics, which the reply reports.
+    /// [`FrameErrorKind::ProxyNotRunning`], or [`HostError::ProxyFailed`] if the balancer panics, which the reply
+    /// reports.
     fn handle_event(&mut self, target: Target, event: Event<'_>) -> Result<(), HostError> {
         let Target { proxy, offset, now } = target;
         let Some(balancer) = entry(&mut self.proxies, proxy.index()) else {
@@ -158,8 +160,8 @@
         };
         let actions = &mut self.actions;
         actions.clear();
-        // `AssertUnwindSafe` is sound because the program ends after a panic, so that state which was updated only in part
-        // is never used.
+        // `AssertUnwindSafe` is sound because the program ends after a panic, so that state which was updated only in
+        // part is never used.
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
         if let Err(panic) = handled {
             let reason = format!("the balancer panicked: {}", panic_text(&*panic));
--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -287,8 +287,8 @@
         }
     }
 
-    /// Waits until the attempt times out: at its deadline, or `remaining` after the end of a streamed body. The timeout of
-    /// a request with a streamed body counts from the last byte of the body.
+    /// Waits until the attempt times out: at its deadline, or `remaining` after the end of a streamed body. The timeout
+    /// of a request with a streamed body counts from the last byte of the body.
     async fn wait_for_timeout(&self, remaining: Duration) {
         match self.call.body.progress() {
             None => sleep_until(self.deadlines.deadline).await,
--- a/src/proxy/backends/backend_connections.rs
+++ b/src/proxy/backends/backend_connections.rs
@@ -10,7 +10,7 @@
 /// A connection that no attempt or health check uses.
 pub(super) struct IdleConnection {
     pub(super) connection: Connection,
-    /// When the connection became idle.
+    /// The time at which the connection became idle.
     pub(super) since: Instant,
 }
 
--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -74,9 +74,10 @@
 /// The deadlines of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadlines {
-    /// When the attempt times out.
+    /// The time at which the attempt times out.
     pub deadline: Instant,
-    /// When the attempt is abandoned unless its request is completely written; `None` if only `deadline` applies.
+    /// The time at which the attempt is abandoned unless its request is completely written; `None` if only `deadline`
+    /// applies.
     pub write_deadline: Option<Instant>,
 }
 
--- a/src/proxy/backends/error.rs
+++ b/src/proxy/backends/error.rs
@@ -14,8 +14,8 @@
         /// The largest number of sockets to backends that may be open at a time.
         max_sockets: usize,
     },
-    /// This proxy is out of descriptors, ports or memory.
-    #[error("this proxy lacks descriptors, ports or memory for a connection: {0}")]
+    /// The proxy is out of descriptors, ports or memory.
+    #[error("the proxy lacks descriptors, ports or memory for a connection: {0}")]
     LocalResources(#[source] io::Error),
     /// The backend refused the connection or could not be reached.
     #[error("cannot connect to the backend: {0}")]
@@ -47,8 +47,8 @@
 }
 
 impl BackendError {
-    /// Returns whether the fault is this proxy's. A fault of the proxy does not count against the backend, because
-    /// healthy backends would be ejected for it.
+    /// Returns whether the proxy itself caused the error. A fault of the proxy does not count against the backend,
+    /// because healthy backends would be ejected for it.
     fn is_local(&self) -> bool {
         matches!(self, Self::SocketLimit { .. } | Self::LocalResources(_))
     }
--- a/src/proxy/backends/exchange.rs
+++ b/src/proxy/backends/exchange.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// How long after its head a 200 response of unknown length is buffered before it is streamed.
+/// Time after its head for which a 200 response of unknown length is buffered before it is streamed.
 const STREAM_AFTER: Duration = Duration::from_millis(250);
 
 /// Writes a request and reads the response. A body that fits in the buffer is read completely, so that a client never
@@ -88,9 +88,9 @@
         && buffer.len() <= BUFFERED_BODY_BYTES
 }
 
-/// Returns whether the response can become complete. A response that cannot fails at once, which leaves time for another
-/// attempt instead of reading up to gigabytes without a result. A response that ends with its connection must announce
-/// the close, because it could otherwise not be distinguished from a response whose length was lost.
+/// Returns whether the response can become complete. A response that cannot fails at once, which leaves time for
+/// another attempt instead of reading up to gigabytes without a result. A response that ends with its connection must
+/// announce the close, because it could otherwise not be distinguished from a response whose length was lost.
 fn can_become_complete(response: &Response<Incoming>) -> bool {
     let length = response.body().size_hint();
     let has_end = length.exact().is_some()
--- a/src/proxy/backends/listed_backends.rs
+++ b/src/proxy/backends/listed_backends.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Closes the connection to any backend that has been idle for longest. Returns whether there was an idle connection.
+    /// Closes the connection to any backend that has been idle for longest. Returns whether there was an idle
+    /// connection.
     pub(super) fn close_oldest_idle(&self) -> bool {
         let by_id = self.by_id.borrow();
         let idle_since = by_id.values().filter_map(|backend| {
--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -12,11 +12,11 @@
 
 /// Interval between two sweeps for connections that have been idle for too long.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How long after a response the pool waits until the connection is ready for another request; the connection is closed
+/// Time after a response in which the connection must become ready for another request; the connection is closed
 /// if it is not. Meanwhile it occupies one of the sockets, but can be neither used nor closed to make room.
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long before the end of the backend's idle timeout the pool stops using an idle connection: the backend's timeout
-/// starts earlier than the proxy's.
+/// Time before the end of the backend's idle timeout at which the pool stops using an idle connection: the backend's
+/// timeout starts earlier than the proxy's.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
 /// The limits of a [`ConnectionPool`].
@@ -25,7 +25,7 @@
     pub(super) max_sockets: usize,
     /// The longest time that connecting to a backend may take.
     pub(super) connect_timeout: Duration,
-    /// How long backends keep an idle connection.
+    /// Time for which backends keep an idle connection open.
     pub(super) idle_timeout: Duration,
 }
 
@@ -122,7 +122,8 @@
         unread == Unread::Nothing
     }
 
-    /// Takes the most recently used clean connection. Connections that are not needed therefore stay idle and are closed.
+    /// Takes the most recently used clean connection. Connections that are not needed therefore stay idle and are
+    /// closed.
     fn take_idle(&self, backend: &BackendConnections) -> Option<IdleConnection> {
         while let Some(idle) = backend.pop_idle() {
             if self.is_clean(&idle) {
@@ -132,8 +133,8 @@
         None
     }
 
-    /// Closes an idle connection if the limit of sockets is reached. Returns whether another socket may be opened; it may
-    /// not if every socket is in use.
+    /// Closes an idle connection if the limit of sockets is reached. Returns whether another socket may be opened; it
+    /// may not if every socket is in use.
     fn make_room(&self) -> bool {
         self.connector.open_sockets() < self.max_sockets || self.listed_backends.close_oldest_idle()
     }
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -73,8 +73,8 @@
     /// Returns the next data of the body, or `None` at its end.
     ///
     /// # Errors
-    /// The outcome of the attempt if the body fails or is cut off, if the client no longer reads it, or if the attempt is
-    /// cancelled.
+    /// The outcome of the attempt if the body fails or is cut off, if the client no longer reads it, or if the attempt
+    /// is cancelled.
     async fn receive(&mut self) -> Result<Option<Bytes>, Outcome> {
         let request_ended = self.request_ended;
         let late_at = self.deadline.after_receiving(self.forwarded);
--- a/src/proxy/backends/request.rs
+++ b/src/proxy/backends/request.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Builds the request that sends a call to the backend at `address`. A header states that the backend has `remaining` to
-/// respond.
+/// Builds the request that sends a call to the backend at `address`. A header states that the backend has `remaining`
+/// to respond.
 pub(super) fn build_request(
     call: &Call,
     body: RequestBody,
@@ -38,8 +38,8 @@
     request
 }
 
-/// Returns the minimum number of bytes that a request with a body of `body_size` bytes takes on the wire. If fewer bytes
-/// were written, the backend cannot have begun to run the request.
+/// Returns the minimum number of bytes that a request with a body of `body_size` bytes takes on the wire. If fewer
+/// bytes were written, the backend cannot have begun to run the request.
 pub(super) fn minimum_size(request: &Request<RequestBody>, body_size: u64) -> u64 {
     let target_size = request
         .uri()
--- a/src/proxy/backends/stray_bytes.rs
+++ b/src/proxy/backends/stray_bytes.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection is not used again after a response, while stray bytes are recent. A second response arrives
-/// some milliseconds after the first. If another request was sent in between, the second response would be taken for its
-/// response.
+/// Time after a response for which a connection is not used again while stray bytes are recent. A second response
+/// arrives some milliseconds after the first. If another request was sent in between, the second response would be
+/// taken for its response.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
-/// How long stray bytes count as recent.
+/// Time for which stray bytes count as recent.
 const RECENT_STRAY_BYTES: Duration = Duration::from_secs(60);
 
 /// The time of the last stray bytes on any connection.
--- a/src/proxy/bodies/buffered.rs
+++ b/src/proxy/bodies/buffered.rs
@@ -66,8 +66,8 @@
 }
 
 /// Collects the pieces of a body as they arrive. A single piece is held without a copy. Several pieces are copied to
-/// pieces of [`BUFFERED_BODY_BYTES`] bytes, because a single growing buffer could leave as much memory unused as a large
-/// body takes.
+/// pieces of [`BUFFERED_BODY_BYTES`] bytes, because a single growing buffer could leave as much memory unused as a
+/// large body takes.
 #[derive(Default)]
 pub struct BodyBuffer {
     /// The completed pieces.
--- a/src/proxy/bodies/deadline.rs
+++ b/src/proxy/bodies/deadline.rs
@@ -8,7 +8,7 @@
 pub(super) const MIN_BYTES_PER_SECOND: u64 = 32 * 1024;
 
 /// The deadline of a body: the end of a grace period, extended by the time that the received bytes take at
-/// [`MIN_BYTES_PER_SECOND`].
+/// 32 KiB per second.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyDeadline {
     /// The end of the grace period, which is the deadline until the first byte of the body is received.
--- a/src/proxy/bodies/message_bodies.rs
+++ b/src/proxy/bodies/message_bodies.rs
@@ -14,7 +14,8 @@
 /// A shared cell with a streamed request body, which the first attempt takes; `None` from then on.
 pub type PendingUpload = Rc<RefCell<Option<Upload>>>;
 
-/// The body of a client's request. If it is buffered, each attempt sends a copy; if it is streamed, one attempt takes it.
+/// The body of a client's request. If it is buffered, each attempt sends a copy; if it is streamed, one attempt takes
+/// it.
 pub enum CallBody {
     /// A buffered body, which can be sent any number of times. The reservations account for its memory.
     Buffered(BufferedBody, Vec<Reservation>),
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -96,8 +96,8 @@
         Ok(Upload::new(buffer.take(), reserved, body, deadline, counters).into())
     }
 
-    /// Reserves memory for `buffered` bytes of a body, and returns whether enough was available. The memory is reserved as
-    /// the bytes arrive, so that a slow client takes no more of it than it has sent.
+    /// Reserves memory for `buffered` bytes of a body, and returns whether enough was available. The memory is reserved
+    /// as the bytes arrive, so that a slow client takes no more of it than it has sent.
     fn reserve_memory(&self, buffered: usize, reserved: &mut Vec<Reservation>) -> bool {
         while buffered > (reserved.len() + 1) * BUFFERED_BODY_BYTES {
             let Some(memory) = self.budget.body_memory.reserve(BUFFERED_BODY_BYTES) else {
--- a/src/proxy/clients/mod.rs
+++ b/src/proxy/clients/mod.rs
@@ -80,7 +80,7 @@
     /// Whether the accept loop waits for a connection to end, because the maximum number is open.
     is_full: Cell<bool>,
     connections: RefCell<ClientConnections>,
-    /// When a connection was last accepted.
+    /// The time at which a connection was last accepted.
     last_accepted_at: Cell<Instant>,
     /// The correlation ids of the requests that have no response yet.
     open_ids: RefCell<FxHashSet<HeaderValue>>,
@@ -174,7 +174,7 @@
 
     /// Accepts one connection from the kernel's queue, if there is any. Returns whether more connections may be queued.
     ///
-    /// This calls the system's accept directly, because the runtime may not have been notified of the connection yet.
+    /// The method makes the system call directly, because the runtime may not have been notified of the connection yet.
     pub fn accept_queued(self: &Rc<Self>, listener: &TcpListener) -> bool {
         match socket2::SockRef::from(listener).accept() {
             Ok((socket, _)) => {
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Notifies the accept loop, if it waits for a connection to end, that another connection may have become evictable.
+    /// Notifies the accept loop, if it waits for a connection to end, that another connection may have become
+    /// evictable.
     fn notify_if_full(&self) {
         if self.is_full.get() {
             self.connection_freed.notify_waiters();
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -124,16 +124,16 @@
             ),
         };
         ticket.set_outcome(outcome);
-        // The rest of the body is read before the response is sent, because a response before the last byte would cut off
-        // a client that is still sending.
+        // The rest of the body is read before the response is sent, because a response before the last byte would cut
+        // off a client that is still sending.
         if let Some(upload) = upload.and_then(|upload| upload.take()) {
             upload.discard_rest().await;
         }
         Ok(response.map(ResponseBody::Buffered))
     }
 
-    /// Sends a request to the driver and waits for its answer. Returns `None` if the driver drops the request without an
-    /// answer.
+    /// Sends a request to the driver and waits for its answer. Returns `None` if the driver drops the request without
+    /// an answer.
     ///
     /// # Errors
     /// [`InvalidRequest::ClientDisconnected`] if the client disconnects first.
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -21,7 +21,7 @@
 /// Interval at which a connection that is due to be closed is checked again while it may still have a request.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How the HTTP exchange on a connection ended.
+/// The way in which the HTTP exchange on a connection ended.
 enum ConnectionEnd {
     /// The proxy closes the connection, which has no request in flight.
     Closed,
@@ -154,8 +154,8 @@
     }
 }
 
-/// Returns the earlier of two times at which a connection is to be closed; `None` if `new` is `None`, even if `current` is
-/// not.
+/// Returns the earlier of two times at which a connection is to be closed; `None` if `new` is `None`, even if `current`
+/// is not.
 fn earlier_of(new: Option<Instant>, current: Option<Instant>) -> Option<Instant> {
     let new = new?;
     Some(current.map_or(new, |current| current.min(new)))
--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -39,8 +39,8 @@
         self.origin_unix + micros(self.origin.elapsed())
     }
 
-    /// Converts an instant of the runtime to a time of this clock, in microseconds since the Unix epoch. An instant before
-    /// the start of the clock is converted to the start.
+    /// Converts an instant of the runtime to a time of this clock, in microseconds since the Unix epoch. An instant
+    /// before the start of the clock is converted to the start.
     #[must_use]
     pub fn to_micros(self, instant: Instant) -> Micros {
         self.origin_unix + micros(instant.saturating_duration_since(self.origin))
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -224,8 +224,8 @@
     parse_filter(&value).map_err(|source| ConfigError::LogFilter { value, source })
 }
 
-/// Returns the seed of the balancer's random numbers: the value of the field, as hexadecimal text or a number, or a random
-/// seed if the field holds neither.
+/// Returns the seed of the balancer's random numbers: the value of the field, as hexadecimal text or a number, or a
+/// random seed if the field holds neither.
 fn parse_seed(value: &Value) -> u64 {
     value
         .as_str()
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -1,5 +1,5 @@
-//! Client connections: their state, the deadlines that follow from it, and the selection of a connection to evict so that
-//! another client can be accepted.
+//! Client connections: their state, the deadlines that follow from it, and the selection of a connection to evict so
+//! that another client can be accepted.
 
 use super::budget::MemoryBudget;
 use super::framing::Framing;
@@ -27,8 +27,8 @@
 /// just before that timeout still has 250 ms to complete.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_750);
 
-/// How long after its last activity a connection that is new or has received a partial head counts as active. Active
-/// connections are evicted after all others, because a request may still be arriving on them.
+/// Time after its last activity for which a connection that is new or has received a partial head counts as active.
+/// Active connections are evicted after all others, because a request may still be arriving on them.
 const ACTIVE_WINDOW: Duration = Duration::from_millis(500);
 
 /// The state of a connection, which determines its deadline and its eviction cost.
@@ -70,9 +70,9 @@
     read_ahead: RefCell<ReadAhead>,
     framing: RefCell<Framing>,
     connected_at: Instant,
-    /// When bytes were last read or written.
+    /// The time at which bytes were last read or written.
     last_activity: Cell<Instant>,
-    /// When the first byte of the current head was read.
+    /// The time at which the first byte of the current head was read.
     head_started_at: Cell<Instant>,
     /// The number of requests received so far.
     requests: Cell<u64>,
@@ -117,9 +117,9 @@
 
     /// Waits until the client has closed the connection.
     ///
-    /// Bytes that the client sends in the meantime are read ahead while `memory` has room. Otherwise the close would not be
-    /// seen if the client sent more bytes before it than the kernel buffers. The current request must have been read
-    /// completely, because the rest of it would be read ahead as well.
+    /// Bytes that the client sends in the meantime are read ahead while `memory` has room. Otherwise the close would
+    /// not be seen if the client sent more bytes before it than the kernel buffers. The current request must have been
+    /// read completely, because the rest of it would be read ahead as well.
     pub async fn closed_by_client(&self, memory: &MemoryBudget) {
         tokio::select! {
             () = self.socket.closed_by_peer() => {}
@@ -201,8 +201,8 @@
             ConnectionState::Unused | ConnectionState::Idle => {
                 Some(self.last_activity.get() + CLIENT_IDLE_TIMEOUT)
             }
-            // hyper rejects malformed bytes. Discarding bytes has the same time limit as reading a head; without a limit,
-            // the connection could stay open forever.
+            // hyper rejects malformed bytes. Discarding bytes has the same time limit as reading a head; without a
+            // limit, the connection could stay open forever.
             ConnectionState::ReadingHead | ConnectionState::Discarding => {
                 let started_at = if self.requests.get() == 0 {
                     self.connected_at
@@ -301,7 +301,7 @@
         self.open.remove(&number);
     }
 
-    /// Requests the eviction of the connection with the lowest [`EvictionCost`], and among several with the same cost, of
+    /// Requests the eviction of the connection with the lowest eviction cost, and among several with the same cost, of
     /// the one that has been without activity for longest. A connection with a request is never evicted.
     ///
     /// The task of the connection is notified and closes the connection, unless a request has arrived in the meantime.
--- a/src/proxy/counters.rs
+++ b/src/proxy/counters.rs
@@ -5,7 +5,7 @@
 use std::fmt::{self, Write};
 use std::rc::Rc;
 
-/// How a request ended.
+/// The outcome of a request, by which it is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// A backend's response was forwarded completely.
@@ -168,8 +168,8 @@
     counter.set(counter.get() + 1);
 }
 
-/// Counts a request as in progress until it is dropped. The request is then counted by the outcome that was set. If none
-/// was set, its client disconnected, and the request is not counted.
+/// Counts a request as in progress until it is dropped. The request is then counted by the outcome that was set. If
+/// none was set, its client disconnected, and the request is not counted.
 pub struct RequestTicket {
     counters: Rc<Counters>,
     class: ClassIndex,
--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -1,11 +1,11 @@
 //! Timing of the calls to discovery.
 //!
 //! The operators require that the proxy applies a change of the endpoint list by a deadline even if its watch does not
-//! deliver the change: [`MAX_CHANGE_DELAY_AFTER_STALL`] after the watch stalled, or [`MAX_CHANGE_DELAY_AFTER_LONG_POLL`]
-//! after the long-poll timeout of the stalled watch if that is later; [`MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE`] after a
-//! change of discovery's address. From this deadline on, the proxy counts as knowing the change. The watch must be open
-//! again before the deadline, although the call that opens it may be queued at discovery for 2 s. The timeouts below allow
-//! for that.
+//! deliver the change: [`MAX_CHANGE_DELAY_AFTER_STALL`] after the watch stalled, or
+//! [`MAX_CHANGE_DELAY_AFTER_LONG_POLL`] after the long-poll timeout of the stalled watch if that is later;
+//! [`MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE`] after a change of discovery's address. From this deadline on, the proxy
+//! counts as knowing the change. The watch must be open again before the deadline, although the call that opens it may
+//! be queued at discovery for 2 s. The timeouts below allow for that.
 
 use crate::spread::golden_ratio_position;
 use std::time::Duration;
@@ -15,11 +15,12 @@
 /// The operators' bound on the time from the long-poll timeout of a stalled watch until the proxy must have applied a
 /// change of the list. It replaces [`MAX_CHANGE_DELAY_AFTER_STALL`] if it ends later.
 pub const MAX_CHANGE_DELAY_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
-/// The operators' bound on the time from a change of discovery's address until the proxy must have applied a change of the
-/// list.
+/// The operators' bound on the time from a change of discovery's address until the proxy must have applied a change of
+/// the list.
 pub const MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
-/// Long-poll timeout if discovery is an agent on the same machine. It limits how long a broken connection goes unnoticed.
+/// Long-poll timeout if discovery is an agent on the same machine. It limits how long a broken connection goes
+/// unnoticed.
 const PUSHED_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Mean long-poll timeout if all proxies share discovery. A long timeout reduces the number of calls to discovery.
 const POLLED_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(20);
@@ -28,7 +29,8 @@
 const LONG_POLL_SPREAD_PER_PROXY: Duration = Duration::from_secs(1);
 /// Maximum width of the range of the long-poll timeouts of all proxies.
 const MAX_LONG_POLL_SPREAD: Duration = Duration::from_secs(30);
-/// Long-poll timeout of a call that opens a watch on a shared discovery. The call may be queued at discovery in addition.
+/// Long-poll timeout of a call that opens a watch on a shared discovery. The call may be queued at discovery in
+/// addition.
 const OPEN_WATCH_LONG_POLL_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout of a call that may be queued at discovery. Discovery keeps dropped calls in its queue, so a shorter timeout
 /// would make the queue longer.
@@ -92,8 +94,8 @@
     }
 }
 
-/// Returns the long-poll timeout with which a proxy continues a watch if all proxies share discovery. The timeouts of all
-/// proxies are distributed evenly around their mean.
+/// Returns the long-poll timeout with which a proxy continues a watch if all proxies share discovery. The timeouts of
+/// all proxies are distributed evenly around their mean.
 #[must_use]
 pub fn polled_long_poll_timeout(proxy_index: u32, proxy_count: u32) -> Duration {
     let other_proxies = proxy_count.saturating_sub(1);
--- a/src/proxy/discovery/start_times.rs
+++ b/src/proxy/discovery/start_times.rs
@@ -6,8 +6,8 @@
 
 /// Converts start times to the proxy's clock, and keeps the results.
 ///
-/// A start time ahead of the proxy's clock is converted to the current time. A second conversion would give a later time,
-/// which would look like a restart of the backend.
+/// A start time ahead of the proxy's clock is converted to the current time. A second conversion would give a later
+/// time, which would look like a restart of the backend.
 #[derive(Debug)]
 pub(super) struct StartTimes {
     clock: Clock,
--- a/src/proxy/discovery/translator.rs
+++ b/src/proxy/discovery/translator.rs
@@ -24,8 +24,8 @@
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Converts endpoint lists from discovery's JSON format to [`EndpointList`]s, in which backends, zones and machine types
-/// have numbers instead of names.
+/// Converts endpoint lists from discovery's JSON format to [`EndpointList`]s, in which backends, zones and machine
+/// types have numbers instead of names.
 #[derive(Debug)]
 pub struct Translator {
     zones: FxHashMap<String, Zone>,
@@ -130,8 +130,8 @@
         Ok((Endpoint { backend, address }, raw.name))
     }
 
-    /// Removes the names and start times of backends that are no longer listed. Backend names are not reused, so they would
-    /// take memory forever. The work is proportional to the length of `list`, even if it has only changes.
+    /// Removes the names and start times of backends that are no longer listed. Backend names are not reused, so they
+    /// would take memory forever. The work is proportional to the length of `list`, even if it has only changes.
     fn forget_removed(&mut self, list: &EndpointList, removed_names: &[Cow<'_, str>]) {
         if !list.is_complete && removed_names.is_empty() {
             return;
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -111,9 +111,9 @@
         }
     }
 
-    /// Starts with the endpoint list that the configuration contains. The list may be out of date, but if it has a ready
-    /// backend, the proxy can serve requests. If such a list is complete, the first call asks for changes only, which
-    /// saves discovery work when all proxies start at once.
+    /// Starts with the endpoint list that the configuration contains. The list may be out of date, but if it has a
+    /// ready backend, the proxy can serve requests. If such a list is complete, the first call asks for changes only,
+    /// which saves discovery work when all proxies start at once.
     pub fn start_from_cache(&mut self, cached: &Value) {
         let mut endpoints = Vec::new();
         match self.translator.parse_value(cached) {
@@ -204,8 +204,8 @@
         self.state = WatchState::Failed;
     }
 
-    /// Prepares the call after a failed one. If discovery is polled, the balancer decides when a watch is opened again, so
-    /// it is notified of the failure. If discovery is an agent, the call is repeated after [`PUSHED_RETRY_DELAY`].
+    /// Prepares the call after a failed one. If discovery is polled, the balancer decides when a watch is opened again,
+    /// so it is notified of the failure. If discovery is an agent, the call is repeated after [`PUSHED_RETRY_DELAY`].
     async fn prepare_retry(&mut self, error: &DiscoveryError) {
         match &mut self.polling {
             None => sleep(PUSHED_RETRY_DELAY).await,
--- a/src/proxy/driver/attempts.rs
+++ b/src/proxy/driver/attempts.rs
@@ -150,8 +150,8 @@
         });
     }
 
-    /// Answers the client with a streamed response whose head has been received, and notifies the balancer. If the client
-    /// has disconnected or has been answered, the response is dropped, which ends the attempt.
+    /// Answers the client with a streamed response whose head has been received, and notifies the balancer. If the
+    /// client has disconnected or has been answered, the response is dropped, which ends the attempt.
     pub(super) fn on_response_started(
         &mut self,
         now: Micros,
@@ -208,8 +208,8 @@
         self.execute_actions(now);
     }
 
-    /// Sends the response of an attempt to the client and notifies the balancer of the end of the attempt. A second end of
-    /// the same attempt is ignored.
+    /// Sends the response of an attempt to the client and notifies the balancer of the end of the attempt. A second end
+    /// of the same attempt is ignored.
     fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -227,8 +227,8 @@
             .attempt_elapsed(attempt, &self.clock, now)
             .unwrap_or_default();
         request_log::attempt_ended(request, attempt, backend, elapsed, &result);
-        // The first 200 response is the final answer. It is sent without a decision of the balancer, which is notified by
-        // `request_answered`.
+        // The first 200 response is the final answer. It is sent without a decision of the balancer, which is notified
+        // by `request_answered`.
         if let Some(response) = result.served {
             open.answer(request, Answer::Served(response));
         }
--- a/src/proxy/driver/margins.rs
+++ b/src/proxy/driver/margins.rs
@@ -5,12 +5,13 @@
 /// Time between the timeout that the balancer is given and the client's timeout, in which the response must be written
 /// and transmitted.
 const BALANCER_MARGIN: Micros = 20_000;
-/// How long before the client's timeout a request fails that has not been answered.
+/// Time before the client's timeout at which a request fails that has not been answered.
 const FINAL_ANSWER_MARGIN: Micros = 10_000;
-/// How long before the end of the process all requests must be answered.
+/// Time before the end of the process by which all requests must be answered.
 const SHUTDOWN_MARGIN: Micros = 100_000;
 
-/// Returns the timeout that the balancer is given for a request whose client waits for `remaining`: at least half of it.
+/// Returns the timeout that the balancer is given for a request whose client waits for `remaining`: at least half of
+/// it.
 pub(super) fn balancer_timeout(remaining: Micros) -> Micros {
     remaining.saturating_sub(BALANCER_MARGIN.min(remaining / 2))
 }
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -93,8 +93,8 @@
         (driver, handle)
     }
 
-    /// Handles messages and timers until all handles are dropped. The driver holds a handle itself, so it runs until the
-    /// process ends.
+    /// Handles messages and timers until all handles are dropped. The driver holds a handle itself, so it runs until
+    /// the process ends.
     pub async fn run(mut self) {
         loop {
             let next_due = self.timers.next_due().map(|due| self.clock.to_instant(due));
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -79,8 +79,8 @@
             return;
         }
         request_log::client_disconnected(request);
-        // An attempt that still waits for its connection must no longer be sent (rule 1: nothing is started for a request
-        // after its end).
+        // An attempt that still waits for its connection must no longer be sent (rule 1: nothing is started for a
+        // request after its end).
         open.call.request_ended.set();
         self.handle_event(now, Event::ClientDisconnected(request));
         self.requests.remove_if_finished(request);
--- a/src/proxy/driver/requests.rs
+++ b/src/proxy/driver/requests.rs
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Records the end of an attempt and returns its backend; `None` if there is no such attempt or it had already ended.
+    /// Records the end of an attempt and returns its backend; `None` if there is no such attempt or it had already
+    /// ended.
     pub(super) fn end_attempt(&mut self, number: u16) -> Option<BackendId> {
         let attempt = self.attempts.get_mut(usize::from(number))?;
         if matches!(attempt.state, AttemptState::Ended) {
@@ -110,8 +111,8 @@
         Some(attempt.backend)
     }
 
-    /// Returns how long an attempt has taken so far. The time in which the client was still sending the request's body is
-    /// not included, because the backend does not cause it.
+    /// Returns how long an attempt has taken so far. The time in which the client was still sending the request's body
+    /// is not included, because the backend does not cause it.
     pub(super) fn attempt_elapsed(
         &self,
         number: u16,
@@ -126,8 +127,8 @@
         Some(now.saturating_sub(began))
     }
 
-    /// Returns when the last byte of a streamed body was received; `None` if it has not been received yet, or the body is
-    /// not streamed.
+    /// Returns when the last byte of a streamed body was received; `None` if it has not been received yet, or the body
+    /// is not streamed.
     fn body_complete_at(&self, clock: &Clock) -> Option<Micros> {
         let progress = self.call.body.progress()?;
         let complete_at = progress.finished_at()?;
--- a/src/proxy/framing.rs
+++ b/src/proxy/framing.rs
@@ -1,8 +1,8 @@
 //! Tracks where the messages on a client connection begin and end.
 //!
 //! hyper parses the same bytes, but it ignores a `Content-Length` beside a `Transfer-Encoding` and merges repeated
-//! lengths, which a backend may interpret differently (request smuggling). hyper also does not report whether a head has
-//! begun, which determines the eviction cost of the connection.
+//! lengths, which a backend may interpret differently (request smuggling). hyper also does not report whether a head
+//! has begun, which determines the eviction cost of the connection.
 
 use super::header_values::parse_decimal;
 
@@ -218,8 +218,8 @@
         let found = if name.eq_ignore_ascii_case(b"content-length") {
             BodyLength::Known(parse_decimal(value)?)
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            // Any other coding is ambiguous: the proxy does not decode it and does not forward `Transfer-Encoding`, so the
-            // backend would not be told of the coding.
+            // Any other coding is ambiguous: the proxy does not decode it and does not forward `Transfer-Encoding`, so
+            // the backend would not be told of the coding.
             value
                 .eq_ignore_ascii_case(b"chunked")
                 .then_some(BodyLength::Chunked)?
--- a/src/proxy/inherited.rs
+++ b/src/proxy/inherited.rs
@@ -30,8 +30,8 @@
 
 /// Returns the client listener that the environment names, or `None` if it names none.
 ///
-/// This must be called before the process opens any descriptor, because a descriptor that the process opened itself could
-/// be mistaken for the inherited one.
+/// The function must be called before the process opens any descriptor, because a descriptor that the process opened
+/// itself could be mistaken for the inherited one.
 ///
 /// # Errors
 /// The environment names something other than a listening TCP socket.
--- a/src/proxy/lifecycle.rs
+++ b/src/proxy/lifecycle.rs
@@ -9,11 +9,11 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long an idle client connection stays open while the proxy drains. After a shorter time, a connection would often be
-/// closed while a request of its client is in transit.
+/// Time for which an idle client connection stays open while the proxy drains. After a shorter time, a connection would
+/// often be closed while a request of its client is in transit.
 const IDLE_GRACE_PERIOD: Duration = Duration::from_millis(1_500);
-/// How long before the last answer of a shutdown idle client connections are closed at the latest. A request that arrives
-/// on such a connection just before the close is still answered.
+/// Time before the last answer of a shutdown by which idle client connections are closed. A request that
+/// arrives on such a connection just before the close is still answered.
 const IDLE_CLOSE_MARGIN: Duration = Duration::from_millis(100);
 
 /// A stage in the lifecycle of the process.
--- a/src/proxy/logging/mod.rs
+++ b/src/proxy/logging/mod.rs
@@ -1,7 +1,7 @@
 //! The log: structured lines on standard error, limited to a number of lines per second.
 //!
-//! Events are emitted with the macros of `tracing`. Events of individual requests have the target [`REQUEST_TARGET`] and
-//! the level `debug`, so that they cost almost nothing unless the filter enables them.
+//! Events are emitted with the macros of `tracing`. Events of individual requests have the target [`REQUEST_TARGET`]
+//! and the level `debug`, so that they cost almost nothing unless the filter enables them.
 
 mod options;
 mod rate_limit;
@@ -30,7 +30,7 @@
     /// Replaces the filter. `None` restores the filter with which the log was initialized.
     pub fn set_filter(&self, filter: Option<Targets>) {
         let filter = filter.unwrap_or_else(|| self.default_filter.clone());
-        // This fails only if the subscriber has been dropped, and the subscriber lives as long as the process.
+        // Reloading fails only if the subscriber has been dropped, and the subscriber lives as long as the process.
         let _ = self.filter.reload(filter);
     }
 }
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -68,7 +68,7 @@
 pub struct InboundRequest {
     /// The description of the request for the balancer. The timeout in it counts from `arrived`.
     pub request: Request,
-    /// When the request arrived.
+    /// The time at which the request arrived, on the proxy's clock.
     pub arrived: Micros,
     /// The call to send to a backend.
     pub call: Call,
@@ -113,8 +113,8 @@
     },
     /// The endpoint list or the state of its watch changed.
     Membership(MembershipUpdate),
-    /// Requests the number of listed backends that the balancer avoids, because they are draining, ejected, unresponsive
-    /// or without capacity after a rejection
+    /// Requests the number of listed backends that the balancer avoids, because they are draining, ejected,
+    /// unresponsive or without capacity after a rejection
     /// ([`Balancer::avoided_backends`](crate::balancer::Balancer::avoided_backends)).
     CountAvoidedBackends(oneshot::Sender<usize>),
 }
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -110,8 +110,8 @@
         })
     }
 
-    /// Accepts and serves calls while the proxy runs. At most [`MAX_OPERATOR_CALLS`] calls are open. A further call ends
-    /// the oldest one, which has had the most time to arrive.
+    /// Accepts and serves calls while the proxy runs. At most [`MAX_OPERATOR_CALLS`] calls are open. A further call
+    /// ends the oldest one, which has had the most time to arrive.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut open_calls: VecDeque<AbortHandle> = VecDeque::new();
         loop {
--- a/src/proxy/read_ahead.rs
+++ b/src/proxy/read_ahead.rs
@@ -1,7 +1,7 @@
 //! Bytes that are read from a client's connection before hyper asks for them.
 //!
-//! The end of a connection is seen only after all bytes before it have been read, and hyper reads nothing while a request
-//! is open. The bytes that a client sends in the meantime are held here, so that its disconnect is noticed.
+//! The end of a connection is seen only after all bytes before it have been read, and hyper reads nothing while a
+//! request is open. The bytes that a client sends in the meantime are held here, so that its disconnect is noticed.
 
 use super::budget::{MemoryBudget, Reservation};
 use super::size_limits::BUFFERED_BODY_BYTES;
@@ -31,8 +31,8 @@
         self.bytes.is_empty()
     }
 
-    /// Reserves memory for [`READ_PIECE_BYTES`] more bytes. Returns false if the connection would hold too many bytes or
-    /// `memory` is exhausted.
+    /// Reserves memory for [`READ_PIECE_BYTES`] more bytes. Returns false if the connection would hold too many bytes
+    /// or `memory` is exhausted.
     pub fn make_room(&mut self, memory: &MemoryBudget) -> bool {
         let wanted = self.bytes.len() + READ_PIECE_BYTES;
         if wanted > MAX_READ_AHEAD_BYTES {
--- a/src/proxy/shutdown.rs
+++ b/src/proxy/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: the proxy serves its open requests and those that still arrive, until no client is connected or the
-//! process must end.
+//! Graceful shutdown: the proxy serves its open requests and those that still arrive, until no client is connected or
+//! the process must end.
 
 use super::clients::Clients;
 use super::lifecycle::{Lifecycle, ShutdownTimes};
@@ -8,21 +8,21 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// The minimum time after the start of a shutdown for which connections are accepted, because clients notice the shutdown
-/// late.
+/// The minimum time after the start of a shutdown for which connections are accepted, because clients notice the
+/// shutdown late.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(800);
 /// After [`MIN_ACCEPT_TIME`], connections are accepted until none has arrived for this time.
 const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(300);
 /// Interval at which the proxy checks whether to stop accepting connections.
 const ACCEPT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time from the longest client timeout until the process ends, even if clients are still connected. The time of the last
-/// answer is calculated with the same margin.
+/// Time from the longest client timeout until the process ends, even if clients are still connected. The time of the
+/// last answer is calculated with the same margin.
 const PROCESS_END_MARGIN: Duration = Duration::from_millis(500);
 /// Upper limit of the client timeout in the calculation of the last answer's time. The process supervisor may kill the
 /// process 0.7 s after this time.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(3);
 
-/// Drains the proxy. Returns when no client connection is left, but at the latest [`PROCESS_END_MARGIN`] after
+/// Drains the proxy. Returns when no client connection is left, but at the latest `PROCESS_END_MARGIN` after
 /// `longest_timeout`, which is the longest time that a client waits for a response.
 ///
 /// `listener` is the client listener if it belongs to this process alone, otherwise `None`: the connections queued at a
--- a/src/proxy/size_limits.rs
+++ b/src/proxy/size_limits.rs
@@ -1,9 +1,9 @@
 //! Limits on the sizes of heads and bodies of clients and backends, in bytes. [`Budget`](super::budget::Budget) derives
 //! the numbers of connections from them.
 
-/// The largest response body that is buffered completely, and the largest part of a request body that is buffered without
-/// a reservation of memory. The budget of each connection includes this size. Memory for larger bodies is reserved in
-/// units of it.
+/// The largest response body that is buffered completely, and the largest part of a request body that is buffered
+/// without a reservation of memory. The budget of each connection includes this size. Memory for larger bodies is
+/// reserved in units of it.
 pub const BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// The largest body that is forwarded, of a request or a response. Clients send up to 32 MB.
 pub const MAX_FORWARDED_BODY_BYTES: u64 = 40 << 20;
--- a/src/proxy/socket.rs
+++ b/src/proxy/socket.rs
@@ -18,7 +18,7 @@
 /// Size of the buffer for the bytes that are read from a connection that is being closed, and discarded.
 const LINGER_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What has arrived on a socket and has not been read yet.
+/// The kind of data that has arrived on a socket and has not been read yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
     /// Nothing, and the connection is open.
@@ -67,7 +67,8 @@
         matches!(self.0.peek(&mut [0]).await, Ok(1..))
     }
 
-    /// Reads without waiting. Returns the number of bytes read, or `None` if there are none or the connection has ended.
+    /// Reads without waiting. Returns the number of bytes read, or `None` if there are none or the connection has
+    /// ended.
     pub fn read_now(&self, buffer: &mut [u8]) -> Option<usize> {
         self.0.try_read(buffer).ok().filter(|&read| read > 0)
     }
--- a/src/proxy/socket_io.rs
+++ b/src/proxy/socket_io.rs
@@ -1,4 +1,5 @@
-//! The reader and writer that hyper is given for a [`Socket`]. They notify the connection of what hyper reads and writes.
+//! The reader and writer that hyper is given for a [`Socket`]. They notify the connection of what hyper reads and
+//! writes.
 
 use super::socket::Socket;
 use std::io;
--- a/src/proxy/time_limits.rs
+++ b/src/proxy/time_limits.rs
@@ -2,15 +2,16 @@
 
 use std::time::Duration;
 
-/// How long a streamed response may make no progress, because the backend sends nothing or the client reads nothing.
+/// Longest time for which a streamed response may make no progress, because the backend sends nothing or the client
+/// reads nothing.
 pub const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time in which a client must send a complete request, extended by the time that the received bytes of its body take at
-/// the minimum rate (see [`BodyDeadline`](super::bodies::BodyDeadline)). This limits how long an incomplete request may
-/// occupy a connection. The time counts from the accept for the first request of a connection, and from the head for
-/// later requests.
+/// Time in which a client must send a complete request, extended by the time that the received bytes of its body take
+/// at the minimum rate (see [`BodyDeadline`](super::bodies::BodyDeadline)). This limits how long an incomplete request
+/// may occupy a connection. The time counts from the accept for the first request of a connection, and from the head
+/// for later requests.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a client connection may receive no bytes between requests or before the first one: as long as a request may
-/// take.
+/// Longest time for which a client connection may receive no bytes between requests or before the first one. It equals
+/// the time that a request may take.
 pub const CLIENT_IDLE_TIMEOUT: Duration = REQUEST_TIMEOUT;
 /// Pause after a failed accept.
 pub const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
--- a/src/settings_json/mod.rs
+++ b/src/settings_json/mod.rs
@@ -1,10 +1,10 @@
 //! Reads the settings of a proxy from JSON text.
 //!
-//! The simulator sends the settings when it starts a proxy; the proxy process has them in its configuration. `raw` has the
-//! keys of the balancer's settings as they are written, and this module converts them to the types of [`crate::api`].
-//! `proxy` has the keys that only the proxy process needs. These are deserialized separately, because the simulator's
-//! settings need not have names, and because the errors of both parts are reported in the order in which the configuration
-//! is checked.
+//! The simulator sends the settings when it starts a proxy; the proxy process has them in its configuration. `raw` has
+//! the keys of the balancer's settings as they are written, and this module converts them to the types of
+//! [`crate::api`]. `proxy` has the keys that only the proxy process needs. These are deserialized separately, because
+//! the simulator's settings need not have names, and because the errors of both parts are reported in the order in
+//! which the configuration is checked.
 //!
 //! Errors name each setting by the path of its key in the JSON text.
 
--- a/src/settings_json/proxy.rs
+++ b/src/settings_json/proxy.rs
@@ -1,5 +1,5 @@
-//! The settings that only the proxy process needs: the connect timeout, and the names of classes, tenants, zones, machine
-//! types and load report fields, which the balancer identifies by index.
+//! The settings that only the proxy process needs: the connect timeout, and the names of classes, tenants, zones,
+//! machine types and load report fields, which the balancer identifies by index.
 
 use super::ParseSettingsError;
 use crate::api::Micros;
@@ -8,8 +8,8 @@
 /// Connect timeout if the settings have none or 0.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
-/// The names that requests, discovery and load reports use. The balancer identifies what they name by the index in these
-/// lists.
+/// The names that requests, discovery and load reports use. The balancer identifies what they name by the index in
+/// these lists.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     /// Names of the request classes.
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -13,7 +13,8 @@
     pub kind: FrameErrorKind,
 }
 
-/// The kinds of errors in a batch, with the value found and the values expected. The texts use the protocol's own names.
+/// The kinds of errors in a batch, with the value found and the values expected. The texts use the protocol's own
+/// names.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameErrorKind {
     /// The input ends within a batch's header.
--- a/src/simulator/frames/mod.rs
+++ b/src/simulator/frames/mod.rs
@@ -1,8 +1,8 @@
 //! Binary frames: batches of records from the simulator, and the replies to them.
 //!
-//! All integers are big-endian. A batch consists of a header (number of records, number of bytes that follow), the clock
-//! and the records. A record consists of a code, the length of its fields in bytes, and the fields. A reply consists of
-//! its length in bytes and records of the same form.
+//! All integers are big-endian. A batch consists of a header (number of records, number of bytes that follow), the
+//! clock and the records. A record consists of a code, the length of its fields in bytes, and the fields. A reply
+//! consists of its length in bytes and records of the same form.
 
 mod endpoints;
 mod fields;
--- a/src/simulator/frames/record.rs
+++ b/src/simulator/frames/record.rs
@@ -26,7 +26,7 @@
     Full,
     /// The list is complete, but comes from a cache and may be out of date.
     Cached,
-    /// There is no list: a call to discovery failed, or the watch was lost.
+    /// The update has no list, because a call to discovery failed or the watch was lost.
     WatchFailed,
 }
 
@@ -125,7 +125,8 @@
 
 impl Record<'_> {
     /// Returns the event that the record reports to the balancer of the selected proxy; `None` if it reports none. The
-    /// result is also `None` for a membership update, whose event needs an endpoint list that the record does not contain.
+    /// result is also `None` for a membership update, whose event needs an endpoint list that the record does not
+    /// contain.
     #[must_use]
     pub fn event(&self) -> Option<Event<'_>> {
         match *self {
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -1,5 +1,5 @@
-//! Distributes values that differ between proxies, such as their long-poll timeouts, evenly over an interval. The proxies
-//! need no coordination, and their number may change.
+//! Distributes values that differ between proxies, such as their long-poll timeouts, evenly over an interval. The
+//! proxies need no coordination, and their number may change.
 
 /// The fractional part of the golden ratio. The fractional parts of its multiples are distributed evenly over 0..1 for
 /// any number of multiples.
