--- a/src/proxy/driver/attempts.rs
+++ b/src/proxy/driver/attempts.rs
@@ -1,13 +1,16 @@
-//! Attempts and health checks, from their start to their outcome.
+//! Attempts and health checks from their start to their end.
 
 use super::Driver;
 use crate::api::{AttemptEnd, BackendId, Event, Micros, Outcome, RequestId};
-use crate::proxy::backends::{AttemptDeadlines, AttemptResult, Served};
+use crate::proxy::backends::{
+    AttemptDeadlines, AttemptResult, BackendConnections, Call, ServedResponse,
+};
 use crate::proxy::messages::{Answer, Message};
 use crate::proxy::request_log;
 use std::rc::Rc;
+use tokio::sync::oneshot;
 
-/// An attempt or a health check that ended.
+/// An attempt or a health check that has ended, with its result.
 #[derive(Debug)]
 pub(super) enum Completion {
     Attempt {
@@ -32,6 +35,18 @@
     pub(super) write_deadline: Option<Micros>,
 }
 
+/// An attempt whose backend is listed and that may be sent.
+struct PreparedAttempt {
+    request: RequestId,
+    /// Number of the attempt within the request, counted from 0.
+    attempt: u16,
+    connections: Rc<BackendConnections>,
+    call: Rc<Call>,
+    deadlines: AttemptDeadlines,
+    /// Receives a value when the balancer cancels the attempt.
+    cancelled: oneshot::Receiver<()>,
+}
+
 impl Driver {
     /// Starts an attempt. It ends at once with [`Outcome::NotSent`] if its request is answered, the maximum number of
     /// attempts is reached, its deadline has passed or its backend is not listed.
@@ -40,7 +55,7 @@
             request,
             backend,
             deadline,
-            write_deadline,
+            ..
         } = start;
         let Some(open) = self.requests.get_mut(request) else {
             return;
@@ -54,22 +69,47 @@
             .backend_client
             .connections(backend)
             .filter(|_| may_be_sent);
-        let Some(connections) = connections else {
-            self.completions.push_back(Completion::Attempt {
+        match connections {
+            Some(connections) => {
+                let prepared = PreparedAttempt {
+                    request,
+                    attempt,
+                    connections,
+                    call,
+                    deadlines: self.attempt_deadlines(&start),
+                    cancelled,
+                };
+                self.spawn_attempt(prepared);
+            }
+            None => self.completions.push_back(Completion::Attempt {
                 request,
                 attempt,
                 result: Outcome::NotSent.into(),
-            });
-            return;
-        };
-        let deadlines = AttemptDeadlines {
-            deadline: self.clock.instant(deadline),
-            write_deadline: write_deadline.map(|at| self.clock.instant(at)),
-        };
+            }),
+        }
+    }
+
+    fn attempt_deadlines(&self, start: &AttemptStart) -> AttemptDeadlines {
+        AttemptDeadlines {
+            deadline: self.clock.to_instant(start.deadline),
+            write_deadline: start.write_deadline.map(|at| self.clock.to_instant(at)),
+        }
+    }
+
+    /// Spawns the task that makes an attempt and notifies the driver of its response and its end.
+    fn spawn_attempt(&self, prepared: PreparedAttempt) {
+        let PreparedAttempt {
+            request,
+            attempt,
+            connections,
+            call,
+            deadlines,
+            cancelled,
+        } = prepared;
         let backend_client = Rc::clone(&self.backend_client);
         let handle = self.handle.clone();
         tokio::task::spawn_local(async move {
-            let on_response = |response| {
+            let on_response_start = |response| {
                 handle.send(Message::ResponseStarted {
                     request,
                     attempt,
@@ -77,7 +117,7 @@
                 });
             };
             let result = backend_client
-                .attempt(connections, call, deadlines, cancelled, on_response)
+                .attempt(connections, call, deadlines, cancelled, on_response_start)
                 .await;
             handle.send(Message::AttemptEnded {
                 request,
@@ -87,14 +127,14 @@
         });
     }
 
-    /// Cancels an attempt. Its outcome follows in a [`Message::AttemptEnded`].
+    /// Cancels an attempt. The attempt ends with a [`Message::AttemptEnded`], which reports its outcome.
     pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: u16) {
         if let Some(open) = self.requests.get_mut(request) {
             open.cancel_attempt(attempt);
         }
     }
 
-    /// Sends a health check to a backend, if the backend is listed.
+    /// Sends a health check to a backend. Does nothing if the backend is not listed.
     pub(super) fn start_health_check(&self, backend: BackendId) {
         let Some(connections) = self.backend_client.connections(backend) else {
             return;
@@ -110,14 +150,14 @@
         });
     }
 
-    /// Answers the client with a streamed response whose head was received. If the client has disconnected or has its
-    /// answer, the response is dropped, which ends the attempt.
+    /// Answers the client with a streamed response whose head has been received, and notifies the balancer. If the
+    /// client has disconnected or has been answered, the response is dropped, which ends the attempt.
     pub(super) fn on_response_started(
         &mut self,
         now: Micros,
         request: RequestId,
         attempt: u16,
-        response: Served,
+        response: ServedResponse,
     ) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
@@ -136,13 +176,13 @@
         self.handle_event(now, event);
     }
 
-    /// Notifies the balancer of an attempt or a health check that ended.
+    /// Notifies the balancer of the end of an attempt or a health check.
     pub(super) fn on_completion(&mut self, now: Micros, completion: Completion) {
         self.completions.push_back(completion);
         self.handle_completions(now);
     }
 
-    /// Notifies the balancer of all completions in the queue, including those that its actions add meanwhile.
+    /// Notifies the balancer of all completions in the queue, including those that its actions add in the meantime.
     pub(super) fn handle_completions(&mut self, now: Micros) {
         while let Some(completion) = self.completions.pop_front() {
             match completion {
@@ -168,7 +208,8 @@
         self.execute_actions(now);
     }
 
-    /// Notifies the balancer of the end of an attempt. A second end of the same attempt is ignored.
+    /// Sends the response of an attempt to the client and notifies the balancer of the end of the attempt. A second end
+    /// of the same attempt is ignored.
     fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -186,7 +227,8 @@
             .attempt_elapsed(attempt, &self.clock, now)
             .unwrap_or_default();
         request_log::attempt_ended(request, attempt, backend, elapsed, &result);
-        // The first response of a backend is the final answer; the balancer does not decide on it.
+        // The first 200 response is the final answer. It is sent without a decision of the balancer, which is notified
+        // by `request_answered`.
         if let Some(response) = result.served {
             open.answer(request, Answer::Served(response));
         }
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -1,7 +1,7 @@
 //! The events of a request: it arrives, its final answer is due, its client disconnects.
 
 use super::Driver;
-use super::margins::{balancer_timeout, final_answer_timeout, last_answer_before};
+use super::margins::{answer_deadline_before_process_end, balancer_timeout, final_answer_timeout};
 use super::requests::PendingRequest;
 use super::timers::DriverTimer;
 use crate::api::{Event, Micros, RequestId};
@@ -34,8 +34,8 @@
         self.handle_event(now, Event::Request(request));
     }
 
-    /// Fails a request that has no answer yet, so that its client gets one before its timeout (rule 1: one final
-    /// answer). The timer is set again if a streamed body has moved the time at which the answer is due.
+    /// Fails a request that has no answer yet, so that its client receives one before its timeout (rule 1: one final
+    /// answer). If a streamed body has postponed the final answer, the timer is set again instead.
     pub(super) fn on_final_answer_due(&mut self, now: Micros, request: RequestId) {
         let Some(open) = self.requests.get(request) else {
             return;
@@ -46,29 +46,31 @@
             self.timers.set(due, DriverTimer::FinalAnswer(request));
             return;
         }
-        open.call.over.set();
+        open.call.request_ended.set();
         if self.answer(request, Answer::Failed) {
             self.handle_event(now, Event::ClientDisconnected(request));
             self.requests.remove_if_finished(request);
         }
     }
 
-    /// Returns the latest time at which a request with a streamed body is answered: its client's timeout starts with the
-    /// last byte of the body. `None` if the body is not streamed.
+    /// Returns the time at which the final answer to a request with a streamed body is due; `None` if the body is not
+    /// streamed. The client's timeout starts with the last byte of the body.
     fn streamed_answer_due(&self, now: Micros, open: &PendingRequest) -> Option<Micros> {
         let progress = open.call.body.progress()?;
         let complete_at = match progress.finished_at() {
-            Some(at) => self.clock.at(at),
+            Some(at) => self.clock.to_micros(at),
             None => now,
         };
         let due = complete_at + final_answer_timeout(open.remaining);
-        match self.lifecycle.process_end() {
-            Some(process_end) => Some(due.min(last_answer_before(self.clock.at(process_end)))),
+        match self.lifecycle.process_ends_at() {
+            Some(process_ends_at) => Some(due.min(answer_deadline_before_process_end(
+                self.clock.to_micros(process_ends_at),
+            ))),
             None => Some(due),
         }
     }
 
-    /// Records that a client disconnected and notifies the balancer, unless the client has its answer.
+    /// Records that a client disconnected and notifies the balancer. Does nothing if the request has been answered.
     pub(super) fn on_client_disconnected(&mut self, now: Micros, request: RequestId) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
@@ -77,9 +79,9 @@
             return;
         }
         request_log::client_disconnected(request);
-        // An attempt that still waits for its connection must not be sent any more (rule 1: nothing is started for a
+        // An attempt that still waits for its connection must no longer be sent (rule 1: nothing is started for a
         // request after its end).
-        open.call.over.set();
+        open.call.request_ended.set();
         self.handle_event(now, Event::ClientDisconnected(request));
         self.requests.remove_if_finished(request);
     }
--- a/src/simulator/frames/record.rs
+++ b/src/simulator/frames/record.rs
@@ -1,32 +1,20 @@
-//! The records of a batch, and their events for the decisions.
+//! The records of a batch, and the events that they report to a balancer.
 
 use super::EndpointFrames;
 use crate::api::{
     AttemptEnd, BackendId, ClassIndex, Event, Micros, Outcome, Request, RequestId, TenantIndex,
 };
+use crate::index_type;
 
-/// Number of a proxy in the simulation.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ProxyId(pub u16);
-
-impl ProxyId {
-    /// Returns the number as an index into a table of proxies.
-    #[must_use]
-    pub fn index(self) -> usize {
-        usize::from(self.0)
-    }
+index_type! {
+    /// Number of a proxy in the simulation, which is its index in a table of proxies.
+    ProxyId(u16)
 }
 
-/// Number of an endpoint list. A later list with the same number replaces it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListId(pub u16);
-
-impl ListId {
-    /// Returns the number as an index into a table of endpoint lists.
-    #[must_use]
-    pub fn index(self) -> usize {
-        usize::from(self.0)
-    }
+index_type! {
+    /// Number of an endpoint list, which is its index in a table of lists. A later list with the same number replaces
+    /// it.
+    ListId(u16)
 }
 
 /// The kind of a membership update: which endpoints its list has.
@@ -38,11 +26,11 @@
     Full,
     /// The list is complete, but comes from a cache and may be out of date.
     Cached,
-    /// There is no list: a call to discovery failed, or the watch was lost.
+    /// The update has no list, because a call to discovery failed or the watch was lost.
     WatchFailed,
 }
 
-/// One record of a batch. The protocol's own name of the record is in brackets.
+/// One record of a batch. The name that the protocol has for a record stands in brackets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
     /// Selects the proxy that the following records are for (`switch_to`).
@@ -136,8 +124,9 @@
 }
 
 impl Record<'_> {
-    /// Returns the event that the record reports to the selected proxy; `None` if it reports none. A membership update
-    /// returns `None` too: its event needs the endpoint list, which the record does not contain.
+    /// Returns the event that the record reports to the balancer of the selected proxy; `None` if it reports none. The
+    /// result is also `None` for a membership update, whose event needs an endpoint list that the record does not
+    /// contain.
     #[must_use]
     pub fn event(&self) -> Option<Event<'_>> {
         match *self {
