--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -53,7 +53,7 @@
 }
 
 /// Returns a GET request with an empty body.
-fn get_call(path: &'static str) -> Rc<Call> {
+fn call_with_method_get(path: &'static str) -> Rc<Call> {
     Rc::new(Call {
         method: Method::GET,
         target: Uri::from_static(path),
@@ -101,7 +101,7 @@
     let ended = Rc::clone(backend_client)
         .attempt(
             connections,
-            get_call(path),
+            call_with_method_get(path),
             deadlines_in_one_second(),
             cancel,
             |_| {},
@@ -114,7 +114,7 @@
     );
     let ServedBody::Buffered(body) = ended.served.expect("a served attempt has a response").body
     else {
-        panic!("expected a buffered body, as it is short")
+        panic!("expected a buffered body, because the response is short; found a streamed one")
     };
     String::from_utf8(body.joined()).expect("the backend sends ASCII")
 }
@@ -194,7 +194,7 @@
 /// Runs an attempt with this response. Its request times out after `request_timeout`.
 async fn attempt_chunked(response: ChunkedResponse, request_timeout: Duration) -> ChunkedAttempt {
     let backend_client = start_backend(move |stream| response.serve(stream)).await;
-    let call = get_call("/long");
+    let call = call_with_method_get("/long");
     let deadlines = deadlines_in_one_second();
     let (_cancel_sender, cancel) = oneshot::channel();
     let (body_sender, body) = oneshot::channel::<ResponseBody>();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -18,7 +18,7 @@
 /// Length of a step of simulated time.
 const TICK: Micros = 5 * MS;
 
-/// State of an attempt, as far as its backend may have executed the request.
+/// State of an attempt: whether its backend may have executed the request.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum AttemptState {
     /// The attempt has not ended. The request counts as possibly executed.
@@ -213,7 +213,7 @@
         let tracked = self
             .requests
             .get_mut(&request)
-            .expect("the request was found above");
+            .expect("the attempt belongs to a submitted request");
         tracked.attempts.push(Attempt {
             backend: backend_id,
             sent_at: self.now,
@@ -260,7 +260,8 @@
         }
     }
 
-    /// Checks that a request may get this final answer now and records its end. It is a rejection or else a failure.
+    /// Checks that a request may get a final answer now, and records the end of the request. The answer is a rejection if
+    /// `is_rejection`, otherwise a failure.
     fn record_final_answer(&mut self, request: RequestId, is_rejection: bool) {
         let tracked = self
             .requests
@@ -353,7 +354,7 @@
         self.end_attempt_with_report(request, number, outcome, &[])
     }
 
-    /// Ends an attempt that is in flight; `load_report` is empty if none came with the response.
+    /// Ends an attempt that is in flight; `load_report` is empty if the response has none.
     ///
     /// # Panics
     /// Panics if the request was not submitted or the attempt is not in flight.
--- a/tests/decisions/connections.rs
+++ b/tests/decisions/connections.rs
@@ -74,7 +74,8 @@
             proxy.end_attempt(RequestId(id), 0, Outcome::Ok);
         }
         proxy.advance(idle);
-        // Six consecutive losses eject a backend. After a long idle time, the first one does not count against it.
+        // Six consecutive lost requests eject a backend. A request lost on a connection that was idle for seconds is
+        // not counted.
         let mut id = 2;
         let mut losses = 0;
         while losses < 6 {
--- a/tests/decisions/discovery.rs
+++ b/tests/decisions/discovery.rs
@@ -47,7 +47,8 @@
     }
 }
 
-/// Guards against a backoff so long that the rules assume that the proxy knows a list which it has not received yet.
+/// Guards against a backoff after which rule 3 (draining) already treats the proxy as informed of a list that it has not
+/// received.
 #[test]
 fn a_call_after_a_failed_one_ends_within_four_poll_intervals() {
     for (poll_interval, proxy_count, call_duration) in
@@ -116,9 +117,9 @@
 }
 
 #[test]
-fn one_of_710_proxies_calls_discovery_within_2500_ms_after_up_to_8_failures() {
-    // A change counts as known to a proxy 6 s after discovery has it, even after failed calls. A call takes up to 3.5 s
-    // of that time.
+fn a_proxy_of_710_calls_discovery_within_2500_ms_after_up_to_8_failures() {
+    // Rule 3 (draining) treats a proxy as informed of a change 6 s after discovery has it, even after failed calls. A
+    // call takes up to 3.5 s of that time.
     for seed in 0..300 {
         let mut balancer = Balancer::new(polling_settings(710), seed, SECOND)
             .expect("the settings of the test are valid");
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -86,7 +86,7 @@
 }
 
 /// Effects of a load with corrupt responses.
-struct CorruptLoadEffects {
+struct LoadEffects {
     /// Ejections during the load.
     ejections: usize,
     /// Attempts admitted at once after the load.
@@ -94,7 +94,7 @@
 }
 
 /// Runs a load in which the first attempt of every `interval`-th request gets a corrupt response.
-fn run_corrupt_load(interval: u32) -> CorruptLoadEffects {
+fn run_load_with_corrupt_responses(interval: u32) -> LoadEffects {
     let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(4));
     for id in 0..800 {
         proxy.submit(request(id, 0));
@@ -110,7 +110,7 @@
         }
     }
     proxy.submit_all(1000..1200, 0);
-    CorruptLoadEffects {
+    LoadEffects {
         ejections: proxy.ejections(),
         admitted: proxy.in_flight().len(),
     }
@@ -119,8 +119,8 @@
 /// Guards against ejecting healthy backends for responses that were corrupted on the network.
 #[test]
 fn an_occasional_corrupt_response_ejects_no_backend_and_lowers_no_limit() {
-    let intact = run_corrupt_load(u32::MAX);
-    let corrupt = run_corrupt_load(10);
+    let intact = run_load_with_corrupt_responses(u32::MAX);
+    let corrupt = run_load_with_corrupt_responses(10);
     assert_eq!(
         corrupt.ejections, 0,
         "expected no ejection when a tenth of the responses of all backends is corrupt"
@@ -132,7 +132,7 @@
         intact.admitted
     );
     assert!(
-        run_corrupt_load(1).ejections > 0,
+        run_load_with_corrupt_responses(1).ejections > 0,
         "expected an ejection when each first response is corrupt"
     );
 }
--- a/tests/decisions/queue_and_rejection.rs
+++ b/tests/decisions/queue_and_rejection.rs
@@ -96,10 +96,10 @@
     assert_eq!(longest_retry_after(1), 500 * MS);
 }
 
-/// Guards against rejections without a `Retry-After`, after which clients retry at once, when it is unknown how long a
-/// `Retry-After` the clients follow.
+/// Guards against rejections without a `Retry-After`, after which clients retry at once, when the greatest `Retry-After`
+/// that clients honor is not configured.
 #[test]
-fn a_rejection_has_a_retry_after_even_if_the_maximum_that_clients_follow_is_unknown() {
+fn a_rejection_has_a_retry_after_even_if_the_maximum_that_clients_honor_is_not_configured() {
     let cases = [(None, 1..=500 * MS), (Some(30 * MS), 30 * MS..=30 * MS)];
     for (max_retry_after, expected) in cases {
         let mut settings = single_zone_settings();
--- a/tests/decisions/slots.rs
+++ b/tests/decisions/slots.rs
@@ -57,7 +57,8 @@
     );
 }
 
-/// Reports whether this one of 100 proxies has attempts in flight at two or more backends after four requests at once.
+/// Reports whether the proxy with this index, one of 100, has attempts in flight at two or more backends after it has
+/// received four requests at once.
 fn sends_to_two_backends(proxy_index: u32) -> bool {
     let settings = Settings {
         proxy_index,
--- a/tests/decisions/streaming.rs
+++ b/tests/decisions/streaming.rs
@@ -52,7 +52,7 @@
 /// Guards against counting the time in which a client reads a large response as work or latency of the backend.
 #[test]
 fn a_streamed_response_holds_no_slot_after_its_start() {
-    let mut balancer = bare_balancer(&single_zone_backends(1));
+    let mut balancer = unsimulated_balancer(&single_zone_backends(1));
     for id in 1..=50 {
         start_stream(&mut balancer, u64::from(id) * 10 * MS, id);
     }
--- a/tests/decisions/support.rs
+++ b/tests/decisions/support.rs
@@ -41,7 +41,7 @@
 }
 
 /// Returns a balancer without a simulated proxy, for events that only a proxy with real sockets sends.
-pub fn bare_balancer(backends: &[Backend]) -> Balancer {
+pub fn unsimulated_balancer(backends: &[Backend]) -> Balancer {
     let mut balancer =
         Balancer::new(single_zone_settings(), 1, 0).expect("the settings of the test are valid");
     balancer.handle(
--- a/tests/host.rs
+++ b/tests/host.rs
@@ -1,4 +1,5 @@
-//! The program `tillerproxy-simhost` end to end: batches on its standard input, replies on its standard output.
+//! The program `tillerproxy-simhost` (the host), which runs balancers for a simulator, tested end to end: batches on its
+//! standard input, replies on its standard output.
 //!
 //! These tests write and read the bytes without the library, so that they do not share its errors.
 
@@ -70,7 +71,7 @@
     )
 }
 
-/// Returns an endpoint list with these ready backends, under the number `list`.
+/// Returns an endpoint list record with these ready backends. Membership updates refer to the list by the number `list`.
 fn endpoint_list(list: u16, backends: &[u32]) -> Vec<u8> {
     // Zone 0, machine type 0, cell 0, ready, and a float of 1.0 that the host does not read.
     let properties = [0, 0, 0, 0, 0, 1, 0x3f, 0x80, 0, 0];
@@ -87,7 +88,7 @@
     )
 }
 
-/// Returns a membership update of this kind, with the endpoint list of that number.
+/// Returns a membership update of this kind that refers to the endpoint list with the number `list`.
 fn membership_update(kind: u8, list: u16) -> Vec<u8> {
     record(
         event_code::MEMBERSHIP_UPDATE,
@@ -108,7 +109,7 @@
     )
 }
 
-/// Runs the host on this input until it ends.
+/// Runs the host with this standard input until it exits, and returns its output.
 fn run(input: &[u8]) -> Output {
     let mut host = Command::new(env!("CARGO_BIN_EXE_tillerproxy-simhost"))
         .stdin(Stdio::piped())
@@ -313,7 +314,7 @@
 }
 
 #[test]
-fn malformed_input_ends_the_host_with_a_failure_status_and_one_line() {
+fn malformed_input_ends_the_host_with_a_failure_status_and_one_line_on_standard_error() {
     let complete = batch(5, &[select_proxy(0)]);
     for (input, expected) in [
         (
@@ -354,7 +355,7 @@
 }
 
 #[test]
-fn invalid_settings_are_reported_with_a_fatal_record_and_a_line() {
+fn invalid_settings_are_reported_with_a_fatal_record_and_a_line_on_standard_error() {
     let output = run(&batch(
         5,
         &[
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -25,7 +25,7 @@
 
 const READINESS: [Readiness; 3] = [Readiness::Ready, Readiness::Draining, Readiness::Removed];
 
-/// One event or a wait in a random sequence.
+/// A step of a random sequence: an event or a wait.
 #[derive(Clone, Debug)]
 enum Step {
     /// A client sends a request.
@@ -49,7 +49,7 @@
     FullList(Vec<u32>),
     /// A call to discovery fails or the watch breaks.
     WatchFails,
-    /// The client of one of the open requests disconnects.
+    /// A client with an open request disconnects.
     ClientDisconnects(usize),
     /// An event that a proxy without faults never sends; see [`handle_invalid_event`].
     InvalidEvent { kind: u8, number: u32 },
@@ -148,7 +148,7 @@
         proxy
             .requests
             .get_mut(&id)
-            .expect("the id was taken from this map")
+            .expect("the id of the selected request was taken from the open requests")
             .ended = true;
         proxy.handle(Event::ClientDisconnected(id));
     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -25,7 +25,7 @@
 
 /// Returns the settings of a deployment where endpoint lists are pushed, there are no tenants, the scope of idempotency
 /// keys is a zone or a cell, and attempts may not be cancelled.
-fn pushed_deployment() -> Value {
+fn settings_with_pushed_discovery() -> Value {
     json!({"me": 3, "balancers": 6, "zone": 1, "failureDomains": ["bryggen", "laksevag"],
         "kinds": ["fast", "standard", "small"], "membershipMode": "pushed", "tenants": [],
         "loadReport": {"via": "answers", "fields": ["avg_ms", "waiting"]},
@@ -38,8 +38,8 @@
 }
 
 /// Returns the settings of a deployment where discovery is polled, no class is idempotent and timeouts are short.
-fn polled_deployment() -> Value {
-    let mut settings = pushed_deployment();
+fn settings_with_polled_discovery() -> Value {
+    let mut settings = settings_with_pushed_discovery();
     settings["membershipMode"] = "on_request".into();
     settings["failureDomains"] = json!(["namba"]);
     settings["zone"] = 0.into();
@@ -57,8 +57,9 @@
 }
 
 #[test]
-fn the_settings_of_a_pushed_deployment_are_read() {
-    let config = parse(&config(&pushed_deployment())).expect("the configuration is valid");
+fn settings_with_pushed_discovery_are_read() {
+    let config =
+        parse(&config(&settings_with_pushed_discovery())).expect("the configuration is valid");
     let idempotency: Vec<_> = config
         .settings
         .classes
@@ -104,8 +105,9 @@
 }
 
 #[test]
-fn the_settings_of_a_polled_deployment_are_read() {
-    let config = parse(&config(&polled_deployment())).expect("the configuration is valid");
+fn settings_with_polled_discovery_are_read() {
+    let config =
+        parse(&config(&settings_with_polled_discovery())).expect("the configuration is valid");
     assert!(
         config
             .settings
@@ -223,7 +225,7 @@
         expected_field,
     } in invalid_settings()
     {
-        let mut config = config(&pushed_deployment());
+        let mut config = config(&settings_with_pushed_discovery());
         *config
             .pointer_mut(pointer)
             .expect("the valid configuration has this setting") = value;
@@ -245,7 +247,7 @@
         "safety",
         "membershipMode",
     ] {
-        let mut config = config(&pushed_deployment());
+        let mut config = config(&settings_with_pushed_discovery());
         config["settings"]
             .as_object_mut()
             .expect("the settings are an object")
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -11,12 +11,13 @@
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     let byte = |pair: &[u8]| {
         let pair = std::str::from_utf8(pair).expect("hexadecimal digits are ASCII");
-        u8::from_str_radix(pair, 16).expect("all other characters were removed")
+        u8::from_str_radix(pair, 16).expect("only hexadecimal digits are left")
     };
     digits.chunks(2).map(byte).collect()
 }
 
-/// Parses all records of a batch that is given in hexadecimal digits. The bytes are leaked, as records refer to them.
+/// Parses all records of a batch that is given in hexadecimal digits. The bytes are leaked because the records refer
+/// to them.
 fn parse_records(text: &str) -> Result<Vec<Record<'static>>, FrameError> {
     let bytes: &'static [u8] = hex(text).leak();
     let mut reader = BatchReader::new(bytes)?;
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn an_empty_batch_has_a_clock_and_no_record_and_an_empty_reply_has_length_0() {
+fn an_empty_batch_has_a_time_and_no_records_and_an_empty_reply_has_length_0() {
     let bytes = hex("00000000 00000008 0000000000805c5a");
     let mut reader = BatchReader::new(&bytes).expect("the batch is complete");
     assert_eq!(reader.clock(), 0x0080_5c5a);
@@ -244,7 +245,7 @@
 }
 
 #[test]
-fn each_action_is_written_as_its_record_with_the_proxy_before_it() {
+fn each_action_is_written_as_its_record_after_a_record_that_selects_the_proxy() {
     let mut reply = ReplyWriter::default();
     let send = Action::Send {
         request: RequestId(0x5d3a_91c4),
