--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,5 +1,5 @@
-//! Checks the pages against the repository: the paths that they name exist, and the glossary has every renamed key of
-//! the protocols.
+//! Checks the pages against the repository: the paths that they name exist, and the glossary has every protocol key whose
+//! name differs from that of its field in the code.
 
 use std::fs;
 use std::path::Path;
@@ -7,7 +7,8 @@
 /// The extensions by which a code span is recognized as a file.
 const FILE_EXTENSIONS: [&str; 4] = ["rs", "md", "toml", "json"];
 
-/// The files that map keys of a protocol to the terms of the code, and the minimum number of keys that each maps.
+/// The files that give a field of the code another key in a protocol (`rename`), and the minimum number of such keys in
+/// each.
 const FILES_WITH_RENAMED_KEYS: [(&str, usize); 4] = [
     ("src/settings_json/raw.rs", 21),
     ("src/settings_json/proxy.rs", 4),
@@ -74,11 +75,11 @@
     assert_eq!(missing_paths(page), Vec::<&str>::new(), "{name}");
 }
 
-/// Returns the part of a page from a heading of the second level to the next one.
-fn section<'a>(page: &'a str, heading: &str) -> &'a str {
+/// Returns the part of the page `name` from a heading of the second level to the next one.
+fn section<'a>(name: &str, page: &'a str, heading: &str) -> &'a str {
     let (_, rest) = page
         .split_once(heading)
-        .unwrap_or_else(|| panic!("heading {heading:?} is missing"));
+        .unwrap_or_else(|| panic!("heading {heading:?} is missing in {name}"));
     rest.split("\n## ").next().unwrap_or(rest)
 }
 
@@ -98,7 +99,7 @@
 #[test]
 fn the_layout_in_the_readme_names_paths_that_exist() {
     let readme = read("README.md");
-    assert_paths_exist("README.md", section(&readme, "\n## Layout\n"));
+    assert_paths_exist("README.md", section("README.md", &readme, "\n## Layout\n"));
 }
 
 #[test]
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn the_deploy_file_names_paths_that_exist() {
+fn deploy_balancer_toml_names_paths_that_exist() {
     let deploy = read("deploy/balancer.toml");
     let paths: Vec<&str> = deploy
         .split('"')
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn the_glossary_has_every_renamed_key() {
+fn the_glossary_has_every_protocol_key_that_differs_from_its_field() {
     let glossary = read("docs/GLOSSARY.md");
     let known = code_spans(&glossary);
     for (file, min_keys) in FILES_WITH_RENAMED_KEYS {
@@ -155,7 +156,7 @@
             .collect();
         assert!(
             keys.len() >= min_keys,
-            "{file}: at least {min_keys} renamed keys expected, found {keys:?}"
+            "{file}: expected at least {min_keys} keys in `rename` attributes, found {keys:?}"
         );
         for key in keys {
             assert!(
