--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -42,7 +42,7 @@
 
 #[test]
 fn large_responses_are_streamed_to_slow_clients_in_bounded_memory() {
-    let body = pattern(LARGE_BODY_LENGTH);
+    let body = patterned_body(LARGE_BODY_LENGTH);
     let answered = response("200 OK", "", &body);
     let backend = Backend::start(move |_| Reply::Write(answered.clone()));
     let proxy = start_with_little_memory("large-answers", &backend);
@@ -75,7 +75,7 @@
         proxy.peak_memory_kb()
     );
     while proxy.metric("app_in_progress") > 0 {}
-    assert_eq!(proxy.handled("submit", "passed"), 12);
+    assert_eq!(proxy.handled_requests("submit", "passed"), 12);
 }
 
 /// Sends a request with this body, either in chunks with extensions and a trailer or with Content-Length, and returns
@@ -112,7 +112,7 @@
 fn large_request_bodies_are_streamed_to_a_backend_in_bounded_memory() {
     let backend = Backend::start(|received| ok(&received.body.len().to_string()));
     let proxy = start_with_little_memory("large-bodies", &backend);
-    let body = pattern(LARGE_BODY_LENGTH);
+    let body = patterned_body(LARGE_BODY_LENGTH);
     let address = proxy.address;
     let senders: Vec<_> = (0..4)
         .map(|i| {
@@ -142,7 +142,7 @@
 
 #[test]
 fn the_start_of_a_response_is_forwarded_before_its_end_has_arrived() {
-    let body = pattern(200_000);
+    let body = patterned_body(200_000);
     for (name, fields) in [
         ("first-length", "Content-Length: 200000\r\n"),
         ("first-close", "Connection: close\r\n"),
@@ -171,7 +171,9 @@
             .read_exact(&mut start)
             .expect("the response starts");
         assert_eq!(&start, b"HTTP/1.1 200 OK");
-        release.send(()).expect("the backend waits");
+        release
+            .send(())
+            .expect("the backend waits for the signal to continue the response");
         assert!(client.receive().body == body);
     }
 }
@@ -204,7 +206,7 @@
     let mut client = proxy.client();
     let head = request("read", "1", "").replace("Content-Length: 0", "Content-Length: 3000000");
     client.send(&head);
-    let _ = client.stream.write_all(&pattern(3_000_000));
+    let _ = client.stream.write_all(&patterned_body(3_000_000));
     accepted
         .recv_timeout(TEST_TIMEOUT)
         .expect("the proxy makes one attempt");
@@ -273,10 +275,12 @@
         let (first_part, last_part) = text.split_at(text.len() - 1_000);
         client.send(first_part);
         assert_eq!(client.receive().status(), status, "case {i}");
-        // This fails if the proxy has already closed the connection.
+        // The write fails if the proxy has already closed the connection.
         let _ = client.stream.write_all(last_part.as_bytes());
         drop(client);
-        release.send(()).expect("the backend waits");
+        release
+            .send(())
+            .expect("the backend waits for the signal to read the body");
         let received = received_lengths
             .recv_timeout(TEST_TIMEOUT)
             .expect("the proxy closes the connection to the backend");
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -19,14 +19,16 @@
         .expect("Retry-After is a number of seconds");
     assert!(retry_after_seconds > 0.0);
     for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
-        release.send(()).expect("the backend waits");
+        release
+            .send(())
+            .expect("the backend waits for the signal to respond");
         assert_eq!(client.receive().body, b"first");
     }
     assert_eq!(backend.take_requests(), 0, "a rejected request is not sent");
 }
 
 /// Each backend holds one request, and there are more backends than the proxy has descriptors for. A connect that fails
-/// because of that says nothing about the backend.
+/// for lack of a descriptor is not a failure of the backend.
 #[test]
 fn a_shortage_of_descriptors_does_not_eject_backends() {
     let discovery = Discovery::start();
--- a/tests/proxy/client_disconnect.rs
+++ b/tests/proxy/client_disconnect.rs
@@ -54,8 +54,8 @@
     proxy
 }
 
-/// Waits until this number of requests is in progress, and returns the time that it took. Fails after a time that is
-/// shorter than any request is queued.
+/// Waits until this number of requests is in progress, and returns the elapsed time. Panics after 5 s, which is less
+/// than the time for which a request stays queued.
 fn wait_for_in_progress(proxy: &Proxy, requests: usize) -> Duration {
     let began = Instant::now();
     while proxy.metric("app_in_progress") != requests as u64 {
@@ -76,7 +76,9 @@
     releases: &[Sender<()>],
 ) {
     for (release, mut client) in releases.iter().zip(clients.into_iter().rev()) {
-        release.send(()).expect("the backend waits");
+        release
+            .send(())
+            .expect("the backend waits for the signal to respond");
         assert_eq!(client.receive().status(), 200);
     }
     assert_eq!(proxy.status_of(&request("charge", "stays", "x")), 200);
@@ -129,7 +131,9 @@
         "the proxy has detected the disconnect and closes its side too"
     );
     for (release, client) in releases.iter().zip(first.iter_mut().rev()) {
-        release.send(()).expect("the backend waits");
+        release
+            .send(())
+            .expect("the backend waits for the signal to respond");
         assert_eq!(client.receive().status(), 200);
     }
     assert_eq!(proxy.status_of(&request("charge", "3", "x")), 200);
@@ -260,7 +264,9 @@
         );
         let half_closed = disconnect(client, way);
         wait_for_in_progress(&proxy, 0);
-        release.send(()).expect("the backend waits");
+        release
+            .send(())
+            .expect("the backend waits for the signal to close the connection");
         discovery.publish_and_wait(true, &[active_endpoint("s-2", other.address)]);
         for id in ["stays", "arrives later"] {
             assert_eq!(proxy.status_of(&request("charge", id, "x")), 200);
@@ -290,8 +296,10 @@
         closing.next_request();
         discovery.publish_and_wait(true, &[active_endpoint("s-2", backend.address)]);
         let clients = saturate(&proxy, &backend);
-        release.send(()).expect("the backend waits");
-        // By the time of these responses, the proxy has detected the end of the first attempt.
+        release
+            .send(())
+            .expect("the backend waits for the signal to close the connection");
+        // When these responses arrive, the proxy has detected the end of the first attempt.
         for _ in 0..20 {
             proxy.client().exchange(HEALTH_CHECK);
         }
--- a/tests/proxy/connection_reuse.rs
+++ b/tests/proxy/connection_reuse.rs
@@ -42,7 +42,9 @@
         assert_eq!(client.receive().status(), 200);
         backend.next_request();
         proxy.suspend();
-        close.send(()).expect("the backend waits");
+        close
+            .send(())
+            .expect("the backend waits for the signal to close the connection");
         backend.wait_until_closed();
     }
 }
@@ -87,7 +89,9 @@
         };
         discovery.publish_and_wait(complete, &changes);
         discovery.publish_and_wait(false, &[listed("s-1")]);
-        release.send(()).expect("the backend waits");
+        release
+            .send(())
+            .expect("the backend waits for the signal to respond");
         assert_eq!(client.receive().body, b"from the removed");
         for id in ["2", "3"] {
             assert_eq!(
--- a/tests/proxy/corrupt_responses.rs
+++ b/tests/proxy/corrupt_responses.rs
@@ -27,7 +27,7 @@
 }
 
 /// Starts a backend that sends a corrupt response if the flag is set, and clears the flag. Otherwise its response is
-/// good.
+/// valid.
 fn backend_that_is_corrupt_once(corrupt: &[u8], is_corrupt: &Arc<AtomicBool>) -> Backend {
     let corrupt = corrupt.to_vec();
     let is_corrupt = Arc::clone(is_corrupt);
--- a/tests/proxy/discovery.rs
+++ b/tests/proxy/discovery.rs
@@ -192,6 +192,8 @@
             b"after"
         );
     }
-    release.send(()).expect("the backend waits");
+    release
+        .send(())
+        .expect("the backend waits for the signal to respond");
     assert_eq!(client.receive().body, b"taken before");
 }
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -218,11 +218,13 @@
         }
         Ok::<_, std::io::Error>(())
     });
-    // By the time of these responses, the proxy has read ahead as far as it does.
+    // When these responses arrive, the proxy has read ahead as much of the client's input as it buffers.
     for _ in 0..20 {
         proxy.client().exchange(HEALTH_CHECK);
     }
-    release.send(()).expect("the backend waits");
+    release
+        .send(())
+        .expect("the backend waits for the signal to respond");
     assert_eq!(client.receive().body, b"first");
     for i in 0..PIPELINED_COUNT {
         let got = client.receive();
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_invalid_log_option_ends_the_start_with_one_line() {
+fn an_invalid_log_option_fails_the_start_with_one_line_on_standard_error() {
     let discovery = Discovery::start();
     let start = |configuration: &Value, variable: Option<(&str, &str)>| {
         let mut command = command("log-invalid", &configuration.to_string());
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -52,7 +52,11 @@
     );
     for class in ["read", "submit", "charge"] {
         for outcome in ["passed", "dropped", "bad_gateway"] {
-            assert_eq!(proxy.handled(class, outcome), 0, "{class} {outcome}");
+            assert_eq!(
+                proxy.handled_requests(class, outcome),
+                0,
+                "{class} {outcome}"
+            );
         }
     }
 }
@@ -136,7 +140,7 @@
             "an incomplete call changes nothing"
         );
     }
-    // The proxy closes each of them in the end.
+    // The proxy closes each of these connections after a time.
     for client in &mut waiting {
         client
             .reader
@@ -213,17 +217,19 @@
     );
     assert_eq!(
         (
-            proxy.handled("submit", "passed"),
-            proxy.handled("charge", "passed"),
+            proxy.handled_requests("submit", "passed"),
+            proxy.handled_requests("charge", "passed"),
         ),
         (3, 0)
     );
-    assert_eq!(proxy.handled("charge", "bad_gateway"), 1);
-    release.send(()).expect("the backend waits");
+    assert_eq!(proxy.handled_requests("charge", "bad_gateway"), 1);
+    release
+        .send(())
+        .expect("the backend waits for the signal to respond");
     assert_eq!(waiting.receive().status(), 200);
     assert_eq!(
         (
-            proxy.handled("charge", "passed"),
+            proxy.handled_requests("charge", "passed"),
             proxy.metric("app_in_progress")
         ),
         (1, 0)
@@ -241,7 +247,7 @@
     let clients = saturate(&proxy, &backend);
     let short = request_with_timeout("submit", "1", "x", 300);
     assert_eq!(proxy.status_of(&short), 503);
-    assert_eq!(proxy.handled("submit", "dropped"), 1);
+    assert_eq!(proxy.handled_requests("submit", "dropped"), 1);
     assert_eq!(proxy.metric("app_in_progress"), clients.len() as u64);
     drop(clients);
     while proxy.metric("app_in_progress") > 0 {}
@@ -287,7 +293,9 @@
         idle.ends_cleanly(),
         "an idle connection is closed without a reset"
     );
-    release.send(()).expect("the backend waits");
+    release
+        .send(())
+        .expect("the backend waits for the signal to respond");
     assert_eq!(busy.receive().body, b"held");
     assert!(busy.ends_cleanly());
     for _ in 0..2 {
@@ -321,7 +329,9 @@
     while proxy.operator_call("POST", IN_SERVICE).status() != 409 {}
     assert_eq!(proxy.status_of(HEALTH_CHECK), 503);
     for release in &releases {
-        release.send(()).expect("the backend waits");
+        release
+            .send(())
+            .expect("the backend waits for the signal to respond");
     }
     for mut client in clients {
         assert_eq!(client.receive().body, b"first");
@@ -330,7 +340,7 @@
 }
 
 #[test]
-fn a_new_process_takes_over_the_listening_socket_of_the_platform() {
+fn a_new_process_serves_on_the_listening_socket_that_the_platform_passes_to_it() {
     let discovery = Discovery::start();
     let (backend, release) = backend_that_holds_request("old");
     let (listener, address) = bind_listener("127.0.0.1:0");
@@ -350,15 +360,17 @@
     for id in ["a", "b", "c", "d"] {
         assert_eq!(new.status_of(&request("submit", id, "x")), 200);
     }
-    assert_eq!(new.handled("submit", "passed"), 4);
-    release.send(()).expect("the backend waits");
+    assert_eq!(new.handled_requests("submit", "passed"), 4);
+    release
+        .send(())
+        .expect("the backend waits for the signal to respond");
     assert_eq!(busy.receive().body, b"old");
     assert!(old.wait().success());
     assert_eq!(new.status_of(&request("submit", "e", "x")), 200);
 }
 
 #[test]
-fn an_unusable_address_or_descriptor_ends_the_start_with_one_line() {
+fn an_unusable_address_or_descriptor_fails_the_start_with_one_line_on_standard_error() {
     let discovery = Discovery::start();
     let (_listener, taken_address) = bind_listener("127.0.0.1:0");
     let start = |name: &str, operator: String, fd: Option<&str>| {
--- a/tests/proxy/overload.rs
+++ b/tests/proxy/overload.rs
@@ -16,22 +16,23 @@
 /// More clients than a proxy with `DESCRIPTORS` can accept.
 const IDLE_CLIENT_COUNT: usize = 100;
 
-/// Clients that connect, send a text and read until the proxy closes the connection, and then connect again.
+/// Clients that connect, send a complete, partial or empty request, read until the proxy closes the connection, and then
+/// connect again.
 struct IdleClients {
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
 impl IdleClients {
-    /// Starts the clients and distributes these texts among them in turn.
-    fn start(address: SocketAddr, texts: &[String]) -> Self {
+    /// Starts the clients. Each one is given one of these requests, complete or not, in turn.
+    fn start(address: SocketAddr, requests: &[String]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let client = |number: usize| {
             let stop = Arc::clone(&stop);
-            let text = texts[number % texts.len()].clone();
+            let request = requests[number % requests.len()].clone();
             thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
-                    hold_connection(address, &text, &stop);
+                    hold_connection(address, &request, &stop);
                 }
             })
         };
@@ -49,7 +50,7 @@
 }
 
 /// Connects once as an idle client, and returns at the end of the connection or when the clients are stopped.
-fn hold_connection(address: SocketAddr, text: &str, stop: &AtomicBool) {
+fn hold_connection(address: SocketAddr, request: &str, stop: &AtomicBool) {
     const POLL_INTERVAL: Duration = Duration::from_millis(50);
     thread::sleep(POLL_INTERVAL);
     let Ok(mut stream) = TcpStream::connect(address) else {
@@ -58,7 +59,7 @@
     stream
         .set_read_timeout(Some(POLL_INTERVAL))
         .expect("the timeout is not zero");
-    let _ = stream.write_all(text.as_bytes());
+    let _ = stream.write_all(request.as_bytes());
     while !stop.load(Ordering::Relaxed) {
         match stream.read(&mut [0; 1_024]) {
             Ok(1..) => {}
@@ -85,7 +86,7 @@
 fn idle_clients_cannot_take_the_descriptors_for_discovery_and_backends() {
     const MAX_RECOVERY_TIME: Duration = Duration::from_secs(8);
     let partial = request("read", "half", "");
-    let texts = [
+    let requests = [
         String::new(),
         HEALTH_CHECK.to_owned(),
         partial[..partial.len() / 2].to_owned(),
@@ -97,8 +98,9 @@
         config["settings"]["membershipMode"] = mode.into();
         let known = active_endpoint("old", address_without_listener("127.79.0.1"));
         config["known"] = json!({"revision": 3, "complete": true, "members": [known]});
-        let proxy = Proxy::start_limited(&format!("crowd-{mode}"), &config, DESCRIPTORS);
-        let idle_clients = IdleClients::start(proxy.address, &texts);
+        let proxy =
+            Proxy::start_with_descriptor_limit(&format!("crowd-{mode}"), &config, DESCRIPTORS);
+        let idle_clients = IdleClients::start(proxy.address, &requests);
         // Leaves the proxy time to hold as many connections as it accepts.
         thread::sleep(Duration::from_secs(2));
         let discovery = Discovery::start_at(&discovery.to_string());
--- a/tests/proxy/request_forms.rs
+++ b/tests/proxy/request_forms.rs
@@ -248,7 +248,9 @@
     backend.next_request();
     assert_eq!(proxy.status_of(&request("charge", "1", "x")), 409);
     assert_eq!(backend.take_requests(), 0);
-    release.send(()).expect("the backend waits");
+    release
+        .send(())
+        .expect("the backend waits for the signal to respond");
     assert_eq!(first.receive().body, b"first");
     assert_eq!(
         proxy.client().exchange(&request("charge", "1", "x")).body,
@@ -257,7 +259,7 @@
     );
 }
 
-/// The response or the close must come within 3 s. The test allows more time, because its machine may be busy.
+/// The response or the close must arrive within 3 s. The test allows more time, because its machine may be busy.
 #[test]
 fn silent_and_incomplete_requests_end_with_408_or_a_close() {
     let discovery = Discovery::start();
--- a/tests/proxy/response_ends.rs
+++ b/tests/proxy/response_ends.rs
@@ -55,7 +55,7 @@
                 ""
             };
             let head = format!("HTTP/1.1 200 OK\r\n{fields}\r\n{chunk}");
-            Reply::WriteAndClose([head.into_bytes(), pattern(100_000)].concat())
+            Reply::WriteAndClose([head.into_bytes(), patterned_body(100_000)].concat())
         });
         let proxy = start_with_little_memory(name, &backend);
         for version in ["HTTP/1.1", "HTTP/1.0"] {
@@ -119,7 +119,7 @@
             (100_000, 0),
             (100_000, 100),
         ] {
-            let bytes = [head.as_bytes(), &pattern(length)].concat();
+            let bytes = [head.as_bytes(), &patterned_body(length)].concat();
             let address = backend_that_resets_after(bytes, Duration::from_millis(pause_ms));
             let discovery = Discovery::start();
             let name = format!("reset-{length}-{pause_ms}");
--- a/tests/proxy/retries.rs
+++ b/tests/proxy/retries.rs
@@ -54,7 +54,7 @@
 const KEY_TTL: Duration = Duration::from_millis(600);
 
 /// The TTL of the key counts from the first attempt that may have been executed, and ends before the connection of the
-/// second attempt is established. A rejection would be wrong from then on as well, because it allows the client to
+/// second attempt is established. After that, a rejection would be wrong as well, because it allows the client to
 /// retry.
 #[test]
 fn a_keyed_request_is_not_retried_after_its_key_may_have_expired() {
@@ -72,7 +72,9 @@
         client.send(&request("submit", "keyed", "x"));
         closing.next_request();
         discovery.publish_and_wait(false, &[active_endpoint("s-2", late.address)]);
-        release.send(()).expect("the backend waits");
+        release
+            .send(())
+            .expect("the backend waits for the signal to close the connection");
         // The key expires before the second backend accepts a connection.
         thread::sleep(KEY_TTL);
         assert_eq!(serve_and_collect_ids(late.accept_pending()), [""; 0]);
@@ -99,7 +101,9 @@
     closing.next_request();
     discovery.publish_and_wait(true, &[active_endpoint("s-2", late.address)]);
     thread::sleep(ATTEMPT_DURATION);
-    release.send(()).expect("the backend waits");
+    release
+        .send(())
+        .expect("the backend waits for the signal to close the connection");
     thread::sleep(ATTEMPT_DURATION);
     let listener = late.accept_pending();
     let (mut stream, _) = listener
--- a/tests/proxy/rig/backend.rs
+++ b/tests/proxy/rig/backend.rs
@@ -1,4 +1,5 @@
-//! A backend of the test: a script decides its replies, and the test receives its requests.
+//! A backend of the test: a function of the test (the handler) returns the reply to each request, and the test receives
+//! the requests.
 
 use super::TEST_TIMEOUT;
 use super::bind_listener;
@@ -39,9 +40,9 @@
     Reply::Write(response("200 OK", "", body.as_bytes()))
 }
 
-type Script = Box<dyn FnMut(&Message) -> Reply + Send>;
+type Handler = Box<dyn FnMut(&Message) -> Reply + Send>;
 
-/// A backend that replies as its script decides and passes its requests to the test.
+/// A backend that replies as its handler decides and passes its requests to the test.
 pub struct Backend {
     pub address: SocketAddr,
     /// The received requests that the test has not taken yet.
@@ -52,13 +53,16 @@
 fn serve_connection(
     mut stream: TcpStream,
     connection: usize,
-    script: &Mutex<Script>,
+    handler: &Mutex<Handler>,
     sender: &Sender<Message>,
 ) {
     let mut reader = BufReader::new(stream.try_clone().expect("the test has a free descriptor"));
     while let Some(mut request) = read_message(&mut reader) {
         request.connection = connection;
-        let reply = script.lock().expect("no script has panicked")(&request);
+        let reply =
+            handler
+                .lock()
+                .expect("the handler has not panicked on another connection")(&request);
         let _ = sender.send(request);
         if !execute(reply, &mut stream) {
             let _ = stream.shutdown(Shutdown::Both);
@@ -104,19 +108,19 @@
 }
 
 impl Backend {
-    /// Starts a backend that calls the script with each request.
-    pub fn start(script: impl FnMut(&Message) -> Reply + Send + 'static) -> Self {
+    /// Starts a backend that calls the handler with each request.
+    pub fn start(handler: impl FnMut(&Message) -> Reply + Send + 'static) -> Self {
         let (listener, address) = bind_listener("127.0.0.1:0");
         let (sender, requests) = channel();
-        let script: Arc<Mutex<Script>> = Arc::new(Mutex::new(Box::new(script)));
+        let handler: Arc<Mutex<Handler>> = Arc::new(Mutex::new(Box::new(handler)));
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
                 let Ok(stream) = stream else {
                     return;
                 };
                 let sender = sender.clone();
-                let script = Arc::clone(&script);
-                thread::spawn(move || serve_connection(stream, connection, &script, &sender));
+                let handler = Arc::clone(&handler);
+                thread::spawn(move || serve_connection(stream, connection, &handler, &sender));
             }
         });
         Self { address, requests }
--- a/tests/proxy/rig/configuration.rs
+++ b/tests/proxy/rig/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations of the proxy as its platform writes them.
+//! Configurations of the proxy in the form that the deployment platform writes.
 
 use super::discovery::Discovery;
 use serde_json::{Value, json};
--- a/tests/proxy/rig/message.rs
+++ b/tests/proxy/rig/message.rs
@@ -88,6 +88,6 @@
 }
 
 /// Returns a body of this length whose sections differ, so that lost or reordered sections are detected.
-pub fn pattern(length: usize) -> Vec<u8> {
+pub fn patterned_body(length: usize) -> Vec<u8> {
     (0..length).map(|i| (i / 7 + i / 4_099) as u8).collect()
 }
--- a/tests/proxy/rig/mod.rs
+++ b/tests/proxy/rig/mod.rs
@@ -17,7 +17,7 @@
 pub use configuration::{config, config_at, config_with_operator};
 pub use discovery::{Discovery, active_endpoint, endpoint};
 pub use full_backlog::{FullBacklog, serve_and_collect_ids};
-pub use message::{Message, pattern, read_message, response};
+pub use message::{Message, patterned_body, read_message, response};
 pub use process::{Proxy, command, launch, start_with_listener, start_with_little_memory};
 pub use saturated_backend::{INITIAL_LIMIT, backend_that_holds_initial_limit, saturate};
 use std::net::{SocketAddr, TcpListener, ToSocketAddrs};
--- a/tests/proxy/rig/process.rs
+++ b/tests/proxy/rig/process.rs
@@ -44,7 +44,8 @@
     command
 }
 
-/// Starts the program with this configuration and a listening socket of the platform as its standard input.
+/// Starts the program with this configuration and this listening socket as its standard input, as a platform passes a
+/// socket to the processes that it starts.
 pub fn start_with_listener(name: &str, config: &Value, listener: &TcpListener) -> Proxy {
     let listener: OwnedFd = listener
         .try_clone()
@@ -59,11 +60,9 @@
 fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
     let (_, rest) = line.trim().rsplit_once(words)?;
     let address = rest.split('"').next().unwrap_or_default();
-    Some(
-        address
-            .parse()
-            .expect("an address follows the words of the start line"),
-    )
+    Some(address.parse().unwrap_or_else(|error| {
+        panic!("no address after {words:?} in the log line {line:?}: {error}")
+    }))
 }
 
 impl Proxy {
@@ -90,7 +89,7 @@
     }
 
     /// Starts a proxy with this configuration in a process that is limited to this number of descriptors.
-    pub fn start_limited(name: &str, config: &Value, descriptors: usize) -> Self {
+    pub fn start_with_descriptor_limit(name: &str, config: &Value, descriptors: usize) -> Self {
         let program = command(name, &config.to_string());
         let mut limited = Command::new("sh");
         limited.args(["-c", &format!("ulimit -n {descriptors} && exec \"$0\"")]);
@@ -163,7 +162,7 @@
     }
 
     /// Returns the number of final answers to requests of this class with this outcome.
-    pub fn handled(&self, class: &str, outcome: &str) -> u64 {
+    pub fn handled_requests(&self, class: &str, outcome: &str) -> u64 {
         self.metric(&format!(
             "app_handled{{category=\"{class}\",outcome=\"{outcome}\"}}"
         ))
--- a/tests/proxy/rig/saturated_backend.rs
+++ b/tests/proxy/rig/saturated_backend.rs
@@ -1,4 +1,4 @@
-//! A backend at its concurrency limit in the proxy, which queues further requests.
+//! A backend at the concurrency limit that the proxy sets for it. The proxy queues further requests.
 
 use super::backend::{Backend, Reply, ok};
 use super::client::{Client, request};
--- a/tests/proxy/shutdown.rs
+++ b/tests/proxy/shutdown.rs
@@ -33,7 +33,9 @@
         idle.ends_cleanly(),
         "an idle connection is closed without a reset"
     );
-    release.send(()).expect("the backend waits");
+    release
+        .send(())
+        .expect("the backend waits for the signal to respond");
     let got = before.receive();
     assert_eq!(
         (got.status(), got.body.as_slice()),
@@ -63,7 +65,9 @@
     proxy.terminate();
     // Connections are accepted for a minimum time after the signal, whose end cannot be observed from outside.
     thread::sleep(Duration::from_millis(1_200));
-    release.send(()).expect("the backend waits");
+    release
+        .send(())
+        .expect("the backend waits for the signal to respond");
     assert_eq!(first.receive().body, b"first");
     drop(first);
     assert_eq!(queued.receive().body, b"queued");
@@ -83,7 +87,7 @@
         proxy.terminate();
         while proxy.status_of(HEALTH_CHECK) == 200 {}
         proxy.suspend();
-        // Starts again if the test was delayed for so long that the process has ended.
+        // Repeats the test with a new process if a delay of the test has let the process end.
         if proxy
             .child
             .try_wait()
@@ -124,7 +128,9 @@
         client.send(&request("charge", "1", "x"));
         backend.next_request();
         let start_response = || {
-            release.send(()).expect("the backend waits");
+            release
+                .send(())
+                .expect("the backend waits for the signal to respond");
             assert_eq!(
                 client.stream.peek(&mut [0]).expect("the response starts"),
                 1
--- a/tests/proxy/startup.rs
+++ b/tests/proxy/startup.rs
@@ -3,8 +3,8 @@
 use crate::rig::*;
 use std::io::Read;
 
-/// The kernel keeps the closed connections of a process in TIME_WAIT for a while. The next process must bind the same
-/// address meanwhile.
+/// The kernel keeps the closed connections of a process in TIME_WAIT for a while. The next process must be able to bind
+/// the same address during that time.
 #[test]
 fn a_restarted_proxy_binds_its_address_while_old_connections_are_in_time_wait() {
     let discovery = Discovery::start();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_invalid_configuration_ends_the_start_with_one_line_that_names_the_fault() {
+fn an_invalid_configuration_fails_the_start_with_one_line_on_standard_error_that_names_the_fault() {
     let bad_address = r#"{"listen":"here","discovery":"127.0.0.1:1","settings":{}}"#;
     for (name, config, expected) in [
         ("no-json", "{", "malformed configuration"),
--- a/tests/watch/discovery.rs
+++ b/tests/watch/discovery.rs
@@ -7,12 +7,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, timeout};
 
-/// The time after a watch has stalled at which a missed change counts as known to the proxy, unless
-/// `KNOWN_AFTER_LONG_POLL` ends later.
+/// The time after the stall of a watch from which rule 3 (draining) treats the proxy as informed of a change that the
+/// stalled call missed, unless `KNOWN_AFTER_LONG_POLL` ends later.
 const KNOWN_AFTER_STALL: Duration = Duration::from_secs(6);
 
-/// The time after the long-poll timeout of a stalled watch at which a missed change counts as known to the proxy,
-/// unless `KNOWN_AFTER_STALL` ends later.
+/// The time after the long-poll timeout of a stalled call from which rule 3 (draining) treats the proxy as informed of a
+/// change that the call missed, unless `KNOWN_AFTER_STALL` ends later.
 const KNOWN_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
 
 /// A call that discovery has received and not yet answered.
@@ -59,8 +59,9 @@
         read_call(self.stream).await
     }
 
-    /// Returns when a change that the call misses counts as known to the proxy, if the call stalls from its start.
-    pub fn counts_as_known_at(&self) -> Instant {
+    /// Returns the time from which rule 3 (draining) treats the proxy as informed of a change that the call misses, if the
+    /// call stalls from its start.
+    pub fn time_limit_for_missed_change(&self) -> Instant {
         let after_long_poll = self.long_poll_timeout + KNOWN_AFTER_LONG_POLL;
         self.received_at + KNOWN_AFTER_STALL.max(after_long_poll)
     }
@@ -148,4 +149,4 @@
 }
 
 /// The change that removes one of the two cached endpoints.
-pub const ONE_REMOVED: [(&str, &str); 1] = [("s-2", "left")];
+pub const REMOVAL_OF_ONE_BACKEND: [(&str, &str); 1] = [("s-2", "left")];
--- a/tests/watch/failures.rs
+++ b/tests/watch/failures.rs
@@ -1,14 +1,14 @@
-//! Failed calls and a discovery that is down: how soon afterwards a proxy knows a change.
+//! Failed calls and a discovery that is down: the time until a proxy knows a change afterwards.
 
-use crate::discovery::{Discovery, FAILURES, Failure, ONE_REMOVED, list};
+use crate::discovery::{Discovery, FAILURES, Failure, REMOVAL_OF_ONE_BACKEND, list};
 use crate::proxy::{Proxy, run_on_local_set};
 use crate::{LONGEST_QUEUE_TIME, SHORTEST_GRACE_PERIOD};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// The time after which a change counts as known to a proxy once discovery has it and can be reached, whichever calls
-/// failed before.
+/// The time, from when discovery has a change and can be reached, after which rule 3 (draining) treats a proxy as informed
+/// of the change, whichever calls failed before.
 const KNOWN_AFTER_REACHABLE: Duration = Duration::from_secs(6);
 
 /// The largest number of proxies that the program is designed for.
@@ -39,7 +39,9 @@
     }
     let call = discovery.next_call().await;
     sleep(LONGEST_QUEUE_TIME).await;
-    let _watch = call.answer(&list(100, false, &ONE_REMOVED)).await;
+    let _watch = call
+        .answer(&list(100, false, &REMOVAL_OF_ONE_BACKEND))
+        .await;
     proxy.wait_for_listed_backends(1).await - reachable_at
 }
 
@@ -53,7 +55,7 @@
         let max_delay = KNOWN_AFTER_REACHABLE + SHORTEST_GRACE_PERIOD;
         assert!(
             latest <= max_delay,
-            "{failure:?}: known {latest:?} after discovery had it, at most {max_delay:?} expected"
+            "{failure:?}: change known {latest:?} after discovery had it, expected at most {max_delay:?}"
         );
     }
 }
@@ -90,7 +92,9 @@
             );
             let call = discovery.next_call().await;
             sleep(LONGEST_QUEUE_TIME).await;
-            let _watch = call.answer(&list(100, false, &ONE_REMOVED)).await;
+            let _watch = call
+                .answer(&list(100, false, &REMOVAL_OF_ONE_BACKEND))
+                .await;
             proxy.wait_for_listed_backends(1).await - returned_at
         });
         latest = latest.max(known.await);
@@ -98,6 +102,6 @@
     let max_delay = KNOWN_AFTER_REACHABLE + SHORTEST_GRACE_PERIOD;
     assert!(
         latest <= max_delay,
-        "known {latest:?} after the return of discovery, at most {max_delay:?} expected"
+        "change known {latest:?} after the return of discovery, expected at most {max_delay:?}"
     );
 }
--- a/tests/watch/stalls.rs
+++ b/tests/watch/stalls.rs
@@ -1,18 +1,19 @@
 //! Watches that stall or wait in the queue of discovery, and a discovery agent that returns.
 
-use crate::discovery::{Discovery, ONE_REMOVED, list};
+use crate::discovery::{Discovery, REMOVAL_OF_ONE_BACKEND, list};
 use crate::proxy::{Proxy, run_on_local_set};
 use crate::{LONGEST_QUEUE_TIME, SHORTEST_GRACE_PERIOD};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// The time after a change of discovery's address at which the list of the new discovery counts as known.
+/// The time after a change of discovery's address from which rule 3 (draining) treats the proxy as informed of the list
+/// of the new discovery.
 const KNOWN_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
-/// The watch stalls right after a call, which leaves the least time, both when it opens and when it continues. If
-/// discovery is polled, the call that opens the watch again has to queue. A draining backend must not receive requests
-/// after the drain grace period.
+/// The watch stalls right after a call, one that opens it or one that continues it: the proxy then has the least time to
+/// learn of a change before the drain grace period ends. If discovery is polled, the call that opens the watch again is
+/// queued. A draining backend must not receive requests after the drain grace period.
 #[tokio::test(start_paused = true)]
 async fn a_change_that_a_stalled_watch_misses_is_known_in_time() {
     for (mode, queue_time, grace_period) in [
@@ -30,7 +31,7 @@
                         .await
                         .expect("the proxy continues the watch");
                 }
-                let counts_as_known_at = stalled.counts_as_known_at();
+                let time_limit = stalled.time_limit_for_missed_change();
                 let revision = stalled.after;
                 let again = discovery.next_call().await;
                 assert_eq!(
@@ -38,9 +39,11 @@
                     "{mode}: the new call requests the changes since the last answer"
                 );
                 sleep(queue_time).await;
-                let _open = again.answer(&list(100, false, &ONE_REMOVED)).await;
+                let _open = again
+                    .answer(&list(100, false, &REMOVAL_OF_ONE_BACKEND))
+                    .await;
                 let known = proxy.wait_for_listed_backends(1).await;
-                let late = known.saturating_duration_since(counts_as_known_at + grace_period);
+                let late = known.saturating_duration_since(time_limit + grace_period);
                 assert_eq!(
                     late,
                     Duration::ZERO,
@@ -62,7 +65,7 @@
             let proxy = Proxy::start(0, 1, mode, address);
             let _watch = old.next_call().await;
             let (new, address) = Discovery::start().await;
-            let counts_as_known_at = Instant::now() + KNOWN_AFTER_ADDRESS_CHANGE;
+            let time_limit = Instant::now() + KNOWN_AFTER_ADDRESS_CHANGE;
             proxy.discovery_address.send_replace(address);
             let stalled = new.next_call().await;
             assert_eq!(
@@ -70,16 +73,16 @@
                 "the complete list is requested, because revisions of two services are not comparable"
             );
             assert!(
-                counts_as_known_at <= stalled.counts_as_known_at(),
+                time_limit <= stalled.time_limit_for_missed_change(),
                 "the time limit of an address change ends before that of a stall"
             );
             let again = new.next_call().await;
             let _open = again.answer(&list(7, true, &[("s-1", "active")])).await;
             let known = proxy.wait_for_listed_backends(1).await;
             assert!(
-                known <= counts_as_known_at,
+                known <= time_limit,
                 "{mode}: the list is known {:?} too late",
-                known - counts_as_known_at
+                known - time_limit
             );
         })
         .await;
@@ -142,7 +145,7 @@
         let _open = discovery
             .next_call()
             .await
-            .answer(&list(2, false, &ONE_REMOVED))
+            .answer(&list(2, false, &REMOVAL_OF_ONE_BACKEND))
             .await;
         let known = proxy.wait_for_listed_backends(1).await - returned_at;
         assert!(
