--- a/lab/src/fleet/scenario/validation/check.rs
+++ b/lab/src/fleet/scenario/validation/check.rs
@@ -44,10 +44,10 @@
         self.require(count > 0, key, format!("{count} must be 1 or more"));
     }
 
-    /// Checks that a value lies in 0 to 1.
+    /// Checks that a value is from 0 to 1.
     pub(super) fn fraction(&mut self, value: f64, key: impl Into<String>) {
         let holds = (0.0..=1.0).contains(&value);
-        self.require(holds, key, format!("{value} must lie in 0..=1"));
+        self.require(holds, key, format!("{value} must be from 0 to 1"));
     }
 
     /// Returns the first failure.
--- a/lab/src/fleet/scenario/validation/mod.rs
+++ b/lab/src/fleet/scenario/validation/mod.rs
@@ -1,4 +1,4 @@
-//! Validation of scenarios: each value must lie in its allowed range.
+//! Validation of scenarios: each value must be within its allowed range.
 
 mod check;
 mod timeline;
@@ -20,7 +20,7 @@
             self.warmup_s < self.duration_s,
             "warmup_s",
             format!(
-                "{} must be under `duration_s` ({})",
+                "{} must be less than `duration_s` ({})",
                 self.warmup_s, self.duration_s
             ),
         );
@@ -50,7 +50,7 @@
             (1..=fleet.zones).contains(&fleet.regions),
             "fleet.regions",
             format!(
-                "{} must lie in 1..={} (the zones)",
+                "{} must be from 1 to {} (the number of zones)",
                 fleet.regions, fleet.zones
             ),
         );
@@ -136,7 +136,7 @@
         check.require(
             (1..=MAX_TRACKED_ATTEMPTS).contains(&max_attempts),
             "permissions.max_attempts",
-            format!("{max_attempts} must lie in 1..={MAX_TRACKED_ATTEMPTS}"),
+            format!("{max_attempts} must be from 1 to {MAX_TRACKED_ATTEMPTS}"),
         );
         check.positive(permissions.idle_timeout_s, "permissions.conn_idle_s");
         check.not_negative(permissions.max_retry_after_ms, "permissions.retry_after_ms");
@@ -174,7 +174,7 @@
         (0.0..1.0).contains(&machine_type.speed_spread),
         key("speed_spread"),
         format!(
-            "{} must be 0 or more and under 1",
+            "{} must be 0 or more and less than 1",
             machine_type.speed_spread
         ),
     );
@@ -190,7 +190,7 @@
         class.timeout_ms >= class.latency_objective_ms,
         key("deadline_ms"),
         format!(
-            "{} must not be under `aim_ms` ({})",
+            "{} must be at least `aim_ms` ({})",
             class.timeout_ms, class.latency_objective_ms
         ),
     );
--- a/lab/src/fleet/scenario/validation/timeline.rs
+++ b/lab/src/fleet/scenario/validation/timeline.rs
@@ -66,7 +66,7 @@
     /// Checks that a zone exists.
     fn zone(&mut self, zone: u16, name: &str) {
         let zones = self.scenario.fleet.zones;
-        let problem = format!("{zone} must be under {zones} (the zones)");
+        let problem = format!("{zone} must be less than {zones}, the number of zones");
         self.check.require(zone < zones, self.key(name), problem);
     }
 
@@ -90,7 +90,7 @@
         self.zone(event.zone, "zone");
         let rack = event.rack;
         let racks = self.scenario.fleet.racks_per_zone;
-        let problem = format!("{rack} must be under {racks} (the racks)");
+        let problem = format!("{rack} must be less than {racks}, the number of racks in a zone");
         self.check.require(rack < racks, self.key("rack"), problem);
         self.return_after(event.return_after_s);
     }
@@ -108,7 +108,7 @@
             .tenants
             .as_ref()
             .map_or(0, |tenants| tenants.count);
-        let problem = format!("{tenant} must be under {tenants} (`tenants.count`)");
+        let problem = format!("{tenant} must be less than {tenants} (`tenants.count`)");
         self.check
             .require(tenant < tenants, self.key("tenant"), problem);
         self.positive(event.for_s, "for_s");
--- a/lab/tests/fleet/command_line.rs
+++ b/lab/tests/fleet/command_line.rs
@@ -76,7 +76,10 @@
         (
             "regions = 2",
             "regions = 3",
-            vec!["fleet.regions", "3 must lie in 1..=2"],
+            vec![
+                "fleet.regions",
+                "3 must be from 1 to 2 (the number of zones)",
+            ],
         ),
         (
             "cores = 2",
@@ -86,7 +89,10 @@
         (
             "speed_spread = 0.1",
             "speed_spread = 1.0",
-            vec!["kind[0].speed_spread", "1 must be 0 or more and under 1"],
+            vec![
+                "kind[0].speed_spread",
+                "1 must be 0 or more and less than 1",
+            ],
         ),
         (
             "deadline_ms = 1000.0",
@@ -96,7 +102,7 @@
         (
             "duration_s = 3.0",
             "duration_s = 3.0\nwarmup_s = 4.0",
-            vec!["warmup_s", "4 must be under `duration_s` (3)"],
+            vec!["warmup_s", "4 must be less than `duration_s` (3)"],
         ),
         (
             "effect = \"unsafe\"",
@@ -123,7 +129,10 @@
         ),
         (
             "kind = \"zone_loss\"\nat_s = 1.0\nzone = 2",
-            vec!["event[0].zone", "2 must be under 2"],
+            vec![
+                "event[0].zone",
+                "2 must be less than 2, the number of zones",
+            ],
         ),
         (
             "kind = \"zone_loss\"\nat_s = -1.0\nzone = 0",
@@ -139,11 +148,11 @@
         ),
         (
             "kind = \"backend_crash\"\nat_s = 1.0\nfraction = 1.5",
-            vec!["event[0].fraction", "1.5 must lie in 0..=1"],
+            vec!["event[0].fraction", "1.5 must be from 0 to 1"],
         ),
         (
             "kind = \"tenant_surge\"\nat_s = 1.0\nfor_s = 1.0\ntenant = 5\nmultiple = 2.0",
-            vec!["event[0].tenant", "5 must be under 5"],
+            vec!["event[0].tenant", "5 must be less than 5 (`tenants.count`)"],
         ),
         (
             "kind = \"tenant_surge\"\nat_s = 1.0\nfor_s = 1.0\ntenant = 0\nmultiple = 0.5",
