--- a/lab/src/live/error.rs
+++ b/lab/src/live/error.rs
@@ -70,8 +70,13 @@
         limit: Duration,
     },
     /// Resource usage can't be read from `/proc`.
-    #[error("cannot read the resource usage of a process: {0}")]
-    Usage(#[from] procfs::ProcError),
+    #[error("cannot read the resource usage of {process}: {source}")]
+    Usage {
+        /// The process, such as `proxy-3 (pid 4711)` or `the lab`.
+        process: String,
+        /// Error of the read from `/proc`.
+        source: procfs::ProcError,
+    },
     /// The memory of idle connections can't be measured.
     #[error("cannot measure idle connections: {0}")]
     IdleConnections(#[from] IdleConnectionsError),
--- a/lab/src/live/experiment/actions.rs
+++ b/lab/src/live/experiment/actions.rs
@@ -155,7 +155,11 @@
         connections: u32,
     ) -> Result<Vec<IdleConnectionMemory>, LiveError> {
         let mut measured = Vec::new();
-        for batch in self.proxies.real().chunks(IDLE_MEASUREMENTS_AT_ONCE) {
+        for batch in self
+            .proxies
+            .real_processes()
+            .chunks(IDLE_MEASUREMENTS_AT_ONCE)
+        {
             for result in measure_batch(batch, connections).await {
                 measured.push(result?);
             }
--- a/lab/src/live/experiment/client_load.rs
+++ b/lab/src/live/experiment/client_load.rs
@@ -21,7 +21,7 @@
     pub(super) fn start_clients(&mut self) -> ClientLoad {
         let load = &self.scenario.load;
         let mut through_proxies = Vec::new();
-        for process in self.proxies.real() {
+        for process in self.proxies.real_processes() {
             let address = [process.address()];
             through_proxies.extend(start_generator(
                 &address,
--- a/lab/src/live/experiment/measurement.rs
+++ b/lab/src/live/experiment/measurement.rs
@@ -30,7 +30,7 @@
         let simulated_traffic = self.proxies.simulated_traffic();
         let usage = self.process_usage()?;
         let real_traffic = self.discovery.traffic();
-        let lab_processor_time = usage::own_processor_time()?;
+        let lab_processor_time = lab_processor_time()?;
         Ok(CounterSnapshot {
             taken_at: Instant::now(),
             usage,
@@ -42,8 +42,12 @@
 
     fn process_usage(&self) -> Result<Vec<Usage>, LiveError> {
         let mut usage = Vec::new();
-        for process in self.proxies.real() {
-            usage.push(Usage::read(process.pid())?);
+        for (proxy_index, process) in self.proxies.real_processes().iter().enumerate() {
+            let pid = process.pid();
+            usage.push(Usage::read(pid).map_err(|source| LiveError::Usage {
+                process: format!("proxy-{proxy_index} (pid {pid})"),
+                source,
+            })?);
         }
         Ok(usage)
     }
@@ -58,7 +62,7 @@
     ) -> Result<PhaseFigures, LiveError> {
         let seconds = before.taken_at.elapsed().as_secs_f64();
         let usage = self.process_usage()?;
-        let lab_time = usage::own_processor_time()?.saturating_sub(before.lab_processor_time);
+        let lab_time = lab_processor_time()?.saturating_sub(before.lab_processor_time);
         let processes = self.process_figures(before, &usage, results.idle_connections, seconds);
         Ok(PhaseFigures {
             kind: phase.kind(),
@@ -123,6 +127,14 @@
     }
 }
 
+/// Reads the processor time of the lab itself.
+fn lab_processor_time() -> Result<Duration, LiveError> {
+    usage::own_processor_time().map_err(|source| LiveError::Usage {
+        process: "the lab".to_owned(),
+        source,
+    })
+}
+
 /// Returns the processor time between two readings, or since the start of the process if another process was read
 /// before.
 fn processor_time_since(before: &Usage, now: &Usage) -> Duration {
--- a/lab/src/live/experiment/mod.rs
+++ b/lab/src/live/experiment/mod.rs
@@ -143,7 +143,12 @@
         self.wait_for_propagation(PROPAGATION_TIMEOUT).await;
         figures.propagation = self.tracker.take();
         figures.listed_endpoints = self.listed_endpoints();
-        for (process, figures) in self.proxies.real().iter().zip(&mut figures.processes) {
+        for (process, figures) in self
+            .proxies
+            .real_processes()
+            .iter()
+            .zip(&mut figures.processes)
+        {
             figures.known_backends = process.known_backends().await;
         }
         Ok(figures)
--- a/lab/src/live/http.rs
+++ b/lab/src/live/http.rs
@@ -14,10 +14,15 @@
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
     /// The connection can't be opened.
-    #[error("connect failed: {0}")]
-    Connect(#[from] io::Error),
+    #[error("cannot connect to {address}: {source}")]
+    Connect {
+        /// Address of the connection.
+        address: SocketAddr,
+        /// Error of the operating system.
+        source: io::Error,
+    },
     /// Sending the request or reading the response failed.
-    #[error("HTTP exchange failed: {0}")]
+    #[error("HTTP request or response failed: {0}")]
     Exchange(#[from] hyper::Error),
     /// The path or a header is malformed, so the request can't be built.
     #[error("the request is malformed: {0}")]
@@ -29,8 +34,9 @@
 /// # Errors
 /// The connection can't be opened.
 pub async fn connect(address: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, HttpError> {
-    let stream = TcpStream::connect(address).await?;
-    stream.set_nodelay(true)?;
+    let connect_error = |source| HttpError::Connect { address, source };
+    let stream = TcpStream::connect(address).await.map_err(connect_error)?;
+    stream.set_nodelay(true).map_err(connect_error)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(async move {
         let _ = connection.await;
--- a/lab/src/live/idle_connections.rs
+++ b/lab/src/live/idle_connections.rs
@@ -17,11 +17,21 @@
 #[derive(Debug, thiserror::Error)]
 pub enum IdleConnectionsError {
     /// A connection can't be opened, or the request on it failed.
-    #[error("call on a measured connection failed: {0}")]
-    Http(#[from] HttpError),
+    #[error("call on a measured connection to process {pid} failed: {source}")]
+    Http {
+        /// Process id.
+        pid: u32,
+        /// Error of the call.
+        source: HttpError,
+    },
     /// The memory of the process can't be read.
-    #[error("cannot read the memory of the process: {0}")]
-    Usage(#[from] procfs::ProcError),
+    #[error("cannot read the resident memory of process {pid}: {source}")]
+    Usage {
+        /// Process id.
+        pid: u32,
+        /// Error of the read from `/proc`.
+        source: procfs::ProcError,
+    },
 }
 
 /// Resident memory of one process as a function of its idle client connections.
@@ -32,7 +42,8 @@
     /// Slope of the least squares line through the steps, in bytes per connection. It is too low if the first
     /// connections fit into free memory that the process already holds.
     pub slope_bytes: f64,
-    /// Slope of the steepest step, in bytes per connection. Free memory of the process does not lower it.
+    /// Slope of the steepest step, in bytes per connection. Unlike `slope_bytes`, it is not lowered by memory that the
+    /// process already held.
     pub steepest_bytes: f64,
 }
 
@@ -57,21 +68,24 @@
     pid: u32,
     max_connections: u32,
 ) -> Result<IdleConnectionMemory, IdleConnectionsError> {
+    let http_error = |source| IdleConnectionsError::Http { pid, source };
     let mut steps = vec![IdleConnectionStep {
         connections: 0,
         closed: 0,
-        resident_kib: Usage::read(pid)?.resident_kib,
+        resident_kib: resident_kib(pid)?,
     }];
     let mut senders = Vec::new();
     for step in 1..=IDLE_CONNECTION_STEPS {
         let connections = max_connections * step / IDLE_CONNECTION_STEPS;
         while senders.len() < connections as usize {
-            let mut sender = http::connect(address).await?;
-            http::get_on(&mut sender, address, "/up").await?;
+            let mut sender = http::connect(address).await.map_err(http_error)?;
+            http::get_on(&mut sender, address, "/up")
+                .await
+                .map_err(http_error)?;
             senders.push(sender);
         }
         sleep(SETTLING_TIME).await;
-        let resident_kib = Usage::read(pid)?.resident_kib;
+        let resident_kib = resident_kib(pid)?;
         let closed = senders.iter().filter(|sender| sender.is_closed()).count();
         steps.push(IdleConnectionStep {
             connections,
@@ -82,6 +96,12 @@
     Ok(IdleConnectionMemory::from_steps(steps))
 }
 
+/// Reads the resident memory of a process, in KiB.
+fn resident_kib(pid: u32) -> Result<u64, IdleConnectionsError> {
+    let usage = Usage::read(pid).map_err(|source| IdleConnectionsError::Usage { pid, source })?;
+    Ok(usage.resident_kib)
+}
+
 impl IdleConnectionMemory {
     fn from_steps(steps: Vec<IdleConnectionStep>) -> Self {
         let points: Vec<(f64, f64)> = steps.iter().map(IdleConnectionStep::point).collect();
--- a/lab/src/live/proxies/mod.rs
+++ b/lab/src/live/proxies/mod.rs
@@ -114,7 +114,7 @@
 
     /// Returns the real processes, in the order of their indices.
     #[must_use]
-    pub fn real(&self) -> &[ProxyProcess] {
+    pub fn real_processes(&self) -> &[ProxyProcess] {
         &self.real
     }
 
