--- a/lab/src/live/discovery/call_queue.rs
+++ b/lab/src/live/discovery/call_queue.rs
@@ -15,7 +15,7 @@
     busy_until: Mutex<Instant>,
 }
 
-/// A call was not handled because the queue was longer than the queue timeout.
+/// A call was not handled because it would have waited in the queue for longer than the queue timeout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("call was not handled within the queue timeout")]
 pub struct QueueTimeout;
--- a/lab/src/live/discovery/endpoint_list.rs
+++ b/lab/src/live/discovery/endpoint_list.rs
@@ -38,7 +38,7 @@
     /// Current state.
     #[serde(rename = "phase")]
     pub state: EndpointState,
-    /// Share of a whole machine, serialized with one decimal.
+    /// Fraction of a machine that the endpoint may use, serialized with one decimal.
     #[serde(serialize_with = "serialize_one_decimal")]
     pub size: f64,
     /// Unix time of the last start, in milliseconds; 0 if the start was long ago.
--- a/lab/src/live/discovery/service.rs
+++ b/lab/src/live/discovery/service.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Longest time between a response and the next watch on the same connection for that watch to be a continuation.
+/// Time after a response within which a watch on the same connection counts as a continuation.
 const CONTINUATION_WINDOW: Duration = Duration::from_millis(200);
 /// URL path of the endpoint list.
 const LIST_PATH: &str = "/discovery/hosts";
--- a/lab/src/live/experiment/setup.rs
+++ b/lab/src/live/experiment/setup.rs
@@ -5,7 +5,7 @@
 use crate::live::discovery::endpoint_list::{Endpoint, EndpointState};
 use crate::live::error::LiveError;
 use crate::live::proxy_config::MACHINE_TYPE;
-use crate::live::scenario::{Backends, LiveScenario, OtherBackends, Phase};
+use crate::live::scenario::{Backends, EndpointsWithoutBackend, LiveScenario, Phase};
 use rustix::process::{Resource, getrlimit};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -70,11 +70,13 @@
         endpoints
     }
 
-    fn address(&self, number: usize, others: OtherBackends) -> SocketAddr {
+    fn address(&self, number: usize, others: EndpointsWithoutBackend) -> SocketAddr {
         match (self.answering.get(number), others) {
             (Some(&address), _) => address,
-            (None, OtherBackends::Shared) => self.answering[number % self.answering.len()],
-            (None, OtherBackends::Refused) => self.refusing_address,
+            (None, EndpointsWithoutBackend::Shared) => {
+                self.answering[number % self.answering.len()]
+            }
+            (None, EndpointsWithoutBackend::Refused) => self.refusing_address,
         }
     }
 }
--- a/lab/src/live/latency.rs
+++ b/lab/src/live/latency.rs
@@ -29,7 +29,7 @@
     fn default() -> Self {
         let histogram = Histogram::new_with_bounds(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS);
         Self(histogram.expect(
-            "the range starts at 1 and spans more than a factor of 2, with at most 5 digits",
+            "the histogram's range starts at 1 and spans more than a factor of 2, and it has at most 5 significant digits",
         ))
     }
 }
--- a/lab/src/live/proxies/simulated.rs
+++ b/lab/src/live/proxies/simulated.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// The simulated proxies of a run. Dropping this ends their tasks.
+/// The simulated proxies of a run. Dropping the value ends their tasks.
 #[derive(Debug)]
 pub(super) struct SimulatedProxies {
     _tasks: JoinSet<()>,
--- a/lab/src/live/scenario/mod.rs
+++ b/lab/src/live/scenario/mod.rs
@@ -58,7 +58,7 @@
     /// Number of emulated backends that answer requests.
     pub answering: u32,
     /// Addresses of the endpoints without an emulated backend of their own.
-    pub others: OtherBackends,
+    pub others: EndpointsWithoutBackend,
     /// Names of the zones, to which endpoints are assigned in turn.
     pub zones: Vec<String>,
     /// Service time of an emulated backend, in milliseconds.
@@ -68,7 +68,7 @@
 /// Addresses of the endpoints that have no emulated backend of their own.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OtherBackends {
+pub enum EndpointsWithoutBackend {
     /// The endpoints share the addresses of the emulated backends, so that every endpoint serves requests.
     Shared,
     /// Connections to the endpoints are refused.
@@ -95,7 +95,7 @@
     /// Rate at which calls that do not continue a watch are handled, in calls per second; used only in mode `ask`.
     #[serde(default = "default_calls_per_s")]
     pub calls_per_s: f64,
-    /// Longest time in the queue, in milliseconds; a call that would wait longer is answered with 503 after it.
+    /// Longest time in the queue, in milliseconds; a call that would wait longer is answered with 503 after this time.
     #[serde(rename = "turn_timeout_ms", default = "default_queue_timeout_ms")]
     pub queue_timeout_ms: u64,
     /// Delay from a change until discovery notifies its callers, in milliseconds.
--- a/lab/src/live/scenario/validation.rs
+++ b/lab/src/live/scenario/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of a scenario: the range of each value.
+//! Validation of a scenario: checks that each value is within its allowed range.
 
 use super::phase::Phase;
 use super::{
@@ -49,7 +49,7 @@
     fn validate(&self) -> Result<(), InvalidValue> {
         let real = self.real;
         require_range(1..=MAX_REAL_PROXIES, real, "processes", "processes.real")?;
-        let unit = format!("beside {real} real ones");
+        let unit = format!("in addition to {real} real processes");
         require_range(
             0..=MAX_PROXIES - real,
             self.simulated,
@@ -184,7 +184,7 @@
                     *seconds > grace_s,
                     &format!("{key}.seconds"),
                     &format!(
-                        "above {grace_s} seconds, when the old discovery closes its connections"
+                        "above {grace_s} seconds, after which the previous discovery service closes its connections"
                     ),
                     seconds,
                 )
--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -29,7 +29,7 @@
     assert!(SMALL.contains(line), "the small scenario contains {line}");
     match parse(&SMALL.replacen(line, replacement, 1)) {
         Err(LabError::Scenario { key, problem, .. }) => (key, problem),
-        other => panic!("{replacement}: {other:?}"),
+        other => panic!("expected an error for {replacement}, found {other:?}"),
     }
 }
 
@@ -66,7 +66,7 @@
         line: "hollow = 5",
         replacement: "hollow = 709",
         key: "processes.hollow",
-        problem: "must be 0 to 708 beside 2 real ones, found 709",
+        problem: "must be 0 to 708 in addition to 2 real processes, found 709",
     },
     InvalidValueCase {
         line: "memory_mb = 64",
@@ -238,7 +238,7 @@
 
 #[test]
 fn polled_discovery_spreads_first_calls_and_backs_off_after_failures() {
-    // The balancer limits its delays to leave a queued call the time to be answered.
+    // The balancer limits its delays so that a queued call can still be answered in time.
     const MAX_DELAY: Duration = Duration::from_millis(2_500);
     let mut polled = schedule("ask");
     let first: Vec<Duration> = (0..50).map(|_| polled.initial_delay()).collect();
--- a/lab/src/live/timer_lag.rs
+++ b/lab/src/live/timer_lag.rs
@@ -20,7 +20,7 @@
     /// Starts sampling on the current Tokio runtime.
     ///
     /// # Panics
-    /// Called outside a runtime.
+    /// If called outside a Tokio runtime.
     #[must_use]
     pub fn start() -> Self {
         let samples = Arc::<Mutex<LatencyHistogram>>::default();
--- a/lab/src/live/traffic.rs
+++ b/lab/src/live/traffic.rs
@@ -53,12 +53,12 @@
     }
 }
 
-/// The end of the connection at which a [`CountingStream`] counts.
+/// The side of the connection on which a [`CountingStream`] counts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Side {
-    /// The end of discovery: bytes read were sent by the proxy.
+    /// Discovery's side: bytes read were sent by the proxy.
     Discovery,
-    /// The end of the proxy: bytes read were sent by discovery.
+    /// The proxy's side: bytes read were sent by discovery.
     Proxy,
 }
 
