--- a/lab/src/fleet/backend/mod.rs
+++ b/lab/src/fleet/backend/mod.rs
@@ -100,7 +100,7 @@
         (self.running.len() + self.queue.len()) as u32
     }
 
-    /// Returns the present load report.
+    /// Returns the current load report.
     #[must_use]
     pub fn load_report(&self) -> LoadReport {
         [
@@ -214,7 +214,7 @@
         self.service_time(now, work, model)
     }
 
-    /// Resumes after a hang and returns the attempts whose work ended meanwhile.
+    /// Resumes after a hang and returns the attempts whose work ended during it.
     pub fn resume(&mut self) -> Vec<AttemptKey> {
         self.hung = false;
         let ended = std::mem::take(&mut self.stalled);
--- a/lab/src/fleet/backend/slow_start.rs
+++ b/lab/src/fleet/backend/slow_start.rs
@@ -10,7 +10,7 @@
     pub initial_capacity: f64,
     /// Time from a backend's start until it has its full capacity.
     pub duration: Micros,
-    /// Multiple of its present capacity above which the load on a backend makes it collapse, if the load lasts for
+    /// A backend in slow start collapses if its load exceeds this multiple of its current capacity for
     /// `collapse_time`.
     pub collapse_load_factor: f64,
     /// Time for which that load must last until the backend collapses.
@@ -30,7 +30,7 @@
     /// Returns the load limit of a backend of `capacity`, `age` after its start: the greatest load within the collapse
     /// time, in requests of mean work, at which the backend does not collapse.
     ///
-    /// The limit is N + 2 sqrt(N) + 2 with N = load factor x present capacity x collapse time / mean work. The margin
+    /// The limit is N + 2 sqrt(N) + 2 with N = load factor x current capacity x collapse time / mean work. The margin
     /// covers two standard deviations of random arrivals.
     #[must_use]
     pub fn load_limit(&self, capacity: f64, age: Micros) -> f64 {
--- a/lab/src/fleet/client/mod.rs
+++ b/lab/src/fleet/client/mod.rs
@@ -18,7 +18,7 @@
 
 use tillerproxy::api::{ClassIndex, Micros, TenantIndex, Zone};
 
-/// A call of a client, which covers all attempts of the client.
+/// A call of a client, with all attempts that the client makes for it.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientCall {
     /// Class of the call.
--- a/lab/src/fleet/discovery/endpoint_list.rs
+++ b/lab/src/fleet/discovery/endpoint_list.rs
@@ -21,7 +21,7 @@
 /// Endpoints of the latest response of one kind, which further responses share.
 #[derive(Debug)]
 struct CachedEndpoints {
-    /// Revision that identifies the response: the known revision of a delta, or the revision of a full list.
+    /// For a delta, the revision that the caller has; for a full list, the list's own revision.
     revision: Revision,
     endpoints: Arc<[Backend]>,
 }
@@ -45,7 +45,7 @@
     changes: VecDeque<BackendId>,
     /// Maximum length of `changes`.
     history_limit: usize,
-    /// Latest delta, with the known revision that it starts from. Most watches share it.
+    /// Latest delta, with the revision of the callers that it is for. Most watches share it.
     latest_delta: Option<CachedEndpoints>,
     /// Latest full list, with its own revision.
     latest_full: Option<CachedEndpoints>,
--- a/lab/src/fleet/discovery/mod.rs
+++ b/lab/src/fleet/discovery/mod.rs
@@ -1,4 +1,5 @@
 //! The discovery service that all proxies share: an endpoint list, standing watches, and a queue of calls.
+//! A standing watch is a call that waits at discovery for the next change (a pending long poll).
 //!
 //! Calls for the full list and calls that begin a watch are queued and processed one after another. A call that
 //! continues a watch is handled at once. Each publication is sent to every standing watch. The simulation delivers
@@ -28,7 +29,7 @@
     Stalled,
 }
 
-/// A standing watch of a proxy.
+/// A standing watch: a call of a proxy that waits for the next change.
 #[derive(Clone, Copy, Debug)]
 struct Watch {
     call: CallId,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Returns the present revision.
+    /// Returns the current revision.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.list.revision()
--- a/lab/src/fleet/events.rs
+++ b/lab/src/fleet/events.rs
@@ -54,9 +54,9 @@
     near: BinaryHeap<Entry<T>>,
     /// Number of the current bucket, counted from time 0.
     bucket: u64,
-    /// Events within the wheel's horizon, by bucket number modulo the number of buckets.
+    /// The timing wheel: events within its horizon, by bucket number modulo the number of buckets.
     wheel: Vec<Vec<Entry<T>>>,
-    /// Number of events in the wheel.
+    /// Number of events in the timing wheel.
     in_wheel: usize,
     /// Emptied vectors of past buckets, kept so that later buckets reuse their memory.
     spare: Vec<Vec<Entry<T>>>,
@@ -98,7 +98,7 @@
         self.len() == 0
     }
 
-    /// Adds an event. A time in the past is replaced by the present time.
+    /// Adds an event. A time in the past is replaced by the current time.
     pub fn push(&mut self, at: Micros, event: T) {
         let at = at.max(self.now);
         let entry = Entry {
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Adds an event that happens `delay` after the present time.
+    /// Adds an event that happens `delay` after the current time.
     pub fn push_after(&mut self, delay: Micros, event: T) {
         self.push(self.now.saturating_add(delay), event);
     }
 
-    /// Removes and returns the next event with its time, which becomes the present time of the queue.
+    /// Removes and returns the next event with its time, which becomes the current time of the queue.
     pub fn pop(&mut self) -> Option<(Micros, T)> {
         while self.near.is_empty() {
             if self.is_empty() {
--- a/lab/src/fleet/ids.rs
+++ b/lab/src/fleet/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers of the fleet's parts, each of a type of its own.
+//! Indices of proxies, regions and racks, each of a type of its own.
 
 use tillerproxy::index_type;
 
--- a/lab/src/fleet/metrics/mod.rs
+++ b/lab/src/fleet/metrics/mod.rs
@@ -9,7 +9,7 @@
 use super::ids::ProxyIndex;
 use super::report::{
     AttemptCounts, BackendLoad, CallCounts, ClassMetrics, NamedClass, Percentiles, PolicyReport,
-    SecondReport,
+    TimeSeriesSecond,
 };
 use super::rules::RuleCounts;
 use crate::units::{MICROS_PER_SECOND, as_milliseconds};
@@ -86,9 +86,9 @@
 }
 
 impl SecondMetrics {
-    fn report(&self, second: usize) -> SecondReport {
+    fn report(&self, second: usize) -> TimeSeriesSecond {
         let p99 = self.latency.value_at_quantile(0.99);
-        SecondReport {
+        TimeSeriesSecond {
             second,
             calls: self.calls,
             p99_ms: as_milliseconds(p99),
@@ -147,7 +147,8 @@
 }
 
 fn latency_histogram(digits: u8) -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_LATENCY, digits).expect("bounds and digits are in range")
+    Histogram::new_with_bounds(1, MAX_LATENCY, digits)
+        .expect("the bounds and the number of significant digits of the histogram are valid")
 }
 
 impl Metrics {
@@ -253,7 +254,7 @@
             .collect()
     }
 
-    fn second_reports(&self) -> Vec<SecondReport> {
+    fn second_reports(&self) -> Vec<TimeSeriesSecond> {
         self.seconds
             .iter()
             .enumerate()
--- a/lab/src/fleet/metrics/traffic.rs
+++ b/lab/src/fleet/metrics/traffic.rs
@@ -22,7 +22,7 @@
 }
 
 impl DiscoveryTraffic {
-    /// Records the total traffic up to now: adds its increase to the present second.
+    /// Records the total traffic up to now: adds its increase to the current second.
     pub(super) fn record(&mut self, now: Micros, total: Traffic) {
         let index = (now / MICROS_PER_SECOND) as usize;
         if self.seconds.len() <= index {
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -4,7 +4,7 @@
 //! clients are emulated by a discrete-event simulation whose results depend only on the scenario and the seed. Two
 //! baselines are simulated on the same arrivals and events as the module.
 //!
-//! The simulation leaves out the processor time of the proxies, single connections and their setup, streamed
+//! The simulation leaves out the processor time of the proxies, individual connections and their setup, streamed
 //! responses, health checks, and services (every backend serves every request). A proxy that has not polled for long
 //! does not count as informed: rule 3 (draining) and rule 4 (slow start) are checked against what discovery has sent
 //! to the proxy.
@@ -75,8 +75,8 @@
 ///
 /// # Errors
 /// - [`LabError::Unreadable`] if the scenario file can't be read
-/// - [`LabError::Scenario`] if the scenario is invalid, also after the options have changed it
-/// - [`LabError::Settings`] and [`LabError::Panicked`] as [`simulate`]
+/// - [`LabError::Scenario`] if the scenario is invalid, before or after the options are applied to it
+/// - [`LabError::Settings`] and [`LabError::Panicked`] as for [`simulate`]
 /// - [`LabError::Unwritable`] if a result file can't be written
 pub fn run(options: &FleetOptions) -> Result<(), LabError> {
     let scenario = read_scenario(options)?;
@@ -112,7 +112,7 @@
     let invalid = |InvalidValue { key, problem }| LabError::Scenario {
         path: options.scenario.clone(),
         key,
-        problem: format!("{problem} (with the options of the command line)"),
+        problem: format!("{problem} (after the command-line options were applied)"),
     };
     scenario.validate().map_err(invalid)?;
     Ok(scenario)
--- a/lab/src/fleet/plot.rs
+++ b/lab/src/fleet/plot.rs
@@ -1,6 +1,6 @@
 //! Plots of the time series of a run, as an SVG file.
 
-use super::report::{FleetReport, PolicyReport, SecondReport};
+use super::report::{FleetReport, PolicyReport, TimeSeriesSecond};
 use crate::error::LabError;
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -33,7 +33,7 @@
 struct Chart {
     title: &'static str,
     /// Returns the value of a second.
-    value: fn(&SecondReport) -> f64,
+    value: fn(&TimeSeriesSecond) -> f64,
 }
 
 const CHARTS: [Chart; 3] = [
@@ -52,15 +52,15 @@
 ];
 
 /// Returns a number of calls as a fraction of the calls made in a second.
-fn fraction(count: u64, second: &SecondReport) -> f64 {
+fn fraction(count: u64, second: &TimeSeriesSecond) -> f64 {
     count as f64 / second.calls.offered.max(1) as f64
 }
 
-fn within_objective(second: &SecondReport) -> f64 {
+fn within_objective(second: &TimeSeriesSecond) -> f64 {
     fraction(second.calls.within_objective, second)
 }
 
-fn not_served(second: &SecondReport) -> f64 {
+fn not_served(second: &TimeSeriesSecond) -> f64 {
     fraction(
         second.calls.rejected + second.calls.failed + second.calls.timed_out,
         second,
--- a/lab/src/fleet/policy/mod.rs
+++ b/lab/src/fleet/policy/mod.rs
@@ -79,7 +79,7 @@
     Ok(Box::new(Baseline::new(settings, seed, choices)))
 }
 
-/// The decision module as a policy; it makes no use of the true load.
+/// The decision module as a policy; it does not use the true load.
 struct DecisionModule(Balancer);
 
 impl Policy for DecisionModule {
--- a/lab/src/fleet/proxy/watcher.rs
+++ b/lab/src/fleet/proxy/watcher.rs
@@ -9,7 +9,7 @@
 
 /// Mean wait of a watch.
 const MEAN_WATCH_WAIT: Micros = 20 * MICROS_PER_SECOND;
-/// Growth of the range of the waits with each proxy after the first.
+/// Increase of the range of the waits for each proxy after the first.
 const WATCH_WAIT_RANGE_PER_PROXY: Micros = MICROS_PER_SECOND;
 /// Maximum range of the waits.
 const MAX_WATCH_WAIT_RANGE: Micros = 30 * MICROS_PER_SECOND;
--- a/lab/src/fleet/report.rs
+++ b/lab/src/fleet/report.rs
@@ -82,13 +82,13 @@
 
 /// One second of the time series.
 #[derive(Clone, Debug, Serialize)]
-pub struct SecondReport {
+pub struct TimeSeriesSecond {
     /// Number of the second, from 0.
     pub second: usize,
     /// Counts of the calls made in this second, by their end.
     #[serde(flatten)]
     pub calls: CallCounts,
-    /// The 99th percentile of the latency of the answered ones, milliseconds.
+    /// The 99th percentile of the latency of the answered calls, milliseconds.
     pub p99_ms: f64,
 }
 
@@ -205,7 +205,7 @@
     /// Number of events of the simulation.
     pub events: u64,
     /// The time series.
-    pub seconds: Vec<SecondReport>,
+    pub seconds: Vec<TimeSeriesSecond>,
 }
 
 /// Metrics of a class with its name.
--- a/lab/src/fleet/request.rs
+++ b/lab/src/fleet/request.rs
@@ -28,7 +28,7 @@
     MaybeExecuted,
 }
 
-/// An attempt of a request, as far as the safety rules need it.
+/// An attempt of a request, with the values that the safety rules check.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SentAttempt {
     /// Backend that the attempt was sent to.
--- a/lab/src/fleet/rules.rs
+++ b/lab/src/fleet/rules.rs
@@ -64,7 +64,7 @@
     /// period.
     #[serde(rename = "sends_to_barred")]
     pub sends_to_unavailable: u64,
-    /// Attempts sent to such a backend after the grace period.
+    /// Attempts sent to a draining or removed backend after the grace period.
     pub after_grace: u64,
 }
 
@@ -131,7 +131,7 @@
 /// An attempt that is about to be sent, and what its proxy knows of the backend.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingSend<'a> {
-    /// Present time.
+    /// Current time.
     pub now: Micros,
     /// Request that the attempt belongs to.
     pub request: &'a TrackedRequest,
--- a/lab/src/fleet/scenario/discovery.rs
+++ b/lab/src/fleet/scenario/discovery.rs
@@ -14,8 +14,8 @@
     /// Maximum rate, per second, of calls that begin a watch or fetch the full list. They are processed one after
     /// another.
     pub calls_per_s: f64,
-    /// Maximum rate, per second, of responses to standing watches, which share the queue of calls. If it is missing,
-    /// these responses are sent all at once.
+    /// Maximum rate, per second, of responses to standing watches, which share the queue of calls. If omitted,
+    /// these responses are sent all at once, without being queued.
     #[serde(rename = "answers_per_s")]
     pub watch_responses_per_s: Option<f64>,
     /// Time in the queue after which a call fails, milliseconds.
--- a/lab/src/fleet/scenario/limits.rs
+++ b/lab/src/fleet/scenario/limits.rs
@@ -45,18 +45,18 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SafetySettings {
-    /// Maximum time between two polls by a proxy without a watch, seconds. The rules assume that such a proxy knows the
-    /// endpoint list as it was this long ago.
+    /// Maximum time between two polls by a proxy without a watch, seconds. The rules treat such a proxy as informed
+    /// of the endpoint list as it was this long ago.
     #[serde(rename = "ask_within_s")]
     pub poll_interval_s: f64,
-    /// Fraction of its capacity that a backend has when its slow start begins, above 0 to 1.
+    /// Fraction of its capacity that a backend has when its slow start begins, above 0 and at most 1.
     #[serde(rename = "cold_from")]
     pub slow_start_initial_capacity: f64,
     /// Time from a backend's start until it has its full capacity, seconds.
     #[serde(rename = "cold_time_s")]
     pub slow_start_duration_s: f64,
-    /// Multiple of its present capacity above which the load on a backend in slow start makes it collapse, if the load
-    /// lasts for `collapse_time_s`.
+    /// A backend in slow start collapses if its load exceeds this multiple of its current capacity for
+    /// `collapse_time_s`.
     #[serde(rename = "fall_multiple")]
     pub collapse_load_factor: f64,
     /// Time for which that load must last until the backend collapses, seconds.
--- a/lab/src/fleet/scenario/mod.rs
+++ b/lab/src/fleet/scenario/mod.rs
@@ -46,7 +46,7 @@
     /// Classes of requests.
     #[serde(rename = "class")]
     pub classes: Vec<ClassSettings>,
-    /// Tenants; if they are missing, all requests belong to one tenant without a quota.
+    /// Tenants. If omitted, all requests belong to one tenant without a quota.
     #[serde(default)]
     pub tenants: Option<TenantSettings>,
     /// Load that clients offer.
--- a/lab/src/fleet/scenario/timeline.rs
+++ b/lab/src/fleet/scenario/timeline.rs
@@ -63,7 +63,7 @@
     pub at_s: f64,
     /// Zone, from 0.
     pub zone: u16,
-    /// Time until the machines start again, seconds; they never do if it is missing.
+    /// Time until the machines start again, in seconds. If omitted, they stay down.
     #[serde(default)]
     pub return_after_s: Option<f64>,
 }
@@ -78,7 +78,7 @@
     pub zone: u16,
     /// Rack inside the zone, from 0.
     pub rack: u16,
-    /// Time until the backends start again, seconds; they never do if it is missing.
+    /// Time until the backends start again, in seconds. If omitted, they stay down.
     #[serde(default)]
     pub return_after_s: Option<f64>,
 }
@@ -176,7 +176,7 @@
     pub at_s: f64,
     /// Fraction of the backends that the event affects, 0 to 1.
     pub fraction: f64,
-    /// Time until the backends start again, seconds; they never do if it is missing.
+    /// Time until the backends start again, in seconds. If omitted, they stay down.
     #[serde(default)]
     pub return_after_s: Option<f64>,
 }
@@ -203,7 +203,7 @@
 pub struct TrafficShift {
     /// Time at which the event begins, seconds.
     pub at_s: f64,
-    /// Duration of the shift, seconds; if it is missing, the shift lasts to the end of the run.
+    /// Duration of the shift, in seconds. If omitted, the shift lasts to the end of the run.
     #[serde(default)]
     pub for_s: Option<f64>,
     /// Zone whose clients are shifted, from 0.
--- a/lab/src/fleet/simulation/discovery.rs
+++ b/lab/src/fleet/simulation/discovery.rs
@@ -21,7 +21,7 @@
 /// Discovery and the messages to and from it.
 pub(super) struct DiscoveryState {
     pub(super) service: Discovery,
-    /// The present endpoint of each backend, whether published or not, by backend id.
+    /// The current endpoint of each backend, whether published or not, by backend id.
     endpoints: Vec<Backend>,
     /// Changed endpoints that discovery has not yet detected, the oldest first.
     undetected: VecDeque<Backend>,
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -279,7 +279,8 @@
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt),
             Action::SetTimer { after, token } => self.set_timer(proxy, after, token),
             Action::Subscribe => self.subscribe(proxy),
-            // Health checks are not permitted, and single connections are not emulated.
+            // The settings permit no health checks and the fleet emulates no individual connections, so these actions
+            // have no effect.
             Action::HealthCheck(_) | Action::CloseIdleConnections(_) => {}
             Action::Log(event) => tracing::trace!(proxy = proxy.0, "{event}"),
         }
--- a/lab/src/fleet/simulation/setup.rs
+++ b/lab/src/fleet/simulation/setup.rs
@@ -61,7 +61,7 @@
         .collect()
 }
 
-/// Returns what a proxy may do.
+/// Returns the permissions of a proxy.
 fn permissions(scenario: &FleetScenario) -> Permissions {
     let permissions = &scenario.permissions;
     Permissions {
--- a/lab/tests/fleet/backend.rs
+++ b/lab/tests/fleet/backend.rs
@@ -11,7 +11,7 @@
 const MILLISECOND: f64 = 1_000.0;
 /// One second of virtual time, in microseconds.
 const SECOND: u64 = 1_000_000;
-/// A slow start from a fifth of the capacity, with a collapse at twice the present capacity for one second.
+/// A slow start from a fifth of the capacity, with a collapse at twice the current capacity for one second.
 const MODEL: SlowStartModel = SlowStartModel {
     initial_capacity: 0.2,
     duration: 10 * SECOND,
--- a/lab/tests/fleet/main.rs
+++ b/lab/tests/fleet/main.rs
@@ -72,7 +72,7 @@
     tillerproxy_lab::scenario::parse(text, Path::new("small.toml"))
 }
 
-/// Returns the small scenario with an event of the timeline.
-fn small_with(event: &str) -> FleetScenario {
-    parse(&format!("{SMALL}\n{event}")).expect("the small scenario and the event are valid")
+/// Returns the small scenario with further tables, such as events of the timeline.
+fn small_scenario_with_tables(tables: &str) -> FleetScenario {
+    parse(&format!("{SMALL}\n{tables}")).expect("the small scenario and the tables are valid")
 }
--- a/lab/tests/fleet/report.rs
+++ b/lab/tests/fleet/report.rs
@@ -1,6 +1,6 @@
 //! The JSON keys of the report, which other tools read.
 
-use super::small_with;
+use super::small_scenario_with_tables;
 use serde_json::Value;
 use tillerproxy_lab::fleet::policy::PolicyKind;
 use tillerproxy_lab::fleet::simulate;
@@ -15,8 +15,13 @@
 
 #[test]
 fn report_is_written_with_its_documented_json_keys() {
-    let report =
-        simulate(&small_with(""), &[PolicyKind::Random], 1, true).expect("the simulation succeeds");
+    let report = simulate(
+        &small_scenario_with_tables(""),
+        &[PolicyKind::Random],
+        1,
+        true,
+    )
+    .expect("the simulation succeeds");
     let written = serde_json::to_value(&report).expect("a report can be written as JSON");
     let policy = &written["policies"][0];
     let rules = &policy["rules"];
--- a/lab/tests/fleet/rules.rs
+++ b/lab/tests/fleet/rules.rs
@@ -1,6 +1,6 @@
 //! The rule checker: it counts the violations of scripted policies that break one rule each.
 
-use super::small_with;
+use super::small_scenario_with_tables;
 use indicatif::ProgressBar;
 use tillerproxy::api::{
     Action, BackendId, Cell, Class, ClassIndex, Event, Idempotency, KeyScope, MachineType,
@@ -36,8 +36,8 @@
 /// A timeline without events.
 const NO_EVENT: &str = "";
 
-/// Simulates the small scenario with an event of the timeline, under a policy that calls a script. `script` creates the
-/// script of one proxy, which handles each event of the policy.
+/// Simulates the small scenario with an event of the timeline, under a policy that passes each event to a function, the
+/// script of its proxy. `script` creates the script of one proxy.
 fn simulate<S>(event: &str, script: fn() -> S) -> PolicyReport
 where
     S: FnMut(Micros, Event<'_>, &mut Vec<Action>) + 'static,
@@ -54,7 +54,7 @@
             (self.0)(now, event, actions);
         }
     }
-    let scenario = small_with(event);
+    let scenario = small_scenario_with_tables(event);
     let topology = Topology::new(&scenario, 1);
     let schedule = FaultSchedule::new(&scenario, &topology, 1);
     let factory =
@@ -317,7 +317,7 @@
 
 impl KeyedRepeat {
     /// Returns the counts of rule 2 (idempotency) after the repeat.
-    fn check(&self) -> RepeatCounts {
+    fn counts_after_repeat(&self) -> RepeatCounts {
         let mut checker = RuleChecker::new(strict_limits());
         let send = PendingSend {
             now: self.now,
@@ -352,7 +352,7 @@
             cell,
             earlier,
         };
-        let counts = repeat.check();
+        let counts = repeat.counts_after_repeat();
         assert_eq!(
             (counts.after_key_expiry, counts.outside_key_scope),
             (after_key_expiry, outside_key_scope),
--- a/lab/tests/fleet/simulation.rs
+++ b/lab/tests/fleet/simulation.rs
@@ -1,6 +1,6 @@
 //! Simulations of small scenarios: each kind of event, determinism, and the shipped scenarios.
 
-use super::{SMALL, small_with};
+use super::{SMALL, small_scenario_with_tables};
 use std::path::PathBuf;
 use tillerproxy_lab::fleet::policy::PolicyKind;
 use tillerproxy_lab::fleet::report::{FleetReport, PolicyReport};
@@ -19,10 +19,10 @@
 }
 
 /// Simulates the small scenario with an event under all policies. Checks that every policy keeps rules 1 (one final
-/// answer), 2 (idempotency) and 3 (draining) and serves more than half of the calls in time, and that the module also
-/// keeps rule 4 (slow start).
+/// answer), 2 (idempotency) and 3 (draining) and serves more than half of the calls in time, and that the decision
+/// module also keeps rule 4 (slow start).
 fn simulate_event(event: &str) -> FleetReport {
-    let report = simulate_all(&small_with(event), 1);
+    let report = simulate_all(&small_scenario_with_tables(event), 1);
     for policy in &report.policies {
         let name = &policy.policy;
         assert_eq!(
@@ -73,7 +73,7 @@
     let event =
         "[[event]]\nkind = \"backend_crash\"\nat_s = 0.5\nfraction = 0.2\nreturn_after_s = 0.5\n";
     let text = |seed| {
-        serde_json::to_string(&simulate_all(&small_with(event), seed))
+        serde_json::to_string(&simulate_all(&small_scenario_with_tables(event), seed))
             .expect("a report can be written as JSON")
     };
     let first = text(1);
@@ -241,7 +241,7 @@
 
 #[test]
 fn disconnected_clients_are_counted_separately() {
-    let scenario = small_with("[clients]\nleaves = 0.5\n");
+    let scenario = small_scenario_with_tables("[clients]\nleaves = 0.5\n");
     for policy in &simulate_all(&scenario, 1).policies {
         assert!(policy.calls.disconnected > 50, "{:?}", policy.calls);
         assert_eq!(policy.rule_violations, [0; 4]);
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn module_keeps_all_rules_with_load_reports() {
+fn decision_module_breaks_no_rule_with_load_reports() {
     let with_reports = super::parse(&format!("{SMALL}\n[backends]\nload_reports = true\n"))
         .expect("the scenario is valid");
     let report = simulate(&with_reports, &[PolicyKind::Module], 1, true)
