--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -87,7 +87,8 @@
 }
 
 impl SimulatedProxy {
-    /// Returns a proxy whose balancer has a seed derived from its index and has received these backends as a cached list.
+    /// Returns a proxy whose balancer has a seed derived from its index and has received these backends as a cached
+    /// list.
     pub fn new(settings: Settings, backends: impl IntoIterator<Item = Backend>) -> Self {
         let seed = 7 + u64::from(settings.proxy_index);
         Self::with_seed(settings, seed, backends)
@@ -260,8 +261,8 @@
         }
     }
 
-    /// Checks that a request may get a final answer now, and records the end of the request. The answer is a rejection if
-    /// `is_rejection`, otherwise a failure.
+    /// Checks that a request may get a final answer now, and records the end of the request. The answer is a rejection
+    /// if `is_rejection`, otherwise a failure.
     fn record_final_answer(&mut self, request: RequestId, is_rejection: bool) {
         let tracked = self
             .requests
--- a/tests/decisions/discovery.rs
+++ b/tests/decisions/discovery.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Guards against a backoff after which rule 3 (draining) already treats the proxy as informed of a list that it has not
-/// received.
+/// Guards against a backoff after which rule 3 (draining) already treats the proxy as informed of a list that it has
+/// not received.
 #[test]
 fn a_call_after_a_failed_one_ends_within_four_poll_intervals() {
     for (poll_interval, proxy_count, call_duration) in
--- a/tests/decisions/queue_and_rejection.rs
+++ b/tests/decisions/queue_and_rejection.rs
@@ -96,8 +96,8 @@
     assert_eq!(longest_retry_after(1), 500 * MS);
 }
 
-/// Guards against rejections without a `Retry-After`, after which clients retry at once, when the greatest `Retry-After`
-/// that clients honor is not configured.
+/// Guards against rejections without a `Retry-After`, after which clients retry at once, when the greatest
+/// `Retry-After` that clients honor is not configured.
 #[test]
 fn a_rejection_has_a_retry_after_even_if_the_maximum_that_clients_honor_is_not_configured() {
     let cases = [(None, 1..=500 * MS), (Some(30 * MS), 30 * MS..=30 * MS)];
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -49,8 +49,8 @@
 }
 
 /// Guards against a request that misses its latency objective because a connection is silent, and against counting the
-/// backend of that connection as unresponsive. An attempt keeps the whole timeout of its request if usual latency is long in comparison with it, or if
-/// the request may not be retried.
+/// backend of that connection as unresponsive. An attempt keeps the whole timeout of its request if usual latency is
+/// long in comparison with it, or if the request may not be retried.
 #[test]
 fn a_lost_attempt_times_out_early_enough_for_a_retry_within_the_latency_objective() {
     let AfterLoad {
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,5 +1,5 @@
-//! Checks the pages against the repository: the paths that they name exist, and the glossary has every protocol key whose
-//! name differs from that of its field in the code.
+//! Checks the pages against the repository: the paths that they name exist, and the glossary has every protocol key
+//! whose name differs from that of its field in the code.
 
 use std::fs;
 use std::path::Path;
--- a/tests/host.rs
+++ b/tests/host.rs
@@ -1,5 +1,5 @@
-//! The program `tillerproxy-simhost` (the host), which runs balancers for a simulator, tested end to end: batches on its
-//! standard input, replies on its standard output.
+//! The program `tillerproxy-simhost` (the host), which runs balancers for a simulator, tested end to end: batches on
+//! its standard input, replies on its standard output.
 //!
 //! These tests write and read the bytes without the library, so that they do not share its errors.
 
@@ -71,7 +71,8 @@
     )
 }
 
-/// Returns an endpoint list record with these ready backends. Membership updates refer to the list by the number `list`.
+/// Returns an endpoint list record with these ready backends. Membership updates refer to the list by the number
+/// `list`.
 fn endpoint_list(list: u16, backends: &[u32]) -> Vec<u8> {
     // Zone 0, machine type 0, cell 0, ready, and a float of 1.0 that the host does not read.
     let properties = [0, 0, 0, 0, 0, 1, 0x3f, 0x80, 0, 0];
--- a/tests/proxy/overload.rs
+++ b/tests/proxy/overload.rs
@@ -16,8 +16,8 @@
 /// More clients than a proxy with `DESCRIPTORS` can accept.
 const IDLE_CLIENT_COUNT: usize = 100;
 
-/// Clients that connect, send a complete, partial or empty request, read until the proxy closes the connection, and then
-/// connect again.
+/// Clients that connect, send a complete, partial or empty request, read until the proxy closes the connection, and
+/// then connect again.
 struct IdleClients {
     stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
--- a/tests/proxy/rig/discovery.rs
+++ b/tests/proxy/rig/discovery.rs
@@ -52,11 +52,13 @@
         });
         sender.send(after).ok()?;
         let (lock, changed) = published;
-        let mut published = lock.lock().expect("no thread has panicked with the list");
+        let mut published = lock
+            .lock()
+            .expect("no thread has panicked while it held the lock of the list");
         while published.list.is_none() || after == Some(published.revision) {
             published = changed
                 .wait(published)
-                .expect("no thread has panicked with the list");
+                .expect("no thread has panicked while it held the lock of the list");
         }
         let text = published.list.clone()?.to_string();
         drop(published);
@@ -127,7 +129,9 @@
     /// Publishes a list and returns its revision.
     pub fn publish(&self, complete: bool, endpoints: &[Value]) -> u64 {
         let (lock, changed) = &*self.published;
-        let mut published = lock.lock().expect("no thread has panicked with the list");
+        let mut published = lock
+            .lock()
+            .expect("no thread has panicked while it held the lock of the list");
         published.revision += 1;
         let revision = published.revision;
         published.list =
--- a/tests/proxy/rig/full_backlog.rs
+++ b/tests/proxy/rig/full_backlog.rs
@@ -7,8 +7,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A backend whose listen backlog is full. Connection attempts wait until the test calls
-/// `accept_pending`.
+/// A backend whose listen backlog is full. Connection attempts wait until the test calls `accept_pending`.
 pub struct FullBacklog {
     pub address: SocketAddr,
     listener: TcpListener,
--- a/tests/rules/slow_start.rs
+++ b/tests/rules/slow_start.rs
@@ -253,8 +253,9 @@
 }
 
 /// The restarted backend collapses when it gets more than N + 2 * sqrt(N) + 2 requests in the collapse time. N is the
-/// budget: the number of requests that the settings allow in that time for the capacity of the backend. That capacity is
-/// the rate that each warm backend serves during the bursts, or the rate of one request after another if that is higher.
+/// budget: the number of requests that the settings allow in that time for the capacity of the backend. That capacity
+/// is the rate that each warm backend serves during the bursts, or the rate of one request after another if that is
+/// higher.
 #[test]
 fn all_proxies_together_send_a_backend_in_slow_start_less_than_its_collapse_load_in_bursts() {
     let SafetyLimits {
--- a/tests/watch/discovery.rs
+++ b/tests/watch/discovery.rs
@@ -11,8 +11,8 @@
 /// stalled call missed, unless `KNOWN_AFTER_LONG_POLL` ends later.
 const KNOWN_AFTER_STALL: Duration = Duration::from_secs(6);
 
-/// The time after the long-poll timeout of a stalled call from which rule 3 (draining) treats the proxy as informed of a
-/// change that the call missed, unless `KNOWN_AFTER_STALL` ends later.
+/// The time after the long-poll timeout of a stalled call from which rule 3 (draining) treats the proxy as informed of
+/// a change that the call missed, unless `KNOWN_AFTER_STALL` ends later.
 const KNOWN_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
 
 /// A call that discovery has received and not yet answered.
@@ -59,8 +59,8 @@
         read_call(self.stream).await
     }
 
-    /// Returns the time from which rule 3 (draining) treats the proxy as informed of a change that the call misses, if the
-    /// call stalls from its start.
+    /// Returns the time from which rule 3 (draining) treats the proxy as informed of a change that the call misses, if
+    /// the call stalls from its start.
     pub fn time_limit_for_missed_change(&self) -> Instant {
         let after_long_poll = self.long_poll_timeout + KNOWN_AFTER_LONG_POLL;
         self.received_at + KNOWN_AFTER_STALL.max(after_long_poll)
--- a/tests/watch/failures.rs
+++ b/tests/watch/failures.rs
@@ -7,8 +7,8 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// The time, from when discovery has a change and can be reached, after which rule 3 (draining) treats a proxy as informed
-/// of the change, whichever calls failed before.
+/// The time, from when discovery has a change and can be reached, after which rule 3 (draining) treats a proxy as
+/// informed of the change, whichever calls failed before.
 const KNOWN_AFTER_REACHABLE: Duration = Duration::from_secs(6);
 
 /// The largest number of proxies that the program is designed for.
--- a/tests/watch/stalls.rs
+++ b/tests/watch/stalls.rs
@@ -11,9 +11,9 @@
 /// of the new discovery.
 const KNOWN_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
-/// The watch stalls right after a call, one that opens it or one that continues it: the proxy then has the least time to
-/// learn of a change before the drain grace period ends. If discovery is polled, the call that opens the watch again is
-/// queued. A draining backend must not receive requests after the drain grace period.
+/// The watch stalls right after a call, one that opens it or one that continues it: the proxy then has the least time
+/// to learn of a change before the drain grace period ends. If discovery is polled, the call that opens the watch again
+/// is queued. A draining backend must not receive requests after the drain grace period.
 #[tokio::test(start_paused = true)]
 async fn a_change_that_a_stalled_watch_misses_is_known_in_time() {
     for (mode, queue_time, grace_period) in [
@@ -150,7 +150,7 @@
         let known = proxy.wait_for_listed_backends(1).await - returned_at;
         assert!(
             known <= SHORTEST_GRACE_PERIOD,
-            "known {known:?} after the return of the agent"
+            "change known {known:?} after the return of the agent"
         );
     })
     .await;
