--- a/lab/src/fleet/faults.rs
+++ b/lab/src/fleet/faults.rs
@@ -81,7 +81,8 @@
 }
 
 impl FaultSchedule {
-    /// Expands the timeline of a scenario into single changes of the fleet. The affected machines depend only on the scenario and the seed.
+    /// Expands the timeline of a scenario into single changes of the fleet. The affected machines depend only on the
+    /// scenario and the seed.
     #[must_use]
     pub fn new(scenario: &FleetScenario, topology: &Topology, seed: u64) -> Self {
         let mut schedule = Self::default();
--- a/lab/src/fleet/metrics/mod.rs
+++ b/lab/src/fleet/metrics/mod.rs
@@ -254,7 +254,7 @@
             .collect()
     }
 
-    fn second_reports(&self) -> Vec<TimeSeriesSecond> {
+    fn time_series(&self) -> Vec<TimeSeriesSecond> {
         self.seconds
             .iter()
             .enumerate()
@@ -280,7 +280,7 @@
             rules: run.rules,
             rule_violations: run.rules.violations(),
             events: run.events,
-            seconds: self.second_reports(),
+            seconds: self.time_series(),
         }
     }
 }
--- a/lab/src/live/discovery/mod.rs
+++ b/lab/src/live/discovery/mod.rs
@@ -126,7 +126,7 @@
         Ok(SuccessorService { service, addresses })
     }
 
-    /// Replaces the current service by `successor`. The old service accepts no new connections and closes the open
+    /// Replaces the current service by `successor`. The previous service accepts no new connections and closes the open
     /// ones after [`RELOAD_GRACE_PERIOD`]. The move is recorded as a change, which reaches a proxy with the first list
     /// of the successor.
     pub fn complete_move(&mut self, successor: SuccessorService) {
--- a/lab/src/live/proxies/mod.rs
+++ b/lab/src/live/proxies/mod.rs
@@ -72,12 +72,14 @@
             simulated,
         };
         proxies.write_configurations(scenario, discovery, discovery.addresses())?;
-        proxies.start_real(scenario.processes.real).await?;
+        proxies
+            .start_real_processes(scenario.processes.real)
+            .await?;
         Ok(proxies)
     }
 
     /// Starts `count` real processes at once and records their start times.
-    async fn start_real(&mut self, count: u32) -> Result<(), LiveError> {
+    async fn start_real_processes(&mut self, count: u32) -> Result<(), LiveError> {
         let mut starting = JoinSet::new();
         for proxy_index in 0..count {
             let command = self.proxy_command(proxy_index);
--- a/lab/src/live/scenario/mod.rs
+++ b/lab/src/live/scenario/mod.rs
@@ -14,7 +14,7 @@
 pub const MAX_PROXIES: u32 = 710;
 /// Number of steps in which idle connections are opened.
 pub const IDLE_CONNECTION_STEPS: u32 = 4;
-/// Time from a reload until the old discovery service closes its connections; a reload phase has to be longer.
+/// Time from a reload until the previous discovery service closes its connections; a reload phase has to be longer.
 pub const RELOAD_GRACE_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// A scenario of the `live` experiment.
