--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -10,6 +10,7 @@
 #![forbid(unsafe_code)]
 
 pub mod cli;
+pub mod endpoint_list;
 pub mod error;
 pub mod fleet;
 pub mod live;
--- a/lab/src/live/discovery/endpoint_list.rs
+++ b/lab/src/live/discovery/endpoint_list.rs
@@ -1,85 +1,8 @@
-//! The endpoint list of discovery: entries, revisions, and serialized responses.
+//! The endpoint list of discovery: endpoints, revisions, and serialized responses.
 
+use crate::endpoint_list::{Endpoint, EndpointState, ListBody};
 use bytes::Bytes;
-use serde::{Serialize, Serializer};
 use std::collections::HashMap;
-use std::net::SocketAddr;
-
-/// State of an endpoint.
-#[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
-pub enum EndpointState {
-    /// The endpoint accepts requests.
-    #[serde(rename = "active")]
-    Active,
-    /// The endpoint finishes the requests in flight and accepts no new ones.
-    #[serde(rename = "leaving")]
-    Draining,
-    /// The endpoint is removed. Deltas contain it; complete lists do not.
-    #[serde(rename = "left")]
-    Removed,
-}
-
-/// An endpoint, serialized in the format of the discovery protocol.
-#[derive(Clone, Debug, Serialize)]
-pub struct Endpoint {
-    /// Unique name.
-    pub id: String,
-    /// Listen address.
-    #[serde(rename = "host_port")]
-    pub address: SocketAddr,
-    /// Name of the zone.
-    #[serde(rename = "locality")]
-    pub zone: String,
-    /// Name of the machine type.
-    #[serde(rename = "flavor")]
-    pub machine_type: String,
-    /// Number of the deduplication cell.
-    pub cell: u32,
-    /// Current state.
-    #[serde(rename = "phase")]
-    pub state: EndpointState,
-    /// Share of a whole machine, serialized with one decimal.
-    #[serde(serialize_with = "serialize_one_decimal")]
-    pub size: f64,
-    /// Unix time of the last start, in milliseconds; 0 if the start was long ago.
-    #[serde(rename = "up_since_ms")]
-    pub started_at_ms: u64,
-}
-
-fn serialize_one_decimal<S: Serializer>(size: &f64, serializer: S) -> Result<S::Ok, S::Error> {
-    serializer.serialize_f64((size * 10.0).round() / 10.0)
-}
-
-impl Endpoint {
-    /// Returns the same endpoint in another state.
-    #[must_use]
-    pub fn in_state(&self, state: EndpointState) -> Self {
-        Self {
-            state,
-            ..self.clone()
-        }
-    }
-
-    /// Returns the same endpoint with a process that started at a Unix time in milliseconds.
-    #[must_use]
-    pub fn restarted_at(&self, unix_ms: u64) -> Self {
-        Self {
-            started_at_ms: unix_ms,
-            ..self.clone()
-        }
-    }
-}
-
-/// Body of a response of discovery; `Members` is a sequence of endpoints.
-#[derive(Debug, Serialize)]
-pub struct ListBody<Members> {
-    /// Revision of the list.
-    pub revision: u64,
-    /// Whether the body is a complete list; otherwise it is a delta.
-    pub complete: bool,
-    /// Endpoints of the list or of the delta.
-    pub members: Members,
-}
 
 /// All endpoints, each with the revision of its last change.
 ///
--- a/lab/src/live/discovery/mod.rs
+++ b/lab/src/live/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! The discovery stand-in: serves the real protocol over loopback to real processes and simulated proxies.
 //!
-//! - [`endpoint_list`]: endpoints, revisions, and responses that are serialized once for all callers.
+//! - [`endpoint_list`]: the endpoint list, its revisions, and responses that are serialized once for all callers.
 //! - [`call_queue`]: limits the rate of the calls that do not continue a watch.
 //! - [`list_query`]: query parameters of a call.
 //! - [`service`]: a service at fixed addresses that answers calls.
@@ -18,8 +18,9 @@
 use super::propagation::PropagationTracker;
 use super::scenario::{Discovery, DiscoveryMode, OutageBehavior, RELOAD_GRACE_PERIOD};
 use super::traffic::{TrafficCounters, TrafficTotals};
+use crate::endpoint_list::Endpoint;
 use call_queue::CallQueue;
-use endpoint_list::{Endpoint, EndpointList};
+use endpoint_list::EndpointList;
 use service::{Availability, Caller, Service};
 use std::io;
 use std::net::SocketAddr;
--- a/lab/src/live/discovery/service.rs
+++ b/lab/src/live/discovery/service.rs
@@ -1,8 +1,9 @@
 //! A discovery service: endpoint list, availability and responses.
 
 use super::call_queue::CallQueue;
-use super::endpoint_list::{Endpoint, EndpointList};
+use super::endpoint_list::EndpointList;
 use super::list_query::ListQuery;
+use crate::endpoint_list::Endpoint;
 use crate::live::propagation::PropagationTracker;
 use crate::live::scenario::OutageBehavior;
 use crate::live::traffic::TrafficCounters;
--- a/lab/src/live/discovery/tests.rs
+++ b/lab/src/live/discovery/tests.rs
@@ -1,10 +1,11 @@
 //! Tests of the discovery stand-in: responses, call queue, and calls over loopback.
 
 use super::call_queue::{CallQueue, QueueTimeout};
-use super::endpoint_list::{Endpoint, EndpointList, EndpointState};
+use super::endpoint_list::EndpointList;
 use super::list_query::ListQuery;
 use super::listener;
 use super::service::{Availability, Caller, Service};
+use crate::endpoint_list::{Endpoint, EndpointState};
 use crate::live::http;
 use crate::live::propagation::PropagationTracker;
 use crate::live::scenario::OutageBehavior;
--- a/lab/src/live/experiment/actions.rs
+++ b/lab/src/live/experiment/actions.rs
@@ -1,7 +1,7 @@
 //! Actions of each kind of phase: changes of the endpoint list, reloads, outages, restarts and idle connections.
 
 use super::Experiment;
-use crate::live::discovery::endpoint_list::{Endpoint, EndpointState};
+use crate::endpoint_list::{Endpoint, EndpointState};
 use crate::live::error::LiveError;
 use crate::live::figures::RestartFigures;
 use crate::live::idle_connections::{self, IdleConnectionMemory, IdleConnectionsError};
--- a/lab/src/live/experiment/mod.rs
+++ b/lab/src/live/experiment/mod.rs
@@ -12,7 +12,6 @@
 mod setup;
 
 use super::discovery::DiscoveryStandIn;
-use super::discovery::endpoint_list::EndpointState;
 use super::error::LiveError;
 use super::figures::{LiveFigures, PhaseFigures};
 use super::propagation::PropagationTracker;
@@ -21,6 +20,7 @@
 use super::scenario::{LiveScenario, Phase};
 use super::timer_lag::TimerLagMonitor;
 use super::usage;
+use crate::endpoint_list::EndpointState;
 use actions::EndpointRestarts;
 use indicatif::ProgressBar;
 use rand::SeedableRng;
--- a/lab/src/live/experiment/setup.rs
+++ b/lab/src/live/experiment/setup.rs
@@ -1,8 +1,8 @@
 //! Setup before the proxies start: descriptor limit, emulated backends and endpoint list.
 
 use super::actions::IDLE_MEASUREMENTS_AT_ONCE;
+use crate::endpoint_list::{Endpoint, EndpointState};
 use crate::live::backends;
-use crate::live::discovery::endpoint_list::{Endpoint, EndpointState};
 use crate::live::error::LiveError;
 use crate::live::proxy_config::MACHINE_TYPE;
 use crate::live::scenario::{Backends, LiveScenario, OtherBackends, Phase};
--- a/lab/src/slopes/endpoints.rs
+++ b/lab/src/slopes/endpoints.rs
@@ -3,7 +3,7 @@
 
 use super::scenario::FleetShape;
 use super::setup::{machine_type_name, machine_type_names, zone_name, zone_names};
-use crate::live::discovery::endpoint_list::ListBody;
+use crate::endpoint_list::ListBody;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashSet;
@@ -13,7 +13,7 @@
 use tillerproxy::proxy::discovery::{DiscoveryError, Translator};
 use tillerproxy::settings_json::Names;
 
-pub use crate::live::discovery::endpoint_list::{Endpoint, EndpointState};
+pub use crate::endpoint_list::{Endpoint, EndpointState};
 
 /// Backends of one deduplication cell.
 const CELL_BACKENDS: u32 = 50;
