--- a/lab/src/fleet/client/retry.rs
+++ b/lab/src/fleet/client/retry.rs
@@ -3,7 +3,7 @@
 use super::ClientCall;
 use crate::fleet::random::{Stream, stream};
 use crate::fleet::scenario::{ClassSettings, ClientSettings, Idempotency, KeyScope};
-use crate::units::milliseconds;
+use crate::units::micros_from_milliseconds;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::Exp1;
@@ -61,7 +61,7 @@
         if !attempts_left || !may_retry(now, call, class, failure) {
             return None;
         }
-        let mean_backoff = milliseconds(self.settings.mean_backoff_ms) as f64;
+        let mean_backoff = micros_from_milliseconds(self.settings.mean_backoff_ms) as f64;
         let factor: f64 = self.random.sample(Exp1);
         let own_backoff = (mean_backoff * factor) as Micros;
         let honors_retry_after = self.random.random::<f64>() < self.settings.honors_retry_after;
@@ -72,7 +72,7 @@
             AttemptFailure::Unreachable => 0,
             _ => own_backoff,
         };
-        let deadline = call.started_at + milliseconds(class.timeout_ms);
+        let deadline = call.started_at + micros_from_milliseconds(class.timeout_ms);
         (now + backoff < deadline).then_some(backoff)
     }
 
@@ -89,7 +89,7 @@
         call: &ClientCall,
         class: &ClassSettings,
     ) -> Micros {
-        let call_timeout = milliseconds(class.timeout_ms);
+        let call_timeout = micros_from_milliseconds(class.timeout_ms);
         let fraction = self.settings.attempt_timeout_fraction;
         let attempt_timeout = (call_timeout as f64 * fraction) as Micros;
         (now + attempt_timeout).min(call.started_at + call_timeout)
@@ -102,7 +102,7 @@
         if call.disconnect_draw >= disconnect_fraction {
             return None;
         }
-        let latency_objective = milliseconds(class.latency_objective_ms) as f64;
+        let latency_objective = micros_from_milliseconds(class.latency_objective_ms) as f64;
         let fraction = call.disconnect_draw / disconnect_fraction;
         Some(call.started_at + (latency_objective * fraction) as Micros)
     }
@@ -121,7 +121,7 @@
     match class.idempotency {
         Idempotency::Idempotent => true,
         Idempotency::Keyed => {
-            let key_expires_at = call.started_at + milliseconds(class.key_ttl_ms);
+            let key_expires_at = call.started_at + micros_from_milliseconds(class.key_ttl_ms);
             class.key_scope == KeyScope::AllBackends && now < key_expires_at
         }
         Idempotency::NonIdempotent => false,
--- a/lab/src/fleet/client/traffic.rs
+++ b/lab/src/fleet/client/traffic.rs
@@ -4,7 +4,7 @@
 use super::weighted::WeightedChoice;
 use crate::fleet::scenario::{ClassSettings, FleetScenario, WorkDistribution};
 use crate::fleet::topology::Topology;
-use crate::units::{MILLISECONDS_PER_SECOND, milliseconds};
+use crate::units::{MILLISECONDS_PER_SECOND, micros_from_milliseconds};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, Exp1, LogNormal};
@@ -36,7 +36,7 @@
                 .map_or(WorkFactor::Constant, WorkFactor::Lognormal),
         };
         Self {
-            mean: milliseconds(class.work_ms) as f64,
+            mean: micros_from_milliseconds(class.work_ms) as f64,
             factor,
         }
     }
--- a/lab/src/fleet/discovery/mod.rs
+++ b/lab/src/fleet/discovery/mod.rs
@@ -12,7 +12,7 @@
 
 use super::ids::ProxyIndex;
 use super::scenario::DiscoverySettings;
-use crate::units::{MICROS_PER_SECOND, milliseconds};
+use crate::units::{MICROS_PER_SECOND, micros_from_milliseconds};
 use endpoint_list::EndpointList;
 use std::collections::VecDeque;
 use tillerproxy::api::{Backend, Micros};
@@ -85,7 +85,7 @@
             up: true,
             call_time: MICROS_PER_SECOND as f64 / settings.calls_per_s,
             watch_response_time,
-            queue_timeout: milliseconds(settings.queue_timeout_ms),
+            queue_timeout: micros_from_milliseconds(settings.queue_timeout_ms),
             endpoint_bytes: u64::from(settings.endpoint_bytes),
             call_bytes: u64::from(settings.call_bytes),
             traffic: Traffic::default(),
--- a/lab/src/fleet/faults.rs
+++ b/lab/src/fleet/faults.rs
@@ -7,7 +7,7 @@
 use super::scenario::FleetScenario;
 use super::scenario::timeline::{self, TimelineEvent};
 use super::topology::Topology;
-use crate::units::seconds;
+use crate::units::micros_from_seconds;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use tillerproxy::api::{BackendId, Micros, TenantIndex, Zone};
@@ -149,8 +149,8 @@
     fn rolling_restart(&mut self, event: &timeline::RollingRestart) {
         let backends = self.sample_backends(event.fraction);
         for (backend, drains_at) in spread_over(&backends, self.at, event.over_s) {
-            let stops_at = drains_at + seconds(event.drain_s);
-            let starts_at = stops_at + seconds(event.down_s);
+            let stops_at = drains_at + micros_from_seconds(event.drain_s);
+            let starts_at = stops_at + micros_from_seconds(event.down_s);
             let crashed = ProcessState::Crashed;
             self.push(drains_at, FleetChange::DrainBackend(backend));
             self.push(stops_at, FleetChange::StopBackend(backend, crashed));
@@ -167,7 +167,7 @@
             let unreachable = ProcessState::Unreachable;
             self.push(self.at, FleetChange::StopProxy(proxy, unreachable));
             if let Some(down_s) = event.return_after_s {
-                let starts_at = self.at + seconds(down_s);
+                let starts_at = self.at + micros_from_seconds(down_s);
                 self.push(starts_at, FleetChange::StartProxy(proxy));
             }
         }
@@ -184,13 +184,13 @@
     }
 
     fn region_partition(&mut self, event: &timeline::RegionPartition) {
-        let ends_at = self.at + seconds(event.for_s);
+        let ends_at = self.at + micros_from_seconds(event.for_s);
         self.push(self.at, FleetChange::PartitionRegions);
         self.push(ends_at, FleetChange::HealPartition);
     }
 
     fn discovery_down(&mut self, event: &timeline::DiscoveryDown) {
-        let ends_at = self.at + seconds(event.for_s);
+        let ends_at = self.at + micros_from_seconds(event.for_s);
         self.push(self.at, FleetChange::StopDiscovery);
         self.push(ends_at, FleetChange::StartDiscovery);
     }
@@ -219,13 +219,13 @@
         self.push(self.at, FleetChange::BeginSurge(index));
         self.schedule.surges.push(Surge {
             tenant: TenantIndex(event.tenant),
-            until: self.at + seconds(event.for_s),
+            until: self.at + micros_from_seconds(event.for_s),
             multiple: event.multiple,
         });
     }
 
     fn backend_slow(&mut self, event: &timeline::BackendSlow) {
-        let ends_at = self.at + seconds(event.for_s);
+        let ends_at = self.at + micros_from_seconds(event.for_s);
         for backend in self.sample_backends(event.fraction) {
             self.push(self.at, FleetChange::SlowBackend(backend, event.factor));
             self.push(ends_at, FleetChange::SlowBackend(backend, 1.0));
@@ -233,7 +233,7 @@
     }
 
     fn backend_hang(&mut self, event: &timeline::BackendHang) {
-        let ends_at = self.at + seconds(event.for_s);
+        let ends_at = self.at + micros_from_seconds(event.for_s);
         for backend in self.sample_backends(event.fraction) {
             self.push(self.at, FleetChange::HangBackend(backend));
             self.push(ends_at, FleetChange::ResumeBackend(backend));
@@ -248,7 +248,7 @@
     fn proxy_restart(&mut self, event: &timeline::ProxyRestart) {
         let proxies = self.sample_proxies(event.fraction);
         for (proxy, stops_at) in spread_over(&proxies, self.at, event.over_s) {
-            let starts_at = stops_at + seconds(event.down_s);
+            let starts_at = stops_at + micros_from_seconds(event.down_s);
             let crashed = ProcessState::Crashed;
             self.push(stops_at, FleetChange::StopProxy(proxy, crashed));
             self.push(starts_at, FleetChange::StartProxy(proxy));
@@ -263,7 +263,7 @@
         };
         self.push(self.at, FleetChange::BeginShift(shift));
         if let Some(duration_s) = event.for_s {
-            let ends_at = self.at + seconds(duration_s);
+            let ends_at = self.at + micros_from_seconds(duration_s);
             self.push(ends_at, FleetChange::EndShift(shift));
         }
     }
@@ -278,7 +278,7 @@
         for &backend in backends {
             self.push(self.at, FleetChange::StopBackend(backend, state));
             if let Some(down_s) = return_after_s {
-                let starts_at = self.at + seconds(down_s);
+                let starts_at = self.at + micros_from_seconds(down_s);
                 self.push(starts_at, FleetChange::StartBackend(backend, state));
             }
         }
@@ -299,7 +299,7 @@
     at: Micros,
     over_s: f64,
 ) -> impl Iterator<Item = (T, Micros)> + '_ {
-    let interval = seconds(over_s) as f64 / items.len().max(1) as f64;
+    let interval = micros_from_seconds(over_s) as f64 / items.len().max(1) as f64;
     items
         .iter()
         .enumerate()
--- a/lab/src/fleet/scenario/timeline.rs
+++ b/lab/src/fleet/scenario/timeline.rs
@@ -1,6 +1,6 @@
 //! The timeline of a scenario: its `[[event]]` tables.
 
-use crate::units::seconds;
+use crate::units::micros_from_seconds;
 use serde::{Deserialize, Serialize};
 use tillerproxy::api::Micros;
 
@@ -230,7 +230,7 @@
     /// Returns the time at which the event begins.
     #[must_use]
     pub fn at(&self) -> Micros {
-        seconds(self.at_s())
+        micros_from_seconds(self.at_s())
     }
 
     /// Returns the time at which the event begins, in seconds.
--- a/lab/src/fleet/scenario/traffic.rs
+++ b/lab/src/fleet/scenario/traffic.rs
@@ -1,6 +1,6 @@
 //! The traffic of a scenario: classes of requests, tenants, load, and the behavior of clients.
 
-use crate::units::milliseconds;
+use crate::units::micros_from_milliseconds;
 use serde::{Deserialize, Serialize};
 use tillerproxy::api;
 
@@ -99,9 +99,9 @@
     #[must_use]
     pub fn to_class(&self) -> api::Class {
         api::Class {
-            latency_objective: milliseconds(self.latency_objective_ms),
+            latency_objective: micros_from_milliseconds(self.latency_objective_ms),
             objective_work_factor: 0.0,
-            timeout: milliseconds(self.timeout_ms),
+            timeout: micros_from_milliseconds(self.timeout_ms),
             priority_weight: self.priority_weight,
             late_weight_factor: self.late_weight_factor,
             idempotency: self.to_idempotency(),
@@ -118,7 +118,7 @@
                     KeyScope::Zone => api::KeyScope::Zone,
                     KeyScope::Cell => api::KeyScope::Cell,
                 },
-                ttl: milliseconds(self.key_ttl_ms),
+                ttl: micros_from_milliseconds(self.key_ttl_ms),
             },
         }
     }
--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -5,7 +5,7 @@
 use crate::fleet::process::ProcessState;
 use crate::fleet::request::{Attempt, AttemptKey, AttemptState, RequestKey, SentAttempt};
 use crate::fleet::rules::PendingSend;
-use crate::units::milliseconds;
+use crate::units::micros_from_milliseconds;
 use tillerproxy::api::{AttemptEnd, BackendId, Event, Micros, Outcome, RequestId};
 
 impl Simulation<'_> {
@@ -99,7 +99,7 @@
     /// the attempt.
     fn time_out_connect(&mut self, attempt: AttemptKey) {
         self.attempts[attempt].outcome = Outcome::ConnectFailed;
-        let connect_timeout = milliseconds(self.scenario.network.connect_timeout_ms);
+        let connect_timeout = micros_from_milliseconds(self.scenario.network.connect_timeout_ms);
         let event = SimulationEvent::OutcomeReachesProxy { attempt };
         self.queue.push_after(connect_timeout, event);
     }
--- a/lab/src/fleet/simulation/changes.rs
+++ b/lab/src/fleet/simulation/changes.rs
@@ -4,7 +4,7 @@
 use crate::fleet::faults::FleetChange;
 use crate::fleet::ids::ProxyIndex;
 use crate::fleet::process::ProcessState;
-use crate::units::seconds;
+use crate::units::micros_from_seconds;
 use rand::Rng;
 use tillerproxy::api::{Backend, BackendId, Event, MembershipEvent, Micros, Readiness};
 
@@ -77,7 +77,7 @@
         if state == ProcessState::Crashed {
             self.reset_clients(now, proxy);
         }
-        let detection_delay = seconds(self.scenario.clients.dead_proxy_detection_s);
+        let detection_delay = micros_from_seconds(self.scenario.clients.dead_proxy_detection_s);
         let event = SimulationEvent::FrontDetectsProxyState { proxy };
         self.queue.push_after(detection_delay, event);
     }
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -12,7 +12,7 @@
 use crate::fleet::scenario::FleetScenario;
 use crate::fleet::slab::RefSlab;
 use crate::fleet::topology::Topology;
-use crate::units::{milliseconds, seconds};
+use crate::units::{micros_from_milliseconds, micros_from_seconds};
 use tillerproxy::api::{Event, Micros, Request, RequestId, Settings};
 
 /// The clients of the simulation.
@@ -39,7 +39,7 @@
         let usual_traffic = ArrivalSettings {
             calls_per_s: traffic.calls_per_s,
             begins_at: 0,
-            ends_at: seconds(scenario.duration_s),
+            ends_at: micros_from_seconds(scenario.duration_s),
             tenant: None,
         };
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s);
@@ -148,14 +148,14 @@
         let latency = self.client_latency();
         let event = SimulationEvent::RequestReachesProxy { request };
         self.queue.push_after(latency, event);
-        let grace = milliseconds(self.scenario.safety.answer_grace_ms);
+        let grace = micros_from_milliseconds(self.scenario.safety.answer_grace_ms);
         let timeout = SimulationEvent::ClientTimeout { request };
         self.queue.push(deadline + grace, timeout);
     }
 
     /// Draws the latency of one message between a client and a proxy.
     fn client_latency(&mut self) -> Micros {
-        let latency = milliseconds(self.scenario.clients.latency_ms) as f64;
+        let latency = micros_from_milliseconds(self.scenario.clients.latency_ms) as f64;
         self.latencies.with_jitter(latency)
     }
 
@@ -170,7 +170,8 @@
                     self.end_client_attempt(key, now + latency, AttemptFailure::Unreachable);
                 }
                 ProcessState::Unreachable => {
-                    let timeout = milliseconds(self.scenario.network.connect_timeout_ms);
+                    let timeout =
+                        micros_from_milliseconds(self.scenario.network.connect_timeout_ms);
                     self.end_client_attempt(key, now + timeout, AttemptFailure::Unreachable);
                 }
             }
@@ -242,7 +243,7 @@
         let latency = at - started_at;
         let end = CallEnd::Served {
             latency,
-            within_objective: latency <= milliseconds(objective_ms),
+            within_objective: latency <= micros_from_milliseconds(objective_ms),
         };
         self.end_call(call, end);
     }
--- a/lab/src/fleet/simulation/discovery.rs
+++ b/lab/src/fleet/simulation/discovery.rs
@@ -10,7 +10,7 @@
 use crate::fleet::scenario::FleetScenario;
 use crate::fleet::slab::RefSlab;
 use crate::fleet::topology::{Machine, Topology};
-use crate::units::milliseconds;
+use crate::units::micros_from_milliseconds;
 use rand::Rng;
 use std::collections::VecDeque;
 use tillerproxy::api::{Backend, BackendId, Event, MembershipEvent, Micros, Readiness};
@@ -96,7 +96,7 @@
     fn call_discovery(&mut self, outgoing: OutgoingCall) {
         let OutgoingCall { call, timeout } = outgoing;
         self.discovery.latest_calls[call.id.proxy.index()] = Some(call);
-        let latency = milliseconds(self.scenario.discovery.latency_ms);
+        let latency = micros_from_milliseconds(self.scenario.discovery.latency_ms);
         let arrival = SimulationEvent::CallReachesDiscovery(call.id);
         self.queue.push_after(latency, arrival);
         let timeout_event = SimulationEvent::CallTimeout(call.id);
@@ -166,7 +166,7 @@
     }
 
     fn send_response(&mut self, response: Response) {
-        let latency = milliseconds(self.scenario.discovery.latency_ms);
+        let latency = micros_from_milliseconds(self.scenario.discovery.latency_ms);
         let response = self.discovery.responses.insert(Some(response), 1);
         let event = SimulationEvent::ResponseReachesProxy { response };
         self.queue.push_after(latency, event);
@@ -247,7 +247,7 @@
         endpoint.readiness = readiness;
         endpoint.started_at = started_at;
         self.discovery.undetected.push_back(*endpoint);
-        let delay = milliseconds(self.scenario.discovery.detection_delay_ms);
+        let delay = micros_from_milliseconds(self.scenario.discovery.detection_delay_ms);
         self.queue
             .push_after(delay, SimulationEvent::DiscoveryDetects);
     }
@@ -265,8 +265,9 @@
         };
         if self.discovery.service.detect(endpoint) {
             let settings = &self.scenario.discovery;
-            let interval = milliseconds(settings.publish_interval_ms).max(1);
-            self.discovery.unpublished_since = now - milliseconds(settings.detection_delay_ms);
+            let interval = micros_from_milliseconds(settings.publish_interval_ms).max(1);
+            self.discovery.unpublished_since =
+                now - micros_from_milliseconds(settings.detection_delay_ms);
             self.queue.push_after(
                 interval - now % interval,
                 SimulationEvent::DiscoveryPublishes,
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -26,7 +26,7 @@
 use super::scenario::FleetScenario;
 use super::slab::RefSlab;
 use super::topology::{Latencies, ProxyLocation, Topology};
-use crate::units::{MICROS_PER_MILLISECOND, seconds};
+use crate::units::{MICROS_PER_MILLISECOND, micros_from_seconds};
 use clients::ClientState;
 use discovery::DiscoveryState;
 use event::SimulationEvent;
@@ -202,7 +202,7 @@
     fn end(&self) -> Micros {
         let timeouts = self.settings.classes.iter().map(|class| class.timeout);
         let longest_timeout = timeouts.max().unwrap_or_default();
-        seconds(self.scenario.duration_s) + longest_timeout + TIME_AFTER_LAST_DEADLINE
+        micros_from_seconds(self.scenario.duration_s) + longest_timeout + TIME_AFTER_LAST_DEADLINE
     }
 
     /// Dispatches an event to its handler.
--- a/lab/src/fleet/simulation/setup.rs
+++ b/lab/src/fleet/simulation/setup.rs
@@ -6,7 +6,7 @@
 use crate::fleet::rules::RuleLimits;
 use crate::fleet::scenario::{ClassSettings, FleetScenario};
 use crate::fleet::topology::Topology;
-use crate::units::{milliseconds, seconds};
+use crate::units::{micros_from_milliseconds, micros_from_seconds};
 use tillerproxy::api::{
     DiscoveryMode, LoadReportFields, Permissions, SafetyLimits, Settings, Tenant, TenantIndex, Zone,
 };
@@ -69,9 +69,9 @@
         hedging: permissions.hedging,
         cancellation: permissions.cancellation,
         health_checks: false,
-        idle_timeout: seconds(permissions.idle_timeout_s),
+        idle_timeout: micros_from_seconds(permissions.idle_timeout_s),
         requests_per_connection: 1,
-        max_retry_after: Some(milliseconds(permissions.max_retry_after_ms)),
+        max_retry_after: Some(micros_from_milliseconds(permissions.max_retry_after_ms)),
     }
 }
 
@@ -79,11 +79,11 @@
 fn safety_limits(scenario: &FleetScenario) -> SafetyLimits {
     let safety = &scenario.safety;
     SafetyLimits {
-        poll_interval: seconds(safety.poll_interval_s),
+        poll_interval: micros_from_seconds(safety.poll_interval_s),
         slow_start_initial_capacity: safety.slow_start_initial_capacity,
-        slow_start_duration: seconds(safety.slow_start_duration_s),
+        slow_start_duration: micros_from_seconds(safety.slow_start_duration_s),
         collapse_load_factor: safety.collapse_load_factor,
-        collapse_time: seconds(safety.collapse_time_s),
+        collapse_time: micros_from_seconds(safety.collapse_time_s),
     }
 }
 
@@ -92,10 +92,10 @@
     let safety = &scenario.safety;
     SlowStartModel {
         initial_capacity: safety.slow_start_initial_capacity,
-        duration: seconds(safety.slow_start_duration_s),
+        duration: micros_from_seconds(safety.slow_start_duration_s),
         collapse_load_factor: safety.collapse_load_factor,
-        collapse_time: seconds(safety.collapse_time_s),
-        mean_work: milliseconds(scenario.mean_work_ms()) as f64,
+        collapse_time: micros_from_seconds(safety.collapse_time_s),
+        mean_work: micros_from_milliseconds(scenario.mean_work_ms()) as f64,
     }
 }
 
@@ -104,15 +104,15 @@
     RuleLimits {
         max_attempts: scenario.permissions.max_attempts,
         hedging: scenario.permissions.hedging,
-        drain_grace: seconds(scenario.safety.drain_grace_s),
+        drain_grace: micros_from_seconds(scenario.safety.drain_grace_s),
     }
 }
 
 /// Returns empty metrics for a run of the scenario.
 pub(super) fn metrics(scenario: &FleetScenario, topology: &Topology) -> Metrics {
     Metrics::new(
-        seconds(scenario.duration_s),
-        seconds(scenario.warmup_s),
+        micros_from_seconds(scenario.duration_s),
+        micros_from_seconds(scenario.warmup_s),
         scenario.classes.len(),
         topology.proxies.len(),
     )
--- a/lab/src/fleet/topology.rs
+++ b/lab/src/fleet/topology.rs
@@ -3,7 +3,7 @@
 use super::ids::{ProxyIndex, Rack, Region};
 use super::random::{Stream, stream};
 use super::scenario::{FleetScenario, NetworkSettings};
-use crate::units::milliseconds;
+use crate::units::micros_from_milliseconds;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, Exp1, LogNormal};
@@ -168,7 +168,7 @@
         for from in 0..topology.zone_count {
             for to in 0..topology.zone_count {
                 let latency_ms = latency_ms(topology, network, Zone(from), Zone(to));
-                by_zone_pair.push(milliseconds(latency_ms) as f64);
+                by_zone_pair.push(micros_from_milliseconds(latency_ms) as f64);
             }
         }
         Self {
--- a/lab/src/units.rs
+++ b/lab/src/units.rs
@@ -38,13 +38,13 @@
 
 /// Converts seconds to microseconds.
 #[must_use]
-pub fn seconds(value: f64) -> Micros {
+pub fn micros_from_seconds(value: f64) -> Micros {
     (value * MICROS_PER_SECOND as f64).round() as Micros
 }
 
 /// Converts milliseconds to microseconds.
 #[must_use]
-pub fn milliseconds(value: f64) -> Micros {
+pub fn micros_from_milliseconds(value: f64) -> Micros {
     (value * MICROS_PER_MILLISECOND as f64).round() as Micros
 }
 
