--- a/lab/src/slopes/measure/bench.rs
+++ b/lab/src/slopes/measure/bench.rs
@@ -3,7 +3,7 @@
 use super::sweep::Extent;
 use super::{LoadAverage, Measurements, OpenRequestMemory, Point, Sweep, TargetPoints};
 use crate::slopes::costs::DecisionCosts;
-use crate::slopes::endpoints::{Endpoints, list_text, parse_backends, translator};
+use crate::slopes::endpoints::{Endpoints, new_translator, parse_backends, serialize_list};
 use crate::slopes::error::SlopesError;
 use crate::slopes::membership::{Input, MembershipBench, wire_sizes};
 use crate::slopes::memory::heap_bytes;
@@ -274,9 +274,9 @@
     fn start_proxy(&self, setup: &Setup, seed: u64) -> Result<MeasuredProxy, SlopesError> {
         let fleet = &self.scenario.fleet;
         let endpoints = Endpoints::generate(setup.backends, fleet, seed);
-        let mut translator = translator(fleet);
-        let text = list_text(FIRST_REVISION, true, endpoints.all());
-        let backends = parse_backends(&mut translator, &text)?;
+        let mut translator = new_translator(fleet);
+        let body = serialize_list(FIRST_REVISION, true, endpoints.all());
+        let backends = parse_backends(&mut translator, &body)?;
         let proxy = VirtualProxy::new(setup, fleet, &self.scenario.load, seed, &backends)?;
         Ok(MeasuredProxy {
             proxy,
--- a/lab/src/slopes/membership/change.rs
+++ b/lab/src/slopes/membership/change.rs
@@ -1,6 +1,6 @@
 //! Measured changes of a single endpoint.
 
-use crate::slopes::endpoints::{Endpoint, EndpointState};
+use crate::endpoint_list::{Endpoint, EndpointState};
 use crate::slopes::quantity::Quantity;
 
 /// A change of one endpoint.
--- a/lab/src/slopes/membership/mod.rs
+++ b/lab/src/slopes/membership/mod.rs
@@ -5,11 +5,12 @@
 
 mod change;
 
-use super::endpoints::{Endpoint, EndpointState, Endpoints, list_text, parse_backends};
+use super::endpoints::{Endpoints, parse_backends, serialize_list};
 use super::quantity::Quantity;
 use super::scenario::Changes;
 use super::stopwatch::Stopwatch;
 use super::virtual_proxy::VirtualProxy;
+use crate::endpoint_list::{Endpoint, EndpointState};
 use change::EndpointChange;
 use rand::rngs::SmallRng;
 use rand::seq::index;
@@ -194,7 +195,7 @@
             } else {
                 EndpointState::Active
             };
-            let response = self.delta(&endpoints.of_zone(CHANGED_ZONE, state));
+            let response = self.delta(&endpoints.in_zone(CHANGED_ZONE, state));
             total.add(self.process(input, &[response])?, 1);
         }
         Ok(total.mean_nanoseconds())
@@ -238,7 +239,7 @@
         self.revision += 1;
         Response {
             complete: false,
-            text: list_text(self.revision, false, endpoints),
+            text: serialize_list(self.revision, false, endpoints),
         }
     }
 
@@ -247,7 +248,7 @@
         self.revision += 1;
         Response {
             complete: true,
-            text: list_text(self.revision, true, endpoints.all()),
+            text: serialize_list(self.revision, true, endpoints.all()),
         }
     }
 
@@ -338,13 +339,13 @@
 /// zone, and of a complete list. HTTP heads are not included.
 #[must_use]
 pub fn wire_sizes(endpoints: &Endpoints) -> BTreeMap<Quantity, f64> {
-    let length = |complete, members: &[Endpoint]| list_text(1, complete, members).len() as f64;
+    let length = |complete, members: &[Endpoint]| serialize_list(1, complete, members).len() as f64;
     let all = endpoints.all();
     let list = length(true, all);
     let empty_list = length(true, &[]);
     // A list has one comma less than endpoints; adding 1 counts a comma for each endpoint.
     let per_endpoint = (list - empty_list + 1.0) / all.len() as f64;
-    let zone = endpoints.of_zone(CHANGED_ZONE, EndpointState::Draining);
+    let zone = endpoints.in_zone(CHANGED_ZONE, EndpointState::Draining);
     BTreeMap::from([
         (Quantity::EntryBytes, per_endpoint),
         (Quantity::DeltaOfOneBytes, length(false, &all[..1])),
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -8,7 +8,9 @@
 use tempfile::TempDir;
 use tillerproxy_lab::error::LabError;
 use tillerproxy_lab::scenario::{parse, read};
-use tillerproxy_lab::slopes::endpoints::{Endpoints, list_text, parse_backends, translator};
+use tillerproxy_lab::slopes::endpoints::{
+    Endpoints, new_translator, parse_backends, serialize_list,
+};
 use tillerproxy_lab::slopes::fit::{Fit, Model};
 use tillerproxy_lab::slopes::measure::{Point, Sweep};
 use tillerproxy_lab::slopes::quantity::Quantity;
@@ -326,9 +328,9 @@
 fn translator_parses_every_endpoint_of_a_generated_list() {
     let fleet = SlopesScenario::default().fleet;
     let endpoints = Endpoints::generate(300, &fleet, 1);
-    let text = list_text(1, true, endpoints.all());
+    let body = serialize_list(1, true, endpoints.all());
     let backends =
-        parse_backends(&mut translator(&fleet), &text).expect("a generated list can be parsed");
+        parse_backends(&mut new_translator(&fleet), &body).expect("a generated list can be parsed");
     assert_eq!(backends.len(), 300);
     let zones: BTreeSet<u16> = backends.iter().map(|backend| backend.zone.0).collect();
     assert_eq!(zones.len(), 5);
