--- a/lab/src/slopes/analysis/assessor.rs
+++ b/lab/src/slopes/analysis/assessor.rs
@@ -24,7 +24,7 @@
 
 impl Assessor<'_> {
     /// Returns all assessed figures, in the order of the report.
-    pub(super) fn assessments(&self) -> Vec<Assessment> {
+    pub(super) fn assess_all(&self) -> Vec<Assessment> {
         let mut all = self.assess_added_latency();
         all.extend(self.assess_control_work());
         all.extend(self.assess_decision_work());
@@ -65,7 +65,7 @@
     /// increase from the numbers of tenants and classes of the backend sweep to those of the target.
     fn fitted(&self, quantity: Quantity) -> Option<f64> {
         let added = |sweep, base: u32| match self.curve(sweep, quantity) {
-            Some(curve) => curve.at_target - curve.fit.at(f64::from(base)),
+            Some(curve) => curve.at_target - curve.fit.cost_at(f64::from(base)),
             None => 0.0,
         };
         let fleet = &self.scenario.fleet;
@@ -239,7 +239,12 @@
     fn assess_ratios(&self) -> Vec<Assessment> {
         let budgets = &self.scenario.budgets;
         let assess = |name, quantity: Quantity, budget: f64| {
-            Assessment::new(name, self.ratio(quantity), Some(budget), FigureUnit::Times)
+            Assessment::new(
+                name,
+                self.cost_ratio(quantity),
+                Some(budget),
+                FigureUnit::Times,
+            )
         };
         vec![
             assess(
@@ -256,7 +261,7 @@
     }
 
     /// Returns the cost at the larger of the two compared sizes, as a multiple of the cost at the smaller.
-    fn ratio(&self, quantity: Quantity) -> TargetFigure {
+    fn cost_ratio(&self, quantity: Quantity) -> TargetFigure {
         let [small, large] = self.scenario.target.ratio_sizes;
         TargetFigure {
             measured: quotient(
@@ -282,7 +287,7 @@
     /// Returns the fitted value at this number of backends; `None` without a fit.
     fn fitted_at(&self, backends: u32, quantity: Quantity) -> Option<f64> {
         let curve = self.curve(Sweep::Backends, quantity)?;
-        Some(curve.fit.at(f64::from(backends)))
+        Some(curve.fit.cost_at(f64::from(backends)))
     }
 }
 
--- a/lab/src/slopes/analysis/curve.rs
+++ b/lab/src/slopes/analysis/curve.rs
@@ -27,7 +27,7 @@
     for (&sweep, points) in &measurements.sweeps {
         let target_size = target_size(sweep, &scenario.target);
         for quantity in Quantity::ALL {
-            let Some(fit) = Fit::of(&series(sweep, points, quantity)) else {
+            let Some(fit) = Fit::of(&medians_by_size(sweep, points, quantity)) else {
                 continue;
             };
             curves.push(Curve {
@@ -35,7 +35,7 @@
                 quantity,
                 fit,
                 target_size,
-                at_target: fit.at(f64::from(target_size)),
+                at_target: fit.cost_at(f64::from(target_size)),
             });
         }
     }
@@ -44,14 +44,14 @@
 
 /// Returns the medians of a quantity over a sweep as points of (size, median).
 #[must_use]
-pub fn series(sweep: Sweep, points: &[Point], quantity: Quantity) -> Vec<(f64, f64)> {
-    let mut series = Vec::new();
+pub fn medians_by_size(sweep: Sweep, points: &[Point], quantity: Quantity) -> Vec<(f64, f64)> {
+    let mut medians = Vec::new();
     for point in points {
         if let Some(median) = point.median(quantity) {
-            series.push((f64::from(sweep.size(&point.setup)), median));
+            medians.push((f64::from(sweep.size(&point.setup)), median));
         }
     }
-    series
+    medians
 }
 
 /// Returns the value of the swept size at the target.
--- a/lab/src/slopes/analysis/mod.rs
+++ b/lab/src/slopes/analysis/mod.rs
@@ -37,7 +37,7 @@
             measurements,
             curves: &curves,
         };
-        let assessments = assessor.assessments();
+        let assessments = assessor.assess_all();
         Self {
             curves,
             bytes_per_open_request: bytes_per_open_request(measurements),
--- a/lab/src/slopes/costs.rs
+++ b/lab/src/slopes/costs.rs
@@ -77,7 +77,7 @@
         events: &[Event<'_>],
         handle: impl FnMut(&Event<'_>),
     ) {
-        let costs = self.costs.of(kind);
+        let costs = self.costs.costs_of(kind);
         costs.measure(events, self.timing, &self.stopwatch, handle);
     }
 }
@@ -149,7 +149,7 @@
 }
 
 impl DecisionCosts {
-    fn of(&mut self, kind: EventKind) -> &mut EventCosts {
+    fn costs_of(&mut self, kind: EventKind) -> &mut EventCosts {
         match kind {
             EventKind::Arrival => &mut self.arrivals,
             EventKind::End => &mut self.ends,
@@ -164,7 +164,7 @@
         let figures = [
             (Quantity::Request, arrivals.mean()),
             (Quantity::RequestEnd, ends.mean()),
-            (Quantity::WholeRequest, self.whole_request()),
+            (Quantity::WholeRequest, self.mean_per_request()),
             (Quantity::RequestP50, quantile(&arrivals.processor, P50)),
             (Quantity::RequestP99, quantile(&arrivals.processor, P99)),
             (Quantity::RequestEndP99, quantile(&ends.processor, P99)),
@@ -182,7 +182,7 @@
     }
 
     /// Returns the mean processor time of all events of a request in nanoseconds; `None` without arrivals.
-    fn whole_request(&self) -> Option<f64> {
+    fn mean_per_request(&self) -> Option<f64> {
         let total = self.arrivals.batch_time + self.ends.batch_time + self.timers.batch_time;
         mean_nanoseconds(total, self.arrivals.batch_events)
     }
--- a/lab/src/slopes/fit.rs
+++ b/lab/src/slopes/fit.rs
@@ -68,7 +68,7 @@
 impl Line {
     /// Returns the cost at size `x`.
     #[must_use]
-    pub fn at(&self, x: f64) -> f64 {
+    pub fn cost_at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
@@ -76,7 +76,7 @@
 impl PowerLaw {
     /// Returns the cost at size `x`.
     #[must_use]
-    pub fn at(&self, x: f64) -> f64 {
+    pub fn cost_at(&self, x: f64) -> f64 {
         self.factor * x.powf(self.exponent)
     }
 }
@@ -110,10 +110,10 @@
 
     /// Returns the cost at size `x` by the better model.
     #[must_use]
-    pub fn at(&self, x: f64) -> f64 {
+    pub fn cost_at(&self, x: f64) -> f64 {
         match self.better {
-            Model::Line => self.line.at(x),
-            Model::PowerLaw => self.power_law.at(x),
+            Model::Line => self.line.cost_at(x),
+            Model::PowerLaw => self.power_law.cost_at(x),
         }
     }
 }
--- a/lab/src/slopes/format.rs
+++ b/lab/src/slopes/format.rs
@@ -10,41 +10,41 @@
 const MIN_BYTES_IN_KILOBYTES: f64 = 1e4;
 
 /// Formats a value of a quantity with its unit.
-pub(super) fn value_text(quantity: Quantity, value: f64) -> String {
+pub(super) fn format_value(quantity: Quantity, value: f64) -> String {
     match quantity.unit() {
-        Unit::Nanoseconds => time_text(value),
-        Unit::Bytes => bytes_text(value),
+        Unit::Nanoseconds => format_time(value),
+        Unit::Bytes => format_bytes(value),
     }
 }
 
 /// Formats nanoseconds as ns, us, ms or s.
-fn time_text(nanoseconds: f64) -> String {
+fn format_time(nanoseconds: f64) -> String {
     let size = nanoseconds.abs();
     if size < NANOS_PER_MICROSECOND {
-        format!("{} ns", number_text(nanoseconds))
+        format!("{} ns", format_number(nanoseconds))
     } else if size < NANOS_PER_MILLISECOND {
-        format!("{} us", number_text(nanoseconds / NANOS_PER_MICROSECOND))
+        format!("{} us", format_number(nanoseconds / NANOS_PER_MICROSECOND))
     } else if size < NANOS_PER_SECOND {
-        format!("{} ms", number_text(nanoseconds / NANOS_PER_MILLISECOND))
+        format!("{} ms", format_number(nanoseconds / NANOS_PER_MILLISECOND))
     } else {
-        format!("{} s", number_text(nanoseconds / NANOS_PER_SECOND))
+        format!("{} s", format_number(nanoseconds / NANOS_PER_SECOND))
     }
 }
 
 /// Formats bytes as B, kB or MB.
-pub(super) fn bytes_text(bytes: f64) -> String {
+pub(super) fn format_bytes(bytes: f64) -> String {
     let size = bytes.abs();
     if size < MIN_BYTES_IN_KILOBYTES {
-        format!("{} B", number_text(bytes))
+        format!("{} B", format_number(bytes))
     } else if size < BYTES_PER_MEGABYTE {
-        format!("{} kB", number_text(bytes / BYTES_PER_KILOBYTE))
+        format!("{} kB", format_number(bytes / BYTES_PER_KILOBYTE))
     } else {
-        format!("{} MB", number_text(bytes / BYTES_PER_MEGABYTE))
+        format!("{} MB", format_number(bytes / BYTES_PER_MEGABYTE))
     }
 }
 
 /// Formats a number with about three significant digits.
-pub(super) fn number_text(value: f64) -> String {
+pub(super) fn format_number(value: f64) -> String {
     let size = value.abs();
     if size > 0.0 && size < 0.095 {
         format!("{value:.2e}")
--- a/lab/src/slopes/measure/bench.rs
+++ b/lab/src/slopes/measure/bench.rs
@@ -5,7 +5,7 @@
 use crate::slopes::costs::DecisionCosts;
 use crate::slopes::endpoints::{Endpoints, new_translator, parse_backends, serialize_list};
 use crate::slopes::error::SlopesError;
-use crate::slopes::membership::{Input, MembershipBench, wire_sizes};
+use crate::slopes::membership::{MeasuredComponents, MembershipBench, response_sizes};
 use crate::slopes::memory::heap_bytes;
 use crate::slopes::quantity::Quantity;
 use crate::slopes::scenario::SlopesScenario;
@@ -220,10 +220,14 @@
             translator,
             endpoints,
         } = measured;
-        let mut figures = wire_sizes(endpoints);
+        let mut figures = response_sizes(endpoints);
         let mut bench = MembershipBench::new(proxy, translator, &self.stopwatch, &mut random);
-        for input in [Input::Backends, Input::Text] {
-            let costs = bench.measure(input, endpoints, &replacements, &self.scenario.changes)?;
+        for components in [
+            MeasuredComponents::Balancer,
+            MeasuredComponents::TranslatorAndBalancer,
+        ] {
+            let costs =
+                bench.measure(components, endpoints, &replacements, &self.scenario.changes)?;
             figures.extend(costs);
         }
         Ok(figures)
@@ -259,7 +263,7 @@
         let mut memory = Vec::new();
         for &open_requests in &self.scenario.sweeps.open_requests {
             let mut measured = self.start_proxy(&setup, self.seed)?;
-            measured.proxy.open_requests(open_requests);
+            measured.proxy.submit_requests(open_requests);
             if let Some(balancer_memory) = heap_bytes(measured.proxy.into_balancer()) {
                 memory.push(OpenRequestMemory {
                     open_requests,
--- a/lab/src/slopes/membership/mod.rs
+++ b/lab/src/slopes/membership/mod.rs
@@ -30,11 +30,11 @@
 
 /// Part of the proxy that is measured, by the form of its input.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Input {
+pub enum MeasuredComponents {
     /// Parsed backends: measures the decisions alone.
-    Backends,
+    Balancer,
     /// Text of a response: measures the translator and the decisions.
-    Text,
+    TranslatorAndBalancer,
 }
 
 /// Quantities that record the cost of changes of a zone and of complete lists.
@@ -44,16 +44,16 @@
     list_replaced: Quantity,
 }
 
-impl Input {
+impl MeasuredComponents {
     /// Returns the quantities that record costs with this input.
     fn list_quantities(self) -> ListQuantities {
         match self {
-            Self::Backends => ListQuantities {
+            Self::Balancer => ListQuantities {
                 zone_delta: Quantity::ZoneDelta,
                 list_unchanged: Quantity::ListUnchanged,
                 list_replaced: Quantity::ListReplaced,
             },
-            Self::Text => ListQuantities {
+            Self::TranslatorAndBalancer => ListQuantities {
                 zone_delta: Quantity::ZoneDeltaFromText,
                 list_unchanged: Quantity::ListUnchangedFromText,
                 list_replaced: Quantity::ListReplacedFromText,
@@ -67,7 +67,7 @@
     /// Whether the response holds the complete list rather than a delta.
     complete: bool,
     /// JSON body.
-    text: Vec<u8>,
+    body: Vec<u8>,
 }
 
 impl Response {
@@ -134,7 +134,7 @@
     /// Returns an error if the translator rejects a response.
     pub fn measure(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         endpoints: &Endpoints,
         replacements: &Endpoints,
         changes: &Changes,
@@ -142,22 +142,23 @@
         let repeat_factor = repeat_factor(endpoints);
         let zone_count = changes.zones * repeat_factor;
         let list_count = changes.lists * repeat_factor;
-        let quantities = input.list_quantities();
-        let mut figures = self.measure_endpoint_changes(input, endpoints, changes.entries)?;
-        let zone_delta = self.measure_zone_changes(input, endpoints, zone_count)?;
-        let unchanged = self.measure_unchanged_lists(input, endpoints, list_count)?;
-        let replaced = self.measure_replaced_lists(input, endpoints, replacements, list_count)?;
+        let quantities = components.list_quantities();
+        let mut figures = self.measure_endpoint_changes(components, endpoints, changes.entries)?;
+        let zone_delta = self.measure_zone_changes(components, endpoints, zone_count)?;
+        let unchanged = self.measure_unchanged_lists(components, endpoints, list_count)?;
+        let replaced =
+            self.measure_replaced_lists(components, endpoints, replacements, list_count)?;
         figures.insert(quantities.zone_delta, zone_delta);
         figures.insert(quantities.list_unchanged, unchanged);
         figures.insert(quantities.list_replaced, replaced);
         Ok(figures)
     }
 
-    /// Measures deltas of one endpoint, at least `min_count` of each kind of change. With [`Input::Text`] only the mean
+    /// Measures deltas of one endpoint, at least `min_count` of each kind of change. With [`MeasuredComponents::TranslatorAndBalancer`] only the mean
     /// over the kinds is returned.
     fn measure_endpoint_changes(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         endpoints: &Endpoints,
         min_count: u32,
     ) -> Result<BTreeMap<Quantity, f64>, DiscoveryError> {
@@ -174,17 +175,17 @@
                     let changed = change.apply(&all[index], unix_ms);
                     responses.push(self.delta(&[changed]));
                 }
-                total.add(self.process(input, &responses)?, responses.len());
+                total.add(self.process(components, &responses)?, responses.len());
             }
         }
-        Ok(endpoint_figures(input, &totals))
+        Ok(endpoint_figures(components, &totals))
     }
 
     /// Measures `count` changes of a whole zone, which alternately begins to drain and becomes ready again. Returns the
     /// mean in nanoseconds.
     fn measure_zone_changes(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         endpoints: &Endpoints,
         count: u32,
     ) -> Result<f64, DiscoveryError> {
@@ -196,7 +197,7 @@
                 EndpointState::Active
             };
             let response = self.delta(&endpoints.in_zone(CHANGED_ZONE, state));
-            total.add(self.process(input, &[response])?, 1);
+            total.add(self.process(components, &[response])?, 1);
         }
         Ok(total.mean_nanoseconds())
     }
@@ -204,14 +205,14 @@
     /// Measures `count` complete lists that equal the list before. Returns the mean in nanoseconds.
     fn measure_unchanged_lists(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         endpoints: &Endpoints,
         count: u32,
     ) -> Result<f64, DiscoveryError> {
         let first = self.complete_list(endpoints);
-        self.process(input, &[first])?;
+        self.process(components, &[first])?;
         let responses: Vec<Response> = (0..count).map(|_| self.complete_list(endpoints)).collect();
-        let time = self.process(input, &responses)?;
+        let time = self.process(components, &responses)?;
         Ok(time.as_nanos() as f64 / f64::from(count))
     }
 
@@ -219,7 +220,7 @@
     /// `endpoints`. Returns the mean in nanoseconds.
     fn measure_replaced_lists(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         endpoints: &Endpoints,
         replacements: &Endpoints,
         count: u32,
@@ -228,7 +229,7 @@
         for _ in 0..count.div_ceil(2) {
             for next in [replacements, endpoints] {
                 let response = self.complete_list(next);
-                total.add(self.process(input, &[response])?, 1);
+                total.add(self.process(components, &[response])?, 1);
             }
         }
         Ok(total.mean_nanoseconds())
@@ -239,7 +240,7 @@
         self.revision += 1;
         Response {
             complete: false,
-            text: serialize_list(self.revision, false, endpoints),
+            body: serialize_list(self.revision, false, endpoints),
         }
     }
 
@@ -248,7 +249,7 @@
         self.revision += 1;
         Response {
             complete: true,
-            text: serialize_list(self.revision, true, endpoints.all()),
+            body: serialize_list(self.revision, true, endpoints.all()),
         }
     }
 
@@ -256,39 +257,39 @@
     /// which is not measured.
     fn process(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         responses: &[Response],
     ) -> Result<Duration, DiscoveryError> {
-        let time = match input {
-            Input::Backends => self.process_backends(responses)?,
-            Input::Text => self.process_text(responses)?,
+        let time = match components {
+            MeasuredComponents::Balancer => self.process_parsed(responses)?,
+            MeasuredComponents::TranslatorAndBalancer => self.process_bodies(responses)?,
         };
         self.proxy.warm_up(REQUESTS_BETWEEN_CHANGES);
         Ok(time)
     }
 
     /// Measures the decisions alone; the responses are parsed beforehand.
-    fn process_backends(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
+    fn process_parsed(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
         let mut parsed = Vec::new();
         for response in responses {
-            parsed.push(parse_backends(self.translator, &response.text)?);
+            parsed.push(parse_backends(self.translator, &response.body)?);
         }
         let proxy = &mut *self.proxy;
         let time = self.stopwatch.time(|| {
             for (response, backends) in responses.iter().zip(&parsed) {
-                proxy.update(response.event(backends));
+                proxy.update_membership(response.event(backends));
             }
         });
         Ok(time)
     }
 
     /// Measures the translator and the decisions together.
-    fn process_text(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
+    fn process_bodies(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
         let proxy = &mut *self.proxy;
         let translator = &mut *self.translator;
         let mut result = Ok(());
         let time = self.stopwatch.time(|| {
-            result = process_texts(proxy, translator, responses);
+            result = parse_and_update(proxy, translator, responses);
         });
         result?;
         Ok(time)
@@ -296,30 +297,30 @@
 }
 
 /// Parses each response and updates the proxy's membership.
-fn process_texts(
+fn parse_and_update(
     proxy: &mut VirtualProxy,
     translator: &mut Translator,
     responses: &[Response],
 ) -> Result<(), DiscoveryError> {
     for response in responses {
-        let backends = parse_backends(translator, &response.text)?;
-        proxy.update(response.event(&backends));
+        let backends = parse_backends(translator, &response.body)?;
+        proxy.update_membership(response.event(&backends));
     }
     Ok(())
 }
 
-/// Returns the mean over the kinds of change and, with [`Input::Backends`], the mean of each kind, in nanoseconds.
+/// Returns the mean over the kinds of change and, with [`MeasuredComponents::Balancer`], the mean of each kind, in nanoseconds.
 fn endpoint_figures(
-    input: Input,
+    components: MeasuredComponents,
     totals: &[TotalCost; EndpointChange::ALL.len()],
 ) -> BTreeMap<Quantity, f64> {
     let mean = totals.iter().map(TotalCost::mean_nanoseconds).sum::<f64>() / totals.len() as f64;
     let mut figures = BTreeMap::new();
-    match input {
-        Input::Text => {
+    match components {
+        MeasuredComponents::TranslatorAndBalancer => {
             figures.insert(Quantity::EntryFromText, mean);
         }
-        Input::Backends => {
+        MeasuredComponents::Balancer => {
             figures.insert(Quantity::Entry, mean);
             for (change, total) in EndpointChange::ALL.into_iter().zip(totals) {
                 figures.insert(change.quantity(), total.mean_nanoseconds());
@@ -338,7 +339,7 @@
 /// Returns the body sizes of discovery's responses in bytes: per endpoint, of a delta of one endpoint, of a delta of a
 /// zone, and of a complete list. HTTP heads are not included.
 #[must_use]
-pub fn wire_sizes(endpoints: &Endpoints) -> BTreeMap<Quantity, f64> {
+pub fn response_sizes(endpoints: &Endpoints) -> BTreeMap<Quantity, f64> {
     let length = |complete, members: &[Endpoint]| serialize_list(1, complete, members).len() as f64;
     let all = endpoints.all();
     let list = length(true, all);
--- a/lab/src/slopes/plot.rs
+++ b/lab/src/slopes/plot.rs
@@ -1,6 +1,6 @@
 //! Plots costs over the number of backends as an SVG file with logarithmic axes.
 
-use super::analysis::curve::series;
+use super::analysis::curve::medians_by_size;
 use super::measure::{Measurements, Sweep};
 use super::quantity::Quantity;
 use crate::error::LabError;
@@ -61,7 +61,7 @@
     };
     let mut curves = Vec::new();
     for quantity in PLOTTED_QUANTITIES {
-        let mut points = series(Sweep::Backends, points, quantity);
+        let mut points = medians_by_size(Sweep::Backends, points, quantity);
         // A logarithmic axis can't show 0.
         points.retain(|&(_, cost)| cost > 0.0);
         curves.push(PlottedCurve {
@@ -109,11 +109,11 @@
 ) -> Result<(), Box<dyn std::error::Error>> {
     let line = LineSeries::new(curve.points.iter().copied(), color.stroke_width(LINE_WIDTH));
     chart.draw_series(line)?;
-    let circle = move |at| Circle::new(at, POINT_RADIUS, color.filled());
+    let circle = move |point| Circle::new(point, POINT_RADIUS, color.filled());
     chart
         .draw_series(curve.points.iter().copied().map(circle))?
         .label(curve.label)
-        .legend(move |at| Circle::new(at, POINT_RADIUS, color.filled()));
+        .legend(move |point| Circle::new(point, POINT_RADIUS, color.filled()));
     Ok(())
 }
 
--- a/lab/src/slopes/report.rs
+++ b/lab/src/slopes/report.rs
@@ -4,7 +4,7 @@
 use super::analysis::assessment::{Assessment, Verdict};
 use super::analysis::curve::Curve;
 use super::fit::Model;
-use super::format::{bytes_text, number_text, value_text};
+use super::format::{format_bytes, format_number, format_value};
 use super::measure::{Measurements, Point, Sweep};
 use super::quantity::{Quantity, Unit};
 use super::setup::Setup;
@@ -45,7 +45,7 @@
 /// Formats the whole report.
 #[must_use]
 pub fn text(measurements: &Measurements, analysis: &Analysis) -> String {
-    let mut report = load_text(measurements);
+    let mut report = format_load_average(measurements);
     for (&sweep, points) in &measurements.sweeps {
         let quantities: &[Quantity] = if sweep == Sweep::Backends {
             &Quantity::ALL
@@ -72,7 +72,7 @@
         let _ = writeln!(
             report,
             "Heap of one more open request: {}\n",
-            bytes_text(bytes)
+            format_bytes(bytes)
         );
     }
     add_section(&mut report, "Budgets", &budget_table(&analysis.assessments));
@@ -80,7 +80,7 @@
 }
 
 /// Formats the machine's load averages; empty if they are not known.
-fn load_text(measurements: &Measurements) -> String {
+fn format_load_average(measurements: &Measurements) -> String {
     let load = measurements.load_average;
     let Some((before, after)) = load.before.zip(load.after) else {
         return String::new();
@@ -194,18 +194,18 @@
         }
         let mut row = vec![quantity.label().to_owned()];
         for point in points {
-            row.push(summary_text(quantity, point.figures.get(&quantity)));
+            row.push(format_summary(quantity, point.figures.get(&quantity)));
         }
         table.add_row(row);
     }
 }
 
 /// Formats the median and, for times with several repetitions, half the range in percent.
-fn summary_text(quantity: Quantity, summary: Option<&Summary>) -> String {
+fn format_summary(quantity: Quantity, summary: Option<&Summary>) -> String {
     let Some(summary) = summary else {
         return "-".to_owned();
     };
-    let median = value_text(quantity, summary.median);
+    let median = format_value(quantity, summary.median);
     if quantity.unit() == Unit::Bytes || summary.values.len() < 2 {
         return median;
     }
@@ -233,7 +233,7 @@
 fn fit_row(curve: &Curve) -> Vec<String> {
     let line = curve.fit.line;
     let power_law = curve.fit.power_law;
-    let show = |value| value_text(curve.quantity, value);
+    let show = |value| format_value(curve.quantity, value);
     let better = match curve.fit.better {
         Model::Line => "line",
         Model::PowerLaw => "power law",
@@ -277,7 +277,7 @@
     for assessment in assessments {
         let unit = assessment.unit.label();
         let show = |value: Option<f64>| match value {
-            Some(value) => format!("{} {unit}", number_text(value)),
+            Some(value) => format!("{} {unit}", format_number(value)),
             None => "-".to_owned(),
         };
         table.add_row(vec![
@@ -285,16 +285,16 @@
             show(assessment.measured),
             show(assessment.fitted),
             show(assessment.budget),
-            verdict_text(assessment.verdict),
+            format_verdict(assessment.verdict),
         ]);
     }
     table
 }
 
-fn verdict_text(verdict: Verdict) -> String {
+fn format_verdict(verdict: Verdict) -> String {
     match verdict {
         Verdict::Within => "within".to_owned(),
-        Verdict::Over(times) => format!("over, {} times", number_text(times)),
+        Verdict::Over(times) => format!("over, {} times", format_number(times)),
         Verdict::Unlimited => "no budget".to_owned(),
         Verdict::NotMeasured => "not measured".to_owned(),
     }
--- a/lab/src/slopes/scenario/defaults.rs
+++ b/lab/src/slopes/scenario/defaults.rs
@@ -38,7 +38,7 @@
             machine_types: 3,
             tenants: 100,
             classes: 4,
-            least_proxies: 3,
+            min_proxies: 3,
         }
     }
 }
--- a/lab/src/slopes/scenario/mod.rs
+++ b/lab/src/slopes/scenario/mod.rs
@@ -66,7 +66,8 @@
     /// Number of request classes, outside the sweep over classes.
     pub classes: u32,
     /// Least number of proxies. Above it, proxies and backends have the same ratio as at the target.
-    pub least_proxies: u32,
+    #[serde(rename = "least_proxies")]
+    pub min_proxies: u32,
 }
 
 /// Numbers of membership changes in one repetition.
@@ -151,6 +152,6 @@
     pub fn proxies_for(&self, backends: u32) -> u32 {
         let proxies_per_backend = f64::from(self.target.proxies) / f64::from(self.target.backends);
         let proportional = (f64::from(backends) * proxies_per_backend).round() as u32;
-        proportional.max(self.fleet.least_proxies)
+        proportional.max(self.fleet.min_proxies)
     }
 }
--- a/lab/src/slopes/scenario/validation.rs
+++ b/lab/src/slopes/scenario/validation.rs
@@ -108,7 +108,7 @@
         )?;
         check_integer("fleet.tenants", self.tenants, 1, MAX_TENANTS)?;
         check_integer("fleet.classes", self.classes, 1, MAX_CLASSES)?;
-        check_integer("fleet.least_proxies", self.least_proxies, 1, MAX_PROXIES)
+        check_integer("fleet.least_proxies", self.min_proxies, 1, MAX_PROXIES)
     }
 }
 
--- a/lab/src/slopes/virtual_proxy/mod.rs
+++ b/lab/src/slopes/virtual_proxy/mod.rs
@@ -82,7 +82,7 @@
             actions: Vec::new(),
             counts: Counts::default(),
         };
-        proxy.update(MembershipEvent::Full(backends));
+        proxy.update_membership(MembershipEvent::Full(backends));
         Ok(proxy)
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Opens this number of requests. No attempt ends; requests that the balancer rejects are not replaced.
-    pub fn open_requests(&mut self, count: u32) {
+    pub fn submit_requests(&mut self, count: u32) {
         for _ in 0..count {
             let request = self.draw_request();
             self.balancer
@@ -126,7 +126,7 @@
     }
 
     /// Notifies the balancer of a membership update; virtual time advances by a millisecond.
-    pub fn update(&mut self, membership: MembershipEvent<'_>) {
+    pub fn update_membership(&mut self, membership: MembershipEvent<'_>) {
         self.now += MICROS_PER_MILLISECOND;
         self.balancer
             .handle(self.now, Event::Membership(membership), &mut self.actions);
@@ -224,7 +224,7 @@
     /// Draws a batch of requests and notifies the balancer of their arrival.
     fn admit_requests(&mut self, meter: &mut Meter<'_>) {
         let mut events = Vec::new();
-        for _ in 0..self.traffic.batch_size() {
+        for _ in 0..self.traffic.draw_batch_size() {
             let request = self.draw_request();
             self.open.insert(request.id, 0);
             events.push(Event::Request(request));
@@ -239,7 +239,7 @@
     fn draw_request(&mut self) -> Request {
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        self.traffic.request(id)
+        self.traffic.draw_request(id)
     }
 
     /// Passes a batch of events to the balancer and records the cost.
@@ -267,7 +267,7 @@
                 backend,
                 deadline,
                 ..
-            } => self.send(request, backend, deadline),
+            } => self.start_attempt(request, backend, deadline),
             Action::Reject { request, .. } => {
                 self.counts.rejected += 1;
                 self.open.remove(&request);
@@ -285,11 +285,11 @@
     }
 
     /// Starts an attempt, whose end is drawn from the service times.
-    fn send(&mut self, request: RequestId, backend: BackendId, deadline: Micros) {
+    fn start_attempt(&mut self, request: RequestId, backend: BackendId, deadline: Micros) {
         let attempts_made = self.open.entry(request).or_default();
         let number = *attempts_made;
         *attempts_made += 1;
-        let answered_at = self.now + self.traffic.service_time();
+        let answered_at = self.now + self.traffic.draw_service_time();
         let end_reason = if answered_at <= deadline {
             EndReason::Answered
         } else {
--- a/lab/src/slopes/virtual_proxy/traffic.rs
+++ b/lab/src/slopes/virtual_proxy/traffic.rs
@@ -46,12 +46,12 @@
     }
 
     /// Draws the number of requests of a batch.
-    pub(super) fn batch_size(&mut self) -> usize {
+    pub(super) fn draw_batch_size(&mut self) -> usize {
         self.batch.sample(&mut self.random) as usize
     }
 
     /// Draws the tenant and the class of a request.
-    pub(super) fn request(&mut self, id: RequestId) -> Request {
+    pub(super) fn draw_request(&mut self, id: RequestId) -> Request {
         let tenant_rank = self.tenant.sample(&mut self.random);
         let class = self.random.random_range(0..self.classes);
         Request {
@@ -66,7 +66,7 @@
     }
 
     /// Draws a service time.
-    pub(super) fn service_time(&mut self) -> Micros {
+    pub(super) fn draw_service_time(&mut self) -> Micros {
         let exponential: f64 = Exp1.sample(&mut self.random);
         let factor = CONSTANT_FRACTION + (1.0 - CONSTANT_FRACTION) * exponential;
         (self.mean_service_micros * factor) as Micros
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -273,7 +273,7 @@
     assert_eq!(fit.better, Model::Line);
     assert!((fit.line.intercept - 50.0).abs() < 1e-6, "{fit:?}");
     assert!((fit.line.slope - 2.0).abs() < 1e-9, "{fit:?}");
-    assert!((fit.at(6_000.0) - 12_050.0).abs() < 1e-4, "{fit:?}");
+    assert!((fit.cost_at(6_000.0) - 12_050.0).abs() < 1e-4, "{fit:?}");
 }
 
 #[test]
