--- a/lab/src/slopes/error.rs
+++ b/lab/src/slopes/error.rs
@@ -8,13 +8,27 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SlopesError {
     /// The settings parser or the balancer rejects the settings that the lab generated.
-    #[error("the proxy rejects the settings: {0}")]
+    #[error("the proxy rejects the generated settings: {0}")]
     Settings(#[from] ParseSettingsError),
-    /// The random distributions of the load can't be constructed from the scenario's values.
-    #[error("`load`: cannot construct the distributions of arrivals, tenants and classes")]
-    LoadDistribution,
+    /// The Poisson distribution of arrivals can't be constructed.
+    #[error("a mean batch of {0} requests must be finite and above 0")]
+    MeanBatch(f64),
+    /// The Zipf distribution of requests over tenants can't be constructed.
+    #[error(
+        "a distribution over {tenants} tenants with the exponent {skew} (`load.tenant_skew`) \
+         must have at least 1 tenant and an exponent of 0 or more"
+    )]
+    TenantDistribution {
+        /// Number of tenants.
+        tenants: u32,
+        /// Exponent of the Zipf distribution.
+        skew: f64,
+    },
+    /// A class index can't represent all request classes.
+    #[error("the number of request classes is {0}, must be at most {max}", max = u8::MAX)]
+    TooManyClasses(u32),
     /// The translator rejects an endpoint list that the lab generated.
-    #[error("the proxy rejects an endpoint list: {0}")]
+    #[error("the proxy rejects a generated endpoint list: {0}")]
     EndpointList(#[from] DiscoveryError),
 }
 
--- a/lab/src/slopes/scenario/validation.rs
+++ b/lab/src/slopes/scenario/validation.rs
@@ -181,7 +181,7 @@
 fn invalid(key: &str, found: impl Display, allowed: &str) -> InvalidValue {
     InvalidValue {
         key: key.to_owned(),
-        problem: format!("{found} is not allowed; allowed: {allowed}"),
+        problem: format!("must be {allowed}, found {found}"),
     }
 }
 
--- a/lab/src/slopes/virtual_proxy/mod.rs
+++ b/lab/src/slopes/virtual_proxy/mod.rs
@@ -56,7 +56,8 @@
     /// Creates a proxy that started `proxy_age_seconds` ago and has just received the complete list `backends`.
     ///
     /// # Errors
-    /// Returns the setting that the balancer rejects, or [`SlopesError::LoadDistribution`].
+    /// [`SlopesError::Settings`] if the balancer rejects the generated settings, or the error of the load from
+    /// [`SlopesError::MeanBatch`], [`SlopesError::TenantDistribution`] and [`SlopesError::TooManyClasses`].
     pub fn new(
         setup: &Setup,
         fleet: &FleetShape,
@@ -71,8 +72,7 @@
             balancer: Balancer::new(settings, seed, EPOCH).map_err(ParseSettingsError::from)?,
             now: EPOCH + age,
             batch_interval,
-            traffic: Traffic::new(setup, load, batch_interval, seed)
-                .ok_or(SlopesError::LoadDistribution)?,
+            traffic: Traffic::new(setup, load, batch_interval, seed)?,
             next_request: 0,
             attempts: BinaryHeap::new(),
             timers: BinaryHeap::new(),
--- a/lab/src/slopes/virtual_proxy/traffic.rs
+++ b/lab/src/slopes/virtual_proxy/traffic.rs
@@ -1,5 +1,6 @@
 //! Random requests of a virtual proxy and their service times.
 
+use crate::slopes::error::SlopesError;
 use crate::slopes::scenario::Load;
 use crate::slopes::setup::Setup;
 use crate::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
@@ -26,21 +27,31 @@
 }
 
 impl Traffic {
-    /// Creates the traffic of batches that are `batch_interval` apart. Returns `None` if a distribution rejects the
-    /// load's values or the classes exceed the range of a class index.
+    /// Creates the traffic of batches that are `batch_interval` apart.
+    ///
+    /// # Errors
+    /// [`SlopesError::MeanBatch`] or [`SlopesError::TenantDistribution`] if a random distribution can't be constructed,
+    /// [`SlopesError::TooManyClasses`] if the classes exceed the range of a class index.
     pub(super) fn new(
         setup: &Setup,
         load: &Load,
         batch_interval: Micros,
         seed: u64,
-    ) -> Option<Self> {
+    ) -> Result<Self, SlopesError> {
         let mean_batch =
             setup.requests_per_second * batch_interval as f64 / MICROS_PER_SECOND as f64;
-        Some(Self {
+        let tenant = Zipf::new(f64::from(setup.tenants), load.tenant_skew).map_err(|_| {
+            SlopesError::TenantDistribution {
+                tenants: setup.tenants,
+                skew: load.tenant_skew,
+            }
+        })?;
+        Ok(Self {
             random: SmallRng::seed_from_u64(seed),
-            batch: Poisson::new(mean_batch).ok()?,
-            tenant: Zipf::new(f64::from(setup.tenants), load.tenant_skew).ok()?,
-            classes: u8::try_from(setup.classes).ok()?,
+            batch: Poisson::new(mean_batch).map_err(|_| SlopesError::MeanBatch(mean_batch))?,
+            tenant,
+            classes: u8::try_from(setup.classes)
+                .map_err(|_| SlopesError::TooManyClasses(setup.classes))?,
             mean_service_micros: load.latency_ms * MICROS_PER_MILLISECOND as f64,
         })
     }
