--- a/lab/src/endpoint_list.rs
+++ b/lab/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoints as discovery lists them, in the JSON format of its protocol.
+//! Endpoints and response bodies in the JSON format of the discovery protocol. `slopes` and `live` generate them.
 
 use serde::{Serialize, Serializer};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
     /// The endpoint finishes the requests in flight and accepts no new ones.
     #[serde(rename = "leaving")]
     Draining,
-    /// The endpoint is removed. Deltas contain it; complete lists do not.
+    /// The endpoint is removed. Deltas list it; complete lists do not.
     #[serde(rename = "left")]
     Removed,
 }
@@ -44,12 +44,13 @@
     pub started_at_ms: u64,
 }
 
+/// Serializes a number rounded to one decimal.
 fn serialize_one_decimal<S: Serializer>(size: &f64, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_f64((size * 10.0).round() / 10.0)
 }
 
 impl Endpoint {
-    /// Returns the same endpoint in another state.
+    /// Returns a copy of the endpoint in another state.
     #[must_use]
     pub fn in_state(&self, state: EndpointState) -> Self {
         Self {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Returns the same endpoint with a process that started at a Unix time in milliseconds.
+    /// Returns a copy of the endpoint whose process started at `unix_ms`, a Unix time in milliseconds.
     #[must_use]
     pub fn restarted_at(&self, unix_ms: u64) -> Self {
         Self {
@@ -68,7 +69,7 @@
     }
 }
 
-/// Body of a response of discovery; `Members` is a sequence of endpoints.
+/// Body of a discovery response; `Members` is a sequence of [`Endpoint`].
 #[derive(Debug, Serialize)]
 pub struct ListBody<Members> {
     /// Revision of the list.
--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -12,10 +12,10 @@
 /// An error that ends an experiment.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
-    /// A file can't be read.
+    /// A scenario file can't be read.
     #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// Path of the file.
+        /// Path of the scenario file.
         path: PathBuf,
         /// Error of the file system.
         source: io::Error,
@@ -23,7 +23,7 @@
     /// A scenario is not valid TOML, has an unknown or missing key, or has a value out of range.
     #[error("{}: `{key}`: {problem}", path.display())]
     Scenario {
-        /// The scenario file.
+        /// Path of the scenario file, or `command line` for a value that an option sets.
         path: PathBuf,
         /// Dotted path of the key, such as `backends.count`.
         key: String,
@@ -38,10 +38,10 @@
         /// Error of the file system.
         source: io::Error,
     },
-    /// A balancer rejects its settings.
+    /// A balancer rejects the settings that the lab generated.
     #[error("{subject}: {source}")]
     Settings {
-        /// Owner of the settings, such as `policy module`.
+        /// Policy to which the settings belong, such as `policy module`.
         subject: String,
         /// The rejected setting and the reason.
         source: SettingsError,
@@ -49,10 +49,10 @@
     /// A thread panicked.
     #[error("the thread of {subject} panicked")]
     Panicked {
-        /// Task of the thread.
+        /// Work of the thread, such as `policy module`.
         subject: String,
     },
-    /// An error of one experiment.
+    /// An error type of one experiment, such as [`SlopesError`](crate::slopes::error::SlopesError).
     #[error(transparent)]
     Failed(Box<dyn Error + Send + Sync>),
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -6,7 +6,8 @@
 //! - [`fleet`]: simulates a whole fleet in virtual time, with the real decision module in every proxy.
 //! - [`live`]: runs real and emulated processes against one emulated discovery service, over loopback.
 //!
-//! Each experiment reads a TOML scenario ([`scenario`]) and can write a JSON result ([`results`]).
+//! Each experiment reads a TOML scenario ([`scenario`]) and can write a JSON result ([`results`]). The endpoints that
+//! `slopes` and `live` generate are in [`endpoint_list`].
 #![forbid(unsafe_code)]
 
 pub mod cli;
--- a/lab/src/results.rs
+++ b/lab/src/results.rs
@@ -20,7 +20,7 @@
 }
 
 impl RunInfo {
-    /// Creates the description of a run of `experiment`; reads the commit through `git describe`.
+    /// Creates the description of a run of `experiment` with `seed`; runs `git describe` to read the commit.
     #[must_use]
     pub fn new(experiment: &'static str, seed: u64) -> Self {
         Self {
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -9,13 +9,13 @@
 pub struct InvalidValue {
     /// Dotted path of the key, such as `load.latency_ms`.
     pub key: String,
-    /// The value found and the values allowed.
+    /// Description of the value found and the values allowed, such as `must be 1 to 40 processes, found 41`.
     pub problem: String,
 }
 
 /// A scenario type that checks the ranges of its values.
 pub trait Scenario: DeserializeOwned {
-    /// Checks that every value is in its allowed range.
+    /// Checks that every value of the scenario is in its allowed range.
     ///
     /// # Errors
     /// Returns the first value that is out of range.
--- a/lab/src/slopes/analysis/assessment.rs
+++ b/lab/src/slopes/analysis/assessment.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// Unit of an assessed figure.
+/// Unit of an [`Assessment`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FigureUnit {
@@ -57,15 +57,15 @@
 pub struct Assessment {
     /// Name of the figure in reports.
     pub name: &'static str,
-    /// Figure measured at the target; `None` if it was not measured.
+    /// Figure measured at the target size; `None` if it was not measured.
     pub measured: Option<f64>,
-    /// Figure at the target by the fits over the sweeps; `None` without a fit.
+    /// Figure extrapolated to the target size by the fits; `None` without a fit.
     pub fitted: Option<f64>,
     /// Budget of the figure; `None` for a figure without a budget.
     pub budget: Option<f64>,
     /// Unit of the figure and of its budget.
     pub unit: FigureUnit,
-    /// Comparison of the measured figure with the budget; of the fitted figure if none was measured.
+    /// Result of comparing the measured figure with the budget, or the fitted figure if none was measured.
     pub verdict: Verdict,
 }
 
--- a/lab/src/slopes/analysis/assessor.rs
+++ b/lab/src/slopes/analysis/assessor.rs
@@ -35,7 +35,7 @@
         all
     }
 
-    /// Computes a figure at the target's mean request rate, from measured and from fitted quantities.
+    /// Computes a figure at the target's mean request rate twice: from measured and from fitted quantities.
     fn at_mean_rate(&self, figure: impl Fn(Lookup<'_>) -> Option<f64>) -> TargetFigure {
         let measured = |quantity| self.measurements.target.mean.median(quantity);
         let fitted = |quantity| self.fitted(quantity);
@@ -75,8 +75,8 @@
         Some(backends + tenants + classes)
     }
 
-    /// Assesses the decisions' part of the latency that the proxy adds: the sum of the 99th percentiles of an arrival
-    /// and of the end of an attempt.
+    /// Assesses the latency that the balancer's decisions add to a request: the sum of the 99th percentiles of the cost
+    /// of an arrival and of the cost of the end of an attempt.
     fn assess_added_latency(&self) -> Vec<Assessment> {
         let budget = Some(self.scenario.budgets.added_ms);
         let assess = |name, figure| Assessment::new(name, figure, budget, FigureUnit::Milliseconds);
@@ -99,7 +99,8 @@
         ]
     }
 
-    /// Assesses the processor time of membership changes. A change of configuration counts as a delta of one endpoint.
+    /// Assesses the processor time that the translator and the balancer take for membership changes. A change of
+    /// configuration counts as a delta of one endpoint.
     fn assess_control_work(&self) -> Vec<Assessment> {
         let budget = Some(self.scenario.budgets.control_core_percent);
         let assess = |name, quantity: Quantity, per_second: f64| {
@@ -138,7 +139,7 @@
         (target.configuration_changes_per_day + target.entry_changes_per_day) / SECONDS_PER_DAY
     }
 
-    /// Assesses the processor time of decisions on requests.
+    /// Assesses the processor time of the balancer's decisions on requests.
     fn assess_decision_work(&self) -> Vec<Assessment> {
         let mean_rate = self.scenario.target.requests_per_second;
         let hot_rate = mean_rate * self.scenario.target.hot_factor;
@@ -153,7 +154,7 @@
         ]
     }
 
-    /// Assesses the heap of the balancer and the translator together.
+    /// Assesses the sum of the heap of the balancer and of the translator.
     fn assess_memory(&self) -> Assessment {
         let heap = self.at_mean_rate(|value| {
             let bytes = value(Quantity::BalancerMemory)? + value(Quantity::TranslatorMemory)?;
@@ -235,7 +236,7 @@
         ]
     }
 
-    /// Assesses the growth of costs between the two compared sizes.
+    /// Assesses the growth of costs between the target's two `ratio_sizes`.
     fn assess_ratios(&self) -> Vec<Assessment> {
         let budgets = &self.scenario.budgets;
         let assess = |name, quantity: Quantity, budget: f64| {
@@ -260,7 +261,7 @@
         ]
     }
 
-    /// Returns the cost at the larger of the two compared sizes, as a multiple of the cost at the smaller.
+    /// Returns the cost at the larger of the target's two `ratio_sizes`, as a multiple of the cost at the smaller.
     fn cost_ratio(&self, quantity: Quantity) -> TargetFigure {
         let [small, large] = self.scenario.target.ratio_sizes;
         TargetFigure {
--- a/lab/src/slopes/analysis/curve.rs
+++ b/lab/src/slopes/analysis/curve.rs
@@ -1,4 +1,4 @@
-//! Curves: quantities fitted over a sweep.
+//! Curves: fits of a quantity over the sizes of a sweep.
 
 use crate::slopes::fit::Fit;
 use crate::slopes::measure::{Measurements, Point, Sweep};
@@ -6,14 +6,14 @@
 use crate::slopes::scenario::{SlopesScenario, Target};
 use serde::Serialize;
 
-/// A quantity fitted over a sweep.
+/// A fit of one quantity over the sizes of one sweep.
 #[derive(Clone, Debug, Serialize)]
 pub struct Curve {
     /// Sweep over which the quantity is fitted.
     pub sweep: Sweep,
     /// Fitted quantity.
     pub quantity: Quantity,
-    /// Fitted models.
+    /// Line and power law fitted to the medians of the quantity.
     pub fit: Fit,
     /// Value of the swept size at the target.
     pub target_size: u32,
@@ -42,7 +42,7 @@
     curves
 }
 
-/// Returns the medians of a quantity over a sweep as points of (size, median).
+/// Returns a pair (size, median of the quantity) for each point of a sweep at which the quantity was measured.
 #[must_use]
 pub fn medians_by_size(sweep: Sweep, points: &[Point], quantity: Quantity) -> Vec<(f64, f64)> {
     let mut medians = Vec::new();
--- a/lab/src/slopes/analysis/mod.rs
+++ b/lab/src/slopes/analysis/mod.rs
@@ -1,6 +1,6 @@
 //! Analyses the measurements: fits curves, extrapolates them to the target, and compares figures with their budgets.
 //!
-//! - [`curve`]: quantities fitted over a sweep.
+//! - [`curve`]: fits of a quantity over the sizes of a sweep.
 //! - [`assessment`]: a figure at the target, its budget and the verdict.
 //! - `assessor`: computes the assessed figures from measured and from fitted quantities.
 
@@ -19,7 +19,7 @@
 /// Analysis of a run's measurements.
 #[derive(Clone, Debug, Serialize)]
 pub struct Analysis {
-    /// Fitted curves of all quantities over all sweeps.
+    /// Curves of each quantity over each sweep.
     pub curves: Vec<Curve>,
     /// Bytes of heap per open request, by the slope of a fitted line; `None` without enough measurements.
     pub bytes_per_open_request: Option<f64>,
@@ -46,7 +46,8 @@
     }
 }
 
-/// Fits a line to the heap over the number of open requests and returns its slope.
+/// Fits a line to the balancer's heap over the number of open requests and returns its slope in bytes per request;
+/// `None` with too few measurements.
 fn bytes_per_open_request(measurements: &Measurements) -> Option<f64> {
     let mut points = Vec::new();
     for memory in &measurements.open_request_memory {
--- a/lab/src/slopes/costs.rs
+++ b/lab/src/slopes/costs.rs
@@ -10,21 +10,21 @@
 
 /// Significant decimal digits of the histograms.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// Quantile of the median.
+/// The median as a quantile.
 const P50: f64 = 0.5;
-/// Quantile of the 99th percentile.
+/// The 99th percentile as a quantile.
 const P99: f64 = 0.99;
 
-/// How a batch of events is measured.
+/// Method of measuring the cost of a batch of events.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Timing {
     /// The batch is not measured.
     None,
     /// Processor time of the batch as a whole.
     Batch,
-    /// Processor time of each event.
+    /// Processor time of each event separately.
     Processor,
-    /// Wall time of each event.
+    /// Wall time of each event separately.
     Wall,
 }
 
@@ -43,11 +43,11 @@
 pub struct EventCosts {
     /// Processor time of all batches that were measured as a whole.
     batch_time: Duration,
-    /// Number of events in these batches.
+    /// Number of events in all batches that were measured as a whole.
     batch_events: u64,
-    /// Processor time of single events, nanoseconds.
+    /// Processor times of separately measured events, nanoseconds.
     processor: Histogram<u64>,
-    /// Wall time of single events, nanoseconds.
+    /// Wall times of separately measured events, nanoseconds.
     wall: Histogram<u64>,
 }
 
@@ -61,7 +61,7 @@
 
 /// Measures batches of events and records their costs.
 pub struct Meter<'a> {
-    /// How the next batch is measured.
+    /// Method of measuring the next batch.
     pub timing: Timing,
     /// Clock of processor time.
     pub stopwatch: Stopwatch,
@@ -70,7 +70,7 @@
 }
 
 impl Meter<'_> {
-    /// Passes each event to `handle` and records the cost under `kind`.
+    /// Passes each event to `handle` and records its cost among those of events of `kind`.
     pub fn measure(
         &mut self,
         kind: EventKind,
@@ -103,7 +103,7 @@
 }
 
 impl EventCosts {
-    /// Passes each event to `handle` and records the cost as `timing` says.
+    /// Passes each event to `handle` and records the cost measured by the method `timing`.
     fn measure(
         &mut self,
         events: &[Event<'_>],
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Returns the costs in nanoseconds; quantities without a recorded event are left out.
+    /// Returns the recorded costs by quantity, in nanoseconds; quantities without a recorded event are left out.
     #[must_use]
     pub fn figures(&self) -> BTreeMap<Quantity, f64> {
         let Self { arrivals, ends, .. } = self;
@@ -181,7 +181,7 @@
         measured
     }
 
-    /// Returns the mean processor time of all events of a request in nanoseconds; `None` without arrivals.
+    /// Returns the processor time of all events per request that arrived, in nanoseconds; `None` without arrivals.
     fn mean_per_request(&self) -> Option<f64> {
         let total = self.arrivals.batch_time + self.ends.batch_time + self.timers.batch_time;
         mean_nanoseconds(total, self.arrivals.batch_events)
--- a/lab/src/slopes/csv_file.rs
+++ b/lab/src/slopes/csv_file.rs
@@ -24,7 +24,7 @@
     max: f64,
 }
 
-/// Writes the points of all sweeps and of the target.
+/// Writes the CSV file: the figures at all points of the sweeps and at the target.
 ///
 /// # Errors
 /// [`LabError::Unwritable`] if the file can't be written.
--- a/lab/src/slopes/error.rs
+++ b/lab/src/slopes/error.rs
@@ -4,10 +4,10 @@
 use tillerproxy::proxy::discovery::DiscoveryError;
 use tillerproxy::simulator::ParseSettingsError;
 
-/// An error that ends a measurement.
+/// An error that ends the `slopes` experiment.
 #[derive(Debug, thiserror::Error)]
 pub enum SlopesError {
-    /// The settings parser or the balancer rejects the settings that the lab generated.
+    /// Tillerproxy's settings parser or its balancer rejects the settings that the lab generated.
     #[error("the proxy rejects the generated settings: {0}")]
     Settings(#[from] ParseSettingsError),
     /// The Poisson distribution of arrivals can't be constructed.
--- a/lab/src/slopes/fit.rs
+++ b/lab/src/slopes/fit.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 
-/// Least number of points of a fit; any two points lie on a line.
+/// Minimum number of points of a fit; a line or a power law fits any two points exactly.
 const MIN_POINTS: usize = 3;
 
 /// A straight line `intercept + slope * x`.
@@ -16,7 +16,7 @@
     pub intercept: f64,
     /// Added cost for each unit of size.
     pub slope: f64,
-    /// Root mean square of the relative errors.
+    /// Root mean square of the relative errors at the fitted points.
     pub relative_error: f64,
 }
 
@@ -27,11 +27,11 @@
     pub factor: f64,
     /// Exponent of the size: the slope in a log-log plot.
     pub exponent: f64,
-    /// Root mean square of the relative errors.
+    /// Root mean square of the relative errors at the fitted points.
     pub relative_error: f64,
 }
 
-/// Models that are fitted.
+/// Kind of model.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Model {
@@ -41,7 +41,7 @@
     PowerLaw,
 }
 
-/// Both models, fitted to the same points.
+/// A line and a power law fitted to the same points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
     /// Fitted straight line.
@@ -82,8 +82,8 @@
 }
 
 impl Fit {
-    /// Fits both models to points of (size, cost). Points with a size or a cost of 0 or less are ignored. Returns
-    /// `None` if fewer than three points remain or all have the same size.
+    /// Fits a line and a power law to pairs (size, cost). Pairs with a size or a cost of 0 or less are ignored. Returns
+    /// `None` if fewer than three pairs remain or all have the same size.
     #[must_use]
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         let usable: Vec<(f64, f64)> = points
--- a/lab/src/slopes/format.rs
+++ b/lab/src/slopes/format.rs
@@ -6,7 +6,7 @@
     NANOS_PER_SECOND,
 };
 
-/// Smallest size that is printed in kilobytes, bytes.
+/// Smallest number of bytes that is printed in kilobytes.
 const MIN_BYTES_IN_KILOBYTES: f64 = 1e4;
 
 /// Formats a value of a quantity with its unit.
@@ -17,7 +17,7 @@
     }
 }
 
-/// Formats nanoseconds as ns, us, ms or s.
+/// Formats a time given in nanoseconds in ns, us, ms or s.
 fn format_time(nanoseconds: f64) -> String {
     let size = nanoseconds.abs();
     if size < NANOS_PER_MICROSECOND {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Formats bytes as B, kB or MB.
+/// Formats a number of bytes in B, kB or MB.
 pub(super) fn format_bytes(bytes: f64) -> String {
     let size = bytes.abs();
     if size < MIN_BYTES_IN_KILOBYTES {
--- a/lab/src/slopes/measure/bench.rs
+++ b/lab/src/slopes/measure/bench.rs
@@ -21,13 +21,13 @@
 /// Number of backends for measuring memory by open requests. The measured proxy is the only one of the fleet, so that
 /// it has at least one slot of each backend.
 const OPEN_REQUEST_BACKENDS: u32 = 2_000;
-/// Difference between the seeds of two successive repetitions.
+/// Difference between the seeds of successive repetitions.
 const REPETITION_SEED_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Salt that turns the fleet's seed into the seed of the replacement endpoints, by exclusive or.
 const REPLACEMENT_SEED_SALT: u64 = 0x517c_c1b7_2722_0a95;
 /// Revision of the first endpoint list.
 const FIRST_REVISION: u64 = 1;
-/// Number of jobs at the target: one at the mean request rate, one at the rate of a hot proxy.
+/// Number of jobs at the target size: one at the mean request rate, one at the rate of a hot proxy.
 const TARGET_JOB_COUNT: u64 = 2;
 
 /// Runs all measurements of a scenario.
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Summarises the repetitions.
+    /// Summarises the values of each quantity over the repetitions.
     fn finish(self) -> Point {
         let mut figures = BTreeMap::new();
         for (quantity, values) in self.values {
@@ -132,7 +132,7 @@
         })
     }
 
-    /// Creates the jobs of all sweeps.
+    /// Creates a job for each size of each sweep.
     fn sweep_jobs(&self) -> BTreeMap<Sweep, Vec<Job>> {
         let mut sweeps = BTreeMap::new();
         for sweep in Sweep::ALL {
@@ -143,7 +143,7 @@
         sweeps
     }
 
-    /// Creates the jobs of the target: at the mean request rate, and at the rate of a hot proxy.
+    /// Creates the two jobs at the target size: at the mean request rate, and at the rate of a hot proxy.
     fn target_jobs(&self) -> [Job; 2] {
         let target = &self.scenario.target;
         let mean = Setup {
@@ -177,7 +177,8 @@
         Ok(())
     }
 
-    /// Measures one repetition and adds its counts to the job. Memory is measured in the first repetition only.
+    /// Measures one repetition of a job: adds its counts to the job and returns its figures. Memory is measured in the
+    /// first repetition only.
     fn measure(
         &self,
         job: &mut Job,
@@ -233,7 +234,7 @@
         Ok(figures)
     }
 
-    /// Measures the heap of a proxy after its warm-up, before any change of membership.
+    /// Measures the heap of the balancer and of the translator after a warm-up, before any change of membership.
     fn measure_memory(
         &self,
         setup: &Setup,
@@ -274,7 +275,7 @@
         Ok(memory)
     }
 
-    /// Creates a proxy and hands it the list of a generated fleet.
+    /// Generates a fleet and creates a proxy that has received its endpoint list.
     fn start_proxy(&self, setup: &Setup, seed: u64) -> Result<MeasuredProxy, SlopesError> {
         let fleet = &self.scenario.fleet;
         let endpoints = Endpoints::generate(setup.backends, fleet, seed);
@@ -290,7 +291,7 @@
     }
 }
 
-/// Summarises the jobs of all sweeps.
+/// Returns the points of all sweeps from their finished jobs.
 fn finish_sweeps(sweeps: BTreeMap<Sweep, Vec<Job>>) -> BTreeMap<Sweep, Vec<Point>> {
     let mut finished = BTreeMap::new();
     for (sweep, jobs) in sweeps {
@@ -300,7 +301,7 @@
     finished
 }
 
-/// Reads the machine's load average over the last minute from `/proc/loadavg`.
+/// Reads the machine's load average over the last minute from `/proc/loadavg`; `None` if that fails.
 fn load_average() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     text.split_whitespace().next()?.parse().ok()
--- a/lab/src/slopes/measure/mod.rs
+++ b/lab/src/slopes/measure/mod.rs
@@ -19,9 +19,9 @@
 /// Figures measured at one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point {
-    /// Measured size.
+    /// Size of the fleet and request rate of the measurement.
     pub setup: Setup,
-    /// Events counted while requests were measured, over all repetitions.
+    /// Counts of events, over all repetitions, while the costs of requests were measured.
     pub counts: Counts,
     /// Figures by quantity, in nanoseconds or bytes ([`Quantity::unit`]).
     pub figures: BTreeMap<Quantity, Summary>,
@@ -36,12 +36,12 @@
     }
 }
 
-/// Memory of a proxy with a number of open requests.
+/// Heap of a balancer with a number of open requests.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct OpenRequestMemory {
-    /// Number of open requests.
+    /// Number of requests that were submitted and left open.
     pub open_requests: u32,
-    /// Heap of the balancer, bytes.
+    /// Bytes of heap of the balancer.
     pub balancer_memory: f64,
 }
 
@@ -50,20 +50,21 @@
 pub struct TargetPoints {
     /// Figures at the mean request rate.
     pub mean: Point,
-    /// Figures at the request rate of a hot proxy; membership changes are not measured.
+    /// Figures at the request rate of a hot proxy, without those of membership changes.
     pub hot: Point,
 }
 
 /// All measurements of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measurements {
-    /// Load of the machine at the start and at the end. Load from other processes makes every figure larger.
+    /// Load averages of the machine at the start and at the end of the run. Load from other processes makes
+    /// every figure larger.
     pub load_average: LoadAverage,
     /// Cost of a clock reading in nanoseconds, which is subtracted from every measured processor time.
     pub clock_overhead_ns: f64,
-    /// Points of each sweep.
+    /// Measured points of each sweep.
     pub sweeps: BTreeMap<Sweep, Vec<Point>>,
-    /// Memory by number of open requests; empty without the counting allocator.
+    /// Heap of the balancer at each number of open requests; empty without the counting allocator.
     pub open_request_memory: Vec<OpenRequestMemory>,
     /// Figures at the target size.
     pub target: TargetPoints,
@@ -72,8 +73,8 @@
 /// The machine's load averages over one minute; `None` if `/proc/loadavg` can't be read.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LoadAverage {
-    /// Before the first measurement.
+    /// Load average before the first measurement.
     pub before: Option<f64>,
-    /// After the last measurement.
+    /// Load average after the last measurement.
     pub after: Option<f64>,
 }
--- a/lab/src/slopes/measure/sweep.rs
+++ b/lab/src/slopes/measure/sweep.rs
@@ -4,16 +4,16 @@
 use crate::slopes::setup::Setup;
 use serde::Serialize;
 
-/// Extent of the measurements at a size.
+/// Kinds of quantity that are measured at a size.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Extent {
-    /// Decisions on requests, and memory.
+    /// Costs of the balancer's decisions on requests, and memory.
     Decisions,
-    /// Decisions on requests, memory, membership changes, and bytes of discovery's responses.
+    /// Costs of decisions on requests and of membership changes, memory, and bytes of discovery's responses.
     Everything,
 }
 
-/// A sweep over one size, with the others fixed.
+/// A series of measurements in which one size varies.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Sweep {
@@ -31,7 +31,7 @@
     /// Every sweep, in the order of reports.
     pub const ALL: [Self; 4] = [Self::Backends, Self::Tenants, Self::Classes, Self::Proxies];
 
-    /// Returns the value of the swept size in `setup`.
+    /// Returns the value that the size varied by this sweep has in `setup`.
     #[must_use]
     pub fn size(self, setup: &Setup) -> u32 {
         match self {
@@ -58,7 +58,7 @@
             .collect()
     }
 
-    /// Returns the setup in which the swept size is `number`.
+    /// Returns the setup in which the size varied by this sweep is `number`.
     fn setup(self, scenario: &SlopesScenario, number: u32) -> Setup {
         let base = setup_with_backends(scenario, scenario.sweeps.backends);
         match self {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns the extent of the measurements at each size of this sweep.
+    /// Returns the kinds of quantity that are measured at each size of this sweep.
     pub(super) fn extent(self) -> Extent {
         if self == Self::Backends {
             Extent::Everything
--- a/lab/src/slopes/membership/change.rs
+++ b/lab/src/slopes/membership/change.rs
@@ -3,7 +3,7 @@
 use crate::endpoint_list::{Endpoint, EndpointState};
 use crate::slopes::quantity::Quantity;
 
-/// A change of one endpoint.
+/// A membership change of one endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum EndpointChange {
     /// The endpoint begins to drain.
@@ -19,7 +19,8 @@
 }
 
 impl EndpointChange {
-    /// Every change, in the order in which they are applied to an endpoint; after the last one it is listed again.
+    /// Every change, in the order in which they are applied to an endpoint. After the last change the endpoint is ready
+    /// again.
     pub(super) const ALL: [Self; 5] = [
         Self::Drain,
         Self::Ready,
--- a/lab/src/slopes/membership/mod.rs
+++ b/lab/src/slopes/membership/mod.rs
@@ -1,6 +1,6 @@
 //! Measures the cost of membership changes: of single endpoints, of a zone, and of complete lists.
 //!
-//! Each change is measured twice: for the decisions alone, and for the decisions together with tillerproxy's own
+//! Each change is measured twice: for the balancer alone, and for the balancer together with tillerproxy's own
 //! translator of discovery's JSON responses.
 
 mod change;
@@ -21,19 +21,19 @@
 
 /// Requests that arrive between two measured batches of responses, which keep the proxy under load.
 const REQUESTS_BETWEEN_CHANGES: u32 = 20;
-/// Number of backends below which changes of zones and lists are measured more often, since they take little time.
+/// Number of backends below which changes of zones and lists are measured more often, since each takes little time.
 const LARGE_FLEET_BACKENDS: u32 = 1_000;
 /// Largest factor by which changes of zones and lists are measured more often in small fleets.
 const MAX_REPEAT_FACTOR: u32 = 25;
 /// Zone that changes as a whole; the measured proxy is in zone 0.
 const CHANGED_ZONE: u32 = 1;
 
-/// Part of the proxy that is measured, by the form of its input.
+/// Components of the proxy whose processor time is measured.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MeasuredComponents {
-    /// Parsed backends: measures the decisions alone.
+    /// The balancer alone, which receives backends parsed beforehand.
     Balancer,
-    /// Text of a response: measures the translator and the decisions.
+    /// The translator, which parses the body of a response, and the balancer.
     TranslatorAndBalancer,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl MeasuredComponents {
-    /// Returns the quantities that record costs with this input.
+    /// Returns the quantities that record the costs of zones and lists for these components.
     fn list_quantities(self) -> ListQuantities {
         match self {
             Self::Balancer => ListQuantities {
@@ -62,7 +62,7 @@
     }
 }
 
-/// A response of discovery.
+/// A response of the discovery service.
 struct Response {
     /// Whether the response holds the complete list rather than a delta.
     complete: bool,
@@ -71,7 +71,7 @@
 }
 
 impl Response {
-    /// Returns the balancer's event for the backends parsed from this response.
+    /// Returns the membership event that passes the backends parsed from this response to the balancer.
     fn event<'a>(&self, backends: &'a [Backend]) -> MembershipEvent<'a> {
         if self.complete {
             MembershipEvent::Full(backends)
@@ -81,7 +81,7 @@
     }
 }
 
-/// Processor time of a number of changes.
+/// Sum of the processor time of changes, and their number.
 #[derive(Clone, Copy, Default)]
 struct TotalCost {
     time: Duration,
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Measures the mean processor time of each kind of change in nanoseconds. `endpoints` are those that the proxy
-    /// has, before and after the measurement; `replacements` are the same number of other endpoints.
+    /// Measures the mean processor time of each kind of change in nanoseconds. `endpoints` is the list that the proxy
+    /// has before and after the measurement; `replacements` is a list of the same length with other endpoints.
     ///
     /// # Errors
     /// Returns an error if the translator rejects a response.
@@ -154,8 +154,8 @@
         Ok(figures)
     }
 
-    /// Measures deltas of one endpoint, at least `min_count` of each kind of change. With [`MeasuredComponents::TranslatorAndBalancer`] only the mean
-    /// over the kinds is returned.
+    /// Measures deltas of one endpoint, at least `min_count` of each kind of change, and returns
+    /// [`endpoint_figures`].
     fn measure_endpoint_changes(
         &mut self,
         components: MeasuredComponents,
@@ -202,7 +202,7 @@
         Ok(total.mean_nanoseconds())
     }
 
-    /// Measures `count` complete lists that equal the list before. Returns the mean in nanoseconds.
+    /// Measures `count` complete lists that each equal the previous list. Returns the mean in nanoseconds.
     fn measure_unchanged_lists(
         &mut self,
         components: MeasuredComponents,
@@ -216,8 +216,8 @@
         Ok(time.as_nanos() as f64 / f64::from(count))
     }
 
-    /// Measures at least `count` complete lists that have no backend in common with the list before; the last one is
-    /// `endpoints`. Returns the mean in nanoseconds.
+    /// Measures at least `count` complete lists that each have no backend in common with the previous list; the last
+    /// list is `endpoints`. Returns the mean in nanoseconds.
     fn measure_replaced_lists(
         &mut self,
         components: MeasuredComponents,
@@ -253,8 +253,8 @@
         }
     }
 
-    /// Processes the responses in order and returns the processor time that this takes. Requests arrive afterwards,
-    /// which is not measured.
+    /// Processes the responses in order and returns the processor time that the components take. Afterwards requests
+    /// arrive, whose cost is not measured.
     fn process(
         &mut self,
         components: MeasuredComponents,
@@ -268,7 +268,7 @@
         Ok(time)
     }
 
-    /// Measures the decisions alone; the responses are parsed beforehand.
+    /// Measures the balancer alone; the responses are parsed beforehand.
     fn process_parsed(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
         let mut parsed = Vec::new();
         for response in responses {
@@ -283,7 +283,7 @@
         Ok(time)
     }
 
-    /// Measures the translator and the decisions together.
+    /// Measures the translator and the balancer together.
     fn process_bodies(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
         let proxy = &mut *self.proxy;
         let translator = &mut *self.translator;
@@ -309,7 +309,8 @@
     Ok(())
 }
 
-/// Returns the mean over the kinds of change and, with [`MeasuredComponents::Balancer`], the mean of each kind, in nanoseconds.
+/// Returns the mean processor time over all kinds of change and, for the balancer alone, the mean of each kind, in
+/// nanoseconds.
 fn endpoint_figures(
     components: MeasuredComponents,
     totals: &[TotalCost; EndpointChange::ALL.len()],
@@ -330,7 +331,7 @@
     figures
 }
 
-/// Returns the factor by which changes of zones and lists are measured more often than the scenario says.
+/// Returns the factor by which the scenario's numbers of zone and list changes are multiplied in a small fleet.
 fn repeat_factor(endpoints: &Endpoints) -> u32 {
     let backends = endpoints.all().len().max(1) as u32;
     (LARGE_FLEET_BACKENDS / backends).clamp(1, MAX_REPEAT_FACTOR)
@@ -344,7 +345,7 @@
     let all = endpoints.all();
     let list = length(true, all);
     let empty_list = length(true, &[]);
-    // A list has one comma less than endpoints; adding 1 counts a comma for each endpoint.
+    // A JSON array has one comma fewer than elements; adding 1 counts a comma for each endpoint.
     let per_endpoint = (list - empty_list + 1.0) / all.len() as f64;
     let zone = endpoints.in_zone(CHANGED_ZONE, EndpointState::Draining);
     BTreeMap::from([
--- a/lab/src/slopes/memory.rs
+++ b/lab/src/slopes/memory.rs
@@ -5,10 +5,10 @@
 use stats_alloc::INSTRUMENTED_SYSTEM;
 use std::hint::black_box;
 
-/// Bytes of the allocation that checks whether the counting allocator is installed.
-const TRIAL_BYTES: usize = 4_096;
+/// Size in bytes of the test allocation that checks whether the counting allocator is installed.
+const TEST_ALLOCATION_BYTES: usize = 4_096;
 
-/// Returns the bytes allocated at present, as counted by the allocator.
+/// Returns the bytes of heap currently allocated, as counted by the allocator.
 fn allocated_bytes() -> usize {
     let stats = INSTRUMENTED_SYSTEM.stats();
     stats
@@ -20,10 +20,10 @@
 #[must_use]
 pub fn is_allocator_installed() -> bool {
     let before = INSTRUMENTED_SYSTEM.stats().bytes_allocated;
-    let trial = black_box(Vec::<u8>::with_capacity(TRIAL_BYTES));
+    let allocation = black_box(Vec::<u8>::with_capacity(TEST_ALLOCATION_BYTES));
     let after = INSTRUMENTED_SYSTEM.stats().bytes_allocated;
-    drop(trial);
-    after >= before + TRIAL_BYTES
+    drop(allocation);
+    after >= before + TEST_ALLOCATION_BYTES
 }
 
 /// Drops `value` and returns the bytes of heap that the drop frees; `None` without the counting allocator.
--- a/lab/src/slopes/mod.rs
+++ b/lab/src/slopes/mod.rs
@@ -63,12 +63,12 @@
     plot: Option<PathBuf>,
 }
 
-/// Measured part of the JSON result.
+/// Measurements and analysis of a run: the part `measured` of the JSON result.
 #[derive(Clone, Debug, Serialize)]
 pub struct SlopesResult {
     /// Figures at each measured size.
     pub measurements: Measurements,
-    /// Fitted curves, and the figures at the target compared with their budgets.
+    /// Fitted curves, and figures at the target size compared with their budgets.
     pub analysis: Analysis,
 }
 
@@ -138,7 +138,7 @@
         Ok(scenario)
     }
 
-    /// Creates the progress bar, hidden with `--quiet`.
+    /// Creates the progress bar; `--quiet` hides it.
     fn progress_bar(&self, scenario: &SlopesScenario) -> ProgressBar {
         if self.common.quiet {
             return ProgressBar::hidden();
--- a/lab/src/slopes/plot.rs
+++ b/lab/src/slopes/plot.rs
@@ -10,9 +10,9 @@
 
 /// Width and height of the picture, pixels.
 const PICTURE_SIZE: (u32, u32) = (960, 640);
-/// Radius of a point, pixels.
+/// Radius of the circle that marks a point, pixels.
 const POINT_RADIUS: u32 = 3;
-/// Width of a line, pixels.
+/// Width of the line of a curve, pixels.
 const LINE_WIDTH: u32 = 2;
 /// Margin around the chart, pixels.
 const PICTURE_MARGIN: u32 = 15;
@@ -20,7 +20,7 @@
 const CAPTION_FONT: (&str, u32) = ("sans-serif", 20);
 /// Space for the labels of the axes, pixels.
 const LABEL_SPACE: u32 = 60;
-/// Factor by which the axes extend beyond the smallest and the largest value.
+/// Factor by which an axis extends beyond its smallest and its largest value.
 const AXIS_MARGIN: f64 = 1.5;
 
 /// Quantities that are plotted, in the order of the legend.
@@ -40,7 +40,7 @@
 /// A curve of the plot and its label in the legend.
 struct PlottedCurve {
     label: &'static str,
-    /// Points of (backends, nanoseconds).
+    /// Pairs (number of backends, cost in nanoseconds).
     points: Vec<(f64, f64)>,
 }
 
--- a/lab/src/slopes/quantity.rs
+++ b/lab/src/slopes/quantity.rs
@@ -2,56 +2,58 @@
 
 use serde::Serialize;
 
-/// A measured quantity. Costs are the processor time of one event unless the description says otherwise.
+/// A measured quantity: a cost in processor or wall time, or a size in bytes. The costs of membership changes are mean
+/// processor times, of the balancer alone unless the translator is named.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Quantity {
-    /// Arrival of a request (`Event::Request`), mean.
+    /// Mean processor time of an arrival of a request (`Event::Request`).
     Request,
-    /// End of an attempt (`Event::AttemptEnded`), mean.
+    /// Mean processor time of an end of an attempt (`Event::AttemptEnded`).
     RequestEnd,
-    /// All events of a request together: its arrival, the ends of its attempts and its timers; mean.
+    /// Mean processor time of all events of a request: its arrival, the ends of its attempts and its timers.
     WholeRequest,
-    /// Processor time of an arrival, median.
+    /// Median processor time of an arrival.
     RequestP50,
-    /// Processor time of an arrival, 99th percentile.
+    /// 99th percentile of the processor time of an arrival.
     RequestP99,
-    /// Processor time of the end of an attempt, 99th percentile.
+    /// 99th percentile of the processor time of an end of an attempt.
     RequestEndP99,
-    /// Wall time of an arrival, median. Wall time includes the time that other processes take on the machine.
+    /// Median wall time of an arrival. Wall time includes the time for which other processes occupy the core.
     RequestWallP50,
-    /// Wall time of an arrival, 99th percentile.
+    /// 99th percentile of the wall time of an arrival.
     RequestWallP99,
-    /// Wall time of the end of an attempt, 99th percentile.
+    /// 99th percentile of the wall time of an end of an attempt.
     RequestEndWallP99,
-    /// Membership delta of one endpoint, mean over the five kinds of change below.
+    /// Cost of a membership delta of one endpoint: the mean of [`Self::EntryDrain`], [`Self::EntryReady`],
+    /// [`Self::EntryRestart`], [`Self::EntryRemove`] and [`Self::EntryJoin`].
     Entry,
-    /// Delta of one endpoint that begins to drain.
+    /// Cost of a delta of one endpoint that begins to drain.
     EntryDrain,
-    /// Delta of one draining endpoint that becomes ready again.
+    /// Cost of a delta of one draining endpoint that becomes ready again.
     EntryReady,
-    /// Delta of one endpoint whose process has restarted.
+    /// Cost of a delta of one endpoint whose process has restarted.
     EntryRestart,
-    /// Delta of one endpoint that is removed.
+    /// Cost of a delta of one endpoint that is removed.
     #[serde(rename = "entry_gone")]
     EntryRemove,
-    /// Delta of one endpoint that joins.
+    /// Cost of a delta of one removed endpoint that joins again.
     EntryJoin,
-    /// Delta of all endpoints of a zone, which begin to drain or become ready again.
+    /// Cost of a delta of all endpoints of a zone, which begin to drain or become ready again.
     ZoneDelta,
-    /// Complete list that equals the list before.
+    /// Cost of a complete list that equals the previous list.
     ListUnchanged,
-    /// Complete list that has no backend in common with the list before.
+    /// Cost of a complete list that has no backend in common with the previous list.
     ListReplaced,
-    /// [`Quantity::Entry`] including the translation of discovery's JSON response.
+    /// Cost of [`Self::Entry`] together with the translation of discovery's JSON response.
     EntryFromText,
-    /// [`Quantity::ZoneDelta`] including the translation of the response.
+    /// Cost of [`Self::ZoneDelta`] together with the translation of the response.
     ZoneDeltaFromText,
-    /// [`Quantity::ListUnchanged`] including the translation of the response.
+    /// Cost of [`Self::ListUnchanged`] together with the translation of the response.
     ListUnchangedFromText,
-    /// [`Quantity::ListReplaced`] including the translation of the response.
+    /// Cost of [`Self::ListReplaced`] together with the translation of the response.
     ListReplacedFromText,
-    /// Bytes of one endpoint in the body of a response.
+    /// Bytes of one endpoint in the body of a discovery response.
     EntryBytes,
     /// Bytes of the body of a delta of one endpoint.
     DeltaOfOneBytes,
--- a/lab/src/slopes/report.rs
+++ b/lab/src/slopes/report.rs
@@ -42,7 +42,7 @@
     Quantity::TranslatorMemory,
 ];
 
-/// Formats the whole report.
+/// Formats the report of a run.
 #[must_use]
 pub fn text(measurements: &Measurements, analysis: &Analysis) -> String {
     let mut report = format_load_average(measurements);
@@ -88,7 +88,7 @@
     format!("Load of the machine: {before} at the start, {after} at the end\n\n")
 }
 
-/// Appends a table with its title.
+/// Appends a title and a table to the report.
 fn add_section(report: &mut String, title: &str, table: &Table) {
     let _ = writeln!(report, "{title}\n{table}\n");
 }
@@ -200,7 +200,8 @@
     }
 }
 
-/// Formats the median and, for times with several repetitions, half the range in percent.
+/// Formats the median of a summary and, for times measured in several repetitions, half the range in percent of the
+/// median; `-` without a summary.
 fn format_summary(quantity: Quantity, summary: Option<&Summary>) -> String {
     let Some(summary) = summary else {
         return "-".to_owned();
--- a/lab/src/slopes/scenario/defaults.rs
+++ b/lab/src/slopes/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! Built-in values of a scenario. `lab/scenarios/slopes.toml` holds the same values.
+//! Built-in values of a `slopes` scenario. `lab/scenarios/slopes.toml` contains the same values.
 
 use super::{Budgets, Changes, FleetShape, Load, SlopesScenario, Sweeps, Target};
 
--- a/lab/src/slopes/scenario/mod.rs
+++ b/lab/src/slopes/scenario/mod.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Settings of a run of `slopes`. Keys that a scenario file leaves out have the built-in values.
+/// Scenario of a run of `slopes`. A key that a scenario file leaves out has its built-in value.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SlopesScenario {
@@ -15,21 +15,21 @@
     pub sizes: Vec<u32>,
     /// Number of repetitions of each measurement, each with a new balancer.
     pub repetitions: u32,
-    /// Requests of the measured proxy.
+    /// Requests that the measured proxy receives.
     pub load: Load,
-    /// Sizes of the fleet that are not swept.
+    /// Zones and machine types of the fleet, and the sizes that apply outside their sweeps.
     pub fleet: FleetShape,
-    /// Numbers of membership changes in one repetition.
+    /// Numbers of membership changes that one repetition measures.
     pub changes: Changes,
     /// Sweeps over tenants, classes, proxies and open requests.
     pub sweeps: Sweeps,
-    /// Size of the target fleet, which is measured and to which the fits are extrapolated.
+    /// Size of the target fleet, at which costs are measured and to which the fits are extrapolated.
     pub target: Target,
     /// Budgets of the costs at the target.
     pub budgets: Budgets,
 }
 
-/// Requests of the measured proxy.
+/// Requests that the measured proxy receives: their rate, their service times and their tenants.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
@@ -37,9 +37,9 @@
     pub requests_per_second: f64,
     /// Mean service time in milliseconds; half of it is constant, half is exponentially distributed.
     pub latency_ms: f64,
-    /// Requests that arrive before the measurement begins.
+    /// Number of requests that arrive before the measurement begins.
     pub warm_up_requests: u32,
-    /// Least number of requests that one repetition measures.
+    /// Minimum number of requests that one repetition measures.
     pub measured_requests: u32,
     /// Mean number of requests in a batch, which arrive at the same virtual time. Batches are at most 50 ms apart, so
     /// they are smaller at low rates.
@@ -52,7 +52,7 @@
     pub proxy_age_seconds: f64,
 }
 
-/// Sizes of the fleet that are not swept.
+/// Zones and machine types of the fleet, and the sizes that apply outside their sweeps.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetShape {
@@ -61,24 +61,25 @@
     /// Number of machine types.
     #[serde(rename = "kinds")]
     pub machine_types: u32,
-    /// Number of tenants, outside the sweep over tenants.
+    /// Number of tenants outside the sweep over tenants.
     pub tenants: u32,
-    /// Number of request classes, outside the sweep over classes.
+    /// Number of request classes outside the sweep over classes.
     pub classes: u32,
-    /// Least number of proxies. Above it, proxies and backends have the same ratio as at the target.
+    /// Minimum number of proxies. Above this number, proxies and backends have the same ratio as at the target.
     #[serde(rename = "least_proxies")]
     pub min_proxies: u32,
 }
 
-/// Numbers of membership changes in one repetition.
+/// Numbers of membership changes that one repetition measures.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Changes {
-    /// Changes of a single endpoint, of each kind.
+    /// Number of changes of a single endpoint, for each kind of change.
     pub entries: u32,
-    /// Changes of a whole zone; up to 25 times this number in fleets of fewer than 1,000 backends.
+    /// Number of changes of a whole zone; up to 25 times this number in fleets of fewer than 1,000 backends.
     pub zones: u32,
-    /// Complete lists, of each kind; up to 25 times this number in fleets of fewer than 1,000 backends.
+    /// Number of complete lists of each kind, unchanged and replaced; up to 25 times this number in fleets of fewer
+    /// than 1,000 backends.
     pub lists: u32,
 }
 
@@ -98,7 +99,7 @@
     pub open_requests: Vec<u32>,
 }
 
-/// Size of the target fleet, which is measured and to which the fits are extrapolated.
+/// Size of the target fleet, at which costs are measured and to which the fits are extrapolated.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Target {
@@ -110,17 +111,17 @@
     pub tenants: u32,
     /// Number of request classes.
     pub classes: u32,
-    /// Requests per second at one proxy, mean over the proxies.
+    /// Mean request rate of a proxy, requests per second.
     pub requests_per_second: f64,
-    /// Request rate of a hot proxy, as a multiple of the mean rate.
+    /// Request rate of a hot proxy (one that receives more requests than the mean), as a multiple of the mean rate.
     pub hot_factor: f64,
-    /// Changes of configuration per day.
+    /// Number of configuration changes per day.
     pub configuration_changes_per_day: f64,
-    /// Changed endpoints per day.
+    /// Number of changes of an endpoint per day.
     pub entry_changes_per_day: f64,
-    /// Changed endpoints per second while many backends restart.
+    /// Number of changes of an endpoint per second while many backends restart.
     pub burst_changes_per_second: f64,
-    /// The two numbers of backends whose costs are compared.
+    /// Two numbers of backends, ascending; the cost at the larger is compared with the cost at the smaller.
     pub ratio_sizes: [u32; 2],
 }
 
@@ -136,18 +137,19 @@
     pub memory_mb: f64,
     /// Traffic from discovery to one proxy, bytes per second.
     pub control_bytes_per_second: f64,
-    /// Time until a proxy has applied a list, seconds.
+    /// Time from the start of a list's transfer until the proxy has applied the list, seconds.
     pub list_seconds: f64,
     /// File descriptors of one proxy.
     pub descriptors: f64,
-    /// Cost of a request at the larger of the two compared sizes, as a multiple of the cost at the smaller.
+    /// Cost of a request at the larger of `target.ratio_sizes`, as a multiple of the cost at the smaller.
     pub request_ratio: f64,
-    /// Cost of one changed endpoint at the larger of the two compared sizes, as a multiple of the cost at the smaller.
+    /// Cost of one changed endpoint at the larger of `target.ratio_sizes`, as a multiple of the cost at the smaller.
     pub entry_ratio: f64,
 }
 
 impl SlopesScenario {
-    /// Returns the number of proxies for this number of backends, at the target's ratio of proxies to backends.
+    /// Returns the number of proxies in a fleet with this number of backends: the target's ratio of proxies to
+    /// backends, but at least `fleet.least_proxies`.
     #[must_use]
     pub fn proxies_for(&self, backends: u32) -> u32 {
         let proxies_per_backend = f64::from(self.target.proxies) / f64::from(self.target.backends);
--- a/lab/src/slopes/scenario/validation.rs
+++ b/lab/src/slopes/scenario/validation.rs
@@ -1,51 +1,51 @@
-//! Validation of a scenario: the allowed range of each value.
+//! Validation of a `slopes` scenario: the allowed range of each value.
 
 use super::{Budgets, Changes, FleetShape, Load, SlopesScenario, Sweeps, Target};
 use crate::scenario::{InvalidValue, Scenario};
 use crate::units::SECONDS_PER_DAY;
 use std::fmt::Display;
 
-/// Most backends of a fleet; keeps ids and lists far below their own limits.
+/// Maximum number of backends of a fleet; keeps backend ids and endpoint lists far below their limits.
 pub const MAX_BACKENDS: u32 = 50_000;
-/// Most proxies of a fleet.
+/// Maximum number of proxies of a fleet.
 const MAX_PROXIES: u32 = 100_000;
-/// Most tenants; a tenant's index has 16 bits.
+/// Maximum number of tenants; a tenant index has 16 bits.
 const MAX_TENANTS: u32 = u16::MAX as u32;
-/// Most request classes; a class's index has 8 bits.
+/// Maximum number of request classes; a class index has 8 bits.
 const MAX_CLASSES: u32 = u8::MAX as u32;
-/// Most repetitions of a measurement.
+/// Maximum number of repetitions of a measurement.
 pub const MAX_REPETITIONS: u32 = 1_000;
-/// Most zones, which are named by letters, and most machine types.
+/// Maximum number of zones, each named by a letter, and of machine types.
 const MAX_ZONES_OR_MACHINE_TYPES: u32 = 26;
-/// Most requests of one repetition, and most open requests.
+/// Maximum number of requests of one repetition, and of open requests.
 const MAX_REQUESTS: u32 = 1_000_000;
-/// Lowest request rate of one proxy, requests per second.
+/// Minimum request rate of one proxy, requests per second.
 const MIN_REQUESTS_PER_SECOND: f64 = 1.0;
-/// Highest request rate of one proxy, requests per second.
+/// Maximum request rate of one proxy, requests per second.
 const MAX_REQUESTS_PER_SECOND: f64 = 1e6;
-/// Lowest request rate of a hot proxy, as a multiple of the mean rate.
+/// Minimum request rate of a hot proxy, as a multiple of the mean rate.
 const MIN_HOT_FACTOR: f64 = 0.001;
-/// Highest request rate of a hot proxy, as a multiple of the mean rate.
+/// Maximum request rate of a hot proxy, as a multiple of the mean rate.
 const MAX_HOT_FACTOR: f64 = 1_000.0;
-/// Shortest mean service time, milliseconds.
+/// Minimum mean service time, milliseconds.
 const MIN_LATENCY_MS: f64 = 0.001;
-/// Longest mean service time, milliseconds.
+/// Maximum mean service time, milliseconds.
 const MAX_LATENCY_MS: f64 = 60_000.0;
-/// Smallest mean batch, requests.
+/// Minimum mean size of a batch, requests.
 const MIN_BATCH_REQUESTS: f64 = 0.1;
-/// Largest mean batch, requests.
+/// Maximum mean size of a batch, requests.
 const MAX_BATCH_REQUESTS: f64 = 10_000.0;
-/// Largest exponent of the distribution of requests over tenants.
+/// Maximum exponent of the distribution of requests over tenants.
 const MAX_TENANT_SKEW: f64 = 10.0;
-/// Longest time since a proxy's start: a day, in seconds.
+/// Maximum time since a proxy's start: a day, in seconds.
 const MAX_PROXY_AGE_SECONDS: f64 = SECONDS_PER_DAY;
-/// Most membership changes of one kind in a repetition.
+/// Maximum number of membership changes of one kind in a repetition.
 const MAX_CHANGES: u32 = 100_000;
 
 impl Scenario for SlopesScenario {
     fn validate(&self) -> Result<(), InvalidValue> {
         check_ascending("sizes", &self.sizes, MAX_BACKENDS)?;
-        check_integer("repetitions", self.repetitions, 1, MAX_REPETITIONS)?;
+        check_range("repetitions", self.repetitions, 1, MAX_REPETITIONS)?;
         self.load.validate()?;
         self.fleet.validate()?;
         self.changes.validate()?;
@@ -57,38 +57,38 @@
 
 impl Load {
     fn validate(&self) -> Result<(), InvalidValue> {
-        check_number(
+        check_range(
             "load.requests_per_second",
             self.requests_per_second,
             MIN_REQUESTS_PER_SECOND,
             MAX_REQUESTS_PER_SECOND,
         )?;
-        check_number(
+        check_range(
             "load.latency_ms",
             self.latency_ms,
             MIN_LATENCY_MS,
             MAX_LATENCY_MS,
         )?;
-        check_integer(
+        check_range(
             "load.warm_up_requests",
             self.warm_up_requests,
             0,
             MAX_REQUESTS,
         )?;
-        check_integer(
+        check_range(
             "load.measured_requests",
             self.measured_requests,
             1,
             MAX_REQUESTS,
         )?;
-        check_number(
+        check_range(
             "load.batch_requests",
             self.batch_requests,
             MIN_BATCH_REQUESTS,
             MAX_BATCH_REQUESTS,
         )?;
-        check_number("load.tenant_skew", self.tenant_skew, 0.0, MAX_TENANT_SKEW)?;
-        check_number(
+        check_range("load.tenant_skew", self.tenant_skew, 0.0, MAX_TENANT_SKEW)?;
+        check_range(
             "load.proxy_age_seconds",
             self.proxy_age_seconds,
             0.0,
@@ -99,30 +99,30 @@
 
 impl FleetShape {
     fn validate(&self) -> Result<(), InvalidValue> {
-        check_integer("fleet.zones", self.zones, 1, MAX_ZONES_OR_MACHINE_TYPES)?;
-        check_integer(
+        check_range("fleet.zones", self.zones, 1, MAX_ZONES_OR_MACHINE_TYPES)?;
+        check_range(
             "fleet.kinds",
             self.machine_types,
             1,
             MAX_ZONES_OR_MACHINE_TYPES,
         )?;
-        check_integer("fleet.tenants", self.tenants, 1, MAX_TENANTS)?;
-        check_integer("fleet.classes", self.classes, 1, MAX_CLASSES)?;
-        check_integer("fleet.least_proxies", self.min_proxies, 1, MAX_PROXIES)
+        check_range("fleet.tenants", self.tenants, 1, MAX_TENANTS)?;
+        check_range("fleet.classes", self.classes, 1, MAX_CLASSES)?;
+        check_range("fleet.least_proxies", self.min_proxies, 1, MAX_PROXIES)
     }
 }
 
 impl Changes {
     fn validate(&self) -> Result<(), InvalidValue> {
-        check_integer("changes.entries", self.entries, 1, MAX_CHANGES)?;
-        check_integer("changes.zones", self.zones, 1, MAX_CHANGES)?;
-        check_integer("changes.lists", self.lists, 1, MAX_CHANGES)
+        check_range("changes.entries", self.entries, 1, MAX_CHANGES)?;
+        check_range("changes.zones", self.zones, 1, MAX_CHANGES)?;
+        check_range("changes.lists", self.lists, 1, MAX_CHANGES)
     }
 }
 
 impl Sweeps {
     fn validate(&self) -> Result<(), InvalidValue> {
-        check_integer("sweeps.backends", self.backends, 1, MAX_BACKENDS)?;
+        check_range("sweeps.backends", self.backends, 1, MAX_BACKENDS)?;
         check_ascending("sweeps.tenants", &self.tenants, MAX_TENANTS)?;
         check_ascending("sweeps.classes", &self.classes, MAX_CLASSES)?;
         check_ascending("sweeps.proxies", &self.proxies, MAX_PROXIES)?;
@@ -132,17 +132,17 @@
 
 impl Target {
     fn validate(&self) -> Result<(), InvalidValue> {
-        check_integer("target.backends", self.backends, 1, MAX_BACKENDS)?;
-        check_integer("target.proxies", self.proxies, 1, MAX_PROXIES)?;
-        check_integer("target.tenants", self.tenants, 1, MAX_TENANTS)?;
-        check_integer("target.classes", self.classes, 1, MAX_CLASSES)?;
-        check_number(
+        check_range("target.backends", self.backends, 1, MAX_BACKENDS)?;
+        check_range("target.proxies", self.proxies, 1, MAX_PROXIES)?;
+        check_range("target.tenants", self.tenants, 1, MAX_TENANTS)?;
+        check_range("target.classes", self.classes, 1, MAX_CLASSES)?;
+        check_range(
             "target.requests_per_second",
             self.requests_per_second,
             MIN_REQUESTS_PER_SECOND,
             MAX_REQUESTS_PER_SECOND,
         )?;
-        check_number(
+        check_range(
             "target.hot_factor",
             self.hot_factor,
             MIN_HOT_FACTOR,
@@ -177,7 +177,7 @@
     }
 }
 
-/// Creates the error for a value found at `key` in place of the allowed values.
+/// Creates the error for the value `found` at `key`; `allowed` completes "must be ...".
 fn invalid(key: &str, found: impl Display, allowed: &str) -> InvalidValue {
     InvalidValue {
         key: key.to_owned(),
@@ -185,17 +185,14 @@
     }
 }
 
-/// Checks that an integer is in the inclusive range from `min` to `max`.
-fn check_integer(key: &str, value: u32, min: u32, max: u32) -> Result<(), InvalidValue> {
-    if (min..=max).contains(&value) {
-        return Ok(());
-    }
-    Err(invalid(key, value, &format!("{min} to {max}")))
-}
-
-/// Checks that a number is in the inclusive range from `min` to `max`.
-fn check_number(key: &str, value: f64, min: f64, max: f64) -> Result<(), InvalidValue> {
-    if (min..=max).contains(&value) {
+/// Checks that a value is in the inclusive range from `min` to `max`.
+fn check_range<T: PartialOrd + Display>(
+    key: &str,
+    value: T,
+    min: T,
+    max: T,
+) -> Result<(), InvalidValue> {
+    if min <= value && value <= max {
         return Ok(());
     }
     Err(invalid(key, value, &format!("{min} to {max}")))
--- a/lab/src/slopes/setup.rs
+++ b/lab/src/slopes/setup.rs
@@ -1,4 +1,4 @@
-//! The size of a measurement, and the settings of the measured proxy at that size.
+//! The sizes of the fleet in a measurement, and the settings of the measured proxy at these sizes.
 
 use super::scenario::{FleetShape, Load};
 use serde::Serialize;
@@ -6,13 +6,13 @@
 use tillerproxy::api::Settings;
 use tillerproxy::simulator::{ParseSettingsError, parse_settings};
 
-/// Sum of the tenants' quotas, as a multiple of the requests that all proxies receive.
+/// Sum of the tenants' quotas, as a multiple of the request rate of all proxies together.
 const QUOTA_HEADROOM_FACTOR: f64 = 1.2;
 
-/// Number of letters, each of which names a zone; scenarios allow at most this number of zones.
+/// Number of letters that can name a zone; scenarios allow at most this number of zones.
 const ZONE_LETTERS: u32 = 26;
 
-/// The size of one measurement.
+/// Sizes of the fleet in one measurement, and the request rate of the measured proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Setup {
     /// Number of backends.
@@ -31,7 +31,7 @@
     /// Returns the settings of the measured proxy, parsed by tillerproxy's own parser.
     ///
     /// # Errors
-    /// Returns the setting that the parser rejects.
+    /// Returns an error that names the setting that the parser rejects.
     pub fn settings(
         &self,
         fleet: &FleetShape,
@@ -90,7 +90,7 @@
     (0..fleet.zones).map(zone_name).collect()
 }
 
-/// Returns the name of one zone.
+/// Returns the name of the zone with this index, a letter.
 #[must_use]
 pub fn zone_name(zone: u32) -> String {
     char::from_digit(10 + zone % ZONE_LETTERS, 10 + ZONE_LETTERS)
@@ -104,13 +104,13 @@
     (0..fleet.machine_types).map(machine_type_name).collect()
 }
 
-/// Returns the name of one machine type.
+/// Returns the name of the machine type with this index.
 #[must_use]
 pub fn machine_type_name(machine_type: u32) -> String {
     format!("m{}", machine_type + 1)
 }
 
-/// Returns the settings of a class. Classes are idempotent, keyed and non-idempotent in turn.
+/// Returns the settings of the request class with this index. Classes are idempotent, keyed and non-idempotent in turn.
 fn class_json(class: u32) -> Value {
     let (effect, group) = match class % 3 {
         0 => ("retryable", ""),
--- a/lab/src/slopes/stopwatch.rs
+++ b/lab/src/slopes/stopwatch.rs
@@ -1,10 +1,10 @@
-//! Measures processor time of the calling thread, and summarises values over repetitions.
+//! Measures the processor time of the calling thread, and summarises values over repetitions.
 
 use cpu_time::ThreadTime;
 use serde::Serialize;
 use std::time::Duration;
 
-/// Clock readings in a calibration; odd, so that one of them is the median.
+/// Number of clock readings in a calibration; odd, so that one of them is the median.
 const CALIBRATION_READINGS: usize = 1_001;
 
 /// Measures processor time (`CLOCK_THREAD_CPUTIME_ID`), less the cost of reading that clock. The default stopwatch
@@ -33,7 +33,7 @@
         self.overhead
     }
 
-    /// Returns the processor time that `work` takes.
+    /// Runs `work` and returns the processor time that it takes, less the cost of a clock reading.
     pub fn time(&self, work: impl FnOnce()) -> Duration {
         let start = ThreadTime::now();
         work();
@@ -44,12 +44,12 @@
 /// Summary of one quantity over the repetitions.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
-    /// Median of the repetitions.
+    /// Median over the repetitions.
     pub median: f64,
-    /// Minimum of the repetitions.
+    /// Minimum over the repetitions.
     #[serde(rename = "least")]
     pub min: f64,
-    /// Maximum of the repetitions.
+    /// Maximum over the repetitions.
     #[serde(rename = "greatest")]
     pub max: f64,
     /// Value of each repetition, in order.
@@ -83,7 +83,10 @@
     }
 }
 
-/// Returns the median of at least one value, sorted.
+/// Returns the median of a sorted slice.
+///
+/// # Panics
+/// Panics if the slice is empty.
 fn median_of_sorted(sorted: &[f64]) -> f64 {
     let middle = sorted.len() / 2;
     if sorted.len() % 2 == 0 {
--- a/lab/src/slopes/virtual_proxy/attempt.rs
+++ b/lab/src/slopes/virtual_proxy/attempt.rs
@@ -15,7 +15,7 @@
     pub(super) end_reason: EndReason,
 }
 
-/// Why an attempt ends.
+/// Reason why an attempt ends.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum EndReason {
     /// The attempt's deadline passes first.
@@ -42,7 +42,8 @@
         self.elapsed() as f32 / MICROS_PER_MILLISECOND as f32
     }
 
-    /// Returns the balancer's event for the end of the attempt. An answer carries the backend's load report.
+    /// Returns the event that tells the balancer of the end of the attempt. If the backend answers, the event carries
+    /// its load report.
     pub(super) fn end_event<'a>(&self, load_report: &'a [f32]) -> AttemptEnd<'a> {
         let is_answered = self.end_reason == EndReason::Answered;
         AttemptEnd {
--- a/lab/src/slopes/virtual_proxy/counts.rs
+++ b/lab/src/slopes/virtual_proxy/counts.rs
@@ -12,10 +12,10 @@
     pub attempts: u64,
     /// Requests answered by a backend.
     pub served: u64,
-    /// Requests rejected by the balancer.
+    /// Requests to which the balancer gave the final answer "rejected".
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Requests with the final answer "failed".
+    /// Requests to which the balancer gave the final answer "failed".
     pub failed: u64,
     /// Timers that fired.
     pub timers: u64,
--- a/lab/src/slopes/virtual_proxy/mod.rs
+++ b/lab/src/slopes/virtual_proxy/mod.rs
@@ -1,7 +1,7 @@
 //! Simulates one proxy's balancer under load in virtual time. Arrivals, ends of attempts and timers are handled in
 //! batches, whose cost is measured.
 //!
-//! Service times are those of backends with capacity to spare; they do not depend on the balancer's decisions.
+//! Service times do not depend on the balancer's decisions: every backend has capacity to spare.
 
 mod attempt;
 mod counts;
@@ -28,7 +28,7 @@
 /// Unix time at which virtual time starts: 1 January 2025, so that the start times of backends' processes are earlier
 /// than the time of the translator's clock.
 const EPOCH: Micros = 1_735_689_600 * MICROS_PER_SECOND;
-/// Longest time between two batches; short compared with the time for which requests are queued.
+/// Maximum time between two batches; short compared with the time for which requests are queued.
 const MAX_BATCH_INTERVAL: Micros = 50 * MICROS_PER_MILLISECOND;
 /// Weight of the latest request in the mean service time of a load report.
 const LOAD_REPORT_WEIGHT: f32 = 0.125;
@@ -43,7 +43,7 @@
     next_request: u32,
     attempts: BinaryHeap<Reverse<Attempt>>,
     timers: BinaryHeap<Reverse<Timer>>,
-    /// Attempts made so far for each open request.
+    /// Number of attempts made so far for each open request.
     open: HashMap<RequestId, u16>,
     backends_used: HashSet<BackendId>,
     /// Mean service time that each backend reports, milliseconds.
@@ -86,7 +86,7 @@
         Ok(proxy)
     }
 
-    /// Simulates until at least this number of requests has arrived, and measures the cost of all events.
+    /// Simulates until at least `requests` more requests have arrived, and measures the cost of all events.
     pub fn serve(&mut self, requests: u32, stopwatch: &Stopwatch, costs: &mut DecisionCosts) {
         let end = self.counts.requests + u64::from(requests);
         for timing in Timing::ROTATION.into_iter().cycle() {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Simulates until at least this number of requests has arrived, without measuring.
+    /// Simulates until at least `requests` more requests have arrived, without measuring.
     pub fn warm_up(&mut self, requests: u32) {
         let end = self.counts.requests + u64::from(requests);
         let mut ignored = DecisionCosts::default();
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Opens this number of requests. No attempt ends; requests that the balancer rejects are not replaced.
+    /// Submits `count` requests to the balancer and leaves them open: no attempt ends. Requests that the balancer
+    /// rejects are not replaced.
     pub fn submit_requests(&mut self, count: u32) {
         for _ in 0..count {
             let request = self.draw_request();
@@ -139,7 +140,7 @@
         self.now / MICROS_PER_MILLISECOND
     }
 
-    /// Returns the counts since the last call and resets them.
+    /// Returns the counts of events since the last call and resets them.
     pub fn take_counts(&mut self) -> Counts {
         self.counts.backends_used = self.backends_used.len() as u64;
         self.backends_used.clear();
@@ -160,7 +161,7 @@
         self.admit_requests(meter);
     }
 
-    /// Notifies the balancer of the attempts that have ended by now.
+    /// Notifies the balancer of the attempts that have ended at the current virtual time.
     fn end_attempts(&mut self, meter: &mut Meter<'_>) {
         let ended = self.take_ended_attempts();
         let load_reports: Vec<[f32; 3]> = ended
@@ -181,7 +182,7 @@
         self.perform_actions();
     }
 
-    /// Removes and returns the attempts that have ended by now, in the order of their ends.
+    /// Removes and returns the attempts that have ended at the current virtual time, in the order of their ends.
     fn take_ended_attempts(&mut self) -> Vec<Attempt> {
         let mut ended = Vec::new();
         while let Some(&Reverse(attempt)) = self.attempts.peek() {
@@ -235,7 +236,7 @@
         self.counts.max_open = self.counts.max_open.max(self.open.len() as u64);
     }
 
-    /// Draws a request with the next id.
+    /// Draws a request and assigns it the next request id.
     fn draw_request(&mut self) -> Request {
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -250,7 +251,7 @@
         meter.measure(kind, events, |event| balancer.handle(now, *event, actions));
     }
 
-    /// Performs and removes the actions that the balancer has returned.
+    /// Performs the actions that the balancer has returned and clears the buffer.
     fn perform_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -284,7 +285,7 @@
         }
     }
 
-    /// Starts an attempt, whose end is drawn from the service times.
+    /// Starts an attempt, which ends after a random service time or at its deadline, whichever is earlier.
     fn start_attempt(&mut self, request: RequestId, backend: BackendId, deadline: Micros) {
         let attempts_made = self.open.entry(request).or_default();
         let number = *attempts_made;
--- a/lab/src/slopes/virtual_proxy/traffic.rs
+++ b/lab/src/slopes/virtual_proxy/traffic.rs
@@ -11,17 +11,17 @@
 
 /// Timeout of the clients' requests.
 const CLIENT_TIMEOUT: Micros = 2 * MICROS_PER_SECOND;
-/// Constant fraction of the mean service time; the rest is exponentially distributed.
+/// Fraction of the mean service time that every request takes; the rest is exponentially distributed.
 const CONSTANT_FRACTION: f64 = 0.5;
 
 /// Draws requests and their service times.
 pub(super) struct Traffic {
     random: SmallRng,
-    /// Number of requests in a batch.
+    /// Distribution of the number of requests in a batch.
     batch: Poisson<f64>,
-    /// Rank of a request's tenant, from 1.
+    /// Distribution of the rank of a request's tenant, from 1.
     tenant: Zipf<f64>,
-    /// Number of request classes.
+    /// Number of request classes, drawn with equal probability.
     classes: u8,
     mean_service_micros: f64,
 }
@@ -61,7 +61,7 @@
         self.batch.sample(&mut self.random) as usize
     }
 
-    /// Draws the tenant and the class of a request.
+    /// Draws the tenant and the class of a request and returns the request.
     pub(super) fn draw_request(&mut self, id: RequestId) -> Request {
         let tenant_rank = self.tenant.sample(&mut self.random);
         let class = self.random.random_range(0..self.classes);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Draws a service time.
+    /// Draws the service time of an attempt.
     pub(super) fn draw_service_time(&mut self) -> Micros {
         let exponential: f64 = Exp1.sample(&mut self.random);
         let factor = CONSTANT_FRACTION + (1.0 - CONSTANT_FRACTION) * exponential;
--- a/lab/src/units.rs
+++ b/lab/src/units.rs
@@ -1,5 +1,5 @@
-//! Conversion factors between units, and conversions between microseconds (virtual time) and the seconds and
-//! milliseconds of scenarios and reports.
+//! Conversion factors between units, and conversions between microseconds, the unit of virtual time, and the seconds
+//! and milliseconds of scenarios and reports.
 
 use tillerproxy::api::Micros;
 
@@ -33,16 +33,16 @@
 /// Bytes in a megabyte.
 pub const BYTES_PER_MEGABYTE: f64 = 1e6;
 
-/// Percent of a whole: the factor from a fraction to percent.
+/// Factor from a fraction to percent.
 pub const PERCENT: f64 = 100.0;
 
-/// Converts seconds to microseconds.
+/// Converts seconds to microseconds, rounded to a whole number.
 #[must_use]
 pub fn micros_from_seconds(value: f64) -> Micros {
     (value * MICROS_PER_SECOND as f64).round() as Micros
 }
 
-/// Converts milliseconds to microseconds.
+/// Converts milliseconds to microseconds, rounded to a whole number.
 #[must_use]
 pub fn micros_from_milliseconds(value: f64) -> Micros {
     (value * MICROS_PER_MILLISECOND as f64).round() as Micros
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -91,7 +91,7 @@
 }
 
 /// Returns the path of a file in the directory as text for an option.
-fn path_in(directory: &TempDir, name: &str) -> String {
+fn file_path(directory: &TempDir, name: &str) -> String {
     let path = directory.path().join(name);
     path.to_str().expect("a temporary path is UTF-8").to_owned()
 }
@@ -100,10 +100,10 @@
 fn small_run_writes_report_json_csv_and_plot() {
     let directory = TempDir::new().expect("a temporary directory can be created");
     write_scenario(&directory, SMALL);
-    let scenario = path_in(&directory, "given.toml");
-    let json = path_in(&directory, "out.json");
-    let csv = path_in(&directory, "out.csv");
-    let plot = path_in(&directory, "out.svg");
+    let scenario = file_path(&directory, "given.toml");
+    let json = file_path(&directory, "out.json");
+    let csv = file_path(&directory, "out.csv");
+    let plot = file_path(&directory, "out.svg");
     let mut arguments = vec!["--quiet", "--scenario", &scenario];
     arguments.extend(["--json", &json, "--csv", &csv, "--plot", &plot]);
     let output = run_lab(&arguments);
@@ -148,7 +148,7 @@
     );
 }
 
-/// Returns the keys of a JSON object. Readers of result files depend on these names.
+/// Returns the keys of a JSON object. Programs that read result files depend on these names.
 fn object_keys(object: &Value) -> BTreeSet<&str> {
     let object = object.as_object().expect("the value is a JSON object");
     object.keys().map(String::as_str).collect()
