--- a/lab/src/slopes/membership/mod.rs
+++ b/lab/src/slopes/membership/mod.rs
@@ -19,11 +19,11 @@
 use tillerproxy::api::{Backend, MembershipEvent};
 use tillerproxy::proxy::discovery::{DiscoveryError, Translator};
 
-/// Requests that arrive between two measured batches of responses, which keep the proxy under load.
+/// Number of requests that arrive between two measured batches of responses and keep the proxy under load.
 const REQUESTS_BETWEEN_CHANGES: u32 = 20;
 /// Number of backends below which changes of zones and lists are measured more often, since each takes little time.
 const LARGE_FLEET_BACKENDS: u32 = 1_000;
-/// Largest factor by which changes of zones and lists are measured more often in small fleets.
+/// Maximum factor by which changes of zones and lists are measured more often in small fleets.
 const MAX_REPEAT_FACTOR: u32 = 25;
 /// Zone that changes as a whole; the measured proxy is in zone 0.
 const CHANGED_ZONE: u32 = 1;
@@ -81,7 +81,7 @@
     }
 }
 
-/// Sum of the processor time of changes, and their number.
+/// Total processor time of a number of membership changes.
 #[derive(Clone, Copy, Default)]
 struct TotalCost {
     time: Duration,
--- a/lab/src/slopes/virtual_proxy/mod.rs
+++ b/lab/src/slopes/virtual_proxy/mod.rs
@@ -56,8 +56,8 @@
     /// Creates a proxy that started `proxy_age_seconds` ago and has just received the complete list `backends`.
     ///
     /// # Errors
-    /// [`SlopesError::Settings`] if the balancer rejects the generated settings, or the error of the load from
-    /// [`SlopesError::MeanBatch`], [`SlopesError::TenantDistribution`] and [`SlopesError::TooManyClasses`].
+    /// [`SlopesError::Settings`] if the balancer rejects the generated settings; [`SlopesError::MeanBatch`],
+    /// [`SlopesError::TenantDistribution`] or [`SlopesError::TooManyClasses`] if the load can't be generated.
     pub fn new(
         setup: &Setup,
         fleet: &FleetShape,
