--- a/lab/src/slopes/analysis/curve.rs
+++ b/lab/src/slopes/analysis/curve.rs
@@ -1,4 +1,4 @@
-//! Curves: quantities fitted over a sweep.
+//! Curves: fits of a quantity over the sizes of a sweep.
 
 use crate::slopes::fit::Fit;
 use crate::slopes::measure::{Measurements, Point, Sweep};
@@ -6,14 +6,14 @@
 use crate::slopes::scenario::{SlopesScenario, Target};
 use serde::Serialize;
 
-/// A quantity fitted over a sweep.
+/// A fit of one quantity over the sizes of one sweep.
 #[derive(Clone, Debug, Serialize)]
 pub struct Curve {
     /// Sweep over which the quantity is fitted.
     pub sweep: Sweep,
     /// Fitted quantity.
     pub quantity: Quantity,
-    /// Fitted models.
+    /// Line and power law fitted to the medians of the quantity.
     pub fit: Fit,
     /// Value of the swept size at the target.
     pub target_size: u32,
@@ -27,7 +27,7 @@
     for (&sweep, points) in &measurements.sweeps {
         let target_size = target_size(sweep, &scenario.target);
         for quantity in Quantity::ALL {
-            let Some(fit) = Fit::of(&series(sweep, points, quantity)) else {
+            let Some(fit) = Fit::of(&medians_by_size(sweep, points, quantity)) else {
                 continue;
             };
             curves.push(Curve {
@@ -35,23 +35,23 @@
                 quantity,
                 fit,
                 target_size,
-                at_target: fit.at(f64::from(target_size)),
+                at_target: fit.cost_at(f64::from(target_size)),
             });
         }
     }
     curves
 }
 
-/// Returns the medians of a quantity over a sweep as points of (size, median).
+/// Returns a pair (size, median of the quantity) for each point of a sweep at which the quantity was measured.
 #[must_use]
-pub fn series(sweep: Sweep, points: &[Point], quantity: Quantity) -> Vec<(f64, f64)> {
-    let mut series = Vec::new();
+pub fn medians_by_size(sweep: Sweep, points: &[Point], quantity: Quantity) -> Vec<(f64, f64)> {
+    let mut medians = Vec::new();
     for point in points {
         if let Some(median) = point.median(quantity) {
-            series.push((f64::from(sweep.size(&point.setup)), median));
+            medians.push((f64::from(sweep.size(&point.setup)), median));
         }
     }
-    series
+    medians
 }
 
 /// Returns the value of the swept size at the target.
--- a/lab/src/slopes/membership/mod.rs
+++ b/lab/src/slopes/membership/mod.rs
@@ -1,15 +1,16 @@
 //! Measures the cost of membership changes: of single endpoints, of a zone, and of complete lists.
 //!
-//! Each change is measured twice: for the decisions alone, and for the decisions together with tillerproxy's own
+//! Each change is measured twice: for the balancer alone, and for the balancer together with tillerproxy's own
 //! translator of discovery's JSON responses.
 
 mod change;
 
-use super::endpoints::{Endpoint, EndpointState, Endpoints, list_text, parse_backends};
+use super::endpoints::{Endpoints, parse_backends, serialize_list};
 use super::quantity::Quantity;
 use super::scenario::Changes;
 use super::stopwatch::Stopwatch;
 use super::virtual_proxy::VirtualProxy;
+use crate::endpoint_list::{Endpoint, EndpointState};
 use change::EndpointChange;
 use rand::rngs::SmallRng;
 use rand::seq::index;
@@ -18,22 +19,22 @@
 use tillerproxy::api::{Backend, MembershipEvent};
 use tillerproxy::proxy::discovery::{DiscoveryError, Translator};
 
-/// Requests that arrive between two measured batches of responses, which keep the proxy under load.
+/// Number of requests that arrive between two measured batches of responses and keep the proxy under load.
 const REQUESTS_BETWEEN_CHANGES: u32 = 20;
-/// Number of backends below which changes of zones and lists are measured more often, since they take little time.
+/// Number of backends below which changes of zones and lists are measured more often, since each takes little time.
 const LARGE_FLEET_BACKENDS: u32 = 1_000;
-/// Largest factor by which changes of zones and lists are measured more often in small fleets.
+/// Maximum factor by which changes of zones and lists are measured more often in small fleets.
 const MAX_REPEAT_FACTOR: u32 = 25;
 /// Zone that changes as a whole; the measured proxy is in zone 0.
 const CHANGED_ZONE: u32 = 1;
 
-/// Part of the proxy that is measured, by the form of its input.
+/// Components of the proxy whose processor time is measured.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Input {
-    /// Parsed backends: measures the decisions alone.
-    Backends,
-    /// Text of a response: measures the translator and the decisions.
-    Text,
+pub enum MeasuredComponents {
+    /// The balancer alone, which receives backends parsed beforehand.
+    Balancer,
+    /// The translator, which parses the body of a response, and the balancer.
+    TranslatorAndBalancer,
 }
 
 /// Quantities that record the cost of changes of a zone and of complete lists.
@@ -43,16 +44,16 @@
     list_replaced: Quantity,
 }
 
-impl Input {
-    /// Returns the quantities that record costs with this input.
+impl MeasuredComponents {
+    /// Returns the quantities that record the costs of zones and lists for these components.
     fn list_quantities(self) -> ListQuantities {
         match self {
-            Self::Backends => ListQuantities {
+            Self::Balancer => ListQuantities {
                 zone_delta: Quantity::ZoneDelta,
                 list_unchanged: Quantity::ListUnchanged,
                 list_replaced: Quantity::ListReplaced,
             },
-            Self::Text => ListQuantities {
+            Self::TranslatorAndBalancer => ListQuantities {
                 zone_delta: Quantity::ZoneDeltaFromText,
                 list_unchanged: Quantity::ListUnchangedFromText,
                 list_replaced: Quantity::ListReplacedFromText,
@@ -61,16 +62,16 @@
     }
 }
 
-/// A response of discovery.
+/// A response of the discovery service.
 struct Response {
     /// Whether the response holds the complete list rather than a delta.
     complete: bool,
     /// JSON body.
-    text: Vec<u8>,
+    body: Vec<u8>,
 }
 
 impl Response {
-    /// Returns the balancer's event for the backends parsed from this response.
+    /// Returns the membership event that passes the backends parsed from this response to the balancer.
     fn event<'a>(&self, backends: &'a [Backend]) -> MembershipEvent<'a> {
         if self.complete {
             MembershipEvent::Full(backends)
@@ -80,7 +81,7 @@
     }
 }
 
-/// Processor time of a number of changes.
+/// Total processor time of a number of membership changes.
 #[derive(Clone, Copy, Default)]
 struct TotalCost {
     time: Duration,
@@ -126,14 +127,14 @@
         }
     }
 
-    /// Measures the mean processor time of each kind of change in nanoseconds. `endpoints` are those that the proxy
-    /// has, before and after the measurement; `replacements` are the same number of other endpoints.
+    /// Measures the mean processor time of each kind of change in nanoseconds. `endpoints` is the list that the proxy
+    /// has before and after the measurement; `replacements` is a list of the same length with other endpoints.
     ///
     /// # Errors
     /// Returns an error if the translator rejects a response.
     pub fn measure(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         endpoints: &Endpoints,
         replacements: &Endpoints,
         changes: &Changes,
@@ -141,22 +142,23 @@
         let repeat_factor = repeat_factor(endpoints);
         let zone_count = changes.zones * repeat_factor;
         let list_count = changes.lists * repeat_factor;
-        let quantities = input.list_quantities();
-        let mut figures = self.measure_endpoint_changes(input, endpoints, changes.entries)?;
-        let zone_delta = self.measure_zone_changes(input, endpoints, zone_count)?;
-        let unchanged = self.measure_unchanged_lists(input, endpoints, list_count)?;
-        let replaced = self.measure_replaced_lists(input, endpoints, replacements, list_count)?;
+        let quantities = components.list_quantities();
+        let mut figures = self.measure_endpoint_changes(components, endpoints, changes.entries)?;
+        let zone_delta = self.measure_zone_changes(components, endpoints, zone_count)?;
+        let unchanged = self.measure_unchanged_lists(components, endpoints, list_count)?;
+        let replaced =
+            self.measure_replaced_lists(components, endpoints, replacements, list_count)?;
         figures.insert(quantities.zone_delta, zone_delta);
         figures.insert(quantities.list_unchanged, unchanged);
         figures.insert(quantities.list_replaced, replaced);
         Ok(figures)
     }
 
-    /// Measures deltas of one endpoint, at least `min_count` of each kind of change. With [`Input::Text`] only the mean
-    /// over the kinds is returned.
+    /// Measures deltas of one endpoint, at least `min_count` of each kind of change, and returns
+    /// [`endpoint_figures`].
     fn measure_endpoint_changes(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         endpoints: &Endpoints,
         min_count: u32,
     ) -> Result<BTreeMap<Quantity, f64>, DiscoveryError> {
@@ -173,17 +175,17 @@
                     let changed = change.apply(&all[index], unix_ms);
                     responses.push(self.delta(&[changed]));
                 }
-                total.add(self.process(input, &responses)?, responses.len());
+                total.add(self.process(components, &responses)?, responses.len());
             }
         }
-        Ok(endpoint_figures(input, &totals))
+        Ok(endpoint_figures(components, &totals))
     }
 
     /// Measures `count` changes of a whole zone, which alternately begins to drain and becomes ready again. Returns the
     /// mean in nanoseconds.
     fn measure_zone_changes(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         endpoints: &Endpoints,
         count: u32,
     ) -> Result<f64, DiscoveryError> {
@@ -194,31 +196,31 @@
             } else {
                 EndpointState::Active
             };
-            let response = self.delta(&endpoints.of_zone(CHANGED_ZONE, state));
-            total.add(self.process(input, &[response])?, 1);
+            let response = self.delta(&endpoints.in_zone(CHANGED_ZONE, state));
+            total.add(self.process(components, &[response])?, 1);
         }
         Ok(total.mean_nanoseconds())
     }
 
-    /// Measures `count` complete lists that equal the list before. Returns the mean in nanoseconds.
+    /// Measures `count` complete lists that each equal the previous list. Returns the mean in nanoseconds.
     fn measure_unchanged_lists(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         endpoints: &Endpoints,
         count: u32,
     ) -> Result<f64, DiscoveryError> {
         let first = self.complete_list(endpoints);
-        self.process(input, &[first])?;
+        self.process(components, &[first])?;
         let responses: Vec<Response> = (0..count).map(|_| self.complete_list(endpoints)).collect();
-        let time = self.process(input, &responses)?;
+        let time = self.process(components, &responses)?;
         Ok(time.as_nanos() as f64 / f64::from(count))
     }
 
-    /// Measures at least `count` complete lists that have no backend in common with the list before; the last one is
-    /// `endpoints`. Returns the mean in nanoseconds.
+    /// Measures at least `count` complete lists that each have no backend in common with the previous list; the last
+    /// list is `endpoints`. Returns the mean in nanoseconds.
     fn measure_replaced_lists(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         endpoints: &Endpoints,
         replacements: &Endpoints,
         count: u32,
@@ -227,7 +229,7 @@
         for _ in 0..count.div_ceil(2) {
             for next in [replacements, endpoints] {
                 let response = self.complete_list(next);
-                total.add(self.process(input, &[response])?, 1);
+                total.add(self.process(components, &[response])?, 1);
             }
         }
         Ok(total.mean_nanoseconds())
@@ -238,7 +240,7 @@
         self.revision += 1;
         Response {
             complete: false,
-            text: list_text(self.revision, false, endpoints),
+            body: serialize_list(self.revision, false, endpoints),
         }
     }
 
@@ -247,47 +249,47 @@
         self.revision += 1;
         Response {
             complete: true,
-            text: list_text(self.revision, true, endpoints.all()),
+            body: serialize_list(self.revision, true, endpoints.all()),
         }
     }
 
-    /// Processes the responses in order and returns the processor time that this takes. Requests arrive afterwards,
-    /// which is not measured.
+    /// Processes the responses in order and returns the processor time that the components take. Afterwards requests
+    /// arrive, whose cost is not measured.
     fn process(
         &mut self,
-        input: Input,
+        components: MeasuredComponents,
         responses: &[Response],
     ) -> Result<Duration, DiscoveryError> {
-        let time = match input {
-            Input::Backends => self.process_backends(responses)?,
-            Input::Text => self.process_text(responses)?,
+        let time = match components {
+            MeasuredComponents::Balancer => self.process_parsed(responses)?,
+            MeasuredComponents::TranslatorAndBalancer => self.process_bodies(responses)?,
         };
         self.proxy.warm_up(REQUESTS_BETWEEN_CHANGES);
         Ok(time)
     }
 
-    /// Measures the decisions alone; the responses are parsed beforehand.
-    fn process_backends(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
+    /// Measures the balancer alone; the responses are parsed beforehand.
+    fn process_parsed(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
         let mut parsed = Vec::new();
         for response in responses {
-            parsed.push(parse_backends(self.translator, &response.text)?);
+            parsed.push(parse_backends(self.translator, &response.body)?);
         }
         let proxy = &mut *self.proxy;
         let time = self.stopwatch.time(|| {
             for (response, backends) in responses.iter().zip(&parsed) {
-                proxy.update(response.event(backends));
+                proxy.update_membership(response.event(backends));
             }
         });
         Ok(time)
     }
 
-    /// Measures the translator and the decisions together.
-    fn process_text(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
+    /// Measures the translator and the balancer together.
+    fn process_bodies(&mut self, responses: &[Response]) -> Result<Duration, DiscoveryError> {
         let proxy = &mut *self.proxy;
         let translator = &mut *self.translator;
         let mut result = Ok(());
         let time = self.stopwatch.time(|| {
-            result = process_texts(proxy, translator, responses);
+            result = parse_and_update(proxy, translator, responses);
         });
         result?;
         Ok(time)
@@ -295,30 +297,31 @@
 }
 
 /// Parses each response and updates the proxy's membership.
-fn process_texts(
+fn parse_and_update(
     proxy: &mut VirtualProxy,
     translator: &mut Translator,
     responses: &[Response],
 ) -> Result<(), DiscoveryError> {
     for response in responses {
-        let backends = parse_backends(translator, &response.text)?;
-        proxy.update(response.event(&backends));
+        let backends = parse_backends(translator, &response.body)?;
+        proxy.update_membership(response.event(&backends));
     }
     Ok(())
 }
 
-/// Returns the mean over the kinds of change and, with [`Input::Backends`], the mean of each kind, in nanoseconds.
+/// Returns the mean processor time over all kinds of change and, for the balancer alone, the mean of each kind, in
+/// nanoseconds.
 fn endpoint_figures(
-    input: Input,
+    components: MeasuredComponents,
     totals: &[TotalCost; EndpointChange::ALL.len()],
 ) -> BTreeMap<Quantity, f64> {
     let mean = totals.iter().map(TotalCost::mean_nanoseconds).sum::<f64>() / totals.len() as f64;
     let mut figures = BTreeMap::new();
-    match input {
-        Input::Text => {
+    match components {
+        MeasuredComponents::TranslatorAndBalancer => {
             figures.insert(Quantity::EntryFromText, mean);
         }
-        Input::Backends => {
+        MeasuredComponents::Balancer => {
             figures.insert(Quantity::Entry, mean);
             for (change, total) in EndpointChange::ALL.into_iter().zip(totals) {
                 figures.insert(change.quantity(), total.mean_nanoseconds());
@@ -328,7 +331,7 @@
     figures
 }
 
-/// Returns the factor by which changes of zones and lists are measured more often than the scenario says.
+/// Returns the factor by which the scenario's numbers of zone and list changes are multiplied in a small fleet.
 fn repeat_factor(endpoints: &Endpoints) -> u32 {
     let backends = endpoints.all().len().max(1) as u32;
     (LARGE_FLEET_BACKENDS / backends).clamp(1, MAX_REPEAT_FACTOR)
@@ -337,14 +340,14 @@
 /// Returns the body sizes of discovery's responses in bytes: per endpoint, of a delta of one endpoint, of a delta of a
 /// zone, and of a complete list. HTTP heads are not included.
 #[must_use]
-pub fn wire_sizes(endpoints: &Endpoints) -> BTreeMap<Quantity, f64> {
-    let length = |complete, members: &[Endpoint]| list_text(1, complete, members).len() as f64;
+pub fn response_sizes(endpoints: &Endpoints) -> BTreeMap<Quantity, f64> {
+    let length = |complete, members: &[Endpoint]| serialize_list(1, complete, members).len() as f64;
     let all = endpoints.all();
     let list = length(true, all);
     let empty_list = length(true, &[]);
-    // A list has one comma less than endpoints; adding 1 counts a comma for each endpoint.
+    // A JSON array has one comma fewer than elements; adding 1 counts a comma for each endpoint.
     let per_endpoint = (list - empty_list + 1.0) / all.len() as f64;
-    let zone = endpoints.of_zone(CHANGED_ZONE, EndpointState::Draining);
+    let zone = endpoints.in_zone(CHANGED_ZONE, EndpointState::Draining);
     BTreeMap::from([
         (Quantity::EntryBytes, per_endpoint),
         (Quantity::DeltaOfOneBytes, length(false, &all[..1])),
--- a/lab/src/slopes/scenario/defaults.rs
+++ b/lab/src/slopes/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! Built-in values of a scenario. `lab/scenarios/slopes.toml` holds the same values.
+//! Built-in values of a `slopes` scenario. `lab/scenarios/slopes.toml` contains the same values.
 
 use super::{Budgets, Changes, FleetShape, Load, SlopesScenario, Sweeps, Target};
 
@@ -38,7 +38,7 @@
             machine_types: 3,
             tenants: 100,
             classes: 4,
-            least_proxies: 3,
+            min_proxies: 3,
         }
     }
 }
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -8,7 +8,9 @@
 use tempfile::TempDir;
 use tillerproxy_lab::error::LabError;
 use tillerproxy_lab::scenario::{parse, read};
-use tillerproxy_lab::slopes::endpoints::{Endpoints, list_text, parse_backends, translator};
+use tillerproxy_lab::slopes::endpoints::{
+    Endpoints, new_translator, parse_backends, serialize_list,
+};
 use tillerproxy_lab::slopes::fit::{Fit, Model};
 use tillerproxy_lab::slopes::measure::{Point, Sweep};
 use tillerproxy_lab::slopes::quantity::Quantity;
@@ -89,7 +91,7 @@
 }
 
 /// Returns the path of a file in the directory as text for an option.
-fn path_in(directory: &TempDir, name: &str) -> String {
+fn file_path(directory: &TempDir, name: &str) -> String {
     let path = directory.path().join(name);
     path.to_str().expect("a temporary path is UTF-8").to_owned()
 }
@@ -98,10 +100,10 @@
 fn small_run_writes_report_json_csv_and_plot() {
     let directory = TempDir::new().expect("a temporary directory can be created");
     write_scenario(&directory, SMALL);
-    let scenario = path_in(&directory, "given.toml");
-    let json = path_in(&directory, "out.json");
-    let csv = path_in(&directory, "out.csv");
-    let plot = path_in(&directory, "out.svg");
+    let scenario = file_path(&directory, "given.toml");
+    let json = file_path(&directory, "out.json");
+    let csv = file_path(&directory, "out.csv");
+    let plot = file_path(&directory, "out.svg");
     let mut arguments = vec!["--quiet", "--scenario", &scenario];
     arguments.extend(["--json", &json, "--csv", &csv, "--plot", &plot]);
     let output = run_lab(&arguments);
@@ -146,7 +148,7 @@
     );
 }
 
-/// Returns the keys of a JSON object. Readers of result files depend on these names.
+/// Returns the keys of a JSON object. Programs that read result files depend on these names.
 fn object_keys(object: &Value) -> BTreeSet<&str> {
     let object = object.as_object().expect("the value is a JSON object");
     object.keys().map(String::as_str).collect()
@@ -271,7 +273,7 @@
     assert_eq!(fit.better, Model::Line);
     assert!((fit.line.intercept - 50.0).abs() < 1e-6, "{fit:?}");
     assert!((fit.line.slope - 2.0).abs() < 1e-9, "{fit:?}");
-    assert!((fit.at(6_000.0) - 12_050.0).abs() < 1e-4, "{fit:?}");
+    assert!((fit.cost_at(6_000.0) - 12_050.0).abs() < 1e-4, "{fit:?}");
 }
 
 #[test]
@@ -326,9 +328,9 @@
 fn translator_parses_every_endpoint_of_a_generated_list() {
     let fleet = SlopesScenario::default().fleet;
     let endpoints = Endpoints::generate(300, &fleet, 1);
-    let text = list_text(1, true, endpoints.all());
+    let body = serialize_list(1, true, endpoints.all());
     let backends =
-        parse_backends(&mut translator(&fleet), &text).expect("a generated list can be parsed");
+        parse_backends(&mut new_translator(&fleet), &body).expect("a generated list can be parsed");
     assert_eq!(backends.len(), 300);
     let zones: BTreeSet<u16> = backends.iter().map(|backend| backend.zone.0).collect();
     assert_eq!(zones.len(), 5);
