--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -121,9 +121,9 @@
     ///
     /// Deviation from plain AIMD: a proxy whose share of the machine type's limit is below one slot sends to a backend
     /// once in many seconds, too seldom for windows. The backend's limit is then set at once to that of the machine
-    /// type, scaled by how the backend compares with others of its type. A slower backend, whatever the cause, thus
-    /// receives less from all proxies alike. A factor older than [`REPORT_TTL`] is dropped when the limit of
-    /// the machine type is next evaluated.
+    /// type, times a factor: the mean service time of the machine type over that of the backend, within bounds. A
+    /// slower backend, whatever the cause, thus receives less from all proxies alike. A factor older than
+    /// [`REPORT_TTL`] is dropped when the limit of the machine type is next evaluated.
     pub(crate) fn record_service_time(
         &mut self,
         now: Micros,
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -30,8 +30,8 @@
                 let delay = self.subscription.next_delay(&self.settings, &mut self.rng);
                 subscribe_after(delay, out);
             }
-            // Deviation: there is no backoff after a stalled watch, because a change that it misses counts as known to
-            // this proxy soon.
+            // Deviation: there is no backoff after a stalled watch, because this proxy soon counts as notified of any
+            // change that the watch has missed.
             MembershipEvent::WatchStalled => out.push(Action::Subscribe),
         }
     }
@@ -57,7 +57,7 @@
         self.serve_queue(now, out);
     }
 
-    /// Marks backends as removed that are not on the last complete list.
+    /// Marks the backends that are not on the last complete list as removed.
     fn remove_unlisted(&mut self, changes: &mut Vec<Change>) {
         let generation = self.list_generation;
         for key in self.backends.keys() {
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -1,4 +1,4 @@
-//! Updates of the policies at the end of an attempt.
+//! Updates the state that the policies keep when an attempt ends.
 
 use super::Balancer;
 use super::backends::BackendKey;
@@ -22,8 +22,8 @@
 }
 
 impl Balancer {
-    /// Updates every policy with the end of an attempt. An attempt with a streamed response ends here when the response
-    /// starts.
+    /// Updates the state of every policy with the end of an attempt. An attempt with a streamed response ends here when
+    /// the response starts.
     ///
     /// The steps run in this order:
     ///
--- a/src/balancer/outcome/tests.rs
+++ b/src/balancer/outcome/tests.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn failed_effects_are_failures_with_their_weight_and_all_others_have_weight_one() {
+fn only_failed_effects_are_failures_and_all_other_effects_have_weight_one() {
     for effect in [FAILED, REFUSED_CONNECTION, BROKEN_CONNECTION] {
         assert!(effect.is_failure(), "{effect:?}");
     }
--- a/src/balancer/quotas.rs
+++ b/src/balancer/quotas.rs
@@ -19,7 +19,7 @@
 /// The quota and the recent requests of one tenant at this proxy.
 #[derive(Clone, Copy)]
 struct Tenant {
-    /// Requests per second within the quota at this proxy.
+    /// This proxy's share of the tenant's quota, in requests per second.
     rate_per_s: f64,
     /// Tokens in the bucket at `last_request_at`.
     tokens: f64,
--- a/src/balancer/retries/tests.rs
+++ b/src/balancer/retries/tests.rs
@@ -271,8 +271,8 @@
     }
 }
 
-/// Empties the budget and returns the number of tokens that it held.
-fn empty(budget: &mut RetryBudget) -> u32 {
+/// Withdraws all tokens of the budget and returns their number.
+fn withdraw_all(budget: &mut RetryBudget) -> u32 {
     let mut withdrawals = 0;
     while budget.has_token() {
         budget.withdraw();
@@ -283,13 +283,13 @@
 
 #[test]
 fn a_full_budget_permits_a_burst_of_ten_retries() {
-    assert_eq!(empty(&mut RetryBudget::new()), 10);
+    assert_eq!(withdraw_all(&mut RetryBudget::new()), 10);
 }
 
 #[test]
 fn ten_requests_add_one_token() {
     let mut budget = RetryBudget::new();
-    empty(&mut budget);
+    withdraw_all(&mut budget);
     for _ in 0..9 {
         budget.deposit();
     }
@@ -297,11 +297,11 @@
     // Ten deposits of 0.1 may add up to slightly less than one token because of rounding, so an eleventh is made.
     budget.deposit();
     budget.deposit();
-    assert_eq!(empty(&mut budget), 1);
+    assert_eq!(withdraw_all(&mut budget), 1);
     for _ in 0..50 {
         budget.deposit();
     }
-    assert_eq!(empty(&mut budget), 5);
+    assert_eq!(withdraw_all(&mut budget), 5);
 }
 
 #[test]
@@ -310,5 +310,5 @@
     for _ in 0..1_000 {
         budget.deposit();
     }
-    assert_eq!(empty(&mut budget), 10);
+    assert_eq!(withdraw_all(&mut budget), 10);
 }
--- a/src/balancer/selection/tests.rs
+++ b/src/balancer/selection/tests.rs
@@ -13,7 +13,7 @@
     Tied(BTreeSet<BackendKey>),
     /// Backends that tie for the greatest limit but have no slot. A proxy with nothing in flight may use one of them.
     WithoutSlot(BTreeSet<BackendKey>),
-    /// No backend may be selected.
+    /// No backend is eligible.
     Nothing,
 }
 
@@ -156,7 +156,10 @@
             let request = proxy.open_request();
             let ties = compare(&mut proxy.balancer, now, request).unwrap_or_else(
                 |Mismatch { scanned, selected }| {
-                    panic!("seed {seed}, step {step}: {scanned:?}, selected {selected:?}")
+                    panic!(
+                        "seed {seed}, step {step}: the scan found {scanned:?}, but the indexed selection returned \
+                         {selected:?}"
+                    )
                 },
             );
             compared += 1;
@@ -186,7 +189,8 @@
                 .collect();
             drawn.sort_unstable();
             for draws_of_one in drawn.chunk_by(|one, next| one == next) {
-                // At most six standard deviations from the expected count.
+                // The number of draws of each tied backend may deviate from the expected number by at most six standard
+                // deviations.
                 let deviation = draws_of_one.len().abs_diff(DRAWS);
                 assert!(
                     deviation * deviation <= 36 * DRAWS,
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -67,7 +67,8 @@
         self.available(now) >= 1.0
     }
 
-    /// Reports whether the budget holds a token without those that have accrued since its last refill.
+    /// Reports whether the stored tokens suffice for an attempt: those as of the last refill, less withdrawals and plus
+    /// deposits since then. Tokens that have accrued since the refill are not counted.
     pub(crate) fn has_stored_token(&self) -> bool {
         self.tokens >= 1.0
     }
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -24,14 +24,14 @@
 const DELAY_AND_CALL_DURATION: Micros = 8 * SECOND;
 /// Number of poll intervals within which a proxy without a watch must receive a list after a failed call.
 const POLL_INTERVALS_AFTER_FAILURE: u64 = 4;
-/// Longest delay before a call. From 6 s after discovery has a change and can be reached, the change counts as known to
-/// every proxy, which must have received it by that time. The call takes up to 3.5 s of the 6 s.
+/// Longest delay before a call. Every proxy counts as notified of a change from 6 s after discovery has the change and
+/// can be reached, and must have received it by that time. The call takes up to 3.5 s of the 6 s.
 const MAX_DELAY: Micros = 5 * SECOND / 2;
 
 /// Backoff of calls to discovery, which grows with the failures since the last list.
 #[derive(Default)]
 pub(crate) struct SubscriptionBackoff {
-    /// Calls that have failed, or watches that broke, since the last list was received.
+    /// Number of failed calls and broken watches since the last list was received.
     failures: u32,
 }
 
--- a/src/balancer/timers.rs
+++ b/src/balancer/timers.rs
@@ -5,13 +5,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of low bits of a token that hold the purpose of the timer. The other bits hold the index of the request's
-/// table key.
+/// Number of low bits of a token that hold the kind of the timer, its purpose. The other bits hold the index of the
+/// request's table key.
 const PURPOSE_BITS: u32 = 2;
 const PURPOSE_MASK: u32 = (1 << PURPOSE_BITS) - 1;
-/// Purpose of a [`Timer::QueueTimeout`].
+/// Value of the purpose bits in the token of a [`Timer::QueueTimeout`].
 const QUEUE_TIMEOUT: u32 = 0;
-/// Purpose of a [`Timer::Subscribe`].
+/// Value of the purpose bits in the token of a [`Timer::Subscribe`].
 const SUBSCRIBE: u32 = 1;
 
 /// A timer that the balancer sets.
