--- a/src/proxy/discovery/backend_ids.rs
+++ b/src/proxy/discovery/backend_ids.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub(super) struct BackendIds {
     by_name: FxHashMap<String, BackendId>,
-    /// The ids of all names.
+    /// The ids that are assigned to backends at present.
     assigned: FxHashSet<BackendId>,
 }
 
--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -4,8 +4,8 @@
 //! deliver the change: [`MAX_CHANGE_DELAY_AFTER_STALL`] after the watch stalled, or
 //! [`MAX_CHANGE_DELAY_AFTER_LONG_POLL`] after the long-poll timeout of the stalled watch if that is later;
 //! [`MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE`] after a change of discovery's address. From this deadline on, the proxy
-//! counts as knowing the change. The watch must be open again before the deadline, although the call that opens it may
-//! be queued at discovery for 2 s. The timeouts below allow for that.
+//! counts as notified of the change. The watch must be open again before the deadline, although the call that opens it
+//! may be queued at discovery for 2 s. The timeouts below allow for that.
 
 use crate::spread::golden_ratio_position;
 use std::time::Duration;
@@ -47,15 +47,15 @@
         + PUSHED_RETRY_DELAY.as_millis();
     assert!(
         pushed_retry_ms < MAX_CHANGE_DELAY_AFTER_STALL.as_millis(),
-        "a stalled watch on an agent must be opened again before its changes must have been applied"
+        "a stalled watch on an agent must be reopened before the deadline for applying a change"
     );
     assert!(
         WATCH_STALL_DELAY.as_millis() < MAX_CHANGE_DELAY_AFTER_LONG_POLL.as_millis(),
-        "a stalled watch on a shared discovery must fail before its changes must have been applied"
+        "a stalled watch on a shared discovery must fail before the deadline for applying a change"
     );
     assert!(
         QUEUED_CALL_TIMEOUT.as_millis() < MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE.as_millis(),
-        "the first call to a new address must end before its changes must have been applied"
+        "the first call to a new address must end before the deadline for applying a change"
     );
 };
 
--- a/src/proxy/discovery/start_times.rs
+++ b/src/proxy/discovery/start_times.rs
@@ -31,7 +31,8 @@
     }
 
     /// Returns the start time of a backend on the proxy's clock; `None` if the backend started long ago. The time is
-    /// converted only if it differs from the one that discovery listed before, because the backend restarted.
+    /// converted again only if discovery lists another one than before, since the backend has restarted; otherwise the
+    /// earlier result is returned.
     pub(super) fn convert(&mut self, id: BackendId, unix_ms: u64) -> Option<Micros> {
         if let Some(known) = self.converted.get(&id)
             && known.unix_ms == unix_ms
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -82,7 +82,7 @@
     handle: DriverHandle,
     /// Marked ready once the proxy has an endpoint list from discovery, or a cached one with a ready backend.
     lifecycle: Rc<Lifecycle>,
-    /// `None` if discovery is an agent on the same machine.
+    /// Polling of a shared discovery; `None` if discovery is an agent on the same machine.
     polling: Option<Polling>,
     /// Revision of the list that the proxy holds; `None` if the next call must request the complete list.
     revision: Option<u64>,
