--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -23,7 +23,8 @@
     Idempotent,
     /// Backends drop a repeated request by its idempotency key, within the key's scope and until the key expires.
     Keyed {
-        /// The backends that share their keys.
+        /// The backends that drop a repeated request, because each of them knows the keys that the others have
+        /// received.
         scope: KeyScope,
         /// Time from the first attempt until the key expires.
         ttl: Micros,
--- a/src/proxy/backends/exchange.rs
+++ b/src/proxy/backends/exchange.rs
@@ -88,7 +88,7 @@
         && buffer.len() <= BUFFERED_BODY_BYTES
 }
 
-/// Returns whether the response can become complete. A response that cannot fails at once, which leaves time for
+/// Returns whether the response can become complete. If it cannot, the attempt fails at once, which leaves time for
 /// another attempt instead of reading up to gigabytes without a result. A response that ends with its connection must
 /// announce the close, because it could otherwise not be distinguished from a response whose length was lost.
 fn can_become_complete(response: &Response<Incoming>) -> bool {
--- a/src/proxy/backends/listed_backends.rs
+++ b/src/proxy/backends/listed_backends.rs
@@ -32,8 +32,8 @@
     ) {
         let mut by_id = self.by_id.borrow_mut();
         if readiness == Readiness::Removed {
-            // Attempts in flight keep the `BackendConnections` until they end. A backend that is listed with the same
-            // id later gets a new value.
+            // Attempts in flight keep the `BackendConnections` until they end. If a backend with the same id is listed
+            // later, it gets a new `BackendConnections`.
             if let Some(backend) = by_id.remove(&id) {
                 backend.remove();
             }
--- a/src/proxy/backends/response.rs
+++ b/src/proxy/backends/response.rs
@@ -38,7 +38,7 @@
 
 /// A body of which only the beginning has arrived.
 pub(super) struct PartialBody {
-    /// The part that was read.
+    /// The part of the body that was read.
     pub(super) first: BufferedBody,
     /// The rest of the body.
     pub(super) rest: Incoming,
--- a/src/proxy/backends/stray_bytes.rs
+++ b/src/proxy/backends/stray_bytes.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after a response for which a connection is not used again while stray bytes are recent. A second response
+/// Delay from a response until its connection is used again, if stray bytes have arrived recently. A second response
 /// arrives some milliseconds after the first. If another request was sent in between, the second response would be
 /// taken for its response.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
-/// Time for which stray bytes count as recent.
+/// Time after the arrival of stray bytes during which [`REUSE_DELAY`] applies.
 const RECENT_STRAY_BYTES: Duration = Duration::from_secs(60);
 
 /// The time of the last stray bytes on any connection.
@@ -21,8 +21,8 @@
         self.0.set(Some(Instant::now()));
     }
 
-    /// Returns how long a connection is not used again after a response. Deviation: there is a delay only while stray
-    /// bytes are recent, because a delay costs capacity.
+    /// Returns the delay from a response until its connection is used again. Deviation: there is a delay only if stray
+    /// bytes have arrived recently, because a delay costs capacity.
     pub(super) fn reuse_delay(&self) -> Duration {
         let are_recent = self
             .0
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -52,7 +52,7 @@
         self.consumed.get()
     }
 
-    /// Returns whether the client broke the body off, or sent it too slowly or too much of it.
+    /// Returns whether the upload has failed: the body ended early, arrived too slowly or was too large.
     #[must_use]
     pub fn has_failed(&self) -> bool {
         self.state.get() == UploadState::Failed
--- a/src/proxy/clients/headers.rs
+++ b/src/proxy/clients/headers.rs
@@ -40,7 +40,7 @@
         .filter_map(|name| name.parse().ok())
         .collect();
     for name in named_by_connection {
-        // The headers that identify a request are kept, so that a client cannot have them removed.
+        // The headers that identify a request are forwarded even if the client lists them in `Connection`.
         if name != CORRELATION_ID && name != IDEMPOTENCY_KEY {
             headers.remove(name);
         }
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -177,7 +177,8 @@
             allowed: class.method.clone(),
         });
     }
-    // Without the key, a backend would execute a request again that is sent twice (rule 2, idempotency).
+    // Without an idempotency key, a backend would execute a request that is sent twice a second time (rule 2,
+    // idempotency).
     if class.needs_key && ascii_header(head, &IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
         return Err(InvalidRequest::MissingIdempotencyKey);
     }
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -21,7 +21,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The minimum time after its head in which a body may arrive, even if the head was late. [`BodyDeadline`] extends it
+/// The minimum grace period of a request body after the head, even if the head was late. [`BodyDeadline`] extends it
 /// according to the bytes that have arrived.
 const MIN_BODY_TIME: Duration = Duration::from_millis(300);
 
--- a/src/proxy/counters.rs
+++ b/src/proxy/counters.rs
@@ -168,8 +168,8 @@
     counter.set(counter.get() + 1);
 }
 
-/// Counts a request as in progress until it is dropped. The request is then counted by the outcome that was set. If
-/// none was set, its client disconnected, and the request is not counted.
+/// Counts a request as in progress until the guard is dropped. The request is then counted by the outcome that was set.
+/// If none was set, its client disconnected, and the request is not counted.
 pub struct RequestTicket {
     counters: Rc<Counters>,
     class: ClassIndex,
--- a/src/proxy/driver/margins.rs
+++ b/src/proxy/driver/margins.rs
@@ -5,18 +5,19 @@
 /// Time between the timeout that the balancer is given and the client's timeout, in which the response must be written
 /// and transmitted.
 const BALANCER_MARGIN: Micros = 20_000;
-/// Time before the client's timeout at which a request fails that has not been answered.
+/// Time before the client's timeout at which an unanswered request fails.
 const FINAL_ANSWER_MARGIN: Micros = 10_000;
 /// Time before the end of the process by which all requests must be answered.
 const SHUTDOWN_MARGIN: Micros = 100_000;
 
 /// Returns the timeout that the balancer is given for a request whose client waits for `remaining`: at least half of
-/// it.
+/// `remaining`.
 pub(super) fn balancer_timeout(remaining: Micros) -> Micros {
     remaining.saturating_sub(BALANCER_MARGIN.min(remaining / 2))
 }
 
-/// Returns the time after which a request fails whose client waits for `remaining`: at least three quarters of it.
+/// Returns the time after which an unanswered request fails if its client waits for `remaining`: at least three
+/// quarters of `remaining`.
 pub(super) fn final_answer_timeout(remaining: Micros) -> Micros {
     remaining.saturating_sub(FINAL_ANSWER_MARGIN.min(remaining / 4))
 }
--- a/src/proxy/read_ahead/tests.rs
+++ b/src/proxy/read_ahead/tests.rs
@@ -25,7 +25,7 @@
 }
 
 /// Returns the memory for bodies of a process with 5 MB in all: 1 MB.
-fn memory() -> MemoryBudget {
+fn one_mb_of_body_memory() -> MemoryBudget {
     body_memory(5)
 }
 
@@ -41,7 +41,7 @@
 
 #[test]
 fn bytes_are_returned_in_order_and_their_memory_is_released() {
-    let (memory, mut ahead) = (memory(), ReadAhead::default());
+    let (memory, mut ahead) = (one_mb_of_body_memory(), ReadAhead::default());
     let held = fill(&mut ahead, &memory);
     assert_eq!(held, 1 << 20, "all memory for bodies is used");
     assert!(memory.reserve(1).is_none());
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_connection_holds_at_most_the_maximum() {
+fn a_connection_reads_at_most_max_read_ahead_bytes_ahead() {
     let (memory, mut ahead) = (body_memory(200), ReadAhead::default());
     assert_eq!(fill(&mut ahead, &memory), MAX_READ_AHEAD_BYTES);
 }
--- a/src/proxy/shutdown.rs
+++ b/src/proxy/shutdown.rs
@@ -15,8 +15,8 @@
 const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(300);
 /// Interval at which the proxy checks whether to stop accepting connections.
 const ACCEPT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time from the longest client timeout until the process ends, even if clients are still connected. The time of the
-/// last answer is calculated with the same margin.
+/// Time from the end of the longest client timeout to the end of the process, which then ends even if clients are still
+/// connected. The deadline of the last answer is calculated with the same margin.
 const PROCESS_END_MARGIN: Duration = Duration::from_millis(500);
 /// Upper limit of the client timeout in the calculation of the last answer's time. The process supervisor may kill the
 /// process 0.7 s after this time.
