--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -8,7 +8,7 @@
 use super::retries;
 use crate::api::{Action, AttemptEnd, Idempotency, Micros, Outcome, RequestId};
 
-/// Timeout of an attempt that may be retried, of a class that is not quick, as a multiple of the class's mean latency.
+/// Timeout of an attempt that may be retried and whose class is not quick, as a multiple of the class's mean latency.
 /// Such a class has a mean above a twentieth of its latency objective, so this timeout is past the objective and only
 /// bounds how long a lost attempt delays its retry.
 const LOST_OVER_MEAN: f64 = 24.0;
@@ -23,7 +23,7 @@
 
 impl Balancer {
     /// Starts an attempt on a backend that [`Balancer::select_backend`] returned for the request. No other function
-    /// starts one.
+    /// starts an attempt.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -80,8 +80,8 @@
 
     /// Returns the timeout of an attempt that starts now.
     ///
-    /// Deviation: an attempt that may be retried times out before the request's deadline. Without a response long after
-    /// the usual latency, it was probably lost (its connection may have failed unnoticed), and waiting until the
+    /// Deviation: an attempt that may be retried times out before the request's deadline. An attempt without a response
+    /// long after the usual latency was probably lost (its connection may have failed unnoticed), and waiting until the
     /// deadline would leave no time for a retry.
     fn attempt_timeout(&self, now: Micros, request: RequestKey) -> AttemptTimeout {
         let request = &self.requests[request];
@@ -235,7 +235,8 @@
         self.serve_queue(now, out);
     }
 
-    /// Returns the time from which backends may forget the idempotency key of a request (rule 2, idempotency).
+    /// Returns the time from which backends may forget the idempotency key of a request (rule 2, idempotency); `None`
+    /// if the request has no key or was certainly not executed.
     fn key_expires_at(&self, key: RequestKey) -> Option<Micros> {
         let request = &self.requests[key];
         let idempotency = self.settings.class(request.class).idempotency;
--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -110,7 +110,7 @@
     /// Updates the proxy's capacity from the present limits.
     ///
     /// All members of a group are first counted with the limit of their machine type; for backends with a limit of
-    /// their own, the difference from it is then added.
+    /// their own, the difference from that limit is then added.
     pub(super) fn evaluate_capacity(&mut self, now: Micros) {
         let limit_of_group = |group: &Group| {
             let limit = self.machine_type_limit(group.zone(), group.machine_type());
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Returns the factor on this proxy's share of a slow-start budget that makes up for rounding the limit to whole
-    /// slots.
+    /// Returns the factor that makes up for rounding the limit to whole slots, applied to this proxy's share of a
+    /// slow-start budget.
     ///
     /// Deviation: if the limit is below one slot, only some proxies have a slot on the backend. Proxies without a slot
     /// cannot use their share of its budget, so proxies with a slot receive a greater share.
--- a/src/balancer/connections.rs
+++ b/src/balancer/connections.rs
@@ -95,7 +95,7 @@
         self.used_at.truncate(number + 1);
     }
 
-    /// Records the end of an attempt. `in_flight` does not include it any more.
+    /// Records the end of an attempt. `in_flight` no longer includes this attempt.
     pub(crate) fn release(&mut self, now: Micros, in_flight: u32, per_connection: u32) {
         let number = connection_number(in_flight, per_connection);
         if let Some(used_at) = self.used_at.get_mut(number) {
--- a/src/balancer/connections/tests.rs
+++ b/src/balancer/connections/tests.rs
@@ -90,7 +90,7 @@
     connections.release(40, 0, 2);
     assert_eq!(connections.take(100, 0, 2), 60);
     assert_eq!(connections.take(150, 1, 2), 0, "the same connection");
-    assert_eq!(connections.take(150, 2, 2), 0, "a new one");
+    assert_eq!(connections.take(150, 2, 2), 0, "a new connection");
 }
 
 #[test]
@@ -104,8 +104,8 @@
     }
     connections.close_idle(0, 1);
     assert_eq!(connections.take(100, 0, 1), 80);
-    assert_eq!(connections.take(100, 1, 1), 0, "a new one");
-    assert_eq!(connections.take(100, 2, 1), 0, "a new one");
+    assert_eq!(connections.take(100, 1, 1), 0, "a new connection");
+    assert_eq!(connections.take(100, 2, 1), 0, "a new connection");
 }
 
 #[test]
--- a/src/balancer/index/group.rs
+++ b/src/balancer/index/group.rs
@@ -119,7 +119,7 @@
         runs.iter().map(|run| self.members.count(run.clone())).sum()
     }
 
-    /// Returns the `nth` indexed member of these runs, counted from 0.
+    /// Returns the `nth` indexed member of these runs, counted from 0, or `None` if they have fewer.
     pub(super) fn nth(&self, runs: &Runs, nth: usize) -> Option<BackendKey> {
         let [first, second] = runs;
         let rank = match nth.checked_sub(self.members.count(first.clone())) {
--- a/src/balancer/index/mod.rs
+++ b/src/balancer/index/mod.rs
@@ -267,7 +267,7 @@
         None
     }
 
-    /// Returns one of the candidates at random, each with the same probability.
+    /// Returns one of the candidates at random, each with the same probability, or `None` if there are no candidates.
     pub(crate) fn pick_random(&self, candidates: &Candidates, rng: &mut Rng) -> Option<BackendKey> {
         match candidates {
             Candidates::One(backend) => Some(*backend),
--- a/src/balancer/index/ranked_set.rs
+++ b/src/balancer/index/ranked_set.rs
@@ -15,14 +15,14 @@
 #[derive(Clone, Copy)]
 pub(crate) struct MemberChange<V> {
     pub(crate) id: BackendId,
-    /// Value to insert or to replace the present one with; `None` to remove the backend from the set.
+    /// Value to insert, or to replace the present value with; `None` to remove the backend from the set.
     pub(crate) value: Option<V>,
 }
 
 /// A set of backends in the order of their ids, each with a value and a flag.
 ///
 /// The rank of a member is its position in that order. Finding a rank takes logarithmic time; reading or setting a flag
-/// by rank takes constant time. To count the flagged members of a range or to find the nth of them reads one 64-bit
+/// by rank takes constant time. Counting the flagged members of a range, or finding the nth of them, reads one 64-bit
 /// word for every 64 members of the range.
 pub(crate) struct RankedSet<V> {
     ids: Vec<BackendId>,
--- a/src/balancer/index/tests.rs
+++ b/src/balancer/index/tests.rs
@@ -12,7 +12,7 @@
     is_flagged: bool,
 }
 
-/// A ranked set, and an ordered map as its model, to which the same changes are applied.
+/// A ranked set and an ordered map as its model. The same changes are applied to both.
 #[derive(Default)]
 struct ModelledSet {
     set: RankedSet<usize>,
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -33,10 +33,11 @@
 const INITIAL_MEAN_OVER_OBJECTIVE: f64 = 1.0 / 4.0;
 /// Weight of a new sample in the exponentially weighted means of latencies and of service times.
 pub(crate) const MEAN_SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
-/// Growth of the base latency per second, as a fraction of it. Without growth, the base latency would stay too low
-/// after all backends have become slower.
+/// Growth of the base latency per second, as a fraction of the base latency. Without growth, the base latency would
+/// stay too low after all backends have become slower.
 const BASE_GROWTH_PER_SECOND: f64 = 0.01;
-/// Time for which a backend that was slow is preferred less than others with the same available capacity.
+/// Time from the last sample of a backend until its recent latency expires. Until then, a backend that was slow is
+/// preferred less than others with the same available capacity.
 const RECENT_LATENCY_TTL: Micros = 5 * SECOND;
 
 /// Latency estimate of a class on one machine type.
@@ -71,7 +72,7 @@
         self.base < f64::MAX
     }
 
-    /// Returns the latency threshold in microseconds. Latencies divided by it are the samples of limits.
+    /// Returns the latency threshold in microseconds. A sample for limits is a latency divided by this threshold.
     pub(crate) fn threshold(&self, latency_objective: Micros) -> f64 {
         let from_base = self.base * THRESHOLD_OVER_BASE;
         from_base.min(latency_objective as f64 * MAX_THRESHOLD_OVER_OBJECTIVE)
--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -18,7 +18,7 @@
 
 /// Numerator of the fraction of taken slots, three quarters, from which a limit counts as nearly reached.
 const NEAR_LIMIT_NUMERATOR: i64 = 3;
-/// Denominator of that fraction.
+/// Denominator of the fraction whose numerator is [`NEAR_LIMIT_NUMERATOR`].
 const NEAR_LIMIT_DENOMINATOR: i64 = 4;
 
 /// Source of a backend's limit.
--- a/src/balancer/limits/tests/backend.rs
+++ b/src/balancer/limits/tests/backend.rs
@@ -27,7 +27,7 @@
     complete_window_of_share(limit, start, sample, machine_type_limit, WHOLE_BACKEND)
 }
 
-/// Completes a window like [`complete_window`], of a backend of which this proxy has a share.
+/// Completes a window like [`complete_window`]. The backend is shared with other proxies.
 fn complete_window_of_share(
     limit: &mut BackendLimit,
     start: Micros,
--- a/src/balancer/limits/window.rs
+++ b/src/balancer/limits/window.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Micros;
 
-/// Window of a limit: the samples since the limit was last evaluated or its previous window discarded.
+/// Window of a limit: the samples since the limit was last evaluated or its previous window was discarded.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Window {
     started_at: Micros,
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -108,7 +108,7 @@
     quotas: TenantQuotas,
     retry_budget: RetryBudget,
     trusted_idle_time: TrustedIdleTime,
-    /// Peak rate of the requests of this proxy that backends served.
+    /// Peak rate at which backends serve requests of this proxy.
     throughput: PeakRate,
 }
 
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -8,7 +8,8 @@
 use super::requests::Attempt;
 use crate::api::{Action, AttemptEnd, BackendId, ClassIndex, LogEvent, Micros};
 
-/// Minimum of the random factor on the duration of an ejection. The factor is distributed uniformly from it to 1.25.
+/// Minimum of the random factor on the duration of an ejection. The factor is distributed uniformly from this minimum
+/// to 1.25.
 const MIN_EJECTION_JITTER: f64 = 0.75;
 
 /// State that the end of an attempt is compared with, read before the end updates it.
@@ -27,8 +28,8 @@
     ///
     /// The steps run in this order:
     ///
-    /// 1. Read the prior state: the sample is compared with the threshold that held before it, and whether the backend
-    ///    has served another attempt must not include this attempt's own response.
+    /// 1. Read the prior state: the sample is compared with the threshold that held before it, and this attempt's own
+    ///    response must not count as another attempt that the backend has served.
     /// 2. Classify the outcome.
     /// 3. Free the slot: the attempt no longer counts as in flight. If it was never sent, it says nothing else about the
     ///    backend, and the steps below are skipped.
@@ -109,10 +110,10 @@
         backend.connections.release(now, in_flight, per_connection);
     }
 
-    /// Records a response that arrived after `latency`, microseconds.
+    /// Records a response that arrived after `latency` microseconds.
     ///
-    /// A response below the threshold returns a token to the backend's slow-start budget (rule 4, slow start), if the
-    /// attempt was sent to the process that is warming up and the base latency is known.
+    /// A response within the latency threshold returns a token to the backend's slow-start budget (rule 4, slow start),
+    /// if the attempt was sent to the process that is warming up and the base latency is known.
     fn record_response(
         &mut self,
         now: Micros,
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -33,7 +33,7 @@
 pub(crate) struct OutlierSample {
     /// Whether the backend failed.
     pub(crate) failed: bool,
-    /// Weight of this outcome relative to that of an ordinary one.
+    /// Weight of this outcome relative to that of an ordinary outcome.
     pub(crate) weight: f64,
     /// Whether the attempt was a trial request.
     pub(crate) is_trial: bool,
@@ -47,7 +47,7 @@
         /// Duration of the ejection.
         duration: Micros,
     },
-    /// A trial request failed and the backend was ejected again, for a longer time. Not logged.
+    /// A trial request failed and the backend was ejected again, for a longer time. This change is not logged.
     EjectedAgain,
     /// The backend was readmitted because an attempt on it ended without a failure: a trial request, or an attempt that
     /// was in flight when the backend was ejected.
@@ -117,9 +117,9 @@
         }
     }
 
-    /// Records an outcome and returns the change of the backend's ejection, if any. `may_eject` is false if too many
-    /// other backends are ejected. `jitter` is a factor around 1 on the duration of an ejection, so that ejections do
-    /// not all end together.
+    /// Records an outcome and returns the change of the backend's ejection, or `None` if nothing changed. `may_eject`
+    /// is false if too many other backends are ejected. `jitter` is a factor around 1 on the duration of an ejection,
+    /// so that ejections do not all end together.
     ///
     /// Deviation: a backend whose requests fail is ejected, unless too many others are.
     pub(crate) fn record(
--- a/src/balancer/queue.rs
+++ b/src/balancer/queue.rs
@@ -31,7 +31,8 @@
         self.requests.retain(|&queued| queued != request);
     }
 
-    /// Returns the request with the highest priority; among equal priorities, the one that arrived first.
+    /// Returns the request with the highest priority, or `None` if the queue is empty. Among equal priorities, the
+    /// request that arrived first is returned.
     pub(crate) fn first_by_priority(
         &self,
         priority: impl Fn(RequestKey) -> f64,
--- a/src/balancer/quotas.rs
+++ b/src/balancer/quotas.rs
@@ -75,8 +75,8 @@
     /// Sum of the recent requests of the tenants that sent one within [`RECENT_REQUEST_TTL`], in the units of
     /// [`UNITS_PER_REQUEST`].
     recent_sum: i128,
-    /// The same sum with each tenant's recent requests multiplied by the time of its last request. The part of
-    /// `recent_sum` that has expired is computed from it.
+    /// Sum like `recent_sum`, but with each tenant's recent requests multiplied by the time of its last request. The
+    /// part of `recent_sum` that has expired is computed from it.
     recent_moment: i128,
     /// Requests in the order of their times. Entries other than a tenant's last request are out of date.
     by_request_time: VecDeque<RequestTime>,
@@ -112,7 +112,7 @@
     /// Charges a request to its tenant's quota and reports whether the tenant is over its quota.
     ///
     /// A tenant is over its quota if it has no token left and also uses a larger part of its quota at this proxy than
-    /// the tenants do on average. The second condition is there because the quota per proxy assumes that traffic is
+    /// the tenants do on average. The second condition is needed because the quota per proxy assumes that traffic is
     /// spread evenly over the proxies. When other proxies have failed, this one receives more than its even part, and
     /// without the comparison all tenants would be over their quotas.
     pub(crate) fn charge(&mut self, now: Micros, tenant: TenantIndex) -> bool {
--- a/src/balancer/requests.rs
+++ b/src/balancer/requests.rs
@@ -119,7 +119,7 @@
             .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Returns the first attempt that may have been executed; this includes attempts in flight.
+    /// Returns the first attempt that may have been executed, including attempts in flight; `None` if there is none.
     pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
@@ -142,7 +142,7 @@
     }
 
     /// Returns the entry of a key that may be out of date, such as the key in a timer. The entry may belong to a later
-    /// request, or be unused.
+    /// request, or be unused. Returns `None` if the table never had an entry with this key.
     pub(crate) fn get(&self, key: RequestKey) -> Option<&OpenRequest> {
         self.entries.get(key.index())
     }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -25,7 +25,7 @@
 
 /// Conditions that the backend of a request's next attempt must meet.
 struct Criteria {
-    /// Backends to which the request's idempotency allows the attempt.
+    /// Backends that the attempt may be sent to, given the request's idempotency.
     scope: RetryScope,
     /// Whether the request may be sent again after an attempt that failed.
     is_repeatable: bool,
@@ -124,7 +124,7 @@
     }
 
     /// Returns the backends with the greatest preference in near zones or, if none there is available, in the other
-    /// zones.
+    /// zones. Returns `None` if no backend is available.
     ///
     /// Deviation from comparison of capacity: if crossing zones has a cost, backends of other zones are selected only
     /// when none of the proxy's own zone has available capacity.
@@ -218,7 +218,8 @@
         (available > 0).then(|| preference_of(available, is_quick))
     }
 
-    /// Returns the greatest available capacity among the indexed backends of a group, and the backends that have it.
+    /// Returns the greatest available capacity among the indexed backends of a group, and the backends that have it;
+    /// `None` if no indexed backend has available capacity.
     ///
     /// Indexed backends are idle and have the same limit. Those with the highest slot offsets have one slot more than
     /// the others, since limit and offset are added and rounded down. If none of those with more slots is indexed, the
@@ -250,7 +251,8 @@
         None
     }
 
-    /// Returns the eligible backend with the greatest limit, for a proxy that has nothing in flight and no slot.
+    /// Returns the eligible backend with the greatest limit, or `None` if none is eligible. Used by a proxy that has
+    /// nothing in flight and no slot.
     fn backend_with_greatest_limit(
         &self,
         now: Micros,
@@ -307,7 +309,7 @@
     }
 }
 
-/// Returns how many slots of a backend are taken.
+/// Returns the number of taken slots of a backend.
 ///
 /// Deviation: an overtaken attempt of a quick class takes no slot, because it was lost between proxy and backend.
 fn taken_slots(backend: &BackendState) -> i64 {
--- a/src/balancer/selection/tests.rs
+++ b/src/balancer/selection/tests.rs
@@ -13,7 +13,7 @@
     Tied(BTreeSet<BackendKey>),
     /// Backends that tie for the greatest limit but have no slot. A proxy with nothing in flight may use one of them.
     WithoutSlot(BTreeSet<BackendKey>),
-    /// No backend is eligible.
+    /// The scan found no backend that the request may be sent to now.
     Nothing,
 }
 
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -11,11 +11,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Fraction of the load at which a backend collapses that all proxies together may send it. The rest is a margin for
-/// estimates that are too high and for requests that arrive together.
+/// Maximum load that all proxies together may send to a backend, as a fraction of the load at which it collapses. The
+/// rest is a margin for estimates that are too high and for requests that arrive together.
 const MAX_FRACTION_OF_COLLAPSE_LOAD: f64 = 0.3;
-/// Divisor of the rate that gives the capacity of the bucket: the tokens of a quarter of a second, but at least one
-/// token.
+/// Rate of the bucket divided by its capacity. The capacity is thus the tokens of a quarter of a second, but at least
+/// one token.
 const BURST_DIVISOR: f64 = 4.0;
 
 /// Capacity of a backend after slow start, from which the rate of a [`SlowStartBudget`] is computed.
@@ -24,7 +24,7 @@
     pub(crate) requests_per_s: f64,
     /// This proxy's share of the backend's capacity.
     pub(crate) proxy_fraction: f64,
-    /// Factor on this proxy's share that makes up for rounding the limit to whole slots.
+    /// Factor that makes up for rounding the limit to whole slots, applied to this proxy's share.
     pub(crate) rounding_gain: f64,
 }
 
@@ -91,8 +91,8 @@
         self.refilled_at = now;
     }
 
-    /// Returns the time at which to check again whether the budget holds a token: when a token is due at the present
-    /// rate, but at most [`MIN_WINDOW`] after the last refill, since the rate may change.
+    /// Returns the time at which to check again whether the budget holds a token: the time at which a token is due at
+    /// the present rate, but at most [`MIN_WINDOW`] after the last refill, since the rate may change.
     pub(crate) fn next_token_check_at(&self) -> Micros {
         let rate = self.rate_per_s.max(f64::MIN_POSITIVE);
         let wait = ((1.0 - self.tokens) / rate * SECOND as f64).ceil() as Micros;
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -17,7 +17,7 @@
     collapse_time: SECOND,
 };
 
-/// Capacity of a warm backend of which this proxy has a share of 8 requests per second.
+/// Capacity of a warm backend. This proxy's share of it is 8 requests per second.
 const CAPACITY: WarmCapacity = WarmCapacity {
     requests_per_s: 64.0,
     proxy_fraction: 0.125,
@@ -100,8 +100,8 @@
     assert!(budget.has_stored_token());
 }
 
-/// Returns the number of whole tokens that a budget holds one hour after it was empty, for a warm backend of which this
-/// proxy's share is `requests_per_s`.
+/// Returns the number of whole tokens that a budget holds one hour after it was empty, if this proxy's share of the
+/// capacity of the warm backend is `requests_per_s`.
 fn tokens_after_an_hour(requests_per_s: f64) -> u32 {
     let warm = STARTED_AT + DURATION;
     let capacity = WarmCapacity {
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -2,8 +2,8 @@
 //!
 //! The delays apply to all calls except those after a stalled watch, which `membership` starts at once.
 //!
-//! Deviation: a call is made after a random delay instead of at once. All proxies may start at the same time and see
-//! the same calls fail; calls of all of them at once would keep discovery overloaded.
+//! Deviation: a call is made after a random delay instead of at once. All proxies may start, or see their calls fail,
+//! at the same time. If all of them then called at once, discovery would stay overloaded.
 
 use super::time::SECOND;
 use crate::api::{Micros, Settings};
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns a random delay of at least `backoff` and at most the longest allowed one.
+/// Returns a random delay of at least `backoff` and at most the longest allowed delay.
 ///
 /// Beyond the backoff, delays are spread over the time that the calls of all proxies take at one call per `interval`,
 /// or over a span as long as the backoff if that is longer. Discovery thus receives the calls about evenly. A backoff
