--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -9,7 +9,7 @@
 //! | lost attempt | had no response for so long that none is expected; if it may be repeated, it then times out |
 //! | unresponsive backend | has attempts in flight, and served none for several mean latencies of the request's class |
 
-use super::time::SECOND;
+use super::time::{MICROS_PER_SECOND, SECOND};
 use crate::api::{Class, ClassIndex, MachineType, Micros, Settings};
 
 #[cfg(test)]
@@ -84,7 +84,7 @@
         let samples = f64::from(self.samples);
         self.mean += (latency - self.mean) * MEAN_SAMPLE_WEIGHT.max(1.0 / samples);
         let elapsed = (now - self.base_updated_at) as f64;
-        let growth = 1.0 + BASE_GROWTH_PER_SECOND * elapsed / SECOND as f64;
+        let growth = 1.0 + BASE_GROWTH_PER_SECOND * elapsed / MICROS_PER_SECOND;
         self.base_updated_at = now;
         let has_enough_samples = samples * MEAN_SAMPLE_WEIGHT >= 1.0;
         if has_enough_samples {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -53,7 +53,7 @@
 mod slow_start;
 mod subscription;
 mod throughput;
-mod time;
+pub(crate) mod time;
 mod timers;
 
 use crate::api::{Action, ClassIndex, Event, Micros, RequestId, Settings, SettingsError};
--- a/src/balancer/quotas.rs
+++ b/src/balancer/quotas.rs
@@ -3,7 +3,7 @@
 //! The time to charge a request does not depend on the number of tenants: the sum over all tenants is updated with each
 //! request instead of being computed again.
 
-use super::time::{MICROS_PER_SECOND, SECOND};
+use super::time::{SECOND, seconds};
 use crate::api::{Micros, Settings, TenantIndex};
 use std::collections::VecDeque;
 
@@ -48,7 +48,7 @@
 
     /// Refills the bucket up to now. Its capacity is the tokens of one second, but at least one token.
     fn refill(&mut self, now: Micros) {
-        let elapsed_s = now.saturating_sub(self.last_request_at) as f64 / MICROS_PER_SECOND;
+        let elapsed_s = seconds(now.saturating_sub(self.last_request_at));
         let tokens = self.tokens + self.rate_per_s * elapsed_s;
         self.tokens = tokens.min(self.rate_per_s.max(1.0));
     }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -5,7 +5,7 @@
 //! bucket, whose random initial fill level keeps the requests of the proxies from arriving together.
 
 use super::limits::MIN_WINDOW;
-use super::time::{MICROS_PER_SECOND, SECOND};
+use super::time::MICROS_PER_SECOND;
 use crate::api::{Micros, SafetyLimits};
 
 #[cfg(test)]
@@ -95,7 +95,7 @@
     /// the present rate, but at most [`MIN_WINDOW`] after the last refill, since the rate may change.
     pub(crate) fn next_token_check_at(&self) -> Micros {
         let rate = self.rate_per_s.max(f64::MIN_POSITIVE);
-        let wait = ((1.0 - self.tokens) / rate * SECOND as f64).ceil() as Micros;
+        let wait = ((1.0 - self.tokens) / rate * MICROS_PER_SECOND).ceil() as Micros;
         self.refilled_at + wait.clamp(1, MIN_WINDOW)
     }
 
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of the slow-start budget: its rate and capacity, withdrawals and deposits.
 
 use super::*;
+use crate::balancer::time::SECOND;
 
 const MS: Micros = SECOND / 1_000;
 const STARTED_AT: Micros = 100 * SECOND;
--- a/src/balancer/time.rs
+++ b/src/balancer/time.rs
@@ -1,4 +1,4 @@
-//! Units of time of the balancer.
+//! Units of time, in microseconds.
 
 use crate::api::Micros;
 
--- a/src/proxy/bodies/deadline.rs
+++ b/src/proxy/bodies/deadline.rs
@@ -1,6 +1,6 @@
 //! The deadline by which the next bytes of a body must arrive.
 
-use crate::proxy::clock::MICROS_PER_SECOND;
+use crate::balancer::time::SECOND;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -19,7 +19,7 @@
     /// Returns the deadline of a body of which `bytes` bytes have been received.
     #[must_use]
     pub fn after_receiving(&self, bytes: u64) -> Instant {
-        let transfer_micros = bytes.saturating_mul(MICROS_PER_SECOND) / MIN_BYTES_PER_SECOND;
+        let transfer_micros = bytes.saturating_mul(SECOND) / MIN_BYTES_PER_SECOND;
         self.grace_ends_at + Duration::from_micros(transfer_micros)
     }
 }
--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -4,8 +4,6 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Microseconds in a second.
-pub const MICROS_PER_SECOND: Micros = 1_000_000;
 /// Microseconds in a millisecond.
 pub const MICROS_PER_MILLI: Micros = 1_000;
 
--- a/src/proxy/responses.rs
+++ b/src/proxy/responses.rs
@@ -1,8 +1,8 @@
 //! Responses that the proxy generates itself.
 
 use super::bodies::BufferedBody;
-use super::clock::MICROS_PER_SECOND;
 use crate::api::Micros;
+use crate::balancer::time::seconds;
 use bytes::Bytes;
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
@@ -70,7 +70,7 @@
 /// `retry_after` is the time for which the client should wait before it retries; 0 omits the header.
 pub(super) fn rejected(retry_after: Micros) -> Response<BufferedBody> {
     let mut response = plain_text_response(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
-    let seconds = retry_after as f64 / MICROS_PER_SECOND as f64;
+    let seconds = seconds(retry_after);
     if retry_after > 0
         && let Ok(seconds) = HeaderValue::try_from(format!("{seconds:.3}"))
     {
