--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -23,8 +23,7 @@
     Idempotent,
     /// Backends drop a repeated request by its idempotency key, within the key's scope and until the key expires.
     Keyed {
-        /// The backends that drop a repeated request, because each of them knows the keys that the others have
-        /// received.
+        /// The backends that share their keys: each of them drops a request that another one has executed.
         scope: KeyScope,
         /// Time from the first attempt until the key expires.
         ttl: Micros,
--- a/src/bin/tillerproxy-simhost.rs
+++ b/src/bin/tillerproxy-simhost.rs
@@ -225,7 +225,7 @@
         .unwrap_or("a panic without a message")
 }
 
-/// Reads one batch into `bytes`. Returns whether there was one, or `false` at the end of the input.
+/// Reads one batch into `bytes`. Returns whether there was a batch: `false` at the end of the input.
 fn read_batch(input: &mut impl Read, bytes: &mut Vec<u8>) -> Result<bool, HostError> {
     bytes.clear();
     input.take(BATCH_HEADER_LENGTH as u64).read_to_end(bytes)?;
--- a/src/proxy/backends/attempt.rs
+++ b/src/proxy/backends/attempt.rs
@@ -18,7 +18,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until};
 
-/// Minimum time until the deadline of an attempt for its request to be sent.
+/// Minimum time that must remain until the deadline of an attempt so that its request is sent.
 const MIN_REMAINING: Duration = Duration::from_millis(1);
 
 impl BackendClient {
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Returns whether the streamed body failed: the client broke it off, or sent it too slowly or too much of it.
+    /// Returns whether the streamed body failed: it ended early, arrived too slowly or was too large.
     fn has_body_failed(&self) -> bool {
         self.call
             .body
--- a/src/proxy/backends/backend_connections.rs
+++ b/src/proxy/backends/backend_connections.rs
@@ -98,7 +98,8 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Returns when the connection that has been idle for longest became idle.
+    /// Returns the time at which the connection that has been idle for longest became idle; `None` if no connection is
+    /// idle.
     pub(super) fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|idle| idle.since)
     }
--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -47,7 +47,7 @@
     pub headers: HeaderMap,
     /// The client's body, unchanged.
     pub body: CallBody,
-    /// Set when the request ends. An attempt whose request is not completely written by then is abandoned.
+    /// Set when the request ends. An attempt whose request is not completely written at that time is abandoned.
     pub request_ended: RequestEnded,
 }
 
--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -56,8 +56,8 @@
         self.written.get()
     }
 
-    /// Begins a request, which is completely written once `complete_at` bytes were written on the connection; `None`
-    /// for a request of unknown length.
+    /// Begins a request, which is completely written once `complete_at` bytes were written on the connection.
+    /// `complete_at` is `None` for a request of unknown length.
     pub(super) fn begin_request(&self, complete_at: Option<u64>) {
         self.state.set(match complete_at {
             Some(complete_at) => ExchangeState::Writing { complete_at },
--- a/src/proxy/backends/exchange.rs
+++ b/src/proxy/backends/exchange.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Time after its head for which a 200 response of unknown length is buffered before it is streamed.
+/// Time after the head of a 200 response of unknown length for which the body is buffered before it is streamed.
 const STREAM_AFTER: Duration = Duration::from_millis(250);
 
 /// Writes a request and reads the response. A body that fits in the buffer is read completely, so that a client never
--- a/src/proxy/backends/response.rs
+++ b/src/proxy/backends/response.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns the value of the `Content-Type` header.
+    /// Returns the value of the `Content-Type` header; `None` if the response has no such header.
     pub(super) fn content_type(&self) -> Option<HeaderValue> {
         self.headers.get(CONTENT_TYPE).cloned()
     }
--- a/src/proxy/bodies/message_bodies.rs
+++ b/src/proxy/bodies/message_bodies.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::task::Context;
 
-/// A shared cell with a streamed request body, which the first attempt takes; `None` from then on.
+/// A shared cell with a streamed request body; `None` once an attempt has taken the body.
 pub type PendingUpload = Rc<RefCell<Option<Upload>>>;
 
 /// The body of a client's request. If it is buffered, each attempt sends a copy; if it is streamed, one attempt takes
--- a/src/proxy/bodies/upload.rs
+++ b/src/proxy/bodies/upload.rs
@@ -23,7 +23,7 @@
     Sending,
     /// The last byte was forwarded at this time.
     Finished(Instant),
-    /// The client broke the body off, or sent it too slowly or too much of it.
+    /// The body ended early, arrived too slowly or was too large.
     Failed,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl UploadProgress {
-    /// Returns when the last byte was forwarded; `None` if it has not been forwarded.
+    /// Returns the time at which the last byte was forwarded; `None` if it has not been forwarded.
     #[must_use]
     pub fn finished_at(&self) -> Option<Instant> {
         match self.state.get() {
@@ -58,7 +58,7 @@
         self.state.get() == UploadState::Failed
     }
 
-    /// Waits until the last byte has been forwarded, and returns the time at which it was.
+    /// Waits until the last byte has been forwarded, and returns the time at which it was forwarded.
     pub async fn finished(&self) -> Instant {
         loop {
             if let Some(at) = self.finished_at() {
--- a/src/proxy/config.rs
+++ b/src/proxy/config.rs
@@ -73,7 +73,7 @@
     pub name: String,
     /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The address that operators connect to, if there is one.
+    /// The address that operators connect to; `None` if the configuration has none.
     pub operator: Option<SocketAddr>,
     /// The address of discovery.
     pub discovery: SocketAddr,
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns when the connection was accepted.
+    /// Returns the time at which the connection was accepted.
     #[must_use]
     pub fn connected_at(&self) -> Instant {
         self.connected_at
--- a/src/proxy/discovery/backend_ids.rs
+++ b/src/proxy/discovery/backend_ids.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns the 32-bit FNV-1a hash, which is the same in every build and on every machine.
+/// Returns the 32-bit FNV-1a hash of `bytes`, which is the same in every build and on every machine.
 fn fnv1a(bytes: &[u8]) -> u32 {
     let mut hash = FNV_OFFSET_BASIS;
     for &byte in bytes {
--- a/src/proxy/discovery/error.rs
+++ b/src/proxy/discovery/error.rs
@@ -62,7 +62,7 @@
         /// The error of the parser.
         source: AddrParseError,
     },
-    /// The settings lack the zone.
+    /// The zone of the endpoint is not in the settings.
     #[error("`locality` of {backend:?} is {zone:?}, expected a zone of `failureDomains`")]
     UnknownZone {
         /// The name of the backend.
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -56,7 +56,7 @@
     watch_requests: mpsc::UnboundedSender<()>,
     requests: PendingRequests,
     timers: DriverTimers,
-    /// Attempts and health checks that have ended without the balancer having been notified yet.
+    /// Attempts and health checks that have ended and of which the balancer has not been notified yet.
     completions: VecDeque<Completion>,
     /// Actions of the balancer that have not been executed yet. It is empty between events.
     actions: Vec<Action>,
--- a/src/proxy/driver/requests.rs
+++ b/src/proxy/driver/requests.rs
@@ -111,8 +111,8 @@
         Some(attempt.backend)
     }
 
-    /// Returns how long an attempt has taken so far. The time in which the client was still sending the request's body
-    /// is not included, because the backend does not cause it.
+    /// Returns the time that an attempt has taken so far, in microseconds. The time in which the client was still
+    /// sending the request's body is not included, because the backend does not cause it.
     pub(super) fn attempt_elapsed(
         &self,
         number: u16,
@@ -127,8 +127,8 @@
         Some(now.saturating_sub(began))
     }
 
-    /// Returns when the last byte of a streamed body was received; `None` if it has not been received yet, or the body
-    /// is not streamed.
+    /// Returns the time at which the last byte of a streamed body was received; `None` if it has not been received yet,
+    /// or the body is not streamed.
     fn body_complete_at(&self, clock: &Clock) -> Option<Micros> {
         let progress = self.call.body.progress()?;
         let complete_at = progress.finished_at()?;
--- a/src/proxy/logging/mod.rs
+++ b/src/proxy/logging/mod.rs
@@ -22,7 +22,7 @@
 /// Handle that changes the log filter of a running process.
 pub struct LogControl {
     filter: reload::Handle<Targets, Registry>,
-    /// The filter with which the log was initialized. It applies while the configuration names none.
+    /// The filter with which the log was initialized. It applies while the configuration names no filter.
     default_filter: Targets,
 }
 
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -101,7 +101,7 @@
         request: RequestId,
         /// The number of the attempt within the request, counted from 0.
         attempt: u16,
-        /// The outcome of the attempt, and its response unless that was streamed.
+        /// The outcome of the attempt, and its response unless the response was streamed.
         result: AttemptResult,
     },
     /// A health check ended.
--- a/src/proxy/shutdown.rs
+++ b/src/proxy/shutdown.rs
@@ -11,15 +11,15 @@
 /// The minimum time after the start of a shutdown for which connections are accepted, because clients notice the
 /// shutdown late.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(800);
-/// After [`MIN_ACCEPT_TIME`], connections are accepted until none has arrived for this time.
+/// Time without a new connection after which no more connections are accepted, once [`MIN_ACCEPT_TIME`] has passed.
 const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(300);
 /// Interval at which the proxy checks whether to stop accepting connections.
 const ACCEPT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time from the end of the longest client timeout to the end of the process, which then ends even if clients are still
 /// connected. The deadline of the last answer is calculated with the same margin.
 const PROCESS_END_MARGIN: Duration = Duration::from_millis(500);
-/// Upper limit of the client timeout in the calculation of the last answer's time. The process supervisor may kill the
-/// process 0.7 s after this time.
+/// Upper limit of the client timeout in the calculation of the deadline of the last answer. The process supervisor may
+/// kill the process 0.7 s after this time.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(3);
 
 /// Drains the proxy. Returns when no client connection is left, but at the latest `PROCESS_END_MARGIN` after
--- a/src/proxy/size_limits.rs
+++ b/src/proxy/size_limits.rs
@@ -3,7 +3,7 @@
 
 /// The largest response body that is buffered completely, and the largest part of a request body that is buffered
 /// without a reservation of memory. The budget of each connection includes this size. Memory for larger bodies is
-/// reserved in units of it.
+/// reserved in units of this size.
 pub const BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// The largest body that is forwarded, of a request or a response. Clients send up to 32 MB.
 pub const MAX_FORWARDED_BODY_BYTES: u64 = 40 << 20;
--- a/src/proxy/socket.rs
+++ b/src/proxy/socket.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A connection that is being closed is read until nothing has arrived for this long. Otherwise the kernel would answer
-/// late bytes with a reset, which destroys a response that the peer has not read yet.
+/// Time without received bytes after which a connection that is being closed is no longer read. If it were not read at
+/// all, the kernel would answer late bytes with a reset, which destroys a response that the peer has not read yet.
 const LINGER_QUIET_TIME: Duration = Duration::from_millis(500);
 /// The longest time for which a connection that is being closed is read.
 const MAX_LINGER_TIME: Duration = Duration::from_secs(2);
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -57,7 +57,7 @@
     /// An unknown code of a readiness.
     #[error("readiness of an endpoint is {0}, expected 0 to 2")]
     UnknownReadiness(u8),
-    /// A record for a proxy without an earlier record that selects one.
+    /// A record for a proxy before any record has selected a proxy.
     #[error("record for a proxy, expected a `switch_to` record before it")]
     NoProxySelected,
     /// An event for a proxy that is not running.
--- a/src/simulator/frames/fields.rs
+++ b/src/simulator/frames/fields.rs
@@ -19,7 +19,7 @@
     /// Returns the `length` bytes that begin at `offset`.
     ///
     /// # Errors
-    /// [`FrameErrorKind::TruncatedRecord`] if the record ends before the last of them.
+    /// [`FrameErrorKind::TruncatedRecord`] if the record ends before the last of these bytes.
     pub(super) fn slice(&self, offset: usize, length: usize) -> Result<&'a [u8], FrameError> {
         let end = offset.saturating_add(length);
         self.bytes.get(offset..end).ok_or_else(|| {
