--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -58,7 +58,7 @@
     #[error("readiness of an endpoint is {0}, expected 0 to 2")]
     UnknownReadiness(u8),
     /// A record for a proxy before any record has selected a proxy.
-    #[error("record for a proxy, expected a `switch_to` record before it")]
+    #[error("no proxy is selected, expected a `switch_to` record before a record for a proxy")]
     NoProxySelected,
     /// An event for a proxy that is not running.
     #[error("event for proxy {}, expected a proxy that is running", .0.0)]
--- a/tests/host.rs
+++ b/tests/host.rs
@@ -332,7 +332,7 @@
         ),
         (
             &batch(5, &[request(1)])[..],
-            "record for a proxy, expected a `switch_to` record before it",
+            "no proxy is selected, expected a `switch_to` record before a record for a proxy",
         ),
         (
             &batch(
