--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -54,11 +54,12 @@
     pub class: ClassIndex,
     /// Tenant that sent the request.
     pub tenant: TenantIndex,
-    /// Key of the data that the request accesses. (Not used by the balancer.)
+    /// Key of the data that the request accesses; `None` if the request states none. (Not used by the balancer.)
     pub key: Option<u64>,
     /// Time from the request's arrival to the client's timeout.
     pub timeout: Micros,
-    /// Expected work of the request: the time that it takes on a core of speed 1. (Not used by the balancer.)
+    /// Expected work of the request: the time that it takes on a core of speed 1; `None` if the request does not state
+    /// it. (Not used by the balancer.)
     pub expected_work: Option<Micros>,
     /// Whether the client marked the request as a retry. (Not used by the balancer.)
     pub is_retry: bool,
--- a/src/balancer/outliers.rs
+++ b/src/balancer/outliers.rs
@@ -145,7 +145,8 @@
         None
     }
 
-    /// Readmits the backend after a success, and ejects it again after a failed trial request.
+    /// Readmits the backend after a success, and ejects it again after a failed trial request. Returns `None` after any
+    /// other failure, which changes nothing.
     fn record_while_ejected(
         &mut self,
         now: Micros,
--- a/src/proxy/backends/backend_connections.rs
+++ b/src/proxy/backends/backend_connections.rs
@@ -83,7 +83,7 @@
         self.idle.borrow_mut().push(idle);
     }
 
-    /// Removes and returns the most recently used idle connection.
+    /// Removes and returns the most recently used idle connection; `None` if no connection is idle.
     pub(super) fn pop_idle(&self) -> Option<IdleConnection> {
         self.idle.borrow_mut().pop()
     }
--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -67,7 +67,7 @@
 pub struct ServedResponse {
     /// The body, unchanged.
     pub body: ServedBody,
-    /// The value of the `Content-Type` header, if the response has one.
+    /// The value of the `Content-Type` header; `None` if the response has no such header.
     pub content_type: Option<HeaderValue>,
 }
 
@@ -86,7 +86,7 @@
 pub struct AttemptResult {
     /// The outcome that is reported to the balancer.
     pub outcome: Outcome,
-    /// The response if the outcome is [`Outcome::Ok`] and the response was not streamed.
+    /// The response if the outcome is [`Outcome::Ok`] and the response was not streamed; otherwise `None`.
     pub served: Option<ServedResponse>,
     /// The load report of the response, with its fields in the order of the settings; empty if there was none.
     pub load_report: Vec<f32>,
--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -122,8 +122,8 @@
         unread == Unread::Nothing
     }
 
-    /// Takes the most recently used clean connection. Connections that are not needed therefore stay idle and are
-    /// closed.
+    /// Takes the most recently used clean connection; `None` if there is none. Connections that are not needed
+    /// therefore stay idle and are closed.
     fn take_idle(&self, backend: &BackendConnections) -> Option<IdleConnection> {
         while let Some(idle) = backend.pop_idle() {
             if self.is_clean(&idle) {
--- a/src/proxy/bodies/streamed.rs
+++ b/src/proxy/bodies/streamed.rs
@@ -54,9 +54,10 @@
 pub struct StreamedResponse {
     pieces: mpsc::Receiver<Piece>,
     length: StreamLength,
-    /// The [`RequestGuard`] of the request, which is counted as served with the last byte of the response.
+    /// The [`RequestGuard`] of the request, which is counted as served with the last byte of the response; `None` until
+    /// it is set.
     request_guard: Option<RequestGuard>,
-    /// The client's connection, whose current request ends when the response is dropped.
+    /// The client's connection, whose current request ends when the response is dropped; `None` until it is set.
     connection: Option<Rc<ClientConnection>>,
 }
 
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -197,8 +197,9 @@
         .ok_or(InvalidRequest::InvalidTimeout)
 }
 
-/// Returns the `key` parameter of a query as a number: the value itself if it is hexadecimal, otherwise a hash of it.
-/// The request passes the number to the balancer, which does not use it.
+/// Returns the `key` parameter of a query as a number: the value itself if it is hexadecimal, otherwise a hash of the
+/// value; `None` if the query has no such parameter. The request passes the number to the balancer, which does not use
+/// it.
 fn affinity_key(query: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(name, _)| *name == "key")?;
--- a/src/proxy/driver/requests.rs
+++ b/src/proxy/driver/requests.rs
@@ -111,8 +111,8 @@
         Some(attempt.backend)
     }
 
-    /// Returns the time that an attempt has taken so far, in microseconds. The time in which the client was still
-    /// sending the request's body is not included, because the backend does not cause it.
+    /// Returns the time that an attempt has taken so far, in microseconds; `None` if there is no such attempt. The time
+    /// in which the client was still sending the request's body is not included, because the backend does not cause it.
     pub(super) fn attempt_elapsed(
         &self,
         number: u16,
--- a/src/proxy/driver/timers.rs
+++ b/src/proxy/driver/timers.rs
@@ -24,12 +24,12 @@
         self.0.push(Reverse((due, timer)));
     }
 
-    /// Returns the time at which the next timer is due.
+    /// Returns the time at which the next timer is due; `None` if no timer is set.
     pub(super) fn next_due(&self) -> Option<Micros> {
         self.0.peek().map(|Reverse((due, _))| *due)
     }
 
-    /// Removes and returns the earliest timer that is due at or before `now`.
+    /// Removes and returns the earliest timer that is due at or before `now`; `None` if no timer is due.
     pub(super) fn pop_due(&mut self, now: Micros) -> Option<DriverTimer> {
         if self.next_due()? > now {
             return None;
--- a/src/proxy/framing.rs
+++ b/src/proxy/framing.rs
@@ -50,7 +50,8 @@
     max_head_bytes: usize,
     /// The number of complete heads.
     heads: u64,
-    /// The number of the head whose body has an ambiguous length. Nothing is parsed after it.
+    /// The number of the head whose body has an ambiguous length. Nothing is parsed after this head. `None` if there is
+    /// no such head.
     ambiguous_head: Option<u64>,
 }
 
@@ -234,7 +235,8 @@
     Some(length)
 }
 
-/// Returns the size that the first line of a chunk states. Chunk extensions are ignored.
+/// Returns the size that the first line of a chunk states; `None` if the line does not begin with a hexadecimal number
+/// that fits into 64 bits. Chunk extensions are ignored.
 fn chunk_size(line: &[u8]) -> Option<u64> {
     let digit_count = line
         .iter()
--- a/src/proxy/header_values.rs
+++ b/src/proxy/header_values.rs
@@ -15,7 +15,8 @@
         .map(str::trim)
 }
 
-/// Parses a number that consists of decimal digits only. The standard parser would also accept a sign.
+/// Parses a number that consists of decimal digits only; `None` if the value is not such a number or does not fit into
+/// 64 bits. The standard parser would also accept a sign.
 pub(super) fn parse_decimal(value: &[u8]) -> Option<u64> {
     if !value.iter().all(u8::is_ascii_digit) {
         return None;
--- a/src/proxy/operator.rs
+++ b/src/proxy/operator.rs
@@ -59,7 +59,7 @@
 }
 
 impl OperatorCall {
-    /// Returns the call that a path names.
+    /// Returns the call that a path names; `None` if there is no such call.
     fn from_path(path: &str) -> Option<Self> {
         match path {
             "/control/ready" => Some(Self::Ready),
--- a/src/proxy/read_ahead.rs
+++ b/src/proxy/read_ahead.rs
@@ -20,7 +20,7 @@
     bytes: BytesMut,
     /// Memory for the bytes, in units of [`BUFFERED_BODY_BYTES`].
     reserved: Vec<Reservation>,
-    /// The waker of hyper's read, if one waits for bytes.
+    /// The waker of a read by hyper that waits for bytes; `None` if no read waits.
     reader: Option<Waker>,
 }
 
--- a/src/proxy/responses.rs
+++ b/src/proxy/responses.rs
@@ -15,7 +15,7 @@
     status: StatusCode,
     /// The body of the response.
     text: &'static str,
-    /// The value of the `Allow` header.
+    /// The value of the `Allow` header; `None` if the response has no such header.
     allowed_methods: Option<&'static str>,
 }
 
--- a/src/simulator/frames/record.rs
+++ b/src/simulator/frames/record.rs
@@ -66,11 +66,11 @@
         class: ClassIndex,
         /// Tenant of the request.
         tenant: TenantIndex,
-        /// Key of the data that the request reads or writes.
+        /// Key of the data that the request reads or writes; `None` if the request has no key.
         key: Option<u64>,
         /// Time until the client gives up.
         timeout: Micros,
-        /// Expected work of the request on a core of standard speed.
+        /// Expected work of the request on a core of standard speed; `None` if the record does not state it.
         expected_work: Option<Micros>,
         /// Whether the client marked the request as a retry.
         is_retry: bool,
--- a/src/simulator/frames/writer.rs
+++ b/src/simulator/frames/writer.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub struct ReplyWriter {
     bytes: Vec<u8>,
-    /// The proxy that the records of the reply have selected last.
+    /// The proxy that the records of the reply have selected last; `None` before the first selection.
     selected: Option<ProxyId>,
 }
 
