--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -19,16 +19,16 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The longest time in which a request head must be complete, and for which bytes that belong to no open request are
-/// read.
+/// The longest time until a request head must be complete, and the longest time for which bytes that belong to no open
+/// request are read.
 ///
 /// The time counts from the accept for the first head of a connection, and from the first byte for later heads. It
 /// exceeds [`CLIENT_IDLE_TIMEOUT`], which also counts from the accept on a new connection: a first head that begins
 /// just before that timeout still has 250 ms to complete.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_750);
 
-/// Time after its last activity for which a connection that is new or has received a partial head counts as active.
-/// Active connections are evicted after all others, because a request may still be arriving on them.
+/// Time after the last activity of a connection for which the connection counts as active, if it is new or has received
+/// a partial head. Active connections are evicted after all others, because a request may still be arriving on them.
 const ACTIVE_WINDOW: Duration = Duration::from_millis(500);
 
 /// The state of a connection, which determines its deadline and its eviction cost.
@@ -48,8 +48,8 @@
     Discarding,
 }
 
-/// The classes of connections that may be evicted, in the order of eviction. The later a class, the more likely is it
-/// that a request is lost. A connection with a complete request has no eviction cost, because it must not be evicted.
+/// The cost of evicting a connection, in the order of eviction. The later a variant, the more likely is it that the
+/// eviction loses a request. A connection with a complete request has no eviction cost, because it must not be evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionCost {
     /// No byte has been received, and the connection is not active.
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -147,7 +147,7 @@
     }
 
     /// Disconnects from the old address. Revisions of two services are not comparable, so the next call requests the
-    /// complete list from the new address. The proxy uses the old list until the new one arrives.
+    /// complete list from the new address. The proxy uses the old list until it receives the new one.
     fn on_address_changed(&mut self) {
         self.client.disconnect();
         self.revision = None;
--- a/src/proxy/driver/request_events.rs
+++ b/src/proxy/driver/request_events.rs
@@ -34,8 +34,8 @@
         self.handle_event(now, Event::Request(request));
     }
 
-    /// Fails a request that has no answer yet, so that its client receives one before its timeout (rule 1: one final
-    /// answer). If a streamed body has postponed the final answer, the timer is set again instead.
+    /// Fails a request that has no answer yet, so that the client receives an answer before its timeout (rule 1: one
+    /// final answer). If a streamed body has postponed the final answer, the timer is set again instead.
     pub(super) fn on_final_answer_due(&mut self, now: Micros, request: RequestId) {
         let Some(open) = self.requests.get(request) else {
             return;
