--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -53,7 +53,7 @@
 mod slow_start;
 mod subscription;
 mod throughput;
-mod time;
+pub(crate) mod time;
 mod timers;
 
 use crate::api::{Action, ClassIndex, Event, Micros, RequestId, Settings, SettingsError};
@@ -108,7 +108,7 @@
     quotas: TenantQuotas,
     retry_budget: RetryBudget,
     trusted_idle_time: TrustedIdleTime,
-    /// Peak rate of the requests of this proxy that backends served.
+    /// Peak rate at which backends serve requests of this proxy.
     throughput: PeakRate,
 }
 
--- a/src/balancer/quotas.rs
+++ b/src/balancer/quotas.rs
@@ -3,7 +3,7 @@
 //! The time to charge a request does not depend on the number of tenants: the sum over all tenants is updated with each
 //! request instead of being computed again.
 
-use super::time::{MICROS_PER_SECOND, SECOND};
+use super::time::{SECOND, seconds};
 use crate::api::{Micros, Settings, TenantIndex};
 use std::collections::VecDeque;
 
@@ -19,7 +19,7 @@
 /// The quota and the recent requests of one tenant at this proxy.
 #[derive(Clone, Copy)]
 struct Tenant {
-    /// Requests per second within the quota at this proxy.
+    /// This proxy's share of the tenant's quota, in requests per second.
     rate_per_s: f64,
     /// Tokens in the bucket at `last_request_at`.
     tokens: f64,
@@ -48,7 +48,7 @@
 
     /// Refills the bucket up to now. Its capacity is the tokens of one second, but at least one token.
     fn refill(&mut self, now: Micros) {
-        let elapsed_s = now.saturating_sub(self.last_request_at) as f64 / MICROS_PER_SECOND;
+        let elapsed_s = seconds(now.saturating_sub(self.last_request_at));
         let tokens = self.tokens + self.rate_per_s * elapsed_s;
         self.tokens = tokens.min(self.rate_per_s.max(1.0));
     }
@@ -75,8 +75,8 @@
     /// Sum of the recent requests of the tenants that sent one within [`RECENT_REQUEST_TTL`], in the units of
     /// [`UNITS_PER_REQUEST`].
     recent_sum: i128,
-    /// The same sum with each tenant's recent requests multiplied by the time of its last request. The part of
-    /// `recent_sum` that has expired is computed from it.
+    /// Sum like `recent_sum`, but with each tenant's recent requests multiplied by the time of its last request. The
+    /// part of `recent_sum` that has expired is computed from it.
     recent_moment: i128,
     /// Requests in the order of their times. Entries other than a tenant's last request are out of date.
     by_request_time: VecDeque<RequestTime>,
@@ -112,7 +112,7 @@
     /// Charges a request to its tenant's quota and reports whether the tenant is over its quota.
     ///
     /// A tenant is over its quota if it has no token left and also uses a larger part of its quota at this proxy than
-    /// the tenants do on average. The second condition is there because the quota per proxy assumes that traffic is
+    /// the tenants do on average. The second condition is needed because the quota per proxy assumes that traffic is
     /// spread evenly over the proxies. When other proxies have failed, this one receives more than its even part, and
     /// without the comparison all tenants would be over their quotas.
     pub(crate) fn charge(&mut self, now: Micros, tenant: TenantIndex) -> bool {
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of the slow-start budget: its rate and capacity, withdrawals and deposits.
 
 use super::*;
+use crate::balancer::time::SECOND;
 
 const MS: Micros = SECOND / 1_000;
 const STARTED_AT: Micros = 100 * SECOND;
@@ -17,11 +18,11 @@
     collapse_time: SECOND,
 };
 
-/// Capacity of a warm backend of which this proxy has a share of 8 requests per second.
+/// Capacity of a warm backend. This proxy's share of it is 8 requests per second.
 const CAPACITY: WarmCapacity = WarmCapacity {
     requests_per_s: 64.0,
     proxy_fraction: 0.125,
-    rounding_gain: 1.0,
+    rounding_factor: 1.0,
 };
 
 /// Returns an empty budget that was last refilled at `now`.
@@ -63,9 +64,9 @@
 }
 
 #[test]
-fn the_rounding_gain_multiplies_the_rate() {
+fn the_rounding_factor_multiplies_the_rate() {
     let capacity = WarmCapacity {
-        rounding_gain: 2.0,
+        rounding_factor: 2.0,
         ..CAPACITY
     };
     let mut budget = SlowStartBudget::new(STARTED_AT, STARTED_AT, 0.0);
@@ -100,14 +101,14 @@
     assert!(budget.has_stored_token());
 }
 
-/// Returns the number of whole tokens that a budget holds one hour after it was empty, for a warm backend of which this
-/// proxy's share is `requests_per_s`.
+/// Returns the number of whole tokens that a budget holds one hour after it was empty, if this proxy's share of the
+/// capacity of the warm backend is `requests_per_s`.
 fn tokens_after_an_hour(requests_per_s: f64) -> u32 {
     let warm = STARTED_AT + DURATION;
     let capacity = WarmCapacity {
         requests_per_s,
         proxy_fraction: 1.0,
-        rounding_gain: 1.0,
+        rounding_factor: 1.0,
     };
     let mut budget = SlowStartBudget::new(warm, STARTED_AT, 0.0);
     budget.refill(warm, &SAFETY, &capacity);
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -2,8 +2,8 @@
 //!
 //! The delays apply to all calls except those after a stalled watch, which `membership` starts at once.
 //!
-//! Deviation: a call is made after a random delay instead of at once. All proxies may start at the same time and see
-//! the same calls fail; calls of all of them at once would keep discovery overloaded.
+//! Deviation: a call is made after a random delay instead of at once. All proxies may start, or see their calls fail,
+//! at the same time. If all of them then called at once, discovery would stay overloaded.
 
 use super::time::SECOND;
 use crate::api::{Micros, Settings};
@@ -24,14 +24,14 @@
 const DELAY_AND_CALL_DURATION: Micros = 8 * SECOND;
 /// Number of poll intervals within which a proxy without a watch must receive a list after a failed call.
 const POLL_INTERVALS_AFTER_FAILURE: u64 = 4;
-/// Longest delay before a call. From 6 s after discovery has a change and can be reached, the change counts as known to
-/// every proxy, which must have received it by that time. The call takes up to 3.5 s of the 6 s.
+/// Longest delay before a call. Every proxy counts as notified of a change from 6 s after discovery has the change and
+/// can be reached, and must have received it by that time. The call takes up to 3.5 s of the 6 s.
 const MAX_DELAY: Micros = 5 * SECOND / 2;
 
 /// Backoff of calls to discovery, which grows with the failures since the last list.
 #[derive(Default)]
 pub(crate) struct SubscriptionBackoff {
-    /// Calls that have failed, or watches that broke, since the last list was received.
+    /// Number of failed calls and broken watches since the last list was received.
     failures: u32,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns a random delay of at least `backoff` and at most the longest allowed one.
+/// Returns a random delay of at least `backoff` and at most the longest allowed delay.
 ///
 /// Beyond the backoff, delays are spread over the time that the calls of all proxies take at one call per `interval`,
 /// or over a span as long as the backoff if that is longer. Discovery thus receives the calls about evenly. A backoff
--- a/src/proxy/clients/headers.rs
+++ b/src/proxy/clients/headers.rs
@@ -12,7 +12,7 @@
 pub(super) const EXPECTED_WORK: HeaderName = HeaderName::from_static("x-weight-hint");
 
 /// Headers that identify or classify a request. A request must not repeat any of them.
-pub(super) const SINGLE_HEADERS: [HeaderName; 5] = [
+pub(super) const NON_REPEATABLE_HEADERS: [HeaderName; 5] = [
     CORRELATION_ID,
     SERVICE_CLASS,
     ACCOUNT,
@@ -40,7 +40,7 @@
         .filter_map(|name| name.parse().ok())
         .collect();
     for name in named_by_connection {
-        // The headers that identify a request are kept, so that a client cannot have them removed.
+        // The headers that identify a request are forwarded even if the client lists them in `Connection`.
         if name != CORRELATION_ID && name != IDEMPOTENCY_KEY {
             headers.remove(name);
         }
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -2,7 +2,7 @@
 
 use super::error::InvalidRequest;
 use super::headers::{
-    ACCOUNT, EXPECTED_WORK, IDEMPOTENCY_KEY, RETRY, SERVICE_CLASS, SINGLE_HEADERS,
+    ACCOUNT, EXPECTED_WORK, IDEMPOTENCY_KEY, NON_REPEATABLE_HEADERS, RETRY, SERVICE_CLASS,
     end_to_end_headers, origin_form,
 };
 use super::{Class, Clients};
@@ -112,7 +112,7 @@
     fn describe(&self, head: &Parts) -> Result<crate::api::Request, InvalidRequest> {
         // If a header is repeated, a backend may use the value that the proxy ignores.
         let is_duplicate = |name| head.headers.get_all(name).iter().nth(1).is_some();
-        if SINGLE_HEADERS.iter().any(is_duplicate) {
+        if NON_REPEATABLE_HEADERS.iter().any(is_duplicate) {
             return Err(InvalidRequest::DuplicateHeader);
         }
         let class = self.class(head)?;
@@ -177,7 +177,8 @@
             allowed: class.method.clone(),
         });
     }
-    // Without the key, a backend would execute a request again that is sent twice (rule 2, idempotency).
+    // Without an idempotency key, a backend would execute a request that is sent twice a second time (rule 2,
+    // idempotency).
     if class.needs_key && ascii_header(head, &IDEMPOTENCY_KEY).is_none_or(str::is_empty) {
         return Err(InvalidRequest::MissingIdempotencyKey);
     }
@@ -196,8 +197,9 @@
         .ok_or(InvalidRequest::InvalidTimeout)
 }
 
-/// Returns the `key` parameter of a query as a number: the value itself if it is hexadecimal, otherwise a hash of it.
-/// The request passes the number to the balancer, which does not use it.
+/// Returns the `key` parameter of a query as a number: the value itself if it is hexadecimal, otherwise a hash of the
+/// value; `None` if the query has no such parameter. The request passes the number to the balancer, which does not use
+/// it.
 fn affinity_key(query: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(name, _)| *name == "key")?;
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -82,7 +82,7 @@
     handle: DriverHandle,
     /// Marked ready once the proxy has an endpoint list from discovery, or a cached one with a ready backend.
     lifecycle: Rc<Lifecycle>,
-    /// `None` if discovery is an agent on the same machine.
+    /// Polling of a shared discovery; `None` if discovery is an agent on the same machine.
     polling: Option<Polling>,
     /// Revision of the list that the proxy holds; `None` if the next call must request the complete list.
     revision: Option<u64>,
@@ -147,7 +147,7 @@
     }
 
     /// Disconnects from the old address. Revisions of two services are not comparable, so the next call requests the
-    /// complete list from the new address. The proxy uses the old list until the new one arrives.
+    /// complete list from the new address. The proxy uses the old list until it receives the new one.
     fn on_address_changed(&mut self) {
         self.client.disconnect();
         self.revision = None;
