--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -41,7 +41,7 @@
 use report::{FleetReport, PolicyReport};
 use scenario::FleetScenario;
 use simulation::Simulation;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::thread;
 use std::time::Instant;
 use topology::Topology;
@@ -109,10 +109,10 @@
     if let Some(duration) = options.duration_s {
         scenario.duration_s = duration;
     }
-    let invalid = |InvalidValue { key, problem }| LabError::Scenario {
+    let invalid = |invalid_value: InvalidValue| LabError::Scenario {
         path: options.scenario.clone(),
-        key,
-        problem: format!("{problem} (after the command-line options were applied)"),
+        problem: format!("{invalid_value} (after the command-line options were applied)"),
+        key: invalid_value.key,
     };
     scenario.validate().map_err(invalid)?;
     Ok(scenario)
@@ -123,11 +123,8 @@
     if factor.is_finite() && factor > 0.0 {
         return Ok(());
     }
-    Err(LabError::Scenario {
-        path: PathBuf::from("command line"),
-        key: "--scale".to_owned(),
-        problem: format!("{factor} must be finite and above 0"),
-    })
+    let invalid_value = InvalidValue::new("--scale", factor, "finite and above 0");
+    Err(invalid_value.into_error(Path::new("command line")))
 }
 
 /// Simulates a scenario under each policy, each on a thread of its own. `quiet` hides the progress bars.
--- a/lab/src/fleet/scenario/validation/mod.rs
+++ b/lab/src/fleet/scenario/validation/mod.rs
@@ -19,10 +19,8 @@
         check.require(
             self.warmup_s < self.duration_s,
             "warmup_s",
-            format!(
-                "{} must be less than `duration_s` ({})",
-                self.warmup_s, self.duration_s
-            ),
+            self.warmup_s,
+            format!("less than `duration_s` ({})", self.duration_s),
         );
         self.check_fleet(&mut check);
         self.check_machine_types(&mut check);
@@ -43,31 +41,31 @@
     fn check_fleet(&self, check: &mut Check) {
         let fleet = &self.fleet;
         let zones = u32::from(fleet.zones);
-        let one_in_each_zone =
-            |count: u32| format!("{count} must be {zones} or more: at least one in each zone");
+        let one_in_each_zone = format!("{zones} or more (at least one in each zone)");
         check.at_least_one(zones, "fleet.zones");
         check.require(
             (1..=fleet.zones).contains(&fleet.regions),
             "fleet.regions",
-            format!(
-                "{} must be from 1 to {} (the number of zones)",
-                fleet.regions, fleet.zones
-            ),
+            fleet.regions,
+            format!("1 to {zones} (the number of zones)"),
         );
         check.require(
             fleet.proxies >= zones,
             "fleet.proxies",
-            one_in_each_zone(fleet.proxies),
+            fleet.proxies,
+            &one_in_each_zone,
         );
         check.require(
             fleet.proxies <= u32::from(u16::MAX),
             "fleet.proxies",
-            format!("{} must be at most {}", fleet.proxies, u16::MAX),
+            fleet.proxies,
+            format!("at most {}", u16::MAX),
         );
         check.require(
             fleet.backends >= zones,
             "fleet.backends",
-            one_in_each_zone(fleet.backends),
+            fleet.backends,
+            &one_in_each_zone,
         );
         check.at_least_one(fleet.racks_per_zone, "fleet.racks_per_zone");
         check.at_least_one(fleet.cell_size, "fleet.cell_size");
@@ -136,7 +134,8 @@
         check.require(
             (1..=MAX_TRACKED_ATTEMPTS).contains(&max_attempts),
             "permissions.max_attempts",
-            format!("{max_attempts} must be from 1 to {MAX_TRACKED_ATTEMPTS}"),
+            max_attempts,
+            format!("1 to {MAX_TRACKED_ATTEMPTS}"),
         );
         check.positive(permissions.idle_timeout_s, "permissions.conn_idle_s");
         check.not_negative(permissions.max_retry_after_ms, "permissions.retry_after_ms");
@@ -161,7 +160,8 @@
     check.require(
         (1..=MAX_TABLES).contains(&count),
         key,
-        format!("found {count} `[[{key}]]` tables, must be 1 to {MAX_TABLES}"),
+        count,
+        format!("1 to {MAX_TABLES} `[[{key}]]` tables"),
     );
 }
 
@@ -173,10 +173,8 @@
     check.require(
         (0.0..1.0).contains(&machine_type.speed_spread),
         key("speed_spread"),
-        format!(
-            "{} must be 0 or more and less than 1",
-            machine_type.speed_spread
-        ),
+        machine_type.speed_spread,
+        "0 or more and less than 1",
     );
 }
 
@@ -189,10 +187,8 @@
     check.require(
         class.timeout_ms >= class.latency_objective_ms,
         key("deadline_ms"),
-        format!(
-            "{} must be at least `aim_ms` ({})",
-            class.timeout_ms, class.latency_objective_ms
-        ),
+        class.timeout_ms,
+        format!("at least `aim_ms` ({})", class.latency_objective_ms),
     );
     check.fraction(class.late_weight_factor, key("late_worth"));
     check.positive(class.key_ttl_ms, key("key_ttl_ms"));
--- a/lab/src/fleet/scenario/validation/timeline.rs
+++ b/lab/src/fleet/scenario/validation/timeline.rs
@@ -66,8 +66,9 @@
     /// Checks that a zone exists.
     fn zone(&mut self, zone: u16, name: &str) {
         let zones = self.scenario.fleet.zones;
-        let problem = format!("{zone} must be less than {zones}, the number of zones");
-        self.check.require(zone < zones, self.key(name), problem);
+        let allowed = format!("less than {zones} (the number of zones)");
+        self.check
+            .require(zone < zones, self.key(name), zone, allowed);
     }
 
     fn return_after(&mut self, return_after_s: Option<f64>) {
@@ -90,8 +91,9 @@
         self.zone(event.zone, "zone");
         let rack = event.rack;
         let racks = self.scenario.fleet.racks_per_zone;
-        let problem = format!("{rack} must be less than {racks}, the number of racks in a zone");
-        self.check.require(rack < racks, self.key("rack"), problem);
+        let allowed = format!("less than {racks} (the number of racks in a zone)");
+        self.check
+            .require(rack < racks, self.key("rack"), rack, allowed);
         self.return_after(event.return_after_s);
     }
 
@@ -108,13 +110,13 @@
             .tenants
             .as_ref()
             .map_or(0, |tenants| tenants.count);
-        let problem = format!("{tenant} must be less than {tenants} (`tenants.count`)");
+        let allowed = format!("less than {tenants} (`tenants.count`)");
         self.check
-            .require(tenant < tenants, self.key("tenant"), problem);
+            .require(tenant < tenants, self.key("tenant"), tenant, allowed);
         self.positive(event.for_s, "for_s");
-        let problem = format!("{} must be above 1", event.multiple);
+        let multiple = event.multiple;
         self.check
-            .require(event.multiple > 1.0, self.key("multiple"), problem);
+            .require(multiple > 1.0, self.key("multiple"), multiple, "above 1");
     }
 
     fn backend_slow(&mut self, event: &BackendSlow) {
--- a/lab/src/live/scenario/validation.rs
+++ b/lab/src/live/scenario/validation.rs
@@ -207,7 +207,7 @@
     }
 }
 
-/// Checks one value; `allowed` and `found` complete the error "must be ..., found ...".
+/// Checks that a value is valid; `allowed` and `found` complete the error "must be ..., found ...".
 fn require(
     is_valid: bool,
     key: &str,
@@ -217,10 +217,7 @@
     if is_valid {
         return Ok(());
     }
-    Err(InvalidValue {
-        key: key.to_owned(),
-        problem: format!("must be {allowed}, found {found}"),
-    })
+    Err(InvalidValue::new(key, found, allowed))
 }
 
 /// Checks that a value is in a range; the error names the range with its unit.
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -2,15 +2,40 @@
 
 use crate::error::LabError;
 use serde::de::DeserializeOwned;
+use std::fmt::Display;
 use std::path::Path;
 
 /// A scenario value outside its allowed range.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("must be {allowed}, found {found}")]
 pub struct InvalidValue {
     /// Dotted path of the key, such as `load.latency_ms`.
     pub key: String,
-    /// Description of the value found and the values allowed, such as `must be 1 to 40 processes, found 41`.
-    pub problem: String,
+    /// The value found, such as `41`.
+    pub found: String,
+    /// The values allowed, such as `1 to 40 processes`; completes "must be ...".
+    pub allowed: String,
+}
+
+impl InvalidValue {
+    /// Creates the error for the value `found` at `key`; `allowed` completes "must be ...".
+    pub fn new(key: impl Into<String>, found: impl Display, allowed: impl Display) -> Self {
+        Self {
+            key: key.into(),
+            found: found.to_string(),
+            allowed: allowed.to_string(),
+        }
+    }
+
+    /// Returns the error for a value that the file at `path` sets.
+    #[must_use]
+    pub fn into_error(self, path: &Path) -> LabError {
+        LabError::Scenario {
+            path: path.to_owned(),
+            problem: self.to_string(),
+            key: self.key,
+        }
+    }
 }
 
 /// A scenario type that checks the ranges of its values.
@@ -55,6 +80,6 @@
         .map_err(|error| invalid(error.path().to_string(), error.inner().message().to_owned()))?;
     scenario
         .validate()
-        .map_err(|InvalidValue { key, problem }| invalid(key, problem))?;
+        .map_err(|invalid_value| invalid_value.into_error(path))?;
     Ok(scenario)
 }
--- a/lab/src/slopes/mod.rs
+++ b/lab/src/slopes/mod.rs
@@ -130,11 +130,9 @@
         if let Some(repetitions) = self.repetitions {
             scenario.repetitions = repetitions;
         }
-        scenario.validate().map_err(|invalid| LabError::Scenario {
-            path: Path::new("command line").to_owned(),
-            key: invalid.key,
-            problem: invalid.problem,
-        })?;
+        scenario
+            .validate()
+            .map_err(|invalid_value| invalid_value.into_error(Path::new("command line")))?;
         Ok(scenario)
     }
 
--- a/lab/src/slopes/scenario/validation.rs
+++ b/lab/src/slopes/scenario/validation.rs
@@ -177,14 +177,6 @@
     }
 }
 
-/// Creates the error for the value `found` at `key`; `allowed` completes "must be ...".
-fn invalid(key: &str, found: impl Display, allowed: &str) -> InvalidValue {
-    InvalidValue {
-        key: key.to_owned(),
-        problem: format!("must be {allowed}, found {found}"),
-    }
-}
-
 /// Checks that a value is in the inclusive range from `min` to `max`.
 fn check_range<T: PartialOrd + Display>(
     key: &str,
@@ -195,7 +187,7 @@
     if min <= value && value <= max {
         return Ok(());
     }
-    Err(invalid(key, value, &format!("{min} to {max}")))
+    Err(InvalidValue::new(key, value, format!("{min} to {max}")))
 }
 
 /// Checks that a number is finite and above 0.
@@ -203,7 +195,7 @@
     if value.is_finite() && value > 0.0 {
         return Ok(());
     }
-    Err(invalid(key, value, "a finite number above 0"))
+    Err(InvalidValue::new(key, value, "a finite number above 0"))
 }
 
 /// Checks that there is at least one number, that all are in the range from 1 to `max`, and that each is greater than
@@ -215,5 +207,5 @@
         return Ok(());
     }
     let allowed = format!("one or more numbers from 1 to {max}, ascending");
-    Err(invalid(key, format_args!("{values:?}"), &allowed))
+    Err(InvalidValue::new(key, format!("{values:?}"), allowed))
 }
--- a/lab/tests/fleet/command_line.rs
+++ b/lab/tests/fleet/command_line.rs
@@ -56,7 +56,7 @@
         (
             "duration_s = 3.0",
             "duration_s = -1.0",
-            vec!["`duration_s`", "-1 must be finite and above 0"],
+            vec!["`duration_s`", "must be finite and above 0, found -1"],
         ),
         (
             "fraction = 0.6",
@@ -66,7 +66,10 @@
         (
             "proxies = 6",
             "proxies = 1",
-            vec!["fleet.proxies", "1 must be 2 or more", "one in each zone"],
+            vec![
+                "fleet.proxies",
+                "must be 2 or more (at least one in each zone), found 1",
+            ],
         ),
         (
             "proxies = 6",
@@ -78,31 +81,34 @@
             "regions = 3",
             vec![
                 "fleet.regions",
-                "3 must be from 1 to 2 (the number of zones)",
+                "must be 1 to 2 (the number of zones), found 3",
             ],
         ),
         (
             "cores = 2",
             "cores = 0",
-            vec!["kind[0].cores", "0 must be 1 or more"],
+            vec!["kind[0].cores", "must be 1 or more, found 0"],
         ),
         (
             "speed_spread = 0.1",
             "speed_spread = 1.0",
             vec![
                 "kind[0].speed_spread",
-                "1 must be 0 or more and less than 1",
+                "must be 0 or more and less than 1, found 1",
             ],
         ),
         (
             "deadline_ms = 1000.0",
             "deadline_ms = 300.0",
-            vec!["class[0].deadline_ms", "300", "`aim_ms` (400)"],
+            vec![
+                "class[0].deadline_ms",
+                "must be at least `aim_ms` (400), found 300",
+            ],
         ),
         (
             "duration_s = 3.0",
             "duration_s = 3.0\nwarmup_s = 4.0",
-            vec!["warmup_s", "4 must be less than `duration_s` (3)"],
+            vec!["warmup_s", "must be less than `duration_s` (3), found 4"],
         ),
         (
             "effect = \"unsafe\"",
@@ -112,7 +118,7 @@
         (
             "cold_time_s = 2.0",
             "cold_time_s = 0.0",
-            vec!["safety.cold_time_s", "0 must be finite and above 0"],
+            vec!["safety.cold_time_s", "must be finite and above 0, found 0"],
         ),
     ];
     for (valid, invalid, expected_parts) in cases {
@@ -131,12 +137,12 @@
             "kind = \"zone_loss\"\nat_s = 1.0\nzone = 2",
             vec![
                 "event[0].zone",
-                "2 must be less than 2, the number of zones",
+                "must be less than 2 (the number of zones), found 2",
             ],
         ),
         (
             "kind = \"zone_loss\"\nat_s = -1.0\nzone = 0",
-            vec!["event[0].at_s", "-1 must be finite and 0 or more"],
+            vec!["event[0].at_s", "must be finite and 0 or more, found -1"],
         ),
         (
             "kind = \"zone_loss\"\nat_s = 1.0\nzone = 0\nfor_s = 1.0",
@@ -148,19 +154,22 @@
         ),
         (
             "kind = \"backend_crash\"\nat_s = 1.0\nfraction = 1.5",
-            vec!["event[0].fraction", "1.5 must be from 0 to 1"],
+            vec!["event[0].fraction", "must be 0 to 1, found 1.5"],
         ),
         (
             "kind = \"tenant_surge\"\nat_s = 1.0\nfor_s = 1.0\ntenant = 5\nmultiple = 2.0",
-            vec!["event[0].tenant", "5 must be less than 5 (`tenants.count`)"],
+            vec![
+                "event[0].tenant",
+                "must be less than 5 (`tenants.count`), found 5",
+            ],
         ),
         (
             "kind = \"tenant_surge\"\nat_s = 1.0\nfor_s = 1.0\ntenant = 0\nmultiple = 0.5",
-            vec!["event[0].multiple", "0.5 must be above 1"],
+            vec!["event[0].multiple", "must be above 1, found 0.5"],
         ),
         (
             "kind = \"config_burst\"\nat_s = 1.0\nentries = 0",
-            vec!["event[0].entries", "0 must be 1 or more"],
+            vec!["event[0].entries", "must be 1 or more, found 0"],
         ),
     ];
     for (event, expected_parts) in cases {
