--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -30,7 +30,7 @@
     let backend = Backend::start(move |_| ok(&answered));
     let mut config = config("large", &discovery);
     config["limits"]["memory_mb"] = 8.into();
-    let proxy = Proxy::start_with("large", config);
+    let proxy = Proxy::start_with_config("large", config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     for id in 0..20 {
         let got = proxy
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -40,7 +40,7 @@
         .collect();
     let mut config = config("shortage", &discovery);
     config["limits"]["sockets"] = 48.into();
-    let mut proxy = Proxy::start_with("shortage", config);
+    let mut proxy = Proxy::start_with_config("shortage", config);
     discovery.publish_and_wait(true, &endpoints);
     let clients: Vec<_> = (0..14)
         .map(|i| {
@@ -67,7 +67,7 @@
     let discovery = Discovery::start();
     let mut config = config("idle", &discovery);
     config["limits"]["sockets"] = 64.into();
-    let proxy = Proxy::start_with("idle", config);
+    let proxy = Proxy::start_with_config("idle", config);
     // More clients than the proxy accepts at a time; none of them sends a byte.
     let clients: Vec<_> = (0..64).map(|_| proxy.client()).collect();
     assert_eq!(proxy.status_of(HEALTH_CHECK), 503);
--- a/tests/proxy/client_disconnect.rs
+++ b/tests/proxy/client_disconnect.rs
@@ -15,7 +15,8 @@
 
 const DISCONNECTS: [Disconnect; 3] = [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset];
 
-/// Disconnects a client in this way. Returns the client after a half-close, because dropping it would close it.
+/// Disconnects a client in this way. Returns the client after a half-close, because dropping the client would close its
+/// connection.
 fn disconnect(client: Client, way: Disconnect) -> Option<Client> {
     match way {
         Disconnect::Close => None,
@@ -49,7 +50,7 @@
         config["settings"]["classes"][class]["aimUs"] = 100_000_000.into();
     }
     config["limits"]["memory_mb"] = memory_mb.into();
-    let proxy = Proxy::start_with(name, config);
+    let proxy = Proxy::start_with_config(name, config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     proxy
 }
@@ -67,8 +68,8 @@
     began.elapsed()
 }
 
-/// Releases the responses to these clients and sends one more request. Asserts that it is the next one that the backend
-/// receives.
+/// Releases the responses to these clients and sends one more request. Asserts that the backend receives this request
+/// next.
 fn assert_only_new_requests_are_sent(
     proxy: &Proxy,
     backend: &Backend,
@@ -217,7 +218,7 @@
     let mut config = config_with_operator("left-connecting", &discovery);
     // A single backend has a low limit, and requests beyond it are queued instead of connecting.
     config["settings"]["permissions"]["dialTimeoutUs"] = 15_000_000.into();
-    let proxy = Proxy::start_with("left-connecting", config);
+    let proxy = Proxy::start_with_config("left-connecting", config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let mut detection_times = Vec::new();
     let cases = disconnect_cases(&pipelined_input());
@@ -250,7 +251,7 @@
         let (closing, release) = backend_that_closes_on_signal();
         let other = Backend::start(|_| ok("there"));
         let name = format!("left-retry-{i}");
-        let proxy = Proxy::start_with(&name, config_with_operator(&name, &discovery));
+        let proxy = Proxy::start_with_config(&name, config_with_operator(&name, &discovery));
         discovery.publish_and_wait(true, &[active_endpoint("s-1", closing.address)]);
         let mut client = proxy.client();
         client.send(&(request("read", "left", "") + &input));
--- a/tests/proxy/corrupt_responses.rs
+++ b/tests/proxy/corrupt_responses.rs
@@ -28,7 +28,7 @@
 
 /// Starts a backend that sends a corrupt response if the flag is set, and clears the flag. Otherwise its response is
 /// valid.
-fn backend_that_is_corrupt_once(corrupt: &[u8], is_corrupt: &Arc<AtomicBool>) -> Backend {
+fn backend_with_one_corrupt_response(corrupt: &[u8], is_corrupt: &Arc<AtomicBool>) -> Backend {
     let corrupt = corrupt.to_vec();
     let is_corrupt = Arc::clone(is_corrupt);
     Backend::start(move |_| {
@@ -41,7 +41,7 @@
 }
 
 /// Backends send bytes that cannot become a valid response, and keep the connection open. An attempt that waits for
-/// more leaves no time for a retry, and a reset would count as a failure of a healthy backend.
+/// further bytes leaves no time for a retry, and a reset would count as a failure of a healthy backend.
 #[test]
 fn a_corrupt_response_fails_at_once_and_only_idempotent_requests_are_retried() {
     let endless_head = format!("HTTP/1.1 200 OK\r\nX-Long: {}", "y".repeat(20_000));
@@ -60,8 +60,8 @@
     for (i, bytes) in corrupt.into_iter().enumerate() {
         let discovery = Discovery::start();
         let is_corrupt = Arc::new(AtomicBool::new(true));
-        let first = backend_that_is_corrupt_once(bytes, &is_corrupt);
-        let second = backend_that_is_corrupt_once(bytes, &is_corrupt);
+        let first = backend_with_one_corrupt_response(bytes, &is_corrupt);
+        let second = backend_with_one_corrupt_response(bytes, &is_corrupt);
         let endpoints = [
             active_endpoint("s-1", first.address),
             active_endpoint("s-2", second.address),
--- a/tests/proxy/discovery.rs
+++ b/tests/proxy/discovery.rs
@@ -23,7 +23,7 @@
     let mut config = config("known", &discovery);
     config["known"] = json!({"revision": 7, "complete": true, "members": [active_endpoint("s-1", backend.address)]});
     config["settings"]["membershipMode"] = "on_request".into();
-    let proxy = Proxy::start_with("known", config);
+    let proxy = Proxy::start_with_config("known", config);
     assert_eq!(
         discovery.next_call(),
         Some(7),
@@ -43,7 +43,7 @@
     let backend = Backend::start(|_| ok("there"));
     let mut config = config("older", &discovery);
     config["known"] = json!({"revision": 7, "complete": true, "members": [active_endpoint("s-1", backend.address)]});
-    let proxy = Proxy::start_with("older", config);
+    let proxy = Proxy::start_with_config("older", config);
     assert_eq!(discovery.next_call(), Some(7));
     discovery.publish(false, &[endpoint("s-1", backend.address, "left", 0)]);
     assert_eq!(discovery.next_call(), None);
@@ -58,7 +58,7 @@
 #[test]
 fn a_call_that_waits_in_the_queue_of_discovery_is_not_repeated() {
     let discovery = Discovery::start();
-    let _proxy = Proxy::start_with("queued-call", config("queued-call", &discovery));
+    let _proxy = Proxy::start_with_config("queued-call", config("queued-call", &discovery));
     assert_eq!(discovery.next_call(), None);
     thread::sleep(Duration::from_millis(2_500));
     assert_eq!(
@@ -76,7 +76,7 @@
         let mut config = config("asked", &discovery);
         config["known"] = known;
         config["settings"]["membershipMode"] = "on_request".into();
-        let proxy = Proxy::start_with("asked", config);
+        let proxy = Proxy::start_with_config("asked", config);
         discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
         assert_eq!(proxy.status_of(&request("read", "1", "")), 200);
     }
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -61,7 +61,7 @@
         {"name": "plain", "allowancePerS": 9.0},
         {"name": "Ñañez-Ltda", "allowancePerS": 9.0},
     ]);
-    let proxy = Proxy::start_with("names", config);
+    let proxy = Proxy::start_with_config("names", config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let mut client = proxy.client();
     for (id, account) in [("1", "plain"), ("2", "Ñañez-Ltda")] {
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -6,9 +6,9 @@
 
 /// Starts the program with these environment variables for its log.
 fn start_logging(name: &str, discovery: &Discovery, variables: &[(&str, &str)]) -> Proxy {
-    let mut command = command(name, &config(name, discovery).to_string());
+    let mut command = proxy_command(name, &config(name, discovery).to_string());
     command.envs(variables.iter().copied());
-    Proxy::spawn(name, command)
+    Proxy::start_with_command(name, command)
 }
 
 #[test]
@@ -86,7 +86,7 @@
 fn an_invalid_log_option_fails_the_start_with_one_line_on_standard_error() {
     let discovery = Discovery::start();
     let start = |configuration: &Value, variable: Option<(&str, &str)>| {
-        let mut command = command("log-invalid", &configuration.to_string());
+        let mut command = proxy_command("log-invalid", &configuration.to_string());
         command.envs(variable).stdin(Stdio::null());
         let output = command
             .output()
--- a/tests/proxy/operating.rs
+++ b/tests/proxy/operating.rs
@@ -17,7 +17,9 @@
     let backend = Backend::start(move |received| match received.header("x-correlation-id") {
         Some("bad") => Reply::Write(response("500 Internal Server Error", "", b"")),
         Some(other) if other == id => Reply::After(
-            signal.take().expect("a single request has this id"),
+            signal
+                .take()
+                .expect("the backend receives a single request with this id"),
             Box::new(ok(id)),
         ),
         _ => ok("fine"),
@@ -29,7 +31,7 @@
 fn operator_calls_are_answered_before_the_proxy_is_ready() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
-    let proxy = Proxy::start_with("calls", config_with_operator("calls", &discovery));
+    let proxy = Proxy::start_with_config("calls", config_with_operator("calls", &discovery));
     assert_eq!(proxy.operator_call("GET", READY).status(), 503);
     assert_eq!(proxy.metric("app_known_backends"), 0);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
@@ -64,7 +66,7 @@
 #[test]
 fn malformed_operator_calls_are_rejected_without_effect() {
     let discovery = Discovery::start();
-    let proxy = Proxy::start_with(
+    let proxy = Proxy::start_with_config(
         "malformed-calls",
         config_with_operator("malformed-calls", &discovery),
     );
@@ -115,11 +117,11 @@
     assert_eq!(proxy.operator_call("GET", READY).status(), 200);
 }
 
-/// There are more callers than operator calls that the proxy accepts at a time.
+/// More operators connect than the proxy serves at the same time.
 #[test]
 fn silent_and_incomplete_operator_calls_do_not_delay_others() {
     let discovery = Discovery::start();
-    let proxy = Proxy::start_with(
+    let proxy = Proxy::start_with_config(
         "silent-calls",
         config_with_operator("silent-calls", &discovery),
     );
@@ -158,7 +160,7 @@
     let (backend, _releases) = backend_that_holds_initial_limit();
     let mut config = config_with_operator("crowded-calls", &discovery);
     config["limits"]["sockets"] = 90.into();
-    let proxy = Proxy::start_with("crowded-calls", config);
+    let proxy = Proxy::start_with_config("crowded-calls", config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let _busy = saturate(&proxy, &backend);
     let _idle_clients: Vec<Client> = (0..100)
@@ -181,7 +183,7 @@
 fn metrics_count_attempts_outcomes_and_requests_in_progress() {
     let discovery = Discovery::start();
     let (backend, release) = backend_that_holds_request("wait");
-    let proxy = Proxy::start_with("metrics", config_with_operator("metrics", &discovery));
+    let proxy = Proxy::start_with_config("metrics", config_with_operator("metrics", &discovery));
     let draining = endpoint("s-2", backend.address, "leaving", 0);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address), draining]);
     assert_eq!(
@@ -242,7 +244,7 @@
     let (backend, releases) = backend_that_holds_initial_limit();
     let mut config = config_with_operator("rejected-metric", &discovery);
     config["settings"]["classes"][1]["deadlineUs"] = 10_000_000.into();
-    let proxy = Proxy::start_with("rejected-metric", config);
+    let proxy = Proxy::start_with_config("rejected-metric", config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let clients = saturate(&proxy, &backend);
     let short = request_with_timeout("submit", "1", "x", 300);
@@ -258,7 +260,7 @@
 fn a_proxy_out_of_service_answers_requests_and_closes_their_connections() {
     let discovery = Discovery::start();
     let (backend, release) = backend_that_holds_request("held");
-    let proxy = Proxy::start_with("drained", config_with_operator("drained", &discovery));
+    let proxy = Proxy::start_with_config("drained", config_with_operator("drained", &discovery));
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let mut idle = proxy.client();
     let mut used = proxy.client();
@@ -321,7 +323,8 @@
 fn a_proxy_that_shuts_down_rejects_a_return_to_service() {
     let discovery = Discovery::start();
     let (backend, releases) = backend_that_holds_initial_limit();
-    let mut proxy = Proxy::start_with("stopping", config_with_operator("stopping", &discovery));
+    let mut proxy =
+        Proxy::start_with_config("stopping", config_with_operator("stopping", &discovery));
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let clients = saturate(&proxy, &backend);
     assert_eq!(proxy.operator_call("POST", OUT_OF_SERVICE).status(), 200);
@@ -376,7 +379,7 @@
     let start = |name: &str, operator: String, fd: Option<&str>| {
         let mut config = config(name, &discovery);
         config["operator"] = operator.into();
-        let mut command = command(name, &config.to_string());
+        let mut command = proxy_command(name, &config.to_string());
         if let Some(fd) = fd {
             command.env("EDGE_FD", fd);
         }
--- a/tests/proxy/overload.rs
+++ b/tests/proxy/overload.rs
@@ -24,7 +24,8 @@
 }
 
 impl IdleClients {
-    /// Starts the clients. Each one is given one of these requests, complete or not, in turn.
+    /// Starts [`IDLE_CLIENT_COUNT`] clients. Each sends one of the `requests`, which are assigned to the clients in turn
+    /// and may be incomplete.
     fn start(address: SocketAddr, requests: &[String]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let client = |number: usize| {
@@ -93,7 +94,7 @@
     ];
     for mode in ["pushed", "on_request"] {
         let discovery = address_without_listener(&format!("127.79.0.{}", mode.len()));
-        let mut config = config_at(&format!("crowd-{mode}"), discovery);
+        let mut config = config_with_discovery_at(&format!("crowd-{mode}"), discovery);
         config["limits"]["sockets"] = DESCRIPTORS.into();
         config["settings"]["membershipMode"] = mode.into();
         let known = active_endpoint("old", address_without_listener("127.79.0.1"));
@@ -132,12 +133,13 @@
     }
 }
 
-/// Serves this list to all proxies, as a discovery that answers calls slowly and one after another. A call that has
-/// waited too long is answered with 503. A call for changes after the list's revision stays open.
+/// Runs a discovery service that serves this list to all proxies and answers calls slowly, one after another. A call that
+/// has waited too long is answered with 503. A call for changes after the list's revision stays open.
 fn serve_in_turn(address: SocketAddr, list: Value) {
     const CALL_DURATION: Duration = Duration::from_millis(200);
     const MAX_QUEUE_TIME: Duration = Duration::from_secs(3);
-    let listener = TcpListener::bind(address).expect("no other test uses the host of discovery");
+    let listener =
+        TcpListener::bind(address).expect("no other test uses the loopback address of discovery");
     let (calls, queue) = channel::<(Instant, TcpStream)>();
     let newest = format!("after={}&", list["revision"]);
     thread::spawn(move || {
@@ -196,7 +198,7 @@
     discovery: SocketAddr,
     endpoints: &Value,
 ) -> Value {
-    let mut config = config_at(name, discovery);
+    let mut config = config_with_discovery_at(name, discovery);
     config["settings"]["membershipMode"] = "on_request".into();
     config["settings"]["me"] = index.into();
     config["settings"]["balancers"] = PROXY_COUNT.into();
@@ -227,12 +229,12 @@
             );
         }
         let began = Instant::now();
-        let launch = |index: usize| {
+        let start_proxy = |index: usize| {
             let name = format!("together-{start:?}-{index}");
             let config = config_of_proxy(&name, index, start, discovery, &endpoints);
-            Proxy::start_with(&name, config)
+            Proxy::start_with_config(&name, config)
         };
-        let proxies: Vec<_> = (0..PROXY_COUNT).map(launch).collect();
+        let proxies: Vec<_> = (0..PROXY_COUNT).map(start_proxy).collect();
         let mut waiting: Vec<_> = proxies.iter().collect();
         while !waiting.is_empty() && began.elapsed() < READY_WITHIN {
             waiting.retain(|proxy| proxy.status_of(HEALTH_CHECK) != 200);
--- a/tests/proxy/request_forms.rs
+++ b/tests/proxy/request_forms.rs
@@ -15,7 +15,8 @@
     ("15000", "99999999999999999999999", 400),
     ("Idempotency-Key: 7\r\n", "", 400),
     ("POST", "GET", 405),
-    // Numbers that a backend may parse differently, and repeated header fields of which it may read the other one.
+    // Numbers that a backend may parse differently, and repeated header fields, of which a backend may use another
+    // occurrence than the proxy.
     ("15000", "+480", 400),
     ("15000", " ", 400),
     ("15000", "480, 15000", 400),
@@ -117,7 +118,7 @@
     }
 
     /// Returns the request with this id in this form.
-    fn text(&self, id: &str) -> String {
+    fn request_text(&self, id: &str) -> String {
         let head = request("submit", id, "").replace("Content-Length: 0\r\n", self.fields);
         let (part, replacement) = self.replaced;
         (head + self.encoded_body).replace(part, replacement)
@@ -188,7 +189,7 @@
     let mut absolute_id = String::new();
     for (i, form) in REQUEST_FORMS.into_iter().enumerate() {
         let id = (i + 1).to_string();
-        let got = proxy.client().exchange(&form.text(&id));
+        let got = proxy.client().exchange(&form.request_text(&id));
         assert_eq!(got.status(), form.status, "{}", form.name);
         if form.status == 200 {
             assert_eq!(got.body, b"body", "{}", form.name);
--- a/tests/proxy/retries.rs
+++ b/tests/proxy/retries.rs
@@ -66,7 +66,7 @@
         let mut config = config(&name, &discovery);
         config["settings"]["classes"][1]["keyTtlUs"] = (KEY_TTL.as_micros() as u64).into();
         config["settings"]["classes"][1]["group"] = group.into();
-        let proxy = Proxy::start_with(&name, config);
+        let proxy = Proxy::start_with_config(&name, config);
         discovery.publish_and_wait(true, &[active_endpoint("s-1", closing.address)]);
         let mut client = proxy.client();
         client.send(&request("submit", "keyed", "x"));
--- a/tests/proxy/rig/configuration.rs
+++ b/tests/proxy/rig/configuration.rs
@@ -6,7 +6,7 @@
 
 /// Returns a configuration without cached endpoints.
 pub fn config(name: &str, discovery: &Discovery) -> Value {
-    config_at(name, discovery.address)
+    config_with_discovery_at(name, discovery.address)
 }
 
 /// Returns a configuration without cached endpoints and with an address for operator calls.
@@ -17,7 +17,7 @@
 }
 
 /// Returns a configuration without cached endpoints and with discovery at this address.
-pub fn config_at(name: &str, discovery: SocketAddr) -> Value {
+pub fn config_with_discovery_at(name: &str, discovery: SocketAddr) -> Value {
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"revision": 0, "complete": true, "members": []}, "settings": settings()})
--- a/tests/proxy/rig/mod.rs
+++ b/tests/proxy/rig/mod.rs
@@ -14,11 +14,13 @@
     Backend, Reply, backend_that_closes_on_signal, backend_that_holds_first_request, ok,
 };
 pub use client::{Client, HEALTH_CHECK, request, request_with_timeout};
-pub use configuration::{config, config_at, config_with_operator};
+pub use configuration::{config, config_with_discovery_at, config_with_operator};
 pub use discovery::{Discovery, active_endpoint, endpoint};
 pub use full_backlog::{FullBacklog, serve_and_collect_ids};
 pub use message::{Message, patterned_body, read_message, response};
-pub use process::{Proxy, command, launch, start_with_listener, start_with_little_memory};
+pub use process::{
+    Proxy, proxy_command, spawn_process, start_with_listener, start_with_little_memory,
+};
 pub use saturated_backend::{INITIAL_LIMIT, backend_that_holds_initial_limit, saturate};
 use std::net::{SocketAddr, TcpListener, ToSocketAddrs};
 use std::time::Duration;
@@ -35,7 +37,8 @@
     (listener, address)
 }
 
-/// Returns an address that refuses connections. The port stays free only if no other test uses the host.
+/// Returns an address that refuses connections. Its port stays free only if no other test uses the loopback address
+/// `host`.
 pub fn address_without_listener(host: &str) -> SocketAddr {
     let (_listener, address) = bind_listener((host, 0));
     address
--- a/tests/proxy/rig/process.rs
+++ b/tests/proxy/rig/process.rs
@@ -29,14 +29,14 @@
 }
 
 /// Starts the program with this configuration and captures its standard error.
-pub fn launch(name: &str, config: &str) -> Child {
-    command(name, config)
+pub fn spawn_process(name: &str, config: &str) -> Child {
+    proxy_command(name, config)
         .spawn()
         .expect("the proxy's program can be executed")
 }
 
 /// Returns the command that starts the program with this configuration.
-pub fn command(name: &str, config: &str) -> Command {
+pub fn proxy_command(name: &str, config: &str) -> Command {
     let path = config_path(name);
     fs::write(&path, config).expect("the temporary directory is writable");
     let mut command = Command::new(env!("CARGO_BIN_EXE_tillerproxy"));
@@ -51,9 +51,9 @@
         .try_clone()
         .expect("the test has a free descriptor")
         .into();
-    let mut command = command(name, &config.to_string());
+    let mut command = proxy_command(name, &config.to_string());
     command.env("EDGE_FD", "0").stdin(Stdio::from(listener));
-    Proxy::spawn(name, command)
+    Proxy::start_with_command(name, command)
 }
 
 /// Returns the address that follows these words in a log line of either format.
@@ -80,28 +80,28 @@
 
     /// Starts a proxy that has received no endpoint list.
     pub fn start_without_endpoints(name: &str, discovery: &Discovery) -> Self {
-        Self::start_with(name, config(name, discovery))
+        Self::start_with_config(name, config(name, discovery))
     }
 
     /// Starts a proxy with this configuration.
-    pub fn start_with(name: &str, config: Value) -> Self {
-        Self::wait_until_listening(name, launch(name, &config.to_string()))
+    pub fn start_with_config(name: &str, config: Value) -> Self {
+        Self::wait_until_listening(name, spawn_process(name, &config.to_string()))
     }
 
     /// Starts a proxy with this configuration in a process that is limited to this number of descriptors.
     pub fn start_with_descriptor_limit(name: &str, config: &Value, descriptors: usize) -> Self {
-        let program = command(name, &config.to_string());
+        let program = proxy_command(name, &config.to_string());
         let mut limited = Command::new("sh");
         limited.args(["-c", &format!("ulimit -n {descriptors} && exec \"$0\"")]);
         limited
             .arg(program.get_program())
             .envs(program.get_envs().filter_map(|(k, v)| Some((k, v?))));
         limited.stderr(Stdio::piped());
-        Self::spawn(name, limited)
+        Self::start_with_command(name, limited)
     }
 
     /// Executes a command that starts the program, and waits until the process has logged its addresses.
-    pub fn spawn(name: &str, mut command: Command) -> Self {
+    pub fn start_with_command(name: &str, mut command: Command) -> Self {
         let child = command
             .spawn()
             .expect("the proxy's program can be executed");
@@ -112,7 +112,8 @@
     fn wait_until_listening(name: &str, mut child: Child) -> Self {
         let log = BufReader::new(child.stderr.take().expect("standard error is a pipe"));
         let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
-        // `Proxy` kills the process when it is dropped, so build it before the log is checked.
+        // `Proxy` kills the process when it is dropped. It is created before the log is checked, so that a failed check
+        // leaves no process behind.
         let mut proxy = Self {
             child,
             address: unknown,
@@ -175,10 +176,10 @@
         let value = text
             .lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+        let value = value.unwrap_or_else(|| panic!("metric `{name}` is missing in {text}"));
         value
-            .unwrap_or_else(|| panic!("metric `{name}` is missing in {text}"))
             .parse()
-            .expect("the metric is a whole number")
+            .unwrap_or_else(|_| panic!("metric `{name}` is {value:?}, expected a whole number"))
     }
 
     /// Returns the peak resident memory of the process in kB.
@@ -272,7 +273,7 @@
     let mut config = config_with_operator(name, &discovery);
     config["limits"]["memory_mb"] = 32.into();
     config["settings"]["permissions"]["secondCopies"] = false.into();
-    let proxy = Proxy::start_with(name, config);
+    let proxy = Proxy::start_with_config(name, config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     proxy
 }
--- a/tests/proxy/shutdown.rs
+++ b/tests/proxy/shutdown.rs
@@ -55,7 +55,7 @@
     let (backend, release) = backend_that_holds_first_request("first", "queued");
     let mut config = config("queued", &discovery);
     config["limits"]["memory_mb"] = 0.into();
-    let mut proxy = Proxy::start_with("queued", config);
+    let mut proxy = Proxy::start_with_config("queued", config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     let mut first = proxy.client();
     first.send(&request("charge", "1", "x"));
@@ -63,7 +63,8 @@
     let mut queued = proxy.client();
     queued.send(&request("charge", "2", "x"));
     proxy.terminate();
-    // Connections are accepted for a minimum time after the signal, whose end cannot be observed from outside.
+    // After the signal, connections are accepted for a minimum time. The end of that time cannot be observed from
+    // outside.
     thread::sleep(Duration::from_millis(1_200));
     release
         .send(())
@@ -107,8 +108,8 @@
     assert_eq!(proxy.wait().code(), Some(0));
 }
 
-/// The client reads nothing until SIGTERM, so most of the response is still buffered. The response starts before the
-/// signal, or after it and then announces the close of its connection.
+/// The client reads nothing until SIGTERM, so most of the response is still buffered. The response starts either
+/// before the signal, or after it with `Connection: close`.
 #[test]
 fn a_response_that_is_read_only_after_sigterm_is_complete_before_the_process_ends() {
     const LENGTH: usize = 8 << 20;
--- a/tests/proxy/startup.rs
+++ b/tests/proxy/startup.rs
@@ -8,10 +8,10 @@
 #[test]
 fn a_restarted_proxy_binds_its_address_while_old_connections_are_in_time_wait() {
     let discovery = Discovery::start();
-    // No other test uses this host, so the port stays free between the two processes.
+    // No other test uses this loopback address, so the port stays free between the two processes.
     let mut first_config = config("first-life", &discovery);
     first_config["listen"] = "127.77.0.1:0".into();
-    let mut proxy = Proxy::start_with("first-life", first_config);
+    let mut proxy = Proxy::start_with_config("first-life", first_config);
     let address = proxy.address;
     let mut client = proxy.client();
     assert_eq!(client.exchange(HEALTH_CHECK).status(), 503);
@@ -22,7 +22,7 @@
     assert_eq!(proxy.wait().code(), Some(0));
     let mut second_config = config("second-life", &discovery);
     second_config["listen"] = address.to_string().into();
-    let restarted = Proxy::start_with("second-life", second_config);
+    let restarted = Proxy::start_with_config("second-life", second_config);
     assert_eq!(restarted.address, address);
     assert_eq!(restarted.status_of(HEALTH_CHECK), 503);
 }
@@ -35,7 +35,7 @@
         ("no-settings", "{}", "settings"),
         ("bad-address", bad_address, "listen"),
     ] {
-        let mut child = launch(name, config);
+        let mut child = spawn_process(name, config);
         let mut text = String::new();
         child
             .stderr
