--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -55,7 +55,7 @@
 }
 
 /// Returns a GET request with an empty body.
-fn call_with_method_get(path: &'static str) -> Rc<Call> {
+fn get_request(path: &'static str) -> Rc<Call> {
     Rc::new(Call {
         method: Method::GET,
         target: Uri::from_static(path),
@@ -73,7 +73,8 @@
     }
 }
 
-/// Starts a backend that handles each connection with `serve`, and returns a client that has it listed.
+/// Starts a backend that handles each connection with `serve`, and returns a client that has the
+/// backend in its list.
 async fn start_backend<F: Future<Output = ()> + 'static>(
     serve: impl Fn(TcpStream) -> F + 'static,
 ) -> Rc<BackendClient> {
@@ -103,7 +104,7 @@
     let ended = Rc::clone(backend_client)
         .attempt(
             connections,
-            call_with_method_get(path),
+            get_request(path),
             deadlines_in_one_second(),
             cancel,
             |_| {},
@@ -126,7 +127,7 @@
     let test = async {
         let backend_client = start_backend(respond_twice).await;
         assert_eq!(get(&backend_client, "/first").await, "/first");
-        // The second response arrives while no request is in flight, so the client detects that it answers none.
+        // The second response arrives while no request is in flight, so the client detects that the response answers no request.
         sleep(2 * SECOND_RESPONSE_DELAY).await;
         for path in ["/second", "/third", "/fourth"] {
             assert_eq!(get(&backend_client, path).await, path);
@@ -196,7 +197,7 @@
 /// Runs an attempt with this response. Its request times out after `request_timeout`.
 async fn attempt_chunked(response: ChunkedResponse, request_timeout: Duration) -> ChunkedAttempt {
     let backend_client = start_backend(move |stream| response.serve(stream)).await;
-    let call = call_with_method_get("/long");
+    let call = get_request("/long");
     let deadlines = deadlines_in_one_second();
     let (_cancel_sender, cancel) = oneshot::channel();
     let (body_sender, body) = oneshot::channel::<ResponseBody>();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -78,7 +78,7 @@
     pub settings: Settings,
     pub balancer: Balancer,
     pub backends: BTreeMap<BackendId, Backend>,
-    /// Backends that are draining or removed, with the time at which the balancer was notified of it.
+    /// Backends that are draining or removed, each with the time at which the balancer was notified of that state.
     pub unavailable: BTreeMap<BackendId, Micros>,
     pub requests: BTreeMap<RequestId, TrackedRequest>,
     timers: Vec<PendingTimer>,
@@ -397,7 +397,7 @@
         }))
     }
 
-    /// Ends each attempt that is in flight now. Retries that this starts stay in flight.
+    /// Ends each attempt that is in flight now. Retries that the balancer then starts stay in flight.
     pub fn end_all(&mut self, outcome: Outcome) {
         for attempt in self.in_flight() {
             self.end_attempt(attempt.request, attempt.number, outcome);
@@ -469,7 +469,7 @@
         }
     }
 
-    /// Ends successfully the attempts that have been in flight for at least the `latency` of their backend.
+    /// Ends each attempt that has been in flight for at least the `latency` of its backend, with the outcome `Ok`.
     pub fn serve(&mut self, latency: impl Fn(BackendId) -> Micros) {
         for attempt in self.in_flight() {
             let tracked = &self.requests[&attempt.request];
--- a/tests/decisions/discovery.rs
+++ b/tests/decisions/discovery.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Guards against a backoff after which rule 3 (draining) already treats the proxy as informed of a list that it has
-/// not received.
+/// Guards against a backoff so long that rule 3 (draining) already treats the proxy as informed of a list that the
+/// proxy has not received yet.
 #[test]
 fn a_call_after_a_failed_one_ends_within_four_poll_intervals() {
     for (poll_interval, proxy_count, call_duration) in
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_proxy_of_710_calls_discovery_within_2500_ms_after_up_to_8_failures() {
+fn one_of_710_proxies_calls_discovery_within_2500_ms_after_up_to_8_failures() {
     // Rule 3 (draining) treats a proxy as informed of a change 6 s after discovery has it, even after failed calls. A
     // call takes up to 3.5 s of that time.
     for seed in 0..300 {
--- a/tests/decisions/load_reports.rs
+++ b/tests/decisions/load_reports.rs
@@ -6,7 +6,7 @@
 
 /// Returns the number of attempts that 20 of 100 proxies send to the backends with even ids. The load reports of these
 /// backends give a service time of 900 ms if they `are_slow`, otherwise 100 ms as for all others.
-fn sends_to_even_backends(are_slow: bool) -> u32 {
+fn sends_to_backends_with_even_ids(are_slow: bool) -> u32 {
     let mut settings = Settings {
         proxy_count: 100,
         ..single_zone_settings()
@@ -41,11 +41,12 @@
     sends
 }
 
-/// Guards against a slow backend that keeps its limit because no window of a single proxy is ever complete.
+/// Guards against a slow backend that keeps its limit because no window of a single proxy is ever complete. The limits
+/// of one of 100 proxies add up to less than three slots, so they are scaled up.
 #[test]
-fn a_load_report_of_a_slow_backend_lowers_its_limit_at_once_with_scaled_limits() {
-    let slow = sends_to_even_backends(true);
-    let not_slow = sends_to_even_backends(false);
+fn a_load_report_of_a_slow_backend_lowers_its_limit_at_once_when_limits_are_scaled_up() {
+    let slow = sends_to_backends_with_even_ids(true);
+    let not_slow = sends_to_backends_with_even_ids(false);
     assert!(
         slow * 4 < not_slow * 3,
         "{slow} sends to slow backends, expected less than three quarters of the {not_slow} when they are not slow"
--- a/tests/decisions/queue_and_rejection.rs
+++ b/tests/decisions/queue_and_rejection.rs
@@ -74,10 +74,11 @@
     );
 }
 
-/// With scaled limits a rejection may be due to chance, and a long `Retry-After` would cost the client its latency
-/// objective. A single proxy rejects only when its backends are full, and then the client should stay away for longer.
+/// The limits of one of 200 proxies add up to less than three slots and are scaled up. A rejection may then be due to
+/// chance, and after a long `Retry-After` the client would miss its latency objective. A single proxy rejects only when
+/// its backends are full, and the client should then wait longer before it retries.
 #[test]
-fn retry_after_is_shorter_with_scaled_limits() {
+fn retry_after_is_shorter_when_limits_are_scaled_up() {
     let longest_retry_after = |proxy_count| {
         let settings = Settings {
             proxy_count,
--- a/tests/decisions/quotas.rs
+++ b/tests/decisions/quotas.rs
@@ -42,8 +42,8 @@
 /// requests.
 #[test]
 fn a_tenant_with_few_requests_is_not_over_its_quota_when_another_tenant_floods_the_proxy() {
-    const MODEST: u16 = 0;
-    const FLOODING: u16 = 1;
+    const MODEST_TENANT: u16 = 0;
+    const FLOODING_TENANT: u16 = 1;
     let tenants = vec![Tenant { quota_per_s: 100.0 }, Tenant { quota_per_s: 100.0 }];
     let settings = Settings {
         tenants,
@@ -55,9 +55,12 @@
     for tick in 0..100 {
         let first_id = tick * 100;
         for id in first_id..first_id + 20 {
-            proxy.submit(request_of_tenant(FLOODING, id));
+            proxy.submit(request_of_tenant(FLOODING_TENANT, id));
         }
-        for (tenant, id) in [(MODEST, first_id + 50), (FLOODING, first_id + 51)] {
+        for (tenant, id) in [
+            (MODEST_TENANT, first_id + 50),
+            (FLOODING_TENANT, first_id + 51),
+        ] {
             let actions = proxy.submit(request_of_tenant(tenant, id));
             not_rejected[usize::from(tenant)] += usize::from(!is_rejected(&actions));
         }
@@ -65,11 +68,11 @@
         proxy.serve(|_| 400 * MS);
     }
     assert!(
-        not_rejected[usize::from(MODEST)] > 95,
+        not_rejected[usize::from(MODEST_TENANT)] > 95,
         "expected more than 95 requests of the modest tenant to be sent or queued: {not_rejected:?}"
     );
     assert!(
-        not_rejected[usize::from(FLOODING)] < 60,
+        not_rejected[usize::from(FLOODING_TENANT)] < 60,
         "expected fewer than 60 requests of the flooding tenant to be sent or queued: {not_rejected:?}"
     );
 }
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -49,8 +49,8 @@
 }
 
 /// Guards against a request that misses its latency objective because a connection is silent, and against counting the
-/// backend of that connection as unresponsive. An attempt keeps the whole timeout of its request if usual latency is
-/// long in comparison with it, or if the request may not be retried.
+/// backend of that connection as unresponsive. An attempt keeps the whole timeout of its request if the usual
+/// latency is long in comparison with the latency objective, or if the request may not be retried.
 #[test]
 fn a_lost_attempt_times_out_early_enough_for_a_retry_within_the_latency_objective() {
     let AfterLoad {
@@ -134,7 +134,7 @@
 #[test]
 fn a_request_whose_body_is_consumed_is_rejected_instead_of_retried() {
     for body_consumed in [false, true] {
-        let mut balancer = unsimulated_balancer(&single_zone_backends(3));
+        let mut balancer = balancer_without_simulated_proxy(&single_zone_backends(3));
         let mut actions = Vec::new();
         balancer.handle(0, Event::Request(request(1, 0)), &mut actions);
         let backend = sent_to(&actions).expect("an idle backend has a free slot");
--- a/tests/decisions/streaming.rs
+++ b/tests/decisions/streaming.rs
@@ -52,11 +52,11 @@
 /// Guards against counting the time in which a client reads a large response as work or latency of the backend.
 #[test]
 fn a_streamed_response_holds_no_slot_after_its_start() {
-    let mut balancer = unsimulated_balancer(&single_zone_backends(1));
+    let mut balancer = balancer_without_simulated_proxy(&single_zone_backends(1));
     for id in 1..=50 {
         start_stream(&mut balancer, u64::from(id) * 10 * MS, id);
     }
-    // The end of a started stream is no sample of its backend, at any time and with any outcome.
+    // The end of a stream that has started does not count as a sample of its backend, whenever and however it ends.
     let now = 10 * SECOND;
     for id in 1..=50 {
         let outcome = if id % 2 == 0 {
--- a/tests/decisions/support.rs
+++ b/tests/decisions/support.rs
@@ -40,8 +40,9 @@
     }
 }
 
-/// Returns a balancer without a simulated proxy, for events that only a proxy with real sockets sends.
-pub fn unsimulated_balancer(backends: &[Backend]) -> Balancer {
+/// Returns a balancer that has received `backends` as a cached list. It has no simulated proxy, because only a proxy
+/// with real sockets sends the events that the tests pass to it.
+pub fn balancer_without_simulated_proxy(backends: &[Backend]) -> Balancer {
     let mut balancer =
         Balancer::new(single_zone_settings(), 1, 0).expect("the settings of the test are valid");
     balancer.handle(
--- a/tests/host.rs
+++ b/tests/host.rs
@@ -139,7 +139,7 @@
     fields: Vec<u8>,
 }
 
-/// Returns the records of one reply, each with the proxy that the last record before it selected.
+/// Returns the action records of one reply. Each belongs to the proxy that was selected last before it.
 fn action_records(mut reply: &[u8]) -> Vec<ActionRecord> {
     let mut records = Vec::new();
     let mut proxy = 0;
--- a/tests/watch/discovery.rs
+++ b/tests/watch/discovery.rs
@@ -7,12 +7,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, timeout};
 
-/// The time after the stall of a watch from which rule 3 (draining) treats the proxy as informed of a change that the
-/// stalled call missed, unless `MAX_CHANGE_DELAY_AFTER_LONG_POLL` ends later.
+/// Time from the stall of a watch until rule 3 (draining) treats the proxy as informed of a change that the stalled call
+/// missed. If `MAX_CHANGE_DELAY_AFTER_LONG_POLL` after the long-poll timeout is later, that time applies instead.
 const MAX_CHANGE_DELAY_AFTER_STALL: Duration = Duration::from_secs(6);
 
-/// The time after the long-poll timeout of a stalled call from which rule 3 (draining) treats the proxy as informed of
-/// a change that the call missed, unless `MAX_CHANGE_DELAY_AFTER_STALL` ends later.
+/// Time from the long-poll timeout of a stalled call until rule 3 (draining) treats the proxy as informed of a change
+/// that the call missed. If `MAX_CHANGE_DELAY_AFTER_STALL` after the stall is later, that time applies instead.
 const MAX_CHANGE_DELAY_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
 
 /// A call that discovery has received and not yet answered.
@@ -59,8 +59,8 @@
         read_call(self.stream).await
     }
 
-    /// Returns the time from which rule 3 (draining) treats the proxy as informed of a change that the call misses, if
-    /// the call stalls from its start.
+    /// Returns the time from which rule 3 (draining) treats the proxy as informed of a change that this call misses
+    /// because it has stalled since its start.
     pub fn time_limit_for_missed_change(&self) -> Instant {
         let after_long_poll = self.long_poll_timeout + MAX_CHANGE_DELAY_AFTER_LONG_POLL;
         self.received_at + MAX_CHANGE_DELAY_AFTER_STALL.max(after_long_poll)
--- a/tests/watch/failures.rs
+++ b/tests/watch/failures.rs
@@ -7,8 +7,8 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// The time, from when discovery has a change and can be reached, after which rule 3 (draining) treats a proxy as
-/// informed of the change, whichever calls failed before.
+/// Time after which rule 3 (draining) treats a proxy as informed of a change, whichever calls failed before. It counts
+/// from the moment at which discovery has the change and can be reached.
 const MAX_CHANGE_DELAY_AFTER_REACHABLE: Duration = Duration::from_secs(6);
 
 /// The largest number of proxies that the program is designed for.
@@ -66,7 +66,7 @@
     let mut latest = Duration::ZERO;
     for proxy_index in (0..MAX_PROXY_COUNT).step_by(71) {
         let known = run_on_local_set(async {
-            // No other test uses this host, so the port stays free until discovery returns.
+            // No other test uses this loopback address, so the port stays free until discovery returns.
             let (discovery, address) = Discovery::start_at("127.78.0.2:0").await;
             let proxy = Proxy::start_with_poll_interval(
                 proxy_index,
--- a/tests/watch/proxy.rs
+++ b/tests/watch/proxy.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Waits until this number of backends is listed, and returns the time at which that happened.
+    /// Waits until this number of backends is listed, and returns the time at which the list had that length.
     pub async fn wait_for_listed_backends(&self, count: usize) -> Instant {
         while self.backend_client.len() != count {
             sleep(Duration::from_millis(1)).await;
--- a/tests/watch/stalls.rs
+++ b/tests/watch/stalls.rs
@@ -7,13 +7,13 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// The time after a change of discovery's address from which rule 3 (draining) treats the proxy as informed of the list
-/// of the new discovery.
+/// Time from a change of discovery's address until rule 3 (draining) treats the proxy as informed of the list that
+/// discovery serves at the new address.
 const MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
-/// The watch stalls right after a call, one that opens it or one that continues it: the proxy then has the least time
-/// to learn of a change before the drain grace period ends. If discovery is polled, the call that opens the watch again
-/// is queued. A draining backend must not receive requests after the drain grace period.
+/// Guards against a draining backend that receives requests after the drain grace period. The watch stalls right after
+/// the call that opens it or after one that continues it. In both cases the proxy has the least time to learn of a change
+/// before the grace period ends. If discovery is polled, the call that opens the watch again is queued.
 #[tokio::test(start_paused = true)]
 async fn a_change_that_a_stalled_watch_misses_is_known_in_time() {
     for (mode, queue_time, grace_period) in [
@@ -89,8 +89,7 @@
     }
 }
 
-/// Watches that all continue at the same change and then stall must not all call discovery again at the
-/// same time.
+/// Guards against proxies whose watches stall after the same change and that all call discovery again at the same time.
 #[tokio::test(start_paused = true)]
 async fn proxies_whose_watches_stall_together_spread_their_next_calls() {
     const PROXY_COUNT: u32 = 60;
@@ -127,11 +126,11 @@
     .await;
 }
 
-/// An agent that was down for longer than 7 s is called again within the shortest drain grace period.
+/// Guards against a backoff longer than the shortest drain grace period after an agent was down for more than 7 s.
 #[tokio::test(start_paused = true)]
 async fn a_change_is_known_within_the_grace_period_after_an_agent_returns() {
     run_on_local_set(async {
-        // No other test uses this host, so the port stays free until discovery returns.
+        // No other test uses this loopback address, so the port stays free until discovery returns.
         let (discovery, address) = Discovery::start_at("127.78.0.1:0").await;
         let proxy = Proxy::start(0, 1, "pushed", address);
         drop((discovery.next_call().await, discovery));
@@ -156,7 +155,7 @@
     .await;
 }
 
-/// A call that queues at discovery must not be abandoned and repeated, because that makes the queue longer.
+/// Guards against abandoning and repeating a call that queues at discovery, because that makes the queue longer.
 #[tokio::test(start_paused = true)]
 async fn a_call_that_opens_a_watch_is_not_repeated_while_it_queues() {
     run_on_local_set(async {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -361,7 +361,7 @@
                         "multiplex": 53, "retryAfter": true, "maxRetryAfterUs": 54},
         "safety": {"askWithinUs": 61, "coldFrom": 0.62, "coldUs": 63, "fallMultiple": 64.0, "fallUs": 65}}"#;
 
-/// Returns the settings that [`DISTINCT_SETTINGS`] has to be read as.
+/// Returns the expected result of reading [`DISTINCT_SETTINGS`].
 fn distinct_settings() -> Settings {
     Settings {
         proxy_index: 2,
