--- a/lab/src/fleet/client/arrivals.rs
+++ b/lab/src/fleet/client/arrivals.rs
@@ -17,7 +17,7 @@
     pub begins_at: Micros,
     /// Time at which the process ends.
     pub ends_at: Micros,
-    /// Tenant of all calls; `None`: a tenant is drawn for each call.
+    /// Tenant of all calls; `None` if a tenant is drawn for each call.
     pub tenant: Option<TenantIndex>,
 }
 
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct ArrivalProcess {
     settings: ArrivalSettings,
-    /// Exact time of the latest arrival in microseconds. It has fractions because intervals may be shorter than a
+    /// Exact time of the latest arrival, in microseconds with fractions, because intervals may be shorter than a
     /// microsecond.
     latest: f64,
     random: SmallRng,
--- a/lab/src/fleet/client/traffic.rs
+++ b/lab/src/fleet/client/traffic.rs
@@ -89,7 +89,7 @@
         self.tenants.probability(tenant.index())
     }
 
-    /// Draws a call of a given tenant, or of a random tenant if none is given.
+    /// Draws a call of `tenant`, or of a random tenant if `tenant` is `None`.
     pub(super) fn draw_call(
         &self,
         now: Micros,
--- a/lab/src/fleet/faults.rs
+++ b/lab/src/fleet/faults.rs
@@ -21,7 +21,7 @@
     StopBackend(BackendId, ProcessState),
     /// A backend starts again, if its process is still in this state.
     StartBackend(BackendId, ProcessState),
-    /// A backend works slower than usual by this factor; a factor of 1 restores its usual speed.
+    /// The work of a backend takes this many times as long as usual; a factor of 1 restores its usual speed.
     SlowBackend(BackendId, f64),
     /// A backend hangs: it accepts requests and answers none.
     HangBackend(BackendId),
@@ -43,7 +43,7 @@
     StartDiscovery,
     /// The standing watch of a proxy stalls.
     StallWatch(ProxyIndex),
-    /// A tenant's surge begins, given by its index in [`FaultSchedule::surges`].
+    /// A surge of a tenant begins. The value is the index of the surge in [`FaultSchedule::surges`].
     BeginSurge(u32),
     /// A traffic shift begins.
     BeginShift(TrafficShift),
@@ -91,7 +91,7 @@
                 schedule: &mut schedule,
                 topology,
                 random: stream(seed, Stream::Faults, index as u64),
-                at: event.at(),
+                at: event.start_time(),
             };
             expansion.expand(event);
         }
@@ -269,7 +269,8 @@
         }
     }
 
-    /// Stops backends when the event begins, and starts them again `return_after_s` later, if it is given.
+    /// Stops backends when the event begins, and starts them again `return_after_s` later. Without a `return_after_s`,
+    /// they stay down.
     fn stop_backends(
         &mut self,
         backends: &[BackendId],
--- a/lab/src/fleet/plot.rs
+++ b/lab/src/fleet/plot.rs
@@ -32,7 +32,7 @@
 /// A chart of one value of each second.
 struct Chart {
     title: &'static str,
-    /// Returns the value of a second.
+    /// Returns the plotted value of one second of the time series.
     value: fn(&TimeSeriesSecond) -> f64,
 }
 
--- a/lab/src/fleet/policy/baseline.rs
+++ b/lab/src/fleet/policy/baseline.rs
@@ -241,7 +241,7 @@
         });
     }
 
-    /// Returns whether the request may be sent again: it cannot have been executed, or its class allows a repeat.
+    /// Returns whether the request may be sent again, because it cannot have been executed or its class allows a repeat.
     fn is_repeat_harmless(&self, now: Micros, open: &OpenRequest) -> bool {
         let Some(maybe_executed_since) = open.maybe_executed_since else {
             return true;
--- a/lab/src/fleet/proxy/watcher.rs
+++ b/lab/src/fleet/proxy/watcher.rs
@@ -5,7 +5,7 @@
 use crate::units::{MICROS_PER_MILLISECOND, MICROS_PER_SECOND};
 use tillerproxy::api::Micros;
 
-// These times equal those of the real proxy (`src/proxy/discovery`).
+// The waits and timeouts of the watcher equal those of the real proxy (`src/proxy/discovery`).
 
 /// Mean wait of a watch.
 const MEAN_WATCH_WAIT: Micros = 20 * MICROS_PER_SECOND;
@@ -100,7 +100,7 @@
         OutgoingCall { call, timeout }
     }
 
-    /// Ends the pending call if it has this serial number, and returns whether it has.
+    /// Ends the pending call if it has this serial number, and returns whether it had.
     pub fn complete(&mut self, serial: u32) -> bool {
         let is_pending = self.pending == Some(serial);
         if is_pending {
--- a/lab/src/fleet/rules.rs
+++ b/lab/src/fleet/rules.rs
@@ -191,7 +191,7 @@
         counts.concurrent_attempts += u64::from(concurrent);
     }
 
-    /// Checks an attempt that follows an earlier one which may have been executed.
+    /// Checks an attempt that follows an earlier attempt of the same request if that one may have been executed.
     fn check_repeat(&mut self, send: &PendingSend<'_>, earlier: &SentAttempt, machine: &Machine) {
         let counts = &mut self.counts.repeats;
         match send.class.idempotency {
@@ -214,7 +214,7 @@
         self.counts.final_answers.accepted += 1;
     }
 
-    /// Checks a final answer that a proxy gives itself; `rejected` tells whether it is a rejection.
+    /// Checks a final answer that a proxy gives without a backend's response; `rejected` tells whether it is a rejection.
     pub fn on_answer(
         &mut self,
         now: Micros,
--- a/lab/src/fleet/scenario/timeline.rs
+++ b/lab/src/fleet/scenario/timeline.rs
@@ -229,13 +229,13 @@
 impl TimelineEvent {
     /// Returns the time at which the event begins.
     #[must_use]
-    pub fn at(&self) -> Micros {
-        micros_from_seconds(self.at_s())
+    pub fn start_time(&self) -> Micros {
+        micros_from_seconds(self.start_time_s())
     }
 
     /// Returns the time at which the event begins, in seconds.
     #[must_use]
-    pub fn at_s(&self) -> f64 {
+    pub fn start_time_s(&self) -> f64 {
         match self {
             Self::RollingRestart(event) => event.at_s,
             Self::ZoneLoss(event) => event.at_s,
--- a/lab/src/fleet/scenario/validation/timeline.rs
+++ b/lab/src/fleet/scenario/validation/timeline.rs
@@ -19,7 +19,7 @@
         path,
         scenario,
     };
-    check.not_negative(event.at_s(), "at_s");
+    check.not_negative(event.start_time_s(), "at_s");
     match event {
         TimelineEvent::RollingRestart(event) => check.rolling_restart(event),
         TimelineEvent::ZoneLoss(event) => check.zone_loss(event),
--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Returns whether a backend does no work on an attempt because the proxy has abandoned the attempt or stopped.
+    /// Returns whether a backend skips an attempt because its proxy has abandoned the attempt or has stopped.
     fn is_skipped(&self, key: AttemptKey) -> bool {
         let attempt = &self.attempts[key];
         let proxy = &self.proxies[attempt.proxy.index()];
--- a/lab/src/fleet/simulation/changes.rs
+++ b/lab/src/fleet/simulation/changes.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Stops a proxy. A crash resets the connections of its clients; the front load balancer detects it later.
+    /// Stops a proxy. A crash resets the connections of its clients; the front load balancer detects the stop later.
     fn stop_proxy(&mut self, now: Micros, proxy: ProxyIndex, state: ProcessState) {
         let target = &mut self.proxies[proxy.index()];
         if !target.is_running() {
@@ -78,7 +78,7 @@
             self.reset_clients(now, proxy);
         }
         let detection_delay = micros_from_seconds(self.scenario.clients.dead_proxy_detection_s);
-        let event = SimulationEvent::FrontDetectsProxyState { proxy };
+        let event = SimulationEvent::LoadBalancerDetectsProxyState { proxy };
         self.queue.push_after(detection_delay, event);
     }
 
@@ -99,7 +99,7 @@
         target.watcher.restart();
         let endpoints = target.cached_endpoints(self.discovery.service.endpoints());
         self.start_policy(proxy, &endpoints);
-        let event = SimulationEvent::FrontDetectsProxyState { proxy };
+        let event = SimulationEvent::LoadBalancerDetectsProxyState { proxy };
         self.queue.push(now, event);
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Updates the front load balancer with the state of a proxy.
-    pub(super) fn on_front_detects_proxy_state(&mut self, proxy: ProxyIndex) {
+    pub(super) fn on_load_balancer_detects_proxy_state(&mut self, proxy: ProxyIndex) {
         let alive = self.proxies[proxy.index()].is_running();
         self.clients
             .front_load_balancer
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -208,7 +208,7 @@
         self.answer(now, id, AttemptFailure::Failed);
     }
 
-    /// Ends a request with a final answer that the proxy gives itself.
+    /// Ends a request with a final answer that the proxy gives without a backend's response.
     fn answer(&mut self, now: Micros, id: RequestId, failure: AttemptFailure) {
         let Some(key) = self.request_key(id) else {
             self.checker.on_action_after_end();
--- a/lab/src/fleet/simulation/event.rs
+++ b/lab/src/fleet/simulation/event.rs
@@ -8,8 +8,8 @@
 /// Key of a response of discovery. The response is taken out when it reaches its proxy.
 pub(super) type ResponseKey = Key<Option<Response>>;
 
-/// An event at a point in virtual time. A pending event counts as a reference to the call, request, attempt or response
-/// whose key it holds.
+/// An event at a point in virtual time. A pending event holds the key of a call, request, attempt or response and counts
+/// as a reference to that value.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimulationEvent {
     /// The next call of an arrival process arrives; `process` is the index of the process.
@@ -48,12 +48,12 @@
     CallTimeout(CallId),
     /// Discovery detects the oldest change that it has not detected.
     DiscoveryDetects,
-    /// Discovery publishes what it has detected.
+    /// Discovery publishes the changes that it has detected.
     DiscoveryPublishes,
     /// A change of the fault schedule takes place; `index` is its index in the schedule.
     FleetChanges { index: u32 },
     /// The front load balancer detects whether a proxy runs.
-    FrontDetectsProxyState { proxy: ProxyIndex },
+    LoadBalancerDetectsProxyState { proxy: ProxyIndex },
     /// The progress bar is updated.
     UpdateProgress,
 }
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -242,8 +242,8 @@
             SimulationEvent::DiscoveryDetects => self.on_discovery_detects(now),
             SimulationEvent::DiscoveryPublishes => self.on_discovery_publishes(now),
             SimulationEvent::FleetChanges { index } => self.on_fleet_change(now, index),
-            SimulationEvent::FrontDetectsProxyState { proxy } => {
-                self.on_front_detects_proxy_state(proxy)
+            SimulationEvent::LoadBalancerDetectsProxyState { proxy } => {
+                self.on_load_balancer_detects_proxy_state(proxy)
             }
             SimulationEvent::UpdateProgress => {}
         }
--- a/lab/src/fleet/slab.rs
+++ b/lab/src/fleet/slab.rs
@@ -22,7 +22,7 @@
     }
 }
 
-// Written out because derived implementations would require the same traits of `T`.
+// The traits are implemented by hand because derived implementations would require the same traits of `T`.
 impl<T> Clone for Key<T> {
     fn clone(&self) -> Self {
         *self
--- a/lab/tests/fleet/rules.rs
+++ b/lab/tests/fleet/rules.rs
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn collapses_by_informed_proxies_are_counted_under_rule_4() {
+fn collapses_caused_by_informed_proxies_are_counted_under_rule_4() {
     let report = simulate(RESTART, || {
         let mut latest_start: Option<(Micros, BackendId)> = None;
         move |now, event: Event<'_>, actions: &mut Vec<Action>| match event {
@@ -273,7 +273,8 @@
     }
 }
 
-fn machine_in(zone: u16, cell: u16) -> Machine {
+/// Returns a machine with one core of speed 1 in this zone and cell.
+fn machine_in_zone_and_cell(zone: u16, cell: u16) -> Machine {
     Machine {
         zone: Zone(zone),
         rack: Rack(0),
@@ -323,10 +324,10 @@
             now: self.now,
             request: &request_with_attempt(self.earlier),
             class: &keyed_class(self.scope, 1_000),
-            target: &machine_in(self.zone, self.cell),
+            target: &machine_in_zone_and_cell(self.zone, self.cell),
             known_backend: &KnownBackend::default(),
         };
-        checker.on_send(send, |_| machine_in(0, 0));
+        checker.on_send(send, |_| machine_in_zone_and_cell(0, 0));
         checker.counts.repeats
     }
 }
