--- a/lab/src/live/discovery/call_queue.rs
+++ b/lab/src/live/discovery/call_queue.rs
@@ -34,7 +34,7 @@
     /// Waits until this call has been handled. A call that times out takes no service time.
     ///
     /// # Errors
-    /// [`QueueTimeout`], after the queue timeout, if the call would have to wait longer than that.
+    /// [`QueueTimeout`], once the queue timeout has passed, if the call would have to wait longer than the timeout.
     pub async fn wait(&self) -> Result<(), QueueTimeout> {
         let Some(handled_from) = self.reserve() else {
             sleep(self.queue_timeout).await;
@@ -44,7 +44,8 @@
         Ok(())
     }
 
-    /// Reserves the next service time and returns its start; `None` if it starts only after the queue timeout.
+    /// Reserves the next service time and returns its start; `None` if the service time would start only after the queue
+    /// timeout.
     fn reserve(&self) -> Option<Instant> {
         let mut busy_until = self
             .busy_until
--- a/lab/src/live/discovery/list_query.rs
+++ b/lab/src/live/discovery/list_query.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Longest wait of a watch; longer requested waits are shortened to it.
+/// Longest wait of a watch; a longer requested wait is shortened to this one.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
 /// Parsed query parameters of a call.
--- a/lab/src/live/discovery/listener.rs
+++ b/lab/src/live/discovery/listener.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// Reports whether a service of this availability ends its open connections.
+/// Reports whether a service with this availability ends its open connections.
 fn ends_connections(availability: &Availability) -> bool {
     match availability {
         Availability::Closed
--- a/lab/src/live/discovery/mod.rs
+++ b/lab/src/live/discovery/mod.rs
@@ -31,7 +31,8 @@
 /// Revision of the first endpoint list.
 const FIRST_REVISION: u64 = 1;
 
-/// Discovery across moves: the current service, and the traffic between each real process and all services so far.
+/// Discovery at changing addresses: the current service, and the traffic between each real process and all services so
+/// far.
 #[derive(Debug)]
 pub struct DiscoveryStandIn {
     settings: Discovery,
--- a/lab/src/live/discovery/service.rs
+++ b/lab/src/live/discovery/service.rs
@@ -55,7 +55,7 @@
     list: Mutex<EndpointList>,
     revision: watch::Sender<u64>,
     availability: watch::Sender<Availability>,
-    /// `None` if the rate of calls is not limited.
+    /// Queue that limits the rate of calls; `None` if the rate is not limited.
     call_queue: Option<CallQueue>,
     tracker: Arc<PropagationTracker>,
 }
--- a/lab/src/live/error.rs
+++ b/lab/src/live/error.rs
@@ -28,7 +28,7 @@
     DescriptorLimit {
         /// Number of descriptors that the scenario needs.
         needed: u64,
-        /// Current limit of this process.
+        /// Limit on open file descriptors of the lab's process.
         limit: u64,
     },
     /// A system call failed.
--- a/lab/src/live/experiment/client_load.rs
+++ b/lab/src/live/experiment/client_load.rs
@@ -11,8 +11,8 @@
 pub(super) struct ClientLoad {
     /// One load generator for each real process; empty if their rate is 0.
     through_proxies: Vec<LoadGenerator>,
-    /// Load generator that sends directly to the backends; the latency through the proxies is compared with its
-    /// latency.
+    /// Load generator that sends directly to the backends. Its latency is the baseline for the latency through the
+    /// proxies.
     direct: Option<LoadGenerator>,
 }
 
--- a/lab/src/live/idle_connections.rs
+++ b/lab/src/live/idle_connections.rs
@@ -52,7 +52,7 @@
 pub struct IdleConnectionStep {
     /// Number of connections that clients hold open.
     pub connections: u32,
-    /// Number of these that the process had closed when the memory was read.
+    /// Number of opened connections that the process had closed when its memory was read.
     pub closed: u32,
     /// Resident memory in KiB.
     pub resident_kib: u64,
--- a/lab/src/live/process/log.rs
+++ b/lab/src/live/process/log.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Reads the log until it has named both addresses; `None` if it ends before that.
+/// Reads the log until both addresses have been logged and returns them; `None` if the log ends earlier.
 pub(super) async fn read_addresses(lines: &mut LogLines, log: &LogTail) -> Option<ListenAddresses> {
     let mut client_address = None;
     let mut operator_address = None;
--- a/lab/src/live/proxies/mod.rs
+++ b/lab/src/live/proxies/mod.rs
@@ -40,7 +40,8 @@
 struct StartedProcess {
     proxy_index: u32,
     process: ProxyProcess,
-    /// `None` if no health check succeeded within [`START_TIMEOUT`].
+    /// Time from the start of the process to its first successful health check; `None` if none succeeded within
+    /// [`START_TIMEOUT`].
     serving_after: Option<Duration>,
 }
 
--- a/lab/src/live/simulated_proxy/mod.rs
+++ b/lab/src/live/simulated_proxy/mod.rs
@@ -32,7 +32,7 @@
     pub seed: u64,
 }
 
-/// A call returned no revision.
+/// A call to discovery returned no revision.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum CallError {
     /// The connection failed, or the response holds no revision.
--- a/lab/src/live/simulated_proxy/schedule.rs
+++ b/lab/src/live/simulated_proxy/schedule.rs
@@ -54,7 +54,7 @@
     }
 
     /// Notifies the balancer of a membership event and returns the delay until the next call: the longest of the
-    /// timers that it sets.
+    /// timers that the balancer sets.
     fn notify_balancer(&mut self, event: MembershipEvent<'_>) -> Duration {
         let mut actions = Vec::new();
         self.balancer
