--- a/lab/src/slopes/measure/mod.rs
+++ b/lab/src/slopes/measure/mod.rs
@@ -39,7 +39,7 @@
 /// Heap of a balancer with a number of open requests.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct OpenRequestMemory {
-    /// Number of requests submitted to the balancer, including rejected ones, which are not replaced.
+    /// Number of requests submitted to the balancer. It includes rejected requests, which are not replaced.
     pub open_requests: u32,
     /// Bytes of heap of the balancer.
     pub balancer_memory: f64,
--- a/lab/src/slopes/membership/mod.rs
+++ b/lab/src/slopes/membership/mod.rs
@@ -21,7 +21,8 @@
 
 /// Number of requests that arrive between two measured batches of responses and keep the proxy under load.
 const REQUESTS_BETWEEN_CHANGES: u32 = 20;
-/// Number of backends below which changes of zones and lists are measured more often, since each takes little time.
+/// Number of backends below which changes of zones and lists are measured more often, because each change then takes
+/// little time.
 const LARGE_FLEET_BACKENDS: u32 = 1_000;
 /// Maximum factor by which changes of zones and lists are measured more often in small fleets.
 const MAX_REPEAT_FACTOR: u32 = 25;
--- a/lab/src/slopes/scenario/mod.rs
+++ b/lab/src/slopes/scenario/mod.rs
@@ -41,14 +41,14 @@
     pub warm_up_requests: u32,
     /// Minimum number of requests that one repetition measures.
     pub measured_requests: u32,
-    /// Mean number of requests in a batch, which arrive at the same virtual time. Batches are at most 50 ms apart, so
-    /// they are smaller at low rates.
+    /// Mean number of requests in a batch. The requests of a batch arrive at the same virtual time. Batches are at most
+    /// 50 ms apart, so they are smaller at low rates.
     pub batch_requests: f64,
     /// Exponent of the Zipf distribution of requests over tenants; 0 is a uniform distribution.
     pub tenant_skew: f64,
-    /// Time since the proxy's start when its first request arrives, in seconds. The tenants' token buckets are nearly
+    /// Time from the proxy's start until its first request arrives, in seconds. The tenants' token buckets are nearly
     /// empty at start, and a request is compared with the demand of all tenants only if it gets no token. At 0 seconds
-    /// this applies to nearly every request of a small tenant.
+    /// nearly every request of a small tenant gets no token.
     pub proxy_age_seconds: f64,
 }
 
--- a/lab/src/slopes/virtual_proxy/attempt.rs
+++ b/lab/src/slopes/virtual_proxy/attempt.rs
@@ -18,7 +18,7 @@
 /// Reason why an attempt ends.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum EndReason {
-    /// The attempt's deadline passes first.
+    /// The attempt's deadline passes before the backend answers.
     DeadlineExceeded,
     /// The backend answers before the attempt's deadline.
     Answered,
