--- a/lab/src/live/clients/connection_pool.rs
+++ b/lab/src/live/clients/connection_pool.rs
@@ -38,6 +38,11 @@
         }
     }
 
+    /// Returns the address of the connections.
+    pub(super) fn address(&self) -> SocketAddr {
+        self.address
+    }
+
     /// Takes the most recently used connection, or opens one if no idle connection is usable.
     pub(super) async fn take(&self) -> Result<SendRequest<Empty<Bytes>>, HttpError> {
         match self.take_idle() {
--- a/lab/src/live/clients/load_generator.rs
+++ b/lab/src/live/clients/load_generator.rs
@@ -95,8 +95,10 @@
     correlation_id: u64,
     key: u64,
 ) -> Result<RequestOutcome, HttpError> {
+    let address = pool.address();
+    let exchange_error = |source| HttpError::Exchange { address, source };
     let mut sender = pool.take().await?;
-    sender.ready().await?;
+    sender.ready().await.map_err(exchange_error)?;
     let request = Request::get(format!("/{REQUEST_CLASS}?key={key:016x}"))
         .header("Host", "app.svc")
         .header("X-Correlation-Id", format!("{correlation_id:016x}"))
@@ -104,12 +106,16 @@
         .header("X-Time-Left-Ms", CLIENT_TIMEOUT_MS)
         .body(Empty::new())?;
     let sent_at = Instant::now();
-    let response = sender.send_request(request).await?;
+    let response = sender.send_request(request).await.map_err(exchange_error)?;
     let status = response.status();
-    let body = response.into_body().collect().await?.to_bytes();
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .map_err(exchange_error)?;
     let latency = sent_at.elapsed();
     pool.put_back(sender);
-    Ok(classify(status, &body, latency))
+    Ok(classify(status, &body.to_bytes(), latency))
 }
 
 /// Classifies a response. The body of a response with status 200 is the backend's service time in microseconds.
--- a/lab/src/live/http.rs
+++ b/lab/src/live/http.rs
@@ -22,8 +22,13 @@
         source: io::Error,
     },
     /// Sending the request or reading the response failed.
-    #[error("HTTP request or response failed: {0}")]
-    Exchange(#[from] hyper::Error),
+    #[error("HTTP exchange with {address} failed: {source}")]
+    Exchange {
+        /// Address of the connection.
+        address: SocketAddr,
+        /// Error of the request or of the response.
+        source: hyper::Error,
+    },
     /// The path or a header is malformed, so the request can't be built.
     #[error("the request is malformed: {0}")]
     Request(#[from] hyper::http::Error),
@@ -37,7 +42,9 @@
     let connect_error = |source| HttpError::Connect { address, source };
     let stream = TcpStream::connect(address).await.map_err(connect_error)?;
     stream.set_nodelay(true).map_err(connect_error)?;
-    let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
+    let (sender, connection) = http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(|source| HttpError::Exchange { address, source })?;
     tokio::spawn(async move {
         let _ = connection.await;
     });
@@ -65,8 +72,13 @@
     let request = Request::get(path)
         .header(HOST, address.to_string())
         .body(Empty::new())?;
-    let response = sender.send_request(request).await?;
+    let exchange_error = |source| HttpError::Exchange { address, source };
+    let response = sender.send_request(request).await.map_err(exchange_error)?;
     let status = response.status();
-    let body = response.into_body().collect().await?.to_bytes();
-    Ok((status, body))
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .map_err(exchange_error)?;
+    Ok((status, body.to_bytes()))
 }
