--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -55,7 +55,8 @@
             .on_send(send, |attempt| machines[attempt.backend.index()]);
     }
 
-    /// Adds an attempt to a request; `None` if the request already has as many as can be tracked.
+    /// Adds an attempt to a request and returns its key; `None` if the request already has as many attempts as can be
+    /// tracked.
     fn add_attempt(
         &mut self,
         now: Micros,
