--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -5,9 +5,9 @@
 //! baselines are simulated on the same arrivals and events as the module.
 //!
 //! The simulation leaves out the processor time of the proxies, individual connections and their setup, streamed
-//! responses, health checks, and services (every backend serves every request). A proxy that has not polled for long
-//! does not count as informed: rule 3 (draining) and rule 4 (slow start) are checked against what discovery has sent
-//! to the proxy.
+//! responses, health checks, and services (every backend serves every request). A proxy that has not polled for a long
+//! time does not count as informed: rule 3 (draining) and rule 4 (slow start) are checked against what discovery has
+//! sent to the proxy.
 
 pub mod backend;
 pub mod client;
--- a/lab/src/fleet/policy/baseline.rs
+++ b/lab/src/fleet/policy/baseline.rs
@@ -136,7 +136,7 @@
     }
 
     /// Returns the backend of the next attempt; `None` if none is ready.
-    fn pick(&mut self, true_load: &dyn TrueLoad) -> Option<BackendId> {
+    fn choose_backend(&mut self, true_load: &dyn TrueLoad) -> Option<BackendId> {
         if self.ready.ids.is_empty() {
             return None;
         }
@@ -176,7 +176,7 @@
         true_load: &dyn TrueLoad,
         actions: &mut Vec<Action>,
     ) {
-        let Some(backend) = self.pick(true_load) else {
+        let Some(backend) = self.choose_backend(true_load) else {
             self.answer(now, id, actions);
             return;
         };
@@ -241,7 +241,8 @@
         });
     }
 
-    /// Returns whether the request may be sent again, because it cannot have been executed or its class allows a repeat.
+    /// Returns whether the request may be sent again, because it cannot have been executed or its class allows a
+    /// repeat.
     fn is_repeat_harmless(&self, now: Micros, open: &OpenRequest) -> bool {
         let Some(maybe_executed_since) = open.maybe_executed_since else {
             return true;
--- a/lab/src/fleet/rules.rs
+++ b/lab/src/fleet/rules.rs
@@ -214,7 +214,8 @@
         self.counts.final_answers.accepted += 1;
     }
 
-    /// Checks a final answer that a proxy gives without a backend's response; `rejected` tells whether it is a rejection.
+    /// Checks a final answer that a proxy gives without a backend's response; `rejected` tells whether it is a
+    /// rejection.
     pub fn on_answer(
         &mut self,
         now: Micros,
--- a/lab/src/fleet/scenario/discovery.rs
+++ b/lab/src/fleet/scenario/discovery.rs
@@ -11,8 +11,8 @@
     pub detection_delay_ms: f64,
     /// Interval between publications, milliseconds. Changes detected within an interval are published together.
     pub publish_interval_ms: f64,
-    /// Maximum rate, per second, of calls that begin a watch or fetch the full list. These calls are processed one after
-    /// another.
+    /// Maximum rate, per second, of calls that begin a watch or fetch the full list. These calls are processed one
+    /// after another.
     pub calls_per_s: f64,
     /// Maximum rate, per second, of responses to standing watches, which share the queue of calls. If omitted,
     /// these responses are sent all at once, without being queued.
--- a/lab/src/fleet/simulation/changes.rs
+++ b/lab/src/fleet/simulation/changes.rs
@@ -57,7 +57,8 @@
         self.change_endpoint(backend, Readiness::Removed, None);
     }
 
-    /// Starts a backend if its process is still in `stopped_state`, in which the event of the timeline left the process.
+    /// Starts a backend if its process is still in `stopped_state`, in which the event of the timeline left the
+    /// process.
     fn start_backend(&mut self, now: Micros, backend: BackendId, stopped_state: ProcessState) {
         let target = &mut self.backends[backend.index()];
         if target.state == stopped_state && target.start(now) {
--- a/lab/src/fleet/simulation/event.rs
+++ b/lab/src/fleet/simulation/event.rs
@@ -8,8 +8,8 @@
 /// Key of a response of discovery. The response is taken out when it reaches its proxy.
 pub(super) type ResponseKey = Key<Option<Response>>;
 
-/// An event at a point in virtual time. A pending event holds the key of a call, request, attempt or response and counts
-/// as a reference to that value.
+/// An event at a point in virtual time. A pending event holds the key of a call, request, attempt or response and
+/// counts as a reference to that value.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimulationEvent {
     /// The next call of an arrival process arrives; `process` is the index of the process.
--- a/lab/src/fleet/topology.rs
+++ b/lab/src/fleet/topology.rs
@@ -113,7 +113,8 @@
     }
 }
 
-/// Places the machine of a backend. Zone, rack and cell follow from the id, in turn; type and speed are drawn at random.
+/// Places the machine of a backend. Zone, rack and cell follow from the id, in turn; type and speed are drawn at
+/// random.
 fn place_machine(scenario: &FleetScenario, id: BackendId, random: &mut SmallRng) -> Machine {
     let fleet = &scenario.fleet;
     let zones = u32::from(fleet.zones);
--- a/lab/src/live/discovery/call_queue.rs
+++ b/lab/src/live/discovery/call_queue.rs
@@ -44,8 +44,8 @@
         Ok(())
     }
 
-    /// Reserves the next service time and returns its start; `None` if the service time would start only after the queue
-    /// timeout.
+    /// Reserves the next service time and returns its start; `None` if the service time would start only after the
+    /// queue timeout.
     fn reserve(&self) -> Option<Instant> {
         let mut busy_until = self
             .busy_until
--- a/lab/src/live/discovery/mod.rs
+++ b/lab/src/live/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The discovery stand-in: serves the real protocol over loopback to real processes and simulated proxies.
+//! The emulated discovery service: serves the real protocol over loopback to real processes and simulated proxies.
 //!
 //! - [`endpoint_list`]: the endpoint list, its revisions, and responses that are serialized once for all callers.
 //! - [`call_queue`]: limits the rate of the calls that do not continue a watch.
--- a/lab/src/live/discovery/tests.rs
+++ b/lab/src/live/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the discovery stand-in: responses, call queue, and calls over loopback.
+//! Tests of the emulated discovery service: responses, call queue, and calls over loopback.
 
 use super::call_queue::{CallQueue, QueueTimeout};
 use super::endpoint_list::EndpointList;
--- a/lab/src/live/figures.rs
+++ b/lab/src/live/figures.rs
@@ -36,9 +36,9 @@
     /// Measurements of all simulated proxies together.
     #[serde(rename = "hollow")]
     pub simulated: SimulatedFigures,
-    /// Requests sent directly to the backends; `None` if the phase has none.
+    /// Requests sent directly to the backends; `None` if none were sent.
     pub direct: Option<RequestFigures>,
-    /// Propagation of the changes of the phase; `None` if it has none.
+    /// Propagation of the changes of the phase; `None` if the phase has no changes.
     #[serde(rename = "spread")]
     pub propagation: Option<PropagationFigures>,
     /// Restart of the real processes; `None` except in a `restart` phase.
--- a/lab/src/live/mod.rs
+++ b/lab/src/live/mod.rs
@@ -1,7 +1,7 @@
-//! The `live` experiment: real and simulated proxies watch one discovery stand-in over loopback.
+//! The `live` experiment: real and simulated proxies watch one emulated discovery service over loopback.
 //!
 //! Real proxies are processes of the released program ([`process`]). Simulated proxies are tasks of the lab that
-//! watch discovery as the program does and serve no clients ([`simulated_proxy`]). The discovery stand-in
+//! watch discovery as the program does and serve no clients ([`simulated_proxy`]). The emulated discovery service
 //! ([`discovery`]) lists up to thousands of endpoints; some of them are emulated backends ([`backends`]). The phases
 //! of a scenario ([`scenario`]) run one after another ([`experiment`]). In each phase the lab reads the resource usage
 //! of every real process from `/proc` ([`usage`]) and counts the traffic between proxies and discovery
--- a/lab/src/live/process/log.rs
+++ b/lab/src/live/process/log.rs
@@ -69,7 +69,7 @@
 }
 
 /// Reads the log until it ends and keeps its last lines.
-pub(super) async fn follow(mut lines: LogLines, log: std::sync::Arc<LogTail>) {
+pub(super) async fn keep_last_lines(mut lines: LogLines, log: std::sync::Arc<LogTail>) {
     while let Ok(Some(line)) = lines.next_line().await {
         tracing::trace!("{line}");
         log.push(line);
--- a/lab/src/live/process/mod.rs
+++ b/lab/src/live/process/mod.rs
@@ -114,7 +114,7 @@
                 });
             }
         };
-        tokio::spawn(log::follow(lines, Arc::clone(&log)));
+        tokio::spawn(log::keep_last_lines(lines, Arc::clone(&log)));
         Ok(Self {
             name: command.name.clone(),
             child,
--- a/lab/src/live/propagation.rs
+++ b/lab/src/live/propagation.rs
@@ -9,7 +9,7 @@
 /// Tracks each revision of the endpoint list from the change in discovery to the proxies.
 ///
 /// A simulated proxy has a revision when it has read the whole response. A real process is known to have a revision
-/// when it asks discovery for newer ones.
+/// when it asks discovery for newer revisions.
 #[derive(Debug)]
 pub struct PropagationTracker {
     state: Mutex<State>,
--- a/lab/src/live/scenario/mod.rs
+++ b/lab/src/live/scenario/mod.rs
@@ -25,7 +25,7 @@
     pub processes: Processes,
     /// Endpoints that discovery lists, and the emulated backends.
     pub backends: Backends,
-    /// Settings of the discovery stand-in.
+    /// Settings of the emulated discovery service.
     pub discovery: Discovery,
     /// Limits in the configuration of each real process.
     pub limits: Limits,
@@ -86,7 +86,7 @@
     Polled,
 }
 
-/// Settings of the discovery stand-in.
+/// Settings of the emulated discovery service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
--- a/lab/src/slopes/measure/bench.rs
+++ b/lab/src/slopes/measure/bench.rs
@@ -1,6 +1,6 @@
 //! Runs the measurements of a scenario, in repetitions over all sizes.
 
-use super::sweep::Extent;
+use super::sweep::MeasurementScope;
 use super::{LoadAverage, Measurements, OpenRequestMemory, Point, Sweep, TargetPoints};
 use crate::slopes::costs::DecisionCosts;
 use crate::slopes::endpoints::{Endpoints, new_translator, parse_backends, serialize_list};
@@ -41,7 +41,7 @@
 /// The measurement of one size, with the results of its repetitions so far.
 struct Job {
     setup: Setup,
-    extent: Extent,
+    scope: MeasurementScope,
     counts: Counts,
     values: BTreeMap<Quantity, Vec<f64>>,
 }
@@ -54,10 +54,10 @@
 }
 
 impl Job {
-    fn new(setup: Setup, extent: Extent) -> Self {
+    fn new(setup: Setup, scope: MeasurementScope) -> Self {
         Self {
             setup,
-            extent,
+            scope,
             counts: Counts::default(),
             values: BTreeMap::new(),
         }
@@ -137,7 +137,7 @@
         let mut sweeps = BTreeMap::new();
         for sweep in Sweep::ALL {
             let setups = sweep.setups(self.scenario).into_iter();
-            let jobs = setups.map(|setup| Job::new(setup, sweep.extent()));
+            let jobs = setups.map(|setup| Job::new(setup, sweep.scope()));
             sweeps.insert(sweep, jobs.collect());
         }
         sweeps
@@ -158,8 +158,8 @@
             ..mean
         };
         [
-            Job::new(mean, Extent::Everything),
-            Job::new(hot, Extent::Decisions),
+            Job::new(mean, MeasurementScope::Everything),
+            Job::new(hot, MeasurementScope::Decisions),
         ]
     }
 
@@ -196,7 +196,7 @@
             .serve(load.measured_requests, &self.stopwatch, &mut costs);
         job.counts.add(&measured.proxy.take_counts());
         let mut figures = costs.figures();
-        if job.extent == Extent::Everything {
+        if job.scope == MeasurementScope::Everything {
             figures.extend(self.measure_membership(&job.setup, seed, &mut measured)?);
         }
         if repetition == 0 {
--- a/lab/src/slopes/measure/sweep.rs
+++ b/lab/src/slopes/measure/sweep.rs
@@ -6,7 +6,7 @@
 
 /// Kinds of quantity that are measured at a size.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Extent {
+pub enum MeasurementScope {
     /// Costs of the balancer's decisions on requests, and memory.
     Decisions,
     /// Costs of decisions on requests and of membership changes, memory, and bytes of discovery's responses.
@@ -79,11 +79,11 @@
     }
 
     /// Returns the kinds of quantity that are measured at each size of this sweep.
-    pub(super) fn extent(self) -> Extent {
+    pub(super) fn scope(self) -> MeasurementScope {
         if self == Self::Backends {
-            Extent::Everything
+            MeasurementScope::Everything
         } else {
-            Extent::Decisions
+            MeasurementScope::Decisions
         }
     }
 }
--- a/lab/src/slopes/report.rs
+++ b/lab/src/slopes/report.rs
@@ -258,8 +258,8 @@
     ]
 }
 
-/// Reports whether a curve is in the table of fits. The translator's heap depends on the number of backends only, so the
-/// table has no other curves of that heap.
+/// Reports whether a curve is in the table of fits. The translator's heap depends on the number of backends only, so
+/// the table has no other curves of that heap.
 fn is_shown(curve: &Curve) -> bool {
     let depends_on_sweep =
         curve.sweep == Sweep::Backends || curve.quantity != Quantity::TranslatorMemory;
--- a/lab/src/slopes/virtual_proxy/mod.rs
+++ b/lab/src/slopes/virtual_proxy/mod.rs
@@ -255,13 +255,13 @@
     fn perform_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            self.perform(&action);
+            self.perform_action(&action);
         }
         // Keeps the allocated capacity for the next batch.
         self.actions = actions;
     }
 
-    fn perform(&mut self, action: &Action) {
+    fn perform_action(&mut self, action: &Action) {
         match *action {
             Action::Send {
                 request,
--- a/lab/tests/fleet/rules.rs
+++ b/lab/tests/fleet/rules.rs
@@ -74,7 +74,8 @@
     }
 }
 
-/// A script that sends each request once, to a backend by its id, and fails the request if the attempt fails.
+/// A script that sends each request once, to the backend that the request's id selects, and fails the request if the
+/// attempt fails.
 fn send_once(now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
     match event {
         Event::Request(request) => {
