--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -127,7 +127,8 @@
     let test = async {
         let backend_client = start_backend(respond_twice).await;
         assert_eq!(get(&backend_client, "/first").await, "/first");
-        // The second response arrives while no request is in flight, so the client detects that the response answers no request.
+        // The second response arrives while no request is in flight, so the client detects that the response answers no
+        // request.
         sleep(2 * SECOND_RESPONSE_DELAY).await;
         for path in ["/second", "/third", "/fourth"] {
             assert_eq!(get(&backend_client, path).await, path);
--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -219,7 +219,7 @@
 }
 
 /// Starts a backend that responds as soon as it has read the head of a request, and reads the body after a signal.
-/// Sends the number of received bytes of the body.
+/// Returns its address and a receiver of the number of body bytes that the backend has read.
 fn backend_that_responds_early(
     early: Vec<u8>,
     signal: Receiver<()>,
--- a/tests/proxy/overload.rs
+++ b/tests/proxy/overload.rs
@@ -24,8 +24,8 @@
 }
 
 impl IdleClients {
-    /// Starts [`IDLE_CLIENT_COUNT`] clients. Each sends one of the `requests`, which are assigned to the clients in turn
-    /// and may be incomplete.
+    /// Starts [`IDLE_CLIENT_COUNT`] clients. Each sends one of the `requests`, which are assigned to the clients in
+    /// turn and may be incomplete.
     fn start(address: SocketAddr, requests: &[String]) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let client = |number: usize| {
@@ -133,8 +133,8 @@
     }
 }
 
-/// Runs a discovery service that serves this list to all proxies and answers calls slowly, one after another. A call that
-/// has waited too long is answered with 503. A call for changes after the list's revision stays open.
+/// Runs a discovery service that serves this list to all proxies and answers calls slowly, one after another. A call
+/// that has waited too long is answered with 503. A call for changes after the list's revision stays open.
 fn serve_in_turn(address: SocketAddr, list: Value) {
     const CALL_DURATION: Duration = Duration::from_millis(200);
     const MAX_QUEUE_TIME: Duration = Duration::from_secs(3);
--- a/tests/proxy/request_forms.rs
+++ b/tests/proxy/request_forms.rs
@@ -4,7 +4,7 @@
 use std::io::Read;
 use std::time::Instant;
 
-/// A part of a well-formed request, the text in its place that makes the request malformed, and the status of the
+/// Malformed requests: a part of a well-formed request, the text that replaces this part, and the status of the
 /// response.
 const MALFORMED_PARTS: [(&str, &str, u16); 19] = [
     ("/submit", "/nothing", 400),
--- a/tests/proxy/rig/backend.rs
+++ b/tests/proxy/rig/backend.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use std::{fs, thread};
 
-/// What a backend does with a request.
+/// The reaction of a backend to a request.
 pub enum Reply {
     /// Writes these bytes.
     Write(Vec<u8>),
@@ -25,7 +25,7 @@
         signal: Receiver<()>,
         next: Box<Reply>,
     },
-    /// Writes the start, then the repeated bytes until a write fails, with a pause after each.
+    /// Writes the start, then the repeated bytes until a write fails, with a pause after each repetition.
     Endless {
         start: Vec<u8>,
         repeated: Vec<u8>,
--- a/tests/rules/slow_start.rs
+++ b/tests/rules/slow_start.rs
@@ -132,7 +132,8 @@
 
 #[test]
 fn a_backend_in_slow_start_gets_its_budget_when_only_some_proxies_hold_a_slot_on_it() {
-    // Latency is so high that the limits are at their floor, and only a third of the proxies hold a slot on the backend.
+    // Latency is so high that the limits are at their floor, and only a third of the proxies hold a slot on the
+    // backend.
     let sends = sends_under_even_load(EvenLoad {
         proxy_count: 100,
         interval: 500 * MS,
@@ -166,8 +167,8 @@
     );
 }
 
-/// Limits with a small initial capacity, so that the slow start budget restricts the sends rather than the concurrency
-/// limits.
+/// Limits with a small initial capacity, so that the sends are restricted by the slow start budget and not by the
+/// concurrency limits.
 const SMALL_BUDGET: SafetyLimits = SafetyLimits {
     poll_interval: 10 * SECOND,
     slow_start_initial_capacity: 0.1,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -23,8 +23,8 @@
            "streamed": false, "effect": effect, "group": group, "keyTtlUs": key_ttl_us})
 }
 
-/// Returns the settings of a deployment where endpoint lists are pushed, there are no tenants, the scope of idempotency
-/// keys is a zone or a cell, and attempts may not be cancelled.
+/// Returns the settings of a deployment in which endpoint lists are pushed, there are no tenants, the scope of
+/// idempotency keys is a zone or a cell, and attempts may not be cancelled.
 fn settings_with_pushed_discovery() -> Value {
     json!({"me": 3, "balancers": 6, "zone": 1, "failureDomains": ["bryggen", "laksevag"],
         "kinds": ["fast", "standard", "small"], "membershipMode": "pushed", "tenants": [],
@@ -37,7 +37,7 @@
                    "fallMultiple": 2.5, "fallUs": 3_000_000}})
 }
 
-/// Returns the settings of a deployment where discovery is polled, no class is idempotent and timeouts are short.
+/// Returns the settings of a deployment in which discovery is polled, no class is idempotent and timeouts are short.
 fn settings_with_polled_discovery() -> Value {
     let mut settings = settings_with_pushed_discovery();
     settings["membershipMode"] = "on_request".into();
--- a/tests/watch/discovery.rs
+++ b/tests/watch/discovery.rs
@@ -7,8 +7,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, timeout};
 
-/// Time from the stall of a watch until rule 3 (draining) treats the proxy as informed of a change that the stalled call
-/// missed. If `MAX_CHANGE_DELAY_AFTER_LONG_POLL` after the long-poll timeout is later, that time applies instead.
+/// Time from the stall of a watch until rule 3 (draining) treats the proxy as informed of a change that the stalled
+/// call missed. If `MAX_CHANGE_DELAY_AFTER_LONG_POLL` after the long-poll timeout is later, that time applies instead.
 const MAX_CHANGE_DELAY_AFTER_STALL: Duration = Duration::from_secs(6);
 
 /// Time from the long-poll timeout of a stalled call until rule 3 (draining) treats the proxy as informed of a change
--- a/tests/watch/main.rs
+++ b/tests/watch/main.rs
@@ -8,8 +8,8 @@
 
 use std::time::Duration;
 
-/// The shortest drain grace period of the known sites.
+/// The shortest drain grace period of the sites in `deploy/sites`.
 const SHORTEST_GRACE_PERIOD: Duration = Duration::from_millis(250);
 
-/// The longest time that a new call queued at discovery on the known sites.
+/// The longest time for which a new call was queued at discovery on these sites.
 const LONGEST_QUEUE_TIME: Duration = Duration::from_millis(1_950);
--- a/tests/watch/stalls.rs
+++ b/tests/watch/stalls.rs
@@ -12,8 +12,8 @@
 const MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
 /// Guards against a draining backend that receives requests after the drain grace period. The watch stalls right after
-/// the call that opens it or after one that continues it. In both cases the proxy has the least time to learn of a change
-/// before the grace period ends. If discovery is polled, the call that opens the watch again is queued.
+/// the call that opens it or after one that continues it. In both cases the proxy has the least time to learn of a
+/// change before the grace period ends. If discovery is polled, the call that opens the watch again is queued.
 #[tokio::test(start_paused = true)]
 async fn a_change_that_a_stalled_watch_misses_is_known_in_time() {
     for (mode, queue_time, grace_period) in [
