--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -55,7 +55,8 @@
             .on_send(send, |attempt| machines[attempt.backend.index()]);
     }
 
-    /// Adds an attempt to a request; `None` if the request already has as many as can be tracked.
+    /// Adds an attempt to a request and returns its key; `None` if the request already has as many attempts as can be
+    /// tracked.
     fn add_attempt(
         &mut self,
         now: Micros,
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Returns whether a backend does no work on an attempt because the proxy has abandoned the attempt or stopped.
+    /// Returns whether a backend skips an attempt because its proxy has abandoned the attempt or has stopped.
     fn is_skipped(&self, key: AttemptKey) -> bool {
         let attempt = &self.attempts[key];
         let proxy = &self.proxies[attempt.proxy.index()];
--- a/lab/src/live/discovery/mod.rs
+++ b/lab/src/live/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The discovery stand-in: serves the real protocol over loopback to real processes and simulated proxies.
+//! The emulated discovery service: serves the real protocol over loopback to real processes and simulated proxies.
 //!
 //! - [`endpoint_list`]: the endpoint list, its revisions, and responses that are serialized once for all callers.
 //! - [`call_queue`]: limits the rate of the calls that do not continue a watch.
@@ -31,7 +31,8 @@
 /// Revision of the first endpoint list.
 const FIRST_REVISION: u64 = 1;
 
-/// Discovery across moves: the current service, and the traffic between each real process and all services so far.
+/// Discovery at changing addresses: the current service, and the traffic between each real process and all services so
+/// far.
 #[derive(Debug)]
 pub struct DiscoveryStandIn {
     settings: Discovery,
--- a/lab/src/live/process/log.rs
+++ b/lab/src/live/process/log.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Reads the log until it has named both addresses; `None` if it ends before that.
+/// Reads the log until both addresses have been logged and returns them; `None` if the log ends earlier.
 pub(super) async fn read_addresses(lines: &mut LogLines, log: &LogTail) -> Option<ListenAddresses> {
     let mut client_address = None;
     let mut operator_address = None;
@@ -69,7 +69,7 @@
 }
 
 /// Reads the log until it ends and keeps its last lines.
-pub(super) async fn follow(mut lines: LogLines, log: std::sync::Arc<LogTail>) {
+pub(super) async fn keep_last_lines(mut lines: LogLines, log: std::sync::Arc<LogTail>) {
     while let Ok(Some(line)) = lines.next_line().await {
         tracing::trace!("{line}");
         log.push(line);
--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -30,7 +30,7 @@
     let backend = Backend::start(move |_| ok(&answered));
     let mut config = config("large", &discovery);
     config["limits"]["memory_mb"] = 8.into();
-    let proxy = Proxy::start_with("large", config);
+    let proxy = Proxy::start_with_config("large", config);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     for id in 0..20 {
         let got = proxy
@@ -219,7 +219,7 @@
 }
 
 /// Starts a backend that responds as soon as it has read the head of a request, and reads the body after a signal.
-/// Sends the number of received bytes of the body.
+/// Returns its address and a receiver of the number of body bytes that the backend has read.
 fn backend_that_responds_early(
     early: Vec<u8>,
     signal: Receiver<()>,
