--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -1,7 +1,7 @@
 //! The result of a run as a table, one column for each policy.
 
 use super::report::{FleetReport, PolicyReport};
-use crate::units::{BYTES_PER_MEGABYTE, PERCENT};
+use crate::units::{BYTES_PER_MEGABYTE, PERCENT_PER_ONE};
 use std::fmt;
 
 /// Width of the column of labels, characters.
@@ -148,7 +148,7 @@
 /// Formats a number of calls as a percentage of the calls offered.
 fn percentage(count: u64, report: &PolicyReport) -> String {
     let offered = report.calls.offered.max(1);
-    format!("{:.3}%", count as f64 * PERCENT / offered as f64)
+    format!("{:.3}%", count as f64 * PERCENT_PER_ONE / offered as f64)
 }
 
 /// Formats a time in seconds, or `-` if there is none.
--- a/lab/src/live/report.rs
+++ b/lab/src/live/report.rs
@@ -5,7 +5,7 @@
 use super::latency::LatencyQuantiles;
 use super::propagation::PropagationFigures;
 use super::quantiles::Quantiles;
-use crate::units::{BYTES_PER_KIB, BYTES_PER_MEGABYTE, PERCENT};
+use crate::units::{BYTES_PER_KIB, BYTES_PER_MEGABYTE, PERCENT_PER_ONE};
 use std::fmt::{self, Write};
 
 /// Formats a table of the phases, with the median and the maximum of each figure over the real processes.
@@ -123,7 +123,7 @@
 }
 
 fn core_percent(process: &ProcessFigures) -> Option<f64> {
-    Some(process.cores * PERCENT)
+    Some(process.cores * PERCENT_PER_ONE)
 }
 
 fn resident_mb(process: &ProcessFigures) -> Option<f64> {
--- a/lab/src/slopes/analysis/assessor.rs
+++ b/lab/src/slopes/analysis/assessor.rs
@@ -6,7 +6,7 @@
 use crate::slopes::quantity::Quantity;
 use crate::slopes::scenario::SlopesScenario;
 use crate::units::{
-    BYTES_PER_MEGABYTE, NANOS_PER_MILLISECOND, NANOS_PER_SECOND, PERCENT, SECONDS_PER_DAY,
+    BYTES_PER_MEGABYTE, NANOS_PER_MILLISECOND, NANOS_PER_SECOND, PERCENT_PER_ONE, SECONDS_PER_DAY,
 };
 
 /// File descriptors of the proxy other than connections to clients and backends.
@@ -294,7 +294,7 @@
 
 /// Returns the processor time of events with this cost and rate, in percent of a core.
 fn core_percent(nanoseconds: f64, events_per_second: f64) -> f64 {
-    nanoseconds * events_per_second / NANOS_PER_SECOND * PERCENT
+    nanoseconds * events_per_second / NANOS_PER_SECOND * PERCENT_PER_ONE
 }
 
 fn quotient(dividend: Option<f64>, divisor: Option<f64>) -> Option<f64> {
--- a/lab/src/slopes/report.rs
+++ b/lab/src/slopes/report.rs
@@ -9,7 +9,7 @@
 use super::quantity::{Quantity, Unit};
 use super::setup::Setup;
 use super::stopwatch::Summary;
-use crate::units::PERCENT;
+use crate::units::PERCENT_PER_ONE;
 use comfy_table::{CellAlignment, Table, presets};
 use std::fmt::Write;
 
@@ -180,7 +180,7 @@
     for point in points {
         let counts = &point.counts;
         let unserved = (counts.rejected + counts.failed) as f64 / counts.requests.max(1) as f64;
-        row.push(format!("{:.1}%", unserved * PERCENT));
+        row.push(format!("{:.1}%", unserved * PERCENT_PER_ONE));
     }
     table.add_row(row);
 }
@@ -210,7 +210,7 @@
     if quantity.unit() == Unit::Bytes || summary.values.len() < 2 {
         return median;
     }
-    format!("{median} ±{:.0}%", summary.spread() * PERCENT)
+    format!("{median} ±{:.0}%", summary.spread() * PERCENT_PER_ONE)
 }
 
 fn fit_table(curves: &[Curve]) -> Table {
@@ -246,12 +246,12 @@
             "{} + {} n (error {:.0}%)",
             show(line.intercept),
             show(line.slope),
-            line.relative_error * PERCENT
+            line.relative_error * PERCENT_PER_ONE
         ),
         format!(
             "n^{:.2} (error {:.0}%)",
             power_law.exponent,
-            power_law.relative_error * PERCENT
+            power_law.relative_error * PERCENT_PER_ONE
         ),
         better.to_owned(),
         format!("{} at {}", show(curve.at_target), curve.target_size),
--- a/lab/src/units.rs
+++ b/lab/src/units.rs
@@ -33,8 +33,8 @@
 /// Bytes in a megabyte.
 pub const BYTES_PER_MEGABYTE: f64 = 1e6;
 
-/// Factor from a fraction to percent.
-pub const PERCENT: f64 = 100.0;
+/// Percent in a fraction of one.
+pub const PERCENT_PER_ONE: f64 = 100.0;
 
 /// Converts seconds to microseconds, rounded to a whole number.
 #[must_use]
