--- a/lab/src/slopes/measure/bench.rs
+++ b/lab/src/slopes/measure/bench.rs
@@ -11,7 +11,7 @@
 use crate::slopes::scenario::SlopesScenario;
 use crate::slopes::setup::Setup;
 use crate::slopes::stopwatch::{Stopwatch, Summary};
-use crate::slopes::virtual_proxy::{Counts, VirtualProxy};
+use crate::slopes::virtual_proxy::{EventCounts, VirtualProxy};
 use indicatif::ProgressBar;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -42,7 +42,7 @@
 struct Job {
     setup: Setup,
     scope: MeasurementScope,
-    counts: Counts,
+    counts: EventCounts,
     values: BTreeMap<Quantity, Vec<f64>>,
 }
 
@@ -58,7 +58,7 @@
         Self {
             setup,
             scope,
-            counts: Counts::default(),
+            counts: EventCounts::default(),
             values: BTreeMap::new(),
         }
     }
--- a/lab/src/slopes/measure/mod.rs
+++ b/lab/src/slopes/measure/mod.rs
@@ -12,7 +12,7 @@
 use super::quantity::Quantity;
 use super::setup::Setup;
 use super::stopwatch::Summary;
-use super::virtual_proxy::Counts;
+use super::virtual_proxy::EventCounts;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
     /// Size of the fleet and request rate of the measurement.
     pub setup: Setup,
     /// Counts of events, over all repetitions, while the costs of requests were measured.
-    pub counts: Counts,
+    pub counts: EventCounts,
     /// Figures by quantity, in nanoseconds or bytes ([`Quantity::unit`]).
     pub figures: BTreeMap<Quantity, Summary>,
 }
--- a/lab/src/slopes/virtual_proxy/counts.rs
+++ b/lab/src/slopes/virtual_proxy/counts.rs
@@ -4,7 +4,7 @@
 
 /// Counts of events in a run; the same seed gives the same counts.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct Counts {
+pub struct EventCounts {
     /// Requests that arrived.
     pub requests: u64,
     /// Attempts sent.
@@ -26,7 +26,7 @@
     pub backends_used: u64,
 }
 
-impl Counts {
+impl EventCounts {
     /// Adds the counts of another run; `max_open` and `backends_used` become the greater of both runs.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
--- a/lab/src/slopes/virtual_proxy/mod.rs
+++ b/lab/src/slopes/virtual_proxy/mod.rs
@@ -7,7 +7,7 @@
 mod counts;
 mod traffic;
 
-pub use counts::Counts;
+pub use counts::EventCounts;
 
 use super::costs::{DecisionCosts, EventKind, Meter, Timing};
 use super::error::SlopesError;
@@ -49,7 +49,7 @@
     /// Mean service time that each backend reports, milliseconds.
     reported_service_ms: HashMap<BackendId, f32>,
     actions: Vec<Action>,
-    counts: Counts,
+    counts: EventCounts,
 }
 
 impl VirtualProxy {
@@ -80,7 +80,7 @@
             backends_used: HashSet::new(),
             reported_service_ms: HashMap::new(),
             actions: Vec::new(),
-            counts: Counts::default(),
+            counts: EventCounts::default(),
         };
         proxy.update_membership(MembershipEvent::Full(backends));
         Ok(proxy)
@@ -141,7 +141,7 @@
     }
 
     /// Returns the counts of events since the last call and resets them.
-    pub fn take_counts(&mut self) -> Counts {
+    pub fn take_counts(&mut self) -> EventCounts {
         self.counts.backends_used = self.backends_used.len() as u64;
         self.backends_used.clear();
         std::mem::take(&mut self.counts)
