--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -41,7 +41,7 @@
     /// A balancer rejects the settings that the lab generated.
     #[error("{subject}: {source}")]
     Settings {
-        /// Policy to which the settings belong, such as `policy module`.
+        /// Owner of the rejected settings, such as `policy two-choices`; the message begins with it.
         subject: String,
         /// The rejected setting and the reason.
         source: SettingsError,
@@ -49,7 +49,7 @@
     /// A thread panicked.
     #[error("the thread of {subject} panicked")]
     Panicked {
-        /// Work of the thread, such as `policy module`.
+        /// Work of the thread, such as `policy two-choices`.
         subject: String,
     },
     /// An error type of one experiment, such as [`SlopesError`](crate::slopes::error::SlopesError).
--- a/lab/src/slopes/analysis/assessment.rs
+++ b/lab/src/slopes/analysis/assessment.rs
@@ -1,4 +1,4 @@
-//! Assessments: figures at the target, compared with their budgets.
+//! Assessments: figures at the target size of the fleet, compared with their budgets.
 
 use serde::Serialize;
 
--- a/lab/src/slopes/analysis/assessor.rs
+++ b/lab/src/slopes/analysis/assessor.rs
@@ -61,8 +61,9 @@
             .find(|curve| curve.sweep == sweep && curve.quantity == quantity)
     }
 
-    /// Returns the fitted value of a quantity at the target: the value at the target's number of backends, plus the
-    /// increase from the numbers of tenants and classes of the backend sweep to those of the target.
+    /// Returns the fitted value of a quantity at the target: the value that the fit of the backend sweep has at the
+    /// target's number of backends, plus two corrections. One is for the target's number of tenants and one for its
+    /// number of classes, because both numbers differ from those of the backend sweep.
     fn fitted(&self, quantity: Quantity) -> Option<f64> {
         let added = |sweep, base: u32| match self.curve(sweep, quantity) {
             Some(curve) => curve.at_target - curve.fit.cost_at(f64::from(base)),
--- a/lab/src/slopes/endpoints.rs
+++ b/lab/src/slopes/endpoints.rs
@@ -29,8 +29,8 @@
 }
 
 impl Endpoints {
-    /// Generates `count` active endpoints with random ids and a start time of 0 (long ago). The same seed generates the
-    /// same endpoints.
+    /// Generates `count` active endpoints with random ids and a start time of 0 (the Unix epoch, so that none is in
+    /// slow start). The same seed generates the same endpoints.
     #[must_use]
     pub fn generate(count: u32, fleet: &FleetShape, seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
--- a/lab/src/slopes/fit.rs
+++ b/lab/src/slopes/fit.rs
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Returns the cost at size `x` by the better model.
+    /// Returns the cost at size `x` by the model with the smaller relative error.
     #[must_use]
     pub fn cost_at(&self, x: f64) -> f64 {
         match self.better {
--- a/lab/src/slopes/membership/mod.rs
+++ b/lab/src/slopes/membership/mod.rs
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Processes the responses in order and returns the processor time that the components take. Afterwards requests
-    /// arrive, whose cost is not measured.
+    /// Processes the responses in order and returns the processor time of the measured components. Afterwards the proxy
+    /// handles further requests; their cost is not measured.
     fn process(
         &mut self,
         components: MeasuredComponents,
--- a/lab/src/slopes/quantity.rs
+++ b/lab/src/slopes/quantity.rs
@@ -7,23 +7,24 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Quantity {
-    /// Mean processor time of an arrival of a request (`Event::Request`).
+    /// Mean processor time to handle the arrival of a request (`Event::Request`).
     Request,
-    /// Mean processor time of an end of an attempt (`Event::AttemptEnded`).
+    /// Mean processor time to handle the end of an attempt (`Event::AttemptEnded`).
     RequestEnd,
     /// Mean processor time of all events of a request: its arrival, the ends of its attempts and its timers.
     WholeRequest,
-    /// Median processor time of an arrival.
+    /// Median processor time to handle the arrival of a request.
     RequestP50,
-    /// 99th percentile of the processor time of an arrival.
+    /// 99th percentile of the processor time to handle the arrival of a request.
     RequestP99,
-    /// 99th percentile of the processor time of an end of an attempt.
+    /// 99th percentile of the processor time to handle the end of an attempt.
     RequestEndP99,
-    /// Median wall time of an arrival. Wall time includes the time for which other processes occupy the core.
+    /// Median wall time to handle the arrival of a request. Wall time includes the time for which other processes
+    /// occupy the core.
     RequestWallP50,
-    /// 99th percentile of the wall time of an arrival.
+    /// 99th percentile of the wall time to handle the arrival of a request.
     RequestWallP99,
-    /// 99th percentile of the wall time of an end of an attempt.
+    /// 99th percentile of the wall time to handle the end of an attempt.
     RequestEndWallP99,
     /// Cost of a membership delta of one endpoint: the mean of [`Self::EntryDrain`], [`Self::EntryReady`],
     /// [`Self::EntryRestart`], [`Self::EntryRemove`] and [`Self::EntryJoin`].
@@ -34,7 +35,7 @@
     EntryReady,
     /// Cost of a delta of one endpoint whose process has restarted.
     EntryRestart,
-    /// Cost of a delta of one endpoint that is removed.
+    /// Cost of a delta that removes one endpoint.
     #[serde(rename = "entry_gone")]
     EntryRemove,
     /// Cost of a delta of one removed endpoint that joins again.
--- a/lab/src/slopes/scenario/mod.rs
+++ b/lab/src/slopes/scenario/mod.rs
@@ -17,7 +17,7 @@
     pub repetitions: u32,
     /// Requests that the measured proxy receives.
     pub load: Load,
-    /// Zones and machine types of the fleet, and the sizes that apply outside their sweeps.
+    /// Zones and machine types of the fleet, and its numbers of tenants and classes in sweeps that do not vary them.
     pub fleet: FleetShape,
     /// Numbers of membership changes that one repetition measures.
     pub changes: Changes,
@@ -52,7 +52,7 @@
     pub proxy_age_seconds: f64,
 }
 
-/// Zones and machine types of the fleet, and the sizes that apply outside their sweeps.
+/// Zones and machine types of the fleet, and its numbers of tenants and classes in sweeps that do not vary them.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetShape {
