--- a/lab/src/fleet/rules.rs
+++ b/lab/src/fleet/rules.rs
@@ -139,7 +139,7 @@
     pub class: &'a Class,
     /// Machine of the backend that the attempt is sent to.
     pub target: &'a Machine,
-    /// What the proxy knows of the backend.
+    /// The proxy's knowledge of that backend.
     pub known_backend: &'a KnownBackend,
 }
 
--- a/lab/src/live/simulated_proxy/mod.rs
+++ b/lab/src/live/simulated_proxy/mod.rs
@@ -1,8 +1,8 @@
 //! Simulated proxies: tasks that watch discovery as the real program does and serve no clients.
 //!
-//! They put the load of a large number of proxies on discovery without as many processes. Their calls follow the
-//! schedule of `tillerproxy::proxy::discovery` (waits, timeouts, continued watches), and the balancer decides when a
-//! failed call is retried ([`schedule`]). Of a response they parse only the revision.
+//! Simulated proxies put the load of a large number of proxies on discovery without as many processes. Their calls
+//! follow the schedule of `tillerproxy::proxy::discovery` (waits, timeouts, continued watches), and the balancer
+//! decides when a failed call is retried ([`schedule`]). Of a response they parse only the revision.
 
 mod connection;
 pub mod schedule;
--- a/src/balancer/index/mod.rs
+++ b/src/balancer/index/mod.rs
@@ -37,7 +37,7 @@
 pub(crate) struct IndexEntry {
     pub(crate) group: GroupKey,
     /// Slot offset, from 0 to 1: the fraction that is added to the backend's limit before it is rounded down to slots.
-    /// It is computed from the backend's rank in its group.
+    /// The offset is computed from the backend's rank in its group.
     pub(crate) slot_offset: f64,
     /// Version of the group for which `slot_offset` was computed.
     pub(crate) slot_offset_version: u32,
--- a/src/proxy/clock.rs
+++ b/src/proxy/clock.rs
@@ -10,7 +10,7 @@
 /// A clock that starts at the system time and then follows the monotonic clock, so that steps of the system time do not
 /// affect it.
 ///
-/// Its times count from the Unix epoch because backends may have started before this process.
+/// The clock's times count from the Unix epoch because backends may have started before this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
--- a/src/proxy/socket.rs
+++ b/src/proxy/socket.rs
@@ -21,7 +21,7 @@
 /// The kind of data that has arrived on a socket and has not been read yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
-    /// Nothing, and the connection is open.
+    /// No data has arrived, and the connection is open.
     Nothing,
     /// At least one byte.
     Bytes,
