--- a/src/balancer/subscription/tests.rs
+++ b/src/balancer/subscription/tests.rs
@@ -13,8 +13,8 @@
     settings
 }
 
-/// Asserts that all delays are within `bounds`, and that the least and the greatest are within a tenth of the width of
-/// `bounds` from its start and its end.
+/// Asserts that all delays are within `bounds`, and that the shortest and the longest are within a tenth of the width
+/// of `bounds` from its start and its end.
 fn assert_spread(delays: &[Micros], bounds: RangeInclusive<Micros>) {
     for delay in delays {
         assert!(
