--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -31,12 +31,12 @@
     /// 1. Read the prior state: the sample is compared with the threshold that held before it, and this attempt's own
     ///    response must not count as another attempt that the backend has served.
     /// 2. Classify the outcome.
-    /// 3. Free the slot: the attempt no longer counts as in flight. If it was never sent, it says nothing else about the
-    ///    backend, and the steps below are skipped.
+    /// 3. Free the slot: the attempt no longer counts as in flight. If it was never sent, it says nothing else about
+    ///    the backend, and the steps below are skipped.
     /// 4. Release the connection. This depends on the remaining attempts in flight, so it follows step 3.
     /// 5. Record the response, or the rejection.
-    /// 6. If the attempt may have been lost on a connection that had been idle for long, reduce the trusted idle time and
-    ///    skip the steps below: the loss is attributed to the connection and not to the backend.
+    /// 6. If the attempt may have been lost on a connection that had been idle for long, reduce the trusted idle time
+    ///    and skip the steps below: the loss is attributed to the connection and not to the backend.
     /// 7. Record the sample as recent latency.
     /// 8. Record the outcome for outlier detection.
     /// 9. Update the limits with the sample and then with the load report, unless the outcome is no evidence for
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -41,7 +41,8 @@
 
 #[test]
 fn tokens_accrue_at_a_rate_that_grows_with_the_backends_age() {
-    // The rate is a quarter of 8 requests per second at the start, five eighths of it halfway and all of it from the end on.
+    // The rate is a quarter of 8 requests per second at the start, five eighths of it halfway and all of it from the
+    // end on.
     assert_first_token_after(STARTED_AT, &SAFETY, 500 * MS);
     assert_first_token_after(STARTED_AT + DURATION / 2, &SAFETY, 200 * MS);
     assert_first_token_after(STARTED_AT + DURATION, &SAFETY, 125 * MS);
