--- a/tests/watch/failures.rs
+++ b/tests/watch/failures.rs
@@ -1,4 +1,4 @@
-//! Failed calls and a discovery that is down: the time until a proxy knows a change afterwards.
+//! Failed calls and a discovery that is down: the time until a proxy applies a change afterwards.
 
 use crate::discovery::{Discovery, FAILURES, Failure, REMOVAL_OF_ONE_BACKEND, list};
 use crate::proxy::{Proxy, run_on_local_set};
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// Time after which rule 3 (draining) treats a proxy as informed of a change, whichever calls failed before. It counts
+/// Time after which rule 3 (draining) treats a proxy as notified of a change, whichever calls failed before. It counts
 /// from the moment at which discovery has the change and can be reached.
 const MAX_CHANGE_DELAY_AFTER_REACHABLE: Duration = Duration::from_secs(6);
 
@@ -20,8 +20,8 @@
 /// The number of failed calls after which the backoff of the balancer is at its maximum.
 const FAILED_CALLS: usize = 6;
 
-/// Returns the time from the last failed call until the proxy knows a change that discovery had at that call.
-async fn known_after_failures(proxy_index: u32, failure: Failure) -> Duration {
+/// Returns the time from the last failed call until the proxy applies a change that discovery had at that call.
+async fn delay_after_failures(proxy_index: u32, failure: Failure) -> Duration {
     let (discovery, address) = Discovery::start().await;
     let proxy = Proxy::start_with_poll_interval(
         proxy_index,
@@ -46,26 +46,26 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_is_known_in_time_after_failed_calls_at_the_largest_number_of_proxies() {
+async fn a_change_is_applied_in_time_after_failed_calls_at_the_largest_number_of_proxies() {
     for failure in FAILURES {
         let mut latest = Duration::ZERO;
         for proxy_index in (0..MAX_PROXY_COUNT).step_by(71) {
-            latest = latest.max(run_on_local_set(known_after_failures(proxy_index, failure)).await);
+            latest = latest.max(run_on_local_set(delay_after_failures(proxy_index, failure)).await);
         }
         let max_delay = MAX_CHANGE_DELAY_AFTER_REACHABLE + SHORTEST_GRACE_PERIOD;
         assert!(
             latest <= max_delay,
-            "{failure:?}: change known {latest:?} after discovery had it, expected at most {max_delay:?}"
+            "{failure:?}: change applied {latest:?} after discovery had it, expected at most {max_delay:?}"
         );
     }
 }
 
 /// Discovery is down for 8 s, so that connections to it fail, and has a change when it returns.
 #[tokio::test(start_paused = true)]
-async fn a_change_is_known_in_time_after_discovery_returns_at_the_largest_number_of_proxies() {
+async fn a_change_is_applied_in_time_after_discovery_returns_at_the_largest_number_of_proxies() {
     let mut latest = Duration::ZERO;
     for proxy_index in (0..MAX_PROXY_COUNT).step_by(71) {
-        let known = run_on_local_set(async {
+        let delay = run_on_local_set(async {
             // No other test uses this loopback address, so the port stays free until discovery returns.
             let (discovery, address) = Discovery::start_at("127.78.0.2:0").await;
             let proxy = Proxy::start_with_poll_interval(
@@ -97,11 +97,11 @@
                 .await;
             proxy.wait_for_listed_backends(1).await - returned_at
         });
-        latest = latest.max(known.await);
+        latest = latest.max(delay.await);
     }
     let max_delay = MAX_CHANGE_DELAY_AFTER_REACHABLE + SHORTEST_GRACE_PERIOD;
     assert!(
         latest <= max_delay,
-        "change known {latest:?} after the return of discovery, expected at most {max_delay:?}"
+        "change applied {latest:?} after the return of discovery, expected at most {max_delay:?}"
     );
 }
--- a/tests/watch/stalls.rs
+++ b/tests/watch/stalls.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// Time from a change of discovery's address until rule 3 (draining) treats the proxy as informed of the list that
+/// Time from a change of discovery's address until rule 3 (draining) treats the proxy as notified of the list that
 /// discovery serves at the new address.
 const MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
@@ -15,7 +15,7 @@
 /// the call that opens it or after one that continues it. In both cases the proxy has the least time to learn of a
 /// change before the grace period ends. If discovery is polled, the call that opens the watch again is queued.
 #[tokio::test(start_paused = true)]
-async fn a_change_that_a_stalled_watch_misses_is_known_in_time() {
+async fn a_change_that_a_stalled_watch_misses_is_applied_in_time() {
     for (mode, queue_time, grace_period) in [
         ("pushed", Duration::ZERO, Duration::ZERO),
         ("on_request", LONGEST_QUEUE_TIME, SHORTEST_GRACE_PERIOD),
@@ -42,12 +42,12 @@
                 let _open = again
                     .answer(&list(100, false, &REMOVAL_OF_ONE_BACKEND))
                     .await;
-                let known = proxy.wait_for_listed_backends(1).await;
-                let late = known.saturating_duration_since(time_limit + grace_period);
+                let applied_at = proxy.wait_for_listed_backends(1).await;
+                let late = applied_at.saturating_duration_since(time_limit + grace_period);
                 assert_eq!(
                     late,
                     Duration::ZERO,
-                    "{mode}: the change is known too late after {answers} answers"
+                    "{mode}: the change is applied too late after {answers} answers"
                 );
                 drop(stalled);
             })
@@ -78,11 +78,11 @@
             );
             let again = new.next_call().await;
             let _open = again.answer(&list(7, true, &[("s-1", "active")])).await;
-            let known = proxy.wait_for_listed_backends(1).await;
+            let applied_at = proxy.wait_for_listed_backends(1).await;
             assert!(
-                known <= time_limit,
-                "{mode}: the list is known {:?} too late",
-                known - time_limit
+                applied_at <= time_limit,
+                "{mode}: the list is applied {:?} too late",
+                applied_at - time_limit
             );
         })
         .await;
@@ -128,7 +128,7 @@
 
 /// Guards against a backoff longer than the shortest drain grace period after an agent was down for more than 7 s.
 #[tokio::test(start_paused = true)]
-async fn a_change_is_known_within_the_grace_period_after_an_agent_returns() {
+async fn a_change_is_applied_within_the_grace_period_after_an_agent_returns() {
     run_on_local_set(async {
         // No other test uses this loopback address, so the port stays free until discovery returns.
         let (discovery, address) = Discovery::start_at("127.78.0.1:0").await;
@@ -146,10 +146,10 @@
             .await
             .answer(&list(2, false, &REMOVAL_OF_ONE_BACKEND))
             .await;
-        let known = proxy.wait_for_listed_backends(1).await - returned_at;
+        let delay = proxy.wait_for_listed_backends(1).await - returned_at;
         assert!(
-            known <= SHORTEST_GRACE_PERIOD,
-            "change known {known:?} after the return of the agent"
+            delay <= SHORTEST_GRACE_PERIOD,
+            "change applied {delay:?} after the return of the agent"
         );
     })
     .await;
