--- a/lab/src/slopes/analysis/assessor.rs
+++ b/lab/src/slopes/analysis/assessor.rs
@@ -6,7 +6,7 @@
 use crate::slopes::quantity::Quantity;
 use crate::slopes::scenario::SlopesScenario;
 use crate::units::{
-    BYTES_PER_MEGABYTE, NANOS_PER_MILLISECOND, NANOS_PER_SECOND, PERCENT, SECONDS_PER_DAY,
+    BYTES_PER_MEGABYTE, NANOS_PER_MILLISECOND, NANOS_PER_SECOND, PERCENT_PER_ONE, SECONDS_PER_DAY,
 };
 
 /// File descriptors of the proxy other than connections to clients and backends.
@@ -61,8 +61,9 @@
             .find(|curve| curve.sweep == sweep && curve.quantity == quantity)
     }
 
-    /// Returns the fitted value of a quantity at the target: the value at the target's number of backends, plus the
-    /// increase from the numbers of tenants and classes of the backend sweep to those of the target.
+    /// Returns the fitted value of a quantity at the target: the value that the fit of the backend sweep has at the
+    /// target's number of backends, plus two corrections. One is for the target's number of tenants and one for its
+    /// number of classes, because both numbers differ from those of the backend sweep.
     fn fitted(&self, quantity: Quantity) -> Option<f64> {
         let added = |sweep, base: u32| match self.curve(sweep, quantity) {
             Some(curve) => curve.at_target - curve.fit.cost_at(f64::from(base)),
@@ -294,7 +295,7 @@
 
 /// Returns the processor time of events with this cost and rate, in percent of a core.
 fn core_percent(nanoseconds: f64, events_per_second: f64) -> f64 {
-    nanoseconds * events_per_second / NANOS_PER_SECOND * PERCENT
+    nanoseconds * events_per_second / NANOS_PER_SECOND * PERCENT_PER_ONE
 }
 
 fn quotient(dividend: Option<f64>, divisor: Option<f64>) -> Option<f64> {
