--- a/lab/src/live/discovery/mod.rs
+++ b/lab/src/live/discovery/mod.rs
@@ -34,7 +34,7 @@
 /// Discovery at changing addresses: the current service, and the traffic between each real process and all services so
 /// far.
 #[derive(Debug)]
-pub struct DiscoveryStandIn {
+pub struct EmulatedDiscovery {
     settings: Discovery,
     tracker: Arc<PropagationTracker>,
     service: Arc<Service>,
@@ -60,7 +60,7 @@
     pub addresses: DiscoveryAddresses,
 }
 
-impl DiscoveryStandIn {
+impl EmulatedDiscovery {
     /// Starts a service with these endpoints in its first revision. `real_count` is the number of real processes.
     ///
     /// # Errors
--- a/lab/src/live/experiment/mod.rs
+++ b/lab/src/live/experiment/mod.rs
@@ -11,7 +11,7 @@
 mod measurement;
 mod setup;
 
-use super::discovery::DiscoveryStandIn;
+use super::discovery::EmulatedDiscovery;
 use super::error::LiveError;
 use super::figures::{LiveFigures, PhaseFigures};
 use super::propagation::PropagationTracker;
@@ -42,7 +42,7 @@
 pub struct Experiment {
     scenario: LiveScenario,
     backends: EmulatedBackends,
-    discovery: DiscoveryStandIn,
+    discovery: EmulatedDiscovery,
     tracker: Arc<PropagationTracker>,
     proxies: Proxies,
     timer_lag: TimerLagMonitor,
@@ -209,8 +209,8 @@
     scenario: &LiveScenario,
     backends: &EmulatedBackends,
     tracker: &Arc<PropagationTracker>,
-) -> Result<DiscoveryStandIn, LiveError> {
-    let discovery = DiscoveryStandIn::start(
+) -> Result<EmulatedDiscovery, LiveError> {
+    let discovery = EmulatedDiscovery::start(
         scenario.discovery.clone(),
         backends.endpoints(&scenario.backends),
         scenario.processes.real as usize,
--- a/lab/src/live/proxies/mod.rs
+++ b/lab/src/live/proxies/mod.rs
@@ -3,7 +3,7 @@
 mod restart;
 mod simulated;
 
-use super::discovery::{DiscoveryAddresses, DiscoveryStandIn};
+use super::discovery::{DiscoveryAddresses, EmulatedDiscovery};
 use super::error::LiveError;
 use super::figures::RestartFigures;
 use super::process::{ProcessError, ProxyCommand, ProxyProcess};
@@ -54,7 +54,7 @@
     pub async fn start(
         scenario: &LiveScenario,
         program: &Path,
-        discovery: &DiscoveryStandIn,
+        discovery: &EmulatedDiscovery,
         tracker: &Arc<PropagationTracker>,
         seed: u64,
     ) -> Result<Self, LiveError> {
@@ -145,7 +145,7 @@
     pub async fn reload(
         &mut self,
         scenario: &LiveScenario,
-        discovery: &mut DiscoveryStandIn,
+        discovery: &mut EmulatedDiscovery,
     ) -> Result<(), LiveError> {
         let successor = discovery
             .prepare_move()
@@ -171,7 +171,7 @@
     pub async fn restart(
         &mut self,
         scenario: &LiveScenario,
-        discovery: &DiscoveryStandIn,
+        discovery: &EmulatedDiscovery,
     ) -> Result<RestartFigures, LiveError> {
         self.write_configurations(scenario, discovery, discovery.addresses())?;
         let mut restarting = JoinSet::new();
@@ -218,7 +218,7 @@
     fn write_configurations(
         &self,
         scenario: &LiveScenario,
-        discovery: &DiscoveryStandIn,
+        discovery: &EmulatedDiscovery,
         addresses: &DiscoveryAddresses,
     ) -> Result<(), LiveError> {
         let cached_list = if scenario.processes.start_with_list {
@@ -251,7 +251,7 @@
 }
 
 /// Returns the current complete endpoint list as discovery serializes it.
-fn current_list(discovery: &DiscoveryStandIn) -> Result<Value, LiveError> {
+fn current_list(discovery: &EmulatedDiscovery) -> Result<Value, LiveError> {
     let body = discovery.service().endpoint_list().response_body(None)?;
     let list = serde_json::from_slice(&body)?;
     Ok(list)
--- a/lab/src/live/proxies/simulated.rs
+++ b/lab/src/live/proxies/simulated.rs
@@ -1,6 +1,6 @@
 //! Starts all simulated proxies of a run and reads their traffic.
 
-use crate::live::discovery::DiscoveryStandIn;
+use crate::live::discovery::EmulatedDiscovery;
 use crate::live::error::LiveError;
 use crate::live::propagation::PropagationTracker;
 use crate::live::proxy_config;
@@ -28,7 +28,7 @@
     /// [`LiveError::Settings`] if the balancer rejects the settings of a proxy.
     pub(super) fn start(
         scenario: &LiveScenario,
-        discovery: &DiscoveryStandIn,
+        discovery: &EmulatedDiscovery,
         tracker: &Arc<PropagationTracker>,
         seed: u64,
     ) -> Result<Self, LiveError> {
