--- a/lab/src/fleet/backend/slow_start.rs
+++ b/lab/src/fleet/backend/slow_start.rs
@@ -13,7 +13,7 @@
     /// A backend in slow start collapses if its load exceeds this multiple of its current capacity for
     /// `collapse_time`.
     pub collapse_load_factor: f64,
-    /// Time for which that load must last until the backend collapses.
+    /// Time for which the load must exceed `collapse_load_factor` until the backend collapses.
     pub collapse_time: Micros,
     /// Mean work of a request, microseconds on a core of speed 1.
     pub mean_work: f64,
--- a/lab/src/fleet/client/arrivals.rs
+++ b/lab/src/fleet/client/arrivals.rs
@@ -13,9 +13,9 @@
 pub struct ArrivalSettings {
     /// Mean rate of the calls, per second.
     pub calls_per_s: f64,
-    /// Time at which the process begins.
+    /// Time at which the arrivals begin.
     pub begins_at: Micros,
-    /// Time at which the process ends.
+    /// Time at which the arrivals end.
     pub ends_at: Micros,
     /// Tenant of all calls; `None` if a tenant is drawn for each call.
     pub tenant: Option<TenantIndex>,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Draws the time of the next arrival; `None` if the process has ended.
+    /// Draws the time of the next arrival; `None` if the arrivals have ended.
     pub fn next_arrival(&mut self) -> Option<Micros> {
         let interval: f64 = self.random.sample(Exp1);
         self.latest += interval * MICROS_PER_SECOND as f64 / self.settings.calls_per_s;
--- a/lab/src/fleet/discovery/endpoint_list.rs
+++ b/lab/src/fleet/discovery/endpoint_list.rs
@@ -45,9 +45,9 @@
     changes: VecDeque<BackendId>,
     /// Maximum length of `changes`.
     history_limit: usize,
-    /// Latest delta, with the revision of the callers that it is for. Most watches share it.
+    /// Cache of the latest delta and of the revision that it starts from. Most watches ask for the same delta.
     latest_delta: Option<CachedEndpoints>,
-    /// Latest full list, with its own revision.
+    /// Cache of the latest full list and of its revision.
     latest_full: Option<CachedEndpoints>,
 }
 
--- a/lab/src/fleet/discovery/messages.rs
+++ b/lab/src/fleet/discovery/messages.rs
@@ -49,9 +49,9 @@
 pub enum CallStatus {
     /// The call is answered now.
     Answered(Response),
-    /// The call is held as a standing watch until a publication, or until its wait is over.
+    /// The call is held as a standing watch (long poll) until a publication, or until its wait is over.
     Standing {
-        /// The standing call.
+        /// The call that is held.
         call: CallId,
         /// Maximum time for which the call is held.
         wait: Micros,
--- a/lab/src/fleet/policy/baseline.rs
+++ b/lab/src/fleet/policy/baseline.rs
@@ -10,7 +10,7 @@
 
 /// Mean interval between the discovery calls of all proxies together after a failure.
 const DISCOVERY_CALL_INTERVAL: Micros = 200 * MICROS_PER_MILLISECOND;
-/// Longest wait of one proxy before it calls discovery again.
+/// Maximum wait of a proxy before it calls discovery again after a failure, for any number of proxies.
 const MAX_DISCOVERY_CALL_WAIT: Micros = 30 * MICROS_PER_SECOND;
 /// Token of the only timer: the next subscription.
 const SUBSCRIBE_TIMER: u32 = 0;
--- a/lab/src/fleet/proxy/watcher.rs
+++ b/lab/src/fleet/proxy/watcher.rs
@@ -9,9 +9,10 @@
 
 /// Mean wait of a watch.
 const MEAN_WATCH_WAIT: Micros = 20 * MICROS_PER_SECOND;
-/// Increase of the range of the waits for each proxy after the first.
+/// The proxies' waits are spread over a range around the mean, which grows by this time for each proxy after the
+/// first.
 const WATCH_WAIT_RANGE_PER_PROXY: Micros = MICROS_PER_SECOND;
-/// Maximum range of the waits.
+/// Maximum length of this range.
 const MAX_WATCH_WAIT_RANGE: Micros = 30 * MICROS_PER_SECOND;
 /// Wait of a call that begins a watch.
 const FIRST_WATCH_WAIT: Micros = 250 * MICROS_PER_MILLISECOND;
--- a/lab/src/fleet/rules.rs
+++ b/lab/src/fleet/rules.rs
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Counts an action on a request that has ended with all its attempts.
+    /// Counts an action on a request that has ended, and whose attempts have all ended.
     pub fn on_action_after_end(&mut self) {
         self.counts.final_answers.after_final_answer += 1;
     }
--- a/lab/src/fleet/scenario/limits.rs
+++ b/lab/src/fleet/scenario/limits.rs
@@ -5,7 +5,7 @@
 /// Maximum number of attempts for one request that the simulation can track.
 pub const MAX_TRACKED_ATTEMPTS: u16 = 4;
 
-/// Permissions of the proxies.
+/// Limits on the actions of the proxies: attempts, hedging, cancellation, idle connections and `Retry-After`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PermissionSettings {
@@ -59,7 +59,7 @@
     /// `collapse_time_s`.
     #[serde(rename = "fall_multiple")]
     pub collapse_load_factor: f64,
-    /// Time for which that load must last until the backend collapses, seconds.
+    /// Time for which the load must exceed `collapse_load_factor` until the backend collapses, seconds.
     #[serde(rename = "fall_time_s")]
     pub collapse_time_s: f64,
     /// Grace period of rule 3 (draining), seconds: time after which a proxy informed that a backend drains or was
--- a/lab/src/fleet/scenario/traffic.rs
+++ b/lab/src/fleet/scenario/traffic.rs
@@ -16,7 +16,7 @@
     Exponential,
     /// Log-normal distribution.
     Lognormal {
-        /// Standard deviation of the logarithm.
+        /// Standard deviation of the natural logarithm of the work.
         sigma: f64,
     },
 }
--- a/lab/src/fleet/scenario/validation/check.rs
+++ b/lab/src/fleet/scenario/validation/check.rs
@@ -3,11 +3,11 @@
 use crate::scenario::InvalidValue;
 use std::fmt::Display;
 
-/// A series of checks that keeps the first failure. Keys are those of the scenario file.
+/// The result of all checks so far: the first failure, if there is one. Keys are those of the scenario file.
 pub(super) struct Check(Result<(), InvalidValue>);
 
 impl Check {
-    /// Creates a series without a failure.
+    /// Creates the result before the first check, without a failure.
     pub(super) fn new() -> Self {
         Self(Ok(()))
     }
--- a/lab/src/fleet/simulation/changes.rs
+++ b/lab/src/fleet/simulation/changes.rs
@@ -1,4 +1,5 @@
-//! Application of the fault schedule: backends, proxies, discovery and partitions that begin and end.
+//! Applies the fault schedule: changes the state of backends, proxies and discovery, and begins and ends partitions,
+//! surges and shifts of traffic.
 
 use super::{Simulation, SimulationEvent};
 use crate::fleet::faults::FleetChange;
--- a/lab/src/fleet/simulation/discovery.rs
+++ b/lab/src/fleet/simulation/discovery.rs
@@ -143,12 +143,12 @@
         if let Some(time) = self.discovery.service.next_processing_time() {
             self.discovery.processing_scheduled = true;
             self.queue
-                .push_after(time, SimulationEvent::DiscoveryProcesses);
+                .push_after(time, SimulationEvent::DiscoveryProcessesEntry);
         }
     }
 
     /// Processes the next entry of discovery's queue.
-    pub(super) fn on_discovery_processes(&mut self, now: Micros) {
+    pub(super) fn on_discovery_processes_entry(&mut self, now: Micros) {
         self.discovery.processing_scheduled = false;
         if let Some(status) = self.discovery.service.process_next(now) {
             self.handle_status(status);
--- a/lab/src/fleet/simulation/event.rs
+++ b/lab/src/fleet/simulation/event.rs
@@ -39,7 +39,7 @@
     /// A proxy's call reaches discovery.
     CallReachesDiscovery(CallId),
     /// Discovery processes the next entry of its queue.
-    DiscoveryProcesses,
+    DiscoveryProcessesEntry,
     /// The wait of a standing watch is over.
     WatchExpires(CallId),
     /// A response of discovery reaches its proxy.
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -233,7 +233,7 @@
             SimulationEvent::CallReachesDiscovery(call) => {
                 self.on_call_reaches_discovery(now, call)
             }
-            SimulationEvent::DiscoveryProcesses => self.on_discovery_processes(now),
+            SimulationEvent::DiscoveryProcessesEntry => self.on_discovery_processes_entry(now),
             SimulationEvent::WatchExpires(call) => self.on_watch_expires(now, call),
             SimulationEvent::ResponseReachesProxy { response } => {
                 self.on_response_reaches_proxy(now, response)
--- a/lab/src/live/discovery/service.rs
+++ b/lab/src/live/discovery/service.rs
@@ -40,7 +40,7 @@
 pub enum Caller {
     /// A real process.
     Real {
-        /// Proxy index, also in the propagation tracker.
+        /// Index of the proxy, under which the propagation tracker records its revisions.
         proxy_index: usize,
         /// Traffic between the process and discovery.
         traffic: Arc<TrafficCounters>,
--- a/lab/src/live/discovery/tests.rs
+++ b/lab/src/live/discovery/tests.rs
@@ -179,13 +179,13 @@
     let (service, address, tracker) = serve().await;
     assert_eq!(summary(&list(address, "/discovery/hosts").await).2.len(), 3);
     assert_eq!(
-        tracker.proxies_at(5),
+        tracker.proxies_with_revision(5),
         0,
         "a process counts as having a revision only when it asks for newer ones"
     );
     let watch =
         tokio::spawn(async move { list(address, "/discovery/hosts?after=5&wait_ms=20000").await });
-    while tracker.proxies_at(5) == 0 {
+    while tracker.proxies_with_revision(5) == 0 {
         tokio::task::yield_now().await;
     }
     service.change(
--- a/lab/src/live/experiment/actions.rs
+++ b/lab/src/live/experiment/actions.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant, SystemTime};
 use tokio::task::JoinSet;
 
-/// Number of processes whose memory for idle connections is measured at the same time.
-pub(super) const IDLE_MEASUREMENTS_AT_ONCE: usize = 4;
+/// Maximum number of processes whose memory for idle connections is measured at the same time.
+pub(super) const MAX_CONCURRENT_IDLE_CONNECTION_MEASUREMENTS: usize = 4;
 
 /// Results that only some kinds of phase have.
 #[derive(Default)]
@@ -158,7 +158,7 @@
         for batch in self
             .proxies
             .real_processes()
-            .chunks(IDLE_MEASUREMENTS_AT_ONCE)
+            .chunks(MAX_CONCURRENT_IDLE_CONNECTION_MEASUREMENTS)
         {
             for result in measure_batch(batch, connections).await {
                 measured.push(result?);
--- a/lab/src/live/experiment/mod.rs
+++ b/lab/src/live/experiment/mod.rs
@@ -75,7 +75,7 @@
         let proxies = Proxies::start(&scenario, program, &discovery, &tracker, seed).await?;
         let figures = LiveFigures {
             load_average_before,
-            start_times: Quantiles::of(proxies.start_times_s().to_vec()),
+            startup_durations: Quantiles::of(proxies.startup_durations_s().to_vec()),
             start_propagation: None,
             phases: Vec::new(),
         };
@@ -167,12 +167,12 @@
     async fn wait_for_propagation(&self, limit: Duration) {
         let started_at = Instant::now();
         let proxy_count = self.scenario.proxy_count() as usize;
-        // A change made just now gets its revision after the notification delay.
+        // Discovery applies a change, and so raises its revision, only after the notification delay.
         let delay_ms = self.scenario.discovery.notification_delay_ms;
         sleep(Duration::from_millis(delay_ms)).await;
         loop {
             let revision = self.discovery.service().endpoint_list().revision();
-            let reached = self.tracker.proxies_at(revision);
+            let reached = self.tracker.proxies_with_revision(revision);
             if reached >= proxy_count {
                 return;
             }
--- a/lab/src/live/experiment/setup.rs
+++ b/lab/src/live/experiment/setup.rs
@@ -1,6 +1,6 @@
 //! Setup before the proxies start: descriptor limit, emulated backends and endpoint list.
 
-use super::actions::IDLE_MEASUREMENTS_AT_ONCE;
+use super::actions::MAX_CONCURRENT_IDLE_CONNECTION_MEASUREMENTS;
 use crate::endpoint_list::{Endpoint, EndpointState};
 use crate::live::backends;
 use crate::live::error::LiveError;
@@ -102,7 +102,8 @@
     let mut max = 0;
     for phase in &scenario.phases {
         if let Phase::IdleConnections { connections } = phase {
-            max = max.max(u64::from(*connections) * IDLE_MEASUREMENTS_AT_ONCE as u64);
+            max = max
+                .max(u64::from(*connections) * MAX_CONCURRENT_IDLE_CONNECTION_MEASUREMENTS as u64);
         }
     }
     max
--- a/lab/src/live/figures.rs
+++ b/lab/src/live/figures.rs
@@ -14,7 +14,7 @@
     pub load_average_before: Option<f32>,
     /// Seconds from the start of a real process until its first successful health check.
     #[serde(rename = "start_up")]
-    pub start_times: Option<Quantiles>,
+    pub startup_durations: Option<Quantiles>,
     /// Propagation of the first endpoint list.
     #[serde(rename = "start_spread")]
     pub start_propagation: Option<PropagationFigures>,
--- a/lab/src/live/propagation.rs
+++ b/lab/src/live/propagation.rs
@@ -90,7 +90,7 @@
 
     /// Returns the number of proxies that have this revision or a newer one.
     #[must_use]
-    pub fn proxies_at(&self, revision: u64) -> usize {
+    pub fn proxies_with_revision(&self, revision: u64) -> usize {
         let state = self.state();
         let has_revision = |&&newest: &&u64| newest >= revision;
         state.revisions.iter().filter(has_revision).count()
--- a/lab/src/live/proxies/mod.rs
+++ b/lab/src/live/proxies/mod.rs
@@ -32,7 +32,7 @@
     directory: TempDir,
     real: Vec<ProxyProcess>,
     /// Seconds from the first start of each real process until its first successful health check.
-    start_times_s: Vec<f64>,
+    startup_durations_s: Vec<f64>,
     simulated: SimulatedProxies,
 }
 
@@ -69,7 +69,7 @@
             program: program.to_owned(),
             directory,
             real: Vec::new(),
-            start_times_s: Vec::new(),
+            startup_durations_s: Vec::new(),
             simulated,
         };
         proxies.write_configurations(scenario, discovery, discovery.addresses())?;
@@ -102,7 +102,7 @@
         }
         started.sort_unstable_by_key(|process| process.proxy_index);
         for process in started {
-            self.start_times_s
+            self.startup_durations_s
                 .extend(process.serving_after.map(|time| time.as_secs_f64()));
             self.real.push(process.process);
         }
@@ -111,8 +111,8 @@
 
     /// Returns the seconds that each real process took from its first start to its first successful health check.
     #[must_use]
-    pub fn start_times_s(&self) -> &[f64] {
-        &self.start_times_s
+    pub fn startup_durations_s(&self) -> &[f64] {
+        &self.startup_durations_s
     }
 
     /// Returns the real processes, in the order of their indices.
--- a/lab/src/live/report.rs
+++ b/lab/src/live/report.rs
@@ -21,7 +21,7 @@
         text,
         "Each figure: median and maximum over the real processes."
     )?;
-    if let Some(Quantiles { median, max }) = figures.start_times {
+    if let Some(Quantiles { median, max }) = figures.startup_durations {
         writeln!(
             text,
             "\nstart: processes were up after {median:.3} s (median), {max:.3} s (maximum)"
--- a/lab/src/live/tests.rs
+++ b/lab/src/live/tests.rs
@@ -175,7 +175,13 @@
     tracker.record_revision(0, 2);
     tracker.record_revision(1, 3);
     tracker.record_revision(1, 2);
-    assert_eq!((tracker.proxies_at(2), tracker.proxies_at(3)), (2, 1));
+    assert_eq!(
+        (
+            tracker.proxies_with_revision(2),
+            tracker.proxies_with_revision(3)
+        ),
+        (2, 1)
+    );
     let figures = tracker.take().expect("two changes were recorded");
     assert_eq!((figures.changes, figures.reached_all), (2, 0));
     let half = figures
@@ -400,7 +406,7 @@
     ];
     let figures = LiveFigures {
         load_average_before: None,
-        start_times: Quantiles::of(vec![1.0]),
+        startup_durations: Quantiles::of(vec![1.0]),
         start_propagation: Some(propagation_figures()),
         phases: vec![phase_figures()],
     };
--- a/lab/tests/fleet/client.rs
+++ b/lab/tests/fleet/client.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn tenant_calls_are_within_quota_up_to_its_rate_and_a_burst() {
+fn calls_up_to_the_rate_and_burst_of_a_tenant_are_within_its_quota() {
     let mut quotas = TenantQuotas::new([100.0, 1.0].into_iter());
     let mut calls_within_quota = |tenant: u16, now: u64| {
         (0..200)
--- a/lab/tests/slopes.rs
+++ b/lab/tests/slopes.rs
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn proxies_for_backends_keep_target_ratio_above_minimum() {
+fn number_of_proxies_has_the_target_ratio_to_backends_but_is_at_least_the_minimum() {
     let scenario = SlopesScenario::default();
     assert_eq!(scenario.proxies_for(6_000), 710);
     assert_eq!(scenario.proxies_for(300), 36);
--- a/tests/decisions/load_reports.rs
+++ b/tests/decisions/load_reports.rs
@@ -44,7 +44,7 @@
 /// Guards against a slow backend that keeps its limit because no window of a single proxy is ever complete. The limits
 /// of one of 100 proxies add up to less than three slots, so they are scaled up.
 #[test]
-fn a_load_report_of_a_slow_backend_lowers_its_limit_at_once_when_limits_are_scaled_up() {
+fn a_load_report_of_a_slow_backend_lowers_its_limit_at_once_if_a_proxy_has_less_than_three_slots() {
     let slow = sends_to_backends_with_even_ids(true);
     let not_slow = sends_to_backends_with_even_ids(false);
     assert!(
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -169,7 +169,7 @@
 
 /// Guards against doubling the duration of each ejection although the backend has served requests since the last one.
 #[test]
-fn an_ejection_is_as_short_as_the_first_one_after_the_backend_has_served_requests() {
+fn an_ejection_of_a_backend_that_has_served_requests_since_the_last_one_is_as_short_as_the_first() {
     let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(2));
     for turn in 0..6 {
         let first = turn * 1000;
--- a/tests/decisions/queue_and_rejection.rs
+++ b/tests/decisions/queue_and_rejection.rs
@@ -78,7 +78,7 @@
 /// chance, and after a long `Retry-After` the client would miss its latency objective. A single proxy rejects only when
 /// its backends are full, and the client should then wait longer before it retries.
 #[test]
-fn retry_after_is_shorter_when_limits_are_scaled_up() {
+fn retry_after_is_shorter_if_a_proxy_has_less_than_three_slots() {
     let longest_retry_after = |proxy_count| {
         let settings = Settings {
             proxy_count,
--- a/tests/decisions/slots.rs
+++ b/tests/decisions/slots.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn requests_that_all_proxies_admit_do_not_grow_with_the_number_of_proxies() {
+fn the_number_of_requests_that_all_proxies_admit_does_not_grow_with_the_number_of_proxies() {
     let few = admitted_by_all(2);
     let many = admitted_by_all(20);
     assert!(
@@ -77,9 +77,9 @@
     backends.len() >= 2
 }
 
-/// Guards against a proxy with less than one slot in total that rejects the second of two requests at the same time.
+/// Guards against a proxy whose limits add up to less than one slot and that rejects the second of two requests at the same time.
 #[test]
-fn most_proxies_with_less_than_one_slot_have_attempts_in_flight_at_two_backends() {
+fn most_proxies_with_limits_below_one_slot_in_total_have_attempts_in_flight_at_two_backends() {
     let proxies = (0..40)
         .filter(|&index| sends_to_two_backends(index))
         .count();
--- a/tests/proxy/bodies.rs
+++ b/tests/proxy/bodies.rs
@@ -191,7 +191,9 @@
             stream
                 .read_exact(&mut [0; 50_000])
                 .expect("the proxy sends a part of the body");
-            sender.send(()).expect("the test has not ended");
+            sender
+                .send(())
+                .expect("the test keeps the receiver until it ends");
         }
     });
     let discovery = Discovery::start();
--- a/tests/proxy/client_disconnect.rs
+++ b/tests/proxy/client_disconnect.rs
@@ -57,7 +57,7 @@
 
 /// Waits until this number of requests is in progress, and returns the elapsed time. Panics after 5 s, which is less
 /// than the time for which a request stays queued.
-fn wait_for_in_progress(proxy: &Proxy, requests: usize) -> Duration {
+fn wait_for_requests_in_progress(proxy: &Proxy, requests: usize) -> Duration {
     let began = Instant::now();
     while proxy.metric("app_in_progress") != requests as u64 {
         assert!(
@@ -180,12 +180,12 @@
         client.send(&(request_with_timeout("charge", &format!("left-{i}"), "x", 190_000) + &input));
         disconnecting.push((client, way));
     }
-    wait_for_in_progress(&proxy, INITIAL_LIMIT + disconnecting.len());
+    wait_for_requests_in_progress(&proxy, INITIAL_LIMIT + disconnecting.len());
     let half_closed: Vec<_> = disconnecting
         .into_iter()
         .filter_map(|(client, way)| disconnect(client, way))
         .collect();
-    wait_for_in_progress(&proxy, INITIAL_LIMIT);
+    wait_for_requests_in_progress(&proxy, INITIAL_LIMIT);
     assert_only_new_requests_are_sent(&proxy, &backend, clients, &releases);
     drop(half_closed);
 }
@@ -202,9 +202,9 @@
         let mut client = proxy.client();
         let body = "x".repeat(1_740_000);
         client.send(&request_with_timeout("charge", "left", &body, 190_000));
-        wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
+        wait_for_requests_in_progress(&proxy, INITIAL_LIMIT + 1);
         let half_closed = disconnect(client, way);
-        wait_for_in_progress(&proxy, INITIAL_LIMIT);
+        wait_for_requests_in_progress(&proxy, INITIAL_LIMIT);
         assert_only_new_requests_are_sent(&proxy, &backend, clients, &releases);
         drop(half_closed);
     }
@@ -225,9 +225,9 @@
     for (i, (way, input)) in cases.into_iter().enumerate() {
         let mut client = proxy.client();
         client.send(&(request("charge", &format!("left-{i}"), "x") + &input));
-        wait_for_in_progress(&proxy, 1);
+        wait_for_requests_in_progress(&proxy, 1);
         let half_closed = disconnect(client, way);
-        detection_times.push(wait_for_in_progress(&proxy, 0));
+        detection_times.push(wait_for_requests_in_progress(&proxy, 0));
         drop(half_closed);
     }
     // The median tolerates single delays of a busy machine.
@@ -264,7 +264,7 @@
             ],
         );
         let half_closed = disconnect(client, way);
-        wait_for_in_progress(&proxy, 0);
+        wait_for_requests_in_progress(&proxy, 0);
         release
             .send(())
             .expect("the backend waits for the signal to close the connection");
@@ -305,7 +305,7 @@
             proxy.client().exchange(HEALTH_CHECK);
         }
         let half_closed = disconnect(client, way);
-        wait_for_in_progress(&proxy, INITIAL_LIMIT);
+        wait_for_requests_in_progress(&proxy, INITIAL_LIMIT);
         assert_only_new_requests_are_sent(&proxy, &backend, clients, &releases);
         drop(half_closed);
     }
@@ -332,10 +332,10 @@
             "x",
             190_000,
         ));
-        wait_for_in_progress(&proxy, INITIAL_LIMIT + 1);
+        wait_for_requests_in_progress(&proxy, INITIAL_LIMIT + 1);
         client.send(&input);
         let half_closed = disconnect(client, way);
-        wait_for_in_progress(&proxy, INITIAL_LIMIT);
+        wait_for_requests_in_progress(&proxy, INITIAL_LIMIT);
         drop(half_closed);
     }
     assert_only_new_requests_are_sent(&proxy, &backend, clients, &releases);
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -218,7 +218,8 @@
         }
         Ok::<_, std::io::Error>(())
     });
-    // When these responses arrive, the proxy has read ahead as much of the client's input as it buffers.
+    // When 20 health checks on other connections have been answered, the proxy's read-ahead buffer for this client is
+    // full.
     for _ in 0..20 {
         proxy.client().exchange(HEALTH_CHECK);
     }
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -4,8 +4,8 @@
 use serde_json::Value;
 use std::process::Stdio;
 
-/// Starts the program with these environment variables for its log.
-fn start_logging(name: &str, discovery: &Discovery, variables: &[(&str, &str)]) -> Proxy {
+/// Starts a proxy with these environment variables for its log.
+fn start_with_log_options(name: &str, discovery: &Discovery, variables: &[(&str, &str)]) -> Proxy {
     let mut command = proxy_command(name, &config(name, discovery).to_string());
     command.envs(variables.iter().copied());
     Proxy::start_with_command(name, command)
@@ -19,7 +19,7 @@
         ("EDGE_LOG", "info,tillerproxy::request=debug"),
         ("EDGE_LOG_FORMAT", "json"),
     ];
-    let mut proxy = start_logging("log-events", &discovery, &variables);
+    let mut proxy = start_with_log_options("log-events", &discovery, &variables);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", failing.address)]);
     while proxy.status_of(HEALTH_CHECK) != 200 {}
     assert_eq!(proxy.status_of(&request("charge", "9b1f03aa", "x")), 502);
@@ -57,7 +57,7 @@
 fn a_reload_sets_the_log_filter_and_a_reload_without_one_restores_the_filter_of_the_start() {
     let discovery = Discovery::start();
     let backend = Backend::start(|_| ok("fine"));
-    let mut proxy = start_logging("log-reload", &discovery, &[("EDGE_LOG", "info")]);
+    let mut proxy = start_with_log_options("log-reload", &discovery, &[("EDGE_LOG", "info")]);
     discovery.publish_and_wait(true, &[active_endpoint("s-1", backend.address)]);
     while proxy.status_of(HEALTH_CHECK) != 200 {}
     let without_filter = config("log-reload", &discovery);
--- a/tests/proxy/rig/backend.rs
+++ b/tests/proxy/rig/backend.rs
@@ -184,7 +184,7 @@
     (backend, release)
 }
 
-/// Starts a backend that closes the connection of its only request without a response at a signal.
+/// Starts a backend that receives one request and, on a signal, closes its connection without a response.
 pub fn backend_that_closes_on_signal() -> (Backend, Sender<()>) {
     let (release, signal) = channel();
     let mut reply = Some(Reply::After(
--- a/tests/proxy/rig/full_backlog.rs
+++ b/tests/proxy/rig/full_backlog.rs
@@ -40,7 +40,7 @@
         drop(
             self.listener
                 .accept()
-                .expect("the backlog holds the filling connection"),
+                .expect("the backlog holds the connection that fills it"),
         );
         self.listener
     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -434,7 +434,7 @@
 struct InvalidSetting {
     /// Text in [`SETTINGS`] that is replaced.
     valid: &'static str,
-    /// Text that replaces it.
+    /// Replacement for `valid`.
     invalid: &'static str,
     /// Text of the expected error.
     error: &'static str,
