--- a/tests/decisions/slots.rs
+++ b/tests/decisions/slots.rs
@@ -77,7 +77,8 @@
     backends.len() >= 2
 }
 
-/// Guards against a proxy whose limits add up to less than one slot and that rejects the second of two requests at the same time.
+/// Guards against a proxy whose limits add up to less than one slot and that rejects the second of two requests at the
+/// same time.
 #[test]
 fn most_proxies_with_limits_below_one_slot_in_total_have_attempts_in_flight_at_two_backends() {
     let proxies = (0..40)
