--- a/lab/src/live/proxies/mod.rs
+++ b/lab/src/live/proxies/mod.rs
@@ -3,7 +3,7 @@
 mod restart;
 mod simulated;
 
-use super::discovery::{DiscoveryAddresses, DiscoveryStandIn};
+use super::discovery::{DiscoveryAddresses, EmulatedDiscovery};
 use super::error::LiveError;
 use super::figures::RestartFigures;
 use super::process::{ProcessError, ProxyCommand, ProxyProcess};
@@ -32,7 +32,7 @@
     directory: TempDir,
     real: Vec<ProxyProcess>,
     /// Seconds from the first start of each real process until its first successful health check.
-    start_times_s: Vec<f64>,
+    startup_durations_s: Vec<f64>,
     simulated: SimulatedProxies,
 }
 
@@ -54,7 +54,7 @@
     pub async fn start(
         scenario: &LiveScenario,
         program: &Path,
-        discovery: &DiscoveryStandIn,
+        discovery: &EmulatedDiscovery,
         tracker: &Arc<PropagationTracker>,
         seed: u64,
     ) -> Result<Self, LiveError> {
@@ -69,7 +69,7 @@
             program: program.to_owned(),
             directory,
             real: Vec::new(),
-            start_times_s: Vec::new(),
+            startup_durations_s: Vec::new(),
             simulated,
         };
         proxies.write_configurations(scenario, discovery, discovery.addresses())?;
@@ -102,7 +102,7 @@
         }
         started.sort_unstable_by_key(|process| process.proxy_index);
         for process in started {
-            self.start_times_s
+            self.startup_durations_s
                 .extend(process.serving_after.map(|time| time.as_secs_f64()));
             self.real.push(process.process);
         }
@@ -111,8 +111,8 @@
 
     /// Returns the seconds that each real process took from its first start to its first successful health check.
     #[must_use]
-    pub fn start_times_s(&self) -> &[f64] {
-        &self.start_times_s
+    pub fn startup_durations_s(&self) -> &[f64] {
+        &self.startup_durations_s
     }
 
     /// Returns the real processes, in the order of their indices.
@@ -145,7 +145,7 @@
     pub async fn reload(
         &mut self,
         scenario: &LiveScenario,
-        discovery: &mut DiscoveryStandIn,
+        discovery: &mut EmulatedDiscovery,
     ) -> Result<(), LiveError> {
         let successor = discovery
             .prepare_move()
@@ -171,7 +171,7 @@
     pub async fn restart(
         &mut self,
         scenario: &LiveScenario,
-        discovery: &DiscoveryStandIn,
+        discovery: &EmulatedDiscovery,
     ) -> Result<RestartFigures, LiveError> {
         self.write_configurations(scenario, discovery, discovery.addresses())?;
         let mut restarting = JoinSet::new();
@@ -218,7 +218,7 @@
     fn write_configurations(
         &self,
         scenario: &LiveScenario,
-        discovery: &DiscoveryStandIn,
+        discovery: &EmulatedDiscovery,
         addresses: &DiscoveryAddresses,
     ) -> Result<(), LiveError> {
         let cached_list = if scenario.processes.start_with_list {
@@ -251,7 +251,7 @@
 }
 
 /// Returns the current complete endpoint list as discovery serializes it.
-fn current_list(discovery: &DiscoveryStandIn) -> Result<Value, LiveError> {
+fn current_list(discovery: &EmulatedDiscovery) -> Result<Value, LiveError> {
     let body = discovery.service().endpoint_list().response_body(None)?;
     let list = serde_json::from_slice(&body)?;
     Ok(list)
