--- a/lab/src/live/simulated_proxy/schedule.rs
+++ b/lab/src/live/simulated_proxy/schedule.rs
@@ -75,7 +75,7 @@
             (DiscoveryMode::Pushed, _) => CallTiming::PUSHED,
             (DiscoveryMode::Polled, WatchPhase::Opening) => CallTiming::OPEN_WATCH,
             (DiscoveryMode::Polled, WatchPhase::Continued) => {
-                CallTiming::continued(self.long_poll_timeout)
+                CallTiming::for_continued_watch(self.long_poll_timeout)
             }
         }
     }
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -2,7 +2,7 @@
 //! capacity, queued briefly, or rejected.
 
 use super::Balancer;
-use super::limits::MIN_WINDOW;
+use super::limits::MIN_WINDOW_DURATION;
 use super::queue::max_wait;
 use super::requests::{OpenRequest, RequestKey};
 use super::retries::{self, RetryScope};
@@ -28,7 +28,7 @@
         let open = OpenRequest::new(request.id, class, over_quota, now, deadline);
         let key = self.requests.insert(open);
         self.retry_budget.deposit();
-        if self.capacity.is_older_than(now, MIN_WINDOW) {
+        if self.capacity.is_older_than(now, MIN_WINDOW_DURATION) {
             self.evaluate_capacity(now);
         }
         self.dispatch(now, key, out);
--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -1,8 +1,8 @@
 //! Limit of one backend at this proxy.
 
 use super::{
-    DECREASE_FACTOR, MAX_LIMIT, MAX_WINDOW_AGE, MIN_INCREASE_FRACTION, MIN_LIMIT, MIN_WINDOW,
-    Window,
+    DECREASE_FACTOR, MAX_LIMIT, MAX_WINDOW_AGE, MIN_INCREASE_FRACTION, MIN_LIMIT,
+    MIN_WINDOW_DURATION, Window,
 };
 use crate::api::Micros;
 use crate::balancer::time::SECOND;
@@ -93,7 +93,7 @@
         self.window.add(sample);
         let age = self.window.age(now);
         let has_enough_samples = self.window.has_enough_samples();
-        if age < MIN_WINDOW || (!has_enough_samples && age < MAX_WINDOW_AGE) {
+        if age < MIN_WINDOW_DURATION || (!has_enough_samples && age < MAX_WINDOW_AGE) {
             return;
         }
         if has_enough_samples {
--- a/src/balancer/limits/machine_type.rs
+++ b/src/balancer/limits/machine_type.rs
@@ -2,7 +2,7 @@
 
 use super::{
     DECREASE_FACTOR, INITIAL_LIMIT, MAX_LIMIT, MAX_SAMPLE, MIN_INCREASE_FRACTION, MIN_LIMIT,
-    MIN_WINDOW, Window,
+    MIN_WINDOW_DURATION, Window,
 };
 use crate::api::Micros;
 use crate::balancer::latency::MEAN_SAMPLE_WEIGHT;
@@ -48,7 +48,7 @@
     /// Records a sample. Reports whether it completed the window, so that the limit was evaluated.
     pub(crate) fn record(&mut self, now: Micros, sample: f64) -> bool {
         self.window.add(sample);
-        let is_long_enough = self.doubling || self.window.age(now) >= MIN_WINDOW;
+        let is_long_enough = self.doubling || self.window.age(now) >= MIN_WINDOW_DURATION;
         if !self.window.has_enough_samples() || !is_long_enough {
             return false;
         }
--- a/src/balancer/limits/mod.rs
+++ b/src/balancer/limits/mod.rs
@@ -21,7 +21,7 @@
 mod tests;
 
 /// Minimum duration of a window, short enough for limits to adapt to a load that changes within seconds.
-pub(crate) const MIN_WINDOW: Micros = SECOND / 4;
+pub(crate) const MIN_WINDOW_DURATION: Micros = SECOND / 4;
 /// Maximum value of a sample, as a multiple of the latency threshold; greater samples are reduced to it.
 pub(crate) const MAX_SAMPLE: f64 = 3.0;
 
@@ -29,7 +29,7 @@
 /// requests has a standard deviation as great as its mean.
 const MIN_WINDOW_SAMPLES: u32 = 6;
 /// Age at which a window without enough samples is discarded and a new one starts.
-const MAX_WINDOW_AGE: Micros = 40 * MIN_WINDOW;
+const MAX_WINDOW_AGE: Micros = 40 * MIN_WINDOW_DURATION;
 /// Factor on a limit whose window had a mean above 1.
 const DECREASE_FACTOR: f64 = 0.7;
 /// Minimum increase as a fraction of the limit.
--- a/src/balancer/limits/tests/backend.rs
+++ b/src/balancer/limits/tests/backend.rs
@@ -35,7 +35,7 @@
     machine_type_limit: f64,
     proxy_fraction: f64,
 ) -> Micros {
-    let end = start + MIN_WINDOW;
+    let end = start + MIN_WINDOW_DURATION;
     for _ in 0..5 {
         limit.record(start, sample, machine_type_limit, proxy_fraction);
     }
@@ -78,10 +78,10 @@
 fn a_window_is_not_evaluated_before_its_minimum_duration() {
     let mut limit = new_backend_limit(NOW);
     for _ in 0..100 {
-        record(&mut limit, NOW + MIN_WINDOW - 1, SLOW, 10.0);
+        record(&mut limit, NOW + MIN_WINDOW_DURATION - 1, SLOW, 10.0);
     }
     assert_eq!(limit.source(), LimitSource::MachineType);
-    record(&mut limit, NOW + MIN_WINDOW, SLOW, 10.0);
+    record(&mut limit, NOW + MIN_WINDOW_DURATION, SLOW, 10.0);
     assert_close(limit.value(10.0), 7.0);
 }
 
@@ -105,10 +105,10 @@
     let restart = NOW + 10 * SECOND;
     record(&mut limit, restart, SLOW, 10.0);
     for _ in 0..5 {
-        record(&mut limit, restart + MIN_WINDOW, SLOW, 10.0);
+        record(&mut limit, restart + MIN_WINDOW_DURATION, SLOW, 10.0);
     }
     assert_eq!(limit.source(), LimitSource::MachineType);
-    record(&mut limit, restart + MIN_WINDOW, SLOW, 10.0);
+    record(&mut limit, restart + MIN_WINDOW_DURATION, SLOW, 10.0);
     assert_eq!(limit.source(), LimitSource::Windows);
 }
 
@@ -178,7 +178,7 @@
 fn bounds_of_a_limit_are_scaled_by_the_proxys_share() {
     let mut limit = new_backend_limit(NOW);
     for _ in 0..6 {
-        limit.record(NOW + MIN_WINDOW, SLOW, 0.3, 0.25);
+        limit.record(NOW + MIN_WINDOW_DURATION, SLOW, 0.3, 0.25);
     }
     assert_close(limit.value(0.3), 0.25);
 }
@@ -205,7 +205,7 @@
     assert_eq!(shared.source(), LimitSource::MachineType);
     let mut own = new_backend_limit(NOW);
     complete_window(&mut own, NOW, SLOW, 0.9);
-    own.record_service_time(NOW + MIN_WINDOW, 200.0, 100.0, 0.9);
+    own.record_service_time(NOW + MIN_WINDOW_DURATION, 200.0, 100.0, 0.9);
     assert_eq!(own.source(), LimitSource::Windows);
 }
 
@@ -242,7 +242,7 @@
     }
     limit.reset(end);
     assert_eq!(limit.source(), LimitSource::MachineType);
-    record(&mut limit, end + MIN_WINDOW, SLOW, 10.0);
+    record(&mut limit, end + MIN_WINDOW_DURATION, SLOW, 10.0);
     assert_eq!(
         limit.source(),
         LimitSource::MachineType,
--- a/src/balancer/limits/tests/machine_type.rs
+++ b/src/balancer/limits/tests/machine_type.rs
@@ -38,7 +38,7 @@
         !record_six(&mut limit, NOW, QUICK),
         "the window is shorter than the minimum"
     );
-    assert!(limit.record(NOW + MIN_WINDOW, QUICK));
+    assert!(limit.record(NOW + MIN_WINDOW_DURATION, QUICK));
     assert_close(limit.limit(), 9.66);
 }
 
@@ -48,7 +48,7 @@
     assert!(record_six(&mut doubling, NOW, QUICK));
     assert_eq!(doubling.limit(), 1.5);
     let mut decreased = decreased_limit();
-    assert!(record_six(&mut decreased, NOW + MIN_WINDOW, QUICK));
+    assert!(record_six(&mut decreased, NOW + MIN_WINDOW_DURATION, QUICK));
     assert_close(decreased.limit(), 1.05);
 }
 
@@ -76,7 +76,7 @@
 fn the_limit_stays_between_1_and_64() {
     let mut low = MachineTypeLimit::new(NOW);
     for window in 0..10 {
-        record_six(&mut low, NOW + window * MIN_WINDOW, SLOW);
+        record_six(&mut low, NOW + window * MIN_WINDOW_DURATION, SLOW);
     }
     assert_eq!(low.limit(), 1.0);
     let mut high = MachineTypeLimit::new(NOW);
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -162,7 +162,7 @@
     /// readmitted, unresponsive, or counted as without capacity after a rejection. Backends at their limit or in slow
     /// start are not included.
     #[must_use]
-    pub fn avoided_backends(&self, now: Micros) -> usize {
+    pub fn avoided_backend_count(&self, now: Micros) -> usize {
         let classes = self.settings.classes.iter().enumerate();
         let overdue_after = classes
             .map(|(index, class)| {
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -4,7 +4,7 @@
 //! therefore sends it only its own share of the load that the backend can serve. The share is enforced by a token
 //! bucket, whose random initial fill level keeps the requests of the proxies from arriving together.
 
-use super::limits::MIN_WINDOW;
+use super::limits::MIN_WINDOW_DURATION;
 use super::time::MICROS_PER_SECOND;
 use crate::api::{Micros, SafetyLimits};
 
@@ -92,11 +92,11 @@
     }
 
     /// Returns the time at which to check again whether the budget holds a token: the time at which a token is due at
-    /// the present rate, but at most [`MIN_WINDOW`] after the last refill, since the rate may change.
+    /// the present rate, but at most [`MIN_WINDOW_DURATION`] after the last refill, since the rate may change.
     pub(crate) fn next_token_check_at(&self) -> Micros {
         let rate = self.rate_per_s.max(f64::MIN_POSITIVE);
         let wait = ((1.0 - self.tokens) / rate * MICROS_PER_SECOND).ceil() as Micros;
-        self.refilled_at + wait.clamp(1, MIN_WINDOW)
+        self.refilled_at + wait.clamp(1, MIN_WINDOW_DURATION)
     }
 
     /// Returns the tokens that the budget holds now.
--- a/src/balancer/slow_start/tests.rs
+++ b/src/balancer/slow_start/tests.rs
@@ -148,7 +148,11 @@
         budget.refill(STARTED_AT, &SAFETY, &CAPACITY);
         budget.next_token_check_at() - STARTED_AT
     };
-    assert_eq!(check_after(0.0), MIN_WINDOW, "the token is due later");
+    assert_eq!(
+        check_after(0.0),
+        MIN_WINDOW_DURATION,
+        "the token is due later"
+    );
     assert_eq!(check_after(0.75), 125 * MS);
     assert_eq!(
         check_after(1.0),
@@ -156,5 +160,8 @@
         "the check must be later than the refill"
     );
     let without_rate = SlowStartBudget::new(STARTED_AT, STARTED_AT, 0.0);
-    assert_eq!(without_rate.next_token_check_at(), STARTED_AT + MIN_WINDOW);
+    assert_eq!(
+        without_rate.next_token_check_at(),
+        STARTED_AT + MIN_WINDOW_DURATION
+    );
 }
--- a/src/proxy/clients/respond.rs
+++ b/src/proxy/clients/respond.rs
@@ -9,7 +9,7 @@
 use crate::proxy::connections::ClientConnection;
 use crate::proxy::counters::{RequestGuard, RequestOutcome};
 use crate::proxy::messages::{Answer, DriverHandle, InboundRequest, Message};
-use crate::proxy::responses::{close, plain_text_response, rejected};
+use crate::proxy::responses::{mark_connection_close, plain_text_response, rejected};
 use crate::proxy::socket_io::SocketObserver;
 use crate::proxy::time_limits::REQUEST_TIMEOUT;
 use hyper::body::Incoming;
@@ -50,7 +50,7 @@
                 .unwrap_or_else(error_response)
         };
         if self.lifecycle.is_draining() {
-            close(&mut response);
+            mark_connection_close(&mut response);
         }
         response
     }
@@ -176,7 +176,7 @@
 fn error_response(error: InvalidRequest) -> Response<ResponseBody> {
     tracing::debug!(%error, "request not forwarded");
     let mut response = error.into_response().map(ResponseBody::Buffered);
-    close(&mut response);
+    mark_connection_close(&mut response);
     response
 }
 
--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -76,7 +76,7 @@
     };
 
     /// The timeouts of each call of a watch on an agent.
-    pub const PUSHED: Self = Self::continued(PUSHED_LONG_POLL_TIMEOUT);
+    pub const PUSHED: Self = Self::for_continued_watch(PUSHED_LONG_POLL_TIMEOUT);
 
     /// The timeouts of a call that opens a watch on a shared discovery.
     pub const OPEN_WATCH: Self = Self {
@@ -86,7 +86,7 @@
 
     /// Returns the timeouts of a call that continues a watch, which discovery does not queue.
     #[must_use]
-    pub const fn continued(long_poll_timeout: Duration) -> Self {
+    pub const fn for_continued_watch(long_poll_timeout: Duration) -> Self {
         Self {
             long_poll_timeout,
             call_timeout: long_poll_timeout.saturating_add(WATCH_STALL_DELAY),
--- a/src/proxy/discovery/watcher.rs
+++ b/src/proxy/discovery/watcher.rs
@@ -263,7 +263,7 @@
         match &self.polling {
             None => CallTiming::PUSHED,
             Some(polling) if self.state == WatchState::Watching => {
-                CallTiming::continued(polling.long_poll_timeout)
+                CallTiming::for_continued_watch(polling.long_poll_timeout)
             }
             Some(_) => CallTiming::OPEN_WATCH,
         }
--- a/src/proxy/driver/mod.rs
+++ b/src/proxy/driver/mod.rs
@@ -155,7 +155,7 @@
             }
             Message::Membership(update) => self.on_membership(now, &update),
             Message::CountAvoidedBackends(reply) => {
-                let _ = reply.send(self.balancer.avoided_backends(now));
+                let _ = reply.send(self.balancer.avoided_backend_count(now));
             }
         }
     }
--- a/src/proxy/inherited.rs
+++ b/src/proxy/inherited.rs
@@ -11,7 +11,7 @@
 
 /// The reason why the descriptor that the environment names is not a usable client listener.
 #[derive(Debug, Error)]
-pub enum InheritedError {
+pub enum InheritedListenerError {
     /// The value of the variable is not the number of a descriptor.
     #[error("{DESCRIPTOR_VARIABLE} is `{0}`, but must be a descriptor number of 0 or more")]
     NotANumber(String),
@@ -35,20 +35,20 @@
 ///
 /// # Errors
 /// The environment names something other than a listening TCP socket.
-pub fn from_env() -> Result<Option<TcpListener>, InheritedError> {
+pub fn from_env() -> Result<Option<TcpListener>, InheritedListenerError> {
     let Some(descriptor) = descriptor_from_env()? else {
         return Ok(None);
     };
-    let unusable = |source| InheritedError::Unusable { descriptor, source };
+    let unusable = |source| InheritedListenerError::Unusable { descriptor, source };
     let socket = duplicate(descriptor).map_err(unusable)?;
     if !is_tcp_listener(&socket) {
-        return Err(InheritedError::NotListening(descriptor));
+        return Err(InheritedListenerError::NotListening(descriptor));
     }
     socket.set_nonblocking(true).map_err(unusable)?;
     Ok(Some(socket.into()))
 }
 
-fn descriptor_from_env() -> Result<Option<RawFd>, InheritedError> {
+fn descriptor_from_env() -> Result<Option<RawFd>, InheritedListenerError> {
     let value = env::var_os(DESCRIPTOR_VARIABLE).filter(|value| !value.is_empty());
     let Some(value) = value else {
         return Ok(None);
@@ -59,7 +59,7 @@
         .filter(|descriptor| *descriptor >= 0);
     match descriptor {
         Some(descriptor) => Ok(Some(descriptor)),
-        None => Err(InheritedError::NotANumber(
+        None => Err(InheritedListenerError::NotANumber(
             value.to_string_lossy().into_owned(),
         )),
     }
--- a/src/proxy/messages.rs
+++ b/src/proxy/messages.rs
@@ -115,7 +115,7 @@
     Membership(MembershipUpdate),
     /// Requests the number of listed backends that the balancer avoids, because they are draining, ejected,
     /// unresponsive or without capacity after a rejection
-    /// ([`Balancer::avoided_backends`](crate::balancer::Balancer::avoided_backends)).
+    /// ([`Balancer::avoided_backend_count`](crate::balancer::Balancer::avoided_backend_count)).
     CountAvoidedBackends(oneshot::Sender<usize>),
 }
 
--- a/src/proxy/responses.rs
+++ b/src/proxy/responses.rs
@@ -80,7 +80,7 @@
 }
 
 /// Marks a response as the last one on its connection.
-pub(super) fn close<B>(response: &mut Response<B>) {
+pub(super) fn mark_connection_close<B>(response: &mut Response<B>) {
     response
         .headers_mut()
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -108,7 +108,7 @@
 fn avoided_backends_counts_draining_and_unresponsive_but_not_removed_backends() {
     let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(3));
     assert_eq!(
-        proxy.balancer.avoided_backends(proxy.now),
+        proxy.balancer.avoided_backend_count(proxy.now),
         0,
         "expected no avoided backend at the start"
     );
@@ -118,7 +118,7 @@
     }];
     proxy.handle(Event::Membership(MembershipEvent::Delta(&draining)));
     assert_eq!(
-        proxy.balancer.avoided_backends(proxy.now),
+        proxy.balancer.avoided_backend_count(proxy.now),
         1,
         "expected a draining backend to be counted"
     );
@@ -128,14 +128,14 @@
     }];
     proxy.handle(Event::Membership(MembershipEvent::Delta(&removed)));
     assert_eq!(
-        proxy.balancer.avoided_backends(proxy.now),
+        proxy.balancer.avoided_backend_count(proxy.now),
         0,
         "expected a removed backend not to be counted"
     );
     proxy.submit(request(1, 0));
     proxy.now += 9 * SECOND;
     assert_eq!(
-        proxy.balancer.avoided_backends(proxy.now),
+        proxy.balancer.avoided_backend_count(proxy.now),
         1,
         "expected the backend without an answer to be counted"
     );
--- a/tests/decisions/streaming.rs
+++ b/tests/decisions/streaming.rs
@@ -78,7 +78,7 @@
     }
     start_stream(&mut balancer, now, 51);
     assert_eq!(
-        balancer.avoided_backends(now),
+        balancer.avoided_backend_count(now),
         0,
         "expected the backend not to be avoided"
     );
