--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -3,7 +3,7 @@
 use super::frames::{BATCH_HEADER_LENGTH, ListId, ProxyId};
 use thiserror::Error;
 
-/// An error in a batch of records, which does not follow the protocol.
+/// An error in a batch of records that violates the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("invalid input at byte {offset} of the batch: {kind}")]
 pub struct FrameError {
@@ -34,13 +34,15 @@
         /// Number of bytes that should follow the header, as the header states it.
         stated: usize,
     },
-    /// A record ends before the end of a field.
-    #[error("a record of {available} bytes ends before the end of a field of {needed} bytes")]
+    /// A field, at the offset of the error, extends beyond the end of its record.
+    #[error(
+        "a field of {field_length} bytes extends beyond the end of its record of {record_length} bytes"
+    )]
     TruncatedRecord {
         /// Length of the field in bytes.
-        needed: usize,
+        field_length: usize,
         /// Length of the whole record in bytes.
-        available: usize,
+        record_length: usize,
     },
     /// Bytes follow the last of the records that the header of the batch announces.
     #[error("{length} bytes after the last record, expected the end of the batch")]
@@ -48,13 +50,13 @@
         /// Number of bytes after the last record.
         length: usize,
     },
-    /// An unknown code of an outcome.
+    /// The code of an outcome is unknown.
     #[error("outcome is {0}, expected 100 or 301 to 307")]
     UnknownOutcome(u16),
-    /// An unknown code of a kind of membership update.
+    /// The code for the kind of a membership update is unknown.
     #[error("scope of a `membership` record is {0}, expected 0 to 3")]
     UnknownUpdateKind(u8),
-    /// An unknown code of a readiness.
+    /// The code of an endpoint's readiness is unknown.
     #[error("readiness of an endpoint is {0}, expected 0 to 2")]
     UnknownReadiness(u8),
     /// A record for a proxy before any record has selected a proxy.
--- a/src/simulator/frames/endpoints.rs
+++ b/src/simulator/frames/endpoints.rs
@@ -21,7 +21,7 @@
     /// Parses the endpoints.
     ///
     /// # Errors
-    /// [`FrameErrorKind::UnknownReadiness`] at the first endpoint with an unknown code of its readiness.
+    /// [`FrameErrorKind::UnknownReadiness`] for the first endpoint whose readiness code is unknown.
     pub fn parse(&self) -> Result<Vec<Backend>, FrameError> {
         let mut backends = Vec::with_capacity(self.bytes.len() / endpoint::LENGTH);
         let mut start = self.start;
--- a/src/simulator/frames/fields.rs
+++ b/src/simulator/frames/fields.rs
@@ -7,7 +7,7 @@
 /// The bytes of one record, its header included.
 pub(super) struct Fields<'a> {
     bytes: &'a [u8],
-    /// Offset of the record in the batch, from which errors calculate theirs.
+    /// Offset of the record in the batch, which is added to the offset of a field to locate an error in the batch.
     start: usize,
 }
 
@@ -24,8 +24,8 @@
         let end = offset.saturating_add(length);
         self.bytes.get(offset..end).ok_or_else(|| {
             let kind = FrameErrorKind::TruncatedRecord {
-                needed: length,
-                available: self.bytes.len(),
+                field_length: length,
+                record_length: self.bytes.len(),
             };
             self.error(offset, kind)
         })
