--- a/src/proxy/backends/call.rs
+++ b/src/proxy/backends/call.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The header with the client's id of a request. Each attempt forwards it.
+/// The header with the id that the client gave a request. Each attempt forwards it.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 
 /// Notifies the attempts of a request that the request has ended: the client disconnected before it had a response, or
--- a/src/proxy/backends/connection.rs
+++ b/src/proxy/backends/connection.rs
@@ -70,7 +70,8 @@
         self.state.set(ExchangeState::Idle);
     }
 
-    /// Counts written bytes, and counts the attempt once its request is completely written.
+    /// Adds to the number of written bytes, and counts the attempt ([`Counters::record_attempt`]) once its request is
+    /// completely written.
     fn record_written(&self, bytes: u64) {
         self.written.set(self.written.get() + bytes);
         if let ExchangeState::Writing { complete_at } = self.state.get()
--- a/src/proxy/backends/error.rs
+++ b/src/proxy/backends/error.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Classifies an error of a connect as the backend's or this proxy's.
+    /// Classifies a connect error: caused by the backend, or by a lack of resources in this proxy.
     pub(super) fn from_connect(error: io::Error) -> Self {
         use io::ErrorKind::*;
         match error.kind() {
--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -1,4 +1,7 @@
 //! The pool of connections: keeps idle ones for later attempts and closes those that have been idle for too long.
+//!
+//! An idle connection is *clean* if it may be used for another attempt: it is open and ready, has not been idle for too
+//! long, and nothing has arrived on it since its last response, neither the backend's close nor stray bytes.
 
 use super::backend_connections::{BackendConnections, IdleConnection};
 use super::connection::{Connection, Connector};
@@ -109,8 +112,7 @@
         !idle.connection.is_closed() && idle.since.elapsed() < self.max_idle
     }
 
-    /// Returns whether a connection is usable and nothing has arrived on it since its last response: neither the
-    /// backend's close nor stray bytes, whose arrival is recorded.
+    /// Returns whether a connection is clean, as the module documentation defines it. Records the arrival of stray bytes.
     fn is_clean(&self, idle: &IdleConnection) -> bool {
         if !self.is_usable(idle) || !idle.connection.is_ready() {
             return false;
@@ -158,6 +160,6 @@
         self.connector
             .connect(address, backend.generation(), connect_deadline)
             .await
-            .inspect_err(|error| tracing::debug!(backend = %address, %error, "connecting failed"))
+            .inspect_err(|error| tracing::debug!(backend = %address, %error, "connecting to the backend failed"))
     }
 }
--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -13,7 +13,8 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Time at the start of a relayed response in which its rate is not checked. A response may be half a second late.
+/// Time from the start of the relay in which the rate of a body is not checked. A body of unknown length may be half a
+/// second late: it was buffered for 250 ms before its relay starts.
 const GRACE: Duration = Duration::from_millis(250);
 
 /// Relays a body at the rate at which the client reads it, and returns the outcome of the attempt.
--- a/src/proxy/bodies/streamed.rs
+++ b/src/proxy/bodies/streamed.rs
@@ -12,14 +12,14 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// An item of the channel between the two ends of a response.
+/// An item of the channel from a [`ResponseSender`] to its [`StreamedResponse`].
 enum Piece {
     Data(Bytes),
     /// The end of a complete response.
     End,
 }
 
-/// The backend's end of a streamed response.
+/// The sender of a streamed response, which receives the response from the backend.
 pub struct ResponseSender(mpsc::Sender<Piece>);
 
 /// The error of a response whose client has disconnected or has read nothing for the timeout.
@@ -44,13 +44,13 @@
         let _ = self.0.send(Piece::End).await;
     }
 
-    /// Waits until the client's end is dropped.
+    /// Waits until the [`StreamedResponse`] is dropped.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
-/// The client's end of a streamed response.
+/// The body of a streamed response, which hyper sends to the client.
 pub struct StreamedResponse {
     pieces: mpsc::Receiver<Piece>,
     length: StreamLength,
@@ -76,7 +76,7 @@
 }
 
 impl StreamedResponse {
-    /// Creates both ends of a response with a body of `length` bytes. `None` stands for an unknown length.
+    /// Creates the sender and the body of a response of `length` bytes. `None` stands for an unknown length.
     #[must_use]
     pub fn channel(length: Option<u64>) -> (ResponseSender, Self) {
         let (sender, pieces) = mpsc::channel(1);
--- a/src/proxy/clients/inbound.rs
+++ b/src/proxy/clients/inbound.rs
@@ -162,8 +162,8 @@
     head.headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Returns the value of a header; `None` if the header is missing or not UTF-8. Names that customers choose may contain
-/// letters beyond ASCII.
+/// Returns the value of a header; `None` if the header is missing or not UTF-8. The names of accounts and classes may
+/// contain characters outside ASCII.
 fn utf8_header<'a>(head: &'a Parts, name: &HeaderName) -> Option<&'a str> {
     head.headers
         .get(name)
@@ -198,8 +198,8 @@
 }
 
 /// Returns the `key` parameter of a query as a number: the value itself if it is hexadecimal, otherwise a hash of the
-/// value; `None` if the query has no such parameter. The request passes the number to the balancer, which does not use
-/// it.
+/// value; `None` if the query has no such parameter. The number is a field of the balancer's
+/// [`Request`](crate::api::Request), but the balancer does not use it.
 fn affinity_key(query: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(name, _)| *name == "key")?;
--- a/src/proxy/clients/serve.rs
+++ b/src/proxy/clients/serve.rs
@@ -42,8 +42,8 @@
 }
 
 impl Clients {
-    /// Serves one connection until it ends. Depending on its [`ConnectionEnd`], then reads until the client closes the
-    /// connection, or resets the connection.
+    /// Serves one connection until it ends. Then, depending on the [`ConnectionEnd`], the proxy closes the
+    /// connection, reads until the client closes it, or resets it.
     pub(super) async fn serve(self: &Rc<Self>, connection: &Rc<ClientConnection>) {
         match self.serve_requests(connection).await {
             ConnectionEnd::Closed => {}
--- a/src/proxy/connections.rs
+++ b/src/proxy/connections.rs
@@ -1,5 +1,8 @@
 //! Client connections: their state, the deadlines that follow from it, and the selection of a connection to evict so
 //! that another client can be accepted.
+//!
+//! A connection is *active* if it is new or has received a part of a head, and was accepted, read or written within the
+//! last `ACTIVE_WINDOW`. A request may still be arriving on it, so active connections are evicted after all others.
 
 use super::budget::MemoryBudget;
 use super::framing::Framing;
@@ -27,8 +30,8 @@
 /// just before that timeout still has 250 ms to complete.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_750);
 
-/// Time after the last activity of a connection for which the connection counts as active, if it is new or has received
-/// a partial head. Active connections are evicted after all others, because a request may still be arriving on them.
+/// Time after the accept, or the last read or write, for which a connection can be active, as the module documentation
+/// defines it.
 const ACTIVE_WINDOW: Duration = Duration::from_millis(500);
 
 /// The state of a connection, which determines its deadline and its eviction cost.
@@ -40,7 +43,7 @@
     Serving,
     /// No byte of a request has been received yet.
     Unused,
-    /// All requests have their responses, and no byte of a next one has been received.
+    /// All requests have their responses, and no byte of a further request has been received.
     Idle,
     /// A part of a head has been received.
     ReadingHead,
@@ -52,14 +55,13 @@
 /// eviction loses a request. A connection with a complete request has no eviction cost, because it must not be evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionCost {
-    /// No byte has been received, and the connection is not active.
+    /// No byte has been received, and the connection is no longer active.
     Unused,
     /// All requests have their responses.
     Idle,
-    /// A part of a head has been received, and the connection is not active.
+    /// A part of a head has been received, and the connection is no longer active.
     PartialHead,
-    /// The connection is new or has received a part of a head, and its last activity is within [`ACTIVE_WINDOW`], so a
-    /// request may still be arriving.
+    /// The connection is active, as the module documentation defines it.
     Active,
 }
 
@@ -70,7 +72,7 @@
     read_ahead: RefCell<ReadAhead>,
     framing: RefCell<Framing>,
     connected_at: Instant,
-    /// The time at which bytes were last read or written.
+    /// The time at which bytes were last read or written; at first the time of the accept.
     last_activity: Cell<Instant>,
     /// The time at which the first byte of the current head was read.
     head_started_at: Cell<Instant>,
@@ -82,13 +84,13 @@
     write_blocked: Cell<bool>,
     /// Notifies the connection's task that it should close the connection, so that another client can be accepted.
     eviction: Notify,
-    /// Whether the task was asked to close the connection and has not yet checked whether it may.
+    /// Whether an eviction was requested that the connection's task has not received yet.
     eviction_pending: Cell<bool>,
 }
 
 impl ClientConnection {
-    /// Creates the state of a connection that has just been accepted. `max_head_bytes` is the size of the largest
-    /// request head.
+    /// Creates the state of a connection that has just been accepted. `max_head_bytes` is the maximum size of a
+    /// request head in bytes.
     #[must_use]
     pub fn new(stream: TcpStream, max_head_bytes: usize) -> Self {
         let now = Instant::now();
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Reads ahead until the client has closed the connection. Never returns once the memory or the read-ahead limit
-    /// is exhausted.
+    /// Reads ahead until the client has closed the connection. Never returns if `memory` is used up before, or if the
+    /// maximum number of bytes has been read ahead.
     async fn read_ahead_until_closed(&self, memory: &MemoryBudget) {
         while self.socket.wait_for_bytes().await {
             if !self.read_ahead.borrow_mut().make_room(memory) {
--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -10,13 +10,12 @@
 use crate::spread::golden_ratio_position;
 use std::time::Duration;
 
-/// The operators' bound on the time from the stall of a watch until the proxy must have applied a change of the list.
+/// Maximum time from the stall of a watch until the proxy has applied a change of the endpoint list.
 pub const MAX_CHANGE_DELAY_AFTER_STALL: Duration = Duration::from_secs(6);
-/// The operators' bound on the time from the long-poll timeout of a stalled watch until the proxy must have applied a
-/// change of the list. It replaces [`MAX_CHANGE_DELAY_AFTER_STALL`] if it ends later.
+/// Maximum time from the long-poll timeout of a stalled watch until the proxy has applied a change of the endpoint list.
+/// It replaces [`MAX_CHANGE_DELAY_AFTER_STALL`] if it ends later.
 pub const MAX_CHANGE_DELAY_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
-/// The operators' bound on the time from a change of discovery's address until the proxy must have applied a change of
-/// the list.
+/// Maximum time from a change of discovery's address until the proxy has applied a change of the endpoint list.
 pub const MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
 /// Long-poll timeout if discovery is an agent on the same machine. It limits how long a broken connection goes
--- a/src/proxy/framing.rs
+++ b/src/proxy/framing.rs
@@ -26,7 +26,7 @@
 /// The part of a message that the next byte belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reading {
-    /// A head that has begun, or the first byte of a head.
+    /// A head, of which no byte or some bytes have been received.
     Head,
     /// A body of known length, of which this many bytes remain.
     Body(u64),
@@ -46,7 +46,7 @@
     reading: Reading,
     /// The received part of the current head or line.
     partial: Vec<u8>,
-    /// The size of the largest head.
+    /// The maximum size of a head in bytes.
     max_head_bytes: usize,
     /// The number of complete heads.
     heads: u64,
--- a/src/proxy/logging/options/tests.rs
+++ b/src/proxy/logging/options/tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_error_for_an_invalid_variable_names_it_its_value_and_the_allowed_values() {
+fn an_invalid_variable_is_reported_with_its_value_and_the_allowed_values() {
     for (name, value, problem) in [
         (
             "EDGE_LOG",
--- a/src/proxy/shutdown.rs
+++ b/src/proxy/shutdown.rs
@@ -46,7 +46,8 @@
         if !all_disconnected_by(process_ends_at, clients).await {
             return;
         }
-        // A connection that was queued in the meantime is accepted, because the end of the process would reset it.
+        // Connections that were queued since the last accept are accepted, because the end of the process would reset
+        // them.
         let more_may_be_queued = listener.is_some_and(|listener| clients.accept_queued(listener));
         if !more_may_be_queued {
             return;
