--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -56,7 +56,8 @@
 
 /// An ejection or readmission of a backend, logged for operators.
 ///
-/// `Display` is the text in the simulator's replies; the proxy logs its own message with fields instead.
+/// `Display` gives the text that `tillerproxy-simhost` returns to the [simulator](crate::simulator); the proxy logs its
+/// own message with fields instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// A backend was ejected because its requests fail.
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -95,9 +95,10 @@
         scope != RetryScope::Nowhere && !self.would_respond_too_late(now, key)
     }
 
-    /// Reports whether the response to an attempt that starts now would come too late to earn any priority weight:
-    /// after the latency objective if a late response of the class earns nothing, and after the client's timeout
-    /// otherwise. The response is expected after half the mean latency.
+    /// Reports whether the response to an attempt that starts now would come too late to count for the priority weight
+    /// of its class: after the latency objective if a late response of the class does not count, and after the client's
+    /// timeout otherwise. The attempt is assumed to take half the mean latency, so that a request is given up only if
+    /// even a quick response would be too late.
     fn would_respond_too_late(&self, now: Micros, key: RequestKey) -> bool {
         let request = &self.requests[key];
         let class = self.settings.class(request.class);
--- a/src/balancer/capacity.rs
+++ b/src/balancer/capacity.rs
@@ -36,7 +36,7 @@
 }
 
 impl ProxyCapacity {
-    /// Returns a capacity without a bound that has not been evaluated yet.
+    /// Returns an unbounded capacity, which holds until the first evaluation.
     pub(crate) fn unbounded() -> Self {
         Self {
             limit_sum: 0.0,
--- a/src/balancer/capacity/tests.rs
+++ b/src/balancer/capacity/tests.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_backend_is_shared_by_the_proxies_of_its_zone_and_a_backend_of_another_zone_by_all_proxies() {
+fn proxy_fraction_divides_by_the_proxies_per_zone_in_the_own_zone_and_by_all_proxies_elsewhere() {
     for (proxy_count, zone_count, own_zone, other_zone) in [
         (1, 1, 1.0, 1.0),
         (12, 3, 0.25, 1.0 / 12.0),
--- a/src/balancer/in_flight.rs
+++ b/src/balancer/in_flight.rs
@@ -68,8 +68,8 @@
         self.unserved_since > time
     }
 
-    /// Returns the number of overtaken attempts: those that were overdue already when the backend was sent an attempt
-    /// that it has served.
+    /// Returns the number of overtaken attempts, as the module documentation of `latency` defines them: those that were
+    /// overdue already when the backend was sent an attempt that it has served.
     pub(crate) fn overtaken_count(&self) -> usize {
         let is_overtaken = |&&at: &&Micros| at < self.latest_served_sent_at;
         self.overdue_at.iter().filter(is_overtaken).count()
--- a/src/balancer/limits/backend.rs
+++ b/src/balancer/limits/backend.rs
@@ -9,9 +9,10 @@
 
 /// Age of a window after which a backend without a slot receives the limit of its machine type again.
 const UNSAMPLED_AFTER: Micros = 2 * SECOND;
-/// Minimum factor of a load report on the limit of the machine type, for a backend much slower than the mean.
+/// Minimum factor by which a load report scales the limit of the machine type; applies to a backend much slower than
+/// the mean.
 const MIN_REPORT_FACTOR: f64 = 0.1;
-/// Maximum factor of a load report on the limit of the machine type, however short the reported service time.
+/// Maximum factor by which a load report scales the limit of the machine type, however short the reported service time.
 const MAX_REPORT_FACTOR: f64 = 1.5;
 /// Time for which the factor of a load report holds.
 const REPORT_TTL: Micros = 5 * SECOND;
@@ -40,7 +41,7 @@
     /// Limit from the backend's windows or load report. Not used while `source` is the machine type.
     own_limit: f64,
     window: Window,
-    /// Factor of the last load report on the limit of the machine type.
+    /// Factor by which the last load report scales the limit of the machine type.
     report_factor: f64,
     reported_at: Micros,
 }
--- a/src/balancer/limits/window.rs
+++ b/src/balancer/limits/window.rs
@@ -27,7 +27,7 @@
     }
 
     /// Records that the attempts in flight nearly reached the limit. Only then may a window raise the limit: quick
-    /// samples far below the limit do not show that it is too low.
+    /// responses while few attempts are in flight do not show that the limit is too low.
     pub(crate) fn mark_near_limit(&mut self) {
         self.near_limit = true;
     }
--- a/src/balancer/membership.rs
+++ b/src/balancer/membership.rs
@@ -86,8 +86,8 @@
         self.set_readiness(key, update.readiness, changes);
     }
 
-    /// Adds a backend that is not in the table yet. A machine type that the settings do not know is replaced by the
-    /// last one that they know.
+    /// Adds a backend that is not in the table yet. A machine type that the settings do not include is replaced by the
+    /// one with the highest number that they include.
     fn insert_backend(&mut self, now: Micros, update: &Backend) -> BackendKey {
         let last_machine_type = MachineType(self.settings.machine_type_count.saturating_sub(1));
         let machine_type = update.machine_type.min(last_machine_type);
--- a/src/balancer/observation.rs
+++ b/src/balancer/observation.rs
@@ -12,7 +12,7 @@
 /// to 1.25.
 const MIN_EJECTION_JITTER: f64 = 0.75;
 
-/// State that the end of an attempt is compared with, read before the end updates it.
+/// State of a backend and of the latency estimate of a class before the end of an attempt updates them.
 struct PriorState {
     /// Whether the base latency of the class on the backend's machine type is known.
     is_base_known: bool,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Records a rejection: for the mean latency of the class, the backend counts as having no capacity.
+    /// Records a rejection. The backend counts as without capacity for a time equal to the mean latency of the class.
     fn record_rejection(&mut self, now: Micros, class: ClassIndex, key: BackendKey) {
         let backend = &mut self.backends[key];
         let estimate = self.latencies.estimate(class, backend.machine_type);
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -15,7 +15,7 @@
 const REFUSED_CONNECTION_WEIGHT: f64 = 2.0;
 /// Weight of a broken connection in the failure rate: something between the proxy and the backend may have broken it.
 const BROKEN_CONNECTION_WEIGHT: f64 = 0.5;
-/// Weight of all other outcomes in the failure rate.
+/// Weight in the failure rate of every outcome other than a refused or broken connection.
 const ORDINARY_WEIGHT: f64 = 1.0;
 
 /// The effect of the end of an attempt on the state of its backend.
@@ -66,8 +66,8 @@
 /// The limits that a sample is evidence for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum LimitEvidence {
-    /// No limit. The attempt was lost or its response damaged between the proxy and the backend, and a few such
-    /// attempts must not reduce the limits of all backends.
+    /// Neither limit: the attempt was not sent, or it was lost or its response damaged between the proxy and the
+    /// backend. A few such attempts must not reduce the limits of all backends.
     None,
     /// The limit of the backend only. A fault of the backend is no evidence for the load of others of its machine type.
     Backend,
--- a/src/balancer/outcome/tests.rs
+++ b/src/balancer/outcome/tests.rs
@@ -24,7 +24,8 @@
     evidence_if_timeout_means_lost: LimitEvidence,
 }
 
-/// Returns a row whose effect and evidence are the same in all cases.
+/// Returns a row of [`TABLE`] whose effect and limit evidence depend neither on other attempts nor on what a timeout
+/// means.
 const fn row(outcome: Outcome, effect: Effect, limit_evidence: LimitEvidence) -> Row {
     Row {
         outcome,
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn only_failed_effects_are_failures_and_all_other_effects_have_weight_one() {
+fn only_the_effect_failed_counts_as_a_failure_and_all_other_effects_have_weight_one() {
     for effect in [FAILED, REFUSED_CONNECTION, BROKEN_CONNECTION] {
         assert!(effect.is_failure(), "{effect:?}");
     }
--- a/src/balancer/quotas.rs
+++ b/src/balancer/quotas.rs
@@ -113,7 +113,7 @@
     ///
     /// A tenant is over its quota if it has no token left and also uses a larger part of its quota at this proxy than
     /// the tenants do on average. The second condition is needed because the quota per proxy assumes that traffic is
-    /// spread evenly over the proxies. When other proxies have failed, this one receives more than its even part, and
+    /// spread evenly over the proxies. When other proxies have failed, this one receives more than an equal share, and
     /// without the comparison all tenants would be over their quotas.
     pub(crate) fn charge(&mut self, now: Micros, tenant: TenantIndex) -> bool {
         !self.withdraw(now, tenant) && self.is_above_average(now, tenant)
--- a/src/balancer/quotas/tests.rs
+++ b/src/balancer/quotas/tests.rs
@@ -22,13 +22,13 @@
         }
     }
 
-    fn recent(&self, now: Micros) -> f64 {
+    fn recent_requests_at(&self, now: Micros) -> f64 {
         let age = (now - self.last_request_at) as f64 / RECENT_REQUEST_TTL as f64;
         self.recent_requests * (1.0 - age).max(0.0)
     }
 
     fn withdraw(&mut self, now: Micros) -> bool {
-        self.recent_requests = self.recent(now) + 1.0;
+        self.recent_requests = self.recent_requests_at(now) + 1.0;
         let earned = self.rate * (now - self.last_request_at) as f64 / 1e6;
         self.tokens = (self.tokens + earned).min(self.rate.max(1.0));
         self.last_request_at = now;
@@ -71,8 +71,11 @@
                 model[tenant].withdraw(now),
                 "seed {seed}"
             );
-            let recent_of_all: f64 = model.iter().map(|tenant| tenant.recent(now)).sum();
-            let own = model[tenant].recent(now) * total_rate;
+            let recent_of_all: f64 = model
+                .iter()
+                .map(|tenant| tenant.recent_requests_at(now))
+                .sum();
+            let own = model[tenant].recent_requests_at(now) * total_rate;
             let average = recent_of_all * rates[tenant];
             // A unit is about a millionth of a request. Closer values may compare either way.
             if (own - average).abs() > 1e-3 {
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -316,7 +316,8 @@
 
 /// Returns the number of taken slots of a backend.
 ///
-/// Deviation: an overtaken attempt of a quick class takes no slot, because it was lost between proxy and backend.
+/// Deviation: an overtaken attempt of a quick class takes no slot, because it was lost between proxy and backend. The
+/// module documentation of `latency` defines both terms.
 fn taken_slots(backend: &BackendState) -> i64 {
     i64::from(backend.in_flight.count()) - backend.in_flight.overtaken_count() as i64
 }
--- a/src/balancer/selection/tests/random_proxy.rs
+++ b/src/balancer/selection/tests/random_proxy.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 
 const MS: Micros = 1_000;
-/// Number of classes, one of each idempotency.
+/// Number of classes: one idempotent, one non-idempotent, and one keyed class for each key scope.
 const CLASSES: u8 = 5;
 
 fn classes() -> Vec<Class> {
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -24,8 +24,8 @@
 const DELAY_AND_CALL_DURATION: Micros = 8 * SECOND;
 /// Number of poll intervals within which a proxy without a watch must receive a list after a failed call.
 const POLL_INTERVALS_AFTER_FAILURE: u64 = 4;
-/// Longest delay before a call. Every proxy counts as notified of a change from 6 s after discovery has the change and
-/// can be reached, and must have received it by that time. The call takes up to 3.5 s of the 6 s.
+/// Longest delay before a call. A proxy must receive a change within 6 s from the time at which discovery has the
+/// change and is reachable; after these 6 s it counts as notified. The call takes up to 3.5 s of them.
 const MAX_DELAY: Micros = 5 * SECOND / 2;
 
 /// Backoff of calls to discovery, which grows with the failures since the last list.
--- a/src/balancer/timers.rs
+++ b/src/balancer/timers.rs
@@ -5,8 +5,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of low bits of a token that hold the kind of the timer, its purpose. The other bits hold the index of the
-/// request's table key.
+/// Number of low bits of a token that hold the timer's purpose, which is its variant of [`Timer`]. The other bits hold
+/// the index of the request's table key.
 const PURPOSE_BITS: u32 = 2;
 const PURPOSE_MASK: u32 = (1 << PURPOSE_BITS) - 1;
 /// Value of the purpose bits in the token of a [`Timer::QueueTimeout`].
