--- a/src/proxy/backends/pool.rs
+++ b/src/proxy/backends/pool.rs
@@ -112,7 +112,8 @@
         !idle.connection.is_closed() && idle.since.elapsed() < self.max_idle
     }
 
-    /// Returns whether a connection is clean, as the module documentation defines it. Records the arrival of stray bytes.
+    /// Returns whether a connection is clean, as the module documentation defines it, and records the arrival of stray
+    /// bytes.
     fn is_clean(&self, idle: &IdleConnection) -> bool {
         if !self.is_usable(idle) || !idle.connection.is_ready() {
             return false;
@@ -160,6 +161,8 @@
         self.connector
             .connect(address, backend.generation(), connect_deadline)
             .await
-            .inspect_err(|error| tracing::debug!(backend = %address, %error, "connecting to the backend failed"))
+            .inspect_err(|error| {
+                tracing::debug!(backend = %address, %error, "connecting to the backend failed");
+            })
     }
 }
--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -12,8 +12,8 @@
 
 /// Maximum time from the stall of a watch until the proxy has applied a change of the endpoint list.
 pub const MAX_CHANGE_DELAY_AFTER_STALL: Duration = Duration::from_secs(6);
-/// Maximum time from the long-poll timeout of a stalled watch until the proxy has applied a change of the endpoint list.
-/// It replaces [`MAX_CHANGE_DELAY_AFTER_STALL`] if it ends later.
+/// Maximum time from the long-poll timeout of a stalled watch until the proxy has applied a change of the endpoint
+/// list. It replaces [`MAX_CHANGE_DELAY_AFTER_STALL`] if it ends later.
 pub const MAX_CHANGE_DELAY_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
 /// Maximum time from a change of discovery's address until the proxy has applied a change of the endpoint list.
 pub const MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
--- a/src/simulator/frames/reader.rs
+++ b/src/simulator/frames/reader.rs
@@ -66,8 +66,8 @@
     /// Reads the next record. Returns `None` after the last one.
     ///
     /// # Errors
-    /// [`FrameErrorKind`] of a record that is truncated or contains an unknown code for an outcome or for the kind of an
-    /// update, or of bytes after the last record.
+    /// [`FrameErrorKind`] of a record that is truncated or contains an unknown code for an outcome or for the kind of
+    /// an update, or of bytes after the last record.
     pub fn next_record(&mut self) -> Result<Option<Record<'a>>, FrameError> {
         let remaining_bytes = &self.bytes[self.offset..];
         let remaining = Fields::new(remaining_bytes, self.offset);
