--- a/src/proxy/backends/relay.rs
+++ b/src/proxy/backends/relay.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 /// Time from the start of the relay in which the rate of a body is not checked. A body of unknown length may be half a
-/// second late: it was buffered for 250 ms before its relay starts.
+/// second late: it is buffered for up to 250 ms before its relay starts.
 const GRACE: Duration = Duration::from_millis(250);
 
 /// Relays a body at the rate at which the client reads it, and returns the outcome of the attempt.
