--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -2,7 +2,7 @@
 //! capacity, queued briefly, or rejected.
 
 use super::Balancer;
-use super::limits::MIN_WINDOW;
+use super::limits::MIN_WINDOW_DURATION;
 use super::queue::max_wait;
 use super::requests::{OpenRequest, RequestKey};
 use super::retries::{self, RetryScope};
@@ -28,7 +28,7 @@
         let open = OpenRequest::new(request.id, class, over_quota, now, deadline);
         let key = self.requests.insert(open);
         self.retry_budget.deposit();
-        if self.capacity.is_older_than(now, MIN_WINDOW) {
+        if self.capacity.is_older_than(now, MIN_WINDOW_DURATION) {
             self.evaluate_capacity(now);
         }
         self.dispatch(now, key, out);
@@ -95,9 +95,10 @@
         scope != RetryScope::Nowhere && !self.would_respond_too_late(now, key)
     }
 
-    /// Reports whether the response to an attempt that starts now would come too late to earn any priority weight:
-    /// after the latency objective if a late response of the class earns nothing, and after the client's timeout
-    /// otherwise. The response is expected after half the mean latency.
+    /// Reports whether the response to an attempt that starts now would come too late to count for the priority weight
+    /// of its class: after the latency objective if a late response of the class does not count, and after the client's
+    /// timeout otherwise. The attempt is assumed to take half the mean latency, so that a request is given up only if
+    /// even a quick response would be too late.
     fn would_respond_too_late(&self, now: Micros, key: RequestKey) -> bool {
         let request = &self.requests[key];
         let class = self.settings.class(request.class);
--- a/src/proxy/discovery/intervals.rs
+++ b/src/proxy/discovery/intervals.rs
@@ -10,13 +10,12 @@
 use crate::spread::golden_ratio_position;
 use std::time::Duration;
 
-/// The operators' bound on the time from the stall of a watch until the proxy must have applied a change of the list.
+/// Maximum time from the stall of a watch until the proxy has applied a change of the endpoint list.
 pub const MAX_CHANGE_DELAY_AFTER_STALL: Duration = Duration::from_secs(6);
-/// The operators' bound on the time from the long-poll timeout of a stalled watch until the proxy must have applied a
-/// change of the list. It replaces [`MAX_CHANGE_DELAY_AFTER_STALL`] if it ends later.
+/// Maximum time from the long-poll timeout of a stalled watch until the proxy has applied a change of the endpoint
+/// list. It replaces [`MAX_CHANGE_DELAY_AFTER_STALL`] if it ends later.
 pub const MAX_CHANGE_DELAY_AFTER_LONG_POLL: Duration = Duration::from_secs(2);
-/// The operators' bound on the time from a change of discovery's address until the proxy must have applied a change of
-/// the list.
+/// Maximum time from a change of discovery's address until the proxy has applied a change of the endpoint list.
 pub const MAX_CHANGE_DELAY_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 
 /// Long-poll timeout if discovery is an agent on the same machine. It limits how long a broken connection goes
@@ -76,7 +75,7 @@
     };
 
     /// The timeouts of each call of a watch on an agent.
-    pub const PUSHED: Self = Self::continued(PUSHED_LONG_POLL_TIMEOUT);
+    pub const PUSHED: Self = Self::for_continued_watch(PUSHED_LONG_POLL_TIMEOUT);
 
     /// The timeouts of a call that opens a watch on a shared discovery.
     pub const OPEN_WATCH: Self = Self {
@@ -86,7 +85,7 @@
 
     /// Returns the timeouts of a call that continues a watch, which discovery does not queue.
     #[must_use]
-    pub const fn continued(long_poll_timeout: Duration) -> Self {
+    pub const fn for_continued_watch(long_poll_timeout: Duration) -> Self {
         Self {
             long_poll_timeout,
             call_timeout: long_poll_timeout.saturating_add(WATCH_STALL_DELAY),
