--- a/tests/watch/main.rs
+++ b/tests/watch/main.rs
@@ -11,5 +11,5 @@
 /// The shortest drain grace period of the sites in `deploy/sites`.
 const SHORTEST_GRACE_PERIOD: Duration = Duration::from_millis(250);
 
-/// The longest time for which a new call was observed to be queued at discovery, over all sites.
+/// Longest time for which a new call is queued at discovery, over all sites.
 const LONGEST_QUEUE_TIME: Duration = Duration::from_millis(1_950);
