--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn avoided_backends_counts_draining_and_unresponsive_but_not_removed_backends() {
+fn avoided_backend_count_includes_draining_and_unresponsive_but_not_removed_backends() {
     let mut proxy = SimulatedProxy::new(single_zone_settings(), single_zone_backends(3));
     assert_eq!(
         proxy.balancer.avoided_backend_count(proxy.now),
